--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -19,7 +19,7 @@
     may_gossip=True,
     may_cancel=True,
     load_report_fields=("load_ratio",),
-    reports_message_delay=True,
+    has_message_delay_reports=True,
     cross_zone_cost=0.02,
     health_check_cost=0.002,
 )
--- a/glenrock/config.py
+++ b/glenrock/config.py
@@ -149,8 +149,8 @@
         sockets=_descriptor_limit(raw),
         # No line on sockets tells of slow messages, and servers beyond their capacity were seen to return lines at
         # once: so silence must not count as word that all is well.
-        settings=replace(settings, reports_message_delay=False),
-        measures_delay=settings.reports_message_delay,
+        settings=replace(settings, has_message_delay_reports=False),
+        measures_delay=settings.has_message_delay_reports,
         known=_typed(raw, "known", dict, {}),
         peer_listen=_optional_address(raw, "peer_listen"),
         peers=tuple(address_of(peer, "peers") for peer in _typed(raw, "peers", list, [])),
--- a/glenrock/coordination/sharded_health_checks.py
+++ b/glenrock/coordination/sharded_health_checks.py
@@ -48,7 +48,9 @@
             self._post_load(server, load)
 
     def _post_load(self, server: str, load: float) -> None:
-        self._post(interface.HealthCheckResult(server, "served", 0, {self._load_fields[0]: load}))
+        self._post(
+            interface.HealthCheckResult(server, interface.AttemptOutcome.SERVED, 0, {self._load_fields[0]: load})
+        )
 
     def _tap(self, event: interface.Event) -> bool:
         """What servers tell the routing actor; answers to health checks are told to the others too."""
--- a/glenrock/lab/policies/module.py
+++ b/glenrock/lab/policies/module.py
@@ -12,6 +12,7 @@
     capacity_estimation,
     connection_concurrency,
     endpoint_table,
+    event_batch,
     gossip,
     group_affinity,
     health_checks,
@@ -21,14 +22,13 @@
     request_lifecycle,
     server_selection,
     token_budget,
-    turn,
-    waiting_line,
+    waiting_queue,
 )
 from glenrock.routing import balancer as balancer_module
 
 __all__ = ["OPEN", "Balancer", "constants", "gauges"]
 
-ROUND_MODULES = (turn, balancer_module, connection_concurrency, migration, gossip)
+ROUND_MODULES = (event_batch, balancer_module, connection_concurrency, migration, gossip)
 FEEDBACK_MODULES = (admission, capacity_estimation, outlier_ejection, migration)
 
 # Experiment files name constants as they always did; here stand the name and the modules that each one lives in today.
@@ -59,7 +59,7 @@
     "PROBE_BUDGET": ("HEALTH_CHECK_BUDGET", (token_budget,)),
     "MOST_PROBES": ("MAX_HEALTH_CHECKS", (token_budget, health_checks)),
     "PEER_BUDGET": ("GOSSIP_BUDGET", (token_budget,)),
-    "MAX_LINE": ("MAX_WAITING", (waiting_line, admission)),
+    "MAX_LINE": ("MAX_WAITING", (waiting_queue, admission)),
     "FEEDBACK_US": ("FEEDBACK_DELAY_US", FEEDBACK_MODULES),
     "FRESH_US": ("FRESH_REPORT_US", (health_checks, migration)),
     "LATE": ("LATE_LOAD", (health_checks, migration)),
@@ -96,5 +96,5 @@
 def gauges(driven: object) -> tuple[float, float] | None:
     """The cap on active load, and the length of the waiting line, of a balancer that has them."""
     if isinstance(driven, Balancer):
-        return driven.admission.cap, float(len(driven.waiting_line))
+        return driven.admission.load_cap, float(len(driven.waiting_queue))
     return None
--- a/glenrock/lab/policies/simple.py
+++ b/glenrock/lab/policies/simple.py
@@ -110,9 +110,9 @@
 
     def on_hand(self, e: interface.OperatorOverride) -> None:
         """A ban holds whatever the list says."""
-        (self.by_hand.add if e.out else self.by_hand.discard)(e.server)
+        (self.by_hand.add if e.is_suspended else self.by_hand.discard)(e.server)
         if s := self.servers.get(e.server):
-            if e.out:
+            if e.is_suspended:
                 self.leaves(s)
             elif s.listed:
                 s.ready, s.leaves_by = True, 0
@@ -136,7 +136,7 @@
             s.held[f.event.id] = None
 
     def place(self, f: Asked) -> None:
-        if not f.event.midflow and len(f.tried) >= self.set.max_attempts:
+        if not f.event.is_midstream and len(f.tried) >= self.set.max_attempts:
             self.refuse(f)
             return
         among = self.ready
@@ -158,7 +158,7 @@
         self.out.append(interface.StartAttempt(f.event.id, s.id, limit))
 
     def refuse(self, f: Asked) -> None:
-        longest = self.set.max_retry_after_us if self.set.sends_retry_after else 0
+        longest = self.set.max_retry_after_us if self.set.may_send_retry_after else 0
         self.out.append(interface.Reject(f.event.id, int(longest * (0.5 + self.rng.random() / 2))))
         self.asked.pop(f.event.id, None)
 
@@ -179,7 +179,7 @@
         f.out.mine -= 1
         f.out.held.pop(e.id, None)
         f.out = None
-        if e.done or f.stands:
+        if e.is_final or f.stands:
             self.asked.pop(e.id, None)
         else:
             self.place(f)
--- a/glenrock/net/attempt_outcomes.py
+++ b/glenrock/net/attempt_outcomes.py
@@ -36,12 +36,12 @@
 
 
 OUTCOMES: dict[AttemptEnd, AttemptOutcome] = {
-    AttemptEnd.BYE: "served",
-    AttemptEnd.MOVED: "cancelled",
-    AttemptEnd.ERROR: "error",
-    AttemptEnd.BUSY: "full",
-    AttemptEnd.WITHDRAWN: "cancelled",
-    AttemptEnd.NOT_SENT: "unsent",
+    AttemptEnd.BYE: AttemptOutcome.SERVED,
+    AttemptEnd.MOVED: AttemptOutcome.CANCELLED,
+    AttemptEnd.ERROR: AttemptOutcome.ERROR,
+    AttemptEnd.BUSY: AttemptOutcome.FULL,
+    AttemptEnd.WITHDRAWN: AttemptOutcome.CANCELLED,
+    AttemptEnd.NOT_SENT: AttemptOutcome.UNSENT,
 }
 
 
@@ -59,5 +59,7 @@
         if self.end in OUTCOMES:
             return OUTCOMES[self.end]
         if self.reach < Reach.WRITTEN:
-            return "no_connection"  # never ran: the server counts a line from its last byte
-        return "timeout" if self.end is AttemptEnd.SILENT and self.reach < Reach.UP else "broken"
+            return AttemptOutcome.NO_CONNECTION  # never ran: the server counts a line from its last byte
+        return (
+            AttemptOutcome.TIMEOUT if self.end is AttemptEnd.SILENT and self.reach < Reach.UP else AttemptOutcome.BROKEN
+        )
--- a/glenrock/net/client_connection.py
+++ b/glenrock/net/client_connection.py
@@ -37,7 +37,11 @@
 UNKNOWN_SERVER_MS = 2000.0  # where one stands at a server that nobody knows, its client is owed a word within 3 s
 RETRY_STANDING_MS = 250.0  # between two attempts for one
 GUARD_MS = 20.0  # a request that has no decision this long after its time is failed; 58 ms are allowed
-LAST_WORDS: dict[str, interface.AttemptOutcome] = {"BYE": "served", "MOVE": "cancelled", "ERR": "error"}
+LAST_WORDS: dict[str, interface.AttemptOutcome] = {
+    "BYE": interface.AttemptOutcome.SERVED,
+    "MOVE": interface.AttemptOutcome.CANCELLED,
+    "ERR": interface.AttemptOutcome.ERROR,
+}
 """A server's last words, and how the connection ended."""
 
 
@@ -113,7 +117,7 @@
 
     def migrate(self) -> None:
         """Asks the client to connect elsewhere."""
-        self.mailbox.put(MigrateClient("cancelled"))
+        self.mailbox.put(MigrateClient(interface.AttemptOutcome.CANCELLED))
 
     # -- attempts --------------------------------------------------------------------------------------
 
@@ -167,7 +171,7 @@
             group=opened.group,
             tenant=opened.tenant,
             load=self.load,
-            returning=opened.returns,
+            is_returning=opened.returns,
         )
 
     async def run(self) -> None:
@@ -346,7 +350,7 @@
             case MigrateClient(outcome):
                 return RelayEnd.BETWEEN_LINES if self._begin_move(outcome) else None
             case AnswerNow():
-                return RelayEnd.BETWEEN_LINES if self._begin_move("cancelled") else None
+                return RelayEnd.BETWEEN_LINES if self._begin_move(interface.AttemptOutcome.CANCELLED) else None
             case FinalAnswer():
                 # It was rejected or failed just as it came up, and routing has forgotten it. It stands all the same.
                 self.attempt_number = 0
@@ -392,7 +396,7 @@
             self.attempt.sock.close()
             self.attempt.sock = None
         self.sock.close()
-        self._record_relay_end("cancelled")
+        self._record_relay_end(interface.AttemptOutcome.CANCELLED)
         return True
 
     def take_over(self, server: str, sock: socket.socket) -> None:
@@ -410,7 +414,7 @@
         await self.stop_pumps(first=1)
         line = self._last_bytes()
         await self.leave_server()
-        self._record_relay_end(self.migrating or "cancelled")
+        self._record_relay_end(self.migrating or interface.AttemptOutcome.CANCELLED)
         await self._finish(line)
 
     def _last_bytes(self) -> bytes:
@@ -433,19 +437,19 @@
         if end is RelayEnd.BETWEEN_LINES:
             await self._hand_back()
         elif end is RelayEnd.SERVER_FIN:
-            self._record_relay_end(LAST_WORDS.get(self.last_word, "broken"))
+            self._record_relay_end(LAST_WORDS.get(self.last_word, interface.AttemptOutcome.BROKEN))
             await self.leave_server()
             await self._finish(b"")
         elif end is RelayEnd.SERVER_RST:
-            self._record_relay_end("broken")
+            self._record_relay_end(interface.AttemptOutcome.BROKEN)
             await self.stop_pumps()
             close_socket(self.sock, reset=True)
         elif end in (RelayEnd.CLIENT_RST, RelayEnd.TOO_EARLY):
-            self._record_relay_end("cancelled")
+            self._record_relay_end(interface.AttemptOutcome.CANCELLED)
             await self.stop_pumps()
             self.close_server_side(reset=True)
         else:
-            self._record_relay_end("cancelled")
+            self._record_relay_end(interface.AttemptOutcome.CANCELLED)
             await self._await_server_end()
 
     async def _await_server_end(self) -> None:
--- a/glenrock/net/connection_table.py
+++ b/glenrock/net/connection_table.py
@@ -63,7 +63,7 @@
             frozenset(tenant.name for tenant in settings.tenants),
         )
         self.retry_after_ms = 0.0
-        if settings.sends_retry_after:
+        if settings.may_send_retry_after:
             self.retry_after_ms = min(RETRY_AFTER_MS, settings.max_retry_after_us / 1000)
         objectives = [one.message_objective_us for one in settings.classes if one.message_objective_us]
         self._slow_ms = min(objectives) / (SLOW_SHARE * 1000) if objectives and measures_delay else 0.0
@@ -148,7 +148,7 @@
                 asked_at = connection.asked_at
                 if asked_at is not None and asked_at < oldest_ms and not connection.migrating:
                     say("silent", f"{connection.server} answers {connection.opened.id} no more: client moved")
-                    connection.mailbox.put(MigrateClient("broken"))
+                    connection.mailbox.put(MigrateClient(interface.AttemptOutcome.BROKEN))
             self.servers.tidy()
 
 
--- a/glenrock/net/endpoint_rows.py
+++ b/glenrock/net/endpoint_rows.py
@@ -10,7 +10,11 @@
 
 from ..config import Address, ConfigError, address_of
 
-STATES: dict[str, EndpointState] = {"SERVING": "ready", "DRAINING": "draining", "DELETED": "gone"}
+STATES: dict[str, EndpointState] = {
+    "SERVING": EndpointState.READY,
+    "DRAINING": EndpointState.DRAINING,
+    "DELETED": EndpointState.GONE,
+}
 MAX_NAME = 256  # characters
 
 
--- a/glenrock/net/endpoint_watcher.py
+++ b/glenrock/net/endpoint_watcher.py
@@ -11,7 +11,7 @@
 
 import httptools
 
-from glenrock.routing.interface import ListKind
+from glenrock.routing.interface import EndpointListKind
 
 from ..config import Address
 from ..log import say
@@ -116,7 +116,7 @@
         self,
         address: Address,
         clock: Clock,
-        update: Callable[[ListKind, list[EndpointRow]], None],
+        update: Callable[[EndpointListKind, list[EndpointRow]], None],
         failed: Callable[[], None],
         pace: PollBackoff,
         answered: Callable[[], None] = lambda: None,
@@ -141,9 +141,9 @@
             news = news_of(known)
         except (KeyError, TypeError, ValueError) as error:
             say("name table", f"known: not a list ({error!r}); starting without")
-            self._update("remembered", [])
+            self._update(EndpointListKind.CACHED, [])
             return
-        self._update("remembered", news.rows)
+        self._update(EndpointListKind.CACHED, news.rows)
         if news.rows and self.pace.must_poll:
             # A watch from there on is one call, the whole list first makes two.
             self._version = self.newest = news.version
@@ -230,7 +230,7 @@
             # A discovery that does not wait must not take all our CPU.
             await self._within(2 * SOON_MS, self._clock.sleep(SOON_MS))
         if news.rows or news.is_full:
-            self._update("full" if news.is_full else "changes", news.rows)
+            self._update(EndpointListKind.FULL if news.is_full else EndpointListKind.CHANGES, news.rows)
         self._answered()
         self.first.set()
 
--- a/glenrock/net/graceful_shutdown.py
+++ b/glenrock/net/graceful_shutdown.py
@@ -124,7 +124,7 @@
         still = [one for one in self._table.by_id.values() if one.up.is_set() and not one.migrating]
         steps = max(1.0, left_ms / STEP_MS)
         for connection in still[: max(1, round(len(still) / steps + ROUND_UP))]:
-            connection.mailbox.put(MigrateClient("cancelled"))
+            connection.mailbox.put(MigrateClient(interface.AttemptOutcome.CANCELLED))
 
     def _answer_waiting(self) -> None:
         for connection in list(self._table.by_id.values()):
--- a/glenrock/net/health_probe.py
+++ b/glenrock/net/health_probe.py
@@ -28,9 +28,9 @@
     report: dict[str, float]
 
 
-NO_CONNECTION = HealthAnswer("no_connection", {})
-NO_ANSWER = HealthAnswer("timeout", {})
-NOT_ASKED = HealthAnswer("unsent", {})  # this machine had no way to ask: no word on the server
+NO_CONNECTION = HealthAnswer(interface.AttemptOutcome.NO_CONNECTION, {})
+NO_ANSWER = HealthAnswer(interface.AttemptOutcome.TIMEOUT, {})
+NOT_ASKED = HealthAnswer(interface.AttemptOutcome.UNSENT, {})  # this machine had no way to ask: no word on the server
 
 
 class HealthProbe:
@@ -49,7 +49,7 @@
         sent_ms = self._clock.now()
         answer = NO_ANSWER
         if not self._pool.claim(self):
-            self._post(interface.HealthCheckResult(row.name, "unsent"))
+            self._post(interface.HealthCheckResult(row.name, interface.AttemptOutcome.UNSENT))
             return
         try:
             async with self._clock.limit(TIMEOUT_MS):
@@ -57,7 +57,7 @@
         except OSError as error:
             answer = NOT_ASKED if is_local(error) and not self._is_connected else NO_CONNECTION
         finally:
-            if answer.outcome != "served":
+            if answer.outcome != interface.AttemptOutcome.SERVED:
                 self.hang_up()
             self._pool.rest(self)
         self._used_ms = self._clock.now()
@@ -70,7 +70,7 @@
             # one, a sound server would be out of use after two such ends. Asked anew, on another.
             with contextlib.suppress(OSError):
                 answer = await self._question(self._sock)
-                if answer.outcome != "no_connection":
+                if answer.outcome != interface.AttemptOutcome.NO_CONNECTION:
                     return answer
             self.hang_up()
         self._is_connected = False
@@ -92,10 +92,10 @@
             for line in splitter.feed(bytes(buffer[:count])):
                 word, rest = protocol.split_word(line)
                 if word != "PONG" and "=" not in word:
-                    return HealthAnswer("error", {})
+                    return HealthAnswer(interface.AttemptOutcome.ERROR, {})
                 text = rest if word == "PONG" else word
                 if "=" in text:
-                    return HealthAnswer("served", protocol.report_of(text))
+                    return HealthAnswer(interface.AttemptOutcome.SERVED, protocol.report_of(text))
 
     def hang_up(self) -> None:
         """Closes the connection."""
--- a/glenrock/net/routing_actor.py
+++ b/glenrock/net/routing_actor.py
@@ -13,7 +13,7 @@
 from typing import Protocol
 
 from glenrock.routing import Balancer, interface
-from glenrock.routing.turn import ROUND_US
+from glenrock.routing.event_batch import ROUND_US
 
 from ..log import say
 from .clock import Clock, micros, millis
@@ -127,7 +127,7 @@
             actions = self.balancer.handle(now_us, batch)
         except Exception:  # noqa: BLE001 - the edge of the actor: connections are answered by their own deadline
             say("module", f"failed on {len(batch)} events: " + traceback.format_exc(limit=TRACEBACK_LINES))
-            actions = self.balancer.turn.actions
+            actions = self.balancer.batch.actions
             if not self._timers:  # its round must go on
                 self.balancer.schedule_round(now_us + ROUND_US)
         self._log_turn()
@@ -135,7 +135,7 @@
             self.act(action)
 
     def _log_turn(self) -> None:
-        for warning in self.balancer.turn.warnings:
+        for warning in self.balancer.batch.warnings:
             say("summary", warning)
         for zone, is_cut in self.balancer.domains.changes:
             if is_cut:
--- a/glenrock/net/server_connections.py
+++ b/glenrock/net/server_connections.py
@@ -96,14 +96,14 @@
     def _post(self, event: interface.Event) -> bool:
         return self.post(event)
 
-    def update(self, kind: interface.ListKind, rows: list[EndpointRow]) -> None:
+    def update(self, kind: interface.EndpointListKind, rows: list[EndpointRow]) -> None:
         """Takes a list or changes of it, and hands them to the routing actor."""
-        if kind != "changes":
+        if kind != interface.EndpointListKind.CHANGES:
             self._mark_others_deleted({row.name for row in rows})
         for row in rows:
             self._update_one(row)
         self._budget.servers = len(self.rows)
-        self.has_list = self.has_list or kind == "full"
+        self.has_list = self.has_list or kind == interface.EndpointListKind.FULL
         kept = [row for row in rows if row.name in self.rows]
         started_ms = self._start_times.take(kept)
         endpoints = tuple(_endpoint_of(row, at_ms) for row, at_ms in zip(kept, started_ms, strict=True))
@@ -139,7 +139,7 @@
         """Sends a health check; one that cannot be sent is told."""
         actor = self.get(name)
         if actor is None or not actor.mailbox.put(ServerJob.HEALTH_CHECK):
-            self.post(interface.HealthCheckResult(name, "unsent"))
+            self.post(interface.HealthCheckResult(name, interface.AttemptOutcome.UNSENT))
 
     def tidy(self) -> None:
         """Closes health checks' connections that have been idle, and retires actors without work."""
--- a/glenrock/program.py
+++ b/glenrock/program.py
@@ -181,7 +181,7 @@
             raise ConfigError(f"limits.sockets: {shortfall}")
 
     def _report_poll_failure(self) -> None:
-        self.routing.post(interface.EndpointList("failed"))
+        self.routing.post(interface.EndpointList(interface.EndpointListKind.FAILED))
 
     def _peers_of(self, config: Config) -> Peers | None:
         if not config.peer_listen:
--- a/glenrock/routing/activity_history.py
+++ b/glenrock/routing/activity_history.py
@@ -4,7 +4,7 @@
 
 from typing import NamedTuple
 
-from .turn import Turn
+from .event_batch import EventBatch
 
 
 class ActivitySample(NamedTuple):
@@ -18,20 +18,20 @@
 class ActivityHistory:
     """One sample a round, kept for `kept_us`."""
 
-    def __init__(self, turn: Turn, kept_us: int) -> None:
-        self._turn = turn
+    def __init__(self, batch: EventBatch, kept_us: int) -> None:
+        self._batch = batch
         self._kept_us = kept_us
         self.samples: list[ActivitySample] = []
 
     def record(self, clients: int, tier_load: float) -> None:
         """What is seen now."""
-        now_us = self._turn.now_us
+        now_us = self._batch.now_us
         self.samples = [sample for sample in self.samples if now_us - sample.at_us <= self._kept_us]
         self.samples.append(ActivitySample(now_us, clients, tier_load))
 
     def oldest_within(self, span_us: int) -> ActivitySample | None:
         """The oldest sample that is no older than that."""
         for sample in self.samples:
-            if self._turn.now_us - sample.at_us <= span_us:
+            if self._batch.now_us - sample.at_us <= span_us:
                 return sample
         return None
--- a/glenrock/routing/admission.py
+++ b/glenrock/routing/admission.py
@@ -14,15 +14,15 @@
 from .activity_history import ActivityHistory
 from .capacity_estimation import CapacityEstimator
 from .client_sessions import ClientSessions
+from .event_batch import NEVER_US, SECOND_US, EventBatch
 from .gossip import Gossip
-from .interface import Settings
+from .interface import AttemptOutcome, Settings
 from .load_estimation import FEEDBACK_DELAY_US, LoadEstimator
 from .outlier_ejection import OutlierEjection
 from .server_index import ServerIndex
 from .slow_start import SlowStart
 from .state import Attempt, RoutedRequest
-from .turn import LONG_AGO_US, SECOND_US, Turn
-from .waiting_line import MAX_WAITING, NO_BUCKET, WaitingLine
+from .waiting_queue import MAX_WAITING, NO_BUCKET, WaitingQueue
 
 NO_CAP = float("inf")
 LAG_US = 4 * SECOND_US  # quotas are read this far back: every summary in between has arrived or is lost
@@ -31,7 +31,9 @@
 MIN_ATTEMPTS, DROPPED_SHARE = 4, 0.2  # attempts of a round, and the part that servers drop when they are full
 SEVERAL_SERVERS_SHARE = 3  # one of so many servers drops connections: that is the fleet's trouble
 FEW_SERVERS = 3
-DROPPED = frozenset(("full", "broken"))  # outcomes of attempts that a full server drops
+DROPPED = frozenset(
+    (AttemptOutcome.FULL, AttemptOutcome.BROKEN)
+)  # outcomes of attempts that a full server drops
 
 
 @dataclass(eq=False)
@@ -39,43 +41,43 @@
     """The learned cap and this round's quota.
 
     Attributes:
-        cap: active load of the tier that is let in.
-        slow_start_cap: active load beside it, for servers that are warming up.
+        load_cap: active load of the tier that is let in.
+        slow_start_load_cap: active load beside it, for servers that are warming up.
         quota: load that the partial bucket, or newcomers if there is none, may still bring this round.
-        open_until: buckets up to this one pass. `partial_bucket` passes in part.
-        newcomers_pass: nobody waits, and there is room.
+        last_open_bucket: buckets up to this one pass. `partial_bucket` passes in part.
+        may_admit_newcomers: nobody waits, and there is room.
     """
 
-    turn: Turn
+    batch: EventBatch
     settings: Settings
     rng: random.Random
     index: ServerIndex
     sessions: ClientSessions
-    waiting_line: WaitingLine
+    waiting_queue: WaitingQueue
     gossip: Gossip
     loads: LoadEstimator
     capacity: CapacityEstimator
     slow_start: SlowStart
     ejection: OutlierEjection
     history: ActivityHistory
-    cap: float = field(init=False, default=NO_CAP)
-    slow_start_cap: float = field(init=False, default=0.0)
+    load_cap: float = field(init=False, default=NO_CAP)
+    slow_start_load_cap: float = field(init=False, default=0.0)
     quota: float = field(init=False, default=0.0)
-    open_until: int = field(init=False, default=-NO_BUCKET)
+    last_open_bucket: int = field(init=False, default=-NO_BUCKET)
     partial_bucket: int = field(init=False, default=NO_BUCKET)
-    newcomers_pass: bool = field(init=False, default=True)
-    kept_out: bool = field(init=False, default=False)
-    younger_buckets: int = field(init=False, default=0)
-    _cap_cut_us: int = field(init=False, default=LONG_AGO_US)
+    may_admit_newcomers: bool = field(init=False, default=True)
+    has_rejected_newcomer: bool = field(init=False, default=False)
+    extra_buckets: int = field(init=False, default=0)
+    _cap_cut_us: int = field(init=False, default=NEVER_US)
     _claimed: float = field(init=False, default=0.0)
     _attempts: int = field(init=False, default=0)
     _dropped: int = field(init=False, default=0)
     _dropping_servers: set[str] = field(init=False, default_factory=set)
 
     @property
-    def cap_is_open(self) -> bool:
+    def is_cap_open(self) -> bool:
         """Whether the cap keeps nobody out."""
-        return self.cap == NO_CAP
+        return self.load_cap == NO_CAP
 
     # -- a request -----------------------------------------------------------------------------------
 
@@ -84,16 +86,16 @@
         if self._continues_session(request):
             self.sessions.enter(request)
             return True
-        client = self.waiting_line.get(request.key)
-        bucket = client.bucket if client else self.waiting_line.current_bucket()
+        client = self.waiting_queue.get(request.key)
+        bucket = client.bucket if client else self.waiting_queue.current_bucket()
         admitted = self._passes(request, bucket, waits=client is not None)
         if not admitted and self._fits_warming_server(request):
             admitted = request.slow_start_only = True
         if admitted:
-            self.waiting_line.remove(request.key)
+            self.waiting_queue.remove(request.key)
             self.sessions.enter(request)
         else:
-            self.waiting_line.rejected(request, bucket)
+            self.waiting_queue.rejected(request, bucket)
         return admitted
 
     def _continues_session(self, request: RoutedRequest) -> bool:
@@ -102,22 +104,22 @@
         When servers drop connections by the hundred, sessions that come straight back would keep them down.
         While more is active than the cap, a session that was cut off ends, and its client waits like anybody.
         """
-        if request.event.midflow:
+        if request.event.is_midstream:
             return True
         session = self.sessions.get(request.key)
         if session is None:
             return False
-        if session.connections or self.gossip.tier_load() <= self.cap + self.slow_start_cap:
+        if session.connections or self.gossip.tier_load() <= self.load_cap + self.slow_start_load_cap:
             return True
         self.sessions.drop(request.key)
         return False
 
     def _passes(self, request: RoutedRequest, bucket: int, waits: bool) -> bool:
-        if self.newcomers_pass or (waits and bucket <= self.open_until):
+        if self.may_admit_newcomers or (waits and bucket <= self.last_open_bucket):
             self._claimed += request.load
             return True
-        if bucket > self.partial_bucket + self.younger_buckets:
-            self.kept_out = True
+        if bucket > self.partial_bucket + self.extra_buckets:
+            self.has_rejected_newcomer = True
             return False
         # A quota smaller than one client passes it now and then.
         passes = self.quota >= request.load or self.rng.random() * request.load < self.quota
@@ -147,7 +149,7 @@
         A loaded server drops its newest connections; as sessions they would come straight back, to be
         dropped. So a drop soon after the start is a rejection: back to the waiting line.
         """
-        stood_long = self.turn.now_us - attempt.sent_at_us > self.sessions.session_us
+        stood_long = self.batch.now_us - attempt.sent_at_us > self.sessions.session_us
         keep_session = not request.server or stood_long
         if attempt.outcome in DROPPED and not (request.server and keep_session):
             self._dropped += 1
@@ -156,13 +158,13 @@
 
     def record_new_peer(self, active_load: float) -> None:
         """A balancer is heard of that was there before: what it holds has been let in."""
-        self.cap += active_load
+        self.load_cap += active_load
 
     # -- the cap, once a round -----------------------------------------------------------------------
 
     def record_activity(self) -> None:
         """Clients and load, for quotas and for the reports that tell of now later."""
-        clients = len(self.sessions) + len(self.waiting_line)
+        clients = len(self.sessions) + len(self.waiting_queue)
         self.history.record(clients, self.gossip.tier_load())
 
     def update_cap(self) -> None:
@@ -181,7 +183,7 @@
         self._update_slow_start_cap(load_then, len(warm))
         if self.loads.fleet_load > load_targets.HIGH_LOAD or dropping:
             self._cut_cap(load_then, bearable)
-        elif not self.cap_is_open:
+        elif not self.is_cap_open:
             self._raise_cap(bearable)
 
     def _servers_drop_connections(self, warm: int) -> bool:
@@ -204,21 +206,21 @@
         """
         filled = sum(self.slow_start.filled_share(server) for server in self.slow_start.warming)
         full_load = filled * load_targets.TARGET_LOAD * load_then
-        self.slow_start_cap = full_load / self.capacity.divisor_load / max(1, warm)
+        self.slow_start_load_cap = full_load / self.capacity.divisor_load / max(1, warm)
 
     def _cut_cap(self, load_then: float, bearable: float) -> None:
-        if self.turn.now_us - self._cap_cut_us < FEEDBACK_DELAY_US:
+        if self.batch.now_us - self._cap_cut_us < FEEDBACK_DELAY_US:
             return
-        self._cap_cut_us = self.turn.now_us
+        self._cap_cut_us = self.batch.now_us
         if self.loads.fleet_load > load_targets.HIGH_LOAD:
-            self.cap = min(self.cap, max(load_then / 2, bearable))
+            self.load_cap = min(self.load_cap, max(load_then / 2, bearable))
         else:
-            self.cap = min(self.cap, self.gossip.tier_load() * CAP_CUT)
+            self.load_cap = min(self.load_cap, self.gossip.tier_load() * CAP_CUT)
 
     def _raise_cap(self, bearable: float) -> None:
-        self.cap += max(0.0, bearable - self.cap) * CAP_RISE
-        if self.cap > OPEN_CAP_RATIO * self.gossip.tier_load():
-            self.cap = NO_CAP
+        self.load_cap += max(0.0, bearable - self.load_cap) * CAP_RISE
+        if self.load_cap > OPEN_CAP_RATIO * self.gossip.tier_load():
+            self.load_cap = NO_CAP
 
     # -- quotas, once a round ------------------------------------------------------------------------
 
@@ -237,30 +239,30 @@
         """Free slots go to the oldest buckets first; the one they do not fill is split by client shares."""
         tier_load = self.gossip.tier_load()
         waiting = self.gossip.tier_waiting_load()
-        self.newcomers_pass = not waiting and tier_load < self.cap / 2
-        slots = max(0.0, self.cap + self.slow_start_cap - tier_load)
+        self.may_admit_newcomers = not waiting and tier_load < self.load_cap / 2
+        slots = max(0.0, self.load_cap + self.slow_start_load_cap - tier_load)
         client_share = self.client_share() or 1.0  # no history: the plain cap
         free = self._open_oldest_buckets(waiting, slots)
-        if self.quota > 0 and self.kept_out:
+        if self.quota > 0 and self.has_rejected_newcomer:
             # Clients come back at other balancers, and slots kept for their old buckets here stay empty. What
             # the oldest did not take goes to younger buckets, twice as many a round.
-            self.younger_buckets = min(2 * self.younger_buckets + 1, MAX_WAITING)
+            self.extra_buckets = min(2 * self.extra_buckets + 1, MAX_WAITING)
         elif self.quota <= 0:
-            self.younger_buckets = 0
-        if self.kept_out and slots < NO_CAP:
+            self.extra_buckets = 0
+        if self.has_rejected_newcomer and slots < NO_CAP:
             # The oldest pass beside the quota. With others kept out, they are kept what they claimed at most.
             free = max(free, slots - self._claimed / client_share)
-        self.kept_out = False
+        self.has_rejected_newcomer = False
         self._claimed = 0.0
         self.quota = free * client_share
 
     def _open_oldest_buckets(self, waiting: Mapping[int, float], slots: float) -> float:
         """Opens buckets as far as the slots go. Returns what is left for the first that does not fit."""
-        self.open_until, self.partial_bucket = -NO_BUCKET, NO_BUCKET
+        self.last_open_bucket, self.partial_bucket = -NO_BUCKET, NO_BUCKET
         for bucket in sorted(waiting):
             if waiting[bucket] > slots:
                 self.partial_bucket = bucket
                 break
-            self.open_until = bucket
+            self.last_open_bucket = bucket
             slots -= waiting[bucket]
         return slots
--- a/glenrock/routing/balancer.py
+++ b/glenrock/routing/balancer.py
@@ -18,6 +18,7 @@
 from .connection_load import ConnectionLoads
 from .endpoint_polling import EndpointPolling
 from .endpoint_table import EndpointTable
+from .event_batch import ROUND_US, SECOND_US, EventBatch, RequestTimer, RoundTimer
 from .failure_domains import FailureDomains
 from .gossip import Gossip
 from .group_affinity import GroupAffinity
@@ -30,6 +31,7 @@
     ConnectionFeedback,
     DrainMode,
     EndpointList,
+    EndpointListKind,
     Event,
     GossipReceived,
     HealthCheckResult,
@@ -49,10 +51,8 @@
 from .slow_start import SlowStart, reference_load
 from .state import RoutedRequest
 from .token_budget import health_check_budget, health_connection_budget
-from .turn import ROUND_US, SECOND_US, Turn
-from .waiting_line import WaitingLine
+from .waiting_queue import WaitingQueue
 
-ROUND_TIMER = ""  # purpose of the round's timer; those of requests carry the request's id
 MIN_SESSION_US = 2 * SECOND_US
 MIN_BUCKET_US = SECOND_US
 
@@ -62,14 +62,14 @@
 
     Attributes:
         settings: as given.
-        turn: the batch that is being handled; `turn.warnings` is for the log.
+        batch: the batch that is being handled; `batch.warnings` is for the log.
         servers: by id. `requests`: under way, by id.
     """
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings = settings
-        self.turn = Turn()
-        self.draining = False  # all clients here are sent away
+        self.batch = EventBatch()
+        self.is_draining = False  # all clients here are sent away
         rng = self._rng = random.Random(seed)  # noqa: S311 - draws need be repeatable, not secret
         salt = rng.getrandbits(64)
         self._classes = {request_class.name: request_class for request_class in settings.classes}
@@ -96,51 +96,51 @@
 
     def _build_state(self, salt: int) -> None:
         """Mechanisms: records and estimates."""
-        settings, turn = self.settings, self.turn
+        settings, batch = self.settings, self.batch
         # A client that is cut off comes back within the longest Retry-After or so.
         session_us = max(MIN_SESSION_US, 2 * settings.max_retry_after_us)
-        self.sessions = ClientSessions(turn, session_us)
-        self.waiting_line = WaitingLine(turn, max(MIN_BUCKET_US, settings.max_retry_after_us))
+        self.sessions = ClientSessions(batch, session_us)
+        self.waiting_queue = WaitingQueue(batch, max(MIN_BUCKET_US, settings.max_retry_after_us))
         self.connection_loads = ConnectionLoads()
         self.gossip = Gossip(
-            turn, settings, self._rng, self.sessions, self.waiting_line, self.connection_loads
+            batch, settings, self._rng, self.sessions, self.waiting_queue, self.connection_loads
         )
         self.domains = FailureDomains()
         self.affinity = GroupAffinity()
         self.overrides = OperatorOverrides()
-        self.polling = EndpointPolling(turn, settings, self._rng)
-        self.endpoints = EndpointTable(turn, settings, self.overrides, DRAIN_US)
+        self.polling = EndpointPolling(batch, settings, self._rng)
+        self.endpoints = EndpointTable(batch, settings, self.overrides, DRAIN_US)
         servers = self.endpoints.servers
-        self.loads = LoadEstimator(turn, settings)
-        self.capacity = CapacityEstimator(turn, servers, self.loads, self.sessions, self.connection_loads)
-        self.slow_start = SlowStart(turn, settings, servers, self.loads, self.capacity, salt)
+        self.loads = LoadEstimator(batch, settings)
+        self.capacity = CapacityEstimator(batch, servers, self.loads, self.sessions, self.connection_loads)
+        self.slow_start = SlowStart(batch, settings, servers, self.loads, self.capacity, salt)
         shortest_us = min(c.latency_objective_us for c in settings.classes)
-        self.concurrency = ConcurrencyLimit(turn, shortest_us)
+        self.concurrency = ConcurrencyLimit(batch, shortest_us)
 
     def _build_policies(self, salt: int) -> None:
         """Decisions, each with what it reads."""
-        settings, turn, rng = self.settings, self.turn, self._rng
+        settings, batch, rng = self.settings, self.batch, self._rng
         servers = self.endpoints.servers
         self.ejection = OutlierEjection(
-            turn, settings, rng, servers, self.endpoints.index, self.loads, self.slow_start, self.domains
+            batch, settings, rng, servers, self.endpoints.index, self.loads, self.slow_start, self.domains
         )
-        self.retries = RetryPolicy(turn, settings, rng, self.endpoints, self.overrides, self.ejection)
+        self.retries = RetryPolicy(batch, settings, rng, self.endpoints, self.overrides, self.ejection)
         self.admission = AdmissionController(
-            turn,
+            batch,
             settings,
             rng,
             self.endpoints.index,
             self.sessions,
-            self.waiting_line,
+            self.waiting_queue,
             self.gossip,
             self.loads,
             self.capacity,
             self.slow_start,
             self.ejection,
-            ActivityHistory(turn, LAG_US),
+            ActivityHistory(batch, LAG_US),
         )
         self.selection = ServerSelection(
-            turn,
+            batch,
             settings,
             rng,
             self.endpoints,
@@ -152,7 +152,7 @@
             self.affinity,
         )
         self.health_checks = HealthChecker(
-            turn,
+            batch,
             settings,
             self.endpoints,
             self.loads,
@@ -164,13 +164,13 @@
             health_connection_budget(),
         )
         self.migration = Migration(
-            turn, rng, self.endpoints.index, self.overrides, self.loads, self.health_checks
+            batch, rng, self.endpoints.index, self.overrides, self.loads, self.health_checks
         )
         self.lifecycle = RequestLifecycle(
-            turn,
+            batch,
             settings,
             self.sessions,
-            self.waiting_line,
+            self.waiting_queue,
             self.concurrency,
             self.affinity,
             self.slow_start,
@@ -186,8 +186,8 @@
 
     def handle(self, now_us: int, events: Sequence[Event]) -> list[Action]:
         """Takes a batch of events in. Returns what is to be done, in order. `now_us` never goes back."""
-        is_first = not self.turn.now_us
-        self.turn.begin(now_us)
+        is_first = not self.batch.now_us
+        self.batch.begin(now_us)
         if is_first:
             self.polling.start()
             self.schedule_round(now_us + 1 + int(self._rng.random() * ROUND_US))
@@ -195,11 +195,11 @@
         for event in events:
             if handler := self._handlers.get(type(event)):
                 handler(event)
-        return self.turn.actions
+        return self.batch.actions
 
     def schedule_round(self, at_us: int) -> None:
         """Asks for the timer of the next round; after a fault the caller does so, since rounds must go on."""
-        self.turn.set_timer(at_us, ROUND_TIMER)
+        self.batch.set_timer(at_us, RoundTimer())
 
     def load_of(self, request_id: str) -> int:
         """The load of a request's connection as last known; 0 for one that is not under way."""
@@ -219,10 +219,10 @@
     # -- events --------------------------------------------------------------------------------------
 
     def _on_endpoint_list(self, event: EndpointList) -> None:
-        if event.kind == "failed":
+        if event.kind == EndpointListKind.FAILED:
             self.polling.record_failure()
             return
-        if event.kind != "remembered":
+        if event.kind != EndpointListKind.CACHED:
             self.polling.record_success()
         self.endpoints.apply(event, self.requests)
 
@@ -233,7 +233,7 @@
         if event.id in self.requests:
             return
         request = self._routed(event)
-        if not event.returning and request.key not in self.waiting_line:  # costs go by first attempts
+        if not event.is_returning and request.key not in self.waiting_queue:  # costs go by first attempts
             self.health_checks.earn()
             self.gossip.budget.earn()
         self.lifecycle.start(request)
@@ -254,7 +254,7 @@
         else:
             load = self.connection_loads.expected(event.service)
         key = event.id if event.key is None else event.key
-        return RoutedRequest(event, request_class, key, load, self.turn.now_us)
+        return RoutedRequest(event, request_class, key, load, self.batch.now_us)
 
     def _on_feedback(self, event: ConnectionFeedback) -> None:
         request = self.requests.get(event.id)
@@ -268,24 +268,24 @@
         server = self.servers.get(event.server)
         if server is None:
             return
-        server.last_heard_us = self.turn.now_us
+        server.last_heard_us = self.batch.now_us
         if event.message_us is None or not self._message_objective_us:
             return
         if self.loads.record_delay(server, event.message_us, self._message_objective_us):
             self.ejection.cut_weight(server)
 
     def _on_attempt_ended(self, event: AttemptEnded) -> None:
-        self.lifecycle.attempt_ended(event, self.draining)
+        self.lifecycle.attempt_ended(event, self.is_draining)
 
     def _on_client_disconnected(self, event: ClientDisconnected) -> None:
         self.lifecycle.client_disconnected(event.id)
 
     def _on_timer(self, event: TimerFired) -> None:
-        purpose = self.turn.take_timer(event.ref)
-        if purpose == ROUND_TIMER:
-            self._run_round()
-        elif purpose is not None:
-            self.lifecycle.timer_fired(purpose)
+        match self.batch.pop_timer(event.ref):
+            case RoundTimer():
+                self._run_round()
+            case RequestTimer(request_id):
+                self.lifecycle.timer_fired(request_id)
 
     def _on_health_check_result(self, event: HealthCheckResult) -> None:
         server = self.servers.get(event.server)
@@ -300,17 +300,17 @@
             self.admission.record_new_peer(peer.active_load)
 
     def _on_drain_mode(self, event: DrainMode) -> None:
-        self.draining = event.on
-        self.gossip.next_us = self.turn.now_us
-        if event.on:
+        self.is_draining = event.is_draining
+        self.gossip.next_us = self.batch.now_us
+        if event.is_draining:
             self.slow_start.reference_load = 0.0  # the others bring it, as soon as they hear of it
 
     # -- the round -----------------------------------------------------------------------------------
 
     def _run_round(self) -> None:
-        self.schedule_round(self.turn.now_us + ROUND_US)
+        self.schedule_round(self.batch.now_us + ROUND_US)
         self.sessions.expire()
-        self.waiting_line.expire()
+        self.waiting_queue.expire()
         self.gossip.forget_lost_peers()
         self.admission.record_activity()
         self.loads.remember_own_load(self.endpoints.index.with_connections())
@@ -320,10 +320,10 @@
         self.admission.update_quota()
         self.migration.leave_draining_servers()
         self.migration.relieve_overloaded_servers()
-        self.health_checks.run_round(self.admission.cap_is_open)
+        self.health_checks.run_round(self.admission.is_cap_open)
         self.lifecycle.retry_waiting()
         self.polling.poll_if_due()
-        self.gossip.send_if_due(self.admission.lagged_clients(), self.admission.cap_is_open, self.draining)
+        self.gossip.send_if_due(self.admission.lagged_clients(), self.admission.is_cap_open, self.is_draining)
 
     def _update_estimates(self) -> None:
         peers = self.gossip.peers.values()
@@ -333,6 +333,6 @@
         self.capacity.update_server_capacity(tier_load, ready)
         own_load = sum(request.load for request in self.requests.values() if request.server)
         load = reference_load(
-            own_load, self.admission.client_share(), peers, self.settings.balancers, self.draining
+            own_load, self.admission.client_share(), peers, self.settings.balancers, self.is_draining
         )
-        self.slow_start.update_reference_load(load, self.draining)
+        self.slow_start.update_reference_load(load, self.is_draining)
--- a/glenrock/routing/capacity_estimation.py
+++ b/glenrock/routing/capacity_estimation.py
@@ -12,9 +12,9 @@
 
 from .client_sessions import ClientSessions
 from .connection_load import ConnectionLoads
+from .event_batch import NEVER_US, SECOND_US, EventBatch
 from .load_estimation import ENOUGH_CONNECTIONS, FEEDBACK_DELAY_US, LoadEstimator
 from .state import Server, TimedLoad
-from .turn import LONG_AGO_US, SECOND_US, Turn
 
 CAPACITY_GAIN, USUAL_CAPACITY_GAIN = 0.4, 0.04  # per round, of what a server is seen to do: now, and usually
 MIN_USUAL_SHARE = 0.15  # a server's usual capacity is at least this part of the others' mean
@@ -47,13 +47,13 @@
 
     def __init__(
         self,
-        turn: Turn,
+        batch: EventBatch,
         servers: Mapping[str, Server],
         loads: LoadEstimator,
         sessions: ClientSessions,
         connection_loads: ConnectionLoads,
     ) -> None:
-        self._turn = turn
+        self._batch = batch
         self._servers = servers
         self._loads = loads
         self._sessions = sessions
@@ -61,7 +61,7 @@
         self.server_capacity = 0.0
         self.warm_servers = 0
         self.none_is_warm = False
-        self.servers_lost_us = LONG_AGO_US
+        self.servers_lost_us = NEVER_US
         self._in_reach: set[str] = set()
         self._warm: Sequence[Server] | None = None
         self._own_load_history: list[TimedLoad] = []
@@ -104,7 +104,7 @@
         before = self._loads.fleet_load
         guess = (before * (warm - len(added) + lost) + sum(added)) / warm
         if lost and guess > before:
-            self.servers_lost_us = self._turn.now_us
+            self.servers_lost_us = self._batch.now_us
         self._loads.fleet_load = min(guess, max(before, MAX_GUESSED_LOAD))
 
     def update_fleet_load(self, warm: Sequence[Server], tier_load: float) -> None:
@@ -112,7 +112,7 @@
 
         Reports from before the clients of lost servers are back would open the cap for them again.
         """
-        since_us = max(self._turn.now_us - FEEDBACK_DELAY_US, self.servers_lost_us + CLIENTS_RETURN_US)
+        since_us = max(self._batch.now_us - FEEDBACK_DELAY_US, self.servers_lost_us + CLIENTS_RETURN_US)
         observed = [
             ObservedLoad(server, min(MAX_OBSERVED_LOAD, self._loads.load(server)))
             for server in warm
@@ -183,7 +183,7 @@
         Its part of a server's load is taken for its part of the tier. While another sends clients here they
         stand where they were just put; a slow server that took a dozen would seem to bear the load of ten.
         """
-        now_us = self._turn.now_us
+        now_us = self._batch.now_us
         history = [past for past in self._own_load_history if now_us - past.at_us <= STEADY_US]
         history.append(TimedLoad(now_us, self._sessions.active_load))
         self._own_load_history = history
@@ -198,7 +198,7 @@
         start, reports tell of the time before, when little stood there: a usual capacity learned from them is
         twice what there is.
         """
-        now_us = self._turn.now_us
+        now_us = self._batch.now_us
         if not STEADY_SHARE * self._tier_share <= tier_share <= self._tier_share / STEADY_SHARE:
             self._tier_share = tier_share
             self._tier_share_since_us = now_us
--- a/glenrock/routing/client_sessions.py
+++ b/glenrock/routing/client_sessions.py
@@ -4,8 +4,8 @@
 
 from dataclasses import dataclass
 
+from .event_batch import EventBatch
 from .state import RoutedRequest
-from .turn import Turn
 
 
 @dataclass(slots=True)
@@ -25,8 +25,8 @@
         session_us: a session without connections ends after this time.
     """
 
-    def __init__(self, turn: Turn, session_us: int) -> None:
-        self._turn = turn
+    def __init__(self, batch: EventBatch, session_us: int) -> None:
+        self._batch = batch
         self.session_us = session_us
         self.by_key: dict[int | str, Session] = {}
         self.active_load = 0.0
@@ -43,12 +43,12 @@
         """The request belongs to its client's session from now on."""
         session = self.by_key.get(request.key)
         if session is None:
-            session = self.by_key[request.key] = Session(0.0, self._turn.now_us)
+            session = self.by_key[request.key] = Session(0.0, self._batch.now_us)
         elif not session.connections:
             self.active_load -= session.load
             session.load = 0.0
         session.connections += 1
-        session.last_seen_us = self._turn.now_us
+        session.last_seen_us = self._batch.now_us
         session.load += request.load
         self.active_load += request.load
 
@@ -58,7 +58,7 @@
         if session is None:
             return
         session.connections -= 1
-        session.last_seen_us = self._turn.now_us
+        session.last_seen_us = self._batch.now_us
         if session.connections > 0:
             session.load -= request.load
             self.active_load -= request.load
@@ -79,7 +79,7 @@
 
     def expire(self) -> None:
         """Ends sessions that have had no connection for too long."""
-        oldest_us = self._turn.now_us - self.session_us
+        oldest_us = self._batch.now_us - self.session_us
         expired = [
             key
             for key, session in self.by_key.items()
--- a/glenrock/routing/connection_concurrency.py
+++ b/glenrock/routing/connection_concurrency.py
@@ -8,7 +8,8 @@
 
 from __future__ import annotations
 
-from .turn import LONG_AGO_US, ROUND_US, SECOND_US, Turn
+from .event_batch import NEVER_US, ROUND_US, SECOND_US, EventBatch
+from .interface import AttemptOutcome
 
 UNLIMITED = float("inf")
 MIN_WINDOW = 1.0
@@ -30,15 +31,15 @@
         pending: set-ups that are out.
     """
 
-    def __init__(self, turn: Turn, objective_us: int) -> None:
-        self._turn = turn
+    def __init__(self, batch: EventBatch, objective_us: int) -> None:
+        self._batch = batch
         self._objective_us = objective_us
         self.window = UNLIMITED
         self.pending = 0
         self._peak = 0  # most of them out in this round
         self._slow_or_failed = self._in_time = self._established = 0  # set-ups of this round
         self._servers_affected: set[str] = set()
-        self._cut_at_us = LONG_AGO_US
+        self._cut_at_us = NEVER_US
         self._idle_rounds = 0
         self._best_rate = 0.0  # set-ups a second that came up, the most lately
 
@@ -69,10 +70,10 @@
         else:
             self._in_time += 1
 
-    def record_ended(self, server: str, outcome: str) -> None:
+    def record_ended(self, server: str, outcome: AttemptOutcome) -> None:
         """A set-up ended otherwise. Rejections and dead servers say nothing of the store."""
         self.pending -= 1
-        if outcome in ("error", "timeout"):
+        if outcome in (AttemptOutcome.ERROR, AttemptOutcome.TIMEOUT):
             self._record_slow_or_failed(server)
 
     def _record_slow_or_failed(self, server: str) -> None:
@@ -83,14 +84,14 @@
             self._cut()
 
     def _cut(self) -> None:
-        if self._turn.now_us - self._cut_at_us < CUTS_APART_US:
+        if self._batch.now_us - self._cut_at_us < CUTS_APART_US:
             return
         window = self.window
         if not self.limited:
             # With so many out a store that does the best rate seen answers within the wanted time.
             window = max(self._best_rate, 1.0) * SLOW_SHARE * self._objective_us / SECOND_US
         self.window = max(MIN_WINDOW, CUT_FACTOR * window)
-        self._cut_at_us = self._turn.now_us
+        self._cut_at_us = self._batch.now_us
         self._idle_rounds = 0
 
     def finish_round(self) -> None:
--- a/glenrock/routing/endpoint_polling.py
+++ b/glenrock/routing/endpoint_polling.py
@@ -4,8 +4,8 @@
 
 import random
 
+from .event_batch import SECOND_US, EventBatch
 from .interface import Settings, WatchEndpoints
-from .turn import SECOND_US, Turn
 
 FIRST_BACKOFF_US = SECOND_US
 MAX_DOUBLINGS = 4
@@ -16,8 +16,8 @@
 class EndpointPolling:
     """Calls for the endpoint list, where the settings say that it comes only when asked for."""
 
-    def __init__(self, turn: Turn, settings: Settings, rng: random.Random) -> None:
-        self._turn = turn
+    def __init__(self, batch: EventBatch, settings: Settings, rng: random.Random) -> None:
+        self._batch = batch
         self._settings = settings
         self._rng = rng
         self._next_us = 0
@@ -30,7 +30,7 @@
             self._settings.poll_within_us / START_SPREAD_PARTS,
             self._settings.balancers * START_SPREAD_PER_BALANCER_US,
         )
-        self._next_us = self._turn.now_us + int(self._rng.random() * spread_us)
+        self._next_us = self._batch.now_us + int(self._rng.random() * spread_us)
 
     def record_failure(self) -> None:
         """A call failed: the next one waits, twice as long each time, with jitter."""
@@ -38,7 +38,7 @@
         self._failures += 1
         backoff_us = FIRST_BACKOFF_US * 2 ** min(self._failures, MAX_DOUBLINGS)
         backoff = min(self._settings.poll_within_us / 2, backoff_us)
-        self._next_us = self._turn.now_us + int(backoff * (0.5 + self._rng.random() / 2))
+        self._next_us = self._batch.now_us + int(backoff * (0.5 + self._rng.random() / 2))
 
     def record_success(self) -> None:
         """A list or a change of it came."""
@@ -46,6 +46,6 @@
 
     def poll_if_due(self) -> None:
         """Asks for the list where nobody has."""
-        if self._settings.must_poll_endpoints and not self._asked and self._turn.now_us >= self._next_us:
+        if self._settings.must_poll_endpoints and not self._asked and self._batch.now_us >= self._next_us:
             self._asked = True
-            self._turn.emit(WatchEndpoints())
+            self._batch.emit(WatchEndpoints())
--- a/glenrock/routing/endpoint_table.py
+++ b/glenrock/routing/endpoint_table.py
@@ -5,12 +5,19 @@
 from collections.abc import Mapping, Sequence
 from typing import NamedTuple
 
+from .event_batch import EventBatch
 from .hash_ring import HashRing, RingChange, ring_points
-from .interface import Endpoint, EndpointList, OperatorOverride, Settings
+from .interface import (
+    Endpoint,
+    EndpointList,
+    EndpointListKind,
+    EndpointState,
+    OperatorOverride,
+    Settings,
+)
 from .operator_overrides import OperatorOverrides
 from .server_index import ServerIndex
 from .state import RoutedRequest, Server, stable_hash
-from .turn import Turn
 
 MIN_INITIAL_WEIGHT, MAX_WEIGHT = 0.25, 3.0
 
@@ -30,8 +37,10 @@
         drain_us: clients of a server that drains or is gone are migrated within this time.
     """
 
-    def __init__(self, turn: Turn, settings: Settings, overrides: OperatorOverrides, drain_us: int) -> None:
-        self._turn = turn
+    def __init__(
+        self, batch: EventBatch, settings: Settings, overrides: OperatorOverrides, drain_us: int
+    ) -> None:
+        self._batch = batch
         self._settings = settings
         self._overrides = overrides
         self._drain_us = drain_us
@@ -44,7 +53,7 @@
 
     def apply(self, event: EndpointList, requests: Mapping[str, RoutedRequest]) -> None:
         """Takes in a list or changes. `requests` under way may still need a server that is gone."""
-        if event.kind != "changes":
+        if event.kind != EndpointListKind.CHANGES:
             self._unlist_others(event, requests)
         sizes = [entry.size for entry in event.entries]
         mean_size = sum(sizes) / len(sizes) if sizes else 1.0
@@ -52,7 +61,7 @@
             server = self.servers.get(entry.server) or self._add(entry, mean_size)
             server.zone = entry.zone
             server.cell = entry.cell
-            self._set_listed(server, entry.state == "ready")
+            self._set_listed(server, entry.state == EndpointState.READY)
             started_us = self._overrides.started_us(server.id, entry.started_us)
             if started_us > server.started_us:
                 self._restarted(server, started_us)
@@ -60,7 +69,7 @@
 
     def apply_override(self, event: OperatorOverride) -> None:
         """An operator takes a server out, or lets it serve again."""
-        changed = self._overrides.apply(event, self._turn.now_us)
+        changed = self._overrides.apply(event, self._batch.now_us)
         server = self.servers.get(event.server)
         if changed and server:
             self._restarted(server, max(server.started_us, self._overrides.started_us(server.id, 0)))
@@ -69,8 +78,8 @@
 
     def start_draining(self, server: Server) -> None:
         """A connection stands at a server that was to go before this balancer knew it."""
-        if not server.ready and not server.leave_by_us:
-            server.leave_by_us = self._turn.now_us + self._drain_us
+        if not server.ready and not server.migrate_by_us:
+            server.migrate_by_us = self._batch.now_us + self._drain_us
 
     def ready_servers(self) -> Sequence[Server]:
         """Servers that may get something new."""
@@ -84,7 +93,11 @@
         named = {entry.server for entry in event.entries}
         for server in [server for server in self.servers.values() if server.id not in named]:
             self._set_listed(server, False)
-            if event.kind == "full" and not server.connections and not _has_attempts(server, requests):
+            if (
+                event.kind == EndpointListKind.FULL
+                and not server.connections
+                and not _has_attempts(server, requests)
+            ):
                 del self.servers[server.id]
 
     def _add(self, entry: Endpoint, mean_size: float) -> Server:
@@ -92,7 +105,7 @@
         if mean_size > 0:
             server.weight = min(MAX_WEIGHT, max(MIN_INITIAL_WEIGHT, entry.size / mean_size))
         server.order = self._added
-        server.added_us = self._turn.now_us
+        server.added_us = self._batch.now_us
         self._added += 1
         self.servers[entry.server] = server
         return server
@@ -105,7 +118,7 @@
         server.ready = ready
         self.index.ready_changed()
         # Gone counts too: a machine that vanished leaves its connections open and silent.
-        server.leave_by_us = 0 if ready else self._turn.now_us + self._drain_us
+        server.migrate_by_us = 0 if ready else self._batch.now_us + self._drain_us
         in_zone = server.zone == self._settings.zone and self._settings.cross_zone_cost > 0
         change = RingChange(server, ring_points(server.hash), ready)
         self._changes.append(_Change(change, in_zone))
--- /dev/null
+++ b/glenrock/routing/event_batch.py
@@ -0,0 +1,68 @@
+"""The batch of events that is being handled: its time, the resulting actions, and the pending timers."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from .interface import Action, SetTimer
+
+SECOND_US = 1_000_000
+ROUND_US = SECOND_US // 2
+"""Interval of the periodic work: load cap, quotas, migration, health checks, gossip."""
+
+NEVER_US = -(1 << 40)
+"""A time before all others, for an event that has not happened yet."""
+
+
+@dataclass(slots=True)
+class RoundTimer:
+    """The next round is due."""
+
+
+@dataclass(slots=True)
+class RequestTimer:
+    """A request's deadline is near, or its wait for health checks is over."""
+
+    request_id: str
+
+
+Timer = RoundTimer | RequestTimer
+
+
+class EventBatch:
+    """State that all parts share while a batch is handled.
+
+    Attributes:
+        now_us: time of the batch; 0 before the first one.
+        actions: actions for the caller, in order.
+        warnings: lines for the log, one for each input of the batch that was ignored.
+    """
+
+    __slots__ = ("_next_reference", "actions", "now_us", "timers", "warnings")
+
+    def __init__(self) -> None:
+        self.now_us = 0
+        self.actions: list[Action] = []
+        self.warnings: list[str] = []
+        self.timers: dict[int, Timer] = {}
+        self._next_reference = 1
+
+    def begin(self, now_us: int) -> None:
+        """Starts a batch at that time."""
+        self.now_us = now_us
+        self.actions = []
+        self.warnings = []
+
+    def emit(self, action: Action) -> None:
+        """Adds an action."""
+        self.actions.append(action)
+
+    def set_timer(self, at_us: int, timer: Timer) -> None:
+        """Requests a timer, which `pop_timer` returns once it has fired."""
+        self.timers[self._next_reference] = timer
+        self.emit(SetTimer(at_us, self._next_reference))
+        self._next_reference += 1
+
+    def pop_timer(self, reference: int) -> Timer | None:
+        """Returns the timer with that reference; None if it was never set or has fired before."""
+        return self.timers.pop(reference, None)
--- a/glenrock/routing/gossip.py
+++ b/glenrock/routing/gossip.py
@@ -8,12 +8,12 @@
 from . import gossip_codec
 from .client_sessions import ClientSessions
 from .connection_load import ConnectionLoads
+from .event_batch import ROUND_US, SECOND_US, EventBatch
 from .interface import GossipReceived, SendGossip, Settings
 from .load_estimation import ENOUGH_CONNECTIONS
 from .state import Peer, WaitingLoad
 from .token_budget import gossip_budget
-from .turn import ROUND_US, SECOND_US, Turn
-from .waiting_line import WaitingLine
+from .waiting_queue import WaitingQueue
 
 CALM_INTERVAL_US = 5 * SECOND_US  # while there is room; twice a round while there is none
 PEER_LOST_AFTER_US = 3 * CALM_INTERVAL_US
@@ -32,18 +32,18 @@
 
     def __init__(
         self,
-        turn: Turn,
+        batch: EventBatch,
         settings: Settings,
         rng: random.Random,
         sessions: ClientSessions,
-        waiting_line: WaitingLine,
+        waiting_queue: WaitingQueue,
         connection_loads: ConnectionLoads,
     ) -> None:
-        self._turn = turn
+        self._batch = batch
         self._settings = settings
         self._rng = rng
         self._sessions = sessions
-        self._waiting_line = waiting_line
+        self._waiting_line = waiting_queue
         self._connection_loads = connection_loads
         self.peers: dict[int, Peer] = {}
         self.next_us = 0
@@ -63,7 +63,7 @@
 
     def forget_lost_peers(self) -> None:
         """A balancer that has gone: its clients come to the others, whose slots must not stay hidden."""
-        now_us = self._turn.now_us
+        now_us = self._batch.now_us
         lost = [n for n, peer in self.peers.items() if now_us - peer.heard_us > PEER_LOST_AFTER_US]
         for number in lost:
             del self.peers[number]
@@ -74,7 +74,7 @@
             return None
         summary = gossip_codec.decode(event.data)
         if wrong := gossip_codec.fault(event.peer, self._settings.balancers, summary, self._tenant_load()):
-            self._turn.warnings.append(wrong)
+            self._batch.warnings.append(wrong)
             return None
         assert summary is not None, "fault() tells of what cannot be read"
         known = self.peers.get(event.peer)
@@ -82,7 +82,7 @@
             return None  # late or doubled
         bucket = self._waiting_line.current_bucket()
         waiting = [WaitingLoad(bucket - age, load) for age, load in summary.waiting]
-        peer = Peer(summary.stamp, self._turn.now_us, summary.active_load, summary.clients, waiting)
+        peer = Peer(summary.stamp, self._batch.now_us, summary.active_load, summary.clients, waiting)
         self.peers[event.peer] = peer
         return None if known else peer
 
@@ -93,29 +93,29 @@
         quota = sum(tenant.connections for tenant in self._settings.tenants)
         return self._connection_loads.mean_load * quota
 
-    def send_if_due(self, clients: int, cap_is_open: bool, draining: bool) -> None:
+    def send_if_due(self, clients: int, is_cap_open: bool, is_draining: bool) -> None:
         """Tells the others, where it is time and the budget allows.
 
         Args:
             clients: seen here, as of the lag.
-            cap_is_open: nobody is kept out by the cap.
-            draining: this balancer sends its clients away; its part of the slots is the others' meanwhile.
+            is_cap_open: nobody is kept out by the cap.
+            is_draining: this balancer sends its clients away; its part of the slots is the others' meanwhile.
         """
-        settings, now_us = self._settings, self._turn.now_us
+        settings, now_us = self._settings, self._batch.now_us
         if not settings.may_gossip or settings.balancers <= 1 or now_us < self.next_us:
             return
         waiting = _ages(self._waiting_line.load_by_bucket(), self._waiting_line.current_bucket())
         stamp = now_us // STAMP_US & gossip_codec.MAX_STAMP
-        told_clients = 0 if draining else clients
+        told_clients = 0 if is_draining else clients
         data = gossip_codec.encode(stamp, self._sessions.active_load, told_clients, waiting)
         cost = len(data) * (settings.balancers - 1)
         if not self.budget.try_spend(cost):
             return
         # While nobody waits the quotas need little news, and what is saved then pays for scarcity.
-        calm = not waiting and cap_is_open
-        interval_us = ROUND_US // 2 if draining else CALM_INTERVAL_US if calm else 2 * ROUND_US
+        calm = not waiting and is_cap_open
+        interval_us = ROUND_US // 2 if is_draining else CALM_INTERVAL_US if calm else 2 * ROUND_US
         self.next_us = now_us + int(interval_us * (MIN_JITTER + self._rng.random() / JITTER_PARTS))
-        self._turn.emit(SendGossip(data))
+        self._batch.emit(SendGossip(data))
 
 
 def _ages(load_by_bucket: Mapping[int, float], current: int) -> list[WaitingLoad]:
--- a/glenrock/routing/health_checks.py
+++ b/glenrock/routing/health_checks.py
@@ -5,9 +5,10 @@
 from dataclasses import dataclass, field
 
 from .endpoint_table import EndpointTable
+from .event_batch import SECOND_US, EventBatch
 from .failure_domains import FailureDomains
 from .hash_ring import MASK
-from .interface import HealthCheckResult, SendHealthCheck, Settings
+from .interface import AttemptOutcome, HealthCheckResult, SendHealthCheck, Settings
 from .load_estimation import (
     ENOUGH_CONNECTIONS,
     FRESH_REPORT_US,
@@ -19,7 +20,6 @@
 from .server_selection import ServerSelection
 from .state import RoutedRequest, Server
 from .token_budget import KEPT_CONNECTION_US, LARGE_FLEET, MAX_HEALTH_CHECKS, TokenBudget
-from .turn import SECOND_US, Turn
 
 RESEND_AFTER_US = SECOND_US  # a server is asked again though no answer came
 
@@ -28,7 +28,7 @@
 class HealthChecker:
     """Sends health checks as far as the budget goes, and takes in what comes of them."""
 
-    turn: Turn
+    batch: EventBatch
     settings: Settings
     endpoints: EndpointTable
     loads: LoadEstimator
@@ -50,13 +50,13 @@
 
     def send(self, server: Server) -> bool:
         """Asks the server. True where a check is out, False where none may be sent."""
-        now_us = self.turn.now_us
+        now_us = self.batch.now_us
         if server.health_check_sent_us >= 0 and now_us - server.health_check_sent_us < RESEND_AFTER_US:
             return True
         if not self.loads.has_reports or not self._try_spend(server):
             return False
         server.health_check_sent_us = server.last_checked_us = now_us
-        self.turn.emit(SendHealthCheck(server.id))
+        self.batch.emit(SendHealthCheck(server.id))
         return True
 
     @property
@@ -65,7 +65,7 @@
 
     def _try_spend(self, server: Server) -> bool:
         """Pays for a check, and in a large fleet for the connection that it needs."""
-        is_connected = self.turn.now_us - server.last_checked_us < KEPT_CONNECTION_US
+        is_connected = self.batch.now_us - server.last_checked_us < KEPT_CONNECTION_US
         needs_connection = self._fleet_is_large and not is_connected
         if needs_connection and self.connections.tokens < 1:
             return False
@@ -75,7 +75,7 @@
         """Asks candidates of a first attempt whose loads are not fresh. Returns those worth a wait."""
         if len(request.candidates) < 2 or request.attempts:
             return set()
-        fresh_us = self.turn.now_us - FRESH_REPORT_US
+        fresh_us = self.batch.now_us - FRESH_REPORT_US
         stale = [server for server in request.candidates if server.reported_at_us < fresh_us]
         return {server.id for server in stale if self.send(server)}
 
@@ -93,8 +93,8 @@
     def record_result(self, server: Server, event: HealthCheckResult) -> None:
         """What came of a health check."""
         server.health_check_sent_us = -1
-        timed_out = event.outcome == "timeout"
-        if event.outcome == "served":
+        timed_out = event.outcome == AttemptOutcome.TIMEOUT
+        if event.outcome == AttemptOutcome.SERVED:
             server.consecutive_failures = server.ejected_until_us = 0
             self.ejection.record_reachable(server)
             self.ejection.record_report(server, event.report)
@@ -102,23 +102,25 @@
             # One that is full answers no health check in time. Held for out of reach it would stay unused for
             # half a minute, and the mean load come from the one or two that are left.
             self.ejection.record_load(server, max(LATE_LOAD, server.reported_load))
-        elif event.outcome == "no_connection" or (timed_out and not self.loads.was_heard_lately(server)):
+        elif event.outcome == AttemptOutcome.NO_CONNECTION or (
+            timed_out and not self.loads.was_heard_lately(server)
+        ):
             self.ejection.record_unreachable(server)  # says nothing of its load, nor of the mean
 
-    def run_round(self, cap_is_open: bool) -> None:
+    def run_round(self, is_cap_open: bool) -> None:
         """The checks that no request asked for."""
-        self._check_longest_unheard(cap_is_open)
+        self._check_longest_unheard(is_cap_open)
         self._check_cut_domains()
         self._check_inherited_load()
-        if not self.settings.reports_message_delay:
+        if not self.settings.has_message_delay_reports:
             self._check_silent_servers()
 
-    def _check_longest_unheard(self, cap_is_open: bool) -> None:
+    def _check_longest_unheard(self, is_cap_open: bool) -> None:
         """One server that no trouble chose: the longest unheard, since a draw leaves one unseen for seconds.
 
         With thin traffic, tokens kept for requests are never used, and a full fleet would not be seen.
         """
-        calm = self.loads.fleet_load < QUIET_LOAD and cap_is_open
+        calm = self.loads.fleet_load < QUIET_LOAD and is_cap_open
         kept = MAX_HEALTH_CHECKS / 2 if calm else 1
         if self.budget.tokens <= kept or not self.endpoints.ring:
             return
@@ -130,7 +132,7 @@
             self.send(min(ready, key=self._unheard_order))
 
     def _check_cut_domains(self) -> None:
-        for zone in self.domains.due_health_checks(self.turn.now_us):
+        for zone in self.domains.due_health_checks(self.batch.now_us):
             servers = [server for server in self.endpoints.ready_servers() if server.zone == zone]
             if servers:
                 self.send(min(servers, key=self._unheard_order))
@@ -144,7 +146,7 @@
     def _check_silent_servers(self) -> None:
         """Nobody says that a server is slow, so each that holds ours is asked, unless all are calm."""
         for server in self.endpoints.index.with_connections():
-            stale = self.turn.now_us - server.reported_at_us > FRESH_REPORT_US
+            stale = self.batch.now_us - server.reported_at_us > FRESH_REPORT_US
             if not server.ready or not stale:
                 continue
             if max(self.loads.fleet_load, self.selection.expected_load(server)) > QUIET_LOAD:
--- a/glenrock/routing/interface.py
+++ b/glenrock/routing/interface.py
@@ -1,39 +1,91 @@
 """The public interface of the routing decisions: settings, events in, actions out.
 
-All times are whole microseconds on the caller's clock. Load is work a second, in microseconds on a standard
-core, as the request's load hint gives it. Nothing here decides anything.
+All times are whole microseconds on the caller's clock. Load is work per second, in microseconds on a standard
+core, as the request's load hint states it. This module decides nothing.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
-from typing import Literal, get_args
+from enum import StrEnum
 
-Idempotency = Literal["safe", "keyed", "unsafe"]
-"""Whether a request may run twice: always, where the server knows its key, or never."""
 
-IdempotencyScope = Literal["all", "zone", "cell"]
-"""Which servers drop the repeat of a keyed request, seen from the first one."""
+class Idempotency(StrEnum):
+    """Whether a request may execute twice."""
 
-EndpointState = Literal["ready", "draining", "gone"]
-ListKind = Literal["changes", "full", "remembered", "failed"]
-AttemptOutcome = Literal[
-    "served", "error", "full", "timeout", "no_connection", "broken", "cancelled", "unsent"
-]
+    SAFE = "safe"
+    """It may execute any number of times."""
+    KEYED = "keyed"
+    """It carries an idempotency key, by which servers in its scope drop the duplicate."""
+    UNSAFE = "unsafe"
+    """It must not execute twice."""
 
-ATTEMPT_OUTCOMES: tuple[AttemptOutcome, ...] = get_args(AttemptOutcome)
-OUTCOMES_WITHOUT_EFFECT: frozenset[str] = frozenset(("full", "no_connection", "unsent"))
-"""Outcomes that prove that the request did not run."""
+    __hash__ = str.__hash__
+
+
+class IdempotencyScope(StrEnum):
+    """Which servers drop the duplicate of a keyed request, relative to the server of its first attempt."""
+
+    ALL = "all"
+    ZONE = "zone"
+    CELL = "cell"
+
+    __hash__ = str.__hash__
+
+
+class EndpointState(StrEnum):
+    """State of a server in service discovery."""
+
+    READY = "ready"
+    DRAINING = "draining"
+    GONE = "gone"
+
+    __hash__ = str.__hash__
+
+
+class EndpointListKind(StrEnum):
+    """What an `EndpointList` event carries."""
+
+    CHANGES = "changes"
+    """Rows that changed; all other servers stay as they are."""
+    FULL = "full"
+    """All servers."""
+    CACHED = "remembered"
+    """All servers as of an earlier run, until discovery answers."""
+    FAILED = "failed"
+    """No rows: the call to service discovery failed."""
+
+    __hash__ = str.__hash__
+
+
+class AttemptOutcome(StrEnum):
+    """How an attempt, its connection, or a health check ended."""
+
+    SERVED = "served"
+    ERROR = "error"
+    FULL = "full"
+    TIMEOUT = "timeout"
+    NO_CONNECTION = "no_connection"
+    BROKEN = "broken"
+    CANCELLED = "cancelled"
+    UNSENT = "unsent"
+
+    __hash__ = str.__hash__
+
+
+ATTEMPT_OUTCOMES = tuple(AttemptOutcome)
+NOT_EXECUTED_OUTCOMES = frozenset((AttemptOutcome.FULL, AttemptOutcome.NO_CONNECTION, AttemptOutcome.UNSENT))
+"""Outcomes that prove that the request did not execute."""
 
 LOAD_RATIO = "load_ratio"
 UTILIZATION = "utilization"
-"""Load report fields that the decisions read; others may be present and are ignored."""
+"""Fields of a load report that the decisions read; all others are ignored."""
 
-LARGEST_SETTING = 1e12
+MAX_SETTING = 1e12
 
 
 class SettingsError(ValueError):
-    """A setting that cannot be; the message names the field."""
+    """A setting has an impossible value; the message names the field."""
 
 
 def _require(condition: bool, name: str, requirement: str) -> None:
@@ -41,24 +93,25 @@
         raise SettingsError(f"{name}: {requirement}")
 
 
-def _require_one_of(value: str, allowed: tuple[str, ...], name: str) -> None:
+def _require_member(value: str, kind: type[StrEnum], name: str) -> None:
+    allowed = tuple(kind)
     _require(value in allowed, name, f"must be one of {', '.join(allowed)}")
 
 
 def _require_amount(value: float, name: str) -> None:
-    _require(0 <= value < LARGEST_SETTING, name, "must be a number, 0 or more")
+    _require(0 <= value < MAX_SETTING, name, "must be a number, 0 or more")
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """What all requests of a class have in common.
+    """Properties that all requests of a class share.
 
     Attributes:
-        latency_objective_us: a connection is wanted to be set up within this time.
-        deadline_us: a request of the class waits for its final answer at most this long.
-        message_objective_us: wanted time of a message on an open connection; 0 where none is known.
-        priority_weight: worth of the class beside the others.
-        idempotency_window_us: for how long servers in the scope drop the repeat of a keyed request.
+        latency_objective_us: wanted time to set up a connection.
+        deadline_us: longest time from a request's arrival to its final answer.
+        message_objective_us: wanted time of one message on an open connection; 0 if there is no objective.
+        priority_weight: weight of the class relative to the others.
+        idempotency_window_us: how long servers in the scope drop the duplicate of a keyed request.
     """
 
     name: str
@@ -66,15 +119,15 @@
     deadline_us: int
     message_objective_us: int = 0
     priority_weight: float = 1.0
-    idempotency: Idempotency = "safe"
-    idempotency_scope: IdempotencyScope = "all"
+    idempotency: Idempotency = Idempotency.SAFE
+    idempotency_scope: IdempotencyScope = IdempotencyScope.ALL
     idempotency_window_us: int = 0
 
     def validate(self) -> None:
-        """Raises SettingsError, which names the field."""
+        """Checks each field. Raises SettingsError, which names the first invalid one."""
         _require(bool(self.name), "classes.name", "must not be empty")
-        _require_one_of(self.idempotency, get_args(Idempotency), "classes.idempotency")
-        _require_one_of(self.idempotency_scope, get_args(IdempotencyScope), "classes.idempotency_scope")
+        _require_member(self.idempotency, Idempotency, "classes.idempotency")
+        _require_member(self.idempotency_scope, IdempotencyScope, "classes.idempotency_scope")
         _require(
             0 < self.latency_objective_us <= self.deadline_us,
             "classes.latency_objective_us",
@@ -87,7 +140,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """Who shares the servers. `connections` is its share over all balancers; 0 where no limit is told."""
+    """A tenant of the servers. `connections` is its quota over all balancers; 0 for no limit."""
 
     name: str
     connections: float = 0.0
@@ -95,21 +148,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What a balancer is told when it starts. Impossible values raise SettingsError, which names the field.
+    """Settings of a balancer, fixed for its lifetime. Impossible values raise SettingsError.
 
     Attributes:
-        index: this balancer's number among `balancers`.
-        tick_us: how often the caller looks for what is due.
-        may_hedge: a second attempt may be out beside the first. Never used here.
-        must_poll_endpoints: the endpoint list comes only when asked for, within `poll_within_us`.
-        slow_start_initial_share: part of its capacity that a server has when it starts; all of it after
-            `slow_start_us`.
-        slow_start_multiple: a server that is warming up fails when it gets more than this multiple of its
+        index: number of this balancer among `balancers`.
+        tick_us: interval at which the caller fires due timers.
+        may_hedge: a second attempt may be in flight beside the first. Never used here.
+        must_poll_endpoints: the endpoint list comes only after a call, which is due within `poll_within_us`.
+        slow_start_initial_fraction: part of its capacity that a server has when it starts; it has all of it
+            after `slow_start_us`.
+        slow_start_multiple: a server that is warming up fails if it receives more than this multiple of its
             capacity within `slow_start_window_us`.
-        weight_by_work: priority weights count by work, not by request.
-        load_report_fields: names of the figures that health checks return.
-        reports_message_delay: word comes of connections whose messages are slow.
-        cross_zone_cost: and the other costs are parts of the result that one such act takes away.
+        is_weighted_by_work: priority weights apply to work, not to requests.
+        load_report_fields: names of the fields that health checks return.
+        has_message_delay_reports: servers report connections whose messages are slow.
+        cross_zone_cost: cost of one connection to another zone, as a part of the platform's result; the other
+            costs are in the same unit.
     """
 
     classes: tuple[RequestClass, ...]
@@ -123,28 +177,28 @@
     may_cancel: bool = False
     may_health_check: bool = False
     may_gossip: bool = False
-    sends_retry_after: bool = True
+    may_send_retry_after: bool = True
     max_retry_after_us: int = 1_000_000
     connect_timeout_us: int = 250_000
     must_poll_endpoints: bool = False
     poll_within_us: int = 10_000_000
     answer_grace_us: int = 0
     drain_grace_us: int = 1_000_000
-    slow_start_initial_share: float = 0.1
+    slow_start_initial_fraction: float = 0.1
     slow_start_us: int = 30_000_000
     slow_start_multiple: float = 2.0
     slow_start_window_us: int = 1_000_000
-    weight_by_work: bool = False
+    is_weighted_by_work: bool = False
     over_quota_weight: float = 1.0
     load_report_fields: tuple[str, ...] = ()
-    reports_message_delay: bool = False
+    has_message_delay_reports: bool = False
     cross_zone_cost: float = 0.0
     health_check_cost: float = 0.0
     gossip_cost: float = 0.0
     migration_cost: float = 0.0
 
     def __post_init__(self) -> None:
-        """Checks each field."""
+        """Checks each field. Raises SettingsError."""
         self._validate_members()
         for name in ("tick_us", "connect_timeout_us", "poll_within_us", "slow_start_window_us"):
             _require(getattr(self, name) > 0, name, "must be above 0")
@@ -152,9 +206,9 @@
             _require(getattr(self, name) >= 0, name, "must not be negative")
         for name in ("cross_zone_cost", "health_check_cost", "gossip_cost", "migration_cost"):
             _require_amount(getattr(self, name), name)
-        share = self.slow_start_initial_share
-        _require(0 < share <= 1, "slow_start_initial_share", "must be above 0 and at most 1")
-        _require(0 < self.slow_start_multiple < LARGEST_SETTING, "slow_start_multiple", "must be above 0")
+        fraction = self.slow_start_initial_fraction
+        _require(0 < fraction <= 1, "slow_start_initial_fraction", "must be above 0 and at most 1")
+        _require(0 < self.slow_start_multiple < MAX_SETTING, "slow_start_multiple", "must be above 0")
         _require(0 <= self.over_quota_weight <= 1, "over_quota_weight", "must lie between 0 and 1")
 
     def _validate_members(self) -> None:
@@ -175,10 +229,15 @@
 
 @dataclass(slots=True)
 class Endpoint:
-    """A server as service discovery lists it. `size` is relative; `started_us` is 0 for long ago."""
+    """A server's row in service discovery.
+
+    Attributes:
+        size: relative capacity.
+        started_us: start of the server's process; 0 if unknown or long ago.
+    """
 
     server: str
-    state: EndpointState = "ready"
+    state: EndpointState = EndpointState.READY
     zone: str = ""
     cell: int = 0
     size: float = 1.0
@@ -187,23 +246,23 @@
 
 @dataclass(slots=True)
 class EndpointList:
-    """News of the servers: all of them, changes, what a start remembers, or that a call failed."""
+    """An answer of service discovery, the cached list of an earlier run, or a failed call."""
 
-    kind: ListKind
+    kind: EndpointListKind
     entries: tuple[Endpoint, ...] = ()
 
 
 @dataclass(slots=True)
 class Request:
-    """A client asks for a connection.
+    """A client's wish for a connection.
 
     Attributes:
-        service: name of its class.
-        key: the client; None where it names none.
-        group: connections of a group are best on the same servers.
-        load: hint of its usual load; 0 where none is given.
-        returning: it comes back after a break or a migration.
-        midflow: packets of a connection that is open already.
+        service: name of the request's class.
+        key: identity of the client; None if the request names none.
+        group: affinity group, whose connections share servers where possible; None for no group.
+        load: hint of the connection's usual load; 0 if there is none.
+        is_returning: the client reconnects after a break or a migration.
+        is_midstream: the connection is open already, and its packets are under way.
     """
 
     id: str
@@ -213,13 +272,13 @@
     group: int | None = None
     tenant: str = ""
     load: int = 0
-    returning: bool = False
-    midflow: bool = False
+    is_returning: bool = False
+    is_midstream: bool = False
 
 
 @dataclass(slots=True)
 class OpenConnection:
-    """A connection that stood at a server before this balancer started."""
+    """A connection that was open at a server before this balancer started."""
 
     request: Request
     server: str
@@ -227,7 +286,7 @@
 
 @dataclass(slots=True)
 class ConnectionEstablished:
-    """An attempt is up: the client has its first answer."""
+    """An attempt succeeded: the client has its first answer."""
 
     id: str
     attempt: int
@@ -237,7 +296,7 @@
 
 @dataclass(slots=True)
 class ConnectionFeedback:
-    """What a server tells of an open connection: its load now, or how long a message takes there now."""
+    """A server's report on an open connection: its present load, or the present time of a message."""
 
     id: str
     server: str
@@ -247,34 +306,37 @@
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """An attempt, or the connection that it became, is over. `done`: the client needs no answer any more."""
+    """An attempt, or the connection that it established, ended.
+
+    `is_final`: the client needs no further answer.
+    """
 
     id: str
     attempt: int
     server: str
     outcome: AttemptOutcome
-    done: bool
+    is_final: bool
     latency_us: int = 0
     report: dict[str, float] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
 class ClientDisconnected:
-    """The client closed or cancelled."""
+    """The client closed its connection or cancelled its request."""
 
     id: str
 
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer that `SetTimer` asked for is due."""
+    """The timer that `SetTimer` requested with this reference is due."""
 
     ref: int
 
 
 @dataclass(slots=True)
 class HealthCheckResult:
-    """What came of a health check."""
+    """The result of a health check."""
 
     server: str
     outcome: AttemptOutcome
@@ -284,26 +346,26 @@
 
 @dataclass(slots=True)
 class OperatorOverride:
-    """Operators take a server out of rotation, or let it serve again. It stands whatever a list says.
+    """An operator takes a server out of rotation, or returns it. It prevails over the endpoint list.
 
-    `at_us`: it was called back then; 0 for now.
+    `at_us`: time of the return; 0 for now.
     """
 
     server: str
-    out: bool
+    is_suspended: bool
     at_us: int = 0
 
 
 @dataclass(slots=True)
 class DrainMode:
-    """This balancer's clients are sent away, to the others of the tier; or no longer."""
+    """This balancer starts or stops draining: its clients migrate to the other balancers."""
 
-    on: bool
+    is_draining: bool
 
 
 @dataclass(slots=True)
 class GossipReceived:
-    """A summary of another balancer."""
+    """A gossip summary from another balancer."""
 
     peer: int
     data: bytes
@@ -330,7 +392,7 @@
 
 @dataclass(slots=True)
 class StartAttempt:
-    """Send the request to that server; give it up after `timeout_us`."""
+    """Send the request to that server; cancel the attempt after `timeout_us`."""
 
     id: str
     server: str
@@ -339,7 +401,7 @@
 
 @dataclass(slots=True)
 class CancelAttempt:
-    """Nobody waits for that attempt any more."""
+    """Cancel that attempt: its outcome is no longer needed."""
 
     id: str
     attempt: int
@@ -347,7 +409,7 @@
 
 @dataclass(slots=True)
 class Reject:
-    """Final answer: the client may come again after `retry_after_us`; 0 where no time is told."""
+    """Final answer: the client may retry after `retry_after_us`; 0 if no delay is stated."""
 
     id: str
     retry_after_us: int = 0
@@ -362,7 +424,7 @@
 
 @dataclass(slots=True)
 class Migrate:
-    """Ask the client of an open connection to connect again."""
+    """Ask the client of an open connection to reconnect elsewhere."""
 
     id: str
 
@@ -377,14 +439,14 @@
 
 @dataclass(slots=True)
 class SendHealthCheck:
-    """Ask a server for its load and whether it is there."""
+    """Check whether a server answers, and ask for its load report."""
 
     server: str
 
 
 @dataclass(slots=True)
 class SendGossip:
-    """Send this to every peer; at most 256 bytes."""
+    """Send this summary, of at most 256 bytes, to every peer."""
 
     data: bytes
 
--- a/glenrock/routing/load_estimation.py
+++ b/glenrock/routing/load_estimation.py
@@ -8,9 +8,9 @@
 
 from collections.abc import Iterable
 
+from .event_batch import NEVER_US, SECOND_US, EventBatch
 from .interface import LOAD_RATIO, UTILIZATION, Settings
 from .state import DelaySample, Server, TimedLoad
-from .turn import LONG_AGO_US, SECOND_US, Turn
 
 FEEDBACK_DELAY_US = 2 * SECOND_US  # load reports may be refreshed and delivered this late
 MEAN_REPORT_AGE_US = FEEDBACK_DELAY_US // 2
@@ -43,14 +43,14 @@
         fleet_load: mean load of the servers, as the capacity estimate has it.
     """
 
-    def __init__(self, turn: Turn, settings: Settings) -> None:
-        self._turn = turn
+    def __init__(self, batch: EventBatch, settings: Settings) -> None:
+        self._batch = batch
         fields = settings.load_report_fields
         self.has_reports = settings.may_health_check and (LOAD_RATIO in fields or UTILIZATION in fields)
-        self.silence_means_sound = settings.reports_message_delay
+        self.silence_means_sound = settings.has_message_delay_reports
         self.fleet_load = INITIAL_FLEET_LOAD
         self._remembered: dict[str, Server] = {}  # servers with a history of own load
-        self._remembered_us = LONG_AGO_US  # the last round
+        self._remembered_us = NEVER_US  # the last round
 
     def remember_own_load(self, servers: Iterable[Server]) -> None:
         """Once a round: what stands where, for reports that tell of now later.
@@ -59,7 +59,7 @@
             servers: those where connections stand. One where nothing stands, nor did lately, has no history:
                 that says as much.
         """
-        now_us = self._turn.now_us
+        now_us = self._batch.now_us
         for server in servers:
             if server.id not in self._remembered:
                 self._remembered[server.id] = server
@@ -80,7 +80,7 @@
         Only what was sent since the time of which it tells still counts beside it: with all that was sent
         before the report taken off, a server would look empty for the second that reports are old.
         """
-        now_us = self._turn.now_us
+        now_us = self._batch.now_us
         server.reported_load = load
         server.reported_at_us = now_us
         server.own_load_at_report = self._own_load_before(server, now_us - MEAN_REPORT_AGE_US)
@@ -95,7 +95,7 @@
 
     def record_sent(self, server: Server, load: float) -> None:
         """Load was sent there: no report shows it yet. What no report can leave out any more is forgotten."""
-        now_us = self._turn.now_us
+        now_us = self._batch.now_us
         sends = server.recent_sends
         if sends and now_us - sends[0].at_us >= KNOWN_REPORT_US:
             sends = [sent for sent in sends if now_us - sent.at_us < KNOWN_REPORT_US]
@@ -105,12 +105,12 @@
 
     def lately_sent_load(self, server: Server) -> float:
         """Load sent there that no report can show yet, where servers may go without a report for long."""
-        since_us = self._turn.now_us - KNOWN_REPORT_US
+        since_us = self._batch.now_us - KNOWN_REPORT_US
         return sum(load for at_us, load in server.recent_sends if at_us >= since_us)
 
     def record_delay(self, server: Server, delay_us: float, objective_us: int) -> bool:
         """Word of how long a message takes there. True if it misses its objective."""
-        now_us = self._turn.now_us
+        now_us = self._batch.now_us
         if delay_us > objective_us / 3:
             server.delayed_at_us = now_us
         samples = server.delay_samples
@@ -125,15 +125,15 @@
 
     def is_late(self, server: Server) -> bool:
         """Whether messages there miss their objective now."""
-        return self._turn.now_us - server.objective_missed_us < DELAY_NOTICE_US
+        return self._batch.now_us - server.objective_missed_us < DELAY_NOTICE_US
 
     def was_slow_lately(self, server: Server) -> bool:
         """Whether it told of slow messages while a health check was out: no answer then tells of load."""
-        return bool(server.connections) and self._turn.now_us - server.delayed_at_us < DELAY_NOTICE_US
+        return bool(server.connections) and self._batch.now_us - server.delayed_at_us < DELAY_NOTICE_US
 
     def was_heard_lately(self, server: Server) -> bool:
         """Whether it said anything: an unanswered health check is no proof then that it is out of reach."""
-        return self._turn.now_us - server.last_heard_us < DELAY_NOTICE_US
+        return self._batch.now_us - server.last_heard_us < DELAY_NOTICE_US
 
     @staticmethod
     def load_from_delays(server: Server) -> float:
@@ -156,7 +156,7 @@
 
     def load(self, server: Server) -> float:
         """The load of a server as known now: from late messages, its last report, or the mean of all."""
-        now_us = self._turn.now_us
+        now_us = self._batch.now_us
         age_us = now_us - server.reported_at_us
         known = server.reported_load >= 0 and age_us < KNOWN_REPORT_US
         load = server.reported_load if known else min(self.fleet_load, 1.0)
@@ -180,7 +180,7 @@
         that ends says nothing of the rest.
         """
         own_load = server.own_load
-        age_us = self._turn.now_us - server.reported_at_us
+        age_us = self._batch.now_us - server.reported_at_us
         enough = len(server.connections) >= ENOUGH_CONNECTIONS and age_us < KNOWN_REPORT_US
         if enough and not self.is_late(server) and server.own_load_at_report > own_load:
             return own_load / server.own_load_at_report
--- a/glenrock/routing/migration.py
+++ b/glenrock/routing/migration.py
@@ -9,13 +9,13 @@
 from dataclasses import dataclass, field
 
 from . import load_targets
+from .event_batch import ROUND_US, SECOND_US, EventBatch
 from .health_checks import HealthChecker
 from .interface import Migrate
 from .load_estimation import FEEDBACK_DELAY_US, FRESH_REPORT_US, LATE_LOAD, LoadEstimator
 from .operator_overrides import OperatorOverrides
 from .server_index import ServerIndex
 from .state import RoutedRequest, Server
-from .turn import ROUND_US, SECOND_US, Turn
 
 DRAIN_US = 2 * SECOND_US  # clients of a draining server are migrated over this time, before it cuts them off
 OVERLOAD = 1.0  # above this a server serves hardly any message in time
@@ -29,7 +29,7 @@
 class Migration:
     """Moves in parts, a round each. `without_session`: requests that are migrated and keep no session."""
 
-    turn: Turn
+    batch: EventBatch
     rng: random.Random
     index: ServerIndex
     overrides: OperatorOverrides
@@ -46,15 +46,15 @@
         again as they are.
         """
         for server in self.index.with_connections():
-            if server.leave_by_us:
-                rounds_left = max(1, (server.leave_by_us - self.turn.now_us) // ROUND_US)
+            if server.migrate_by_us:
+                rounds_left = max(1, (server.migrate_by_us - self.batch.now_us) // ROUND_US)
                 self._leave(server, -(-len(server.connections) // rounds_left))
 
     def _leave(self, server: Server, most: int) -> None:
         room = self._room_for_clients_of(server)
         for request_id, request in list(server.connections.items())[:most]:
             if room > 0:
-                self.turn.emit(Migrate(request_id))
+                self.batch.emit(Migrate(request_id))
             room -= request.load
 
     def _room_for_clients_of(self, server: Server) -> float:
@@ -81,7 +81,7 @@
         """Above capacity a server serves nobody in time. Each balancer takes its part of the excess away."""
         scarce = self.loads.fleet_load > load_targets.HIGH_LOAD  # no room elsewhere
         for server in self.index.with_connections():
-            if not server.leave_by_us:
+            if not server.migrate_by_us:
                 self._relieve(server, scarce)
 
     def _relieve(self, server: Server, scarce: bool) -> None:
@@ -95,13 +95,13 @@
         if load <= (load_targets.TARGET_LOAD if slow else OVERLOAD):
             return
         # Work piled up keeps messages late long after enough has left; without a report, wait for that.
-        stale = not late and self.turn.now_us - server.reported_at_us > FRESH_REPORT_US
+        stale = not late and self.batch.now_us - server.reported_at_us > FRESH_REPORT_US
         blind = stale and not self.health_checks.send(server)
         if not self._is_due(server, slow, late, blind and scarce):
             return
         if blind:
             load = max(load, self.loads.fleet_load)
-        server.migrated_at_us = self.turn.now_us
+        server.migrated_at_us = self.batch.now_us
         excess = (load - self._relieved_load(scarce, slow)) / load * server.own_load
         self._shed(server, excess, scarce, by_group=slow)
 
@@ -111,7 +111,7 @@
             wait_us = FRESH_REPORT_US
         elif wait_for_backlog:
             wait_us = BACKLOG_US
-        if self.turn.now_us - server.migrated_at_us < wait_us:
+        if self.batch.now_us - server.migrated_at_us < wait_us:
             return False
         return server.health_check_sent_us < 0 or late
 
@@ -131,7 +131,7 @@
                 break
             excess -= load
             for request in group:
-                self.turn.emit(Migrate(request.event.id))
+                self.batch.emit(Migrate(request.event.id))
                 if scarce:
                     self.without_session.add(request.event.id)
 
--- a/glenrock/routing/operator_overrides.py
+++ b/glenrock/routing/operator_overrides.py
@@ -17,21 +17,21 @@
     """Servers that are out, and when the others were called back."""
 
     def __init__(self) -> None:
-        self.out: set[str] = set()
+        self.suspended_servers: set[str] = set()
         self.returned_at_us: dict[str, int] = {}  # longest ago first
 
     def apply(self, event: OperatorOverride, now_us: int) -> bool:
         """A call out or back. False where it changes nothing: calls may be repeated."""
-        if event.out:
-            changed = event.server not in self.out
-            self.out.add(event.server)
+        if event.is_suspended:
+            changed = event.server not in self.suspended_servers
+            self.suspended_servers.add(event.server)
             return changed
         at_us = min(now_us, event.at_us or now_us)
         # A return that another process was told of may come with no override known here.
         news = bool(event.at_us) and at_us > self.returned_at_us.get(event.server, 0)
-        if event.server not in self.out and not news:
+        if event.server not in self.suspended_servers and not news:
             return False
-        self.out.discard(event.server)
+        self.suspended_servers.discard(event.server)
         self.returned_at_us.pop(event.server, None)
         self.returned_at_us[event.server] = at_us
         if len(self.returned_at_us) > MAX_RETURNS:
@@ -40,7 +40,7 @@
 
     def allows(self, server: str) -> bool:
         """Whether the server may be in rotation."""
-        return server not in self.out
+        return server not in self.suspended_servers
 
     def started_us(self, server: str, listed_us: int) -> int:
         """The time from which a server counts as started, where the list tells `listed_us`."""
--- a/glenrock/routing/outlier_ejection.py
+++ b/glenrock/routing/outlier_ejection.py
@@ -11,13 +11,13 @@
 
 from . import load_targets
 from .endpoint_table import MAX_WEIGHT
+from .event_batch import SECOND_US, EventBatch
 from .failure_domains import FailureDomains
 from .interface import Settings
 from .load_estimation import FEEDBACK_DELAY_US, LoadEstimator, load_of_report
 from .server_index import ServerIndex
 from .slow_start import SlowStart
 from .state import Server
-from .turn import SECOND_US, Turn
 
 WEIGHT_CUT, WEIGHT_RISE, MIN_WEIGHT = 0.7, 0.05, 0.05
 OUTLIER_RATIO = 1.2  # a server is loaded for itself above this multiple of the mean load
@@ -29,7 +29,7 @@
 class OutlierEjection:
     """What keeps a server from getting new work. `panic`: all are ejected, so ejection is passed over."""
 
-    turn: Turn
+    batch: EventBatch
     settings: Settings
     rng: random.Random
     servers: Mapping[str, Server]
@@ -49,12 +49,12 @@
 
     def is_usable(self, server: Server) -> bool:
         """Whether neither the server is ejected, nor its failure domain."""
-        now_us = self.turn.now_us
+        now_us = self.batch.now_us
         return now_us >= server.ejected_until_us and self.domains.may_use(now_us, server.zone, server.hash)
 
     def servers_in_reach(self) -> list[Server]:
         """Ready servers without a failure held against them, in domains that may be used."""
-        now_us = self.turn.now_us
+        now_us = self.batch.now_us
         found = self.index.ready_without_suspects(now_us)
         if self.domains.restricts(now_us):
             return [server for server in found if self.domains.may_use(now_us, server.zone, server.hash)]
@@ -81,8 +81,8 @@
 
     def cut_weight(self, server: Server) -> None:
         """One cut per feedback delay."""
-        if self.turn.now_us - server.weight_cut_us >= FEEDBACK_DELAY_US:
-            server.weight_cut_us = self.turn.now_us
+        if self.batch.now_us - server.weight_cut_us >= FEEDBACK_DELAY_US:
+            server.weight_cut_us = self.batch.now_us
             server.weight = max(MIN_WEIGHT, server.weight * WEIGHT_CUT)
 
     def record_reachable(self, server: Server) -> None:
@@ -98,12 +98,12 @@
         if ejected and not self.domains.is_cut(server.zone):
             ejection_us = FIRST_EJECTION_US * 2**server.consecutive_failures
             jitter = 0.75 + self.rng.random() / 2
-            server.ejected_until_us = self.turn.now_us + int(ejection_us * jitter)
+            server.ejected_until_us = self.batch.now_us + int(ejection_us * jitter)
         self.cut_weight(server)
 
     def update_failure_domains(self) -> None:
         """What failed there is the link, and no server: none is ejected for it once the link is whole."""
-        for zone in self.domains.evaluate(self.turn.now_us):
+        for zone in self.domains.evaluate(self.batch.now_us):
             for server in self.servers.values():
                 if server.zone == zone:
                     server.consecutive_failures = server.ejected_until_us = 0
--- a/glenrock/routing/request_lifecycle.py
+++ b/glenrock/routing/request_lifecycle.py
@@ -7,10 +7,12 @@
 from .admission import AdmissionController
 from .client_sessions import ClientSessions
 from .connection_concurrency import ConcurrencyLimit
+from .event_batch import EventBatch, RequestTimer
 from .group_affinity import GroupAffinity
 from .health_checks import HealthChecker
 from .interface import (
     AttemptEnded,
+    AttemptOutcome,
     CancelAttempt,
     ConnectionEstablished,
     Fail,
@@ -24,20 +26,27 @@
 from .server_selection import HEALTH_CHECK_WAIT_US, ServerSelection
 from .slow_start import SlowStart
 from .state import Attempt, RoutedRequest, Server
-from .turn import Turn
-from .waiting_line import WaitingLine
-
-SERVER_FAULTS = frozenset(("full", "no_connection", "timeout", "error", "broken"))
+from .waiting_queue import WaitingQueue
+
+SERVER_FAULTS = frozenset(
+    (
+        AttemptOutcome.FULL,
+        AttemptOutcome.NO_CONNECTION,
+        AttemptOutcome.TIMEOUT,
+        AttemptOutcome.ERROR,
+        AttemptOutcome.BROKEN,
+    )
+)
 
 
 @dataclass(eq=False)
 class RequestLifecycle:
     """All requests under way, by their ids, and those of them that wait for a server."""
 
-    turn: Turn
+    batch: EventBatch
     settings: Settings
     sessions: ClientSessions
-    waiting_line: WaitingLine
+    waiting_queue: WaitingQueue
     concurrency: ConcurrencyLimit
     affinity: GroupAffinity
     slow_start: SlowStart
@@ -57,12 +66,14 @@
         if not self.admission.admit(request):
             self._reject(request)
             return
-        self.turn.set_timer(request.event.deadline_us - self.retries.answer_margin_us, request.event.id)
+        self.batch.set_timer(
+            request.event.deadline_us - self.retries.answer_margin_us, RequestTimer(request.event.id)
+        )
         self._place(request)
 
     def adopt(self, request: RoutedRequest, server: Server) -> None:
         """A connection that stood before this balancer did."""
-        request.attempts.append(Attempt(server, self.turn.now_us))
+        request.attempts.append(Attempt(server, self.batch.now_us))
         request.server, request.answered = server, True
         self.requests[request.event.id] = request
         self._stand(request, server)
@@ -84,7 +95,7 @@
         if not request.pending_checks:
             return False
         self._checking[request.event.id] = request
-        self.turn.set_timer(self.turn.now_us + HEALTH_CHECK_WAIT_US, request.event.id)
+        self.batch.set_timer(self.batch.now_us + HEALTH_CHECK_WAIT_US, RequestTimer(request.event.id))
         return True
 
     def check_finished(self, server_id: str) -> None:
@@ -106,15 +117,15 @@
 
     def _send(self, request: RoutedRequest, server: Server) -> None:
         timeout_us = self.retries.attempt_timeout_us(request)
-        request.attempts.append(Attempt(server, self.turn.now_us))
+        request.attempts.append(Attempt(server, self.batch.now_us))
         self.slow_start.record_sent(server, request.load)
         self.health_checks.loads.record_sent(server, request.load)
         self.admission.record_attempt()
         self.concurrency.record_sent()
-        self.turn.emit(StartAttempt(request.event.id, server.id, timeout_us))
+        self.batch.emit(StartAttempt(request.event.id, server.id, timeout_us))
 
     def _wait_or_end(self, request: RoutedRequest) -> None:
-        if request.attempt_is_out:
+        if request.attempt_is_in_flight:
             return
         if self.retries.may_wait(request):
             self._waiting[request.event.id] = None
@@ -152,10 +163,10 @@
     def _stand(self, request: RoutedRequest, server: Server) -> None:
         server.connections[request.event.id] = request
         self.health_checks.endpoints.index.occupied(server)
-        server.last_heard_us = self.turn.now_us
+        server.last_heard_us = self.batch.now_us
         self.affinity.remember(request.event.group, server)
 
-    def attempt_ended(self, event: AttemptEnded, draining: bool) -> None:
+    def attempt_ended(self, event: AttemptEnded, is_draining: bool) -> None:
         """An attempt, or the connection that it became, is over."""
         request = self.requests.get(event.id)
         if request is None or not 0 <= event.attempt < len(request.attempts):
@@ -168,17 +179,17 @@
             self.concurrency.record_ended(server.id, event.outcome)
             self._place_next()
         # A client that is sent away stands at another balancer, and would count at both for seconds.
-        keep_session = not draining
+        keep_session = not is_draining
         if event.outcome in SERVER_FAULTS:
             self.ejection.cut_weight(server)
             keep_session = self.admission.record_fault(request, attempt)
-        if event.outcome == "no_connection":
+        if event.outcome == AttemptOutcome.NO_CONNECTION:
             self.ejection.record_unreachable(server)
-        elif event.outcome == "broken" and request.server:
+        elif event.outcome == AttemptOutcome.BROKEN and request.server:
             self.health_checks.record_broken(server)
-        if event.done or request.server:
-            if not event.done and not request.event.midflow:
-                self.turn.emit(Fail(event.id))
+        if event.is_final or request.server:
+            if not event.is_final and not request.event.is_midstream:
+                self.batch.emit(Fail(event.id))
             self._forget(request, keep_session)
         elif not request.answered:
             self._place(request)
@@ -201,7 +212,7 @@
             self._send_to_best(request)
 
     def _reject(self, request: RoutedRequest) -> None:
-        self.turn.emit(Reject(request.event.id, self.retries.retry_after_us()))
+        self.batch.emit(Reject(request.event.id, self.retries.retry_after_us()))
         self.requests.pop(request.event.id, None)
 
     def _end(self, request: RoutedRequest) -> None:
@@ -210,18 +221,18 @@
             return
         if self.settings.may_cancel:
             for number, attempt in enumerate(request.attempts):
-                if not attempt.outcome:
-                    self.turn.emit(CancelAttempt(request.event.id, number))
+                if attempt.outcome is None:
+                    self.batch.emit(CancelAttempt(request.event.id, number))
         if self.retries.may_reject(request):
             self._reject(request)
         else:
-            self.turn.emit(Fail(request.event.id))
-        self.waiting_line.put_back(request)
+            self.batch.emit(Fail(request.event.id))
+        self.waiting_queue.put_back(request)
         self._forget(request, keep_session=False)
 
     def _forget(self, request: RoutedRequest, keep_session: bool) -> None:
         request_id = request.event.id
-        if not request.server and request.attempt_is_out:
+        if not request.server and request.attempt_is_in_flight:
             self.concurrency.record_abandoned()
         request.answered = True
         self.requests.pop(request_id, None)
--- a/glenrock/routing/server_selection.py
+++ b/glenrock/routing/server_selection.py
@@ -8,6 +8,7 @@
 from . import load_targets
 from .capacity_estimation import CapacityEstimator
 from .endpoint_table import MAX_WEIGHT, EndpointTable
+from .event_batch import EventBatch
 from .group_affinity import GroupAffinity
 from .hash_ring import MASK, mix
 from .interface import Settings
@@ -17,7 +18,6 @@
 from .slow_start import SlowStart
 from .state import RoutedRequest, Server
 from .token_budget import LARGE_FLEET
-from .turn import Turn
 
 HEALTH_CHECK_WAIT_US = 40_000  # a request waits this long for health checks: small beside any objective
 CANDIDATES = 5  # compared for a request; more cost health checks and gain little
@@ -31,7 +31,7 @@
 class ServerSelection:
     """Weighted random picks, the same at every balancer for the connections of a group."""
 
-    turn: Turn
+    batch: EventBatch
     settings: Settings
     rng: random.Random
     endpoints: EndpointTable
@@ -116,7 +116,7 @@
         """The load of a server with what was sent there since its last report."""
         load = self.loads.load(server)
         sent_us = server.health_check_sent_us
-        if sent_us >= 0 and self.turn.now_us - sent_us >= HEALTH_CHECK_WAIT_US:
+        if sent_us >= 0 and self.batch.now_us - sent_us >= HEALTH_CHECK_WAIT_US:
             load = max(load, UNANSWERED_LOAD)
         if not self.capacity.server_capacity:
             return load
--- a/glenrock/routing/settings_codec.py
+++ b/glenrock/routing/settings_codec.py
@@ -5,9 +5,21 @@
 
 from __future__ import annotations
 
-from typing import Any
-
-from .interface import LOAD_RATIO, UTILIZATION, RequestClass, Settings, SettingsError, Tenant
+from enum import StrEnum
+from typing import Any, TypeVar
+
+from .interface import (
+    LOAD_RATIO,
+    UTILIZATION,
+    Idempotency,
+    IdempotencyScope,
+    RequestClass,
+    Settings,
+    SettingsError,
+    Tenant,
+)
+
+Kind = TypeVar("Kind", bound=StrEnum)
 
 # The simulator's wire and the lines on sockets name the same values differently.
 REPORT_FIELDS = {"x0": LOAD_RATIO, "x1": "backlog_s", "util": UTILIZATION, "queue": "backlog"}
@@ -45,21 +57,21 @@
         may_cancel=bool(caps.get("cancel")),
         may_health_check=bool(caps.get("probes")),
         may_gossip=bool(caps.get("mayTell")),
-        sends_retry_after=bool(caps.get("retryAfter")),
+        may_send_retry_after=bool(caps.get("retryAfter")),
         max_retry_after_us=int(caps.get("maxRetryAfterUs", 0)),
         connect_timeout_us=int(caps.get("dialTimeoutUs", 250_000)),
         must_poll_endpoints=raw.get("registryMode") == "ask",
         poll_within_us=int(rules.get("askWithinUs", 10_000_000)),
         answer_grace_us=int(rules.get("graceToAnswerUs", 0)),
         drain_grace_us=int(rules.get("drainGraceUs", 0)),
-        slow_start_initial_share=float(rules.get("coldShare", 0.1)),
+        slow_start_initial_fraction=float(rules.get("coldShare", 0.1)),
         slow_start_us=int(rules.get("coldUs", 30_000_000)),
         slow_start_multiple=float(rules.get("fallMultiple", 1)),
         slow_start_window_us=int(rules.get("overloadForUs", 1_000_000)),
-        weight_by_work=raw.get("worthBy") == "work",
+        is_weighted_by_work=raw.get("worthBy") == "work",
         over_quota_weight=float(raw.get("overShareWorth", 1)),
         load_report_fields=_report_fields_of(raw.get("report", {})),
-        reports_message_delay=bool(domain.get("tellsDelay")),
+        has_message_delay_reports=bool(domain.get("tellsDelay")),
         cross_zone_cost=float(prices.get("crossZone", 0)),
         health_check_cost=float(prices.get("probe", 0)),
         gossip_cost=float(prices.get("peer", 0)),
@@ -75,14 +87,23 @@
             deadline_us=int(row["deadlineUs"]),
             message_objective_us=int(message_objectives[n]) if n < len(message_objectives) else 0,
             priority_weight=float(row.get("worth", 1)),
-            idempotency=row.get("effect", "safe"),
-            idempotency_scope=row.get("dedupScope", "all"),
+            idempotency=_member_of(Idempotency, row.get("effect", "safe"), "classes.idempotency"),
+            idempotency_scope=_member_of(
+                IdempotencyScope, row.get("dedupScope", "all"), "classes.idempotency_scope"
+            ),
             idempotency_window_us=int(row.get("windowUs", 0)),
         )
         for n, row in enumerate(rows)
     )
 
 
+def _member_of(kind: type[Kind], word: Any, name: str) -> Kind:
+    try:
+        return kind(word)
+    except ValueError:
+        raise SettingsError(f"{name}: must be one of {', '.join(kind)}") from None
+
+
 def _tenants_of(rows: Any, quotas: Any) -> tuple[Tenant, ...]:
     return tuple(
         Tenant(row["name"], float(quotas[n]) if n < len(quotas) else 0.0) for n, row in enumerate(rows)
--- a/glenrock/routing/simulator_codec.py
+++ b/glenrock/routing/simulator_codec.py
@@ -16,12 +16,12 @@
     ConnectionEstablished,
     ConnectionFeedback,
     Endpoint,
+    EndpointListKind,
     EndpointState,
     Event,
     Fail,
     GossipReceived,
     HealthCheckResult,
-    ListKind,
     Migrate,
     OpenConnection,
     Reject,
@@ -37,21 +37,25 @@
 from .settings_codec import report_field, settings_of
 
 OUTCOMES: dict[str, AttemptOutcome] = {
-    "delivered": "served",
-    "app_error": "error",
-    "shed": "full",
-    "expired": "timeout",
-    "dial_failed": "no_connection",
-    "dropped": "broken",
-    "revoked": "cancelled",
-    "unused": "unsent",
+    "delivered": AttemptOutcome.SERVED,
+    "app_error": AttemptOutcome.ERROR,
+    "shed": AttemptOutcome.FULL,
+    "expired": AttemptOutcome.TIMEOUT,
+    "dial_failed": AttemptOutcome.NO_CONNECTION,
+    "dropped": AttemptOutcome.BROKEN,
+    "revoked": AttemptOutcome.CANCELLED,
+    "unused": AttemptOutcome.UNSENT,
 }
-STATES: dict[str, EndpointState] = {"Ready": "ready", "Terminating": "draining", "Gone": "gone"}
-LIST_KINDS: dict[str, ListKind] = {
-    "Partial": "changes",
-    "Complete": "full",
-    "Persisted": "remembered",
-    "Error": "failed",
+STATES: dict[str, EndpointState] = {
+    "Ready": EndpointState.READY,
+    "Terminating": EndpointState.DRAINING,
+    "Gone": EndpointState.GONE,
+}
+LIST_KINDS: dict[str, EndpointListKind] = {
+    "Partial": EndpointListKind.CHANGES,
+    "Complete": EndpointListKind.FULL,
+    "Persisted": EndpointListKind.CACHED,
+    "Error": EndpointListKind.FAILED,
 }
 TEXT_FIELDS = ("profileData", "message")  # they run to the end of the line
 NOTE_OF_LOAD, NOTE_OF_DELAY = 1, 2  # what a note tells: microseconds a second; milliseconds
@@ -150,7 +154,7 @@
     """A row of the endpoint list. A state of a later wire counts as draining, the careful reading."""
     return Endpoint(
         server=fields.text("server"),
-        state=STATES.get(fields.text_or("availability", "Ready"), "draining"),
+        state=STATES.get(fields.text_or("availability", "Ready"), EndpointState.DRAINING),
         zone=fields.text_or("area", ""),
         cell=fields.number_or("unitGroup", 0),
         size=_real(fields.text_or("units", "1"), "units"),
@@ -158,7 +162,7 @@
     )
 
 
-def list_kind_from(fields: Fields) -> ListKind:
+def list_kind_from(fields: Fields) -> EndpointListKind:
     """Which kind of news a list is."""
     word = fields.text("kind")
     kind = LIST_KINDS.get(word)
@@ -185,8 +189,8 @@
         group=fields.optional_number("channel"),
         tenant=fields.text_or("project", ""),
         load=fields.number_or("sizeHintUs", 0),
-        returning=fields.flag("reconnect"),
-        midflow=fields.flag("midflow"),
+        is_returning=fields.flag("reconnect"),
+        is_midstream=fields.flag("midflow"),
     )
 
 
@@ -216,7 +220,7 @@
         attempt=fields.number("shot"),
         server=fields.text("server"),
         outcome=_outcome_from(fields),
-        done=fields.flag("doneFlag"),
+        is_final=fields.flag("doneFlag"),
         latency_us=fields.number_or("latencyUs", 0),
         report=_report_from(fields),
     )
@@ -233,7 +237,7 @@
 
 def _outcome_from(fields: Fields) -> AttemptOutcome:
     """A word of a later wire is taken for an error that may have run, the careful reading."""
-    return OUTCOMES.get(fields.text("verdict"), "error")
+    return OUTCOMES.get(fields.text("verdict"), AttemptOutcome.ERROR)
 
 
 def _report_from(fields: Fields) -> dict[str, float]:
--- a/glenrock/routing/slow_start.py
+++ b/glenrock/routing/slow_start.py
@@ -9,11 +9,11 @@
 from collections.abc import Collection, Mapping
 
 from .capacity_estimation import CapacityEstimator
+from .event_batch import EventBatch
 from .hash_ring import MASK, mix
 from .interface import Settings
 from .load_estimation import LoadEstimator
 from .state import Peer, Server, TimedLoad
-from .turn import Turn
 
 BUDGET_SHARE = 0.45  # of the slow-start budget used in any window: the rest is for chance
 MIN_FLEET_LOAD = 0.5  # a mean load below this is taken for this much in budgets
@@ -25,7 +25,7 @@
     client_share: float | None,
     peers: Collection[Peer],
     balancers: int,
-    draining: bool,
+    is_draining: bool,
 ) -> float:
     """The load by which this balancer's slow-start budgets go.
 
@@ -38,12 +38,12 @@
         client_share: this balancer's part of all clients; None where it is not known.
         peers: the other balancers' last summaries.
         balancers: how many the settings name.
-        draining: this balancer sends its clients away.
+        is_draining: this balancer sends its clients away.
     """
     if not peers:
-        return 0.0 if draining else own_load
+        return 0.0 if is_draining else own_load
     unassigned = sum(peer.active_load for peer in peers if not peer.clients)
-    if client_share is not None and not draining:
+    if client_share is not None and not is_draining:
         return own_load + unassigned * client_share
     if any(peer.clients for peer in peers):
         return 0.0
@@ -60,14 +60,14 @@
 
     def __init__(
         self,
-        turn: Turn,
+        batch: EventBatch,
         settings: Settings,
         servers: Mapping[str, Server],
         loads: LoadEstimator,
         capacity: CapacityEstimator,
         salt: int,
     ) -> None:
-        self._turn = turn
+        self._batch = batch
         self._settings = settings
         self._servers = servers
         self._loads = loads
@@ -78,10 +78,10 @@
 
     def warmth(self, server: Server) -> float:
         """The part of its capacity that a server surely has by now."""
-        age_us = self._turn.now_us - server.started_us
+        age_us = self._batch.now_us - server.started_us
         if not server.started_us or age_us >= self._settings.slow_start_us:
             return 1.0
-        initial = self._settings.slow_start_initial_share
+        initial = self._settings.slow_start_initial_fraction
         return initial + (1 - initial) * max(0, age_us) / self._settings.slow_start_us
 
     def is_warm(self, server: Server) -> bool:
@@ -91,17 +91,17 @@
     def filled_share(self, server: Server) -> float:
         """The part of a server's capacity that all balancers together may have brought to it by now."""
         settings = self._settings
-        age = max(0, self._turn.now_us - server.started_us) / max(1, settings.slow_start_us)
-        mean_warmth = (settings.slow_start_initial_share + self.warmth(server)) / 2
+        age = max(0, self._batch.now_us - server.started_us) / max(1, settings.slow_start_us)
+        mean_warmth = (settings.slow_start_initial_fraction + self.warmth(server)) / 2
         return BUDGET_SHARE * settings.slow_start_multiple * age * mean_warmth
 
-    def update_reference_load(self, load: float, draining: bool) -> None:
+    def update_reference_load(self, load: float, is_draining: bool) -> None:
         """Once a round.
 
         Where all servers are out or have died nothing stands, and nothing would be brought until the first
         one is warm. So while none is warm the budgets go by what stood when some were.
         """
-        if draining or not self._capacity.none_is_warm:
+        if is_draining or not self._capacity.none_is_warm:
             self.reference_load = load
 
     def headroom(self, server: Server) -> float:
@@ -114,7 +114,7 @@
         warmth = self.warmth(server)
         if warmth >= 1:
             return float("inf")
-        settings, now_us = self._settings, self._turn.now_us
+        settings, now_us = self._settings, self._batch.now_us
         window_us = settings.slow_start_window_us
         share = min(1.0, window_us / max(1, settings.slow_start_us))
         share = BUDGET_SHARE * settings.slow_start_multiple * warmth * share
@@ -133,11 +133,11 @@
         One of any load passes in so many windows, drawn for each balancer and window. Saving up instead would
         let all balancers send at once.
         """
-        window = (self._turn.now_us - server.started_us) // self._settings.slow_start_window_us
+        window = (self._batch.now_us - server.started_us) // self._settings.slow_start_window_us
         draw = max(SMALLEST_DRAW, mix(server.hash ^ self._salt ^ mix(window)) / MASK)
         return min(1 / draw, self._settings.balancers / 2)
 
     def record_sent(self, server: Server, load: float) -> None:
         """Load is on its way to a server."""
         if not self.is_warm(server):
-            server.slow_start_sends.append(TimedLoad(self._turn.now_us, load))
+            server.slow_start_sends.append(TimedLoad(self._batch.now_us, load))
--- a/glenrock/routing/state.py
+++ b/glenrock/routing/state.py
@@ -9,8 +9,8 @@
 from hashlib import blake2b
 from typing import NamedTuple
 
-from .interface import OUTCOMES_WITHOUT_EFFECT, Request, RequestClass
-from .turn import LONG_AGO_US
+from .event_batch import NEVER_US
+from .interface import NOT_EXECUTED_OUTCOMES, AttemptOutcome, Request, RequestClass
 
 
 class TimedLoad(NamedTuple):
@@ -49,7 +49,7 @@
         last_heard_us: it said anything: a set-up, a load, a report.
         delayed_at_us: word came that messages there take long.
         objective_missed_us: and that they missed their objective.
-        leave_by_us: it drains or is gone, and its clients should be elsewhere by then; 0 otherwise.
+        migrate_by_us: it drains or is gone, and its clients should be elsewhere by then; 0 otherwise.
         connections: connections of this balancer that stand there, by request.
         slow_start_sends: what was sent there while it warmed up.
         capacity: load that would fill it, as lately seen; 0 where it is not known. `usual_capacity` as seen
@@ -65,24 +65,24 @@
     started_us: int = 0
     weight: float = 1.0
     reported_load: float = -1.0
-    reported_at_us: int = LONG_AGO_US
+    reported_at_us: int = NEVER_US
     unreported_load: float = 0.0
     recent_sends: list[TimedLoad] = field(default_factory=list)
     own_load_history: list[TimedLoad] = field(default_factory=list)
     own_load_at_report: float = 0.0
     delay_samples: list[DelaySample] = field(default_factory=list)
-    weight_cut_us: int = LONG_AGO_US
+    weight_cut_us: int = NEVER_US
     ejected_until_us: int = 0
     consecutive_failures: int = 0
     health_check_sent_us: int = -1
-    last_checked_us: int = LONG_AGO_US
+    last_checked_us: int = NEVER_US
     order: int = 0
-    added_us: int = LONG_AGO_US
-    last_heard_us: int = LONG_AGO_US
-    delayed_at_us: int = LONG_AGO_US
-    objective_missed_us: int = LONG_AGO_US
-    migrated_at_us: int = LONG_AGO_US
-    leave_by_us: int = 0
+    added_us: int = NEVER_US
+    last_heard_us: int = NEVER_US
+    delayed_at_us: int = NEVER_US
+    objective_missed_us: int = NEVER_US
+    migrated_at_us: int = NEVER_US
+    migrate_by_us: int = 0
     connections: dict[str, RoutedRequest] = field(default_factory=dict)
     slow_start_sends: list[TimedLoad] = field(default_factory=list)
     capacity: float = 0.0
@@ -105,11 +105,11 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One try to set a request up at a server. `outcome` is empty while it is out."""
+    """One try to set a request up at a server. `outcome` is None while it is in flight."""
 
     server: Server
     sent_at_us: int
-    outcome: str = ""
+    outcome: AttemptOutcome | None = None
 
 
 @dataclass(slots=True, eq=False)
@@ -141,14 +141,14 @@
     def first_executed(self) -> Attempt | None:
         """The first attempt that may have run; one that is still out may."""
         for attempt in self.attempts:
-            if attempt.outcome not in OUTCOMES_WITHOUT_EFFECT:
+            if attempt.outcome not in NOT_EXECUTED_OUTCOMES:
                 return attempt
         return None
 
     @property
-    def attempt_is_out(self) -> bool:
+    def attempt_is_in_flight(self) -> bool:
         """Whether an attempt has no outcome yet."""
-        return any(not attempt.outcome for attempt in self.attempts)
+        return any(attempt.outcome is None for attempt in self.attempts)
 
     def tried_servers(self) -> set[str]:
         """Ids of the servers that had an attempt."""
--- a/glenrock/stage/config.py
+++ b/glenrock/stage/config.py
@@ -22,7 +22,7 @@
             "cancel": s.may_cancel,
             "probes": s.may_health_check,
             "mayTell": s.may_gossip,
-            "retryAfter": s.sends_retry_after,
+            "retryAfter": s.may_send_retry_after,
             "maxRetryAfterUs": s.max_retry_after_us,
             "dialTimeoutUs": s.connect_timeout_us,
         },
@@ -31,7 +31,7 @@
             "askWithinUs": s.poll_within_us,
             "graceToAnswerUs": s.answer_grace_us,
             "drainGraceUs": s.drain_grace_us,
-            "coldShare": s.slow_start_initial_share,
+            "coldShare": s.slow_start_initial_fraction,
             "coldUs": s.slow_start_us,
             "fallMultiple": s.slow_start_multiple,
             "overloadForUs": s.slow_start_window_us,
@@ -49,7 +49,7 @@
         "realms": [{"name": name} for name in tenants],
         "domain": {
             "messageAimUs": [c.message_objective_us for c in s.classes],
-            "tellsDelay": s.reports_message_delay,
+            "tellsDelay": s.has_message_delay_reports,
             "tenantQuotaConnections": [t.connections for t in s.tenants],
         },
         "report": {
--- a/tests/lab/days.py
+++ b/tests/lab/days.py
@@ -57,7 +57,7 @@
                 self.ready[x.server] = x.state == "ready"
         if isinstance(e, interface.Request):
             return self.on_request(e)
-        if isinstance(e, interface.AttemptEnded) and not e.done:
+        if isinstance(e, interface.AttemptEnded) and not e.is_final:
             return [interface.Fail(e.id)]
         return []
 
--- a/tests/lab/test_by_hand.py
+++ b/tests/lab/test_by_hand.py
@@ -63,8 +63,8 @@
             return super().on(e)
 
     day(make=Ear, faults=[OUT, {"kind": "send_away", "at_s": 2.0}]).run()
-    assert [e.out for e in seen if isinstance(e, interface.OperatorOverride)] == [True, True, False, False]
-    assert [e.on for e in seen if isinstance(e, interface.DrainMode)] == [True, False]
+    assert [e.is_suspended for e in seen if isinstance(e, interface.OperatorOverride)] == [True, True, False, False]
+    assert [e.is_draining for e in seen if isinstance(e, interface.DrainMode)] == [True, False]
 
 
 def test_set_ups_fail_for_a_while_with_the_chance_that_is_given() -> None:
--- a/tests/lab/test_hard_cases.py
+++ b/tests/lab/test_hard_cases.py
@@ -68,11 +68,11 @@
     d.prepare()
     at(d, 9.9)
     (host,) = d.hosts
-    assert host.decisions.waiting_line
+    assert host.decisions.waiting_queue
     at(d, 10.2)
     assert not host.up
     at(d, 10.6)
-    assert host.up and not host.decisions.waiting_line and host.decisions.servers
+    assert host.up and not host.decisions.waiting_queue and host.decisions.servers
     d.engine.run(d.begin_us + 24_000_000)
     assert not any(d.judge.counts.values()), d.judge.breaches
 
--- a/tests/routing/test_connection_concurrency.py
+++ b/tests/routing/test_connection_concurrency.py
@@ -9,7 +9,7 @@
 
 from glenrock.routing import Balancer, connection_concurrency, interface
 from glenrock.routing.connection_concurrency import ConcurrencyLimit
-from glenrock.routing.turn import Turn
+from glenrock.routing.event_batch import EventBatch
 
 ROUND, TICK = SECOND // 2, 10_000
 GIVE_UP = 600_000
@@ -18,11 +18,11 @@
 def storm(rate: float, seconds: int) -> list[int]:
     """How many came up in each second at a store that does `rate` a second. Three seconds' work comes back at once,
     and then as much as the store can do."""
-    turn, up, line = Turn(), [0] * seconds, []
-    limit = ConcurrencyLimit(turn, 300_000)
+    batch, up, line = EventBatch(), [0] * seconds, []
+    limit = ConcurrencyLimit(batch, 300_000)
     done, waiting = 0.0, 3.0 * rate
     for now in range(TICK, seconds * SECOND, TICK):
-        turn.now_us = now
+        batch.now_us = now
         waiting += rate * TICK / SECOND
         while waiting >= 1 and limit.has_room():
             limit.record_sent()
@@ -56,10 +56,10 @@
 
 
 def test_one_slow_server_limits_nobody() -> None:
-    turn = Turn()
-    limit = ConcurrencyLimit(turn, 300_000)
+    batch = EventBatch()
+    limit = ConcurrencyLimit(batch, 300_000)
     for n in range(40):
-        turn.now_us += TICK
+        batch.now_us += TICK
         limit.record_sent()
         limit.record_ended("slow", "timeout")
         limit.record_sent()
@@ -69,11 +69,11 @@
 
 
 def test_the_window_is_lifted_when_it_no_longer_binds() -> None:
-    turn = Turn()
-    limit = ConcurrencyLimit(turn, 300_000)
+    batch = EventBatch()
+    limit = ConcurrencyLimit(batch, 300_000)
     limit.window = 4.0
     for _ in range(connection_concurrency.IDLE_ROUNDS):
-        turn.now_us += ROUND
+        batch.now_us += ROUND
         assert limit.window == 4.0
         limit.finish_round()
     assert limit.window == connection_concurrency.UNLIMITED
--- a/tests/routing/test_decisions.py
+++ b/tests/routing/test_decisions.py
@@ -16,7 +16,7 @@
 
 def one_standing(make):
     """A connection on the only server, which reports its load and tells of slow messages."""
-    h = make(may_health_check=True, load_report_fields=("load_ratio",), reports_message_delay=True, names=("a:1",))
+    h = make(may_health_check=True, load_report_fields=("load_ratio",), has_message_delay_reports=True, names=("a:1",))
     name = h.request(key=1)
     h.start(name)
     s = h.b.servers["a:1"]
@@ -27,27 +27,27 @@
     # 50 of 100 clients here at the lag, cap 1000, 800 active: this balancer may add 100.
     h = make()
     b = h.b
-    b.turn.now_us, b.admission.cap, b.sessions.active_load = h.now, 1000.0, 300.0
+    b.batch.now_us, b.admission.load_cap, b.sessions.active_load = h.now, 1000.0, 300.0
     b.admission.history.samples = [ActivitySample(h.now, 50, 500.0)]
     peer(h, 1, 200.0, 20)
     peer(h, 2, 300.0, 30)
-    b.admission.cap = 1000.0
+    b.admission.load_cap = 1000.0
     b.admission.update_quota()
     assert b.admission.client_share() == 0.5
     assert b.admission.quota == pytest.approx(100)
-    assert not b.admission.newcomers_pass
+    assert not b.admission.may_admit_newcomers
 
 
 def test_newcomers_pass_below_half_the_cap_when_nobody_waits(make) -> None:
     h = make()
-    h.b.admission.cap, h.b.sessions.active_load = 1000.0, 400.0
+    h.b.admission.load_cap, h.b.sessions.active_load = 1000.0, 400.0
     h.b.admission.update_quota()
-    assert h.b.admission.newcomers_pass
+    assert h.b.admission.may_admit_newcomers
 
 
 def test_the_part_is_a_ledger_of_the_round(make) -> None:
     h = make()
-    h.b.admission.cap, h.b.sessions.active_load, h.b.admission.newcomers_pass, h.b.admission.quota = (
+    h.b.admission.load_cap, h.b.sessions.active_load, h.b.admission.may_admit_newcomers, h.b.admission.quota = (
         10.0,
         8.0,
         False,
@@ -62,14 +62,14 @@
     # The article's example: 52 slots free, 2 wait in the oldest bucket, 50 in the next, 60 in the last.
     h = make()
     b = h.b
-    b.turn.now_us, b.admission.cap, b.sessions.active_load = h.now, 200.0, 148.0
-    now = h.now // b.waiting_line.bucket_us
+    b.batch.now_us, b.admission.load_cap, b.sessions.active_load = h.now, 200.0, 148.0
+    now = h.now // b.waiting_queue.bucket_us
     peer(h, 1, 0.0, 0, [(1, 60), (2, 50), (3, 2)])
-    b.admission.cap = 200.0
+    b.admission.load_cap = 200.0
     b.admission.history.samples = [ActivitySample(h.now, 1, 148.0)]
     b.admission.update_quota()
-    assert (b.admission.open_until, b.admission.partial_bucket, b.admission.quota) == (now - 2, now - 1, 0.0)
-    b.admission.cap = 220.0  # 20 left for the last bucket
+    assert (b.admission.last_open_bucket, b.admission.partial_bucket, b.admission.quota) == (now - 2, now - 1, 0.0)
+    b.admission.load_cap = 220.0  # 20 left for the last bucket
     b.admission.update_quota()
     assert (b.admission.partial_bucket, b.admission.quota) == (now - 1, 20.0)
 
@@ -84,7 +84,7 @@
     h.run(SECOND)
     came = 0
     for n in range(16):
-        b.admission.cap = 40.0
+        b.admission.load_cap = 40.0
         peer(h, 1, 10.0, 10, [(9, 19), (5, 30)])
         h.run(SECOND // 2)
         came += sum(bool(h.sends(h.request(key=100 + 10 * n + k, load=1))) for k in range(2))
@@ -94,23 +94,23 @@
 def test_buckets_before_the_clock_began_count(make) -> None:
     h = make()
     b = h.b
-    b.turn.now_us = h.now = 3 * SECOND
+    b.batch.now_us = h.now = 3 * SECOND
     peer(h, 1, 5.0, 5, [(9, 30)])
-    b.admission.cap, b.sessions.active_load = 20.0, 5.0
+    b.admission.load_cap, b.sessions.active_load = 20.0, 5.0
     b.admission.update_quota()
-    assert b.admission.partial_bucket == 1 - 9 and not b.admission.newcomers_pass
-    b.admission.kept_out, b.admission.quota = False, 10.0
-    assert not h.sends(h.request(key=1, load=1)) and b.admission.kept_out
+    assert b.admission.partial_bucket == 1 - 9 and not b.admission.may_admit_newcomers
+    b.admission.has_rejected_newcomer, b.admission.quota = False, 10.0
+    assert not h.sends(h.request(key=1, load=1)) and b.admission.has_rejected_newcomer
 
 
 def test_clients_not_seen_lately_reserve_no_slots(make) -> None:
     h = make()
-    h.b.admission.cap, h.b.admission.newcomers_pass, h.b.admission.quota = 0.0, False, 0.0
+    h.b.admission.load_cap, h.b.admission.may_admit_newcomers, h.b.admission.quota = 0.0, False, 0.0
     h.request(key=1, load=5)
-    assert sum(h.b.waiting_line.load_by_bucket().values()) == 5
+    assert sum(h.b.waiting_queue.load_by_bucket().values()) == 5
     h.now += 3 * SECOND
-    h.b.turn.now_us = h.now
-    assert not h.b.waiting_line.load_by_bucket() and 1 in h.b.waiting_line.clients  # it keeps its place all the same
+    h.b.batch.now_us = h.now
+    assert not h.b.waiting_queue.load_by_bucket() and 1 in h.b.waiting_queue.clients  # it keeps its place all the same
 
 
 def test_an_admitted_key_returns_within_session_duration_only(make) -> None:
@@ -119,7 +119,7 @@
     h.start(name)
     h.run(5 * SECOND)
     h.end(name, "broken", done=True)
-    h.b.admission.cap, h.b.admission.newcomers_pass, h.b.admission.quota = 10.0, False, 0.0
+    h.b.admission.load_cap, h.b.admission.may_admit_newcomers, h.b.admission.quota = 10.0, False, 0.0
     assert h.sends(h.request(key=7))
     h.b.sessions.by_key.clear()
     assert isinstance(h.done(h.request(key=7))[0], interface.Reject)
@@ -131,7 +131,7 @@
     name = h.request(key=7)
     h.start(name)
     h.end(name, "broken", done=True)
-    h.b.admission.cap, h.b.admission.newcomers_pass, h.b.admission.quota = 0.0, False, 0.0
+    h.b.admission.load_cap, h.b.admission.may_admit_newcomers, h.b.admission.quota = 0.0, False, 0.0
     assert not h.sends(h.request(key=7))
     assert all(s.ejected_until_us == 0 for s in h.b.servers.values())
 
@@ -149,17 +149,17 @@
 
 def test_the_cap_rises_again_without_reports(make) -> None:
     # No probes, no reports: only word of slow messages, and then silence.
-    h = make(reports_message_delay=True, names=tuple(f"s{n}:1" for n in range(15)))
+    h = make(has_message_delay_reports=True, names=tuple(f"s{n}:1" for n in range(15)))
     names = [h.request(key=n, load=1) for n in range(120)]
     for name in names:
         h.start(name)
     for _ in range(6):
         h.give(*(interface.ConnectionFeedback(n, h.sends(n)[0].server, None, 500_000.0) for n in names))
         h.run(SECOND // 2)
-    cut = h.b.admission.cap
+    cut = h.b.admission.load_cap
     assert cut < float("inf")
     h.run(10 * SECOND)
-    assert h.b.admission.cap > cut and h.b.loads.fleet_load < 0.65  # or silence would hold it at the cut
+    assert h.b.admission.load_cap > cut and h.b.loads.fleet_load < 0.65  # or silence would hold it at the cut
 
 
 def test_late_messages_after_a_report_outweigh_it(make) -> None:
@@ -184,17 +184,17 @@
     for s in b.servers.values():
         b.ejection.record_load(s, 1.6)
     b.admission.update_cap()
-    first = b.admission.cap
+    first = b.admission.load_cap
     assert 50 <= first < 100
     b.admission.update_cap()
-    assert b.admission.cap == first
-    b.turn.now_us += 2 * SECOND
+    assert b.admission.load_cap == first
+    b.batch.now_us += 2 * SECOND
     b.admission.update_cap()
-    assert b.admission.cap == first  # a cut of the cut would starve the line: the load has not left yet
+    assert b.admission.load_cap == first  # a cut of the cut would starve the line: the load has not left yet
     for s in b.servers.values():
         b.ejection.record_load(s, 0.4)
     b.admission.update_cap()
-    assert b.admission.cap > first
+    assert b.admission.load_cap > first
 
 
 def test_servers_out_of_reach_do_not_load_the_fleet(make) -> None:
@@ -207,7 +207,7 @@
             else interface.HealthCheckResult(s, "no_connection", 1000)
         )
     h.run(SECOND)
-    assert h.b.loads.fleet_load == pytest.approx(0.5) and h.b.admission.cap == float("inf")
+    assert h.b.loads.fleet_load == pytest.approx(0.5) and h.b.admission.load_cap == float("inf")
 
 
 def test_weight_is_cut_for_one_servers_load_but_not_for_the_fleets(make) -> None:
@@ -225,7 +225,7 @@
 
 def test_refusals_spread_their_returns(make) -> None:
     h = make()
-    h.b.admission.cap, h.b.admission.newcomers_pass, h.b.admission.quota = 0.0, False, 0.0
+    h.b.admission.load_cap, h.b.admission.may_admit_newcomers, h.b.admission.quota = 0.0, False, 0.0
     waits = {h.done(h.request(key=n))[0].retry_after_us for n in range(20)}
     assert len(waits) > 15 and min(waits) >= SECOND and max(waits) <= 2 * SECOND
 
@@ -237,7 +237,7 @@
 
 
 def test_a_cold_server_gets_a_part_of_what_one_carries(make) -> None:
-    h = make(names=("a:1", "b:1"), slow_start_us=20 * SECOND, slow_start_initial_share=0.1, slow_start_multiple=3.0)
+    h = make(names=("a:1", "b:1"), slow_start_us=20 * SECOND, slow_start_initial_fraction=0.1, slow_start_multiple=3.0)
     for n in range(40):
         h.start(h.request(key=n))
     h.servers("c:1", kind="changes", started_us=h.now)
@@ -293,9 +293,9 @@
     assert (
         not b.requests
         and not b.sessions.by_key
-        and not b.waiting_line.clients
+        and not b.waiting_queue.clients
         and b.sessions.active_load == 0
-        and len(b.turn.timers) == 1
+        and len(b.batch.timers) == 1
     )
     assert not any(s.connections for s in b.servers.values())
 
@@ -346,8 +346,8 @@
         ("index", -1),
         ("max_attempts", 0),
         ("tick_us", 0),
-        ("slow_start_initial_share", 0.0),
-        ("slow_start_initial_share", float("nan")),
+        ("slow_start_initial_fraction", 0.0),
+        ("slow_start_initial_fraction", float("nan")),
         ("slow_start_multiple", -1.0),
         ("over_quota_weight", 2.0),
         ("classes", ()),
@@ -370,7 +370,7 @@
         dict(balancers=1),
         dict(may_gossip=False),
         dict(may_cancel=False),
-        dict(sends_retry_after=False),
+        dict(may_send_retry_after=False),
         dict(max_attempts=1),
         dict(may_health_check=True, load_report_fields=("utilization",)),
         dict(must_poll_endpoints=True),
@@ -402,7 +402,7 @@
                 balancers=count,
                 index=n,
                 slow_start_us=cold,
-                slow_start_initial_share=0.1,
+                slow_start_initial_fraction=0.1,
                 slow_start_multiple=multiple,
                 slow_start_window_us=window,
                 max_attempts=1,
@@ -528,14 +528,14 @@
     report(h, loads, PAST)
     report(h, loads | {"d:1": 1.6, "e:1": 2.4}, 8)
     # Three whole ones and two at 0.3 to 0.4 bear 0.84 of it at the target; a plain mean, 1.12, would let in 0.64.
-    assert h.b.loads.fleet_load < 0.86 and h.b.admission.cap > 0.8 * h.b.sessions.active_load
+    assert h.b.loads.fleet_load < 0.86 and h.b.admission.load_cap > 0.8 * h.b.sessions.active_load
 
 
 def test_a_fleet_that_is_loaded_throughout_still_closes_it(make) -> None:
     loads = {name: 1.1 for name in ("a:1", "b:1", "c:1", "d:1", "e:1")}
     h = loaded(make, loads)
     report(h, loads, 12)
-    assert h.b.admission.cap < float("inf")
+    assert h.b.admission.load_cap < float("inf")
 
 
 def test_drops_at_one_server_do_not_make_the_fleet_full(make) -> None:
@@ -546,11 +546,11 @@
         if h.sends(name)[-1].server == "a:1":
             h.end(name, "broken")
     h.run(SECOND)
-    assert h.b.admission.cap == float("inf")
+    assert h.b.admission.load_cap == float("inf")
     for n in range(30, 60):
         h.end(h.request(key=n), "broken")
     h.run(SECOND)
-    assert h.b.admission.cap < float("inf")
+    assert h.b.admission.load_cap < float("inf")
 
 
 def test_a_lone_slow_server_is_emptied_down_to_where_the_others_work(make) -> None:
@@ -651,7 +651,7 @@
     h = loaded(make, loads)
     report(h, loads, 4)
     report(h, {name: 1.1 for name in loads}, 2)
-    assert h.b.loads.fleet_load > 1.0 and h.b.admission.cap < float("inf")
+    assert h.b.loads.fleet_load > 1.0 and h.b.admission.load_cap < float("inf")
     many = {f"{c}:1": 0.5 for c in "abcdefghijklmnopqrst"}
     h = loaded(make, many)
     report(h, many, 4)
--- a/tests/routing/test_load_estimation.py
+++ b/tests/routing/test_load_estimation.py
@@ -11,9 +11,9 @@
 from glenrock.routing.capacity_estimation import CapacityEstimator, ObservedLoad
 from glenrock.routing.client_sessions import ClientSessions
 from glenrock.routing.connection_load import ConnectionLoads
+from glenrock.routing.event_batch import EventBatch
 from glenrock.routing.load_estimation import LoadEstimator
 from glenrock.routing.state import DelaySample, Server
-from glenrock.routing.turn import Turn
 
 
 def told(make, count: int = 20):
@@ -22,7 +22,7 @@
         names=("a:1", "b:1"),
         may_health_check=True,
         load_report_fields=("load_ratio",),
-        reports_message_delay=True,
+        has_message_delay_reports=True,
         balancers=1,
     )
     names = [h.request(key=n, load=10) for n in range(count)]
@@ -133,7 +133,7 @@
 
 def test_servers_with_connections_from_before_are_asked_at_once(make) -> None:
     h = make(
-        names=("a:1", "b:1"), may_health_check=True, load_report_fields=("load_ratio",), reports_message_delay=True
+        names=("a:1", "b:1"), may_health_check=True, load_report_fields=("load_ratio",), has_message_delay_reports=True
     )
     for n in range(12):
         h.give(interface.OpenConnection(interface.Request(f"o{n}", "read", 0, n), "a:1"))
@@ -143,10 +143,10 @@
 
 @given(st.lists(st.tuples(st.integers(0, 4_000_000), st.floats(0, 5e6)), min_size=1, max_size=20))
 def test_whatever_words_come_the_belief_is_bounded_and_grows_with_the_wait(words) -> None:
-    turn, s = Turn(), Server("a", "", 0, 1)
-    loads = LoadEstimator(turn, settings())
+    batch, s = EventBatch(), Server("a", "", 0, 1)
+    loads = LoadEstimator(batch, settings())
     for gap, wait in words:
-        turn.now_us += gap
+        batch.now_us += gap
         loads.record_delay(s, wait, 60_000)
     low = loads.load_from_delays(s)
     at, wait, held = s.delay_samples[-1]
@@ -172,13 +172,13 @@
     """Up to half of them hang and tell of many times what they can do; with thin traffic nothing else tells of it."""
     hang = data.draw(st.integers(0, many // 2))
     load = data.draw(st.floats(0.2, 0.6))
-    turn = Turn()
+    batch = EventBatch()
     servers = [Server(f"s{n}", "", 0, n, ready=True, reported_load=8.0 if n < hang else load) for n in range(many)]
     capacity = CapacityEstimator(
-        turn,
+        batch,
         {s.id: s for s in servers},
-        LoadEstimator(turn, settings()),
-        ClientSessions(turn, SECOND),
+        LoadEstimator(batch, settings()),
+        ClientSessions(batch, SECOND),
         ConnectionLoads(),
     )
     seen = [ObservedLoad(s, min(3.0, s.reported_load)) for s in servers]
--- a/tests/routing/test_many_balancers.py
+++ b/tests/routing/test_many_balancers.py
@@ -11,10 +11,10 @@
 from glenrock.routing.capacity_estimation import CapacityEstimator
 from glenrock.routing.client_sessions import ClientSessions
 from glenrock.routing.connection_load import ConnectionLoads
+from glenrock.routing.event_batch import EventBatch
 from glenrock.routing.load_estimation import LoadEstimator
 from glenrock.routing.slow_start import SlowStart
 from glenrock.routing.state import Server, TimedLoad
-from glenrock.routing.turn import Turn
 
 NAMES = tuple(f"s{n}:1" for n in range(9))
 ZONES = ("a", "b")
@@ -94,9 +94,9 @@
     h = balancer()
     zone_lost(h)
     h.run(SECOND // 2)
-    assert h.b.loads.fleet_load == pytest.approx(capacity_estimation.MAX_GUESSED_LOAD) and h.b.admission.cap < float(
-        "inf"
-    )
+    assert h.b.loads.fleet_load == pytest.approx(
+        capacity_estimation.MAX_GUESSED_LOAD
+    ) and h.b.admission.load_cap < float("inf")
     # Reports from before the clients are back do not open it again; those from after do.
     probed(h, 0.2, NAMES[:4])
     h.run(SECOND // 4)
@@ -113,7 +113,7 @@
     h.run(SECOND)
     h.give(interface.EndpointList("changes", tuple(interface.Endpoint(x, "draining") for x in NAMES[4:])))
     h.run(SECOND)
-    assert h.b.loads.fleet_load < 0.5 and h.b.admission.cap == float("inf")
+    assert h.b.loads.fleet_load < 0.5 and h.b.admission.load_cap == float("inf")
 
 
 @given(loads=st.lists(st.floats(0.05, 1.5), min_size=2, max_size=9), left=st.integers(1, 8))
@@ -121,7 +121,7 @@
     names = NAMES[: len(loads)]
     h = balancer(names=names)
     warm = list(h.b.servers.values())
-    h.b.turn.now_us, h.b.loads.fleet_load = T0, sum(loads) / len(loads)
+    h.b.batch.now_us, h.b.loads.fleet_load = T0, sum(loads) / len(loads)
     h.b.capacity.follow_membership(warm)
     before = h.b.loads.fleet_load
     h.b.capacity.follow_membership(warm[:left])
@@ -152,7 +152,7 @@
 def test_cold_servers_bring_room_beside_a_cap_that_is_closed() -> None:
     h = balancer(
         slow_start_us=9 * SECOND,
-        slow_start_initial_share=0.31,
+        slow_start_initial_fraction=0.31,
         slow_start_multiple=3.0,
         slow_start_window_us=3 * SECOND,
     )
@@ -166,11 +166,11 @@
     for _ in range(14):
         probed(h, 0.95, NAMES[:4])
         h.run(SECOND // 2)
-        room.append(h.b.admission.slow_start_cap)
-    assert room[0] < room[4] < room[9] and h.b.admission.cap < float("inf")
+        room.append(h.b.admission.slow_start_load_cap)
+    assert room[0] < room[4] < room[9] and h.b.admission.load_cap < float("inf")
     assert room[9] < 5 / 4 * 0.72 * 1_000_000 / 0.9
     h.run(3 * SECOND)
-    assert h.b.admission.slow_start_cap == 0  # warm: they count in the cap
+    assert h.b.admission.slow_start_load_cap == 0  # warm: they count in the cap
 
 
 def full_with_cold(seed: int = 1, load: float = 0.95) -> Harness:
@@ -178,7 +178,7 @@
     h = balancer(
         seed,
         slow_start_us=9 * SECOND,
-        slow_start_initial_share=0.31,
+        slow_start_initial_fraction=0.31,
         slow_start_multiple=3.0,
         slow_start_window_us=3 * SECOND,
     )
@@ -197,8 +197,8 @@
         h.run(SECOND // 2)
         probed(h, load, NAMES[:4])
     h.run(SECOND // 2)
-    h.b.admission.cap = h.b.admission.quota = h.b.admission.slow_start_cap = 0.0
-    h.b.admission.newcomers_pass, h.b.admission.partial_bucket, h.b.admission.younger_buckets = False, 0, 0
+    h.b.admission.load_cap = h.b.admission.quota = h.b.admission.slow_start_load_cap = 0.0
+    h.b.admission.may_admit_newcomers, h.b.admission.partial_bucket, h.b.admission.extra_buckets = False, 0, 0
     return h
 
 
@@ -207,28 +207,28 @@
     # Found in the laboratory, hand-drain: what was left of one spell and the next one together pushed a server over.
     rules = settings(
         slow_start_us=9 * SECOND,
-        slow_start_initial_share=0.31,
+        slow_start_initial_fraction=0.31,
         slow_start_multiple=3.0,
         slow_start_window_us=3 * SECOND,
         balancers=2,
     )
-    turn, s = Turn(), Server("a:1", "", 0, 7, started_us=T0)
-    loads = LoadEstimator(turn, rules)
+    batch, s = EventBatch(), Server("a:1", "", 0, 7, started_us=T0)
+    loads = LoadEstimator(batch, rules)
     loads.fleet_load = 0.6
-    capacity = CapacityEstimator(turn, {s.id: s}, loads, ClientSessions(turn, SECOND), ConnectionLoads())
-    budgets = SlowStart(turn, rules, {s.id: s}, loads, capacity, salt=0)
+    capacity = CapacityEstimator(batch, {s.id: s}, loads, ClientSessions(batch, SECOND), ConnectionLoads())
+    budgets = SlowStart(batch, rules, {s.id: s}, loads, capacity, salt=0)
     budgets.reference_load = 100_000.0
     sent: list[tuple[int, float]] = []
     for ms in range(begin_ms, 9000, 20):
-        turn.now_us = T0 + 1000 * ms
+        batch.now_us = T0 + 1000 * ms
         if budgets.headroom(s) >= 1000:
             budgets.record_sent(s, 1000)
-            sent.append((turn.now_us, 1000))
+            sent.append((batch.now_us, 1000))
     window = rules.slow_start_window_us / rules.slow_start_us
     whole = slow_start.BUDGET_SHARE * rules.slow_start_multiple * window * budgets.reference_load / loads.fleet_load
     for at, _ in sent:
         within = [(t, x) for t, x in sent if at <= t < at + rules.slow_start_window_us]
-        turn.now_us = within[-1][0]
+        batch.now_us = within[-1][0]
         assert sum(x for _, x in within) <= whole * budgets.warmth(s) + 1
     assert sum(x for _, x in sent) > whole, "and it does get them"
 
@@ -250,8 +250,8 @@
 def test_cold_servers_come_first_where_the_others_are_full_and_not_where_they_have_room() -> None:
     for load, first in ((0.95, True), (0.3, False)):
         h = full_with_cold(load=load)
-        h.b.admission.cap = float("inf")
-        h.b.admission.newcomers_pass = True
+        h.b.admission.load_cap = float("inf")
+        h.b.admission.may_admit_newcomers = True
         colds = {s.id for s in h.b.slow_start.warming}
         for s in h.b.slow_start.warming:
             s.slow_start_sends = [TimedLoad(h.now, -1e9)]  # room for all
--- a/tests/routing/test_operator_overrides.py
+++ b/tests/routing/test_operator_overrides.py
@@ -81,7 +81,7 @@
         names=NAMES,
         balancers=1,
         slow_start_us=9 * SECOND,
-        slow_start_initial_share=0.31,
+        slow_start_initial_fraction=0.31,
         slow_start_multiple=3.0,
         slow_start_window_us=3 * SECOND,
     )
@@ -205,7 +205,7 @@
         mine = 0 if what == "new" else n
         others = sum(c for k, c in enumerate(clients) if k != me)
         share = mine / (mine + others) if mine else None
-        brought += reference_load(own, share, peers, len(tier), draining=what == "goes")
+        brought += reference_load(own, share, peers, len(tier), is_draining=what == "goes")
     total = sum(load for load, _, _ in tier)
     assert brought <= total * 1.001
     if any(clients):
--- a/tests/routing/test_random_events.py
+++ b/tests/routing/test_random_events.py
@@ -33,7 +33,7 @@
             ran = [
                 (t, s)
                 for n, (t, s) in enumerate(tries)
-                if ended.get(a.id, {}).get(n) not in interface.OUTCOMES_WITHOUT_EFFECT
+                if ended.get(a.id, {}).get(n) not in interface.NOT_EXECUTED_OUTCOMES
             ]
             assert all(n in ended.get(a.id, {}) for n in range(len(tries))), "two attempts at once"
             if ran and effect != "safe":
@@ -50,7 +50,7 @@
             final[a.id] = at
             if isinstance(a, interface.Reject) and effect != "safe" and (effect, scope) != ("keyed", "all"):
                 assert all(
-                    ended.get(a.id, {}).get(n) in interface.OUTCOMES_WITHOUT_EFFECT
+                    ended.get(a.id, {}).get(n) in interface.NOT_EXECUTED_OUTCOMES
                     for n in range(len(sent.get(a.id, [])))
                 )
     for name, deadline in owed.items():
@@ -92,7 +92,7 @@
                 group=rng.choice([None, rng.randrange(5)]),
                 life_us=life,
                 load=rng.choice([0, 500, 9000]),
-                midflow=rng.random() < 0.05,
+                is_midstream=rng.random() < 0.05,
             )
             owed[name] = h.now + life
         elif roll < 0.5:
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -73,7 +73,7 @@
     h = Harness(settings(tenants=(interface.Tenant("t", 600.0),)))
     h.b.connection_loads.mean_load = 1.0  # no connection has told its load yet
     h.give(interface.GossipReceived(1, encode(1, 9_000_000, 300, [])))
-    assert h.b.gossip.tier_load() == 9_000_000 and not h.b.turn.warnings
+    assert h.b.gossip.tier_load() == 9_000_000 and not h.b.batch.warnings
 
 
 @pytest.mark.parametrize(
@@ -90,10 +90,12 @@
 def test_an_unsound_summary_is_told_and_the_one_before_stands(peer: int, data: bytes, told: str) -> None:
     h = tier()
     h.give(interface.GossipReceived(peer, data))
-    assert len(h.b.turn.warnings) == 1 and told in h.b.turn.warnings[0] and f"balancer {peer}" in h.b.turn.warnings[0]
-    assert h.b.gossip.tier_load() == ALL and not h.b.waiting_line.load_by_bucket() and set(h.b.gossip.peers) == {1}
+    assert (
+        len(h.b.batch.warnings) == 1 and told in h.b.batch.warnings[0] and f"balancer {peer}" in h.b.batch.warnings[0]
+    )
+    assert h.b.gossip.tier_load() == ALL and not h.b.waiting_queue.load_by_bucket() and set(h.b.gossip.peers) == {1}
     h.give()
-    assert h.b.turn.warnings == []
+    assert h.b.batch.warnings == []
 
 
 @given(
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -48,7 +48,7 @@
     def test_reports_go_by_the_modules_names_and_silence_is_no_good_news(self) -> None:
         config = check(GOOD)
         self.assertEqual(config.settings.load_report_fields, (interface.UTILIZATION, "backlog", interface.LOAD_RATIO))
-        self.assertEqual((config.settings.reports_message_delay, config.measures_delay), (False, True))
+        self.assertEqual((config.settings.has_message_delay_reports, config.measures_delay), (False, True))
 
     def test_read_again_a_changed_key_wins_over_its_variable(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
