--- a/benchmarks/domains.py
+++ b/benchmarks/domains.py
@@ -1,7 +1,7 @@
 """Time to be sure of a cut link against false alarms, for several stated rates (glenrock/routing/failure_domains.py).
 
-A zone of 6 instances, each asked evenly. Sound: each answer fails by itself with SOUND_FAILS, and one member is
-dead for good (the hardest sound zone). Cut: all fail. Figures are per balancer.
+A zone of 6 servers, each asked evenly. Healthy: each answer fails with HEALTHY_FAILURE_PROBABILITY, and one member is
+dead for good (the hardest healthy zone). Partitioned: all fail. Figures are per balancer.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
     while now < seconds:
         now += rng.expovariate(asks_a_s)
         member = rng.choice(MEMBERS)
-        dead = cut or member == "u" or rng.random() < domains.SOUND_FAILS
+        dead = cut or member == "u" or rng.random() < domains.HEALTHY_FAILURE_PROBABILITY
         d.record("b", member, not dead)
         if d.evaluate(round(now * 1e6)):
             return now
@@ -31,8 +31,8 @@
     rng = random.Random(5)
     print("stated false alarms   asks/s   alarms an hour of a sound zone   sure of a cut after, mean s   p95 s")
     for stated in (0.05, 0.005, 0.0005, 0.00005):
-        domains.FALSE_ALARM = stated
-        domains.BOUND = domains.log((1 - domains.MISSED) / stated)
+        domains.FALSE_ALARM_RATE = stated
+        domains.PARTITION_BOUND = domains.log((1 - domains.MISSED_RATE) / stated)
         for rate in (5.0, 20.0):
             hours, alarms = 0.0, 0
             for _ in range(40):
--- a/glenrock/routing/admission.py
+++ b/glenrock/routing/admission.py
@@ -26,12 +26,18 @@
 
 NO_CAP = float("inf")
 LAG_US = 4 * SECOND_US  # quotas are read this far back: every summary in between has arrived or is lost
-CAP_CUT, CAP_RISE = 0.85, 0.25  # per feedback delay; per round, of the capacity that reports show
+CAP_CUT_FACTOR, CAP_RISE_FRACTION = (
+    0.85,
+    0.25,
+)  # per feedback delay; per round, of the capacity that reports show
 OPEN_CAP_RATIO = 4  # a cap above this multiple of the active load is lifted
-MIN_ATTEMPTS, DROPPED_SHARE = 4, 0.2  # attempts of a round, and the part that servers drop when they are full
-SEVERAL_SERVERS_SHARE = 3  # one of so many servers drops connections: that is the fleet's trouble
+MIN_ROUND_ATTEMPTS, MAX_DROPPED_FRACTION = (
+    4,
+    0.2,
+)  # attempts of a round, and the part that servers drop when they are full
+DROPPING_SERVERS_DIVISOR = 3  # one of so many servers drops connections: that is the fleet's trouble
 FEW_SERVERS = 3
-DROPPED = frozenset(
+DROP_OUTCOMES = frozenset(
     (AttemptOutcome.FULL, AttemptOutcome.BROKEN)
 )  # outcomes of attempts that a full server drops
 
@@ -84,7 +90,7 @@
     def admit(self, request: RoutedRequest) -> bool:
         """Whether the request is let in. If not, its client waits, and the request is to be rejected."""
         if self._continues_session(request):
-            self.sessions.enter(request)
+            self.sessions.add_connection(request)
             return True
         client = self.waiting_queue.get(request.key)
         bucket = client.bucket if client else self.waiting_queue.current_bucket()
@@ -93,9 +99,9 @@
             admitted = request.slow_start_only = True
         if admitted:
             self.waiting_queue.remove(request.key)
-            self.sessions.enter(request)
+            self.sessions.add_connection(request)
         else:
-            self.waiting_queue.rejected(request, bucket)
+            self.waiting_queue.add_rejected(request, bucket)
         return admitted
 
     def _continues_session(self, request: RoutedRequest) -> bool:
@@ -111,7 +117,7 @@
             return False
         if session.connections or self.gossip.tier_load() <= self.load_cap + self.slow_start_load_cap:
             return True
-        self.sessions.drop(request.key)
+        self.sessions.end(request.key)
         return False
 
     def _passes(self, request: RoutedRequest, bucket: int, waits: bool) -> bool:
@@ -151,7 +157,7 @@
         """
         stood_long = self.batch.now_us - attempt.sent_at_us > self.sessions.session_us
         keep_session = not request.server or stood_long
-        if attempt.outcome in DROPPED and not (request.server and keep_session):
+        if attempt.outcome in DROP_OUTCOMES and not (request.server and keep_session):
             self._dropped += 1
             self._dropping_servers.add(attempt.server.id)
         return keep_session
@@ -179,7 +185,7 @@
         # in again what is on its way. So they are set against the active load of their own time.
         sample = self.history.oldest_within(FEEDBACK_DELAY_US)
         load_then = sample.tier_load if sample else self.gossip.tier_load()
-        bearable = load_then * load_targets.TARGET_LOAD / self.capacity.divisor_load
+        bearable = load_then * load_targets.TARGET_LOAD / self.capacity.bounded_fleet_load
         self._update_slow_start_cap(load_then, len(warm))
         if self.loads.fleet_load > load_targets.HIGH_LOAD or dropping:
             self._cut_cap(load_then, bearable)
@@ -193,8 +199,8 @@
         several drop connections is the fleet full.
         """
         dropping = len(self._dropping_servers)
-        several = dropping > 1 and SEVERAL_SERVERS_SHARE * dropping > warm
-        many = self._attempts >= MIN_ATTEMPTS and self._dropped > DROPPED_SHARE * self._attempts
+        several = dropping > 1 and DROPPING_SERVERS_DIVISOR * dropping > warm
+        many = self._attempts >= MIN_ROUND_ATTEMPTS and self._dropped > MAX_DROPPED_FRACTION * self._attempts
         self._attempts = self._dropped = 0
         self._dropping_servers.clear()
         return many and (several or warm < FEW_SERVERS)
@@ -204,9 +210,9 @@
 
         A fleet that stays full keeps its cap, and would keep clients out of servers that came back empty.
         """
-        filled = sum(self.slow_start.filled_share(server) for server in self.slow_start.warming)
+        filled = sum(self.slow_start.filled_fraction(server) for server in self.slow_start.warming)
         full_load = filled * load_targets.TARGET_LOAD * load_then
-        self.slow_start_load_cap = full_load / self.capacity.divisor_load / max(1, warm)
+        self.slow_start_load_cap = full_load / self.capacity.bounded_fleet_load / max(1, warm)
 
     def _cut_cap(self, load_then: float, bearable: float) -> None:
         if self.batch.now_us - self._cap_cut_us < FEEDBACK_DELAY_US:
@@ -215,10 +221,10 @@
         if self.loads.fleet_load > load_targets.HIGH_LOAD:
             self.load_cap = min(self.load_cap, max(load_then / 2, bearable))
         else:
-            self.load_cap = min(self.load_cap, self.gossip.tier_load() * CAP_CUT)
+            self.load_cap = min(self.load_cap, self.gossip.tier_load() * CAP_CUT_FACTOR)
 
     def _raise_cap(self, bearable: float) -> None:
-        self.load_cap += max(0.0, bearable - self.load_cap) * CAP_RISE
+        self.load_cap += max(0.0, bearable - self.load_cap) * CAP_RISE_FRACTION
         if self.load_cap > OPEN_CAP_RATIO * self.gossip.tier_load():
             self.load_cap = NO_CAP
 
@@ -229,7 +235,7 @@
         sample = self.history.oldest_within(LAG_US)
         return sample.clients if sample else 0
 
-    def client_share(self) -> float | None:
+    def client_fraction(self) -> float | None:
         """This balancer's part of all clients seen, as of the lag; None without history."""
         own = self.lagged_clients()
         total = own + sum(peer.clients for peer in self.gossip.peers.values())
@@ -241,7 +247,7 @@
         waiting = self.gossip.tier_waiting_load()
         self.may_admit_newcomers = not waiting and tier_load < self.load_cap / 2
         slots = max(0.0, self.load_cap + self.slow_start_load_cap - tier_load)
-        client_share = self.client_share() or 1.0  # no history: the plain cap
+        client_fraction = self.client_fraction() or 1.0  # no history: the plain cap
         free = self._open_oldest_buckets(waiting, slots)
         if self.quota > 0 and self.has_rejected_newcomer:
             # Clients come back at other balancers, and slots kept for their old buckets here stay empty. What
@@ -251,10 +257,10 @@
             self.extra_buckets = 0
         if self.has_rejected_newcomer and slots < NO_CAP:
             # The oldest pass beside the quota. With others kept out, they are kept what they claimed at most.
-            free = max(free, slots - self._claimed / client_share)
+            free = max(free, slots - self._claimed / client_fraction)
         self.has_rejected_newcomer = False
         self._claimed = 0.0
-        self.quota = free * client_share
+        self.quota = free * client_fraction
 
     def _open_oldest_buckets(self, waiting: Mapping[int, float], slots: float) -> float:
         """Opens buckets as far as the slots go. Returns what is left for the first that does not fit."""
--- a/glenrock/routing/balancer.py
+++ b/glenrock/routing/balancer.py
@@ -42,7 +42,7 @@
     TimerFired,
 )
 from .load_estimation import LoadEstimator
-from .migration import DRAIN_US, Migration
+from .migration import MIGRATION_US, Migration
 from .operator_overrides import OperatorOverrides
 from .outlier_ejection import OutlierEjection
 from .request_lifecycle import RequestLifecycle
@@ -109,7 +109,7 @@
         self.affinity = GroupAffinity()
         self.overrides = OperatorOverrides()
         self.polling = EndpointPolling(batch, settings, self._rng)
-        self.endpoints = EndpointTable(batch, settings, self.overrides, DRAIN_US)
+        self.endpoints = EndpointTable(batch, settings, self.overrides, MIGRATION_US)
         servers = self.endpoints.servers
         self.loads = LoadEstimator(batch, settings)
         self.capacity = CapacityEstimator(batch, servers, self.loads, self.sessions, self.connection_loads)
@@ -292,7 +292,7 @@
         if server is None:
             return
         self.health_checks.record_result(server, event)
-        self.lifecycle.check_finished(server.id)
+        self.lifecycle.finish_check(server.id)
 
     def _on_gossip(self, event: GossipReceived) -> None:
         peer = self.gossip.receive(event)
@@ -313,12 +313,12 @@
         self.waiting_queue.expire()
         self.gossip.forget_lost_peers()
         self.admission.record_activity()
-        self.loads.remember_own_load(self.endpoints.index.with_connections())
+        self.loads.record_own_load(self.endpoints.index.with_connections())
         self.admission.update_cap()
         self.concurrency.finish_round()
         self._update_estimates()
         self.admission.update_quota()
-        self.migration.leave_draining_servers()
+        self.migration.migrate_off_draining_servers()
         self.migration.relieve_overloaded_servers()
         self.health_checks.run_round(self.admission.is_cap_open)
         self.lifecycle.retry_waiting()
@@ -333,6 +333,6 @@
         self.capacity.update_server_capacity(tier_load, ready)
         own_load = sum(request.load for request in self.requests.values() if request.server)
         load = reference_load(
-            own_load, self.admission.client_share(), peers, self.settings.balancers, self.is_draining
+            own_load, self.admission.client_fraction(), peers, self.settings.balancers, self.is_draining
         )
         self.slow_start.update_reference_load(load, self.is_draining)
--- a/glenrock/routing/capacity_estimation.py
+++ b/glenrock/routing/capacity_estimation.py
@@ -17,11 +17,11 @@
 from .state import Server, TimedLoad
 
 CAPACITY_GAIN, USUAL_CAPACITY_GAIN = 0.4, 0.04  # per round, of what a server is seen to do: now, and usually
-MIN_USUAL_SHARE = 0.15  # a server's usual capacity is at least this part of the others' mean
+MIN_USUAL_CAPACITY_FRACTION = 0.15  # a server's usual capacity is at least this part of the others' mean
 MIN_MEASURED_LOAD = 0.1  # below this a server's load says nothing of its capacity
 MAX_GUESSED_LOAD = 1.0  # the mean load is guessed no higher than this when servers are lost
-STEADY_SHARE = 0.67  # of the most lately: while no less is active here, the part of the tier is steady
-STEADY_US = 4 * SECOND_US
+STEADY_FRACTION = 0.67  # of the most lately: while no less is active here, the part of the tier is steady
+STEADY_WINDOW_US = 4 * SECOND_US
 CLIENTS_RETURN_US = 1 * SECOND_US  # clients of lost servers come to the others within this
 MAX_OBSERVED_LOAD = 3.0  # a server's load counts for no more in the mean
 ENOUGH_SERVERS = 12  # that tell their load make the mean; all of them, where there are fewer
@@ -40,8 +40,8 @@
 
     Attributes:
         server_capacity: load that fills a server on average; 0 while it is not known.
-        warm_servers: how many are in reach and past their slow start, when there were any.
-        none_is_warm: there are none now.
+        warm_server_count: how many are in reach and past their slow start, when there were any.
+        has_no_warm_server: there are none now.
         servers_lost_us: some of them were lost then.
     """
 
@@ -59,23 +59,23 @@
         self._sessions = sessions
         self._connection_loads = connection_loads
         self.server_capacity = 0.0
-        self.warm_servers = 0
-        self.none_is_warm = False
+        self.warm_server_count = 0
+        self.has_no_warm_server = False
         self.servers_lost_us = NEVER_US
         self._in_reach: set[str] = set()
         self._warm: Sequence[Server] | None = None
         self._own_load_history: list[TimedLoad] = []
-        self._tier_share = 0.0  # this balancer's part of the tier, by which usual capacities go
-        self._tier_share_since_us = 0
+        self._tier_fraction = 0.0  # this balancer's part of the tier, by which usual capacities go
+        self._tier_fraction_since_us = 0
 
     @property
-    def divisor_load(self) -> float:
+    def bounded_fleet_load(self) -> float:
         """The mean load, bounded from below, for what is divided by it."""
         return max(MIN_FLEET_LOAD, self._loads.fleet_load)
 
     def update_server_capacity(self, tier_load: float, ready_servers: int) -> None:
         """Once a round, from the active load of the whole tier."""
-        self.server_capacity = tier_load / max(1, ready_servers) / self.divisor_load
+        self.server_capacity = tier_load / max(1, ready_servers) / self.bounded_fleet_load
 
     # -- the mean load -------------------------------------------------------------------------------
 
@@ -87,8 +87,8 @@
         cap only so far, and reports do the rest. Servers that drain or are gone leave in their own time, as
         reports show.
         """
-        self.warm_servers = len(warm) or self.warm_servers
-        self.none_is_warm = not warm
+        self.warm_server_count = len(warm) or self.warm_server_count
+        self.has_no_warm_server = not warm
         if warm is self._warm:  # the same list as a round before: nobody came or went
             return
         self._warm = warm
@@ -116,7 +116,7 @@
         observed = [
             ObservedLoad(server, min(MAX_OBSERVED_LOAD, self._loads.load(server)))
             for server in warm
-            if server.reported_at_us > since_us or (server.connections and self._loads.silence_means_sound)
+            if server.reported_at_us > since_us or (server.connections and self._loads.is_silence_healthy)
         ]
         if observed:
             gain = min(1.0, len(observed) / min(ENOUGH_SERVERS, len(warm)))
@@ -154,9 +154,9 @@
     # -- capacities ----------------------------------------------------------------------------------
 
     def _measure_capacities(self, observed: Sequence[ObservedLoad], tier_load: float) -> None:
-        tier_share = min(1.0, max(0.05, self._sessions.active_load / max(1.0, tier_load)))
-        steady = self._tier_share_is_steady()
-        usual_gain = self._usual_capacity_gain(tier_share)
+        tier_fraction = min(1.0, max(0.05, self._sessions.active_load / max(1.0, tier_load)))
+        steady = self._is_tier_fraction_steady()
+        usual_gain = self._usual_capacity_gain(tier_fraction)
         for server, load in observed:
             own_load = server.own_load
             # With a connection or two of the hundred that stand there its capacity comes out anyhow; one that
@@ -164,7 +164,7 @@
             several = own_load > 2 * self._connection_loads.mean_load
             enough = several and len(server.connections) >= ENOUGH_CONNECTIONS
             if steady and load > MIN_MEASURED_LOAD and enough:
-                seen = own_load / tier_share / load
+                seen = own_load / tier_fraction / load
                 server.capacity = _moved(server.capacity, seen, CAPACITY_GAIN)
                 server.usual_capacity = _moved(server.usual_capacity, seen, usual_gain)
 
@@ -174,23 +174,23 @@
             # One that was slow when it was first seen has no better past. So its usual capacity is never held
             # for less than some part of the others'; balancers differ in what they hold where.
             if server.usual_capacity:
-                least = MIN_USUAL_SHARE * sum(usual) / len(usual)
+                least = MIN_USUAL_CAPACITY_FRACTION * sum(usual) / len(usual)
                 server.capacity_ratio = min(1.0, server.capacity / max(server.usual_capacity, least))
 
-    def _tier_share_is_steady(self) -> bool:
+    def _is_tier_fraction_steady(self) -> bool:
         """Whether this balancer's part of the tier has been much the same lately.
 
         Its part of a server's load is taken for its part of the tier. While another sends clients here they
         stand where they were just put; a slow server that took a dozen would seem to bear the load of ten.
         """
         now_us = self._batch.now_us
-        history = [past for past in self._own_load_history if now_us - past.at_us <= STEADY_US]
+        history = [past for past in self._own_load_history if now_us - past.at_us <= STEADY_WINDOW_US]
         history.append(TimedLoad(now_us, self._sessions.active_load))
         self._own_load_history = history
         loads = [load for _, load in history]
-        return min(loads) >= STEADY_SHARE * max(loads)
+        return min(loads) >= STEADY_FRACTION * max(loads)
 
-    def _usual_capacity_gain(self, tier_share: float) -> float:
+    def _usual_capacity_gain(self, tier_fraction: float) -> float:
         """Gain of usual capacities; these are forgotten once this balancer's part of the tier is another.
 
         What a server can do comes out in proportion to that part's error. With another balancer's clients
@@ -199,14 +199,18 @@
         twice what there is.
         """
         now_us = self._batch.now_us
-        if not STEADY_SHARE * self._tier_share <= tier_share <= self._tier_share / STEADY_SHARE:
-            self._tier_share = tier_share
-            self._tier_share_since_us = now_us
+        if (
+            not STEADY_FRACTION * self._tier_fraction
+            <= tier_fraction
+            <= self._tier_fraction / STEADY_FRACTION
+        ):
+            self._tier_fraction = tier_fraction
+            self._tier_fraction_since_us = now_us
             for server in self._servers.values():
                 server.capacity = server.usual_capacity = 0.0
                 server.capacity_ratio = 1.0
-        self._tier_share += (tier_share - self._tier_share) * USUAL_CAPACITY_GAIN
-        known = now_us - self._tier_share_since_us >= STEADY_US
+        self._tier_fraction += (tier_fraction - self._tier_fraction) * USUAL_CAPACITY_GAIN
+        known = now_us - self._tier_fraction_since_us >= STEADY_WINDOW_US
         return USUAL_CAPACITY_GAIN if known else CAPACITY_GAIN
 
 
--- a/glenrock/routing/client_sessions.py
+++ b/glenrock/routing/client_sessions.py
@@ -39,7 +39,7 @@
         """The client's session, if it has one."""
         return self.by_key.get(key)
 
-    def enter(self, request: RoutedRequest) -> None:
+    def add_connection(self, request: RoutedRequest) -> None:
         """The request belongs to its client's session from now on."""
         session = self.by_key.get(request.key)
         if session is None:
@@ -52,7 +52,7 @@
         session.load += request.load
         self.active_load += request.load
 
-    def leave(self, request: RoutedRequest, keep: bool) -> None:
+    def remove_connection(self, request: RoutedRequest, keep: bool) -> None:
         """The request is over. Its session goes on for a while where `keep` says so, or ends with it."""
         session = self.by_key.get(request.key)
         if session is None:
@@ -63,9 +63,9 @@
             session.load -= request.load
             self.active_load -= request.load
         elif not keep:
-            self.drop(request.key)
+            self.end(request.key)
 
-    def drop(self, key: int | str) -> None:
+    def end(self, key: int | str) -> None:
         """Ends the client's session."""
         self.active_load -= self.by_key.pop(key).load
 
@@ -86,6 +86,6 @@
             if not session.connections and session.last_seen_us < oldest_us
         ]
         for key in expired:
-            self.drop(key)
+            self.end(key)
         if not self.by_key:
             self.active_load = 0.0  # no drift from rounding
--- a/glenrock/routing/connection_concurrency.py
+++ b/glenrock/routing/connection_concurrency.py
@@ -13,11 +13,11 @@
 
 UNLIMITED = float("inf")
 MIN_WINDOW = 1.0
-SLOW_SHARE = 0.5  # of the shortest objective: a set-up that took longer stood in a queue
-CUT_FACTOR = 0.7  # of the window, at most once in `CUTS_APART_US`
+SLOW_FRACTION = 0.5  # of the shortest objective: a set-up that took longer stood in a queue
+CUT_FACTOR = 0.7  # of the window, at most once in `MIN_CUT_INTERVAL_US`
 RISE_FACTOR, RISE_STEP = 1.25, 0.5  # of the window, in a round in which it bound
-CUTS_APART_US = SECOND_US  # what was out before a cut has ended by then, or nearly
-SERVERS_AFFECTED = 3  # one or two that are slow are their own trouble
+MIN_CUT_INTERVAL_US = SECOND_US  # what was out before a cut has ended by then, or nearly
+MIN_AFFECTED_SERVERS = 3  # one or two that are slow are their own trouble
 STORM_FAILURES = 6  # in a round, that are waited for no longer
 IDLE_ROUNDS = 20  # in which the window did not bind: it is lifted
 RATE_DECAY = 0.98  # of the best rate seen, a round: half of it in some 17 s
@@ -44,11 +44,11 @@
         self._best_rate = 0.0  # set-ups a second that came up, the most lately
 
     @property
-    def limited(self) -> bool:
+    def is_limited(self) -> bool:
         """Whether the window binds at all."""
         return self.window < UNLIMITED
 
-    def has_room(self) -> bool:
+    def may_start(self) -> bool:
         """Whether another set-up may go out."""
         return self.pending < self.window
 
@@ -65,7 +65,7 @@
         """A set-up stands, so long after it was sent."""
         self.pending -= 1
         self._established += 1
-        if took_us > SLOW_SHARE * self._objective_us:
+        if took_us > SLOW_FRACTION * self._objective_us:
             self._record_slow_or_failed(server)
         else:
             self._in_time += 1
@@ -80,16 +80,16 @@
         self._slow_or_failed += 1
         self._servers_affected.add(server)
         storm = self._slow_or_failed > STORM_FAILURES + 2 * self._in_time
-        if len(self._servers_affected) >= SERVERS_AFFECTED and storm:
+        if len(self._servers_affected) >= MIN_AFFECTED_SERVERS and storm:
             self._cut()
 
     def _cut(self) -> None:
-        if self._batch.now_us - self._cut_at_us < CUTS_APART_US:
+        if self._batch.now_us - self._cut_at_us < MIN_CUT_INTERVAL_US:
             return
         window = self.window
-        if not self.limited:
+        if not self.is_limited:
             # With so many out a store that does the best rate seen answers within the wanted time.
-            window = max(self._best_rate, 1.0) * SLOW_SHARE * self._objective_us / SECOND_US
+            window = max(self._best_rate, 1.0) * SLOW_FRACTION * self._objective_us / SECOND_US
         self.window = max(MIN_WINDOW, CUT_FACTOR * window)
         self._cut_at_us = self._batch.now_us
         self._idle_rounds = 0
@@ -99,11 +99,11 @@
         self._best_rate = max(RATE_DECAY * self._best_rate, self._established * SECOND_US / ROUND_US)
         if self._many_are_slow():
             self._cut()
-        elif self.limited and self._peak >= self.window - 1:
+        elif self.is_limited and self._peak >= self.window - 1:
             if self._in_time > self._slow_or_failed:
                 self.window = self.window * RISE_FACTOR + RISE_STEP
             self._idle_rounds = 0
-        elif self.limited:
+        elif self.is_limited:
             self._idle_rounds += 1
             if self._idle_rounds >= IDLE_ROUNDS:
                 self.window = UNLIMITED
@@ -119,5 +119,5 @@
         """
         if self._slow_or_failed <= self._in_time / 3:
             return False
-        several_servers = len(self._servers_affected) >= SERVERS_AFFECTED
-        return several_servers or (self.limited and self._slow_or_failed > self._in_time)
+        several_servers = len(self._servers_affected) >= MIN_AFFECTED_SERVERS
+        return several_servers or (self.is_limited and self._slow_or_failed > self._in_time)
--- a/glenrock/routing/connection_load.py
+++ b/glenrock/routing/connection_load.py
@@ -9,8 +9,8 @@
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple
 
-MEAN_GAIN = 0.02  # weight of a new load in a mean; the first ones count as a plain mean
-MAX_CARRIED_SAMPLES = round(1 / MEAN_GAIN)  # past that a mean forgets as fast as it learns
+MEAN_LOAD_GAIN = 0.02  # weight of a new load in a mean; the first ones count as a plain mean
+MAX_CARRIED_SAMPLES = round(1 / MEAN_LOAD_GAIN)  # past that a mean forgets as fast as it learns
 ALL_CLASSES = ""
 UNKNOWN_LOAD = 1.0  # of a connection, while none has told its own
 
@@ -42,7 +42,7 @@
         """
         for name in (ALL_CLASSES, class_name):
             mean, samples = self.means.get(name, LoadMean(0.0, 0))
-            gain = max(MEAN_GAIN, 1 / (samples + 1))
+            gain = max(MEAN_LOAD_GAIN, 1 / (samples + 1))
             self.means[name] = LoadMean(mean + (load - mean) * gain, samples + 1)
         self.mean_load = self.means[ALL_CLASSES].load
 
--- a/glenrock/routing/endpoint_table.py
+++ b/glenrock/routing/endpoint_table.py
@@ -86,8 +86,8 @@
         return self.index.ready
 
     def _restarted(self, server: Server, at_us: int) -> None:
-        server.restarted(at_us)
-        self.index.started(server)
+        server.reset_for_restart(at_us)
+        self.index.add_starting(server)
 
     def _unlist_others(self, event: EndpointList, requests: Mapping[str, RoutedRequest]) -> None:
         named = {entry.server for entry in event.entries}
@@ -116,7 +116,7 @@
         if server.ready == ready:
             return
         server.ready = ready
-        self.index.ready_changed()
+        self.index.invalidate_ready()
         # Gone counts too: a machine that vanished leaves its connections open and silent.
         server.migrate_by_us = 0 if ready else self._batch.now_us + self._drain_us
         in_zone = server.zone == self._settings.zone and self._settings.cross_zone_cost > 0
--- a/glenrock/routing/failure_domains.py
+++ b/glenrock/routing/failure_domains.py
@@ -16,19 +16,19 @@
 from math import log
 from typing import NamedTuple
 
-SOUND_FAILS = 0.03  # chance that a member of a sound domain is found out of reach, by itself
-CUT_FAILS = 0.97  # and of one that is cut off
-FALSE_ALARM, MISSED = 0.0005, 0.05  # wanted rates: a sound domain convicted, a cut one not
+HEALTHY_FAILURE_PROBABILITY = 0.03  # chance that a member of a sound domain is found out of reach, by itself
+PARTITIONED_FAILURE_PROBABILITY = 0.97  # and of one that is cut off
+FALSE_ALARM_RATE, MISSED_RATE = 0.0005, 0.05  # wanted rates: a sound domain convicted, a cut one not
 WINDOW_US = 1_000_000  # a member's evidence counts once in this time
 HALF_LIFE_US = 4_000_000  # of a score without evidence
-NEUTRAL_US = 10_000_000  # a domain taken for cut is tried again after this without evidence
+EVIDENCE_TIMEOUT_US = 10_000_000  # a domain taken for cut is tried again after this without evidence
 HEALTH_CHECK_INTERVAL_US = 500_000  # a domain taken for cut is asked this often
 RECOVERY_STEP_US = 700_000  # it is taken back in steps of this length
-RECOVERY_SHARES = (0.25, 0.5, 0.75)  # the parts of its members in use in the first ones
+RECOVERY_FRACTIONS = (0.25, 0.5, 0.75)  # the parts of its members in use in the first ones
 
-FAILED = log(CUT_FAILS / SOUND_FAILS)
-ANSWERED = log((1 - CUT_FAILS) / (1 - SOUND_FAILS))
-BOUND = log((1 - MISSED) / FALSE_ALARM)
+FAILURE_LOG_RATIO = log(PARTITIONED_FAILURE_PROBABILITY / HEALTHY_FAILURE_PROBABILITY)
+ANSWER_LOG_RATIO = log((1 - PARTITIONED_FAILURE_PROBABILITY) / (1 - HEALTHY_FAILURE_PROBABILITY))
+PARTITION_BOUND = log((1 - MISSED_RATE) / FALSE_ALARM_RATE)
 NEVER_US = -(1 << 60)
 
 
@@ -38,14 +38,14 @@
 
     Attributes:
         score: log of the likelihood ratio, cut off over sound; at least 0.
-        is_cut: the domain is taken for cut off.
+        is_partitioned: the domain is taken for cut off.
         recovered_us: it answered again then, and is being taken back.
         evidence_us: members whose evidence counted, and when.
     """
 
     score: float = 0.0
     updated_us: int = 0
-    is_cut: bool = False
+    is_partitioned: bool = False
     recovered_us: int = NEVER_US
     asked_us: int = NEVER_US
     evidence_us: dict[str, int] = field(default_factory=dict)
@@ -55,7 +55,7 @@
     """A domain is taken for cut off from now on, or no longer."""
 
     domain: str
-    is_cut: bool
+    is_partitioned: bool
 
 
 class FailureDomains:
@@ -90,36 +90,38 @@
         ]
         self._evidence.clear()
         for domain, state in self.states.items():
-            if state.is_cut and now_us - state.updated_us >= NEUTRAL_US:  # nobody speaks for it any more
-                state.is_cut = False
+            if (
+                state.is_partitioned and now_us - state.updated_us >= EVIDENCE_TIMEOUT_US
+            ):  # nobody speaks for it any more
+                state.is_partitioned = False
                 state.recovered_us = now_us
                 state.score = 0.0
                 turned.append(domain)
-        self.changes = [DomainChange(domain, self.states[domain].is_cut) for domain in turned]
+        self.changes = [DomainChange(domain, self.states[domain].is_partitioned) for domain in turned]
         return turned
 
-    def is_cut(self, domain: str) -> bool:
+    def is_partitioned(self, domain: str) -> bool:
         """Whether the domain is taken for cut off."""
         state = self.states.get(domain)
-        return state is not None and state.is_cut
+        return state is not None and state.is_partitioned
 
-    def usable_share(self, now_us: int, domain: str) -> float:
+    def usable_fraction(self, now_us: int, domain: str) -> float:
         """The part of its members that may be used: 0 while it is taken for cut, 1 if nothing speaks so."""
         state = self.states.get(domain)
         if state is None:
             return 1.0
-        if state.is_cut:
+        if state.is_partitioned:
             return 0.0
         step = (now_us - state.recovered_us) // RECOVERY_STEP_US
-        return RECOVERY_SHARES[step] if step < len(RECOVERY_SHARES) else 1.0
+        return RECOVERY_FRACTIONS[step] if step < len(RECOVERY_FRACTIONS) else 1.0
 
     def restricts(self, now_us: int) -> bool:
         """Whether there is a domain of which not all may be used."""
-        return any(self.usable_share(now_us, domain) < 1 for domain in self.states)
+        return any(self.usable_fraction(now_us, domain) < 1 for domain in self.states)
 
     def may_use(self, now_us: int, domain: str, member_hash: int) -> bool:
         """Whether a member, known by a hash of its own, belongs to the part in use."""
-        share = self.usable_share(now_us, domain)
+        share = self.usable_fraction(now_us, domain)
         return share >= 1 or (member_hash >> 8 & 0xFF) < share * 256
 
     def due_health_checks(self, now_us: int) -> list[str]:
@@ -127,7 +129,7 @@
         due = [
             domain
             for domain, state in self.states.items()
-            if state.is_cut and now_us - state.asked_us >= HEALTH_CHECK_INTERVAL_US
+            if state.is_partitioned and now_us - state.asked_us >= HEALTH_CHECK_INTERVAL_US
         ]
         for domain in due:
             self.states[domain].asked_us = now_us
@@ -136,7 +138,7 @@
     def suspicion(self, now_us: int, domain: str) -> float:
         """What speaks for its being cut off now, as a part of what convicts it: 0 to 1."""
         state = self.states.get(domain)
-        return faded(state.score, now_us - state.updated_us) / BOUND if state else 0.0
+        return decayed_score(state.score, now_us - state.updated_us) / PARTITION_BOUND if state else 0.0
 
     def _weigh(self, domain: str, members: dict[str, None] | None, now_us: int) -> bool:
         """Takes in a domain's evidence. True where it turned."""
@@ -149,12 +151,12 @@
 
 def _record_answer(state: DomainState, now_us: int) -> bool:
     """Any answer proves the link to be whole. True where it was taken for cut."""
-    state.score = max(0.0, state.score + ANSWERED)
+    state.score = max(0.0, state.score + ANSWER_LOG_RATIO)
     state.updated_us = now_us
     state.evidence_us.clear()
-    if not state.is_cut:
+    if not state.is_partitioned:
         return False
-    state.is_cut = False
+    state.is_partitioned = False
     state.recovered_us = now_us
     state.score = 0.0
     return True
@@ -167,15 +169,15 @@
         return False
     recent = {member: at for member, at in state.evidence_us.items() if now_us - at < WINDOW_US}
     state.evidence_us = recent | dict.fromkeys(fresh, now_us)
-    score = faded(state.score, now_us - state.updated_us) + FAILED * len(fresh)
-    state.score = min(BOUND, score)
+    score = decayed_score(state.score, now_us - state.updated_us) + FAILURE_LOG_RATIO * len(fresh)
+    state.score = min(PARTITION_BOUND, score)
     state.updated_us = now_us
-    was_cut = state.is_cut
-    state.is_cut = was_cut or state.score >= BOUND
-    return state.is_cut and not was_cut
+    was_cut = state.is_partitioned
+    state.is_partitioned = was_cut or state.score >= PARTITION_BOUND
+    return state.is_partitioned and not was_cut
 
 
-def faded(score: float, span_us: int) -> float:
+def decayed_score(score: float, span_us: int) -> float:
     """What is left of a score after a time without evidence."""
     factor: float = 0.5 ** (max(0, span_us) / HALF_LIFE_US)
     return score * factor
--- a/glenrock/routing/gossip.py
+++ b/glenrock/routing/gossip.py
@@ -15,10 +15,10 @@
 from .token_budget import gossip_budget
 from .waiting_queue import WaitingQueue
 
-CALM_INTERVAL_US = 5 * SECOND_US  # while there is room; twice a round while there is none
-PEER_LOST_AFTER_US = 3 * CALM_INTERVAL_US
+IDLE_GOSSIP_INTERVAL_US = 5 * SECOND_US  # while there is room; twice a round while there is none
+PEER_LOST_AFTER_US = 3 * IDLE_GOSSIP_INTERVAL_US
 STAMP_US = SECOND_US // 10  # unit of a summary's stamp
-NEWER_STAMPS = 0x7FFF  # stamps ahead of the last one that count as newer: the counter wraps
+MAX_STAMP_ADVANCE = 0x7FFF  # stamps ahead of the last one that count as newer: the counter wraps
 MIN_JITTER, JITTER_PARTS = 0.9, 5  # an interval is stretched by 0.9 and a fifth of a random part
 
 
@@ -78,7 +78,7 @@
             return None
         assert summary is not None, "fault() tells of what cannot be read"
         known = self.peers.get(event.peer)
-        if known and not 0 < (summary.stamp - known.stamp & gossip_codec.MAX_STAMP) <= NEWER_STAMPS:
+        if known and not 0 < (summary.stamp - known.stamp & gossip_codec.MAX_STAMP) <= MAX_STAMP_ADVANCE:
             return None  # late or doubled
         bucket = self._waiting_line.current_bucket()
         waiting = [WaitingLoad(bucket - age, load) for age, load in summary.waiting]
@@ -113,7 +113,7 @@
             return
         # While nobody waits the quotas need little news, and what is saved then pays for scarcity.
         calm = not waiting and is_cap_open
-        interval_us = ROUND_US // 2 if is_draining else CALM_INTERVAL_US if calm else 2 * ROUND_US
+        interval_us = ROUND_US // 2 if is_draining else IDLE_GOSSIP_INTERVAL_US if calm else 2 * ROUND_US
         self.next_us = now_us + int(interval_us * (MIN_JITTER + self._rng.random() / JITTER_PARTS))
         self._batch.emit(SendGossip(data))
 
--- a/glenrock/routing/health_checks.py
+++ b/glenrock/routing/health_checks.py
@@ -12,16 +12,16 @@
 from .load_estimation import (
     ENOUGH_CONNECTIONS,
     FRESH_REPORT_US,
-    LATE_LOAD,
+    MIN_LATE_LOAD,
     QUIET_LOAD,
     LoadEstimator,
 )
 from .outlier_ejection import OutlierEjection
 from .server_selection import ServerSelection
 from .state import RoutedRequest, Server
-from .token_budget import KEPT_CONNECTION_US, LARGE_FLEET, MAX_HEALTH_CHECKS, TokenBudget
+from .token_budget import IDLE_HEALTH_CONNECTION_US, LARGE_FLEET, MAX_HEALTH_CHECKS, TokenBudget
 
-RESEND_AFTER_US = SECOND_US  # a server is asked again though no answer came
+HEALTH_CHECK_RESEND_US = SECOND_US  # a server is asked again though no answer came
 
 
 @dataclass(eq=False)
@@ -51,7 +51,7 @@
     def send(self, server: Server) -> bool:
         """Asks the server. True where a check is out, False where none may be sent."""
         now_us = self.batch.now_us
-        if server.health_check_sent_us >= 0 and now_us - server.health_check_sent_us < RESEND_AFTER_US:
+        if server.health_check_sent_us >= 0 and now_us - server.health_check_sent_us < HEALTH_CHECK_RESEND_US:
             return True
         if not self.loads.has_reports or not self._try_spend(server):
             return False
@@ -65,7 +65,7 @@
 
     def _try_spend(self, server: Server) -> bool:
         """Pays for a check, and in a large fleet for the connection that it needs."""
-        is_connected = self.batch.now_us - server.last_checked_us < KEPT_CONNECTION_US
+        is_connected = self.batch.now_us - server.last_checked_us < IDLE_HEALTH_CONNECTION_US
         needs_connection = self._fleet_is_large and not is_connected
         if needs_connection and self.connections.tokens < 1:
             return False
@@ -87,7 +87,7 @@
         """
         if not server.consecutive_failures:
             server.consecutive_failures = 1
-            self.endpoints.index.suspected(server)
+            self.endpoints.index.add_suspect(server)
             self.send(server)
 
     def record_result(self, server: Server, event: HealthCheckResult) -> None:
@@ -98,12 +98,12 @@
             server.consecutive_failures = server.ejected_until_us = 0
             self.ejection.record_reachable(server)
             self.ejection.record_report(server, event.report)
-        elif timed_out and self.loads.was_slow_lately(server):
+        elif timed_out and self.loads.was_slow_recently(server):
             # One that is full answers no health check in time. Held for out of reach it would stay unused for
             # half a minute, and the mean load come from the one or two that are left.
-            self.ejection.record_load(server, max(LATE_LOAD, server.reported_load))
+            self.ejection.record_load(server, max(MIN_LATE_LOAD, server.reported_load))
         elif event.outcome == AttemptOutcome.NO_CONNECTION or (
-            timed_out and not self.loads.was_heard_lately(server)
+            timed_out and not self.loads.was_heard_recently(server)
         ):
             self.ejection.record_unreachable(server)  # says nothing of its load, nor of the mean
 
--- a/glenrock/routing/load_estimation.py
+++ b/glenrock/routing/load_estimation.py
@@ -15,15 +15,18 @@
 FEEDBACK_DELAY_US = 2 * SECOND_US  # load reports may be refreshed and delivered this late
 MEAN_REPORT_AGE_US = FEEDBACK_DELAY_US // 2
 FRESH_REPORT_US = 1 * SECOND_US  # a report counts as the present this long
-KNOWN_REPORT_US = 10 * SECOND_US  # and is better than the mean of all servers this long
-DELAY_NOTICE_US = 3 * SECOND_US // 2  # word of slow messages comes once a second
-DELAY_SAMPLES_APART_US = SECOND_US // 2  # nearer ones say nothing of how a delay grows
-HISTORY_US = 4 * SECOND_US  # own load at a server is kept this long: longer than reports are late
+VALID_REPORT_US = 10 * SECOND_US  # and is better than the mean of all servers this long
+DELAY_REPORT_VALID_US = 3 * SECOND_US // 2  # word of slow messages comes once a second
+MIN_DELAY_SAMPLE_INTERVAL_US = SECOND_US // 2  # nearer ones say nothing of how a delay grows
+OWN_LOAD_HISTORY_US = 4 * SECOND_US  # own load at a server is kept this long: longer than reports are late
 
 BUSY_LOAD = 0.82  # what slow messages say of a server
-LATE_LOAD = 1.1  # what a server has at least whose messages miss their objective
+MIN_LATE_LOAD = 1.1  # what a server has at least whose messages miss their objective
 QUIET_LOAD = 0.58  # what silence says where there are no reports: room enough for the cap to rise
-MIN_GROWTH_LOAD, MAX_GROWTH_LOAD = 0.3, 3.0  # what the growth of a delay may say: beyond these it is chance
+MIN_DELAY_GROWTH_LOAD, MAX_DELAY_GROWTH_LOAD = (
+    0.3,
+    3.0,
+)  # what the growth of a delay may say: beyond these it is chance
 INITIAL_FLEET_LOAD = 0.5
 ENOUGH_CONNECTIONS = 5  # own connections at a server that say something of the rest there
 
@@ -39,7 +42,7 @@
 
     Attributes:
         has_reports: health checks tell of load at all.
-        silence_means_sound: word comes of connections whose messages are slow, so none means that none are.
+        is_silence_healthy: word comes of connections whose messages are slow, so none means that none are.
         fleet_load: mean load of the servers, as the capacity estimate has it.
     """
 
@@ -47,12 +50,12 @@
         self._batch = batch
         fields = settings.load_report_fields
         self.has_reports = settings.may_health_check and (LOAD_RATIO in fields or UTILIZATION in fields)
-        self.silence_means_sound = settings.has_message_delay_reports
+        self.is_silence_healthy = settings.has_message_delay_reports
         self.fleet_load = INITIAL_FLEET_LOAD
         self._remembered: dict[str, Server] = {}  # servers with a history of own load
         self._remembered_us = NEVER_US  # the last round
 
-    def remember_own_load(self, servers: Iterable[Server]) -> None:
+    def record_own_load(self, servers: Iterable[Server]) -> None:
         """Once a round: what stands where, for reports that tell of now later.
 
         Args:
@@ -66,7 +69,7 @@
                 if server.added_us <= self._remembered_us:
                     server.own_load_history = [TimedLoad(self._remembered_us, 0.0)]
         for server in list(self._remembered.values()):
-            history = [past for past in server.own_load_history if now_us - past[0] < HISTORY_US]
+            history = [past for past in server.own_load_history if now_us - past[0] < OWN_LOAD_HISTORY_US]
             history.append(TimedLoad(now_us, server.own_load))
             server.own_load_history = history
             if not server.connections and not any(load for _, load in history):
@@ -97,15 +100,15 @@
         """Load was sent there: no report shows it yet. What no report can leave out any more is forgotten."""
         now_us = self._batch.now_us
         sends = server.recent_sends
-        if sends and now_us - sends[0].at_us >= KNOWN_REPORT_US:
-            sends = [sent for sent in sends if now_us - sent.at_us < KNOWN_REPORT_US]
+        if sends and now_us - sends[0].at_us >= VALID_REPORT_US:
+            sends = [sent for sent in sends if now_us - sent.at_us < VALID_REPORT_US]
         sends.append(TimedLoad(now_us, load))
         server.recent_sends = sends
         server.unreported_load += load
 
-    def lately_sent_load(self, server: Server) -> float:
+    def recently_sent_load(self, server: Server) -> float:
         """Load sent there that no report can show yet, where servers may go without a report for long."""
-        since_us = self._batch.now_us - KNOWN_REPORT_US
+        since_us = self._batch.now_us - VALID_REPORT_US
         return sum(load for at_us, load in server.recent_sends if at_us >= since_us)
 
     def record_delay(self, server: Server, delay_us: float, objective_us: int) -> bool:
@@ -114,8 +117,8 @@
         if delay_us > objective_us / 3:
             server.delayed_at_us = now_us
         samples = server.delay_samples
-        if not samples or now_us - samples[-1].at_us >= DELAY_SAMPLES_APART_US:
-            oldest_us = now_us - FEEDBACK_DELAY_US - DELAY_SAMPLES_APART_US
+        if not samples or now_us - samples[-1].at_us >= MIN_DELAY_SAMPLE_INTERVAL_US:
+            oldest_us = now_us - FEEDBACK_DELAY_US - MIN_DELAY_SAMPLE_INTERVAL_US
             samples = [sample for sample in samples[-1:] if sample.at_us >= oldest_us]
             samples.append(DelaySample(now_us, delay_us / SECOND_US, server.own_load))
             server.delay_samples = samples
@@ -123,17 +126,17 @@
             server.objective_missed_us = now_us
         return delay_us >= objective_us
 
-    def is_late(self, server: Server) -> bool:
+    def misses_message_objective(self, server: Server) -> bool:
         """Whether messages there miss their objective now."""
-        return self._batch.now_us - server.objective_missed_us < DELAY_NOTICE_US
+        return self._batch.now_us - server.objective_missed_us < DELAY_REPORT_VALID_US
 
-    def was_slow_lately(self, server: Server) -> bool:
+    def was_slow_recently(self, server: Server) -> bool:
         """Whether it told of slow messages while a health check was out: no answer then tells of load."""
-        return bool(server.connections) and self._batch.now_us - server.delayed_at_us < DELAY_NOTICE_US
+        return bool(server.connections) and self._batch.now_us - server.delayed_at_us < DELAY_REPORT_VALID_US
 
-    def was_heard_lately(self, server: Server) -> bool:
+    def was_heard_recently(self, server: Server) -> bool:
         """Whether it said anything: an unanswered health check is no proof then that it is out of reach."""
-        return self._batch.now_us - server.last_heard_us < DELAY_NOTICE_US
+        return self._batch.now_us - server.last_heard_us < DELAY_REPORT_VALID_US
 
     @staticmethod
     def load_from_delays(server: Server) -> float:
@@ -151,29 +154,29 @@
         remaining = 1.0
         if own_load > 0 and len(server.connections) >= ENOUGH_CONNECTIONS:
             remaining = min(1.0, server.own_load / own_load)
-        asked_for = min(MAX_GROWTH_LOAD, max(MIN_GROWTH_LOAD, 1 + growth))
+        asked_for = min(MAX_DELAY_GROWTH_LOAD, max(MIN_DELAY_GROWTH_LOAD, 1 + growth))
         return asked_for * remaining + delay_s * SECOND_US / FEEDBACK_DELAY_US
 
     def load(self, server: Server) -> float:
         """The load of a server as known now: from late messages, its last report, or the mean of all."""
         now_us = self._batch.now_us
         age_us = now_us - server.reported_at_us
-        known = server.reported_load >= 0 and age_us < KNOWN_REPORT_US
+        known = server.reported_load >= 0 and age_us < VALID_REPORT_US
         load = server.reported_load if known else min(self.fleet_load, 1.0)
         newer_than_report = server.objective_missed_us > server.reported_at_us - MEAN_REPORT_AGE_US
-        if self.is_late(server) and server.delay_samples and newer_than_report:
+        if self.misses_message_objective(server) and server.delay_samples and newer_than_report:
             return self.load_from_delays(server)
         if age_us < FRESH_REPORT_US:
             return load
-        if now_us - server.delayed_at_us < DELAY_NOTICE_US:
+        if now_us - server.delayed_at_us < DELAY_REPORT_VALID_US:
             return max(load, BUSY_LOAD)
-        if server.connections and self.silence_means_sound:
+        if server.connections and self.is_silence_healthy:
             # Only servers in trouble are asked again, and their old reports would hold the cap down. One that
             # holds connections of ours and sends no word of slow messages is not busy.
             return min(load, BUSY_LOAD if self.has_reports else QUIET_LOAD)
         return load
 
-    def remaining_share(self, server: Server) -> float:
+    def remaining_load_fraction(self, server: Server) -> float:
         """The part of our load there that has not left since its last report.
 
         The other balancers shed as we do. Of a hundred connections there a balancer of many holds two; one
@@ -181,7 +184,7 @@
         """
         own_load = server.own_load
         age_us = self._batch.now_us - server.reported_at_us
-        enough = len(server.connections) >= ENOUGH_CONNECTIONS and age_us < KNOWN_REPORT_US
-        if enough and not self.is_late(server) and server.own_load_at_report > own_load:
+        enough = len(server.connections) >= ENOUGH_CONNECTIONS and age_us < VALID_REPORT_US
+        if enough and not self.misses_message_objective(server) and server.own_load_at_report > own_load:
             return own_load / server.own_load_at_report
         return 1.0
--- a/glenrock/routing/migration.py
+++ b/glenrock/routing/migration.py
@@ -12,12 +12,14 @@
 from .event_batch import ROUND_US, SECOND_US, EventBatch
 from .health_checks import HealthChecker
 from .interface import Migrate
-from .load_estimation import FEEDBACK_DELAY_US, FRESH_REPORT_US, LATE_LOAD, LoadEstimator
+from .load_estimation import FEEDBACK_DELAY_US, FRESH_REPORT_US, MIN_LATE_LOAD, LoadEstimator
 from .operator_overrides import OperatorOverrides
 from .server_index import ServerIndex
 from .state import RoutedRequest, Server
 
-DRAIN_US = 2 * SECOND_US  # clients of a draining server are migrated over this time, before it cuts them off
+MIGRATION_US = (
+    2 * SECOND_US
+)  # clients of a draining server are migrated over this time, before it cuts them off
 OVERLOAD = 1.0  # above this a server serves hardly any message in time
 RELIEVED_LOAD = 0.65  # overloaded servers go down to this, so that the work piled up drains
 SPARE_LOAD = 0.5  # or to this where the others have room: what makes one slow often makes it slower yet
@@ -39,7 +41,7 @@
 
     # -- servers that drain --------------------------------------------------------------------------
 
-    def leave_draining_servers(self) -> None:
+    def migrate_off_draining_servers(self) -> None:
         """Clients leave a draining server before it does, a part each round.
 
         All at once would be a mass return, and each move has its price. Their sessions stand, so they come in
@@ -85,11 +87,11 @@
                 self._relieve(server, scarce)
 
     def _relieve(self, server: Server, scarce: bool) -> None:
-        late = self.loads.is_late(server)
+        late = self.loads.misses_message_objective(server)
         # What left after the report's time would be sent away once more.
-        load = self.loads.load(server) * self.loads.remaining_share(server)
+        load = self.loads.load(server) * self.loads.remaining_load_fraction(server)
         if not scarce and late:
-            load = max(load, LATE_LOAD)  # where there is room, late messages are enough
+            load = max(load, MIN_LATE_LOAD)  # where there is room, late messages are enough
         # One that loses its capacity mostly goes on to drop all it holds: little is left there, and early.
         slow = server.capacity_ratio <= load_targets.SLOW_CAPACITY_RATIO and not scarce
         if load <= (load_targets.TARGET_LOAD if slow else OVERLOAD):
--- a/glenrock/routing/operator_overrides.py
+++ b/glenrock/routing/operator_overrides.py
@@ -10,7 +10,7 @@
 
 from .interface import OperatorOverride
 
-MAX_RETURNS = 4096  # remembered
+MAX_REMEMBERED_RETURNS = 4096  # remembered
 
 
 class OperatorOverrides:
@@ -18,7 +18,7 @@
 
     def __init__(self) -> None:
         self.suspended_servers: set[str] = set()
-        self.returned_at_us: dict[str, int] = {}  # longest ago first
+        self.resumed_at_us: dict[str, int] = {}  # longest ago first
 
     def apply(self, event: OperatorOverride, now_us: int) -> bool:
         """A call out or back. False where it changes nothing: calls may be repeated."""
@@ -28,14 +28,14 @@
             return changed
         at_us = min(now_us, event.at_us or now_us)
         # A return that another process was told of may come with no override known here.
-        news = bool(event.at_us) and at_us > self.returned_at_us.get(event.server, 0)
+        news = bool(event.at_us) and at_us > self.resumed_at_us.get(event.server, 0)
         if event.server not in self.suspended_servers and not news:
             return False
         self.suspended_servers.discard(event.server)
-        self.returned_at_us.pop(event.server, None)
-        self.returned_at_us[event.server] = at_us
-        if len(self.returned_at_us) > MAX_RETURNS:
-            del self.returned_at_us[next(iter(self.returned_at_us))]
+        self.resumed_at_us.pop(event.server, None)
+        self.resumed_at_us[event.server] = at_us
+        if len(self.resumed_at_us) > MAX_REMEMBERED_RETURNS:
+            del self.resumed_at_us[next(iter(self.resumed_at_us))]
         return True
 
     def allows(self, server: str) -> bool:
@@ -44,4 +44,4 @@
 
     def started_us(self, server: str, listed_us: int) -> int:
         """The time from which a server counts as started, where the list tells `listed_us`."""
-        return max(listed_us, self.returned_at_us.get(server, 0))
+        return max(listed_us, self.resumed_at_us.get(server, 0))
--- a/glenrock/routing/outlier_ejection.py
+++ b/glenrock/routing/outlier_ejection.py
@@ -1,4 +1,4 @@
-"""Which servers get less, or nothing: weights, ejection of those that fail, and panic mode.
+"""Which servers get less, or nothing: weights, ejection of those that fail, and is_panicking mode.
 
 Weights rise additively and are cut multiplicatively (AIMD).
 """
@@ -19,7 +19,7 @@
 from .slow_start import SlowStart
 from .state import Server
 
-WEIGHT_CUT, WEIGHT_RISE, MIN_WEIGHT = 0.7, 0.05, 0.05
+WEIGHT_CUT_FACTOR, WEIGHT_RISE, MIN_WEIGHT = 0.7, 0.05, 0.05
 OUTLIER_RATIO = 1.2  # a server is loaded for itself above this multiple of the mean load
 FAILURES_TO_EJECT, MAX_FAILURES = 2, 6  # in a row; past the second number the time grows no more
 FIRST_EJECTION_US = SECOND_US / 4  # doubled for each failure in a row
@@ -27,7 +27,7 @@
 
 @dataclass(eq=False)
 class OutlierEjection:
-    """What keeps a server from getting new work. `panic`: all are ejected, so ejection is passed over."""
+    """Decides which servers may receive new work; in panic mode, ejection is ignored."""
 
     batch: EventBatch
     settings: Settings
@@ -37,14 +37,14 @@
     loads: LoadEstimator
     slow_start: SlowStart
     domains: FailureDomains
-    panic: bool = field(init=False, default=False)
+    is_panicking: bool = field(init=False, default=False)
 
     def may_receive(self, server: Server, load: float) -> bool:
         """The one place that says whether a server may be sent new work now.
 
         A send after a drain notice would break the drain; so nothing goes there once it is known.
         """
-        usable = server.ready and (self.is_usable(server) or self.panic)
+        usable = server.ready and (self.is_usable(server) or self.is_panicking)
         return usable and self.slow_start.headroom(server) >= load
 
     def is_usable(self, server: Server) -> bool:
@@ -63,7 +63,7 @@
     def update_panic(self) -> None:
         """Where all are ejected nobody would be tried again for seconds: all is as good as none."""
         usable = any(self.is_usable(server) for server in self.index.ready)
-        self.panic = not usable
+        self.is_panicking = not usable
 
     def record_load(self, server: Server, load: float) -> None:
         """A load report. Weights go by the mean: when all are slow alike, the cap has to fall instead."""
@@ -83,7 +83,7 @@
         """One cut per feedback delay."""
         if self.batch.now_us - server.weight_cut_us >= FEEDBACK_DELAY_US:
             server.weight_cut_us = self.batch.now_us
-            server.weight = max(MIN_WEIGHT, server.weight * WEIGHT_CUT)
+            server.weight = max(MIN_WEIGHT, server.weight * WEIGHT_CUT_FACTOR)
 
     def record_reachable(self, server: Server) -> None:
         """The server answered: evidence that the link to its zone is whole."""
@@ -92,10 +92,10 @@
     def record_unreachable(self, server: Server) -> None:
         """Out of reach twice in a row: ejected for a time that doubles, then tried again."""
         self._record_evidence(server, answered=False)
-        self.index.suspected(server)
+        self.index.add_suspect(server)
         server.consecutive_failures = min(server.consecutive_failures + 1, MAX_FAILURES)
         ejected = server.consecutive_failures >= FAILURES_TO_EJECT
-        if ejected and not self.domains.is_cut(server.zone):
+        if ejected and not self.domains.is_partitioned(server.zone):
             ejection_us = FIRST_EJECTION_US * 2**server.consecutive_failures
             jitter = 0.75 + self.rng.random() / 2
             server.ejected_until_us = self.batch.now_us + int(ejection_us * jitter)
--- a/glenrock/routing/request_lifecycle.py
+++ b/glenrock/routing/request_lifecycle.py
@@ -28,7 +28,7 @@
 from .state import Attempt, RoutedRequest, Server
 from .waiting_queue import WaitingQueue
 
-SERVER_FAULTS = frozenset(
+SERVER_FAULT_OUTCOMES = frozenset(
     (
         AttemptOutcome.FULL,
         AttemptOutcome.NO_CONNECTION,
@@ -76,13 +76,13 @@
         request.attempts.append(Attempt(server, self.batch.now_us))
         request.server, request.answered = server, True
         self.requests[request.event.id] = request
-        self._stand(request, server)
-        self.sessions.enter(request)
+        self._record_connection(request, server)
+        self.sessions.add_connection(request)
 
     # -- to a server ---------------------------------------------------------------------------------
 
     def _place(self, request: RoutedRequest) -> None:
-        may_go = self.concurrency.has_room() and self.retries.may_attempt(request)
+        may_go = self.concurrency.may_start() and self.retries.may_attempt(request)
         request.candidates = self.selection.candidates(request) if may_go else []
         if not request.candidates:
             self._wait_or_end(request)
@@ -98,7 +98,7 @@
         self.batch.set_timer(self.batch.now_us + HEALTH_CHECK_WAIT_US, RequestTimer(request.event.id))
         return True
 
-    def check_finished(self, server_id: str) -> None:
+    def finish_check(self, server_id: str) -> None:
         """A health check has its result: who waited for nothing else goes on."""
         waiting = [r for r in self._checking.values() if server_id in r.pending_checks]
         for request in waiting:
@@ -140,7 +140,7 @@
 
     def _place_next(self) -> None:
         """A set-up has ended: who waits for its place goes at once, and not with the next round."""
-        if self._waiting and self.concurrency.limited and self.concurrency.has_room():
+        if self._waiting and self.concurrency.is_limited and self.concurrency.may_start():
             first = next(iter(self._waiting))
             del self._waiting[first]
             self._place(self.requests[first])
@@ -154,15 +154,15 @@
             return
         server = request.attempts[event.attempt].server
         request.server, request.answered = server, True
-        self._stand(request, server)
+        self._record_connection(request, server)
         server.consecutive_failures = 0
         self.ejection.record_reachable(server)
         self.concurrency.record_established(server.id, event.latency_us)
         self._place_next()
 
-    def _stand(self, request: RoutedRequest, server: Server) -> None:
+    def _record_connection(self, request: RoutedRequest, server: Server) -> None:
         server.connections[request.event.id] = request
-        self.health_checks.endpoints.index.occupied(server)
+        self.health_checks.endpoints.index.add_occupied(server)
         server.last_heard_us = self.batch.now_us
         self.affinity.remember(request.event.group, server)
 
@@ -180,7 +180,7 @@
             self._place_next()
         # A client that is sent away stands at another balancer, and would count at both for seconds.
         keep_session = not is_draining
-        if event.outcome in SERVER_FAULTS:
+        if event.outcome in SERVER_FAULT_OUTCOMES:
             self.ejection.cut_weight(server)
             keep_session = self.admission.record_fault(request, attempt)
         if event.outcome == AttemptOutcome.NO_CONNECTION:
@@ -227,7 +227,7 @@
             self._reject(request)
         else:
             self.batch.emit(Fail(request.event.id))
-        self.waiting_queue.put_back(request)
+        self.waiting_queue.requeue(request)
         self._forget(request, keep_session=False)
 
     def _forget(self, request: RoutedRequest, keep_session: bool) -> None:
@@ -241,5 +241,5 @@
         if request.server:
             request.server.connections.pop(request_id, None)
         migrated_away = request_id in self.migration.without_session
-        self.sessions.leave(request, keep_session and not migrated_away)
+        self.sessions.remove_connection(request, keep_session and not migrated_away)
         self.migration.without_session.discard(request_id)
--- a/glenrock/routing/retries.py
+++ b/glenrock/routing/retries.py
@@ -12,8 +12,8 @@
 from .outlier_ejection import OutlierEjection
 from .state import Attempt, RoutedRequest, Server
 
-TIMEOUT_TENTHS = 6  # of the time left that an attempt may take while another is allowed
-HELD_UP_US = 150_000  # a balancer may be stopped this long between reading its clock and writing
+ATTEMPT_TIMEOUT_PERCENT = 6  # of the time left that an attempt may take while another is allowed
+MAX_PROCESS_PAUSE_US = 150_000  # a balancer may be stopped this long between reading its clock and writing
 MIN_CONNECT_TIMEOUTS = 2  # but no less than so many connect timeouts
 
 
@@ -92,7 +92,7 @@
         timeout_us = left_us
         if len(request.attempts) + 1 < self.settings.max_attempts:
             least_us = MIN_CONNECT_TIMEOUTS * self.settings.connect_timeout_us
-            timeout_us = min(left_us, max(left_us * TIMEOUT_TENTHS // 10, least_us))
+            timeout_us = min(left_us, max(left_us * ATTEMPT_TIMEOUT_PERCENT // 10, least_us))
         first = request.first_executed
         if first and request.request_class.idempotency == Idempotency.KEYED:
             last_us = _last_repeat_us(first, request.request_class)
@@ -102,4 +102,4 @@
 
 def _last_repeat_us(first: Attempt, request_class: RequestClass) -> int:
     """Until then a repeat may be decided on: what is written later might be past the window."""
-    return first.sent_at_us + request_class.idempotency_window_us - HELD_UP_US
+    return first.sent_at_us + request_class.idempotency_window_us - MAX_PROCESS_PAUSE_US
--- a/glenrock/routing/server_index.py
+++ b/glenrock/routing/server_index.py
@@ -24,19 +24,19 @@
 
     # -- what changed --------------------------------------------------------------------------------
 
-    def ready_changed(self) -> None:
+    def invalidate_ready(self) -> None:
         """A server may get something new from now on, or no longer."""
         self._ready = None
 
-    def occupied(self, server: Server) -> None:
+    def add_occupied(self, server: Server) -> None:
         """A connection of this balancer stands there."""
         self._occupied[server.id] = server
 
-    def suspected(self, server: Server) -> None:
+    def add_suspect(self, server: Server) -> None:
         """A failure is held against the server."""
         self._suspects[server.id] = server
 
-    def started(self, server: Server) -> None:
+    def add_starting(self, server: Server) -> None:
         """The server's process is new."""
         self._starting[server.id] = server
 
--- a/glenrock/routing/server_selection.py
+++ b/glenrock/routing/server_selection.py
@@ -20,11 +20,11 @@
 from .token_budget import LARGE_FLEET
 
 HEALTH_CHECK_WAIT_US = 40_000  # a request waits this long for health checks: small beside any objective
-CANDIDATES = 5  # compared for a request; more cost health checks and gain little
-DRAWS = 16  # from the rings, for a request
-AFFINITY = 0.10  # load a group's later candidates must be better by: each one pays for the group anew
-CROSSING = 3.0  # load that a crossing of zones must gain, as a multiple of its cost
-UNANSWERED_LOAD = 1.0  # what a server is held to have that leaves a health check unanswered
+MAX_CANDIDATES = 5  # compared for a request; more cost health checks and gain little
+MAX_DRAWS = 16  # from the rings, for a request
+AFFINITY_PENALTY = 0.10  # load a group's later candidates must be better by: each one pays for the group anew
+ZONE_CROSSING_FACTOR = 3.0  # load that a crossing of zones must gain, as a multiple of its cost
+UNANSWERED_CHECK_LOAD = 1.0  # what a server is held to have that leaves a health check unanswered
 
 
 @dataclass(eq=False)
@@ -55,11 +55,11 @@
         self.ejection.update_panic()
         found = self._warming_candidates(request, seed, tried)
         if request.slow_start_only or not self.endpoints.ring:
-            return found[:CANDIDATES]
+            return found[:MAX_CANDIDATES]
         home = self.affinity.server_of(group)
         if home and home not in found and home.id not in tried and self.retries.may_send(request, home):
             found.insert(0, home)
-        del found[CANDIDATES - 1 :]
+        del found[MAX_CANDIDATES - 1 :]
         self._draw(request, seed, tried, found)
         return found or self._any_server(request, seed, tried)
 
@@ -82,15 +82,15 @@
         """Fills up the candidates from the rings, each server as likely as its weight is high."""
         grouped = request.event.group is not None
         scale = 1 if grouped else MAX_WEIGHT / 2
-        for n in range(DRAWS):
-            near = not grouped and self.endpoints.zone_ring and (n % 2 == 0 or n > DRAWS // 2)
+        for n in range(MAX_DRAWS):
+            near = not grouped and self.endpoints.zone_ring and (n % 2 == 0 or n > MAX_DRAWS // 2)
             ring = self.endpoints.zone_ring if near else self.endpoints.ring
             server = ring.at(mix(seed + n))
             if server in found or server.id in tried or not self.retries.may_send(request, server):
                 continue
             if mix(seed ^ server.hash) / MASK * scale <= server.weight:
                 found.append(server)
-                if len(found) == CANDIDATES:
+                if len(found) == MAX_CANDIDATES:
                     return
 
     def _any_server(self, request: RoutedRequest, seed: int, tried: set[str]) -> list[Server]:
@@ -105,9 +105,9 @@
         for rank, server in enumerate(request.candidates):
             cost = self.expected_load(server)
             if request.event.group is not None:
-                cost += AFFINITY * rank
+                cost += AFFINITY_PENALTY * rank
             if server.zone != self.settings.zone:
-                cost += CROSSING * self.settings.cross_zone_cost
+                cost += ZONE_CROSSING_FACTOR * self.settings.cross_zone_cost
             if self.retries.may_send(request, server) and (best is None or cost < least):
                 best, least = server, cost
         return best
@@ -117,11 +117,11 @@
         load = self.loads.load(server)
         sent_us = server.health_check_sent_us
         if sent_us >= 0 and self.batch.now_us - sent_us >= HEALTH_CHECK_WAIT_US:
-            load = max(load, UNANSWERED_LOAD)
+            load = max(load, UNANSWERED_CHECK_LOAD)
         if not self.capacity.server_capacity:
             return load
         # One that has become slow shows little load once it is emptied, and a few clients fill it.
         slowness = min(1.0, server.capacity_ratio / load_targets.SLOW_CAPACITY_RATIO)
         is_large = len(self.endpoints.index.ready) > LARGE_FLEET
-        unreported = self.loads.lately_sent_load(server) if is_large else server.unreported_load
+        unreported = self.loads.recently_sent_load(server) if is_large else server.unreported_load
         return load + unreported / self.capacity.server_capacity / slowness
--- a/glenrock/routing/simulator_adapter.py
+++ b/glenrock/routing/simulator_adapter.py
@@ -14,7 +14,7 @@
 from .interface import Endpoint, EndpointList, Event, Settings
 from .simulator_codec import (
     EVENTS,
-    SHOWN,
+    MAX_QUOTED_CHARS,
     Fields,
     WireError,
     endpoint_from,
@@ -58,7 +58,7 @@
         elif word == "begin_batch":
             self._begin_batch(rest)
         elif self._now_us is None:
-            raise WireError(f"{word[:SHOWN]!r} outside a batch")
+            raise WireError(f"{word[:MAX_QUOTED_CHARS]!r} outside a batch")
         elif word == "go":
             return self._close_batch(self._now_us)
         elif word in EVENTS:
@@ -91,7 +91,9 @@
 
     def _take_row(self, word: str, rest: str) -> None:
         if word != "item":
-            raise WireError(f"{self._rows_due} more item lines were announced, got {word[:SHOWN]!r}")
+            raise WireError(
+                f"{self._rows_due} more item lines were announced, got {word[:MAX_QUOTED_CHARS]!r}"
+            )
         self._rows.append(endpoint_from(Fields(rest)))
         self._rows_due -= 1
         if not self._rows_due:
--- a/glenrock/routing/simulator_codec.py
+++ b/glenrock/routing/simulator_codec.py
@@ -58,9 +58,9 @@
     "Error": EndpointListKind.FAILED,
 }
 TEXT_FIELDS = ("profileData", "message")  # they run to the end of the line
-NOTE_OF_LOAD, NOTE_OF_DELAY = 1, 2  # what a note tells: microseconds a second; milliseconds
+LOAD_NOTE, DELAY_NOTE = 1, 2  # what a note tells: microseconds a second; milliseconds
 MAX_DIGITS = 20
-SHOWN = 40  # characters of the input that an error shows
+MAX_QUOTED_CHARS = 40  # characters of the input that an error shows
 
 
 class WireError(ValueError):
@@ -95,7 +95,7 @@
         text = self.text(name)
         digits = text[1:] if text[:1] == "-" else text
         if not (digits.isdigit() and digits.isascii()) or len(digits) > MAX_DIGITS:
-            raise WireError(f"{name} is not a whole number: {text[:SHOWN]!r}")
+            raise WireError(f"{name} is not a whole number: {text[:MAX_QUOTED_CHARS]!r}")
         return int(text)
 
     def number_or(self, name: str, default: int) -> int:
@@ -110,7 +110,7 @@
         """Whether the field is 1; it may be missing."""
         text = self._values.get(name, "0")
         if text not in ("0", "1"):
-            raise WireError(f"{name} is neither 0 nor 1: {text[:SHOWN]!r}")
+            raise WireError(f"{name} is neither 0 nor 1: {text[:MAX_QUOTED_CHARS]!r}")
         return text == "1"
 
 
@@ -124,16 +124,16 @@
     try:
         return dict([part.split("=", 1) for part in text.split(" ")]) if text else {}
     except ValueError:
-        raise WireError(f"expected name=value, got {text[:SHOWN]!r}") from None
+        raise WireError(f"expected name=value, got {text[:MAX_QUOTED_CHARS]!r}") from None
 
 
 def _real(text: str, name: str) -> float:
     try:
         value = float(text)
     except ValueError:
-        raise WireError(f"{name} is not a number: {text[:SHOWN]!r}") from None
+        raise WireError(f"{name} is not a number: {text[:MAX_QUOTED_CHARS]!r}") from None
     if not isfinite(value):
-        raise WireError(f"{name} is not finite: {text[:SHOWN]!r}")
+        raise WireError(f"{name} is not finite: {text[:MAX_QUOTED_CHARS]!r}")
     return value
 
 
@@ -167,7 +167,7 @@
     word = fields.text("kind")
     kind = LIST_KINDS.get(word)
     if kind is None:
-        raise WireError(f"unknown topology kind {word[:SHOWN]!r}")
+        raise WireError(f"unknown topology kind {word[:MAX_QUOTED_CHARS]!r}")
     return kind
 
 
@@ -209,8 +209,8 @@
     return ConnectionFeedback(
         id=fields.text("msgId"),
         server=fields.text("server"),
-        load=amount if sort == NOTE_OF_LOAD else None,
-        message_us=amount * 1000 if sort == NOTE_OF_DELAY else None,
+        load=amount if sort == LOAD_NOTE else None,
+        message_us=amount * 1000 if sort == DELAY_NOTE else None,
     )
 
 
@@ -247,7 +247,7 @@
         for part in text.split(","):
             name, colon, value = part.partition(":")
             if not colon:
-                raise WireError(f"gauge is not name:value pairs: {text[:SHOWN]!r}")
+                raise WireError(f"gauge is not name:value pairs: {text[:MAX_QUOTED_CHARS]!r}")
             report[report_field(name)] = _real(value, "gauge")
     return report
 
@@ -259,7 +259,7 @@
     except WireError:
         raise
     except ValueError:
-        raise WireError(f"raw is not hex: {raw[:SHOWN]!r}") from None
+        raise WireError(f"raw is not hex: {raw[:MAX_QUOTED_CHARS]!r}") from None
 
 
 EVENTS: dict[str, Callable[[Fields], Event]] = {
--- a/glenrock/routing/slow_start.py
+++ b/glenrock/routing/slow_start.py
@@ -15,14 +15,14 @@
 from .load_estimation import LoadEstimator
 from .state import Peer, Server, TimedLoad
 
-BUDGET_SHARE = 0.45  # of the slow-start budget used in any window: the rest is for chance
+SLOW_START_BUDGET_FRACTION = 0.45  # of the slow-start budget used in any window: the rest is for chance
 MIN_FLEET_LOAD = 0.5  # a mean load below this is taken for this much in budgets
 SMALLEST_DRAW = 1e-9
 
 
 def reference_load(
     own_load: float,
-    client_share: float | None,
+    client_fraction: float | None,
     peers: Collection[Peer],
     balancers: int,
     is_draining: bool,
@@ -35,7 +35,7 @@
 
     Args:
         own_load: load that stands here.
-        client_share: this balancer's part of all clients; None where it is not known.
+        client_fraction: this balancer's part of all clients; None where it is not known.
         peers: the other balancers' last summaries.
         balancers: how many the settings name.
         is_draining: this balancer sends its clients away.
@@ -43,8 +43,8 @@
     if not peers:
         return 0.0 if is_draining else own_load
     unassigned = sum(peer.active_load for peer in peers if not peer.clients)
-    if client_share is not None and not is_draining:
-        return own_load + unassigned * client_share
+    if client_fraction is not None and not is_draining:
+        return own_load + unassigned * client_fraction
     if any(peer.clients for peer in peers):
         return 0.0
     return (own_load + unassigned) / balancers
@@ -88,12 +88,12 @@
         """Whether its slow start is over."""
         return self.warmth(server) >= 1
 
-    def filled_share(self, server: Server) -> float:
+    def filled_fraction(self, server: Server) -> float:
         """The part of a server's capacity that all balancers together may have brought to it by now."""
         settings = self._settings
         age = max(0, self._batch.now_us - server.started_us) / max(1, settings.slow_start_us)
         mean_warmth = (settings.slow_start_initial_fraction + self.warmth(server)) / 2
-        return BUDGET_SHARE * settings.slow_start_multiple * age * mean_warmth
+        return SLOW_START_BUDGET_FRACTION * settings.slow_start_multiple * age * mean_warmth
 
     def update_reference_load(self, load: float, is_draining: bool) -> None:
         """Once a round.
@@ -101,7 +101,7 @@
         Where all servers are out or have died nothing stands, and nothing would be brought until the first
         one is warm. So while none is warm the budgets go by what stood when some were.
         """
-        if is_draining or not self._capacity.none_is_warm:
+        if is_draining or not self._capacity.has_no_warm_server:
             self.reference_load = load
 
     def headroom(self, server: Server) -> float:
@@ -117,8 +117,8 @@
         settings, now_us = self._settings, self._batch.now_us
         window_us = settings.slow_start_window_us
         share = min(1.0, window_us / max(1, settings.slow_start_us))
-        share = BUDGET_SHARE * settings.slow_start_multiple * warmth * share
-        servers = self._capacity.warm_servers or max(1, len(self._servers))
+        share = SLOW_START_BUDGET_FRACTION * settings.slow_start_multiple * warmth * share
+        servers = self._capacity.warm_server_count or max(1, len(self._servers))
         share /= servers * max(MIN_FLEET_LOAD, self._loads.fleet_load)
         server.slow_start_sends = [sent for sent in server.slow_start_sends if now_us - sent[0] < window_us]
         budget = share * self.reference_load
--- a/glenrock/routing/state.py
+++ b/glenrock/routing/state.py
@@ -94,7 +94,7 @@
         """Load of this balancer's connections there."""
         return sum(request.load for request in self.connections.values())
 
-    def restarted(self, at_us: int) -> None:
+    def reset_for_restart(self, at_us: int) -> None:
         """A new process, or one that counts as new: what was known of the old one is void."""
         self.started_us = at_us
         self.ejected_until_us = 0
--- a/glenrock/routing/token_budget.py
+++ b/glenrock/routing/token_budget.py
@@ -11,7 +11,7 @@
 INITIAL_HEALTH_CHECKS, MAX_HEALTH_CHECKS = 10.0, 60.0  # at the start; saved up
 
 LARGE_FLEET = 128  # servers: more than a process keeps connections for health checks to
-KEPT_CONNECTION_US = 8_000_000  # such a connection is kept this long after a check
+IDLE_HEALTH_CONNECTION_US = 8_000_000  # such a connection is kept this long after a check
 CONNECTIONS_EARNED = 1.0  # by a first attempt: no more are made for health checks than for clients
 MAX_CONNECTIONS = 64.0  # at the start, and saved up
 
--- a/glenrock/routing/waiting_queue.py
+++ b/glenrock/routing/waiting_queue.py
@@ -49,7 +49,7 @@
         """The client was admitted."""
         self.clients.pop(key, None)
 
-    def rejected(self, request: RoutedRequest, bucket: int) -> None:
+    def add_rejected(self, request: RoutedRequest, bucket: int) -> None:
         """The client was rejected: it keeps its place, or gets one while there is room."""
         client = self.clients.get(request.key)
         if client:
@@ -57,7 +57,7 @@
         elif len(self.clients) < MAX_WAITING:
             self.clients[request.key] = WaitingClient(bucket, request.load, self._batch.now_us)
 
-    def put_back(self, request: RoutedRequest) -> None:
+    def requeue(self, request: RoutedRequest) -> None:
         """An admitted client that no server took: it waits by its arrival, and holds no session."""
         bucket = request.arrived_us // self.bucket_us
         self.clients.setdefault(request.key, WaitingClient(bucket, request.load, self._batch.now_us))
--- a/tests/lab/test_hard_cases.py
+++ b/tests/lab/test_hard_cases.py
@@ -194,13 +194,13 @@
 def test_constants_of_the_module_are_set_for_the_run_alone() -> None:
     from glenrock.routing import Balancer, admission
 
-    before = admission.CAP_CUT
+    before = admission.CAP_CUT_FACTOR
     seen = []
 
     class Looks(Balancer):
         def handle(self, now_us, events):
-            seen.append(admission.CAP_CUT)
+            seen.append(admission.CAP_CUT_FACTOR)
             return super().handle(now_us, events)
 
     day(make=Looks, constants={"CAP_CUT": 0.5}).run()
-    assert set(seen) == {0.5} and admission.CAP_CUT == before
+    assert set(seen) == {0.5} and admission.CAP_CUT_FACTOR == before
--- a/tests/routing/test_connection_concurrency.py
+++ b/tests/routing/test_connection_concurrency.py
@@ -24,7 +24,7 @@
     for now in range(TICK, seconds * SECOND, TICK):
         batch.now_us = now
         waiting += rate * TICK / SECOND
-        while waiting >= 1 and limit.has_room():
+        while waiting >= 1 and limit.may_start():
             limit.record_sent()
             waiting -= 1
             line.append((now, f"s{round(waiting) % 5}", True))
--- a/tests/routing/test_decisions.py
+++ b/tests/routing/test_decisions.py
@@ -33,7 +33,7 @@
     peer(h, 2, 300.0, 30)
     b.admission.load_cap = 1000.0
     b.admission.update_quota()
-    assert b.admission.client_share() == 0.5
+    assert b.admission.client_fraction() == 0.5
     assert b.admission.quota == pytest.approx(100)
     assert not b.admission.may_admit_newcomers
 
--- a/tests/routing/test_failure_domains.py
+++ b/tests/routing/test_failure_domains.py
@@ -18,7 +18,8 @@
 
 def state(d: FailureDomains) -> dict:
     return {
-        name: (round(b.score, 9), b.updated_us, b.is_cut, b.recovered_us, b.evidence_us) for name, b in d.states.items()
+        name: (round(b.score, 9), b.updated_us, b.is_partitioned, b.recovered_us, b.evidence_us)
+        for name, b in d.states.items()
     }
 
 
@@ -37,7 +38,7 @@
         assert sorted(one.evaluate(now)) == sorted(two.evaluate(now))
         assert state(one) == state(two)
         for b in one.states.values():
-            assert 0 <= b.score <= domains.BOUND and len(b.evidence_us) <= 6
+            assert 0 <= b.score <= domains.PARTITION_BOUND and len(b.evidence_us) <= 6
 
 
 def fails(d: FailureDomains, now: int, *members: str) -> list[str]:
@@ -52,17 +53,17 @@
         assert fails(d, n * 20_000, "u") == []
         d.record("b", "v", True)  # the others answer now and then
         d.evaluate(n * 20_000 + 1)
-    assert not d.is_cut("b") and d.usable_share(5 * SECOND, "b") == 1.0
+    assert not d.is_partitioned("b") and d.usable_fraction(5 * SECOND, "b") == 1.0
 
 
 def test_three_members_within_a_second_convict_and_an_answer_takes_back_in_steps() -> None:
     d = FailureDomains()
     assert fails(d, 0, "u") == [] and fails(d, 100_000, "v") == []
     assert fails(d, 200_000, "w") == ["b"]
-    assert d.is_cut("b") and d.usable_share(200_000, "b") == 0.0 and not d.may_use(200_000, "b", 0)
+    assert d.is_partitioned("b") and d.usable_fraction(200_000, "b") == 0.0 and not d.may_use(200_000, "b", 0)
     d.record("b", "u", True)
     assert d.evaluate(3 * SECOND) == ["b"]
-    parts = [d.usable_share(3 * SECOND + n * domains.RECOVERY_STEP_US, "b") for n in range(4)]
+    parts = [d.usable_fraction(3 * SECOND + n * domains.RECOVERY_STEP_US, "b") for n in range(4)]
     assert parts == [0.25, 0.5, 0.75, 1.0]
     used = [
         sum(d.may_use(3 * SECOND + n * domains.RECOVERY_STEP_US, "b", code << 8) for code in range(256))
@@ -78,8 +79,8 @@
     assert d.suspicion(20 * SECOND, "b") < before / 20
     assert fails(d, 20 * SECOND, "w") == []
     fails(d, 20 * SECOND + 1, "x", "y")
-    assert d.is_cut("b")
-    assert d.evaluate(20 * SECOND + 2 + domains.NEUTRAL_US) == ["b"] and not d.is_cut("b")
+    assert d.is_partitioned("b")
+    assert d.evaluate(20 * SECOND + 2 + domains.EVIDENCE_TIMEOUT_US) == ["b"] and not d.is_partitioned("b")
 
 
 def test_a_domain_believed_cut_is_asked_by_a_trickle() -> None:
@@ -97,20 +98,20 @@
         for _ in range(25):
             now += 100_000
             for m in "uvwxyz":
-                d.record("b", m, rng.random() >= domains.SOUND_FAILS)
+                d.record("b", m, rng.random() >= domains.HEALTHY_FAILURE_PROBABILITY)
             alarms += d.evaluate(now) == ["b"]
-    assert alarms / runs < 2 * domains.FALSE_ALARM
+    assert alarms / runs < 2 * domains.FALSE_ALARM_RATE
     caught = 0
     for _ in range(2000):  # and a cut one is believed cut by its third failing member
         d = FailureDomains()
         for n, m in enumerate("uvw"):
-            if rng.random() < domains.CUT_FAILS:
+            if rng.random() < domains.PARTITIONED_FAILURE_PROBABILITY:
                 d.record("b", m, False)
             else:
                 d.record("b", m, True)
             d.evaluate(n * 50_000)
-        caught += d.is_cut("b")
-    assert caught / 2000 > 1 - 2 * domains.MISSED
+        caught += d.is_partitioned("b")
+    assert caught / 2000 > 1 - 2 * domains.MISSED_RATE
 
 
 # -- what the module does with them --------------------------------------------------------------------
@@ -159,7 +160,7 @@
     for _ in range(6):
         unreachable(h, "b0:1")
         h.run(300_000)
-    assert not h.b.domains.is_cut("b")
+    assert not h.b.domains.is_partitioned("b")
     assert not h.b.ejection.is_usable(h.b.servers["b0:1"]) and h.b.ejection.is_usable(h.b.servers["b1:1"])
 
 
--- a/tests/routing/test_load_estimation.py
+++ b/tests/routing/test_load_estimation.py
@@ -47,8 +47,8 @@
         ([500], 1.5 + 0.25),  # the first word: what is piled up came within a second
         ([500, 1000], 1.5 + 0.5),  # grows by half a second a second, and one is piled up
         ([1000, 500], 0.5 + 0.25),  # works it off: half of its capacity is asked for
-        ([1000, 60], load_estimation.MIN_GROWTH_LOAD + 0.03),
-        ([100, 9000], load_estimation.MAX_GROWTH_LOAD + 4.5),
+        ([1000, 60], load_estimation.MIN_DELAY_GROWTH_LOAD + 0.03),
+        ([100, 9000], load_estimation.MAX_DELAY_GROWTH_LOAD + 4.5),
     ],
 )
 def test_the_load_of_a_late_server_is_how_fast_its_wait_grows(make, waits, load) -> None:
@@ -73,11 +73,11 @@
     h, s, _ = told(make)
     h.run(3 * SECOND)
     h.b.ejection.record_load(s, 1.4)
-    assert h.b.loads.remaining_share(s) == 1.0
+    assert h.b.loads.remaining_load_fraction(s) == 1.0
     there = list(s.connections)
     for name in there[: len(there) // 2]:
         h.end(name, "cancelled", done=True)
-    assert h.b.loads.remaining_share(s) == pytest.approx(1 - len(there) // 2 / len(there))
+    assert h.b.loads.remaining_load_fraction(s) == pytest.approx(1 - len(there) // 2 / len(there))
 
 
 def test_of_a_few_connections_those_that_leave_say_nothing_of_the_rest(make) -> None:
@@ -90,7 +90,7 @@
         h.end(name, "cancelled", done=True)
     assert len(s.connections) == 1 and h.b.loads.load(s) == before
     s.objective_missed_us = -1 << 40
-    assert h.b.loads.remaining_share(s) == 1.0
+    assert h.b.loads.remaining_load_fraction(s) == 1.0
 
 
 def test_a_probe_that_times_out_at_a_late_server_tells_of_load(make) -> None:
@@ -101,7 +101,7 @@
     late(h, id_, [400])
     for _ in range(3):
         h.give(interface.HealthCheckResult("a:1", "timeout"))
-    assert not s.consecutive_failures and h.b.ejection.is_usable(s) and s.reported_load >= load_estimation.LATE_LOAD
+    assert not s.consecutive_failures and h.b.ejection.is_usable(s) and s.reported_load >= load_estimation.MIN_LATE_LOAD
     h.run(3 * SECOND)  # it says nothing at all now
     for _ in range(3):
         h.give(interface.HealthCheckResult("a:1", "timeout"))
@@ -150,7 +150,7 @@
         loads.record_delay(s, wait, 60_000)
     low = loads.load_from_delays(s)
     at, wait, held = s.delay_samples[-1]
-    assert 0 < low <= load_estimation.MAX_GROWTH_LOAD + wait
+    assert 0 < low <= load_estimation.MAX_DELAY_GROWTH_LOAD + wait
     s.delay_samples[-1] = DelaySample(at, wait + 0.5, held)
     assert loads.load_from_delays(s) > low
 
--- a/tests/routing/test_many_balancers.py
+++ b/tests/routing/test_many_balancers.py
@@ -225,7 +225,13 @@
             budgets.record_sent(s, 1000)
             sent.append((batch.now_us, 1000))
     window = rules.slow_start_window_us / rules.slow_start_us
-    whole = slow_start.BUDGET_SHARE * rules.slow_start_multiple * window * budgets.reference_load / loads.fleet_load
+    whole = (
+        slow_start.SLOW_START_BUDGET_FRACTION
+        * rules.slow_start_multiple
+        * window
+        * budgets.reference_load
+        / loads.fleet_load
+    )
     for at, _ in sent:
         within = [(t, x) for t, x in sent if at <= t < at + rules.slow_start_window_us]
         batch.now_us = within[-1][0]
--- a/tests/routing/test_operator_overrides.py
+++ b/tests/routing/test_operator_overrides.py
@@ -183,7 +183,7 @@
         h.run(SECOND)
         h.give(interface.GossipReceived(1, encode(h.now // 100_000 & 0xFFFF, 2000.0, clients, [])))
         h.run(SECOND // 2)
-        return h.b.admission.client_share(), h.b.slow_start.reference_load
+        return h.b.admission.client_fraction(), h.b.slow_start.reference_load
 
     assert heard(99) == (0.01, 10)
     assert heard(0) == (1.0, 2010)
