--- a/glenrock/routing/admission.py
+++ b/glenrock/routing/admission.py
@@ -1,7 +1,8 @@
-"""Which clients are admitted: a learned cap on active load, a quota of the free slots, and the waiting order.
+"""Which clients are admitted: a learned cap on active load, a quota of the free load, and the waiting queue.
 
-All balancers share one cap; each keeps its own estimate. The free slots go to the oldest buckets of waiting
-clients; the bucket that they do not fill is split by client shares of some seconds ago. Why: docs/design.md.
+All balancers share one cap, of which each keeps its own estimate. The free load goes to the oldest buckets of
+the waiting queue first; the bucket that exceeds it is divided among the balancers by their fractions of the
+clients some seconds ago. Reasons: docs/design.md.
 """
 
 from __future__ import annotations
@@ -25,33 +26,30 @@
 from .waiting_queue import MAX_WAITING, NO_BUCKET, WaitingQueue
 
 NO_CAP = float("inf")
-LAG_US = 4 * SECOND_US  # quotas are read this far back: every summary in between has arrived or is lost
-CAP_CUT_FACTOR, CAP_RISE_FRACTION = (
-    0.85,
-    0.25,
-)  # per feedback delay; per round, of the capacity that reports show
+LAG_US = 4 * SECOND_US  # age of the counts that quotas use: gossip of that age has arrived or is lost
+CAP_CUT_FACTOR = 0.85  # once per feedback delay
+CAP_RISE_FRACTION = 0.25  # per round, of the way to the load that reports show to be bearable
 OPEN_CAP_RATIO = 4  # a cap above this multiple of the active load is lifted
-MIN_ROUND_ATTEMPTS, MAX_DROPPED_FRACTION = (
-    4,
-    0.2,
-)  # attempts of a round, and the part that servers drop when they are full
-DROPPING_SERVERS_DIVISOR = 3  # one of so many servers drops connections: that is the fleet's trouble
-FEW_SERVERS = 3
-DROP_OUTCOMES = frozenset(
-    (AttemptOutcome.FULL, AttemptOutcome.BROKEN)
-)  # outcomes of attempts that a full server drops
+MIN_ROUND_ATTEMPTS = 4  # fewer attempts of a round prove nothing
+MAX_DROPPED_FRACTION = 0.2  # of a round's attempts; more dropped by their servers show a full fleet
+DROPPING_SERVERS_DIVISOR = 3  # one warm server in so many has to drop connections
+FEW_SERVERS = 3  # among fewer warm servers a single one that drops connections is enough
+DROP_OUTCOMES = frozenset((AttemptOutcome.FULL, AttemptOutcome.BROKEN))  # how a full server ends attempts
 
 
 @dataclass(eq=False)
 class AdmissionController:
-    """The learned cap and this round's quota.
+    """The learned cap on the active load, and this round's quota.
 
     Attributes:
-        load_cap: active load of the tier that is let in.
-        slow_start_load_cap: active load beside it, for servers that are warming up.
-        quota: load that the partial bucket, or newcomers if there is none, may still bring this round.
-        last_open_bucket: buckets up to this one pass. `partial_bucket` passes in part.
-        may_admit_newcomers: nobody waits, and there is room.
+        load_cap: bound on the active load of all balancers; `NO_CAP` while it does not bind.
+        slow_start_load_cap: active load allowed beside it, for servers that are warming up.
+        quota: load that `partial_bucket`, or new clients if no client waits, may still bring this round.
+        last_open_bucket: clients of this bucket and of older ones are admitted.
+        partial_bucket: the bucket that exceeds the free load; its clients are admitted within the quota.
+        extra_buckets: how many buckets younger than `partial_bucket` may use the quota too.
+        may_admit_newcomers: no client waits, and the cap leaves ample free load.
+        has_rejected_newcomer: a client was rejected this round because its bucket may not use the quota.
     """
 
     batch: EventBatch
@@ -75,40 +73,40 @@
     has_rejected_newcomer: bool = field(init=False, default=False)
     extra_buckets: int = field(init=False, default=0)
     _cap_cut_us: int = field(init=False, default=NEVER_US)
-    _claimed: float = field(init=False, default=0.0)
+    _load_admitted_beside_quota: float = field(init=False, default=0.0)
     _attempts: int = field(init=False, default=0)
     _dropped: int = field(init=False, default=0)
     _dropping_servers: set[str] = field(init=False, default_factory=set)
 
     @property
     def is_cap_open(self) -> bool:
-        """Whether the cap keeps nobody out."""
+        """Whether the cap does not bind."""
         return self.load_cap == NO_CAP
 
-    # -- a request -----------------------------------------------------------------------------------
+    # -- one request ---------------------------------------------------------------------------------
 
     def admit(self, request: RoutedRequest) -> bool:
-        """Whether the request is let in. If not, its client waits, and the request is to be rejected."""
+        """Returns whether the request is admitted. If not, its client joins the waiting queue."""
         if self._continues_session(request):
             self.sessions.add_connection(request)
             return True
         client = self.waiting_queue.get(request.key)
         bucket = client.bucket if client else self.waiting_queue.current_bucket()
-        admitted = self._passes(request, bucket, waits=client is not None)
-        if not admitted and self._fits_warming_server(request):
-            admitted = request.slow_start_only = True
-        if admitted:
+        is_admitted = self._fits_cap(request, bucket, is_waiting=client is not None)
+        if not is_admitted and self._fits_warming_server(request):
+            is_admitted = request.slow_start_only = True
+        if is_admitted:
             self.waiting_queue.remove(request.key)
             self.sessions.add_connection(request)
         else:
             self.waiting_queue.add_rejected(request, bucket)
-        return admitted
+        return is_admitted
 
     def _continues_session(self, request: RoutedRequest) -> bool:
-        """Whether its client is admitted already.
+        """Returns whether the request's client is admitted already.
 
-        When servers drop connections by the hundred, sessions that come straight back would keep them down.
-        While more is active than the cap, a session that was cut off ends, and its client waits like anybody.
+        While the active load exceeds the cap, a session without connections ends and its client has to wait:
+        servers that drop connections by the hundred would stay overloaded if all these clients returned.
         """
         if request.event.is_midstream:
             return True
@@ -120,155 +118,159 @@
         self.sessions.end(request.key)
         return False
 
-    def _passes(self, request: RoutedRequest, bucket: int, waits: bool) -> bool:
-        if self.may_admit_newcomers or (waits and bucket <= self.last_open_bucket):
-            self._claimed += request.load
+    def _fits_cap(self, request: RoutedRequest, bucket: int, is_waiting: bool) -> bool:
+        if self.may_admit_newcomers or (is_waiting and bucket <= self.last_open_bucket):
+            self._load_admitted_beside_quota += request.load
             return True
         if bucket > self.partial_bucket + self.extra_buckets:
             self.has_rejected_newcomer = True
             return False
-        # A quota smaller than one client passes it now and then.
-        passes = self.quota >= request.load or self.rng.random() * request.load < self.quota
-        if passes:
+        # A quota below one client's load admits a client with the matching probability.
+        is_admitted = self.quota >= request.load or self.rng.random() * request.load < self.quota
+        if is_admitted:
             self.quota = max(0.0, self.quota - request.load)
-        return passes
+        return is_admitted
 
     def _fits_warming_server(self, request: RoutedRequest) -> bool:
-        """Beside the cap: slow-start budgets bind by themselves, and lie idle while others are full.
+        """Returns whether a server that is warming up may receive the request beside the cap.
 
-        A server that has warmed up since the last round has no budget that binds: it counts in the cap.
+        Slow-start budgets limit that load by themselves, and are unused while the other servers are full.
+        A server that became warm since the last round has no budget any more: its load counts in the cap.
         """
         return any(
             not self.slow_start.is_warm(server) and self.ejection.may_receive(server, request.load)
             for server in self.slow_start.warming
         )
 
-    # -- what attempts tell --------------------------------------------------------------------------
+    # -- outcomes of attempts ------------------------------------------------------------------------
 
     def record_attempt(self) -> None:
-        """An attempt went out."""
+        """Counts an attempt that was sent."""
         self._attempts += 1
 
     def record_fault(self, request: RoutedRequest, attempt: Attempt) -> bool:
-        """The attempt failed at its server. Returns whether the client keeps its session.
+        """Counts an attempt that failed at its server. Returns whether the client keeps its session.
 
-        A loaded server drops its newest connections; as sessions they would come straight back, to be
-        dropped. So a drop soon after the start is a rejection: back to the waiting line.
+        An overloaded server drops its newest connections. Their clients lose their sessions and wait, or they
+        would return at once and be dropped again.
         """
-        stood_long = self.batch.now_us - attempt.sent_at_us > self.sessions.session_us
-        keep_session = not request.server or stood_long
+        is_long_established = self.batch.now_us - attempt.sent_at_us > self.sessions.session_us
+        keep_session = not request.server or is_long_established
         if attempt.outcome in DROP_OUTCOMES and not (request.server and keep_session):
             self._dropped += 1
             self._dropping_servers.add(attempt.server.id)
         return keep_session
 
     def record_new_peer(self, active_load: float) -> None:
-        """A balancer is heard of that was there before: what it holds has been let in."""
+        """Raises the cap by the load of a balancer heard for the first time: it is admitted already."""
         self.load_cap += active_load
 
     # -- the cap, once a round -----------------------------------------------------------------------
 
     def record_activity(self) -> None:
-        """Clients and load, for quotas and for the reports that tell of now later."""
+        """Records the present clients and load, for quotas and for load reports that arrive later."""
         clients = len(self.sessions) + len(self.waiting_queue)
         self.history.record(clients, self.gossip.tier_load())
 
     def update_cap(self) -> None:
-        """Follows the servers' load: cut once a feedback delay while they are full, raised each round."""
+        """Cuts the cap while the servers are full, once per feedback delay, and raises it in other rounds."""
         in_reach = self.ejection.servers_in_reach()
-        # Servers that are warming up are empty but may not be filled: their room is not the fleet's yet.
+        # Servers that are warming up have free capacity that slow-start budgets withhold.
         warm, self.slow_start.warming = self.index.split_by_warmth(in_reach, self.slow_start.is_warm)
         self.capacity.follow_membership(warm)
         self.capacity.update_fleet_load(warm, self.gossip.tier_load())
-        dropping = self._servers_drop_connections(len(warm))
-        # Reports are late: set against the active load of now, they would cut what has left already, and let
-        # in again what is on its way. So they are set against the active load of their own time.
+        is_dropping = self._are_servers_dropping(len(warm))
+        # Reports are late, so they are compared with the active load of their own time: against the present
+        # load, clients that left would be cut again, and clients under way would be admitted again.
         sample = self.history.oldest_within(FEEDBACK_DELAY_US)
-        load_then = sample.tier_load if sample else self.gossip.tier_load()
-        bearable = load_then * load_targets.TARGET_LOAD / self.capacity.bounded_fleet_load
-        self._update_slow_start_cap(load_then, len(warm))
-        if self.loads.fleet_load > load_targets.HIGH_LOAD or dropping:
-            self._cut_cap(load_then, bearable)
+        past_load = sample.tier_load if sample else self.gossip.tier_load()
+        bearable_load = past_load * load_targets.TARGET_LOAD / self.capacity.bounded_fleet_load
+        self._update_slow_start_load_cap(past_load, len(warm))
+        if self.loads.fleet_load > load_targets.HIGH_LOAD or is_dropping:
+            self._cut_cap(past_load, bearable_load)
         elif not self.is_cap_open:
-            self._raise_cap(bearable)
+            self._raise_cap(bearable_load)
 
-    def _servers_drop_connections(self, warm: int) -> bool:
-        """Whether this round's attempts show that the servers are full.
+    def _are_servers_dropping(self, warm_count: int) -> bool:
+        """Returns whether this round's attempts show that the servers are full, and starts a new count.
 
-        One server that falls over drops all it held within a round. That is its own fault: only where
-        several drop connections is the fleet full.
+        A single server that fails drops all its connections within a round. Only several servers that drop
+        connections show a full fleet.
         """
-        dropping = len(self._dropping_servers)
-        several = dropping > 1 and DROPPING_SERVERS_DIVISOR * dropping > warm
-        many = self._attempts >= MIN_ROUND_ATTEMPTS and self._dropped > MAX_DROPPED_FRACTION * self._attempts
+        dropping_count = len(self._dropping_servers)
+        are_several = dropping_count > 1 and DROPPING_SERVERS_DIVISOR * dropping_count > warm_count
+        are_many_dropped = (
+            self._attempts >= MIN_ROUND_ATTEMPTS and self._dropped > MAX_DROPPED_FRACTION * self._attempts
+        )
         self._attempts = self._dropped = 0
         self._dropping_servers.clear()
-        return many and (several or warm < FEW_SERVERS)
+        return are_many_dropped and (are_several or warm_count < FEW_SERVERS)
 
-    def _update_slow_start_cap(self, load_then: float, warm: int) -> None:
-        """What may have been brought to servers that are warming up by now counts beside the cap.
+    def _update_slow_start_load_cap(self, past_load: float, warm_count: int) -> None:
+        """Allows, beside the cap, the load that servers that are warming up may have received by now.
 
-        A fleet that stays full keeps its cap, and would keep clients out of servers that came back empty.
+        The cap of a fleet that stays full does not rise, and restarted servers would stay empty under it.
         """
         filled = sum(self.slow_start.filled_fraction(server) for server in self.slow_start.warming)
-        full_load = filled * load_targets.TARGET_LOAD * load_then
-        self.slow_start_load_cap = full_load / self.capacity.bounded_fleet_load / max(1, warm)
+        full_load = filled * load_targets.TARGET_LOAD * past_load
+        self.slow_start_load_cap = full_load / self.capacity.bounded_fleet_load / max(1, warm_count)
 
-    def _cut_cap(self, load_then: float, bearable: float) -> None:
+    def _cut_cap(self, past_load: float, bearable_load: float) -> None:
         if self.batch.now_us - self._cap_cut_us < FEEDBACK_DELAY_US:
             return
         self._cap_cut_us = self.batch.now_us
         if self.loads.fleet_load > load_targets.HIGH_LOAD:
-            self.load_cap = min(self.load_cap, max(load_then / 2, bearable))
+            self.load_cap = min(self.load_cap, max(past_load / 2, bearable_load))
         else:
             self.load_cap = min(self.load_cap, self.gossip.tier_load() * CAP_CUT_FACTOR)
 
-    def _raise_cap(self, bearable: float) -> None:
-        self.load_cap += max(0.0, bearable - self.load_cap) * CAP_RISE_FRACTION
+    def _raise_cap(self, bearable_load: float) -> None:
+        self.load_cap += max(0.0, bearable_load - self.load_cap) * CAP_RISE_FRACTION
         if self.load_cap > OPEN_CAP_RATIO * self.gossip.tier_load():
             self.load_cap = NO_CAP
 
     # -- quotas, once a round ------------------------------------------------------------------------
 
     def lagged_clients(self) -> int:
-        """Clients seen here, as of the lag."""
+        """Returns the number of clients seen here, `LAG_US` ago."""
         sample = self.history.oldest_within(LAG_US)
         return sample.clients if sample else 0
 
     def client_fraction(self) -> float | None:
-        """This balancer's part of all clients seen, as of the lag; None without history."""
+        """Returns this balancer's fraction of all clients, `LAG_US` ago; None without a history."""
         own = self.lagged_clients()
         total = own + sum(peer.clients for peer in self.gossip.peers.values())
         return own / total if own and (self.gossip.peers or self.settings.balancers == 1) else None
 
     def update_quota(self) -> None:
-        """Free slots go to the oldest buckets first; the one they do not fill is split by client shares."""
+        """Opens the oldest buckets as far as the free load goes, and takes a quota of the rest."""
         tier_load = self.gossip.tier_load()
-        waiting = self.gossip.tier_waiting_load()
-        self.may_admit_newcomers = not waiting and tier_load < self.load_cap / 2
-        slots = max(0.0, self.load_cap + self.slow_start_load_cap - tier_load)
-        client_fraction = self.client_fraction() or 1.0  # no history: the plain cap
-        free = self._open_oldest_buckets(waiting, slots)
+        waiting_load = self.gossip.tier_waiting_load()
+        self.may_admit_newcomers = not waiting_load and tier_load < self.load_cap / 2
+        free_load = max(0.0, self.load_cap + self.slow_start_load_cap - tier_load)
+        client_fraction = self.client_fraction() or 1.0
+        rest = self._open_oldest_buckets(waiting_load, free_load)
         if self.quota > 0 and self.has_rejected_newcomer:
-            # Clients come back at other balancers, and slots kept for their old buckets here stay empty. What
-            # the oldest did not take goes to younger buckets, twice as many a round.
+            # Waiting clients may return at other balancers, and load reserved for their buckets here stays
+            # unused. So twice as many younger buckets may use the quota in each such round.
             self.extra_buckets = min(2 * self.extra_buckets + 1, MAX_WAITING)
         elif self.quota <= 0:
             self.extra_buckets = 0
-        if self.has_rejected_newcomer and slots < NO_CAP:
-            # The oldest pass beside the quota. With others kept out, they are kept what they claimed at most.
-            free = max(free, slots - self._claimed / client_fraction)
+        if self.has_rejected_newcomer and free_load < NO_CAP:
+            # Clients of the open buckets are admitted beside the quota. While others are rejected, only the
+            # load that they really brought is reserved for them.
+            rest = max(rest, free_load - self._load_admitted_beside_quota / client_fraction)
         self.has_rejected_newcomer = False
-        self._claimed = 0.0
-        self.quota = free * client_fraction
+        self._load_admitted_beside_quota = 0.0
+        self.quota = rest * client_fraction
 
-    def _open_oldest_buckets(self, waiting: Mapping[int, float], slots: float) -> float:
-        """Opens buckets as far as the slots go. Returns what is left for the first that does not fit."""
+    def _open_oldest_buckets(self, waiting_load: Mapping[int, float], free_load: float) -> float:
+        """Opens the oldest buckets that fit into the free load. Returns the load that is left over."""
         self.last_open_bucket, self.partial_bucket = -NO_BUCKET, NO_BUCKET
-        for bucket in sorted(waiting):
-            if waiting[bucket] > slots:
+        for bucket in sorted(waiting_load):
+            if waiting_load[bucket] > free_load:
                 self.partial_bucket = bucket
                 break
             self.last_open_bucket = bucket
-            slots -= waiting[bucket]
-        return slots
+            free_load -= waiting_load[bucket]
+        return free_load
--- a/glenrock/routing/retries.py
+++ b/glenrock/routing/retries.py
@@ -1,4 +1,4 @@
-"""Whether and where a request may be sent (again), for how long, and whether it may be rejected."""
+"""Whether and where a request may be sent or retried, for how long, and whether it may be rejected."""
 
 from __future__ import annotations
 
@@ -12,14 +12,16 @@
 from .outlier_ejection import OutlierEjection
 from .state import Attempt, RoutedRequest, Server
 
-ATTEMPT_TIMEOUT_PERCENT = 6  # of the time left that an attempt may take while another is allowed
-MAX_PROCESS_PAUSE_US = 150_000  # a balancer may be stopped this long between reading its clock and writing
-MIN_CONNECT_TIMEOUTS = 2  # but no less than so many connect timeouts
+ATTEMPT_TIMEOUT_PERCENT = 60  # of the time left, while a further attempt is allowed
+MIN_CONNECT_TIMEOUTS = 2  # the shortest attempt timeout, in connect timeouts
+MAX_PROCESS_PAUSE_US = (
+    150_000  # longest pause of this process between reading the clock and writing the request
+)
 
 
 @dataclass(eq=False)
 class RetryPolicy:
-    """The rules on attempts. Two attempts at once are never needed here."""
+    """Rules on the attempts of a request. At most one attempt is in flight at a time."""
 
     batch: EventBatch
     settings: Settings
@@ -30,51 +32,56 @@
 
     @property
     def answer_margin_us(self) -> int:
-        """An answer leaves this long before the deadline."""
+        """How long before its deadline a request gets its final answer."""
         return 2 * self.settings.tick_us
 
     def is_overdue(self, request: RoutedRequest) -> bool:
-        """Whether the final answer has to go now."""
+        """Returns whether the final answer is due now."""
         return self.batch.now_us >= request.event.deadline_us - self.answer_margin_us
 
     def may_attempt(self, request: RoutedRequest) -> bool:
-        """Whether a request may go anywhere at all."""
+        """Returns whether a further attempt is allowed at any server."""
         if request.answered or request.server or len(request.attempts) >= self.settings.max_attempts:
             return False
         return not request.attempt_is_in_flight and not self.is_overdue(request)
 
     def may_send(self, request: RoutedRequest, server: Server) -> bool:
-        """The one place that says whether a request may be sent (again), and where."""
+        """Returns whether the request may be sent to that server now. Every send is subject to this rule."""
         if not self.may_attempt(request) or not self.ejection.may_receive(server, request.load):
             return False
+        return self._is_safe_to_execute_at(request, server)
+
+    def _is_safe_to_execute_at(self, request: RoutedRequest, server: Server) -> bool:
+        """Returns whether the request, sent to that server, cannot take effect twice."""
         first = request.first_executed
         request_class = request.request_class
         if first is None or request_class.idempotency == Idempotency.SAFE:
             return True
-        # A second effect must not be: only servers that drop the repeat, and only while they remember it.
-        if request_class.idempotency == Idempotency.UNSAFE or self.batch.now_us > _last_repeat_us(
-            first, request_class
-        ):
+        if request_class.idempotency == Idempotency.UNSAFE:
+            return False
+        if self.batch.now_us > _last_retry_us(first, request_class):
             return False
+        # Servers outside the scope of the first attempt's server do not know the idempotency key.
         if request_class.idempotency_scope == IdempotencyScope.ZONE:
             return server.zone == first.server.zone
         return request_class.idempotency_scope == IdempotencyScope.ALL or server.cell == first.server.cell
 
     def may_reject(self, request: RoutedRequest) -> bool:
-        """The one place that says whether a request may be rejected: a retry must be harmless."""
+        """Returns whether the request may be rejected: the retry that this invites must be harmless."""
         if request.answered or request.server:
             return False
         request_class = request.request_class
-        keyed_everywhere = (
+        has_global_key = (
             request_class.idempotency == Idempotency.KEYED
             and request_class.idempotency_scope == IdempotencyScope.ALL
         )
-        return request_class.idempotency == Idempotency.SAFE or keyed_everywhere or not request.first_executed
+        is_harmless = request_class.idempotency == Idempotency.SAFE or has_global_key
+        return is_harmless or not request.first_executed
 
     def may_wait(self, request: RoutedRequest) -> bool:
-        """Whether a request that no server may take now waits for one.
+        """Returns whether a request that no server may receive now waits for a server.
 
-        With the last server taken out by an operator there is nothing to wait for.
+        If operators have suspended the last server, no server will become available soon.
         """
         if not self.endpoints.ring and self.overrides.suspended_servers:
             return False
@@ -82,24 +89,27 @@
         return len(request.attempts) < self.settings.max_attempts and self.batch.now_us < wait_end_us
 
     def retry_after_us(self) -> int:
-        """Spread over half the longest time, so that who is rejected together does not return together."""
+        """Draws a Retry-After between half and all of the longest, so that rejected clients spread out."""
         longest_us = self.settings.max_retry_after_us if self.settings.may_send_retry_after else 0
         return int(longest_us * (0.5 + self.rng.random() / 2))
 
     def attempt_timeout_us(self, request: RoutedRequest) -> int:
-        """How long the next attempt may take: room is left for another one, and none outlasts its window."""
+        """Returns the timeout of the next attempt in microseconds.
+
+        It leaves time for a further attempt, and an attempt of a keyed request ends within the key's window.
+        """
         left_us = request.event.deadline_us - self.answer_margin_us - self.batch.now_us
         timeout_us = left_us
         if len(request.attempts) + 1 < self.settings.max_attempts:
             least_us = MIN_CONNECT_TIMEOUTS * self.settings.connect_timeout_us
-            timeout_us = min(left_us, max(left_us * ATTEMPT_TIMEOUT_PERCENT // 10, least_us))
+            timeout_us = min(left_us, max(left_us * ATTEMPT_TIMEOUT_PERCENT // 100, least_us))
         first = request.first_executed
         if first and request.request_class.idempotency == Idempotency.KEYED:
-            last_us = _last_repeat_us(first, request.request_class)
+            last_us = _last_retry_us(first, request.request_class)
             timeout_us = max(1, min(timeout_us, last_us - self.batch.now_us))
         return timeout_us
 
 
-def _last_repeat_us(first: Attempt, request_class: RequestClass) -> int:
-    """Until then a repeat may be decided on: what is written later might be past the window."""
+def _last_retry_us(first: Attempt, request_class: RequestClass) -> int:
+    """Returns the latest time at which a retry, written after a pause of this process, is in the window."""
     return first.sent_at_us + request_class.idempotency_window_us - MAX_PROCESS_PAUSE_US
