--- a/glenrock/cli/demo.py
+++ b/glenrock/cli/demo.py
@@ -19,13 +19,13 @@
     Example:
       glenrock demo
     """
-    from ..stage import spec
+    from ..testbed import scenario
     from .stage_run import play
 
     file = Path(__file__).resolve().parents[2] / "scenes" / "three.toml"
     if not file.exists():
         raise CommandFailedError(f"{file} is missing: the demo runs from a checkout")
-    summary = play(spec.load(file), 1, out, live)
+    summary = play(scenario.load(file), 1, out, live)
     c = summary["counts"]
     click.echo(
         f"{c['set_up']} connections were set up, {c['moved']} moved, {c['broken']} lost to the faults; "
--- a/glenrock/cli/stage_live.py
+++ b/glenrock/cli/stage_live.py
@@ -1,4 +1,4 @@
-"""The table that follows a run of a stage."""
+"""The table that follows a run of a scenario."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from rich.table import Table
 
 if TYPE_CHECKING:
-    from ..stage.run import Stage
+    from ..testbed.scenario_testbed import ScenarioTestbed
 
 
 class LiveTable:
@@ -30,27 +30,30 @@
         if self.screen:
             self.screen.stop()
 
-    def second(self, stage: Stage) -> None:
+    def second(self, bed: ScenarioTestbed) -> None:
         """Called once a second."""
         if self.screen:
-            self.screen.update(table_of(stage), refresh=True)
+            self.screen.update(table_of(bed), refresh=True)
 
 
-def table_of(stage: Stage) -> Table:
+def table_of(bed: ScenarioTestbed) -> Table:
     """The table: a row for each balancer, with the faults that are on above it."""
-    on = ", ".join(f"{s.kind} ({', '.join(sorted(s.parties)) or 'datagrams'})" for s in stage.faults.on) or "no fault"
-    out = Table(title=f"{stage.scene.name}, {stage.clients.seconds():.0f} of {stage.length_s:.0f} s: {on}")
+    on = (
+        ", ".join(f"{s.kind} ({', '.join(sorted(s.parties)) or 'datagrams'})" for s in bed.history.active_intervals())
+        or "no fault"
+    )
+    out = Table(title=f"{bed.scenario.name}, {bed.clients.seconds():.0f} of {bed.length_s:.0f} s: {on}")
     for name in ("balancer", "state", "connections", "life", "last said"):
         out.add_column(name)
-    for b in stage.balancers:
+    for b in bed.balancers:
         state = "asleep" if b.paused else "up" if b.up else "down"
-        state += "" if b.number in stage.front.known else ", left out"
-        held = sum(a.balancer == b.number for s in stage.instances for a in s.open_now)
-        said = next((e.data["text"] for e in reversed(stage.history.events) if e.what == "log" and e.who == b.name), "")
+        state += "" if b.number in bed.frontend.known else ", left out"
+        held = sum(a.balancer == b.number for s in bed.servers for a in s.open_now)
+        said = next((e.data["text"] for e in reversed(bed.history.events) if e.what == "log" and e.who == b.name), "")
         out.add_row(b.name, state, str(held), str(b.lives), said[:60])
     loads = " ".join(
-        f"{s.model.demand / max(1e-9, s.model.capacity(stage.engine.now)):.2f}" if s.model.up else "-"
-        for s in stage.instances
+        f"{s.model.demand / max(1e-9, s.model.capacity(bed.engine.now)):.2f}" if s.model.up else "-"
+        for s in bed.servers
     )
-    out.caption = f"{stage.clients.standing()} clients stand, {stage.clients.waiting()} wait; loads {loads}"
+    out.caption = f"{bed.clients.standing()} clients stand, {bed.clients.waiting()} wait; loads {loads}"
     return out
--- a/glenrock/cli/stage_run.py
+++ b/glenrock/cli/stage_run.py
@@ -11,7 +11,7 @@
 from .main import CommandFailedError
 
 if TYPE_CHECKING:
-    from ..stage.run import Stage
+    from ..testbed.scenario_testbed import ScenarioTestbed
 
 SHOWN_BREACHES = 3
 
@@ -31,9 +31,9 @@
       glenrock stage run scenes/three.toml --seed 7 --set fleet.balancers=5 --out out/five
     Exit codes: 0 done, 1 a rule was broken or a process did not come up, 2 bad input.
     """
-    from ..stage import spec
+    from ..testbed import scenario
 
-    scene = spec.load(file, options.parse_overrides(over))
+    scene = scenario.load(file, options.parse_overrides(over))
     play(scene, seed, out or Path("out") / "stage" / f"{scene.name}-{seed}", live)
 
 
@@ -44,7 +44,7 @@
         CommandFailedError: a process did not come up, or a rule was broken.
     """
     from ..lab import record, report
-    from ..stage import run
+    from ..testbed import scenario_runner, scenario_testbed
     from .stage_live import LiveTable
 
     summary: dict[str, Any] = {}
@@ -52,11 +52,11 @@
     def fill(beside: Path) -> None:
         with LiveTable(live) as shown:
             try:
-                stage, found = run.play(scene, seed, beside, shown.second)
-            except run.NotReady as error:
+                bed, found = scenario_runner.play(scene, seed, beside, shown.second)
+            except scenario_testbed.BalancersNotReadyError as error:
                 raise CommandFailedError(str(error)) from error
         summary.update(found)
-        write_results(beside, stage, found)
+        write_results(beside, bed, found)
         (beside / "report.html").write_text(report.of_run(beside), encoding="utf-8")
 
     record.folder(into, fill)
@@ -71,12 +71,12 @@
     return summary
 
 
-def write_results(beside: Path, stage: Stage, summary: dict[str, Any]) -> None:
+def write_results(beside: Path, bed: ScenarioTestbed, summary: dict[str, Any]) -> None:
     """Writes the tables and the history of a run."""
     from ..lab import record
 
-    record.write_tables(beside, stage.measure, stage.scene, [s.name for s in stage.instances], summary)
-    lines = (e.line(stage.history.day) for e in stage.history.events)
+    record.write_tables(beside, bed.measure, bed.scenario, [s.name for s in bed.servers], summary)
+    lines = (e.line(bed.history.day) for e in bed.history.events)
     (beside / "history.txt").write_text("".join(f"{line}\n" for line in lines), encoding="utf-8")
 
 
--- a/glenrock/testbed/balancer_process.py
+++ b/glenrock/testbed/balancer_process.py
@@ -13,8 +13,8 @@
 from pathlib import Path
 from typing import Any
 
-from ..stage.net import Address
-from ..stage.processes import die_with_parent
+from .loopback import Address
+from .scenario_processes import die_with_parent
 
 ROOT = Path(__file__).resolve().parents[2]
 VARIABLES = ("LB_NAME", "LB_LISTEN", "LB_DISCOVERY", "LB_ADMIN", "LB_ACCEPT_FD", "LB_FLEET", "LD_PRELOAD")
--- a/glenrock/stage/config.py
+++ b/glenrock/testbed/balancer_settings.py
@@ -6,7 +6,7 @@
 
 from glenrock.routing import interface
 
-from .instances import NAMES
+from .modelled_servers import NAMES
 
 
 def settings(s: interface.Settings, tenants: tuple[str, ...]) -> dict[str, Any]:
--- a/glenrock/testbed/bed.py
+++ b/glenrock/testbed/bed.py
@@ -12,12 +12,12 @@
 from pathlib import Path
 from typing import Any
 
-from ..stage.net import Net
 from .balancer_process import ROOT, BalancerProcess
 from .call_faults import CallFaults
 from .clients import Client, ClientPlan
 from .discovery_agent import DiscoveryAgent
 from .endpoint_directory import EndpointDirectory, ListedServer
+from .loopback import LoopbackNetwork
 from .records import RunRecord
 from .session_servers import SessionServer
 
@@ -107,7 +107,7 @@
     def __init__(self, shape: BedShape, folder: Path | None = None, source: Path = ROOT) -> None:
         self.shape = shape
         self.record = RunRecord()
-        self.net = Net(next(_nets) * 251 + os.getpid())
+        self.net = LoopbackNetwork(next(_nets) * 251 + os.getpid())
         self.directory = EndpointDirectory()
         self.servers: dict[str, SessionServer] = {}
         self.agents: list[DiscoveryAgent] = []
--- a/glenrock/testbed/clients.py
+++ b/glenrock/testbed/clients.py
@@ -6,7 +6,7 @@
 import time
 from dataclasses import dataclass
 
-from ..stage.net import Address, cut_off
+from .loopback import Address, reset_connection
 from .records import ConnectionEnd, RequestRecord, RunRecord
 
 LATE_ANSWER_S = 3.0  # an answer is awaited this long past the deadline, so that a late one is told from none
@@ -140,7 +140,7 @@
             line = await asyncio.wait_for(reader.readline(), wait_s)
         except TimeoutError:
             request.left_s = time.monotonic()
-            cut_off(writer)
+            reset_connection(writer)
             self._ended(ConnectionEnd.LEFT)
             return False
         if not line.endswith(b"\r\n"):
--- a/glenrock/stage/consul.py
+++ b/glenrock/testbed/consul_server.py
@@ -20,7 +20,7 @@
 
 from aiohttp import web
 
-from .net import Address
+from .loopback import Address
 
 SPAN = re.compile(r"([0-9.]+)(ms|s|m)")
 UNITS = {"ms": 0.001, "s": 1.0, "m": 60.0}
@@ -117,7 +117,7 @@
             return (e.told(key) if e else Entry(None, 0, 0).told(key)), ""
         if verb in ("lock", "unlock") and session not in self.sessions:
             return None, f"invalid session {session!r}"
-        if verb == "lock" and (e and e.session not in ("", session) or self.now() < self.delayed.get(key, 0.0)):
+        if verb == "lock" and ((e and e.session not in ("", session)) or self.now() < self.delayed.get(key, 0.0)):
             return None, "lock is already held, or lock-delay is in effect"
         if verb == "unlock" and (e is None or e.session != session):
             return None, "lock isn't held, or is held by another session"
@@ -148,7 +148,7 @@
         return results, []
 
 
-class Consul:
+class ConsulServer:
     """The service on an address of the run."""
 
     def __init__(self, address: Address, ttl_min_s: float = TTL_MIN_S, late: float = 1.0) -> None:
--- a/glenrock/stage/judge_together.py
+++ b/glenrock/testbed/coordination_invariants.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from .history import History
-from .judge import MS, SLACK_MS, Figures, Verdict, party, register, tell
+from .history_invariants import MS, SLACK_MS, Figures, Verdict, party, register, tell
 
 REACHED_MS = 1000  # a ban told once reaches every balancer that can be reached
 LOOK_GAP_MS = 600  # looks of the front at one balancer come closer than this while it is away
@@ -99,7 +99,9 @@
     began = [(e.at, e.data["holder"]) for e in h.each("term") if e.data["job"] == "bans"]
     gaps: dict[str, list[float]] = defaultdict(list)
     for spell in h.spells:
-        if spell.kind not in ("kill", "pause", "stop") or spell.kind == "pause" and spell.end - spell.begin < lease_us:
+        if spell.kind not in ("kill", "pause", "stop") or (
+            spell.kind == "pause" and spell.end - spell.begin < lease_us
+        ):
             continue  # an owner that slept for less is the owner still
         before = [holder for at, holder in began if at <= spell.begin]
         owner = f"balancer:{before[-1].partition('/')[0][1:]}" if before else ""
--- a/glenrock/testbed/discovery_agent.py
+++ b/glenrock/testbed/discovery_agent.py
@@ -6,8 +6,8 @@
 import time
 from urllib.parse import parse_qs, urlsplit
 
-from ..stage.net import Address, Listener, cut_off
 from .endpoint_directory import EndpointDirectory
+from .loopback import Address, Listener, reset_connection
 from .records import ListedRecord, RunRecord
 
 MAX_WATCH_S = 60.0
@@ -77,7 +77,7 @@
                 await self._directory.wait_for_change(min(MAX_WATCH_S, wait_ms / 1000))
             await self._speaks.wait()
             if self.refuses:
-                cut_off(writer)
+                reset_connection(writer)
                 return
             if not await self._send(writer, 200, self._directory.answer_bytes(since)):
                 return
@@ -98,7 +98,7 @@
             self.cuts -= 1
             writer.write(data[: len(data) // 2])
             await writer.drain()
-            cut_off(writer)
+            reset_connection(writer)
             return False
         pieces = SLOW_PIECES if self.slow_s else 1
         size = max(1, -(-len(data) // pieces))
--- a/glenrock/stage/listing.py
+++ b/glenrock/testbed/discovery_service.py
@@ -8,23 +8,23 @@
 from urllib.parse import parse_qs, urlsplit
 
 from .history import History
-from .instances import Standin
-from .net import Address, Listener, Net, cut_off
+from .loopback import Address, Listener, LoopbackNetwork, reset_connection
+from .modelled_servers import ModelledServer
 
 LONGEST_WAIT_S = 60.0
 GOES_ON_S = 0.2  # a watch goes on where the next call comes within this of the last answer
 REASONS = {200: "OK", 404: "Not Found", 503: "Service Unavailable"}
 
 
-class Listing:
+class DiscoveryService:
     """The same names for all balancers, an address for each."""
 
     def __init__(
         self,
-        instances: list[Standin],
+        instances: list[ModelledServer],
         addresses: dict[tuple[int, int], Address],
         history: History,
-        net: Net,
+        net: LoopbackNetwork,
         balancers: int,
         call_ms: float,
         line_s: float,
@@ -65,7 +65,7 @@
         self.news.set()
         self.news = asyncio.Event()
 
-    def row(self, balancer: int, s: Standin) -> dict[str, Any]:
+    def row(self, balancer: int, s: ModelledServer) -> dict[str, Any]:
         host, port = self.addresses[balancer, s.number]
         return {
             "name": s.name,
@@ -82,10 +82,8 @@
         there = [
             s
             for s in self.instances
-            if since is not None
-            and self.changed_at[s.number] > since
-            or since is None
-            and self.status[s.number] != "DELETED"
+            if (since is not None and self.changed_at[s.number] > since)
+            or (since is None and self.status[s.number] != "DELETED")
         ]
         return {"index": self.index, "snapshot": since is None, "endpoints": [self.row(balancer, s) for s in there]}
 
@@ -101,7 +99,7 @@
             # A watch that goes on is no new call: it costs nothing.
             now = asyncio.get_running_loop().time()
             goes_on = since is not None and now - self.answered.get(balancer, -1.0) < GOES_ON_S
-            if not goes_on and not await self.line() or self.refuses:
+            if (not goes_on and not await self.line()) or self.refuses:
                 self.refused += 1
                 await self.say(writer, 503, {})
                 continue
@@ -115,7 +113,7 @@
             while self.silent:
                 await asyncio.sleep(0.02)
             if self.refuses:
-                cut_off(writer)
+                reset_connection(writer)
                 return
             body = self.answer(balancer, since)
             await self.say(writer, 200, body)
--- a/glenrock/testbed/endpoint_directory.py
+++ b/glenrock/testbed/endpoint_directory.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ..stage.net import Address
+from .loopback import Address
 
 SERVING, DRAINING, DELETED = "SERVING", "DRAINING", "DELETED"
 
--- a/glenrock/testbed/fault_player.py
+++ b/glenrock/testbed/fault_player.py
@@ -9,12 +9,12 @@
 import time
 from collections.abc import Awaitable, Callable
 
-from ..stage.net import cut_off
 from .bed import Testbed
 from .call_faults import CallFaults
 from .discovery_agent import DiscoveryAgent
 from .endpoint_directory import DELETED, DRAINING, SERVING
 from .fault_schedule import ALL_BALANCERS, FaultKind, PlannedFault, SoakPlan
+from .loopback import reset_connection
 from .records import FaultRecord, HalfRequestRecord
 from .session_servers import ServerMode, SessionServer
 
@@ -228,7 +228,7 @@
         there = await self._connections(fault)
         await asyncio.sleep(fault.lasts_s)
         for _, writer in there:
-            cut_off(writer)
+            reset_connection(writer)
 
     async def _half_requests(self, fault: PlannedFault) -> None:
         async def stay(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/glenrock/stage/front.py
+++ b/glenrock/testbed/frontend.py
@@ -6,12 +6,12 @@
 import random
 
 from .history import History
-from .net import Address
+from .loopback import Address
 
 PING_S = 1.0  # a balancer that has not answered within this did not answer
 
 
-class Front:
+class Frontend:
     def __init__(self, addresses: list[Address], notice_s: float, look_s: float, history: History, seed: int) -> None:
         self.addresses, self.notice_s, self.look_s, self.history = addresses, notice_s, look_s, history
         self.draw = random.Random(seed)
--- a/glenrock/stage/history.py
+++ b/glenrock/testbed/history.py
@@ -7,6 +7,7 @@
 from typing import Any
 
 S = 1_000_000  # microseconds in a second
+OPEN_END = 1 << 62  # of a fault that has not ended
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,13 +25,13 @@
 
 
 @dataclass(slots=True)
-class Spell:
+class FaultInterval:
     """A fault, from when to when, and the parties that it touches; one that never ended goes on."""
 
     kind: str
     parties: frozenset[str]
     begin: int
-    end: int = 1 << 62
+    end: int = OPEN_END
     lag: int = 0  # what it struck may show this much later
 
     def during(self, begin: int, end: int) -> bool:
@@ -42,21 +43,25 @@
         self.now = now
         self.day = 0  # when the scene's day began
         self.events: list[Event] = []
-        self.spells: list[Spell] = []
+        self.spells: list[FaultInterval] = []
 
     def note(self, who: str, what: str, id_: str = "", **data: Any) -> None:
         self.events.append(Event(self.now(), who, what, id_, data))
 
-    def strike(self, kind: str, parties: Iterable[str], lag_us: int = 0) -> Spell:
-        spell = Spell(kind, frozenset(parties), self.now(), lag=lag_us)
+    def strike(self, kind: str, parties: Iterable[str], lag_us: int = 0) -> FaultInterval:
+        spell = FaultInterval(kind, frozenset(parties), self.now(), lag=lag_us)
         self.spells.append(spell)
         self.note("stage", "fault", kind=kind, parties=",".join(sorted(spell.parties)))
         return spell
 
-    def lift(self, spell: Spell) -> None:
+    def lift(self, spell: FaultInterval) -> None:
         spell.end = self.now()
         self.note("stage", "fault ends", kind=spell.kind, parties=",".join(sorted(spell.parties)))
 
+    def active_intervals(self) -> list[FaultInterval]:
+        """Returns the faults that are on now, by their beginning."""
+        return [interval for interval in self.spells if interval.end == OPEN_END]
+
     def disturbed(self, begin: int, end: int, *parties: str) -> str:
         """The first fault that touched one of these while that lasted; empty if none did."""
         for spell in self.spells:
--- a/glenrock/stage/judge.py
+++ b/glenrock/testbed/history_invariants.py
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Breach:
+class Violation:
     rule: str
     at: int
     text: str
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True)
 class Verdict:
-    breaches: list[Breach] = field(default_factory=list)
+    breaches: list[Violation] = field(default_factory=list)
     excused: dict[str, int] = field(default_factory=lambda: defaultdict(int))  # rule: what a fault accounts for
     seen: dict[str, int] = field(default_factory=lambda: defaultdict(int))  # rule: cases that were looked at
 
@@ -63,7 +63,7 @@
         v.excused[rule] += 1
         return
     led = tuple(x.line(h.day) for x in h.of(e.id)[-12:]) if e.id else ()
-    v.breaches.append(Breach(rule, e.at, text, e.id, int(e.data.get("balancer", -1)), instance, led))
+    v.breaches.append(Violation(rule, e.at, text, e.id, int(e.data.get("balancer", -1)), instance, led))
 
 
 def answered(h: History, figures: Figures, v: Verdict) -> None:
--- a/glenrock/testbed/invariants.py
+++ b/glenrock/testbed/invariants.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True)
-class Breach:
+class Violation:
     """A broken rule, with both sides' records."""
 
     rule: str
@@ -36,7 +36,7 @@
     balancer: int = -1
 
 
-class Judge:
+class InvariantChecker:
     """The rules, over the records of one run."""
 
     def __init__(self, record: RunRecord, shape: BedShape) -> None:
@@ -48,9 +48,9 @@
         self._attempts.default_factory = None
         self._requests = {request.request_id: request for request in record.requests}
 
-    def breaches(self) -> list[Breach]:
+    def breaches(self) -> list[Violation]:
         """All of them, in order of time."""
-        found: list[Breach] = []
+        found: list[Violation] = []
         for request in self._record.requests:
             found += self._answered(request)
             found += self._kept(request)
@@ -76,10 +76,10 @@
             f"{request.ended_s - request.sent_s:+.3f} | {tries or 'no attempt'}"
         )
 
-    def _breach(self, rule: str, at_s: float, what: str, request: RequestRecord) -> Breach:
-        return Breach(rule, at_s, f"{what}: {self._told(request)}", request.request_id, request.balancer)
+    def _breach(self, rule: str, at_s: float, what: str, request: RequestRecord) -> Violation:
+        return Violation(rule, at_s, f"{what}: {self._told(request)}", request.request_id, request.balancer)
 
-    def _answered(self, request: RequestRecord) -> Iterator[Breach]:
+    def _answered(self, request: RequestRecord) -> Iterator[Violation]:
         """Each request that a balancer has taken gets one final answer, in time, and none but the protocol's."""
         wait_s = 40.0 if request.standing_at else request.deadline_ms / 1000
         limit_s = request.sent_s + wait_s + SLACK_S + LATE_S
@@ -103,7 +103,7 @@
     def _may_have_run(self, request: RequestRecord) -> bool:
         return any(one.answer != "BUSY" for one in self._attempts.get(request.request_id, []))
 
-    def _kept(self, request: RequestRecord) -> Iterator[Breach]:
+    def _kept(self, request: RequestRecord) -> Iterator[Violation]:
         """A connection whose server still serves it ends with MOVE, or when its client ends it."""
         if not request.is_up or request.moved or request.left_s < NEVER or request.end is ConnectionEnd.OPEN:
             return
@@ -114,7 +114,7 @@
             return
         yield self._breach("cut off", request.ended_s, "ended without MOVE", request)
 
-    def _once(self, attempts: list[AttemptRecord]) -> Iterator[Breach]:
+    def _once(self, attempts: list[AttemptRecord]) -> Iterator[Violation]:
         """Never two attempts out at once; no repeat of what may not be repeated, nor past the window."""
         request = self._requests.get(attempts[0].request_id)
         if request is None or request.standing_at:
@@ -129,7 +129,7 @@
         if request.effect == "unsafe" or span_s > self._shape.window_ms / 1000 + SLACK_S:
             yield self._breach("duplicate", executed[-1].whole_s, f"run again after {span_s:.3f} s", request)
 
-    def _wanted(self, attempts: list[AttemptRecord]) -> Iterator[Breach]:
+    def _wanted(self, attempts: list[AttemptRecord]) -> Iterator[Violation]:
         """Nothing is forwarded for a client that has left."""
         request = self._requests.get(attempts[0].request_id)
         if request is None:
@@ -138,7 +138,7 @@
             if one.first_byte_s > request.left_s + LEFT_S + IN_FLIGHT_S:
                 yield self._breach("forwarded", one.first_byte_s, "its client had left", request)
 
-    def _drained(self) -> Iterator[Breach]:
+    def _drained(self) -> Iterator[Violation]:
         """Nothing new goes to a server that drains, once its grace is over."""
         told: dict[tuple[int, str], list[tuple[float, str]]] = defaultdict(list)
         for one in self._record.listed:
@@ -157,10 +157,10 @@
                 text = f"sent to {attempt.server} {late_s:.3f} s after it was told to drain"
                 yield self._breach("drain", attempt.first_byte_s, text, request)
 
-    def _half_requests(self) -> Iterator[Breach]:
+    def _half_requests(self) -> Iterator[Violation]:
         for half in self._record.half_requests:
             if half.ended_s > half.sent_s + HALF_REQUEST_S + LATE_S:
                 took_s = half.ended_s - half.sent_s
-                yield Breach(
+                yield Violation(
                     "bad client", half.sent_s, f"half a request was left open for {took_s:.3f} s", "", half.balancer
                 )
--- a/glenrock/stage/net.py
+++ b/glenrock/testbed/loopback.py
@@ -17,7 +17,7 @@
 RESET = struct.pack("ii", 1, 0)  # SO_LINGER with no time: a close that resets
 
 
-class Net:
+class LoopbackNetwork:
     """A net of loopback addresses of one's own, by the process id, so that runs beside each other never meet."""
 
     def __init__(self, number: int | None = None) -> None:
@@ -40,7 +40,7 @@
         return f"{self.prefix}.250", self.ports
 
 
-class LoopEngine:
+class RealTimeEngine:
     """The laboratory's `Engine` on the loop's clock: its model of instances runs here in real time.
 
     `now` counts microseconds from the run's beginning; `day` is when the scene's day began.
@@ -66,7 +66,7 @@
         raise NotImplementedError("the loop runs by itself")
 
 
-def cut_off(writer: asyncio.StreamWriter) -> None:
+def reset_connection(writer: asyncio.StreamWriter) -> None:
     """Resets a connection: whoever is at the other end reads ECONNRESET."""
     sock = writer.get_extra_info("socket")
     if sock is not None and not writer.is_closing():
--- a/glenrock/stage/instances.py
+++ b/glenrock/testbed/modelled_servers.py
@@ -17,8 +17,8 @@
 from ..lab.model.instance import Connection, Figures, Instance, Shape
 from ..lab.model.plan import Row
 from .history import History
-from .net import Address, Listener, LoopEngine, Net, cut_off
-from .spec import Scene
+from .loopback import Address, Listener, LoopbackNetwork, RealTimeEngine, reset_connection
+from .scenario import Scenario
 
 S = 1_000_000
 NAMES = {
@@ -43,7 +43,7 @@
     connection: Connection | None = None
 
 
-class Standin:
+class ModelledServer:
     """One instance, with an address for each balancer."""
 
     def __init__(
@@ -52,11 +52,11 @@
         name: str,
         shape: Shape,
         figures: Figures,
-        scene: Scene,
-        engine: LoopEngine,
+        scene: Scenario,
+        engine: RealTimeEngine,
         history: History,
         rows: dict[str, Row],
-        net: Net,
+        net: LoopbackNetwork,
         noise: Callable[[], float],
         earn: Callable[[int, int, float], None],
         work: Callable[[Row], float],
@@ -99,7 +99,7 @@
         self.model.stop(self.engine.now)
         for a in list(self.open_now):
             self.over(a, "self")
-            cut_off(a.writer)
+            reset_connection(a.writer)
         self.draining = False
 
     def again(self) -> None:
@@ -111,7 +111,7 @@
         for c in self.model.tick(self.engine.now):
             a: Attempt = c.attempt  # type: ignore[assignment]
             self.over(a, "self")
-            cut_off(a.writer)
+            reset_connection(a.writer)
 
     def close(self) -> None:
         for listener in self.listeners:
@@ -186,7 +186,7 @@
                     writer.write(answer)
                     await writer.drain()
                 else:
-                    cut_off(writer)
+                    reset_connection(writer)
         finally:
             self.over(a, "peer")
 
@@ -201,7 +201,7 @@
             float(f.worth) * row.weight,
         )
         if not self.model.open(self.engine.now, c, load_at(row, self.engine)):
-            cut_off(writer)
+            reset_connection(writer)
             return
         self.history.note(self.party, "up", a.id, balancer=a.balancer)
         writer.write(f"UP {self.name}-{a.id}\r\n".encode())
@@ -250,7 +250,7 @@
             a.connection, c.value = None, 0.0
 
 
-def load_at(row: Row, engine: LoopEngine) -> float:
+def load_at(row: Row, engine: RealTimeEngine) -> float:
     """What the client asks for now, in microseconds of work a second."""
     now, load = engine.now - engine.day, row.changes[0][1] if row.changes else row.usual
     for at, size in row.changes:
--- a/glenrock/stage/ways.py
+++ b/glenrock/testbed/network_faults.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from .spec import Way
+from .scenario import Way
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,7 +30,7 @@
 
 def matches(pattern: str, party: str) -> bool:
     kind, star, _ = pattern.partition(":*")
-    return pattern == party or bool(star) and party.startswith(f"{kind}:")
+    return pattern == party or (bool(star) and party.startswith(f"{kind}:"))
 
 
 def strikes(f: Way, source: str, target: str) -> bool:
@@ -57,7 +57,7 @@
 
 
 @dataclass(slots=True)
-class Ways:
+class NetworkPaths:
     """All directions. Whoever listens is called after each change, to act on what stands already."""
 
     planned: tuple[Way, ...]  # all that the plan holds: a pair that none of them strikes needs no relay
--- a/glenrock/stage/relays.py
+++ b/glenrock/testbed/network_relays.py
@@ -1,4 +1,4 @@
-"""Relays in the ways between parties: what `Ways` says of a direction is done to what goes through them.
+"""Relays in the ways between parties: what `NetworkPaths` says of a direction is done to what goes through them.
 
 TCP carries every byte or none, as a network does: a cut direction holds its bytes until it is whole again, and
 no connection comes up meanwhile. Datagrams are lost, doubled, delayed and put out of order one by one.
@@ -11,8 +11,8 @@
 from collections import deque
 from collections.abc import Callable
 
-from .net import Address, Listener, Net, cut_off
-from .ways import State, Ways
+from .loopback import Address, Listener, LoopbackNetwork, reset_connection
+from .network_faults import NetworkPaths, State
 
 CHUNK = 16384
 HELD = 64  # chunks under way in one direction: past it the sender waits
@@ -22,7 +22,7 @@
 class Direction:
     """One direction of one stream: read here, written there, as late as the way says."""
 
-    def __init__(self, ways: Ways, source: str, target: str) -> None:
+    def __init__(self, ways: NetworkPaths, source: str, target: str) -> None:
         self.ways, self.source, self.target = ways, source, target
 
     def state(self) -> State:
@@ -63,10 +63,10 @@
                     await asyncio.sleep(LOOK_S)
 
 
-class TcpRelay:
+class StreamRelay:
     """The address that `source` is given for `target`."""
 
-    def __init__(self, ways: Ways, source: str, target: str, address: Address, onward: Address) -> None:
+    def __init__(self, ways: NetworkPaths, source: str, target: str, address: Address, onward: Address) -> None:
         self.ways, self.onward = ways, onward
         self.there, self.back = Direction(ways, source, target), Direction(ways, target, source)
         self.listener = Listener(address, self.serve)
@@ -84,7 +84,7 @@
         if self.there.state().reset or self.back.state().reset:
             for pair in self.pairs:
                 for writer in pair:
-                    cut_off(writer)
+                    reset_connection(writer)
         if self.cut():
             self.listener.deafen()
         else:
@@ -92,12 +92,12 @@
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         if self.there.state().reset or self.back.state().reset:
-            cut_off(writer)
+            reset_connection(writer)
             return
         try:
             there, onward = await asyncio.open_connection(*self.onward)
         except OSError:
-            cut_off(writer)
+            reset_connection(writer)
             return
         pair = (writer, onward)
         self.pairs.add(pair)
@@ -108,8 +108,8 @@
         try:
             done, _ = await asyncio.wait(pumps, return_when=asyncio.FIRST_EXCEPTION)
             if any(p.exception() for p in done):  # an end that was no end of sending is passed on as one
-                cut_off(writer)
-                cut_off(onward)
+                reset_connection(writer)
+                reset_connection(onward)
         finally:
             self.pairs.discard(pair)
             for p in pumps:
@@ -120,14 +120,17 @@
         self.listener.close()
         for pair in list(self.pairs):
             for writer in pair:
-                cut_off(writer)
+                reset_connection(writer)
 
 
-class Post:
+class DatagramRelays:
     """Datagrams between balancers. Each ordered pair has a socket that stands for one of them at the other, so that
-    a datagram comes from the address that its receiver knows its sender by."""
+    a datagram comes from the address that its receiver knows its sender by.
+    """
 
-    def __init__(self, ways: Ways, net: Net, balancers: int, seed: int, relayed: bool = True) -> None:
+    def __init__(
+        self, ways: NetworkPaths, net: LoopbackNetwork, balancers: int, seed: int, relayed: bool = True
+    ) -> None:
         """`relayed` False: balancers have each other's own addresses, and nothing can strike what they say."""
         self.ways, self.net, self.count, self.relayed = ways, net, balancers, relayed
         self.draw = random.Random(seed)
@@ -187,7 +190,7 @@
 class Door(asyncio.DatagramProtocol):
     """What `at` sends here is meant for `one`."""
 
-    def __init__(self, post: Post, one: int, at: int) -> None:
+    def __init__(self, post: DatagramRelays, one: int, at: int) -> None:
         self.post, self.one, self.at = post, one, at
 
     def datagram_received(self, data: bytes, sender: Address) -> None:
--- /dev/null
+++ b/glenrock/testbed/operator_calls.py
@@ -0,0 +1,88 @@
+"""An operator of a scenario: calls to the balancers' admin addresses, and their answers."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+from typing import Any
+
+import aiohttp
+
+from .scenario_testbed import ScenarioTestbed
+
+CALL_TIMEOUT_S = 5.0
+AGREEMENT_POLL_S = 0.1
+MAX_TEXT_CHARACTERS = 100  # of an answer in the history
+HTTP_OK = 200
+
+
+class Operator:
+    """Suspends and resumes servers, and drains balancers, at one balancer each."""
+
+    def __init__(self, bed: ScenarioTestbed) -> None:
+        self._bed = bed
+        self._client = aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=CALL_TIMEOUT_S))
+
+    async def close(self) -> None:
+        """Ends all calls."""
+        await self._client.close()
+
+    async def _call(self, balancer: int, method: str, path: str) -> tuple[int, str]:
+        """Returns status and text; status 0 where no answer came."""
+        host, port = self._bed.network.admin(balancer)
+        try:
+            async with self._client.request(method, f"http://{host}:{port}{path}") as answer:
+                return answer.status, await answer.text()
+        except (aiohttp.ClientError, TimeoutError, OSError) as error:
+            return 0, repr(error)
+
+    def _note(self, what: str, balancer: int, status: int, text: str, **data: Any) -> None:
+        shown = text.strip()[:MAX_TEXT_CHARACTERS]
+        self._bed.history.note("operator", what, balancer=balancer, **data, status=status, text=shown)
+
+    async def override_server(self, balancer: int, server: int, is_suspended: bool) -> None:
+        """Suspends a server at one balancer, or resumes it."""
+        party, action = f"instance:{server}", "suspend" if is_suspended else "resume"
+        self._bed.history.note("operator", "says", balancer=balancer, instance=party, out=is_suspended)
+        name = self._bed.servers[server].name
+        status, text = await self._call(balancer, "POST", f"/v1/session-servers/{name}/{action}")
+        self._note("heard", balancer, status, text, instance=party, out=is_suspended)
+
+    async def drain_balancer(self, balancer: int, lasts_s: float) -> None:
+        """Drains a balancer, and ends the drain after `lasts_s` where it was permitted."""
+        status, text = await self._call(balancer, "POST", "/v1/balancer/drain")
+        self._note("drain", balancer, status, text)
+        if status == HTTP_OK:
+            await asyncio.sleep(lasts_s)
+            status, text = await self._call(balancer, "POST", "/v1/balancer/activate")
+            self._note("activate", balancer, status, text)
+
+    async def _view(self, balancer: int) -> dict[str, Any]:
+        status, text = await self._call(balancer, "GET", "/v1/fleet")
+        return json.loads(text) if status == HTTP_OK else {}
+
+    async def disagreements(self, timeout_s: float) -> list[str]:
+        """Returns the balancers whose overrides differ from the others' after `timeout_s`, as text; none if all agree.
+
+        Returns as soon as all agree.
+        """
+        until_s = asyncio.get_running_loop().time() + timeout_s
+        while True:
+            found = await self._differing_views()
+            if not found or asyncio.get_running_loop().time() > until_s:
+                return found
+            await asyncio.sleep(AGREEMENT_POLL_S)
+
+    async def _differing_views(self) -> list[str]:
+        running = [balancer.number for balancer in self._bed.balancers if balancer.up and not balancer.paused]
+        views = {number: await self._view(number) for number in running}
+        overrides = {
+            number: {server: word["out"] for server, word in view.get("words", {}).items()}
+            for number, view in views.items()
+        }
+        first = next(iter(overrides.values()), {})
+        return [
+            f"balancer {number}: {found or views[number].get('store', 'no answer')}"
+            for number, found in overrides.items()
+            if found != first or not views[number] or views[number]["wishes"]
+        ]
--- a/glenrock/stage/spec.py
+++ b/glenrock/testbed/scenario.py
@@ -1,4 +1,4 @@
-"""Stage files: the laboratory's experiment format, with faults that strike processes and the ways between them."""
+"""Scenario files: the laboratory's experiment format, with faults that strike processes and the ways between them."""
 
 from __future__ import annotations
 
@@ -19,6 +19,17 @@
 MOST_BALANCERS, MOST_INSTANCES = 200, 90  # each has an address of its own in one net
 
 
+def drawn_number(value: float | tuple[float, ...]) -> float:
+    """Returns a number of a drawn scenario.
+
+    Raises:
+        TypeError: the value is still a range.
+    """
+    if isinstance(value, tuple):
+        raise TypeError(f"{value} is a range: the scenario was not drawn")
+    return value
+
+
 class Kill(Fault):
     """SIGKILL; the same configuration starts again after `down_s` (0: never)."""
 
@@ -93,7 +104,8 @@
 
 class StoreFault(Fault):
     """The coordination store is paused, refuses, is slow, restarts after `for_s`, goes back to what it was at
-    `at_s`, does what it is asked without an answer, or answers reads that are not consistent with old ones."""
+    `at_s`, does what it is asked without an answer, or answers reads that are not consistent with old ones.
+    """
 
     how: Literal["paused", "refuses", "slow", "restart", "rollback", "loses", "stale"] = "paused"
     for_s: Above0R = 3.0
@@ -122,7 +134,8 @@
     """For `for_s`, each `each_ms`, one of `kinds` at a drawn balancer: a pause of 0.02 to 2 leases, half of them
     round a lease's end; a kill; a cut of its words, or of its way to the store, in one direction; words late by over
     a lease.
-    `ban` and `ticket` are operators at work meanwhile: an instance out, or back; a balancer drained for a lease."""
+    `ban` and `ticket` are operators at work meanwhile: an instance out, or back; a balancer drained for a lease.
+    """
 
     for_s: Above0R = 10.0
     each_ms: Above0R = 200.0
@@ -162,7 +175,7 @@
     line_s: Above0R = 2.0  # it gives up a call that has waited so long
 
 
-class Scene(lab.Experiment, kw_only=True, frozen=True, forbid_unknown_fields=True):
+class Scenario(lab.Experiment, kw_only=True, frozen=True, forbid_unknown_fields=True):
     """A stage file."""
 
     faults: tuple[AnyFault, ...] = ()  # type: ignore[assignment]
@@ -170,17 +183,17 @@
     together: Together = Together()
 
 
-def load(path: Path, overrides: dict[str, Any] | None = None) -> Scene:
+def load(path: Path, overrides: dict[str, Any] | None = None) -> Scenario:
     """The scene in that file. Raises InputFileError, with file, line and key."""
     raw, text = lab.raw_of(path)
     for key, value in (overrides or {}).items():
         raw = lab.put(raw, key, value, path)
-    found = toml_file.convert(path, text, raw, Scene)
+    found = toml_file.convert(path, text, raw, Scenario)
     check(found, path, text)
     return found
 
 
-def check(e: Scene, path: Path, text: str) -> None:
+def check(e: Scenario, path: Path, text: str) -> None:
     """What the types alone do not say."""
     lab.check(e, path, text)
 
@@ -216,4 +229,4 @@
 WAYS = ({"clients", "balancer"}, {"balancer", "instance"}, {"balancer", "list"}, {"balancer", "store"}, {"balancer"})
 WANTS_STORE = (StoreFault, Ban, Ticket, Strikes)
 
-__all__ = ["InputFileError", "Scene", "check", "load"]
+__all__ = ["InputFileError", "Scenario", "check", "load"]
--- a/glenrock/stage/clients.py
+++ b/glenrock/testbed/scenario_clients.py
@@ -1,4 +1,4 @@
-"""Clients: an open loop, drawn ahead by the laboratory's plan. Each connects, waits, stands, and comes again."""
+"""Clients of a scenario: an open loop, drawn ahead by the simulation's workload."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 from ..lab.model.client import Habits
 from ..lab.model.plan import Row
-from .front import Front
+from .frontend import Frontend
 from .history import History
-from .net import Address, LoopEngine
-from .spec import Scene
+from .loopback import Address, RealTimeEngine
+from .scenario import Scenario
 
 S = 1_000_000
 SILENT_S = 2.0  # a client waits this much longer than it said before it calls an answer lost
@@ -28,17 +28,17 @@
     standing: bool = False
 
 
-class Clients:
+class ScenarioClients:
     """All of them. `counts` are the laboratory's."""
 
     def __init__(
         self,
-        scene: Scene,
+        scene: Scenario,
         rows: list[Row],
-        front: Front,
+        front: Frontend,
         addresses: list[Address],
         habits: Habits,
-        engine: LoopEngine,
+        engine: RealTimeEngine,
         history: History,
         registry: dict[str, Row],
         counts: dict[str, int],
--- a/glenrock/stage/faults.py
+++ b/glenrock/testbed/scenario_faults.py
@@ -14,33 +14,35 @@
 import msgspec
 
 from ..lab.spec_faults import Fault, fault_name
-from . import spec, ways
-from .history import S, Spell
+from . import network_faults, scenario
+from .history import FaultInterval, S
+from .scenario_testbed import ScenarioTestbed
 
 if TYPE_CHECKING:
-    from .run import Stage
+    from .operator_calls import Operator
 
 SETTLE_US = 1 * S  # what a process's fault did shows so much later
 STREAM_SETTLE_US = 4 * S  # and a way's: the kernel sends again after up to some seconds
 
 
-class Faults:
-    def __init__(self, stage: Stage, draw: random.Random) -> None:
-        self.stage, self.draw = stage, draw
+class ScenarioFaultPlayer:
+    def __init__(self, bed: ScenarioTestbed, draw: random.Random) -> None:
+        self.bed, self.draw = bed, draw
+        self.operator: Operator | None = None  # where the scenario has a store
         self.tasks: list[asyncio.Task[None]] = []
-        self.on: list[Spell] = []
+        self.on: list[FaultInterval] = []
         self.out: dict[int, None] = {}  # by operators, longest first
         self.cores = os.sched_getaffinity(0)
 
     def begin(self) -> None:
         loop = asyncio.get_running_loop()
-        for f in self.stage.scene.faults:
+        for f in self.bed.scenario.faults:
             # What it strikes is drawn now, in the file's order, so that a seed always strikes the same.
             number = self.number(f)
             self.tasks.append(loop.create_task(self.play(f, number)))
 
     def number(self, f: Fault) -> int:
-        for kind, count in (("balancer", self.stage.count), ("instance", len(self.stage.instances))):
+        for kind, count in (("balancer", self.bed.balancer_count), ("instance", len(self.bed.servers))):
             if (given := getattr(f, kind, None)) is not None:
                 return given if given >= 0 else self.draw.randrange(count)
         return -1
@@ -50,17 +52,17 @@
             task.cancel()
 
     async def play(self, f: Fault, number: int) -> None:
-        await asyncio.sleep(max(0.0, float(f.at_s) - self.stage.clients.seconds()))
+        await asyncio.sleep(max(0.0, float(f.at_s) - self.bed.clients.seconds()))
         await getattr(self, fault_name(type(f).__name__))(f, number)
 
-    def strike(self, f: Fault, *parties: str, lag_us: int = SETTLE_US) -> Spell:
-        spell = self.stage.history.strike(fault_name(type(f).__name__), parties, lag_us)
+    def strike(self, f: Fault, *parties: str, lag_us: int = SETTLE_US) -> FaultInterval:
+        spell = self.bed.history.strike(fault_name(type(f).__name__), parties, lag_us)
         self.on.append(spell)
         return spell
 
     async def lasting(
         self,
-        f: spec.Pause | spec.Squeeze | spec.ListFault | spec.Way,
+        f: scenario.Pause | scenario.Squeeze | scenario.ListFault | scenario.Way,
         begin: Callable[[], object],
         undo: Callable[[], object],
         *parties: str,
@@ -73,99 +75,99 @@
         undo()
         self.lift(spell)
 
-    def lift(self, spell: Spell) -> None:
-        self.stage.history.lift(spell)
+    def lift(self, spell: FaultInterval) -> None:
+        self.bed.history.lift(spell)
         self.on.remove(spell)
 
     # -- processes -------------------------------------------------------------------------------------
 
-    async def back(self, number: int, down_s: float, spell: Spell) -> None:
+    async def back(self, number: int, down_s: float, spell: FaultInterval) -> None:
         """Started again, and whole once the front has taken it in."""
-        stage = self.stage
+        bed = self.bed
         if not down_s:
             return
         await asyncio.sleep(down_s)
-        stage.front.known.discard(number)
-        stage.balancers[number].begin()
-        while number not in stage.front.known:
+        bed.frontend.known.discard(number)
+        bed.balancers[number].begin()
+        while number not in bed.frontend.known:
             await asyncio.sleep(0.02)
         self.lift(spell)
 
-    async def kill(self, f: spec.Kill, number: int) -> None:
-        b = self.stage.balancers[number]
+    async def kill(self, f: scenario.Kill, number: int) -> None:
+        b = self.bed.balancers[number]
         spell = self.strike(f, b.name)
         b.kill()
         await b.ended(5.0)
         await self.back(number, float(f.down_s), spell)
 
-    async def stop(self, f: spec.Stop, number: int) -> None:
+    async def stop(self, f: scenario.Stop, number: int) -> None:
         """A planned end excuses nothing: the spell begins with the process's end."""
-        b = self.stage.balancers[number]
+        b = self.bed.balancers[number]
         b.signal(signal.SIGTERM, "stopping")
         if not await b.ended(float(f.patience_s)):
             b.kill()
             await b.ended(5.0)
         await self.back(number, float(f.down_s), self.strike(f, b.name))
 
-    async def pause(self, f: spec.Pause, number: int) -> None:
-        b = self.stage.balancers[number]
+    async def pause(self, f: scenario.Pause, number: int) -> None:
+        b = self.bed.balancers[number]
         await self.lasting(f, b.pause, b.resume, b.name)
 
-    async def squeeze(self, f: spec.Squeeze, number: int) -> None:
-        b = self.stage.balancers[number]
+    async def squeeze(self, f: scenario.Squeeze, number: int) -> None:
+        b = self.bed.balancers[number]
         await self.lasting(f, lambda: b.squeeze(f.nice, max(self.cores)), lambda: b.loosen(self.cores), b.name)
 
     # -- stand-ins -------------------------------------------------------------------------------------
 
-    async def instance_kill(self, f: spec.InstanceKill, number: int) -> None:
-        stage, s = self.stage, self.stage.instances[number]
+    async def instance_kill(self, f: scenario.InstanceKill, number: int) -> None:
+        bed, s = self.bed, self.bed.servers[number]
         spell = self.strike(f, s.party)
         s.stop()
-        await self.listed_later(number, "DELETED", float(stage.scene.discovery.notice_s), float(f.down_s))
+        await self.listed_later(number, "DELETED", float(bed.scenario.discovery.notice_s), float(f.down_s))
         if f.down_s:
             s.again()
-            await asyncio.sleep(float(stage.scene.discovery.add_s))
-            stage.listing.change(number, "SERVING")
+            await asyncio.sleep(float(bed.scenario.discovery.add_s))
+            bed.discovery.change(number, "SERVING")
             self.lift(spell)
 
     async def listed_later(self, number: int, status: str, notice_s: float, within_s: float) -> None:
         """The list learns of it after its time, unless the instance is back before."""
         await asyncio.sleep(min(notice_s, within_s) if within_s else notice_s)
         if not within_s or notice_s <= within_s:
-            self.stage.listing.change(number, status)
+            self.bed.discovery.change(number, status)
         if within_s:
             await asyncio.sleep(max(0.0, within_s - notice_s))
 
-    async def drain(self, f: spec.Drain, number: int) -> None:
-        stage, s = self.stage, self.stage.instances[number]
-        stage.listing.change(number, "DRAINING")
+    async def drain(self, f: scenario.Drain, number: int) -> None:
+        bed, s = self.bed, self.bed.servers[number]
+        bed.discovery.change(number, "DRAINING")
         await asyncio.sleep(float(f.drain_s))
         spell = self.strike(f, s.party)
         s.stop()
-        stage.listing.change(number, "DELETED")
+        bed.discovery.change(number, "DELETED")
         if f.down_s:
             await asyncio.sleep(float(f.down_s))
             s.again()
-            stage.listing.change(number, "SERVING")
+            bed.discovery.change(number, "SERVING")
             self.lift(spell)
 
-    async def list_fault(self, f: spec.ListFault, number: int) -> None:
-        listing = self.stage.listing
+    async def list_fault(self, f: scenario.ListFault, number: int) -> None:
+        discovery = self.bed.discovery
 
         def be(how: str) -> None:
-            listing.silent, listing.refuses = how == "silent", how == "refuses"
-            listing.slow_s = float(f.call_ms) / 1000 if how == "slow" else 0.0
+            discovery.silent, discovery.refuses = how == "silent", how == "refuses"
+            discovery.slow_s = float(f.call_ms) / 1000 if how == "slow" else 0.0
 
         await self.lasting(f, lambda: be(f.how), lambda: be(""), "list")
 
     # -- what balancers do together ------------------------------------------------------------------
 
-    async def store_fault(self, f: spec.StoreFault, number: int) -> None:
-        together = self.stage.together
-        assert together
-        consul = together.consul
+    async def store_fault(self, f: scenario.StoreFault, number: int) -> None:
+        store = self.bed.store
+        assert store is not None, "the scenario has a store"
+        consul = store.consul
         if consul is None:  # a file: whoever holds it is waited for
-            with contextlib.closing(sqlite3.connect(together.path, isolation_level=None)) as db:
+            with contextlib.closing(sqlite3.connect(store.path, isolation_level=None)) as db:
                 await self.lasting(f, lambda: db.execute("BEGIN IMMEDIATE"), lambda: db.execute("ROLLBACK"), "store")
             return
         if f.how in ("rollback", "stale"):
@@ -180,23 +182,23 @@
 
         await self.lasting(f, lambda: be(True), lambda: be(False), "store")
 
-    async def ban(self, f: spec.Ban, number: int) -> None:
-        instance = f.instance if f.instance >= 0 else self.draw.randrange(len(self.stage.instances))
-        assert self.stage.together
-        await self.stage.together.ban(number, instance, f.out)
+    async def ban(self, f: scenario.Ban, number: int) -> None:
+        instance = f.instance if f.instance >= 0 else self.draw.randrange(len(self.bed.servers))
+        assert self.operator is not None, "the scenario has a store"
+        await self.operator.override_server(number, instance, f.out)
 
-    async def ticket(self, f: spec.Ticket, number: int) -> None:
-        assert self.stage.together
-        await self.stage.together.ticket(number, float(f.for_s))
+    async def ticket(self, f: scenario.Ticket, number: int) -> None:
+        assert self.operator is not None, "the scenario has a store"
+        await self.operator.drain_balancer(number, float(f.for_s))
 
-    async def strikes(self, f: spec.Strikes, number: int) -> None:
+    async def strikes(self, f: scenario.Strikes, number: int) -> None:
         """Each by itself, and several at once; one that a balancer is struck by already strikes another."""
-        loop, draw, lease = asyncio.get_running_loop(), self.draw, float(self.stage.scene.together.lease_ms) / 1000
+        loop, draw, lease = asyncio.get_running_loop(), self.draw, float(self.bed.scenario.together.lease_ms) / 1000
         end = loop.time() + float(f.for_s)
         while loop.time() < end:
             free = [
                 b.number
-                for b in self.stage.balancers
+                for b in self.bed.balancers
                 if b.up
                 and not b.paused
                 and not any(b.name in s.parties and s.kind in ("pause", "kill") for s in self.on)
@@ -207,17 +209,19 @@
                 if kind == "ban":
                     await self.beside(self.change_hands(one))
                 elif kind == "ticket":
-                    await self.beside(self.ticket(spec.Ticket(at_s=0.0, for_s=lease), one))
+                    await self.beside(self.ticket(scenario.Ticket(at_s=0.0, for_s=lease), one))
                 elif kind == "pause":
                     for_s = lease * (draw.uniform(0.95, 1.05) if draw.random() < 0.5 else draw.uniform(0.02, 2.0))
-                    await self.beside(self.pause(spec.Pause(at_s=0.0, balancer=one, for_s=for_s), one))
+                    await self.beside(self.pause(scenario.Pause(at_s=0.0, balancer=one, for_s=for_s), one))
                 elif kind == "kill":
-                    await self.beside(self.kill(spec.Kill(at_s=0.0, balancer=one, down_s=draw.uniform(0.05, 1.0)), one))
+                    await self.beside(
+                        self.kill(scenario.Kill(at_s=0.0, balancer=one, down_s=draw.uniform(0.05, 1.0)), one)
+                    )
                 else:
                     target = "store" if kind == "store_cut" else f"balancer:{other}"
                     ends = (f"balancer:{one}", target)
                     late = 0.0 if kind != "late" else lease * 1500
-                    way = spec.Way(
+                    way = scenario.Way(
                         at_s=0.0,
                         source=ends[draw.random() < 0.5],
                         target="",
@@ -231,31 +235,31 @@
 
     async def change_hands(self, balancer: int) -> None:
         """An operator takes an instance out, or calls back the one that has been out longest."""
-        assert self.stage.together
-        n, count = self.draw.randrange(len(self.stage.instances)), len(self.stage.instances)
+        assert self.operator is not None, "the scenario has a store"
+        n, count = self.draw.randrange(len(self.bed.servers)), len(self.bed.servers)
         if n not in self.out and len(self.out) < max(1, count // 4):
             self.out[n] = None
-            await self.stage.together.ban(balancer, n, True)
+            await self.operator.override_server(balancer, n, True)
         elif self.out:
             n = next(iter(self.out))
             del self.out[n]
-            await self.stage.together.ban(balancer, n, False)
+            await self.operator.override_server(balancer, n, False)
 
     async def beside(self, fault: Coroutine[Any, Any, None]) -> None:
         self.tasks.append(asyncio.get_running_loop().create_task(fault))
 
     # -- ways ------------------------------------------------------------------------------------------
 
-    async def way(self, f: spec.Way, number: int) -> None:
-        stage = self.stage
-        every = ["clients", "list", "store", *(b.name for b in stage.balancers), *(s.party for s in stage.instances)]
-        struck = {p for p in every for q in every if ways.strikes(f, p, q) or ways.strikes(f, q, p)}
-        datagrams = struck <= {b.name for b in stage.balancers}
+    async def way(self, f: scenario.Way, number: int) -> None:
+        bed = self.bed
+        every = ["clients", "list", "store", *(b.name for b in bed.balancers), *(s.party for s in bed.servers)]
+        struck = {p for p in every for q in every if network_faults.strikes(f, p, q) or network_faults.strikes(f, q, p)}
+        datagrams = struck <= {b.name for b in bed.balancers}
         # What balancers tell each other is no part of any rule: losing it excuses nothing.
         await self.lasting(
             f,
-            lambda: stage.ways.begin(f),
-            lambda: stage.ways.end(f),
+            lambda: bed.paths.begin(f),
+            lambda: bed.paths.end(f),
             *(() if datagrams else struck),
             lag_us=STREAM_SETTLE_US,
         )
--- a/glenrock/testbed/session_servers.py
+++ b/glenrock/testbed/session_servers.py
@@ -6,7 +6,7 @@
 import time
 from enum import Enum
 
-from ..stage.net import Address, Listener, cut_off
+from .loopback import Address, Listener, reset_connection
 from .records import NEVER, AttemptRecord, RunRecord
 
 REPORT = b"PONG util=0.30,queue=0,x0=0.30\r\n"
@@ -84,9 +84,9 @@
         self._listener.refuse()
         for record, writer in list(self._open.items()):
             record.ended_by_server = True
-            cut_off(writer)
+            reset_connection(writer)
         for writer in list(self._writers):
-            cut_off(writer)
+            reset_connection(writer)
 
     def end_all(self) -> None:
         """Serves all that stand there to their end; not while a line of it is under way in pieces."""
@@ -150,7 +150,7 @@
             return
         if self.mode is ServerMode.RESETS:
             record.ended_by_server = True
-            cut_off(writer)
+            reset_connection(writer)
             return
         if answer := ERROR_ANSWERS.get(self.mode.value):
             record.ended_by_server = True
--- a/glenrock/testbed/soak.py
+++ b/glenrock/testbed/soak.py
@@ -18,7 +18,7 @@
 from .clients import Client
 from .fault_player import FaultPlayer
 from .fault_schedule import PlannedFault, SoakPlan, draw
-from .invariants import Breach, Judge
+from .invariants import InvariantChecker, Violation
 
 END_S = 12.0  # for the last clients after the shutdown
 MAX_RUN_S = 90.0
@@ -34,7 +34,7 @@
     """What came of a run. `partial`: why it was not played to its end; empty where it was."""
 
     plan: SoakPlan
-    breaches: list[Breach] = field(default_factory=list)
+    breaches: list[Violation] = field(default_factory=list)
     log_lines: dict[int, list[str]] = field(default_factory=dict)
     answers: Counter[str] = field(default_factory=Counter)
     partial: str = ""
@@ -158,13 +158,13 @@
 
     def _judge(self) -> None:
         record, result = self._bed.record, self._result
-        result.breaches = Judge(record, self._plan.shape).breaches()
+        result.breaches = InvariantChecker(record, self._plan.shape).breaches()
         result.answers = Counter(request.answer.split(" ")[0] or "none" for request in record.requests)
         for process in self._bed.processes:
             lines = process.log_lines()
             bad = [line for line in lines if any(text in line for text in BAD_LOG_LINES)]
             if bad:
-                result.breaches.append(Breach("crash", 0.0, f"log: {bad[0]}", "", process.number))
+                result.breaches.append(Violation("crash", 0.0, f"log: {bad[0]}", "", process.number))
             if any(breach.balancer == process.number for breach in result.breaches):
                 result.log_lines[process.number] = lines
 
--- a/tests/coordination/test_stores.py
+++ b/tests/coordination/test_stores.py
@@ -12,8 +12,8 @@
 from glenrock.coordination.leases.consul_store import ConsulStore, escape_key, unescape_key
 from glenrock.coordination.leases.sqlite_store import AsyncSqliteStore
 from glenrock.coordination.leases.store import LeaseStore, Record, StoreUnavailableError
-from glenrock.stage.consul import Consul
-from glenrock.stage.net import Net
+from glenrock.testbed.consul_server import ConsulServer
+from glenrock.testbed.loopback import LoopbackNetwork
 
 LEASE = 300_000
 
@@ -23,7 +23,7 @@
 
     def __init__(self, kind: str, folder: Path) -> None:
         self.kind, self.folder = kind, folder
-        self.consul = Consul(Net().next(), 0.0) if kind == "consul" else None
+        self.consul = ConsulServer(LoopbackNetwork().next(), 0.0) if kind == "consul" else None
         self.clients: list[LeaseStore] = []
 
     def client(self, holder: str, lock_delay_us: int = 0, token: str = "") -> LeaseStore:
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -201,7 +201,7 @@
         "import sys, glenrock.__main__; found = ' '.join(sorted({m.split('.')[0] for m in sys.modules} & "
         "{'click', 'msgspec', 'numpy', 'matplotlib', 'rich', 'jinja2', 'hdrh', 'xxhash', 'structlog', 'aiohttp'}))"
     )
-    tools = ("glenrock.lab", "glenrock.stage", "glenrock.coordination")
+    tools = ("glenrock.lab", "glenrock.testbed", "glenrock.coordination")
     code += f"; found += ' '.join(m for m in sys.modules if m.startswith({tools}))"
     code += "\nsys.exit(found or 0)"
     done = subprocess.run(
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -20,16 +20,16 @@
         "log",
         "net",
         "program",
-        "stage",
         "testbed",
         "toml_file",
         "upgrade",
     ),
-    "net": ("__main__", "program", "admin", "cli", "coordination", "lab", "stage", "upgrade", "testbed"),
-    "upgrade": ("__main__", "program", "admin", "cli", "coordination", "lab", "stage", "testbed"),
-    "admin": ("__main__", "program", "cli", "coordination", "lab", "stage", "testbed"),
-    "coordination": ("__main__", "program", "cli", "lab", "stage", "testbed"),
-    "lab": ("__main__", "program", "admin", "cli", "net", "stage", "upgrade", "testbed"),
+    "net": ("__main__", "program", "admin", "cli", "coordination", "lab", "upgrade", "testbed"),
+    "upgrade": ("__main__", "program", "admin", "cli", "coordination", "lab", "testbed"),
+    "admin": ("__main__", "program", "cli", "coordination", "lab", "testbed"),
+    "coordination": ("__main__", "program", "cli", "lab", "testbed"),
+    "testbed": ("__main__", "program", "admin", "cli", "net", "upgrade"),
+    "lab": ("__main__", "program", "admin", "cli", "net", "upgrade", "testbed"),
 }
 # Circles that are still there; the list only shrinks.
 KNOWN_CIRCLES = {
@@ -46,7 +46,6 @@
         }
     ),
     frozenset({"lab.model.balancer", "lab.model.client", "lab.model.instance"}),
-    frozenset({"stage.faults", "stage.run", "stage.together"}),
 }
 
 
--- a/tests/test_recorded.py
+++ b/tests/test_recorded.py
@@ -23,9 +23,9 @@
 from glenrock.lab import record as lab_record
 from glenrock.lab import spec
 from glenrock.routing.gossip_codec import decode
-from glenrock.stage import spec as scene_spec
-from glenrock.stage.consul import Consul
-from glenrock.stage.net import Net
+from glenrock.testbed import scenario as scene_spec
+from glenrock.testbed.consul_server import ConsulServer
+from glenrock.testbed.loopback import LoopbackNetwork
 from glenrock.upgrade import override_file, relay_message
 
 RECORDED = Path(__file__).parent / "recorded"
@@ -80,7 +80,7 @@
 
 def test_keys_at_consul_are_read() -> None:
     async def story() -> None:
-        consul = Consul(Net().next(), 0.0)
+        consul = ConsulServer(LoopbackNetwork().next(), 0.0)
         await consul.open()
         store = ConsulStore(["{}:{}".format(*consul.address)], "n2.1", 300_000)
         try:
--- a/tests/stage/scenes.py
+++ b/tests/testbed/scenarios.py
@@ -8,7 +8,7 @@
 
 from glenrock import toml_file
 from glenrock.lab import spec as lab
-from glenrock.stage import run, spec
+from glenrock.testbed import scenario, scenario_runner, scenario_testbed
 
 PATH = Path("scene.toml")
 SMALL: dict[str, Any] = {
@@ -27,12 +27,12 @@
 }
 
 
-def scene(**over: Any) -> spec.Scene:
-    found = toml_file.convert(PATH, "", lab.merge(SMALL, over), spec.Scene)
-    spec.check(found, PATH, "")
+def scene(**over: Any) -> scenario.Scenario:
+    found = toml_file.convert(PATH, "", lab.merge(SMALL, over), scenario.Scenario)
+    scenario.check(found, PATH, "")
     return found
 
 
-def played(seed: int = 1, **over: Any) -> tuple[run.Stage, dict[str, Any]]:
+def played(seed: int = 1, **over: Any) -> tuple[scenario_testbed.ScenarioTestbed, dict[str, Any]]:
     with tempfile.TemporaryDirectory() as folder:
-        return run.play(scene(**over), seed, Path(folder))
+        return scenario_runner.play(scene(**over), seed, Path(folder))
--- a/tests/stage/test_processes.py
+++ b/tests/testbed/test_balancer_process.py
@@ -1,4 +1,4 @@
-"""Processes of the program: paused, killed, and none that outlives the stage."""
+"""Processes of the program: paused, killed, and none that outlives the testbed."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 from glenrock.routing import interface
 from glenrock.routing.settings_codec import settings_of
-from glenrock.stage import config, processes
-from glenrock.stage.history import History
-from glenrock.stage.net import Net
+from glenrock.testbed import balancer_settings, scenario_processes
+from glenrock.testbed.history import History
+from glenrock.testbed.loopback import LoopbackNetwork
 
 
-def told(net: Net) -> dict:
+def told(net: LoopbackNetwork) -> dict:
     host, port = net.balancer(190)
     s = interface.Settings(
         classes=(interface.RequestClass("browse", 300_000, 1_500_000, 90_000, 2.0),),
@@ -26,14 +26,14 @@
         load_report_fields=("load_ratio", "backlog"),
         may_health_check=True,
     )
-    assert settings_of(config.settings(s, ("all",))) == s
+    assert settings_of(balancer_settings.settings(s, ("all",))) == s
     return {
         "name": "n0",
         "listen": f"{host}:{port}",
         "discovery": f"{host}:9",
         "seed": "1",
         "limits": {"sockets": 128},
-        "settings": config.settings(s, ("all",)),
+        "settings": balancer_settings.settings(s, ("all",)),
     }
 
 
@@ -53,7 +53,7 @@
 
 def test_a_process_is_started_paused_resumed_squeezed_and_ended_whatever_its_state(tmp_path) -> None:
     h = History(lambda: 0)
-    b = processes.Balancer(0, tmp_path / "b", told(Net()), h, 512)
+    b = scenario_processes.Balancer(0, tmp_path / "b", told(LoopbackNetwork()), h, 512)
     try:
         b.begin()
         pid = b.process.pid
@@ -74,17 +74,17 @@
 
 
 def test_no_process_outlives_a_stage_that_is_killed(tmp_path) -> None:
-    (tmp_path / "told.json").write_text(json.dumps(told(Net())))
+    (tmp_path / "told.json").write_text(json.dumps(told(LoopbackNetwork())))
     code = (
-        "import json, sys, time; from pathlib import Path; from glenrock.stage import processes, history\n"
+        "import json, sys, time; from pathlib import Path; from glenrock.testbed import scenario_processes, history\n"
         "told = json.loads(Path('told.json').read_text())\n"
-        "b = processes.Balancer(0, Path('b'), told, history.History(lambda: 0), 512)\n"
+        "b = scenario_processes.Balancer(0, Path('b'), told, history.History(lambda: 0), 512)\n"
         "b.begin(); print(b.process.pid, flush=True); time.sleep(60)"
     )
-    stage = subprocess.Popen([sys.executable, "-c", code], stdout=subprocess.PIPE, cwd=tmp_path)
-    pid = int(stage.stdout.readline())
+    testbed = subprocess.Popen([sys.executable, "-c", code], stdout=subprocess.PIPE, cwd=tmp_path)
+    pid = int(testbed.stdout.readline())
     assert state(pid) != "gone"
-    stage.send_signal(signal.SIGKILL)
-    stage.wait()
-    stage.stdout.close()
+    testbed.send_signal(signal.SIGKILL)
+    testbed.wait()
+    testbed.stdout.close()
     assert until(lambda: state(pid) in ("gone", "Z"))
--- a/tests/stage/test_coldstart.py
+++ b/tests/testbed/test_cold_start.py
@@ -8,11 +8,11 @@
 import pytest
 
 from glenrock.cli.main import run as command
-from glenrock.stage import run
-from glenrock.stage.history import S
-from glenrock.stage.run import Stage
+from glenrock.testbed import scenario_runner
+from glenrock.testbed.history import S
+from glenrock.testbed.scenario_testbed import ScenarioTestbed
 
-from .scenes import played, scene
+from .scenarios import played, scene
 
 SILENT = [{"kind": "list_fault", "at_s": 3.0, "how": "silent", "for_s": 4.0}]
 CUT = [{"kind": "way", "at_s": 3.0, "source": "balancer:*", "target": "list", "cut": True, "for_s": 4.0}]
@@ -34,17 +34,17 @@
     ids=["nothing kept", "killed at once", "cut from the list", "killed in turn, a server gone"],
 )
 def test_all_that_start_while_the_list_is_silent_serve_by_what_was_kept(keep: bool, faults: list) -> None:
-    stage, s = played(
+    bed, s = played(
         seed=3, length_s=10.0, rig={"known": False}, together={"store": "sqlite", "keep": keep}, faults=faults
     )
     assert not s["breaches"], [(b["rule"], b["text"], *b["led"]) for b in s["breaches"]]
-    day = stage.history.day
-    ups = [e.at - day for e in stage.history.each("up")]
-    broken = [e.at - day for e in stage.history.each("over")]
+    day = bed.history.day
+    ups = [e.at - day for e in bed.history.each("up")]
+    broken = [e.at - day for e in bed.history.each("over")]
     assert s["counts"]["broken"] >= 10 and broken
     silent = [at for at in ups if 4.0 * S <= at < 6.9 * S]  # all are up again, and the list is not
     assert (len(silent) >= 10) is keep and bool(silent) is keep, (len(silent), s["counts"])
-    lines = [str(e.data["text"]) for e in stage.history.each("log") if "start: " in str(e.data["text"])]
+    lines = [str(e.data["text"]) for e in bed.history.each("log") if "start: " in str(e.data["text"])]
     assert sum("its list of 4 servers is used" in line for line in lines) == keep * (
         len(faults) - len(SILENT) - (GONE[0] in faults)
     )
@@ -55,22 +55,22 @@
 
 @pytest.mark.parametrize("spaced", [False, True])
 def test_one_that_dies_again_and_again_opens_its_door_ever_later_and_once_it_lives_it_serves(spaced: bool) -> None:
-    stage, s = played(
+    bed, s = played(
         seed=5, length_s=17.0, together={"store": "sqlite", "spaced": spaced, "sound_ms": 6000.0}, faults=LOOP
     )
     assert not s["breaches"], [(b["rule"], b["text"], *b["led"]) for b in s["breaches"]]
-    day = stage.history.day
-    taken = [(e.at - day) / S for e in stage.history.each("takes in") if e.data["balancer"] == 0 and e.at > day]
+    day = bed.history.day
+    taken = [(e.at - day) / S for e in bed.history.each("takes in") if e.data["balancer"] == 0 and e.at > day]
     late = [at for at in taken if 7.1 < at < 8.5]  # of a life that waits at least as long as it has
     assert (not late) is spaced, taken
     waits = [
         float(str(e.data["text"]).partition("opens in ")[2][:-2])
-        for e in stage.history.each("log")
+        for e in bed.history.each("log")
         if "the door opens in" in str(e.data["text"])
     ]
     assert (len(waits) >= 3) is spaced and waits == sorted(waits), waits
     assert taken[-1] > 8.5, "it serves once it lives"
-    ups = [e for e in stage.history.each("up") if (e.at - day) / S > taken[-1]]
+    ups = [e for e in bed.history.each("up") if (e.at - day) / S > taken[-1]]
     assert ups or s["counts"]["set_up"] > 20
 
 
@@ -78,9 +78,9 @@
     """Two of three are killed while the list is silent, and asked while they serve without it."""
     found: list[tuple[int, str]] = []
 
-    def live(stage: Stage) -> None:
-        if not found and stage.clients.seconds() > 6:
-            at = [f"{host}:{port}" for host, port in map(stage.net.admin, range(3))]
+    def live(bed: ScenarioTestbed) -> None:
+        if not found and bed.clients.seconds() > 6:
+            at = [f"{host}:{port}" for host, port in map(bed.network.admin, range(3))]
             code = command(["fleet", "start-report", *(word for address in at for word in ("--at", address))])
             found.append((code, capsys.readouterr().out))
 
@@ -91,7 +91,7 @@
             together={"store": "sqlite", "keep": True},
             faults=[*SILENT, *KILLED[:2]],
         )
-        run.play(told, 3, Path(folder), live)
+        scenario_runner.play(told, 3, Path(folder), live)
     [(code, text)] = found
     rows = {line.split()[0]: line for line in text.splitlines()}
     assert code == 0 and text.splitlines()[1].startswith("n2") and {"n0", "n1", "n2"} <= set(rows), text
--- a/tests/stage/test_owner.py
+++ b/tests/testbed/test_coordination.py
@@ -4,12 +4,12 @@
 
 import pytest
 
-from glenrock.stage import judge
-from glenrock.stage.history import History
-from glenrock.stage.judge_together import figures
+from glenrock.testbed import history_invariants
+from glenrock.testbed.coordination_invariants import figures
+from glenrock.testbed.history import History
 from glenrock.toml_file import InputFileError
 
-from .scenes import played, scene
+from .scenarios import played, scene
 
 LEASE_MS = 700.0
 TOGETHER = {"lease_ms": LEASE_MS, "ask_ms": 250.0}
@@ -41,7 +41,7 @@
 @pytest.mark.parametrize("store", RUNS)
 def test_struck_at_drawn_instants_effects_come_in_order_tickets_are_counted_and_all_agree(store) -> None:
     together = {**TOGETHER, "store": store, "late": 1.3}
-    stage, s = played(seed=4, length_s=11.0, together=together, faults=RUNS[store])
+    bed, s = played(seed=4, length_s=11.0, together=together, faults=RUNS[store])
     assert not s["breaches"], [(b["rule"], b["text"], *b["led"]) for b in s["breaches"]]
     t = s["together"]
     assert t["terms"] >= 2 and t["struck"] > 8 and s["seen"]["terms"] and s["seen"]["agreed"]
@@ -52,7 +52,7 @@
     cut = {"kind": "way", "at_s": 0.0, "source": "balancer:*", "target": "balancer:*", "for_s": 3.0, "cut": True}
     # Later than from an old owner's last mark to a new term.
     late = {**cut, "at_s": 3.0, "for_s": 5.0, "cut": False, "delay_ms": 3000.0}
-    stage, s = played(
+    bed, s = played(
         seed=1,
         length_s=9.0,
         together={**TOGETHER, "store": "sqlite"},
@@ -70,7 +70,7 @@
 
 
 def test_with_the_store_gone_clients_are_served_a_ban_holds_where_it_was_told_and_reaches_all_later() -> None:
-    stage, s = played(
+    bed, s = played(
         seed=2,
         length_s=9.0,
         together={**TOGETHER, "store": "consul"},
@@ -83,7 +83,7 @@
     assert not s["breaches"] and s["counts"]["set_up"] > 20, s["breaches"]
     t = s["together"]
     assert (t["told"], t["told_later"], t["drained"], t["drains_refused"]) == (0, 1, 0, 1)
-    lines = [e for e in stage.history.each("line") if e.who == "instance:2" and e.at > stage.history.day + 2e6]
+    lines = [e for e in bed.history.each("line") if e.who == "instance:2" and e.at > bed.history.day + 2e6]
     assert not [e for e in lines if e.data["balancer"] == 0]
 
 
@@ -138,13 +138,15 @@
 )
 def test_the_judge_sees_what_is_not_kept(events, broken) -> None:
     h = history(*sorted(events, key=lambda e: e[0]))
-    v = judge.judge(h, judge.Figures(2500.0, tickets=1))
+    v = history_invariants.judge(h, history_invariants.Figures(2500.0, tickets=1))
     assert {b.rule for b in v.breaches} == ({broken} if broken else set())
     assert sum(v.seen.values()) > 0 and figures(h, 1000)["taken"] == sum(e.data["ok"] for e in h.each("effect"))
 
 
 def test_who_says_another_thing_at_the_end_is_told() -> None:
-    v = judge.judge(history(effect(1, 5, 1)), judge.Figures(2500.0, apart=("balancer 2: {}",)))
+    v = history_invariants.judge(
+        history(effect(1, 5, 1)), history_invariants.Figures(2500.0, apart=("balancer 2: {}",))
+    )
     assert [b.rule for b in v.breaches] == ["agreed"] and "balancer 2" in v.breaches[0].text
 
 
--- a/tests/stage/test_ways.py
+++ b/tests/testbed/test_network_faults.py
@@ -6,8 +6,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from glenrock.stage import ways
-from glenrock.stage.spec import Way
+from glenrock.testbed import network_faults
+from glenrock.testbed.scenario import Way
 
 PARTIES = ["clients", "list", "balancer:0", "balancer:12", "instance:0"]
 
@@ -28,16 +28,16 @@
     ],
 )
 def test_what_a_pattern_matches(pattern, party, does) -> None:
-    assert ways.matches(pattern, party) is does
+    assert network_faults.matches(pattern, party) is does
 
 
 def test_a_fault_strikes_its_direction_alone() -> None:
-    w = ways.Ways((way(cut=True),))
+    w = network_faults.NetworkPaths((way(cut=True),))
     w.begin(w.planned[0])
     assert w.of("balancer:0", "instance:0").cut and not w.of("instance:0", "balancer:0").cut
     assert w.needs("instance:0", "balancer:0") and not w.needs("balancer:1", "instance:0")
     w.end(w.planned[0])
-    assert w.of("balancer:0", "instance:0") == ways.WHOLE
+    assert w.of("balancer:0", "instance:0") == network_faults.WHOLE
 
 
 faults = st.builds(
@@ -53,14 +53,14 @@
 
 @given(st.lists(faults, max_size=4), faults)
 def test_one_more_fault_never_makes_a_direction_better(some, more) -> None:
-    before, after = ways.together(some), ways.together([*some, more])
+    before, after = network_faults.together(some), network_faults.together([*some, more])
     assert after.loss >= before.loss - 1e-9 and after.delay >= before.delay and after.cut >= before.cut
     assert not before.trickle or 0 < after.trickle <= before.trickle
 
 
 @given(st.lists(faults, max_size=5), st.randoms())
 def test_whoever_listens_hears_of_each_change_and_all_is_whole_in_the_end(some, draw) -> None:
-    w, heard = ways.Ways(tuple(some)), []
+    w, heard = network_faults.NetworkPaths(tuple(some)), []
     w.listeners.append(lambda: heard.append(len(w.now)))
     for f in some:
         w.begin(f)
@@ -69,4 +69,4 @@
     for f in order:
         w.end(f)
     assert len(heard) == 2 * len(some)
-    assert all(w.of(p, q) == ways.WHOLE for p in PARTIES for q in PARTIES)
+    assert all(w.of(p, q) == network_faults.WHOLE for p in PARTIES for q in PARTIES)
--- a/tests/stage/test_relays.py
+++ b/tests/testbed/test_network_relays.py
@@ -7,16 +7,16 @@
 
 import pytest
 
-from glenrock.stage.net import Listener, Net
-from glenrock.stage.relays import Post, TcpRelay
-from glenrock.stage.spec import Way
-from glenrock.stage.ways import Ways
+from glenrock.testbed.loopback import Listener, LoopbackNetwork
+from glenrock.testbed.network_faults import NetworkPaths
+from glenrock.testbed.network_relays import DatagramRelays, StreamRelay
+from glenrock.testbed.scenario import Way
 
 NUMBERS = itertools.count(3)
 
 
-def net() -> Net:
-    base = Net()
+def net() -> LoopbackNetwork:
+    base = LoopbackNetwork()
     base.ports += 500 * next(NUMBERS)  # beside those of other tests of this process
     return base
 
@@ -29,10 +29,10 @@
     """An instance that answers each line, behind a relay."""
 
     async def __aenter__(self) -> Echo:
-        self.ways, n = Ways(()), net()
+        self.ways, n = NetworkPaths(()), net()
         self.there, self.got, self.ended = Listener(n.next(), self.serve), [], asyncio.Event()
         self.there.open()
-        self.relay = TcpRelay(self.ways, "balancer:0", "instance:0", n.next(), self.there.address)
+        self.relay = StreamRelay(self.ways, "balancer:0", "instance:0", n.next(), self.there.address)
         self.relay.open()
         return self
 
@@ -139,8 +139,8 @@
     """What two balancers hear of what each sends the other."""
 
     async def run() -> list[list[bytes]]:
-        n, heard, ways = net(), [[], []], Ways(())
-        post = Post(ways, n, 2, seed=5)
+        n, heard, ways = net(), [[], []], NetworkPaths(())
+        post = DatagramRelays(ways, n, 2, seed=5)
         await post.open()
         if fault:
             ways.begin(fault)
--- a/tests/stage/test_spec.py
+++ b/tests/testbed/test_scenario.py
@@ -1,4 +1,4 @@
-"""Stage files: what is wrong is told in one line, with file, line and key."""
+"""Scenario files: what is wrong is told in one line, with file, line and key."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import pytest
 
 from glenrock.cli.main import run
-from glenrock.stage import spec
+from glenrock.testbed import scenario
 
 SCENES = Path(__file__).resolve().parents[2] / "scenes"
 FAULT = '[[faults]]\nkind = "{}"\nat_s = 1.0\n'
@@ -15,7 +15,7 @@
 
 @pytest.mark.parametrize("file", sorted(SCENES.glob("*.toml")), ids=lambda p: p.stem)
 def test_what_is_shipped_is_sound(file) -> None:
-    assert spec.load(file).faults
+    assert scenario.load(file).faults
 
 
 @pytest.mark.parametrize(
--- a/tests/stage/test_run.py
+++ b/tests/testbed/test_scenario_runner.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from glenrock.stage import faults
+from glenrock.testbed import scenario_faults
 
-from .scenes import played
+from .scenarios import played
 
 RUNS = {
     "processes": [
@@ -41,17 +41,17 @@
 
 @pytest.mark.parametrize("name", RUNS)
 def test_the_rules_are_kept_through_faults_and_service_comes_back(name) -> None:
-    stage, s = played(seed=3, length_s=9.0, faults=RUNS[name])
+    bed, s = played(seed=3, length_s=9.0, faults=RUNS[name])
     assert not s["breaches"], [(b["rule"], b["text"], *b["led"]) for b in s["breaches"]]
-    struck = {e.data["kind"] for e in stage.history.each("fault")}
+    struck = {e.data["kind"] for e in bed.history.each("fault")}
     assert struck == {f["kind"] for f in RUNS[name]}
     assert s["seen"]["answered"] > 20 and s["seen"]["repeated"] > 10, "the judge had something to look at"
-    assert stage.measure.series["standing"][-1] >= 0.6 * (
-        stage.measure.series["standing"][-1] + stage.measure.series["line"][-1]
+    assert bed.measure.series["standing"][-1] >= 0.6 * (
+        bed.measure.series["standing"][-1] + bed.measure.series["line"][-1]
     )
-    assert not any(b.up for b in stage.balancers)
+    assert not any(b.up for b in bed.balancers)
     if name == "processes":
-        assert [b.lives for b in stage.balancers] == [2, 1, 2]
+        assert [b.lives for b in bed.balancers] == [2, 1, 2]
         assert s["counts"]["moved"] > 0, "the one that was told to go moved its clients"
     if name == "ways":
         assert s["counts"]["datagrams_lost"] > 0 and s["counts"]["datagrams"] > 0
@@ -67,8 +67,10 @@
 
 def test_a_kill_that_the_judge_is_not_told_of_is_a_breach(monkeypatch) -> None:
     """Planted: what excuses a killed process is left out, so its clients count as cut off by the program."""
-    strike = faults.Faults.strike
-    monkeypatch.setattr(faults.Faults, "strike", lambda self, f, *parties, lag_us=0: strike(self, f))
+    strike = scenario_faults.ScenarioFaultPlayer.strike
+    monkeypatch.setattr(
+        scenario_faults.ScenarioFaultPlayer, "strike", lambda self, f, *parties, lag_us=0: strike(self, f)
+    )
     _, s = played(seed=3, length_s=4.0, faults=[{"kind": "kill", "at_s": 2.0, "balancer": 0, "down_s": 0.5}])
     assert s["rules"]["cut_off"] > 0 and not s["rules"]["repeated"] and not s["excused"]
 
--- a/tests/test_soak.py
+++ b/tests/testbed/test_soak.py
@@ -11,7 +11,7 @@
 from glenrock.testbed.bed import BedShape
 from glenrock.testbed.endpoint_directory import DRAINING, SERVING
 from glenrock.testbed.fault_schedule import FaultKind, draw
-from glenrock.testbed.invariants import Judge
+from glenrock.testbed.invariants import InvariantChecker
 from glenrock.testbed.records import (
     NEVER,
     AttemptRecord,
@@ -39,7 +39,9 @@
 
 def rules(one: RequestRecord, *attempts: AttemptRecord, **over) -> list[str]:
     record = RunRecord(requests=[one], attempts=list(attempts), **over)
-    return [breach.rule for breach in Judge(record, BedShape(window_ms=500.0, drain_grace_ms=2500.0)).breaches()]
+    return [
+        breach.rule for breach in InvariantChecker(record, BedShape(window_ms=500.0, drain_grace_ms=2500.0)).breaches()
+    ]
 
 
 def test_a_sound_request_breaks_no_rule() -> None:
