--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,7 +1,13 @@
 from __future__ import annotations
 
 import pytest
-from known_red import pytest_collection_modifyitems, pytest_terminal_summary  # noqa: F401 - hooks
+from known_red import (  # noqa: F401 - hooks
+    pytest_collection_modifyitems,
+    pytest_configure,
+    pytest_sessionfinish,
+    pytest_terminal_summary,
+    pytest_testnodedown,
+)
 
 from glenrock.routing import Balancer, interface
 
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -30,12 +30,17 @@
     return known
 
 
-def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
+def pytest_configure(config: pytest.Config) -> None:
+    # Here and not at the collection: with pytest-xdist only the workers collect, and the controller prints the summary.
     file = Path(config.rootpath) / FILE
     try:
-        known = read(file.read_text()) if file.exists() else {}
+        config.stash[KNOWN] = read(file.read_text()) if file.exists() else {}
     except ValueError as bad:
         raise pytest.UsageError(str(bad)) from None
+
+
+def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
+    known = config.stash[KNOWN]
     seen = set()
     for item in items:
         for name in (item.nodeid, item.nodeid.partition("[")[0]):
@@ -44,15 +49,34 @@
                 item.add_marker(pytest.mark.xfail(reason=known[name], strict=True))
                 break
     collected = {item.nodeid.partition("::")[0] for item in items}
-    for name in known.keys() - seen:
+    unknown = []
+    for name in sorted(known.keys() - seen):
         path = name.partition("::")[0]
         # Where only some files are run, a test of another one is not unknown.
         if path in collected or not (Path(config.rootpath) / path).exists() or not config.args_source.name == "ARGS":
-            raise pytest.UsageError(f"{FILE}: {name} is no test")
-    config.stash[KNOWN] = known
+            unknown.append(name)
+    if unknown and hasattr(config, "workeroutput"):
+        # A usage error in a worker reaches the controller as an internal error without its message.
+        config.workeroutput[UNKNOWN_TESTS] = unknown
+    elif unknown:
+        raise pytest.UsageError(f"{FILE}: {unknown[0]} is no test")
+
+
+@pytest.hookimpl(optionalhook=True)
+def pytest_testnodedown(node, error) -> None:
+    """Collects the unknown tests of a worker of pytest-xdist, in the controller."""
+    found = getattr(node, "workeroutput", {}).get(UNKNOWN_TESTS, ())
+    node.config.stash.setdefault(UNKNOWN, set()).update(found)
+
+
+def pytest_sessionfinish(session: pytest.Session) -> None:
+    if session.config.stash.get(UNKNOWN, set()):
+        session.exitstatus = pytest.ExitCode.USAGE_ERROR
 
 
 def pytest_terminal_summary(terminalreporter) -> None:
+    for name in sorted(terminalreporter.config.stash.get(UNKNOWN, set())):
+        terminalreporter.line(f"ERROR: {FILE}: {name} is no test")
     known = terminalreporter.config.stash.get(KNOWN, {})
     if known:
         terminalreporter.section("known red")
@@ -61,3 +85,5 @@
 
 
 KNOWN: pytest.StashKey[dict[str, str]] = pytest.StashKey()
+UNKNOWN: pytest.StashKey[set[str]] = pytest.StashKey()
+UNKNOWN_TESTS = "known_red_unknown_tests"  # key of a worker's output
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -73,3 +73,24 @@
         timeout=60,
     )
     assert run.returncode == 1 and "1 failed" in run.stdout
+
+
+def test_workers_pass_over_known_failures_and_report_an_unexpected_pass(tmp_path: Path) -> None:
+    (tmp_path / "tests").mkdir()
+    (tmp_path / "pytest.ini").write_text("[pytest]\ntestpaths = tests\n")
+    (tmp_path / "tests" / "test_a.py").write_text(TESTS)
+    shutil.copy(Path(__file__).with_name("known_red.py"), tmp_path / "tests" / "conftest.py")
+    command = [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider", "-n", "2", "--dist", "loadfile"]
+
+    def run(known: str) -> subprocess.CompletedProcess[str]:
+        (tmp_path / "KNOWN-RED.txt").write_text(known)
+        return subprocess.run(command, cwd=tmp_path, capture_output=True, text=True, timeout=60)
+
+    both = RED + "tests/test_a.py::test_both | two of a kind | 8\n"
+    passed_over = run(both)
+    assert passed_over.returncode == 0 and "1 passed, 3 xfailed" in passed_over.stdout, passed_over.stdout
+    assert "tests/test_a.py::test_red: it is not mended (issue 7)" in passed_over.stdout
+    unexpected = run(both + "tests/test_a.py::test_green | it passes | 8\n")
+    assert unexpected.returncode == 1 and "[XPASS(strict)] it passes (issue 8)" in unexpected.stdout, unexpected.stdout
+    unknown = run("tests/test_a.py::test_gone | x | 1\n")
+    assert unknown.returncode == 4 and "tests/test_a.py::test_gone is no test" in unknown.stdout + unknown.stderr
