--- a/glenrock/__main__.py
+++ b/glenrock/__main__.py
@@ -13,6 +13,7 @@
 
 import uvloop
 
+from . import log
 from .config import Config, ConfigError, read
 from .net.clock import Clock
 from .program import Program, raise_descriptor_limit
@@ -54,6 +55,7 @@
         config = read(os.environ)
     except ConfigError as error:
         return _fail(error, EXIT_BAD_CONFIG)
+    log.configure(config.log)
     raise_descriptor_limit(config.sockets)
     try:
         uvloop.run(serve(config, Clock(), early_reloads))
--- a/glenrock/config.py
+++ b/glenrock/config.py
@@ -1,12 +1,14 @@
 """The one place where configuration is read, checked and given defaults.
 
-LB_CONFIG names a JSON file with everything; LB_NAME, LB_LISTEN, LB_DISCOVERY, LB_ADMIN and LB_FLEET win over it. The
-file may be read again while the program runs: then a key that it has changed wins over the variable.
+LB_CONFIG names a JSON file with everything; LB_NAME, LB_LISTEN, LB_DISCOVERY, LB_ADMIN, LB_FLEET, LB_LOG_LEVEL and
+LB_LOG_FORMAT win over it. The file may be read again while the program runs: then a key that it has changed wins over
+the variable.
 """
 
 from __future__ import annotations
 
 import json
+import logging
 from collections.abc import Mapping
 from dataclasses import dataclass, field, replace
 from typing import Any
@@ -14,6 +16,8 @@
 from glenrock.routing.interface import Settings
 from glenrock.routing.settings_codec import settings_of
 
+from .log import DEFAULT_FORMAT, DEFAULT_LEVEL, LEVELS, LogConfig
+
 Address = tuple[str, int]  # host and port
 
 DEFAULT_DESCRIPTORS = 1024  # where no limit is configured
@@ -28,8 +32,9 @@
     "admin": "LB_ADMIN",
     "fleet": "LB_FLEET",
 }
+LOG_VARIABLES = {"level": "LB_LOG_LEVEL", "format": "LB_LOG_FORMAT"}
 # A running program does not take these over.
-TAKEN_AT_START = ("name", "listen", "admin", "fleet", "peer_listen", "settings", "measures_delay")
+TAKEN_AT_START = ("name", "listen", "admin", "fleet", "peer_listen", "settings", "measures_delay", "log")
 
 
 class ConfigError(Exception):
@@ -55,6 +60,7 @@
         admin: where operators call; None where nobody listens.
         accept_fd: the clients' listening socket, where the platform holds it.
         fleet: path of the operator's file on what balancers do together; empty where nothing of it is loaded.
+        log: level and format of log lines.
         folder: `$TMPDIR`, where both processes of an upgrade keep what they share.
         filed: of the keys in `VARIABLES`, what the file itself says.
     """
@@ -73,6 +79,7 @@
     admin: Address | None = None
     accept_fd: int | None = None
     fleet: str = ""
+    log: LogConfig = field(default_factory=LogConfig)
     folder: str = ""
     filed: Mapping[str, Any] = field(default_factory=dict)
 
@@ -96,8 +103,10 @@
         unchanged = at_start is None or key not in filed or filed[key] == at_start.filed.get(key)
         if unchanged and (value := environment.get(variable)):
             from_variables[key] = value
+    log_from_variables = {key: value for key, name in LOG_VARIABLES.items() if (value := environment.get(name))}
+    log = {**_typed(raw, "log", dict, {}), **log_from_variables}
     return replace(
-        check({**raw, **from_variables}),
+        check({**raw, **from_variables, "log": log}),
         filed=filed,
         accept_fd=_accept_descriptor(environment),
         folder=environment.get("TMPDIR", ""),
@@ -157,9 +166,22 @@
         peers_all=_optional_address(raw, "peers_all"),
         admin=_optional_address(raw, "admin"),
         fleet=_typed(raw, "fleet", str, ""),
+        log=_log_config(_typed(raw, "log", dict, {})),
     )
 
 
+def _log_config(raw: dict[str, Any]) -> LogConfig:
+    level = _typed(raw, "level", str, DEFAULT_LEVEL, "log.").upper()
+    if level not in LEVELS:
+        raise ConfigError(f"log.level: expected one of {', '.join(LEVELS)}, got {level!r}")
+    line_format = _typed(raw, "format", str, DEFAULT_FORMAT, "log.")
+    try:
+        logging.Formatter(line_format).format(logging.makeLogRecord({}))
+    except (ValueError, TypeError) as error:
+        raise ConfigError(f"log.format: {error}") from error
+    return LogConfig(level, line_format)
+
+
 def _descriptor_limit(raw: dict[str, Any]) -> int:
     limits = _typed(raw, "limits", dict, {})
     descriptors: int = _typed(limits, "sockets", int, DEFAULT_DESCRIPTORS, "limits.")
