--- a/glenrock/admin/coordination_parts.py
+++ b/glenrock/admin/coordination_parts.py
@@ -8,24 +8,33 @@
 class ServerOverrides(Protocol):
     """Servers out of rotation at all balancers."""
 
-    async def set_override(self, server: str, out: bool) -> str:
-        """Out, or back. Returns why not; empty where it is done."""
+    async def set_override(self, server: str, out: bool) -> None:
+        """Takes a server out of rotation, or back.
+
+        Raises:
+            OperationRejectedError: the override is not stored.
+            OperationPendingError: the other balancers do not know of the override yet.
+        """
         ...
 
 
-class DrainTickets(Protocol):
-    """How many balancers may be drained at a time."""
+class DrainPermits(Protocol):
+    """Bounds how many balancers drain at a time."""
+
+    async def acquire_permit(self) -> None:
+        """Acquires a drain permit, unless one is held.
 
-    async def take(self) -> str:
-        """Takes a ticket. Returns why there is none; empty where it is held."""
+        Raises:
+            OperationRejectedError: no permit is free, or the store does not answer.
+        """
         ...
 
-    def proven(self) -> bool:
-        """Whether the ticket is held now."""
+    def drain_permit_is_valid(self) -> bool:
+        """Whether the permit is held now."""
         ...
 
-    def give_back(self) -> None:
-        """Gives the ticket back."""
+    def release_permit(self) -> None:
+        """Releases the permit, if one is held."""
         ...
 
 
@@ -38,7 +47,7 @@
         ...
 
     @property
-    def drain_limiter(self) -> DrainTickets | None:
+    def drain_limiter(self) -> DrainPermits | None:
         """How many may be drained at a time."""
         ...
 
--- a/glenrock/admin/operations.py
+++ b/glenrock/admin/operations.py
@@ -7,7 +7,7 @@
 from ..net.routing_actor import RoutingActor
 from ..net.server_connections import ServerRegistry
 from ..upgrade.override_sync import OverrideSync
-from .coordination_parts import Coordination, DrainTickets
+from .coordination_parts import Coordination, DrainPermits
 from .prometheus_text import MetricsSnapshot
 
 
@@ -35,9 +35,9 @@
         self._shutdown = shutdown
         self._override_sync = override_sync
 
-    def ready(self) -> str:
-        """Why no clients are taken; empty where they are."""
-        return self._shutdown.why() if self.serves else "not ready: clients are not taken yet"
+    def unready_reason(self) -> str | None:
+        """Why the balancer accepts no clients; None while it accepts them."""
+        return self._shutdown.unready_reason() if self.serves else "not ready: clients are not taken yet"
 
     def metrics(self) -> MetricsSnapshot:
         """The metrics now."""
@@ -59,35 +59,34 @@
         """Whether the server is in the endpoint list, or ever was."""
         return self._override_sync.knows(name)
 
-    async def suspend(self, name: str) -> str:
-        """Takes a server out of rotation. Returns why not; empty where it is done."""
-        return await self._set_override(name, True)
+    async def suspend(self, name: str) -> None:
+        """Takes a server out of rotation. Raises OperationError."""
+        await self._set_override(name, True)
 
-    async def resume(self, name: str) -> str:
-        """Takes a server back into rotation. Returns why not; empty where it is done."""
-        return await self._set_override(name, False)
+    async def resume(self, name: str) -> None:
+        """Takes a server back into rotation. Raises OperationError."""
+        await self._set_override(name, False)
 
-    async def _set_override(self, name: str, out: bool) -> str:
+    async def _set_override(self, name: str, out: bool) -> None:
         if self.coordination and self.coordination.overrides:
-            return await self.coordination.overrides.set_override(name, out)
-        return await self._override_sync.set_override(name, out)
-
-    async def drain(self) -> str:
-        """Sends this balancer's clients away. Returns why not; empty where it is begun."""
-        tickets = self._drain_tickets()
-        if tickets and (reason := await tickets.take()):
-            return reason
-        return self._shutdown.by_hand(tickets.proven if tickets else None)
-
-    async def activate(self) -> str:
-        """Takes clients again. Returns why not; empty where it is done."""
-        reason = self._shutdown.back()
-        tickets = self._drain_tickets()
-        if tickets and not reason:
-            tickets.give_back()
-        return reason
-
-    def _drain_tickets(self) -> DrainTickets | None:
+            await self.coordination.overrides.set_override(name, out)
+        else:
+            await self._override_sync.set_override(name, out)
+
+    async def drain(self) -> None:
+        """Starts to drain this balancer. Raises OperationRejectedError."""
+        permits = self._drain_permits()
+        if permits:
+            await permits.acquire_permit()
+        self._shutdown.start_manual_drain(permits.drain_permit_is_valid if permits else None)
+
+    async def activate(self) -> None:
+        """Ends the drain. Raises OperationRejectedError."""
+        self._shutdown.end_manual_drain()
+        if permits := self._drain_permits():
+            permits.release_permit()
+
+    def _drain_permits(self) -> DrainPermits | None:
         return self.coordination.drain_limiter if self.coordination else None
 
     def coordination_view(self) -> str:
--- a/glenrock/admin/routes.py
+++ b/glenrock/admin/routes.py
@@ -6,6 +6,7 @@
 from typing import NamedTuple, Protocol
 from urllib.parse import unquote_to_bytes
 
+from ..operation_errors import OperationPendingError, OperationRejectedError
 from .http_message import HttpResponse
 from .prometheus_text import CONTENT_TYPE, MetricsSnapshot
 
@@ -14,10 +15,10 @@
 
 
 class Operations(Protocol):
-    """What operators may ask for. Each returns why not; empty where it was done, or holds."""
+    """What operators may ask for. Each call raises an OperationError unless it took effect at every balancer."""
 
-    def ready(self) -> str:
-        """Whether clients are taken."""
+    def unready_reason(self) -> str | None:
+        """Why the balancer accepts no clients; None while it accepts them."""
         ...
 
     def metrics(self) -> MetricsSnapshot:
@@ -28,19 +29,19 @@
         """Whether the server is in the endpoint list, or ever was."""
         ...
 
-    async def suspend(self, name: str) -> str:
+    async def suspend(self, name: str) -> None:
         """Takes a server out of rotation."""
         ...
 
-    async def resume(self, name: str) -> str:
+    async def resume(self, name: str) -> None:
         """Takes a server back into rotation."""
         ...
 
-    async def drain(self) -> str:
+    async def drain(self) -> None:
         """Sends clients away."""
         ...
 
-    async def activate(self) -> str:
+    async def activate(self) -> None:
         """Takes clients again."""
         ...
 
@@ -49,12 +50,6 @@
         ...
 
 
-class Later(str):
-    """Why it is not done everywhere yet, though it is here, and will be."""
-
-    __slots__ = ()
-
-
 class Route(NamedTuple):
     """A path without parameters: its method, and what answers it."""
 
@@ -88,14 +83,19 @@
     if not operations.listed(server):
         return HttpResponse(404, "no session server of that id was ever listed\n")
     if action == "suspend":
-        return _outcome(await operations.suspend(server), "out of rotation")
-    return _outcome(await operations.resume(server), "may serve again")
+        return await _outcome(operations.suspend(server), "out of rotation")
+    return await _outcome(operations.resume(server), "may serve again")
 
 
-def _outcome(reason: str, done: str) -> HttpResponse:
-    if isinstance(reason, Later):
-        return HttpResponse(202, reason + "\n")
-    return HttpResponse(503, reason + "\n") if reason else HttpResponse(200, done + "\n")
+async def _outcome(call: Awaitable[None], done: str) -> HttpResponse:
+    """Carries a call out. The one place that maps its outcome to a status and a text."""
+    try:
+        await call
+    except OperationPendingError as error:
+        return HttpResponse(202, error.reason + "\n")
+    except OperationRejectedError as error:
+        return HttpResponse(503, error.reason + "\n")
+    return HttpResponse(200, done + "\n")
 
 
 def _method_not_allowed(method: str, wanted: str) -> HttpResponse:
@@ -103,7 +103,8 @@
 
 
 async def _ready(operations: Operations) -> HttpResponse:
-    return _outcome(operations.ready(), "takes clients")
+    reason = operations.unready_reason()
+    return HttpResponse(503, reason + "\n") if reason else HttpResponse(200, "takes clients\n")
 
 
 async def _metrics(operations: Operations) -> HttpResponse:
@@ -111,11 +112,11 @@
 
 
 async def _drain(operations: Operations) -> HttpResponse:
-    return _outcome(await operations.drain(), "clients are sent away")
+    return await _outcome(operations.drain(), "clients are sent away")
 
 
 async def _activate(operations: Operations) -> HttpResponse:
-    return _outcome(await operations.activate(), "takes clients")
+    return await _outcome(operations.activate(), "takes clients")
 
 
 async def _coordination(operations: Operations) -> HttpResponse:
--- a/glenrock/coordination/agent.py
+++ b/glenrock/coordination/agent.py
@@ -133,7 +133,7 @@
     async def stop(self) -> None:
         """Gives back what is held, but for a ticket: the restart that it was for goes on without this process."""
         context = self._context
-        await context.leases.stop(keep=self.drain_limiter.held if self.drain_limiter else "")
+        await context.leases.stop(keep=self.drain_limiter.permit if self.drain_limiter else "")
         context.tasks.cancel()
         if self._start_backoff:  # after the leases are free: a disk may take seconds
             await asyncio.to_thread(self._start_backoff.record_orderly_end)
@@ -167,7 +167,7 @@
             "start": {"says": kept, **self._milestones.view()},
             "wishes": len(overrides.pending),
             "digest": f"{overrides.digest:016x}",
-            "ticket": self.drain_limiter.held if self.drain_limiter else "",
+            "ticket": self.drain_limiter.permit if self.drain_limiter else "",
         }
         return json.dumps(shown, indent=1)
 
--- a/glenrock/coordination/drain_limiter.py
+++ b/glenrock/coordination/drain_limiter.py
@@ -7,8 +7,10 @@
 from __future__ import annotations
 
 import asyncio
+import contextlib
 
 from ..log import say
+from ..operation_errors import OperationRejectedError
 from .context import CoordinationContext
 from .durable_state import Ticket
 from .leases.candidate import LeaseAcquired, LeaseLost
@@ -27,10 +29,10 @@
 
 
 class DrainLimiter:
-    """This balancer's ticket. `held`: its job; empty while there is none."""
+    """This balancer's ticket. `permit`: its job; empty while there is none."""
 
     def __init__(self, context: CoordinationContext, tickets: int) -> None:
-        self.held = ""
+        self.permit = ""
         self._context = context
         self._leases = context.leases
         start = stable_hash(context.name) % tickets  # so that all who ask at once do not ask for the same
@@ -45,38 +47,44 @@
         self._context.tasks.run(self._give_back_old_tickets())
         self._context.tasks.run(self._record_work())
 
-    async def take(self) -> str:
-        """Takes a ticket. Returns why there is none; empty where it is held."""
+    async def acquire_permit(self) -> None:
+        """Acquires a drain permit, unless one is held.
+
+        Raises:
+            OperationRejectedError: all permits are held by others, or the store does not answer in time.
+        """
         async with self._one_call:
-            if self.held:
-                return ""
+            if self.permit:
+                return
             loop = asyncio.get_running_loop()
             until_s = loop.time() + ANSWER_TIMEOUT_S
             try:
                 leases = await asyncio.wait_for(self._leases.store.leases(self._jobs), ANSWER_TIMEOUT_S)
             except (StoreUnavailableError, TimeoutError) as error:
                 self._leases.record_store_error(error)
-                return f"not done: the store of tickets does not answer: {error or 'no answer in time'}"
+                raise OperationRejectedError(
+                    f"not done: the store of tickets does not answer: {error or 'no answer in time'}"
+                ) from error
             for job in self._jobs:
                 lease = leases.get(job)
                 if not (lease and lease.holder) and await self._acquire(job, until_s - loop.time()):
-                    return ""
-            return self._refusal(leases)
+                    return
+            raise OperationRejectedError(self._rejection_reason(leases))
 
-    def _refusal(self, leases: dict[str, Lease]) -> str:
+    def _rejection_reason(self, leases: dict[str, Lease]) -> str:
         names = {lease.holder.partition("/")[0] for lease in leases.values() if lease.holder}
         holders = ", ".join(sorted(names)) or "just taken by others"
         return f"not done: {len(self._jobs)} may be drained at a time, and are: {holders}"
 
-    def proven(self) -> bool:
+    def drain_permit_is_valid(self) -> bool:
         """Whether the ticket is held now; where it is not, the drain ends."""
-        if self.held and self._leases.current_term(self.held) is None:
+        if self.permit and self._leases.current_term(self.permit) is None:
             self._lose("its term is over")
-        return bool(self.held)
+        return bool(self.permit)
 
-    def give_back(self) -> None:
-        """Gives the ticket back: clients are taken again."""
-        job, self.held = self.held, ""
+    def release_permit(self) -> None:
+        """Releases the permit, if one is held."""
+        job, self.permit = self.permit, ""
         if job:
             self._context.state.tickets.pop(job, None)
             self._context.tasks.run(self._write_state())
@@ -98,10 +106,10 @@
             self._leases.step_down(job)
             return False
         self._context.state.tickets[job] = Ticket(self._context.holder, term)
-        self.held = job
-        if await self._context.write_state() and self.proven():
+        self.permit = job
+        if await self._context.write_state() and self.drain_permit_is_valid():
             return True
-        self.give_back()
+        self.release_permit()
         return False
 
     def _on_answer(self, job: str) -> None:
@@ -110,21 +118,22 @@
             answer.set_result(self._leases.current_term(job) is not None)
 
     def _on_lease_event(self, job: str, event: LeaseAcquired | LeaseLost) -> None:
-        if isinstance(event, LeaseLost) and job == self.held:
+        if isinstance(event, LeaseLost) and job == self.permit:
             self._lose(event.reason)
 
     def _lose(self, reason: str) -> None:
         """Without the ticket another may be drained now."""
-        say("ticket", f"{self.held} is lost ({reason}): clients are taken again")
-        self._leases.manager.wanted.discard(self.held)
-        self.held = ""
-        self._context.host.shutdown.back()
+        say("ticket", f"{self.permit} is lost ({reason}): clients are taken again")
+        self._leases.manager.wanted.discard(self.permit)
+        self.permit = ""
+        with contextlib.suppress(OperationRejectedError):  # a stopping process ends no drain
+            self._context.host.shutdown.end_manual_drain()
 
     async def _record_work(self) -> None:
         """A drain that goes on is work that is being done."""
         while True:
-            if self.held:
-                self._leases.record_work(self.held)
+            if self.permit:
+                self._leases.record_work(self.permit)
             await asyncio.sleep(self._leases.timing.lease_us / 1e6 / WORK_ROUNDS_PER_LEASE)
 
     async def _give_back_old_tickets(self) -> None:
--- a/glenrock/coordination/override_applier.py
+++ b/glenrock/coordination/override_applier.py
@@ -8,6 +8,7 @@
 from glenrock.routing import interface
 
 from ..log import say
+from ..operation_errors import OperationRejectedError
 from .context import CoordinationContext
 from .datagrams import Message
 from .shared_work.override_log import OverrideEntry
@@ -71,8 +72,10 @@
         host = self._context.host
         self._applied[server] = out
         if host.operators:
-            if failure := await host.operators.override_sync.set_override(server, out):
-                say("fleet", f"{server}: {failure}")
+            try:
+                await host.operators.override_sync.set_override(server, out)
+            except OperationRejectedError as error:
+                say("fleet", f"{server}: {error.reason}")
         else:
             host.servers.hold(server, out)
             host.routing.order(interface.OperatorOverride(server, out, 0))
--- a/glenrock/coordination/override_replication.py
+++ b/glenrock/coordination/override_replication.py
@@ -5,7 +5,7 @@
 import asyncio
 import contextlib
 
-from ..admin.routes import Later
+from ..operation_errors import OperationPendingError, OperationRejectedError
 from .context import CoordinationContext
 from .leases.store import StoreUnavailableError
 from .override_applier import OverrideApplier
@@ -41,11 +41,12 @@
         self._context.tasks.run(self._follow_store())
         self._context.tasks.run(self._post_proposals())
 
-    async def set_override(self, server: str, out: bool) -> str:
+    async def set_override(self, server: str, out: bool) -> None:
         """Out, or back, for all.
 
-        Returns:
-            Why not; `Later` where it holds here and the others hear it later; empty where it is done.
+        Raises:
+            OperationRejectedError: the override cannot be stored.
+            OperationPendingError: the override is in effect and stored here, and not in the log yet.
         """
         overrides = self._context.overrides
         clock = self._context.host.clock
@@ -54,16 +55,18 @@
         overrides.add_pending(pending_id, server, out)
         if not await self._context.write_state():
             overrides.pending.pop(pending_id, None)
-            return "not done: what must not be forgotten cannot be written"
+            raise OperationRejectedError("not done: what must not be forgotten cannot be written")
         await self.applier.carry_out(server, out)
         self._proposals_due.set()
         until_ms = clock.now() + CONFIRM_TIMEOUT_MS
         while pending_id in overrides.pending and clock.now() < until_ms:
             await clock.sleep(CONFIRM_POLL_MS)
         if pending_id not in overrides.pending:
-            return ""
+            return
         reason = self._leases.store_error or "no owner has numbered it yet"
-        return Later(f"done here and kept; the other balancers hear of it once the store answers: {reason}")
+        raise OperationPendingError(
+            f"done here and kept; the other balancers hear of it once the store answers: {reason}"
+        )
 
     async def _follow_store(self) -> None:
         """Records as the store has them, and what the holder is asked for, as they change."""
--- a/glenrock/net/acceptor.py
+++ b/glenrock/net/acceptor.py
@@ -77,7 +77,7 @@
         unheard: tasks of those that have said nothing yet that could be answered, oldest first.
         listener: the listening socket, while clients are taken.
         away: clients are sent away: PING is told so. `refuses`: and new requests are rejected.
-        proof: of the right to that; it ends it where there is none.
+        drain_permit_check: whether the drain permit is still held; None for a drain that needs none.
     """
 
     def __init__(self, connections: Connections, clock: Clock) -> None:
@@ -86,7 +86,7 @@
         self.listener: socket.socket | None = None
         self.away = False
         self.refuses = False
-        self.proof: Callable[[], bool] | None = None
+        self.drain_permit_check: Callable[[], bool] | None = None
         self._connections = connections
         self._clock = clock
         self._answered: dict[asyncio.Task[None], None] = {}  # have had an answer and are owed no other
@@ -96,12 +96,12 @@
         self._hurried: set[asyncio.Task[None]] = set()  # are told to come again, unless a request is there already
         self._lingering: dict[asyncio.Task[None], None] = {}  # of those answered, who have had their last word
 
-    def proven(self) -> bool:
+    def drain_permit_is_valid(self) -> bool:
         """Whether clients may be sent away.
 
         Who slept since it was allowed to has the right no more, and would act on it before its clock has told it so.
         """
-        return not (self.away and self.proof) or self.proof()
+        return not (self.away and self.drain_permit_check) or self.drain_permit_check()
 
     # -- the listening socket --------------------------------------------------------------------------
 
@@ -260,7 +260,7 @@
             line, end, rest = data.partition(b"\n")
             if line + end != protocol.PING:
                 return await self._open(sock, data)
-            self.proven()
+            self.drain_permit_is_valid()
             await loop.sock_sendall(sock, protocol.FAILED if self.away else protocol.PONG)
             self._record_answer()
             data, pinged = rest, True
@@ -313,7 +313,7 @@
             say("first line", f"not understood, {error}: {data[:LOGGED_BYTES]!r}")
             await self._reject(sock, protocol.FAILED, "unsound")
             return None
-        if not (self.proven() and self.refuses) and not self._connections.full():
+        if not (self.drain_permit_is_valid() and self.refuses) and not self._connections.full():
             return opened
         if not self.refuses:
             say("descriptors", f"no room for another command: {opened.id} is told to come again")
--- a/glenrock/net/graceful_shutdown.py
+++ b/glenrock/net/graceful_shutdown.py
@@ -10,6 +10,7 @@
 from glenrock.routing import interface
 
 from ..log import say
+from ..operation_errors import OperationRejectedError
 from .acceptor import Acceptor
 from .client_connection import ClientConnection
 from .clock import Clock
@@ -64,37 +65,45 @@
         self._drain: asyncio.Task[None] | None = None  # by an operator
         self._stopping = False
 
-    def why(self) -> str:
-        """Why no clients are taken; empty where they are."""
+    def unready_reason(self) -> str | None:
+        """Why the balancer accepts no clients; None while it accepts them."""
         if self._stopping:
             return "not ready: the process is stopping"
-        return "not ready: clients are sent away" if self._drain else ""
+        return "not ready: clients are sent away" if self._drain else None
 
     # -- by an operator --------------------------------------------------------------------------------
 
-    def by_hand(self, proof: Callable[[], bool] | None = None) -> str:
-        """Sends clients away, until `back`. Returns why not; empty where it is done.
+    def start_manual_drain(self, drain_permit_is_valid: Callable[[], bool] | None = None) -> None:
+        """Starts to migrate all clients, until `end_manual_drain`.
 
-        `proof` is asked before anything is done in the name of this drain; it ends the drain where it is lost.
+        Args:
+            drain_permit_is_valid: called before each step of this drain; it ends the drain once the permit is lost.
+
+        Raises:
+            OperationRejectedError: the process is stopping.
         """
-        if self._stopping:
-            return "not done: the process is stopping"
+        self._reject_while_stopping()
         if not self._drain:
             say("drain", f"{len(self._table.by_id)} clients are sent away")
             self._acceptor.away = True
-            self._acceptor.proof = proof
+            self._acceptor.drain_permit_check = drain_permit_is_valid
             self._table.routing.order(interface.DrainMode(True))
             self._drain = asyncio.get_running_loop().create_task(self._send_away())
-        return ""
 
-    def back(self) -> str:
-        """Takes clients again. Returns why not; empty where it is done."""
-        if self._stopping:
-            return "not done: the process is stopping"
+    def end_manual_drain(self) -> None:
+        """Accepts clients again.
+
+        Raises:
+            OperationRejectedError: the process is stopping.
+        """
+        self._reject_while_stopping()
         if self._drain:
             say("drain", "ended: clients are taken again")
             self._end_drain()
-        return ""
+
+    def _reject_while_stopping(self) -> None:
+        if self._stopping:
+            raise OperationRejectedError("not done: the process is stopping")
 
     def _end_drain(self) -> None:
         if self._drain:
@@ -110,7 +119,7 @@
         until_ms = began_ms + AWAY_MS
         await self._clock.sleep(QUIET_MS)
         while True:
-            if not self._acceptor.proven():
+            if not self._acceptor.drain_permit_is_valid():
                 return
             now_ms = self._clock.now()
             self._acceptor.refuses = now_ms >= began_ms + LATE_MS
--- a/glenrock/upgrade/override_sync.py
+++ b/glenrock/upgrade/override_sync.py
@@ -11,6 +11,7 @@
 from ..net.clock import Clock, micros
 from ..net.routing_actor import RoutingActor
 from ..net.server_connections import ServerRegistry
+from ..operation_errors import OperationRejectedError
 from . import override_file
 from .override_file import FILE_NAME, MAX_NAMES, FileSignature, OverrideFileError, SharedOverrides
 
@@ -106,11 +107,11 @@
             self.held = done.written
             self._written_servers = len(listed)
 
-    async def set_override(self, name: str, out: bool) -> str:
-        """Takes a server out of rotation, or back.
+    async def set_override(self, name: str, out: bool) -> None:
+        """Takes a server out of rotation, or back. Returns once every decision of this balancer follows it.
 
-        Returns:
-            Why not; empty once nothing that is decided or queued here goes against it.
+        Raises:
+            OperationRejectedError: the shared file cannot be written, or holds as many servers as it may.
         """
 
         def change(shared: SharedOverrides) -> None:
@@ -129,15 +130,16 @@
             except OSError as error:
                 if not attempts_left:
                     say("upgrade", f"{FILE_NAME} cannot be written: {error}")
-                    return f"not done: what a successor must know cannot be written: {error}"
+                    raise OperationRejectedError(
+                        f"not done: what a successor must know cannot be written: {error}"
+                    ) from error
             await self._clock.sleep(LOCK_RETRY_MS)
         if out and name not in self.held.out:
-            return f"not done: {MAX_NAMES} are out"
+            raise OperationRejectedError(f"not done: {MAX_NAMES} are out")
         if was_out != out:
             say("by hand", f"{name} {'is out of rotation' if out else 'may serve again'}")
         self._apply(name, out, self.held.back.get(name, 0.0) if was_out != out else 0.0)
         await self._routing.settled()
-        return ""
 
     def _apply(self, name: str, out: bool, at_ms: float) -> None:
         self._servers.hold(name, out)
--- a/glenrock/upgrade/process_marks.py
+++ b/glenrock/upgrade/process_marks.py
@@ -15,15 +15,15 @@
 START_TIME_FIELD = 19  # of /proc/<pid>/stat, counted from the state, the first field after the name (proc(5))
 
 
-def start_time(pid: int) -> str:
-    """When a process started, in ticks since the machine did; empty where there is none of that pid."""
+def start_time(pid: int) -> str | None:
+    """The start of a process in clock ticks since boot; None if no process has this pid."""
     try:
         with open(f"/proc/{pid}/stat", "rb") as file:
             # The second field is a name in brackets, which may hold anything.
             after_name = file.read().rpartition(b")")[2]
         return after_name.split()[START_TIME_FIELD].decode()
     except (OSError, IndexError):
-        return ""
+        return None
 
 
 class ProcessMarks:
@@ -31,7 +31,7 @@
 
     def __init__(self, folder: str, pid: int) -> None:
         self._folder = folder
-        self.mark = f"glenrock-process-{pid}-{start_time(pid)}"
+        self.mark = f"glenrock-process-{pid}-{start_time(pid) or ''}"
 
     def arrive(self) -> None:
         """Leaves the mark.
--- a/tests/coordination/test_together.py
+++ b/tests/coordination/test_together.py
@@ -373,9 +373,8 @@
 def test_a_word_that_was_written_down_and_not_carried_out_is_carried_out_at_the_next_start() -> None:
     done = []
 
-    async def call(server: str, out: bool) -> str:
+    async def call(server: str, out: bool) -> None:
         done.append((server, out))
-        return ""
 
     tasks: list = []
     held = SimpleNamespace(out={"back", "alone"})
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -13,6 +13,7 @@
 from glenrock.admin.http_message import MAX_REQUEST_BYTES, HttpRequest, HttpResponse
 from glenrock.admin.prometheus_text import MetricsSnapshot
 from glenrock.admin.routes import respond
+from glenrock.operation_errors import OperationError, OperationPendingError, OperationRejectedError
 from glenrock.routing import interface
 
 CALL = b"POST /v1/session-servers/s-1/suspend HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\n\r\nwhy?"
@@ -21,11 +22,11 @@
 class Asked:
     """Operations that keep what was asked, and know one session server."""
 
-    def __init__(self, why: str = "") -> None:
-        self.why, self.calls = why, []
+    def __init__(self, reason: str | None = None, error: type[OperationError] = OperationRejectedError) -> None:
+        self.reason, self.error, self.calls = reason, error, []
 
-    def ready(self) -> str:
-        return self.why
+    def unready_reason(self) -> str | None:
+        return self.reason
 
     def metrics(self) -> MetricsSnapshot:
         return MetricsSnapshot({"fulfilled": {"look": 3}}, 4, 1, 2, 0)
@@ -33,21 +34,22 @@
     def listed(self, name: str) -> bool:
         return name == "s/1 é"
 
-    async def suspend(self, name: str) -> str:
-        self.calls.append(("out", name))
-        return self.why
+    async def suspend(self, name: str) -> None:
+        self._record(("out", name))
 
-    async def resume(self, name: str) -> str:
-        self.calls.append(("back", name))
-        return self.why
+    async def resume(self, name: str) -> None:
+        self._record(("back", name))
 
-    async def drain(self) -> str:
-        self.calls.append("drain")
-        return self.why
+    async def drain(self) -> None:
+        self._record("drain")
 
-    async def activate(self) -> str:
-        self.calls.append("activate")
-        return self.why
+    async def activate(self) -> None:
+        self._record("activate")
+
+    def _record(self, call: object) -> None:
+        self.calls.append(call)
+        if self.reason:
+            raise self.error(self.reason)
 
     def coordination_view(self) -> str:
         return ""
@@ -127,6 +129,12 @@
     assert ops.calls == ["drain", ("back", "s/1 é")]
 
 
+@pytest.mark.parametrize("action", ["suspend", "resume"])
+def test_pending_operation_is_answered_202_with_its_reason(action: str) -> None:
+    found = call(Asked("stored here", OperationPendingError), "POST", f"/v1/session-servers/s%2F1%20%C3%A9/{action}")
+    assert (found.status, found.text) == (202, "stored here\n")
+
+
 @given(st.dictionaries(st.text(max_size=20), st.integers(0, 1 << 40), max_size=4), st.integers(0, 1 << 40))
 def test_the_text_is_what_a_scraper_reads(classes: dict[str, int], relayed: int) -> None:
     classes = {name: count for name, count in classes.items() if "\r" not in name}
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -19,6 +19,7 @@
         "lab",
         "log",
         "net",
+        "operation_errors",
         "program",
         "stage",
         "testbed",
