--- a/glenrock/admin/listener.py
+++ b/glenrock/admin/listener.py
@@ -27,13 +27,13 @@
     """Accepts operators' connections, and answers one request on each.
 
     Attributes:
-        sock: the listening socket; None before `listen`.
-        open: callers, oldest first.
+        listening_socket: the listening socket; None before `listen`.
+        callers: the tasks of open connections, oldest first.
     """
 
     def __init__(self, operations: routes.Operations, clock: Clock) -> None:
-        self.sock: socket.socket | None = None
-        self.open: dict[asyncio.Task[None], None] = {}
+        self.listening_socket: socket.socket | None = None
+        self.callers: dict[asyncio.Task[None], None] = {}
         self._operations = operations
         self._clock = clock
         self._answered: dict[asyncio.Task[None], None] = {}  # of the callers, those that have had their response
@@ -44,20 +44,20 @@
         Raises:
             OSError: it is in use, or no address of this machine.
         """
-        self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        self.sock.setblocking(False)
-        self.sock.bind(address)
-        self.sock.listen(MAX_CALLERS)
+        self.listening_socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+        self.listening_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        self.listening_socket.setblocking(False)
+        self.listening_socket.bind(address)
+        self.listening_socket.listen(MAX_CALLERS)
 
     async def accept(self) -> None:
         """Accepts callers for as long as the process runs."""
-        if self.sock is None:
+        if self.listening_socket is None:
             raise RuntimeError("listen comes before accept")
         loop = asyncio.get_running_loop()
         while True:
             try:
-                sock, _ = await loop.sock_accept(self.sock)
+                sock, _ = await loop.sock_accept(self.listening_socket)
             except OSError as error:  # the listener must outlive a caller that left, and a lack of descriptors
                 say("admin", f"no connection taken: {error}")
                 self._close_oldest()
@@ -69,9 +69,9 @@
 
     def _serve(self, loop: asyncio.AbstractEventLoop, sock: socket.socket) -> None:
         task = loop.create_task(self._answer_caller(sock))
-        self.open[task] = None
+        self.callers[task] = None
         task.add_done_callback(functools.partial(self._release, sock))
-        if len(self.open) > MAX_CALLERS:
+        if len(self.callers) > MAX_CALLERS:
             self._close_oldest()
 
     def _release(self, sock: socket.socket, task: asyncio.Task[None]) -> None:
@@ -79,15 +79,15 @@
         sock.close()
 
     def _forget(self, task: asyncio.Task[None]) -> None:
-        self.open.pop(task, None)
+        self.callers.pop(task, None)
         self._answered.pop(task, None)
 
     def _close_oldest(self) -> None:
         """Makes room: first of callers that have their response, then of those with no whole request."""
-        oldest = next(iter((*self._answered, *self.open)), None)
+        oldest = next(iter((*self._answered, *self.callers)), None)
         if oldest is None:
             return
-        say("admin", f"{len(self.open)} callers: the oldest that has no call to answer is closed")
+        say("admin", f"{len(self.callers)} callers: the oldest that has no call to answer is closed")
         self._forget(oldest)
         oldest.cancel()
 
--- a/glenrock/admin/operations.py
+++ b/glenrock/admin/operations.py
@@ -15,7 +15,7 @@
     """The calls of `routes.Operations`, on a balancer's parts.
 
     Attributes:
-        serves: clients are taken.
+        is_serving: clients are accepted.
         coordination: None where the operator's file does not ask for it.
     """
 
@@ -27,7 +27,7 @@
         shutdown: GracefulShutdown,
         override_sync: OverrideSync,
     ) -> None:
-        self.serves = False
+        self.is_serving = False
         self.coordination: Coordination | None = None
         self._routing = routing
         self._servers = servers
@@ -37,7 +37,7 @@
 
     def unready_reason(self) -> str | None:
         """Why the balancer accepts no clients; None while it accepts them."""
-        return self._shutdown.unready_reason() if self.serves else "not ready: clients are not taken yet"
+        return self._shutdown.unready_reason() if self.is_serving else "not ready: clients are not taken yet"
 
     def metrics(self) -> MetricsSnapshot:
         """The metrics now."""
@@ -55,9 +55,9 @@
             descriptor_limit=self._connections.budget.limit,
         )
 
-    def listed(self, name: str) -> bool:
+    def is_known_server(self, server_id: str) -> bool:
         """Whether the server is in the endpoint list, or ever was."""
-        return self._override_sync.knows(name)
+        return self._override_sync.is_known(server_id)
 
     async def suspend(self, name: str) -> None:
         """Takes a server out of rotation. Raises OperationError."""
--- a/glenrock/admin/routes.py
+++ b/glenrock/admin/routes.py
@@ -25,7 +25,7 @@
         """The metrics now."""
         ...
 
-    def listed(self, name: str) -> bool:
+    def is_known_server(self, server_id: str) -> bool:
         """Whether the server is in the endpoint list, or ever was."""
         ...
 
@@ -80,7 +80,7 @@
         return HttpResponse(400, "the session server's id is not UTF-8\n")
     if not 0 < len(server) <= MAX_SERVER_ID_LENGTH:
         return HttpResponse(400, f"an id has 1 to {MAX_SERVER_ID_LENGTH} characters\n")
-    if not operations.listed(server):
+    if not operations.is_known_server(server):
         return HttpResponse(404, "no session server of that id was ever listed\n")
     if action == "suspend":
         return await _outcome(operations.suspend(server), "out of rotation")
--- a/glenrock/coordination/drain_limiter.py
+++ b/glenrock/coordination/drain_limiter.py
@@ -153,7 +153,7 @@
 
     def _serves(self) -> bool:
         operators = self._context.host.operators
-        return bool(operators and operators.operations.serves)
+        return bool(operators and operators.operations.is_serving)
 
     async def _free(self, job: str, ticket: Ticket) -> None:
         while True:
--- a/glenrock/coordination/override_applier.py
+++ b/glenrock/coordination/override_applier.py
@@ -40,7 +40,7 @@
         """
         overrides = self._context.overrides
         if operators := self._context.host.operators:
-            self._applied = dict.fromkeys(operators.override_sync.held.out, True)
+            self._applied = dict.fromkeys(operators.override_sync.overrides.suspended, True)
         self._apply({server: overrides.is_out(server) for server in overrides.entries})
         self._context.tasks.run(self._settle())
 
--- a/glenrock/net/graceful_shutdown.py
+++ b/glenrock/net/graceful_shutdown.py
@@ -37,20 +37,20 @@
     """The process that came after this one."""
 
     @property
-    def sock(self) -> object | None:
-        """None once it is gone."""
+    def is_connected(self) -> bool:
+        """False once it is gone."""
         ...
 
     @property
-    def given(self) -> int:
+    def handed_over_count(self) -> int:
         """Relays that it took."""
         ...
 
-    def open(self) -> bool:
+    def connect(self) -> bool:
         """Whether there is one."""
         ...
 
-    async def give(self, connection: ClientConnection) -> bool:
+    async def hand_over(self, connection: ClientConnection) -> bool:
         """Offers a relay. True once it is the successor's."""
         ...
 
@@ -157,7 +157,7 @@
             self._acceptor.close()
         else:
             await self._clock.sleep(QUIET_MS)
-        if successor and successor.open():
+        if successor and successor.connect():
             # It speaks for this balancer now. Two that did would be heard in turn.
             routing.silence()
             await self._hand_over(successor, until_ms - MOVES_MS)
@@ -192,10 +192,10 @@
 
     async def _hand_over(self, successor: Successor, until_ms: float) -> None:
         """Relays as they stand, and those that come up meanwhile."""
-        while successor.sock and self._clock.now() < until_ms and (self._table.by_id or self._acceptor.unheard):
+        while successor.is_connected and self._clock.now() < until_ms and (self._table.by_id or self._acceptor.unheard):
             ready = [one for one in self._table.by_id.values() if not one.offered and one.still()]
             for connection in ready[:MAX_OFFERED]:
-                give = functools.partial(successor.give, connection)
+                give = functools.partial(successor.hand_over, connection)
                 connection.offered = connection.mailbox.put(HandOverRelay(give))
             await self._clock.sleep(HAND_OVER_STEP_MS)
-        say("upgrade", f"{successor.given} relays handed over, {len(self._table.by_id)} commands left")
+        say("upgrade", f"{successor.handed_over_count} relays handed over, {len(self._table.by_id)} commands left")
--- a/glenrock/program.py
+++ b/glenrock/program.py
@@ -84,23 +84,23 @@
         self._program = program
         self._folder = program.config.folder
         if self._folder:
-            from .upgrade.process_marks import ProcessMarks
+            from .upgrade.process_registry import ProcessRegistry
             from .upgrade.relay_taker import RelayTaker
 
             self._taker = RelayTaker(self._folder, program.connections)
-            self._marks = ProcessMarks(self._folder, os.getpid())
+            self._processes = ProcessRegistry(self._folder, os.getpid())
 
     def arrive(self) -> None:
         """Makes this process known to the other one, and counts what that one holds."""
         if not self._folder:
             return
         try:
-            self._marks.arrive()
+            self._processes.register()
         except OSError as error:
             say("upgrade", f"the other process does not know of this one: {error}")
         connections = self._program.connections
-        connections.elsewhere = self._marks.count_descriptors
-        connections.budget.elsewhere = self._marks.count_descriptors()
+        connections.elsewhere = self._processes.count_other_descriptors
+        connections.budget.elsewhere = self._processes.count_other_descriptors()
 
     def take_relays(self) -> None:
         """From now on relays of the process before can be taken over."""
@@ -114,12 +114,12 @@
         from .upgrade.relay_giver import RelayGiver
 
         program = self._program
-        return RelayGiver(self._folder, program.clock, self._taker.inode, program.routing.load_of)
+        return RelayGiver(self._folder, program.clock, self._taker.socket_inode, program.routing.load_of)
 
     def leave(self) -> None:
         """This process holds no descriptors from now on."""
         if self._folder:
-            self._marks.leave()
+            self._processes.unregister()
 
 
 def _coordination_of(program: Program) -> CoordinationAgent:
@@ -231,7 +231,7 @@
         if self._upgrade:
             self._upgrade.take_relays()
         if self.operators:
-            self.operators.operations.serves = True
+            self.operators.operations.is_serving = True
 
     def reload(self, read_again: Callable[[Config], Config]) -> None:
         """Takes over what can change while clients are connected. A faulty file leaves all as it is.
--- a/glenrock/upgrade/override_file.py
+++ b/glenrock/upgrade/override_file.py
@@ -35,18 +35,18 @@
     """What both processes agree on, by server name.
 
     Attributes:
-        out: servers that operators took out of rotation.
-        back: servers that operators took back into rotation, and when, in Unix ms.
-        seen: servers that were ever listed, oldest first.
+        suspended: servers that operators took out of rotation.
+        resumed_at_ms: servers that operators took back into rotation, and when, in Unix ms.
+        known_servers: servers that were ever listed, oldest first.
     """
 
-    out: set[str] = field(default_factory=set)
-    back: dict[str, float] = field(default_factory=dict)
-    seen: dict[str, None] = field(default_factory=dict)
+    suspended: set[str] = field(default_factory=set)
+    resumed_at_ms: dict[str, float] = field(default_factory=dict)
+    known_servers: dict[str, None] = field(default_factory=dict)
 
     def copy(self) -> SharedOverrides:
         """A copy that may be changed alone."""
-        return SharedOverrides(set(self.out), dict(self.back), dict(self.seen))
+        return SharedOverrides(set(self.suspended), dict(self.resumed_at_ms), dict(self.known_servers))
 
 
 class FileSignature(NamedTuple):
@@ -109,9 +109,9 @@
     """The file's bytes. Of the servers ever listed only the latest `MAX_NAMES` are kept."""
     content = {
         "version": VERSION,
-        "out": sorted(shared.out),
-        "back": shared.back,
-        "seen": list(shared.seen)[-MAX_NAMES:],
+        "out": sorted(shared.suspended),
+        "back": shared.resumed_at_ms,
+        "seen": list(shared.known_servers)[-MAX_NAMES:],
     }
     return json.dumps(content).encode()
 
@@ -186,8 +186,8 @@
             found = None
         new = (found or held).copy()
         change(new)
-        new.seen.update(dict.fromkeys(listed))
-        new.back = {name: at_ms for name, at_ms in new.back.items() if at_ms > oldest_ms}
+        new.known_servers.update(dict.fromkeys(listed))
+        new.resumed_at_ms = {name: at_ms for name, at_ms in new.resumed_at_ms.items() if at_ms > oldest_ms}
         write(folder, new)
         return Exchange(found, new, signature(folder))
 
--- a/glenrock/upgrade/override_sync.py
+++ b/glenrock/upgrade/override_sync.py
@@ -29,7 +29,7 @@
 
     def __init__(self, folder: str, clock: Clock, servers: ServerRegistry, routing: RoutingActor) -> None:
         self.folder = folder
-        self.held = SharedOverrides()
+        self.overrides = SharedOverrides()
         self._clock = clock
         self._servers = servers
         self._routing = routing
@@ -37,9 +37,9 @@
         self._changing = asyncio.Lock()
         self._written_servers = 0  # servers known when the file was last written
 
-    def knows(self, name: str) -> bool:
+    def is_known(self, name: str) -> bool:
         """Whether the server was ever listed, here or in a process before."""
-        return self._servers.knows(name) or name in self.held.seen
+        return self._servers.knows(name) or name in self.overrides.known_servers
 
     def start(self) -> None:
         """Before the first list is taken: what was out stays out, and what came back lately is warmed up."""
@@ -79,12 +79,12 @@
         return True
 
     def _adopt(self, found: SharedOverrides) -> None:
-        for name in found.out ^ self.held.out:
-            self._apply(name, name in found.out, found.back.get(name, 0.0))
-        for name, at_ms in found.back.items():
-            if name not in found.out and at_ms > self.held.back.get(name, 0.0):
+        for name in found.suspended ^ self.overrides.suspended:
+            self._apply(name, name in found.suspended, found.resumed_at_ms.get(name, 0.0))
+        for name, at_ms in found.resumed_at_ms.items():
+            if name not in found.suspended and at_ms > self.overrides.resumed_at_ms.get(name, 0.0):
                 self._apply(name, False, at_ms)
-        self.held = found
+        self.overrides = found
 
     async def _change(self, change: Callable[[SharedOverrides], None]) -> None:
         """Changes the file and what is held here.
@@ -95,16 +95,18 @@
             OSError: the file cannot be written; nothing has changed then.
         """
         if not self.folder:
-            change(self.held)
+            change(self.overrides)
             return
         async with self._changing:
             listed = list(self._servers.rows)
             oldest_ms = self._clock.now() - BACK_KEPT_MS
-            done = await asyncio.to_thread(override_file.exchange, self.folder, change, self.held, listed, oldest_ms)
+            done = await asyncio.to_thread(
+                override_file.exchange, self.folder, change, self.overrides, listed, oldest_ms
+            )
             if done.found is not None:
                 self._adopt(done.found)
             self._signature = done.signature
-            self.held = done.written
+            self.overrides = done.written
             self._written_servers = len(listed)
 
     async def set_override(self, name: str, out: bool) -> None:
@@ -115,15 +117,15 @@
         """
 
         def change(shared: SharedOverrides) -> None:
-            if out and len(shared.out) < MAX_NAMES:
-                shared.out.add(name)
-                shared.back.pop(name, None)
-            elif not out and name in shared.out:
-                shared.out.discard(name)
-                shared.back[name] = self._clock.now()
+            if out and len(shared.suspended) < MAX_NAMES:
+                shared.suspended.add(name)
+                shared.resumed_at_ms.pop(name, None)
+            elif not out and name in shared.suspended:
+                shared.suspended.discard(name)
+                shared.resumed_at_ms[name] = self._clock.now()
 
         for attempts_left in reversed(range(LOCK_ATTEMPTS)):
-            was_out = name in self.held.out
+            was_out = name in self.overrides.suspended
             try:
                 await self._change(change)
                 break
@@ -134,11 +136,11 @@
                         f"not done: what a successor must know cannot be written: {error}"
                     ) from error
             await self._clock.sleep(LOCK_RETRY_MS)
-        if out and name not in self.held.out:
+        if out and name not in self.overrides.suspended:
             raise OperationRejectedError(f"not done: {MAX_NAMES} are out")
         if was_out != out:
             say("by hand", f"{name} {'is out of rotation' if out else 'may serve again'}")
-        self._apply(name, out, self.held.back.get(name, 0.0) if was_out != out else 0.0)
+        self._apply(name, out, self.overrides.resumed_at_ms.get(name, 0.0) if was_out != out else 0.0)
         await self._routing.settled()
 
     def _apply(self, name: str, out: bool, at_ms: float) -> None:
--- a/glenrock/upgrade/process_marks.py
+++ b/glenrock/upgrade/process_registry.py
@@ -26,33 +26,33 @@
         return None
 
 
-class ProcessMarks:
+class ProcessRegistry:
     """This process's mark, by its file name, and what the marks of others tell."""
 
     def __init__(self, folder: str, pid: int) -> None:
         self._folder = folder
-        self.mark = f"glenrock-process-{pid}-{start_time(pid) or ''}"
+        self.file_name = f"glenrock-process-{pid}-{start_time(pid) or ''}"
 
-    def arrive(self) -> None:
+    def register(self) -> None:
         """Leaves the mark.
 
         Raises:
             OSError: it cannot be left, and the other process does not know of this one.
         """
-        with open(os.path.join(self._folder, self.mark), "wb"):
+        with open(os.path.join(self._folder, self.file_name), "wb"):
             pass
 
-    def leave(self) -> None:
+    def unregister(self) -> None:
         """Deletes the mark."""
         with contextlib.suppress(OSError):
-            os.unlink(os.path.join(self._folder, self.mark))
+            os.unlink(os.path.join(self._folder, self.file_name))
 
-    def count_descriptors(self) -> int:
+    def count_other_descriptors(self) -> int:
         """How many descriptors all other processes hold now."""
         held = 0
         with contextlib.suppress(OSError):
             for name in os.listdir(self._folder):
-                if name != self.mark and (found := MARK_NAME.fullmatch(name)):
+                if name != self.file_name and (found := MARK_NAME.fullmatch(name)):
                     held += self._count_of(name, pid=int(found[1]), started=found[2])
         return held
 
--- a/glenrock/upgrade/relay_giver.py
+++ b/glenrock/upgrade/relay_giver.py
@@ -11,7 +11,7 @@
 from ..net.client_connection import ClientConnection
 from ..net.clock import Clock
 from ..net.socket_io import recv_into
-from .relay_message import TAKEN, encode_relay, socket_address
+from .relay_message import ACCEPTED, encode_relay, socket_address
 
 ANSWER_MS = 1000.0
 ANSWER_BYTES = 64
@@ -25,20 +25,24 @@
     """The successor, as `net.graceful_shutdown` asks for it.
 
     Attributes:
-        sock: None before `open`, and once the successor is gone.
-        given: relays that it took.
+        handed_over_count: relays that it took.
     """
 
     def __init__(self, folder: str, clock: Clock, own_inode: int, load_of: Callable[[str], int]) -> None:
-        self.sock: socket.socket | None = None
-        self.given = 0
+        self._sock: socket.socket | None = None
+        self.handed_over_count = 0
         self._folder = folder
         self._clock = clock
         self._own_inode = own_inode
         self._load_of = load_of
         self._turn = asyncio.Lock()
 
-    def open(self) -> bool:
+    @property
+    def is_connected(self) -> bool:
+        """Whether the successor can be reached. False before `connect`, and once the successor is gone."""
+        return self._sock is not None
+
+    def connect(self) -> bool:
         """Whether there is a successor. What is found may be this process's own socket: then there is none."""
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         try:
@@ -47,7 +51,7 @@
             sock.close()
             say("upgrade", f"nobody takes the relays over, so their clients are moved: {error}")
             return False
-        self.sock = sock
+        self._sock = sock
         return True
 
     def _connect(self, sock: socket.socket) -> None:
@@ -57,18 +61,18 @@
             sock.setblocking(False)
             sock.connect(path)
 
-    async def give(self, connection: ClientConnection) -> bool:
+    async def hand_over(self, connection: ClientConnection) -> bool:
         """Offers a relay whose pumps have stopped. True once it is the successor's."""
         async with self._turn:
-            if not self.sock:
+            if not self._sock:
                 return False
             try:
-                taken = await self._offer(self.sock, connection)
+                taken = await self._offer(self._sock, connection)
             except OSError as error:
                 say("upgrade", f"relays are handed over no more, so clients are moved: {error}")
                 self._close()
                 return False
-            self.given += taken
+            self.handed_over_count += taken
             return taken
 
     async def _offer(self, sock: socket.socket, connection: ClientConnection) -> bool:
@@ -90,9 +94,9 @@
             return True
         if not count:
             raise NoSuccessorError("the successor is gone")
-        return answer[:count] == TAKEN
+        return answer[:count] == ACCEPTED
 
     def _close(self) -> None:
-        if self.sock:
-            self.sock.close()
-            self.sock = None
+        if self._sock:
+            self._sock.close()
+            self._sock = None
--- a/glenrock/upgrade/relay_message.py
+++ b/glenrock/upgrade/relay_message.py
@@ -22,8 +22,8 @@
 VERSION = 1
 MAX_MESSAGE_BYTES = 32_768  # two lines of 4 KiB, escaped, and a little
 DESCRIPTORS_A_MESSAGE = 2  # the client's and the server's
-TAKEN = b"taken"
-REFUSED = b"refused"
+ACCEPTED = b"taken"
+REJECTED = b"refused"
 MAX_ADDRESS_BYTES = 100  # of a Unix socket's address
 
 # The keys of a message, and the kind of each. They are read by other versions: they keep their names.
--- a/glenrock/upgrade/relay_taker.py
+++ b/glenrock/upgrade/relay_taker.py
@@ -13,10 +13,10 @@
 from ..net.connection_table import ConnectionTable
 from ..net.socket_io import readable
 from .relay_message import (
+    ACCEPTED,
     DESCRIPTORS_A_MESSAGE,
     MAX_MESSAGE_BYTES,
-    REFUSED,
-    TAKEN,
+    REJECTED,
     RelayMessageError,
     decode_relay,
     socket_address,
@@ -34,10 +34,10 @@
 
 
 class RelayTaker:
-    """The socket at which the process before finds this one. `inode`: of the socket's file, while it is ours."""
+    """The socket at which the process before finds this one. `socket_inode`: of the socket's file, while it is ours."""
 
     def __init__(self, folder: str, table: ConnectionTable) -> None:
-        self.inode = 0
+        self.socket_inode = 0
         self._folder = folder
         self._table = table
         self._sock: socket.socket | None = None
@@ -53,7 +53,7 @@
                 with contextlib.suppress(FileNotFoundError):
                     os.unlink(path)
                 sock.bind(path)
-                self.inode = os.stat(path).st_ino
+                self.socket_inode = os.stat(path).st_ino
             sock.listen(BACKLOG)
         except OSError as error:
             say("upgrade", f"no relays can be taken over: {error}")
@@ -87,10 +87,10 @@
             say("upgrade", f"a relay is not taken over: {error}")
             for sock in socks:
                 sock.close()
-            return REFUSED
+            return REJECTED
         self._table.adopt(connection)
         self._taken += 1
-        return TAKEN
+        return ACCEPTED
 
     def _connection_of(self, data: bytes, socks: list[socket.socket]) -> ClientConnection:
         if len(socks) != DESCRIPTORS_A_MESSAGE:
--- a/tests/coordination/test_together.py
+++ b/tests/coordination/test_together.py
@@ -377,8 +377,8 @@
         done.append((server, out))
 
     tasks: list = []
-    held = SimpleNamespace(out={"back", "alone"})
-    override_sync = SimpleNamespace(held=held, set_override=call)
+    held = SimpleNamespace(suspended={"back", "alone"})
+    override_sync = SimpleNamespace(overrides=held, set_override=call)
     board = OverrideLog()
     board.take("back", OverrideEntry(False, (1, 1)))
     board.take("out", OverrideEntry(True, (1, 2)))
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -31,8 +31,8 @@
     def metrics(self) -> MetricsSnapshot:
         return MetricsSnapshot({"fulfilled": {"look": 3}}, 4, 1, 2, 0)
 
-    def listed(self, name: str) -> bool:
-        return name == "s/1 é"
+    def is_known_server(self, server_id: str) -> bool:
+        return server_id == "s/1 é"
 
     async def suspend(self, name: str) -> None:
         self._record(("out", name))
--- a/tests/test_durable_file.py
+++ b/tests/test_durable_file.py
@@ -153,28 +153,28 @@
     call: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     folder, held = str(tmp_path), SharedOverrides()
-    override_file.exchange(folder, lambda shared: shared.out.add("s1"), held, [], 0.0)
+    override_file.exchange(folder, lambda shared: shared.suspended.add("s1"), held, [], 0.0)
     with monkeypatch.context() as patched:
         FailingCalls(patched, call, 0, errno.ENOSPC)
         with pytest.raises(OSError):
-            override_file.exchange(folder, lambda shared: shared.out.add("s2"), held, [], 0.0)
-    assert override_file.read(folder).out == {"s1"}
-    override_file.exchange(folder, lambda shared: shared.out.add("s2"), held, [], 0.0)
-    assert override_file.read(folder).out == {"s1", "s2"}
+            override_file.exchange(folder, lambda shared: shared.suspended.add("s2"), held, [], 0.0)
+    assert override_file.read(folder).suspended == {"s1"}
+    override_file.exchange(folder, lambda shared: shared.suspended.add("s2"), held, [], 0.0)
+    assert override_file.read(folder).suspended == {"s1", "s2"}
 
 
 def test_of_a_spoilt_file_of_operators_words_the_one_before_is_used(tmp_path: Path) -> None:
     folder = str(tmp_path)
     for name in ("s1", "s2"):
-        override_file.exchange(folder, lambda shared, name=name: shared.out.add(name), SharedOverrides(), [], 0.0)
+        override_file.exchange(folder, lambda shared, name=name: shared.suspended.add(name), SharedOverrides(), [], 0.0)
     path = tmp_path / override_file.FILE_NAME
     path.write_bytes(path.read_bytes().replace(b'"s2"', b'"s3"'))
     with pytest.raises(override_file.OverrideFileError, match="digest"):
         override_file.read(folder)
-    assert override_file.read_previous(folder).out == {"s1"}
+    assert override_file.read_previous(folder).suspended == {"s1"}
 
 
 def test_a_file_of_an_earlier_version_has_no_digest_and_is_read(tmp_path: Path) -> None:
     content = {"version": 1, "out": ["s1"], "back": {}, "seen": ["s1"]}
     (tmp_path / override_file.FILE_NAME).write_text(json.dumps(content))
-    assert override_file.read(str(tmp_path)).out == {"s1"}
+    assert override_file.read(str(tmp_path)).suspended == {"s1"}
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -175,7 +175,7 @@
         answer = await asyncio.wait_for(reader.read(), 1)
         assert answer.startswith(b"HTTP/1.1 200 ") and answer.endswith(b"\r\n\r\ntakes clients\n")
         writer.close()
-        assert len(listener.open) <= MAX_CALLERS + 1
+        assert len(listener.callers) <= MAX_CALLERS + 1
     assert await asyncio.wait_for(mute[0][0].read(), 1) == b""  # the oldest made room
     assert site.program.budget.operators >= MAX_CALLERS
 
--- a/tests/test_exchanges.py
+++ b/tests/test_exchanges.py
@@ -146,7 +146,7 @@
                     await asyncio.sleep(0.001)
                 self.ends[who] = held[int(number or 1) - 1]
             elif who.startswith("op"):
-                port = self.program.operators.listener.sock.getsockname()[1]
+                port = self.program.operators.listener.listening_socket.getsockname()[1]
                 self.ends[who] = Ends(*await asyncio.open_connection("127.0.0.1", port))
             else:
                 self.ends[who] = Ends(*await asyncio.open_connection("127.0.0.1", self.port))
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -19,7 +19,7 @@
 from glenrock.config import ConfigError
 from glenrock.net.peers import Peers
 from glenrock.upgrade import inherited_listener, override_file
-from glenrock.upgrade.process_marks import ProcessMarks
+from glenrock.upgrade.process_registry import ProcessRegistry
 
 ROOT = Path(__file__).resolve().parent.parent
 SETTINGS = {
@@ -321,18 +321,18 @@
     other = subprocess.Popen([sys.executable, "-c", code], stdin=subprocess.PIPE, stdout=subprocess.PIPE)
     try:
         other.stdout.readline()
-        here, there = ProcessMarks(str(tmp_path), os.getpid()), ProcessMarks(str(tmp_path), other.pid)
-        here.arrive()
-        assert here.count_descriptors() == 0
-        there.arrive()
-        assert 50 <= here.count_descriptors() <= 60
+        here, there = ProcessRegistry(str(tmp_path), os.getpid()), ProcessRegistry(str(tmp_path), other.pid)
+        here.register()
+        assert here.count_other_descriptors() == 0
+        there.register()
+        assert 50 <= here.count_other_descriptors() <= 60
         (tmp_path / f"glenrock-process-{os.getppid()}-1").touch()  # a pid that is another's by now
-        assert 50 <= here.count_descriptors() <= 60
+        assert 50 <= here.count_other_descriptors() <= 60
     finally:
         other.communicate()
-    assert here.count_descriptors() == 0
-    assert [name.name for name in tmp_path.iterdir()] == [here.mark]
-    here.leave()
+    assert here.count_other_descriptors() == 0
+    assert [name.name for name in tmp_path.iterdir()] == [here.file_name]
+    here.unregister()
     assert not list(tmp_path.iterdir())
 
 
