--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -164,7 +164,7 @@
     site = Ends()
     await site.open()
     listener: Listener = site.program.operators.listener
-    port = listener.sock.getsockname()[1]
+    port = listener.listening_socket.getsockname()[1]
     mute = [await asyncio.open_connection("127.0.0.1", port) for _ in range(3 * MAX_CALLERS)]
     half = [await asyncio.open_connection("127.0.0.1", port) for _ in range(MAX_CALLERS)]
     for _, writer in half:
