--- a/glenrock/coordination/override_applier.py
+++ b/glenrock/coordination/override_applier.py
@@ -8,6 +8,7 @@
 from glenrock.routing import interface
 
 from ..log import say
+from ..operation_errors import OperationRejectedError
 from .context import CoordinationContext
 from .datagrams import Message
 from .shared_work.override_log import OverrideEntry
@@ -39,7 +40,7 @@
         """
         overrides = self._context.overrides
         if operators := self._context.host.operators:
-            self._applied = dict.fromkeys(operators.override_sync.held.out, True)
+            self._applied = dict.fromkeys(operators.override_sync.overrides.suspended, True)
         self._apply({server: overrides.is_out(server) for server in overrides.entries})
         self._context.tasks.run(self._settle())
 
@@ -71,8 +72,10 @@
         host = self._context.host
         self._applied[server] = out
         if host.operators:
-            if failure := await host.operators.override_sync.set_override(server, out):
-                say("fleet", f"{server}: {failure}")
+            try:
+                await host.operators.override_sync.set_override(server, out)
+            except OperationRejectedError as error:
+                say("fleet", f"{server}: {error.reason}")
         else:
             host.servers.hold(server, out)
             host.routing.order(interface.OperatorOverride(server, out, 0))
--- a/glenrock/upgrade/process_marks.py
+++ b/glenrock/upgrade/process_registry.py
@@ -15,44 +15,44 @@
 START_TIME_FIELD = 19  # of /proc/<pid>/stat, counted from the state, the first field after the name (proc(5))
 
 
-def start_time(pid: int) -> str:
-    """When a process started, in ticks since the machine did; empty where there is none of that pid."""
+def start_time(pid: int) -> str | None:
+    """The start of a process in clock ticks since boot; None if no process has this pid."""
     try:
         with open(f"/proc/{pid}/stat", "rb") as file:
             # The second field is a name in brackets, which may hold anything.
             after_name = file.read().rpartition(b")")[2]
         return after_name.split()[START_TIME_FIELD].decode()
     except (OSError, IndexError):
-        return ""
+        return None
 
 
-class ProcessMarks:
+class ProcessRegistry:
     """This process's mark, by its file name, and what the marks of others tell."""
 
     def __init__(self, folder: str, pid: int) -> None:
         self._folder = folder
-        self.mark = f"glenrock-process-{pid}-{start_time(pid)}"
+        self.file_name = f"glenrock-process-{pid}-{start_time(pid) or ''}"
 
-    def arrive(self) -> None:
+    def register(self) -> None:
         """Leaves the mark.
 
         Raises:
             OSError: it cannot be left, and the other process does not know of this one.
         """
-        with open(os.path.join(self._folder, self.mark), "wb"):
+        with open(os.path.join(self._folder, self.file_name), "wb"):
             pass
 
-    def leave(self) -> None:
+    def unregister(self) -> None:
         """Deletes the mark."""
         with contextlib.suppress(OSError):
-            os.unlink(os.path.join(self._folder, self.mark))
+            os.unlink(os.path.join(self._folder, self.file_name))
 
-    def count_descriptors(self) -> int:
+    def count_other_descriptors(self) -> int:
         """How many descriptors all other processes hold now."""
         held = 0
         with contextlib.suppress(OSError):
             for name in os.listdir(self._folder):
-                if name != self.mark and (found := MARK_NAME.fullmatch(name)):
+                if name != self.file_name and (found := MARK_NAME.fullmatch(name)):
                     held += self._count_of(name, pid=int(found[1]), started=found[2])
         return held
 
