--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -164,7 +164,7 @@
     site = Ends()
     await site.open()
     listener: Listener = site.program.operators.listener
-    port = listener.sock.getsockname()[1]
+    port = listener.listening_socket.getsockname()[1]
     mute = [await asyncio.open_connection("127.0.0.1", port) for _ in range(3 * MAX_CALLERS)]
     half = [await asyncio.open_connection("127.0.0.1", port) for _ in range(MAX_CALLERS)]
     for _, writer in half:
@@ -175,7 +175,7 @@
         answer = await asyncio.wait_for(reader.read(), 1)
         assert answer.startswith(b"HTTP/1.1 200 ") and answer.endswith(b"\r\n\r\ntakes clients\n")
         writer.close()
-        assert len(listener.open) <= MAX_CALLERS + 1
+        assert len(listener.callers) <= MAX_CALLERS + 1
     assert await asyncio.wait_for(mute[0][0].read(), 1) == b""  # the oldest made room
     assert site.program.budget.operators >= MAX_CALLERS
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -19,7 +19,7 @@
 from glenrock.config import ConfigError
 from glenrock.net.peers import Peers
 from glenrock.upgrade import inherited_listener, override_file
-from glenrock.upgrade.process_marks import ProcessMarks
+from glenrock.upgrade.process_registry import ProcessRegistry
 
 ROOT = Path(__file__).resolve().parent.parent
 SETTINGS = {
@@ -204,7 +204,7 @@
         assert (await site.call(second, "POST", "session-servers/s3/resume")).startswith("404")
         # Most relays were handed over; those are counted by both.
         given = int(re.search(r"(\d+) relays handed over", site.log(0))[1])
-        assert given >= 25 and f"{given} relays taken over" in site.log(1)
+        assert given >= 25 and f"relays taken over count={given}\n" in site.log(1)
     finally:
         await site.close()
 
@@ -229,7 +229,7 @@
         site.processes[0].send_signal(signal.SIGTERM)
         assert await asyncio.wait_for(site.processes[0].wait(), 5) == 0
         assert set(await asyncio.gather(*standing)) == {"moved"}, site.log(0)
-        assert "nobody takes the relays over" in site.log(0)
+        assert "no successor found, migrating clients instead of handing them over" in site.log(0)
         # What comes meanwhile waits in the queue for the next process.
         late = asyncio.create_task(client(site, 50, 1, 0.1))
         await site.start()
@@ -278,7 +278,7 @@
     try:
         (folder / override_file.FILE_NAME).write_text('{"version": 9}')
         first = await site.start()
-        assert f"{override_file.FILE_NAME} is left aside" in site.log(0)
+        assert f"ignoring an invalid override file file={override_file.FILE_NAME}" in site.log(0)
         second = await site.start()
         for at, other, what, out in ((first, second, "suspend", 1), (second, first, "resume", 0)):
             assert (await site.call(at, "POST", f"session-servers/s1/{what}")).startswith("200")
@@ -321,18 +321,18 @@
     other = subprocess.Popen([sys.executable, "-c", code], stdin=subprocess.PIPE, stdout=subprocess.PIPE)
     try:
         other.stdout.readline()
-        here, there = ProcessMarks(str(tmp_path), os.getpid()), ProcessMarks(str(tmp_path), other.pid)
-        here.arrive()
-        assert here.count_descriptors() == 0
-        there.arrive()
-        assert 50 <= here.count_descriptors() <= 60
+        here, there = ProcessRegistry(str(tmp_path), os.getpid()), ProcessRegistry(str(tmp_path), other.pid)
+        here.register()
+        assert here.count_other_descriptors() == 0
+        there.register()
+        assert 50 <= here.count_other_descriptors() <= 60
         (tmp_path / f"glenrock-process-{os.getppid()}-1").touch()  # a pid that is another's by now
-        assert 50 <= here.count_descriptors() <= 60
+        assert 50 <= here.count_other_descriptors() <= 60
     finally:
         other.communicate()
-    assert here.count_descriptors() == 0
-    assert [name.name for name in tmp_path.iterdir()] == [here.mark]
-    here.leave()
+    assert here.count_other_descriptors() == 0
+    assert [name.name for name in tmp_path.iterdir()] == [here.file_name]
+    here.unregister()
     assert not list(tmp_path.iterdir())
 
 
