--- a/glenrock/routing/gossip.py
+++ b/glenrock/routing/gossip.py
@@ -43,7 +43,7 @@
         self._settings = settings
         self._rng = rng
         self._sessions = sessions
-        self._waiting_line = waiting_queue
+        self._waiting_queue = waiting_queue
         self._connection_loads = connection_loads
         self.peers: dict[int, Peer] = {}
         self.next_us = 0
@@ -55,7 +55,7 @@
 
     def tier_waiting_load(self) -> dict[int, float]:
         """Load that waits at all balancers, by bucket."""
-        loads = self._waiting_line.load_by_bucket()
+        loads = self._waiting_queue.load_by_bucket()
         for peer in self.peers.values():
             for bucket, load in peer.waiting:
                 loads[bucket] = loads.get(bucket, 0.0) + load
@@ -80,7 +80,7 @@
         known = self.peers.get(event.peer)
         if known and not 0 < (summary.stamp - known.stamp & gossip_codec.MAX_STAMP) <= MAX_STAMP_ADVANCE:
             return None  # late or doubled
-        bucket = self._waiting_line.current_bucket()
+        bucket = self._waiting_queue.current_bucket()
         waiting = [WaitingLoad(bucket - age, load) for age, load in summary.waiting]
         peer = Peer(summary.stamp, self._batch.now_us, summary.active_load, summary.clients, waiting)
         self.peers[event.peer] = peer
@@ -104,7 +104,7 @@
         settings, now_us = self._settings, self._batch.now_us
         if not settings.may_gossip or settings.balancers <= 1 or now_us < self.next_us:
             return
-        waiting = _ages(self._waiting_line.load_by_bucket(), self._waiting_line.current_bucket())
+        waiting = _ages(self._waiting_queue.load_by_bucket(), self._waiting_queue.current_bucket())
         stamp = now_us // STAMP_US & gossip_codec.MAX_STAMP
         told_clients = 0 if is_draining else clients
         data = gossip_codec.encode(stamp, self._sessions.active_load, told_clients, waiting)
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -164,6 +164,6 @@
 def test_what_is_avoided_by_choice_counts_too(make) -> None:
     h = make()
     assert h.b.count_avoided(h.b.servers) == 0
-    h.b.servers["a:1"].ejected_until_us = h.b.turn.now_us + 1
+    h.b.servers["a:1"].ejected_until_us = h.b.batch.now_us + 1
     h.give(interface.OperatorOverride("b:1", True))
     assert h.b.count_avoided(h.b.servers) == 2
