--- a/glenrock/routing/balancer.py
+++ b/glenrock/routing/balancer.py
@@ -1,7 +1,7 @@
-"""The balancer: wires the parts of the routing decisions, hands them their events, and runs the round.
+"""The balancer: wires the parts of routing, dispatches events to them, and runs the round.
 
-One `Balancer` for each process in service; it has no clock, no I/O and shares nothing with other instances.
-Why the decisions are as they are: docs/design.md.
+A process has one `Balancer`. It has no clock, does no I/O, and shares nothing with other balancers. The
+reasons for its decisions are in docs/design.md.
 """
 
 from __future__ import annotations
@@ -62,16 +62,18 @@
 
     Attributes:
         settings: as given.
-        batch: the batch that is being handled; `batch.warnings` is for the log.
-        servers: by id. `requests`: under way, by id.
+        batch: the batch of events that is being handled; `batch.warnings` is for the log.
+        is_draining: the clients of this balancer migrate to the others.
+        servers: known servers, by id.
+        requests: requests under way and their connections, by id.
     """
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings = settings
         self.batch = EventBatch()
-        self.is_draining = False  # all clients here are sent away
-        rng = self._rng = random.Random(seed)  # noqa: S311 - draws need be repeatable, not secret
-        salt = rng.getrandbits(64)
+        self.is_draining = False
+        self._rng = random.Random(seed)  # noqa: S311 - draws need be repeatable, not secret
+        salt = self._rng.getrandbits(64)
         self._classes = {request_class.name: request_class for request_class in settings.classes}
         objectives = [c.message_objective_us for c in settings.classes if c.message_objective_us]
         self._message_objective_us = min(objectives, default=0)
@@ -83,7 +85,7 @@
             EndpointList: self._on_endpoint_list,
             Request: self._on_request,
             OpenConnection: self._on_open_connection,
-            ConnectionEstablished: self.lifecycle.established,
+            ConnectionEstablished: self.lifecycle.establish,
             ConnectionFeedback: self._on_feedback,
             AttemptEnded: self._on_attempt_ended,
             ClientDisconnected: self._on_client_disconnected,
@@ -95,100 +97,143 @@
         }
 
     def _build_state(self, salt: int) -> None:
-        """Mechanisms: records and estimates."""
+        """Builds the records and estimates."""
         settings, batch = self.settings, self.batch
-        # A client that is cut off comes back within the longest Retry-After or so.
+        # A client whose connection broke returns within about the longest Retry-After.
         session_us = max(MIN_SESSION_US, 2 * settings.max_retry_after_us)
+        bucket_us = max(MIN_BUCKET_US, settings.max_retry_after_us)
+        shortest_objective_us = min(c.latency_objective_us for c in settings.classes)
         self.sessions = ClientSessions(batch, session_us)
-        self.waiting_queue = WaitingQueue(batch, max(MIN_BUCKET_US, settings.max_retry_after_us))
+        self.waiting_queue = WaitingQueue(batch, bucket_us)
         self.connection_loads = ConnectionLoads()
         self.gossip = Gossip(
-            batch, settings, self._rng, self.sessions, self.waiting_queue, self.connection_loads
+            batch=batch,
+            settings=settings,
+            rng=self._rng,
+            sessions=self.sessions,
+            waiting_queue=self.waiting_queue,
+            connection_loads=self.connection_loads,
         )
         self.domains = FailureDomains()
         self.affinity = GroupAffinity()
         self.overrides = OperatorOverrides()
         self.polling = EndpointPolling(batch, settings, self._rng)
         self.endpoints = EndpointTable(batch, settings, self.overrides, MIGRATION_US)
-        servers = self.endpoints.servers
         self.loads = LoadEstimator(batch, settings)
-        self.capacity = CapacityEstimator(batch, servers, self.loads, self.sessions, self.connection_loads)
-        self.slow_start = SlowStart(batch, settings, servers, self.loads, self.capacity, salt)
-        shortest_us = min(c.latency_objective_us for c in settings.classes)
-        self.concurrency = ConcurrencyLimit(batch, shortest_us)
+        self.capacity = CapacityEstimator(
+            batch=batch,
+            servers=self.endpoints.servers,
+            loads=self.loads,
+            sessions=self.sessions,
+            connection_loads=self.connection_loads,
+        )
+        self.slow_start = SlowStart(
+            batch=batch,
+            settings=settings,
+            servers=self.endpoints.servers,
+            loads=self.loads,
+            capacity=self.capacity,
+            salt=salt,
+        )
+        self.concurrency = ConcurrencyLimit(batch, shortest_objective_us)
 
     def _build_policies(self, salt: int) -> None:
-        """Decisions, each with what it reads."""
+        """Builds the policies, each with the state that it reads."""
         settings, batch, rng = self.settings, self.batch, self._rng
-        servers = self.endpoints.servers
         self.ejection = OutlierEjection(
-            batch, settings, rng, servers, self.endpoints.index, self.loads, self.slow_start, self.domains
+            batch=batch,
+            settings=settings,
+            rng=rng,
+            servers=self.endpoints.servers,
+            index=self.endpoints.index,
+            loads=self.loads,
+            slow_start=self.slow_start,
+            domains=self.domains,
+        )
+        self.retries = RetryPolicy(
+            batch=batch,
+            settings=settings,
+            rng=rng,
+            endpoints=self.endpoints,
+            overrides=self.overrides,
+            ejection=self.ejection,
         )
-        self.retries = RetryPolicy(batch, settings, rng, self.endpoints, self.overrides, self.ejection)
         self.admission = AdmissionController(
-            batch,
-            settings,
-            rng,
-            self.endpoints.index,
-            self.sessions,
-            self.waiting_queue,
-            self.gossip,
-            self.loads,
-            self.capacity,
-            self.slow_start,
-            self.ejection,
-            ActivityHistory(batch, LAG_US),
+            batch=batch,
+            settings=settings,
+            rng=rng,
+            index=self.endpoints.index,
+            sessions=self.sessions,
+            waiting_queue=self.waiting_queue,
+            gossip=self.gossip,
+            loads=self.loads,
+            capacity=self.capacity,
+            slow_start=self.slow_start,
+            ejection=self.ejection,
+            history=ActivityHistory(batch, LAG_US),
         )
         self.selection = ServerSelection(
-            batch,
-            settings,
-            rng,
-            self.endpoints,
-            self.loads,
-            self.capacity,
-            self.slow_start,
-            self.ejection,
-            self.retries,
-            self.affinity,
+            batch=batch,
+            settings=settings,
+            rng=rng,
+            endpoints=self.endpoints,
+            loads=self.loads,
+            capacity=self.capacity,
+            slow_start=self.slow_start,
+            ejection=self.ejection,
+            retries=self.retries,
+            affinity=self.affinity,
         )
         self.health_checks = HealthChecker(
-            batch,
-            settings,
-            self.endpoints,
-            self.loads,
-            self.domains,
-            self.ejection,
-            self.selection,
-            salt,
-            health_check_budget(settings),
-            health_connection_budget(),
+            batch=batch,
+            settings=settings,
+            endpoints=self.endpoints,
+            loads=self.loads,
+            domains=self.domains,
+            ejection=self.ejection,
+            selection=self.selection,
+            salt=salt,
+            budget=health_check_budget(settings),
+            connection_budget=health_connection_budget(),
         )
         self.migration = Migration(
-            batch, rng, self.endpoints.index, self.overrides, self.loads, self.health_checks
+            batch=batch,
+            rng=rng,
+            index=self.endpoints.index,
+            overrides=self.overrides,
+            loads=self.loads,
+            health_checks=self.health_checks,
         )
         self.lifecycle = RequestLifecycle(
-            batch,
-            settings,
-            self.sessions,
-            self.waiting_queue,
-            self.concurrency,
-            self.affinity,
-            self.slow_start,
-            self.ejection,
-            self.retries,
-            self.admission,
-            self.selection,
-            self.health_checks,
-            self.migration,
+            batch=batch,
+            settings=settings,
+            sessions=self.sessions,
+            waiting_queue=self.waiting_queue,
+            concurrency=self.concurrency,
+            affinity=self.affinity,
+            index=self.endpoints.index,
+            loads=self.loads,
+            slow_start=self.slow_start,
+            ejection=self.ejection,
+            retries=self.retries,
+            admission=self.admission,
+            selection=self.selection,
+            health_checks=self.health_checks,
+            migration=self.migration,
         )
 
-    # -- what the caller uses ------------------------------------------------------------------------
+    # -- calls of the owner --------------------------------------------------------------------------
 
     def handle(self, now_us: int, events: Sequence[Event]) -> list[Action]:
-        """Takes a batch of events in. Returns what is to be done, in order. `now_us` never goes back."""
-        is_first = not self.batch.now_us
+        """Handles a batch of events. Returns the actions to carry out, in order.
+
+        Args:
+            now_us: the present time, which must not go back.
+            events: in the order in which they happened.
+        """
+        is_first_batch = not self.batch.now_us
         self.batch.begin(now_us)
-        if is_first:
+        if is_first_batch:
             self.polling.start()
             self.schedule_round(now_us + 1 + int(self._rng.random() * ROUND_US))
         self.ejection.update_failure_domains()
@@ -198,21 +243,21 @@
         return self.batch.actions
 
     def schedule_round(self, at_us: int) -> None:
-        """Asks for the timer of the next round; after a fault the caller does so, since rounds must go on."""
+        """Sets the timer of the next round. The caller does so after an error, since rounds must continue."""
         self.batch.set_timer(at_us, RoundTimer())
 
     def load_of(self, request_id: str) -> int:
-        """The load of a request's connection as last known; 0 for one that is not under way."""
+        """Returns the last known load of a request's connection; 0 if the request is not under way."""
         request = self.requests.get(request_id)
         return int(request.load) if request else 0
 
     def may_reject(self, request_id: str) -> bool:
-        """Whether its client may be told to come again; true for a request that is not known yet."""
+        """Returns whether the request may be rejected; true for a request that is not known yet."""
         request = self.requests.get(request_id)
         return request is None or self.retries.may_reject(request)
 
     def count_avoided(self, server_ids: Iterable[str]) -> int:
-        """How many of these servers get nothing new now, by an operator's word or by choice. Reads only."""
+        """Returns how many of these servers are suspended, ejected, not ready or not known."""
         found = (self.servers.get(server_id) for server_id in server_ids)
         return sum(s is None or not s.ready or not self.ejection.is_usable(s) for s in found)
 
@@ -233,7 +278,8 @@
         if event.id in self.requests:
             return
         request = self._routed(event)
-        if not event.is_returning and request.key not in self.waiting_queue:  # costs go by first attempts
+        # The platform counts costs per first attempt, so only those earn tokens.
+        if not event.is_returning and request.key not in self.waiting_queue:
             self.health_checks.earn()
             self.gossip.budget.earn()
         self.lifecycle.start(request)
@@ -244,7 +290,7 @@
             return
         self.endpoints.start_draining(server)
         self.lifecycle.adopt(self._routed(event.request), server)
-        self.health_checks.earn()  # it was a first attempt once, and counts as one in the cost
+        self.health_checks.earn()  # the connection began with a first attempt
 
     def _routed(self, event: Request) -> RoutedRequest:
         request_class = self._classes.get(event.service) or self.settings.classes[0]
@@ -261,8 +307,7 @@
         if request is None:
             return
         if event.load is not None and event.load >= 0:
-            # Where requests carry no hint, the mean is learned here or not at all; each newcomer would count
-            # as nothing, and a mass return be heaped on the servers that were asked last.
+            # Without load hints, reported loads are the only source of the mean that new requests count as.
             self.connection_loads.record(request.event.service, event.load)
             self.sessions.change_load(request, event.load)
         server = self.servers.get(event.server)
@@ -275,7 +320,7 @@
             self.ejection.cut_weight(server)
 
     def _on_attempt_ended(self, event: AttemptEnded) -> None:
-        self.lifecycle.attempt_ended(event, self.is_draining)
+        self.lifecycle.end_attempt(event, self.is_draining)
 
     def _on_client_disconnected(self, event: ClientDisconnected) -> None:
         self.lifecycle.client_disconnected(event.id)
@@ -295,15 +340,15 @@
         self.lifecycle.finish_check(server.id)
 
     def _on_gossip(self, event: GossipReceived) -> None:
-        peer = self.gossip.receive(event)
-        if peer is not None:
-            self.admission.record_new_peer(peer.active_load)
+        new_peer = self.gossip.receive(event)
+        if new_peer is not None:
+            self.admission.record_new_peer(new_peer.active_load)
 
     def _on_drain_mode(self, event: DrainMode) -> None:
         self.is_draining = event.is_draining
         self.gossip.next_us = self.batch.now_us
         if event.is_draining:
-            self.slow_start.reference_load = 0.0  # the others bring it, as soon as they hear of it
+            self.slow_start.reference_load = 0.0  # the other balancers serve these clients from now on
 
     # -- the round -----------------------------------------------------------------------------------
 
@@ -327,12 +372,16 @@
 
     def _update_estimates(self) -> None:
         peers = self.gossip.peers.values()
-        # Traffic is uneven, most while a balancer drains; by its own load alone a server looks full at once.
+        # Balancers carry unequal loads, most of all while one drains, so capacity follows the whole tier's
+        # load, scaled up for balancers that were not heard.
         tier_load = self.gossip.tier_load() * self.settings.balancers / (1 + len(peers))
-        ready = len(self.endpoints.index.ready)
-        self.capacity.update_server_capacity(tier_load, ready)
+        self.capacity.update_server_capacity(tier_load, len(self.endpoints.index.ready))
         own_load = sum(request.load for request in self.requests.values() if request.server)
         load = reference_load(
-            own_load, self.admission.client_fraction(), peers, self.settings.balancers, self.is_draining
+            own_load=own_load,
+            client_fraction=self.admission.client_fraction(),
+            peers=peers,
+            balancers=self.settings.balancers,
+            is_draining=self.is_draining,
         )
         self.slow_start.update_reference_load(load, self.is_draining)
--- a/glenrock/routing/failure_domains.py
+++ b/glenrock/routing/failure_domains.py
@@ -1,13 +1,12 @@
-"""Whether the link to a failure domain is cut, each by a sequential test with stated error rates.
+"""Whether the link to a failure domain is partitioned, by a sequential test with stated error rates.
 
-One server that fails says little of its zone's link; three of one zone that fail within a second, with none
-of that zone answering, say that the link is cut. Each domain is tested by Wald's sequential probability ratio
-test in Page's form: the log of the likelihood ratio is summed, never below 0, until it passes the bound that
-the wanted error rates set. (Wald 1945, Sequential Tests of Statistical Hypotheses; Page 1954, Continuous
-Inspection Schemes.)
+Each domain is tested by Wald's sequential probability ratio test in Page's form: the log of the likelihood
+ratio, partitioned over healthy, is summed, kept at 0 or above, and compared with a bound that follows from
+the error rates. (Wald 1945, Sequential Tests of Statistical Hypotheses; Page 1954, Continuous Inspection
+Schemes.)
 
-Evidence counts once for each member and window, so that a single dead member, tried again and again, convicts
-nobody but itself. Without evidence a score halves again and again. Times are microseconds.
+The evidence of a member counts once per window, so that repeated failures of one dead member do not add up to
+a partition. Without evidence a score decays. Times are microseconds.
 """
 
 from __future__ import annotations
@@ -16,15 +15,16 @@
 from math import log
 from typing import NamedTuple
 
-HEALTHY_FAILURE_PROBABILITY = 0.03  # chance that a member of a sound domain is found out of reach, by itself
-PARTITIONED_FAILURE_PROBABILITY = 0.97  # and of one that is cut off
-FALSE_ALARM_RATE, MISSED_RATE = 0.0005, 0.05  # wanted rates: a sound domain convicted, a cut one not
-WINDOW_US = 1_000_000  # a member's evidence counts once in this time
+HEALTHY_FAILURE_PROBABILITY = 0.03  # of a member of a healthy domain
+PARTITIONED_FAILURE_PROBABILITY = 0.97  # of a member of a partitioned domain
+FALSE_ALARM_RATE = 0.0005  # wanted chance that a healthy domain passes the bound
+MISSED_RATE = 0.05  # wanted chance that a partitioned domain does not
+WINDOW_US = 1_000_000  # a member's failures count once in this time
 HALF_LIFE_US = 4_000_000  # of a score without evidence
-EVIDENCE_TIMEOUT_US = 10_000_000  # a domain taken for cut is tried again after this without evidence
-HEALTH_CHECK_INTERVAL_US = 500_000  # a domain taken for cut is asked this often
-RECOVERY_STEP_US = 700_000  # it is taken back in steps of this length
-RECOVERY_FRACTIONS = (0.25, 0.5, 0.75)  # the parts of its members in use in the first ones
+EVIDENCE_TIMEOUT_US = 10_000_000  # without evidence for this long a partition is assumed to be over
+HEALTH_CHECK_INTERVAL_US = 500_000  # between checks of a partitioned domain
+RECOVERY_STEP_US = 700_000  # of the recovery ramp
+RECOVERY_FRACTIONS = (0.25, 0.5, 0.75)  # of the members, in the steps of the recovery ramp
 
 FAILURE_LOG_RATIO = log(PARTITIONED_FAILURE_PROBABILITY / HEALTHY_FAILURE_PROBABILITY)
 ANSWER_LOG_RATIO = log((1 - PARTITIONED_FAILURE_PROBABILITY) / (1 - HEALTHY_FAILURE_PROBABILITY))
@@ -37,46 +37,48 @@
     """The test of one domain.
 
     Attributes:
-        score: log of the likelihood ratio, cut off over sound; at least 0.
-        is_partitioned: the domain is taken for cut off.
-        recovered_us: it answered again then, and is being taken back.
-        evidence_us: members whose evidence counted, and when.
+        score: log of the likelihood ratio, partitioned over healthy; at least 0.
+        is_partitioned: the score has passed the bound, and no member has answered since.
+        recovered_us: end of the last partition; the recovery ramp starts then.
+        checked_us: time of the last health check during the partition.
+        evidence_us: members whose failures counted, and when.
     """
 
     score: float = 0.0
     updated_us: int = 0
     is_partitioned: bool = False
     recovered_us: int = NEVER_US
-    asked_us: int = NEVER_US
+    checked_us: int = NEVER_US
     evidence_us: dict[str, int] = field(default_factory=dict)
 
 
 class DomainChange(NamedTuple):
-    """A domain is taken for cut off from now on, or no longer."""
+    """The start or the end of a partition."""
 
     domain: str
     is_partitioned: bool
 
 
 class FailureDomains:
-    """All domains of one balancer, by name.
+    """The failure domains that one balancer sees, by name.
 
-    What is seen is kept until `evaluate`, once a batch, so that the order within a batch does not matter: an
-    answer in it outweighs all failures in it.
+    Evidence is collected until `evaluate`, which runs once a batch. The order within a batch does not matter:
+    one answer outweighs all failures of the batch.
 
     Attributes:
-        changes: what the last batch turned.
+        states: domains with evidence.
+        changes: partitions that started or ended in the last batch.
     """
 
     def __init__(self) -> None:
         self.states: dict[str, DomainState] = {}
-        # By domain: members out of reach, or None where one answered.
+        # By domain: the members that failed; None if a member answered.
         self._evidence: dict[str, dict[str, None] | None] = {}
         self.changes: list[DomainChange] = []
 
-    def record(self, domain: str, member: str, answered: bool) -> None:
-        """Evidence: a member answered, or was out of reach."""
-        if answered:
+    def record(self, domain: str, member: str, has_answered: bool) -> None:
+        """Records that a member answered, or that it was unreachable."""
+        if has_answered:
             self._evidence[domain] = None
             return
         members = self._evidence.setdefault(domain, {})
@@ -84,29 +86,29 @@
             members[member] = None
 
     def evaluate(self, now_us: int) -> list[str]:
-        """Takes in the evidence since the last call. Returns the domains that turned."""
-        turned = [
-            domain for domain, members in self._evidence.items() if self._weigh(domain, members, now_us)
+        """Evaluates the evidence since the last call. Returns the domains whose state changed."""
+        changed = [
+            domain
+            for domain, members in self._evidence.items()
+            if self._evaluate_domain(domain, members, now_us)
         ]
         self._evidence.clear()
         for domain, state in self.states.items():
-            if (
-                state.is_partitioned and now_us - state.updated_us >= EVIDENCE_TIMEOUT_US
-            ):  # nobody speaks for it any more
+            if state.is_partitioned and now_us - state.updated_us >= EVIDENCE_TIMEOUT_US:
                 state.is_partitioned = False
                 state.recovered_us = now_us
                 state.score = 0.0
-                turned.append(domain)
-        self.changes = [DomainChange(domain, self.states[domain].is_partitioned) for domain in turned]
-        return turned
+                changed.append(domain)
+        self.changes = [DomainChange(domain, self.states[domain].is_partitioned) for domain in changed]
+        return changed
 
     def is_partitioned(self, domain: str) -> bool:
-        """Whether the domain is taken for cut off."""
+        """Returns whether the domain is partitioned."""
         state = self.states.get(domain)
         return state is not None and state.is_partitioned
 
     def usable_fraction(self, now_us: int, domain: str) -> float:
-        """The part of its members that may be used: 0 while it is taken for cut, 1 if nothing speaks so."""
+        """Returns the fraction of the domain's members that may be used."""
         state = self.states.get(domain)
         if state is None:
             return 1.0
@@ -115,33 +117,33 @@
         step = (now_us - state.recovered_us) // RECOVERY_STEP_US
         return RECOVERY_FRACTIONS[step] if step < len(RECOVERY_FRACTIONS) else 1.0
 
-    def restricts(self, now_us: int) -> bool:
-        """Whether there is a domain of which not all may be used."""
+    def has_restrictions(self, now_us: int) -> bool:
+        """Returns whether any domain has members that may not be used."""
         return any(self.usable_fraction(now_us, domain) < 1 for domain in self.states)
 
     def may_use(self, now_us: int, domain: str, member_hash: int) -> bool:
-        """Whether a member, known by a hash of its own, belongs to the part in use."""
-        share = self.usable_fraction(now_us, domain)
-        return share >= 1 or (member_hash >> 8 & 0xFF) < share * 256
+        """Returns whether a member, selected by its hash, belongs to the usable fraction of its domain."""
+        fraction = self.usable_fraction(now_us, domain)
+        return fraction >= 1 or (member_hash >> 8 & 0xFF) < fraction * 256
 
     def due_health_checks(self, now_us: int) -> list[str]:
-        """Domains taken for cut that are due to be asked by one member; they count as asked then."""
+        """Returns the partitioned domains whose next health check is due, and records that it is sent."""
         due = [
             domain
             for domain, state in self.states.items()
-            if state.is_partitioned and now_us - state.asked_us >= HEALTH_CHECK_INTERVAL_US
+            if state.is_partitioned and now_us - state.checked_us >= HEALTH_CHECK_INTERVAL_US
         ]
         for domain in due:
-            self.states[domain].asked_us = now_us
+            self.states[domain].checked_us = now_us
         return due
 
     def suspicion(self, now_us: int, domain: str) -> float:
-        """What speaks for its being cut off now, as a part of what convicts it: 0 to 1."""
+        """Returns the present score as a fraction of the bound, 0 to 1."""
         state = self.states.get(domain)
         return decayed_score(state.score, now_us - state.updated_us) / PARTITION_BOUND if state else 0.0
 
-    def _weigh(self, domain: str, members: dict[str, None] | None, now_us: int) -> bool:
-        """Takes in a domain's evidence. True where it turned."""
+    def _evaluate_domain(self, domain: str, members: dict[str, None] | None, now_us: int) -> bool:
+        """Evaluates the evidence of one domain. Returns whether its partition started or ended."""
         if members is None:
             state = self.states.get(domain)
             return state is not None and _record_answer(state, now_us)
@@ -150,7 +152,7 @@
 
 
 def _record_answer(state: DomainState, now_us: int) -> bool:
-    """Any answer proves the link to be whole. True where it was taken for cut."""
+    """Ends a partition, since any answer proves that the link works. Returns whether there was one."""
     state.score = max(0.0, state.score + ANSWER_LOG_RATIO)
     state.updated_us = now_us
     state.evidence_us.clear()
@@ -163,7 +165,7 @@
 
 
 def _record_failures(state: DomainState, now_us: int, members: dict[str, None]) -> bool:
-    """Members were out of reach. True where the domain is taken for cut from now on."""
+    """Adds failures to the score. Returns whether a partition starts."""
     fresh = [member for member in members if now_us - state.evidence_us.get(member, -WINDOW_US) >= WINDOW_US]
     if not fresh:
         return False
@@ -172,12 +174,12 @@
     score = decayed_score(state.score, now_us - state.updated_us) + FAILURE_LOG_RATIO * len(fresh)
     state.score = min(PARTITION_BOUND, score)
     state.updated_us = now_us
-    was_cut = state.is_partitioned
-    state.is_partitioned = was_cut or state.score >= PARTITION_BOUND
-    return state.is_partitioned and not was_cut
+    was_partitioned = state.is_partitioned
+    state.is_partitioned = was_partitioned or state.score >= PARTITION_BOUND
+    return state.is_partitioned and not was_partitioned
 
 
 def decayed_score(score: float, span_us: int) -> float:
-    """What is left of a score after a time without evidence."""
+    """Returns a score after that time without evidence."""
     factor: float = 0.5 ** (max(0, span_us) / HALF_LIFE_US)
     return score * factor
--- a/glenrock/routing/group_affinity.py
+++ b/glenrock/routing/group_affinity.py
@@ -1,4 +1,7 @@
-"""Where a group's connections were last seen: each server that holds any of them pays for the group anew."""
+"""Where the connections of each affinity group were last seen.
+
+Each server that holds connections of a group bears the group's common work once more.
+"""
 
 from __future__ import annotations
 
@@ -8,13 +11,13 @@
 
 
 class GroupAffinity:
-    """The last server of each group; the group that was seen longest ago is forgotten first."""
+    """The last server of each group. The least recently seen groups are forgotten first."""
 
     def __init__(self) -> None:
         self._servers: dict[int, Server] = {}
 
     def remember(self, group: int | None, server: Server) -> None:
-        """A connection of that group stands there; nothing to remember for one without a group."""
+        """Records that a connection of the group is open at the server; does nothing without a group."""
         if group is None:
             return
         self._servers.pop(group, None)
@@ -23,5 +26,5 @@
             del self._servers[next(iter(self._servers))]
 
     def server_of(self, group: int | None) -> Server | None:
-        """Where that group was last seen to stand."""
+        """Returns the server where the group was last seen; None if it is not known."""
         return None if group is None else self._servers.get(group)
--- a/glenrock/routing/load_targets.py
+++ b/glenrock/routing/load_targets.py
@@ -1,7 +1,7 @@
-"""Where servers should work: loads, as parts of their capacity, that several decisions go by."""
+"""Loads, as fractions of capacity, at which several decisions aim or act."""
 
 from __future__ import annotations
 
-TARGET_LOAD = 0.72  # of all servers: messages are late well before all cores are full
-HIGH_LOAD = 0.86  # above this the cap and the weights are cut
-SLOW_CAPACITY_RATIO = 0.6  # with no more than this part of its usual capacity a server is slow
+TARGET_LOAD = 0.72  # of the fleet; messages are late well before all cores are busy
+HIGH_LOAD = 0.86  # above it the cap and the weights are cut
+SLOW_CAPACITY_RATIO = 0.6  # of its usual capacity; a server with no more is slow
--- a/glenrock/routing/migration.py
+++ b/glenrock/routing/migration.py
@@ -1,6 +1,6 @@
-"""Which clients are asked to connect elsewhere: off servers that drain, and off servers that are overloaded.
+"""Which clients are asked to reconnect elsewhere: those of draining servers and of overloaded servers.
 
-Clients of a balancer that goes are migrated by the network code, one and all.
+The network code migrates the clients of a balancer that shuts down or drains; they are not handled here.
 """
 
 from __future__ import annotations
@@ -17,19 +17,22 @@
 from .server_index import ServerIndex
 from .state import RoutedRequest, Server
 
-MIGRATION_US = (
-    2 * SECOND_US
-)  # clients of a draining server are migrated over this time, before it cuts them off
-OVERLOAD = 1.0  # above this a server serves hardly any message in time
-RELIEVED_LOAD = 0.65  # overloaded servers go down to this, so that the work piled up drains
-SPARE_LOAD = 0.5  # or to this where the others have room: what makes one slow often makes it slower yet
-EMPTIED_LOAD = 0.3  # a slow one is emptied to this
-BACKLOG_US = 6 * SECOND_US  # work piled up at a server takes this long to go
+MIGRATION_US = 2 * SECOND_US  # clients of a draining server migrate over this time
+OVERLOAD = 1.0  # load above which a server is relieved
+RELIEVED_LOAD = 0.65  # load left at a relieved server if the others are nearly full
+SPARE_LOAD = 0.5  # least load left at a relieved server if the others have free capacity
+EMPTIED_LOAD = 0.3  # load left at a slow server
+BACKLOG_US = 6 * SECOND_US  # time in which a server works off its backlog
+MIN_FLEET_LOAD = 0.1  # bounds a division
 
 
 @dataclass(eq=False)
 class Migration:
-    """Moves in parts, a round each. `without_session`: requests that are migrated and keep no session."""
+    """Migrates clients in parts, one a round.
+
+    Attributes:
+        without_session: requests that are migrating and whose clients lose their sessions.
+    """
 
     batch: EventBatch
     rng: random.Random
@@ -39,109 +42,117 @@
     health_checks: HealthChecker
     without_session: set[str] = field(init=False, default_factory=set)
 
-    # -- servers that drain --------------------------------------------------------------------------
+    # -- draining servers ----------------------------------------------------------------------------
 
     def migrate_off_draining_servers(self) -> None:
-        """Clients leave a draining server before it does, a part each round.
+        """Migrates, each round, a part of the clients of each draining server before it stops.
 
-        All at once would be a mass return, and each move has its price. Their sessions stand, so they come in
-        again as they are.
+        A migration of all at once would be a mass return. The clients keep their sessions, so they are
+        admitted again.
         """
         for server in self.index.with_connections():
             if server.migrate_by_us:
                 rounds_left = max(1, (server.migrate_by_us - self.batch.now_us) // ROUND_US)
-                self._leave(server, -(-len(server.connections) // rounds_left))
+                part = -(-len(server.connections) // rounds_left)  # rounded up
+                self._migrate_part(server, part)
 
-    def _leave(self, server: Server, most: int) -> None:
-        room = self._room_for_clients_of(server)
-        for request_id, request in list(server.connections.items())[:most]:
-            if room > 0:
+    def _migrate_part(self, server: Server, part: int) -> None:
+        free_load = self._free_load_elsewhere(server)
+        for request_id, request in list(server.connections.items())[:part]:
+            if free_load > 0:
                 self.batch.emit(Migrate(request_id))
-            room -= request.load
+            free_load -= request.load
 
-    def _room_for_clients_of(self, server: Server) -> float:
-        """Load that may leave now: bounded only off a server that an operator took out and is still listed.
+    def _free_load_elsewhere(self, server: Server) -> float:
+        """Returns the load that may leave this round.
 
-        Who stands there is still served; at servers that are full they would not be, nor who stood there. So
-        no more goes than brings the rest to the target, in proportion to what is ours there.
+        It is bounded only for a server that an operator suspended and that is still listed: it still serves
+        its clients, and overloaded servers would not. The bound brings the other servers to the target load,
+        by this balancer's part of their load.
         """
         if not server.listed or self.overrides.allows(server.id):
             return float("inf")
-        rest = sum(
+        load_elsewhere = sum(
             request.load
             for other in self.index.with_connections()
             if other.ready
             for request in other.connections.values()
         )
-        if not rest:
+        if not load_elsewhere:
             return float("inf")
-        return rest * (load_targets.TARGET_LOAD / max(0.1, self.loads.fleet_load) - 1)
+        fleet_load = max(MIN_FLEET_LOAD, self.loads.fleet_load)
+        return load_elsewhere * (load_targets.TARGET_LOAD / fleet_load - 1)
 
-    # -- servers that are overloaded -----------------------------------------------------------------
+    # -- overloaded servers --------------------------------------------------------------------------
 
     def relieve_overloaded_servers(self) -> None:
-        """Above capacity a server serves nobody in time. Each balancer takes its part of the excess away."""
-        scarce = self.loads.fleet_load > load_targets.HIGH_LOAD  # no room elsewhere
+        """Migrates this balancer's part of the excess load off each overloaded server."""
+        is_scarce = self.loads.fleet_load > load_targets.HIGH_LOAD  # little free capacity elsewhere
         for server in self.index.with_connections():
             if not server.migrate_by_us:
-                self._relieve(server, scarce)
+                self._relieve(server, is_scarce)
 
-    def _relieve(self, server: Server, scarce: bool) -> None:
-        late = self.loads.misses_message_objective(server)
-        # What left after the report's time would be sent away once more.
+    def _relieve(self, server: Server, is_scarce: bool) -> None:
+        is_late = self.loads.misses_message_objective(server)
+        # Connections that ended since the report would otherwise be migrated a second time.
         load = self.loads.load(server) * self.loads.remaining_load_fraction(server)
-        if not scarce and late:
-            load = max(load, MIN_LATE_LOAD)  # where there is room, late messages are enough
-        # One that loses its capacity mostly goes on to drop all it holds: little is left there, and early.
-        slow = server.capacity_ratio <= load_targets.SLOW_CAPACITY_RATIO and not scarce
-        if load <= (load_targets.TARGET_LOAD if slow else OVERLOAD):
+        if not is_scarce and is_late:
+            load = max(load, MIN_LATE_LOAD)
+        # A server that lost capacity usually loses more, so it is emptied early and further.
+        is_slow = server.capacity_ratio <= load_targets.SLOW_CAPACITY_RATIO and not is_scarce
+        if load <= (load_targets.TARGET_LOAD if is_slow else OVERLOAD):
             return
-        # Work piled up keeps messages late long after enough has left; without a report, wait for that.
-        stale = not late and self.batch.now_us - server.reported_at_us > FRESH_REPORT_US
-        blind = stale and not self.health_checks.send(server)
-        if not self._is_due(server, slow, late, blind and scarce):
+        # A backlog keeps messages late after enough load has left, so a fresh report is awaited.
+        is_stale = not is_late and self.batch.now_us - server.reported_at_us > FRESH_REPORT_US
+        is_unobservable = is_stale and not self.health_checks.send(server)
+        if not self._is_due(server, is_slow, is_late, is_unobservable and is_scarce):
             return
-        if blind:
+        if is_unobservable:
             load = max(load, self.loads.fleet_load)
         server.migrated_at_us = self.batch.now_us
-        excess = (load - self._relieved_load(scarce, slow)) / load * server.own_load
-        self._shed(server, excess, scarce, by_group=slow)
+        excess = (load - self._relieved_load(is_scarce, is_slow)) / load * server.own_load
+        self._shed(server, excess, is_scarce, by_group=is_slow)
 
-    def _is_due(self, server: Server, slow: bool, late: bool, wait_for_backlog: bool) -> bool:
+    def _is_due(self, server: Server, is_slow: bool, is_late: bool, waits_for_backlog: bool) -> bool:
         wait_us = FEEDBACK_DELAY_US
-        if slow:
+        if is_slow:
             wait_us = FRESH_REPORT_US
-        elif wait_for_backlog:
+        elif waits_for_backlog:
             wait_us = BACKLOG_US
         if self.batch.now_us - server.migrated_at_us < wait_us:
             return False
-        return server.health_check_sent_us < 0 or late
+        has_pending_check = server.health_check_sent_us >= 0
+        return not has_pending_check or is_late
+
+    def _relieved_load(self, is_scarce: bool, is_slow: bool) -> float:
+        """Returns the load to leave at an overloaded server.
 
-    def _relieved_load(self, scarce: bool, slow: bool) -> float:
-        """Where the others are nearly full too, clients in number would go round and round."""
-        if scarce:
+        If the other servers are nearly full, more than a few clients would be migrated back at once.
+        """
+        if is_scarce:
             return RELIEVED_LOAD
-        if slow:
+        if is_slow:
             return EMPTIED_LOAD
         return min(load_targets.TARGET_LOAD, max(SPARE_LOAD, self.loads.fleet_load))
 
-    def _shed(self, server: Server, excess: float, scarce: bool, by_group: bool) -> None:
-        """Migrates connections until the excess has left; where room is scarce they keep no session."""
-        for group in self._shedding_order(server, scarce, by_group):
+    def _shed(self, server: Server, excess: float, is_scarce: bool, by_group: bool) -> None:
+        """Migrates connections of that total load; if capacity is scarce the clients lose their sessions."""
+        for group in self._shedding_order(server, is_scarce, by_group):
             load = sum(request.load for request in group)
             if excess < load and self.rng.random() * load > excess:
                 break
             excess -= load
             for request in group:
                 self.batch.emit(Migrate(request.event.id))
-                if scarce:
+                if is_scarce:
                     self.without_session.add(request.event.id)
 
-    def _shedding_order(self, server: Server, scarce: bool, by_group: bool) -> list[list[RoutedRequest]]:
-        """By priority weight where room is scarce, else the heaviest first.
+    def _shedding_order(self, server: Server, is_scarce: bool, by_group: bool) -> list[list[RoutedRequest]]:
+        """Returns the server's connections in the order in which they migrate.
 
-        Weights are drawn by: in strict order the least class would be served nothing at all. A slow server
-        loses whole groups, since it bears a group's common work while it holds any of it.
+        If capacity is scarce the order is drawn by priority weight: in strict order the lowest class would
+        not be served at all. Otherwise the heaviest come first. A slow server sheds whole groups, since it
+        bears a group's common work while it holds any connection of the group.
         """
         groups: dict[object, list[RoutedRequest]] = {}
         for request_id, request in server.connections.items():
@@ -150,7 +161,7 @@
         ranked = []
         for number, group in enumerate(groups.values()):
             rank = -sum(request.load for request in group)
-            if scarce:
+            if is_scarce:
                 rank = group[0].request_class.priority_weight * self.rng.random()
             ranked.append((rank, number, group))
         return [group for _, _, group in sorted(ranked)]
--- a/glenrock/routing/outlier_ejection.py
+++ b/glenrock/routing/outlier_ejection.py
@@ -1,6 +1,6 @@
-"""Which servers get less, or nothing: weights, ejection of those that fail, and is_panicking mode.
+"""Which servers receive less work, or none: weights, ejection of unreachable servers, and panic mode.
 
-Weights rise additively and are cut multiplicatively (AIMD).
+Weights increase additively and decrease multiplicatively (AIMD).
 """
 
 from __future__ import annotations
@@ -19,15 +19,22 @@
 from .slow_start import SlowStart
 from .state import Server
 
-WEIGHT_CUT_FACTOR, WEIGHT_RISE, MIN_WEIGHT = 0.7, 0.05, 0.05
-OUTLIER_RATIO = 1.2  # a server is loaded for itself above this multiple of the mean load
-FAILURES_TO_EJECT, MAX_FAILURES = 2, 6  # in a row; past the second number the time grows no more
+WEIGHT_CUT_FACTOR = 0.7  # at most once per feedback delay
+WEIGHT_RISE = 0.05  # per report below the mean load
+MIN_WEIGHT = 0.05
+OUTLIER_RATIO = 1.2  # of the mean load; a server above it is overloaded by itself
+FAILURES_TO_EJECT = 2  # in a row
+MAX_FAILURES = 6  # in a row; further ones do not extend the ejection
 FIRST_EJECTION_US = SECOND_US / 4  # doubled for each failure in a row
 
 
 @dataclass(eq=False)
 class OutlierEjection:
-    """Decides which servers may receive new work; in panic mode, ejection is ignored."""
+    """Decides which servers may receive new work.
+
+    Attributes:
+        is_panicking: all ready servers are ejected, so ejection is ignored.
+    """
 
     batch: EventBatch
     settings: Settings
@@ -40,33 +47,38 @@
     is_panicking: bool = field(init=False, default=False)
 
     def may_receive(self, server: Server, load: float) -> bool:
-        """The one place that says whether a server may be sent new work now.
+        """Returns whether the server may receive new work of that load now. Every send obeys this rule.
 
-        A send after a drain notice would break the drain; so nothing goes there once it is known.
+        A server that is draining, or suspended by an operator, is not ready and receives nothing.
         """
-        usable = server.ready and (self.is_usable(server) or self.is_panicking)
-        return usable and self.slow_start.headroom(server) >= load
+        is_allowed = server.ready and (self.is_usable(server) or self.is_panicking)
+        return is_allowed and self.slow_start.headroom(server) >= load
 
     def is_usable(self, server: Server) -> bool:
-        """Whether neither the server is ejected, nor its failure domain."""
+        """Returns whether neither the server nor its failure domain is ejected."""
         now_us = self.batch.now_us
         return now_us >= server.ejected_until_us and self.domains.may_use(now_us, server.zone, server.hash)
 
     def servers_in_reach(self) -> list[Server]:
-        """Ready servers without a failure held against them, in domains that may be used."""
+        """Returns the ready servers without a recent failure, in domains that may be used."""
         now_us = self.batch.now_us
         found = self.index.ready_without_suspects(now_us)
-        if self.domains.restricts(now_us):
+        if self.domains.has_restrictions(now_us):
             return [server for server in found if self.domains.may_use(now_us, server.zone, server.hash)]
         return found
 
     def update_panic(self) -> None:
-        """Where all are ejected nobody would be tried again for seconds: all is as good as none."""
-        usable = any(self.is_usable(server) for server in self.index.ready)
-        self.is_panicking = not usable
+        """Enters panic mode if no ready server is usable, and leaves it otherwise.
+
+        With all servers ejected no request would be sent for seconds; trying an ejected server is better.
+        """
+        self.is_panicking = not any(self.is_usable(server) for server in self.index.ready)
 
     def record_load(self, server: Server, load: float) -> None:
-        """A load report. Weights go by the mean: when all are slow alike, the cap has to fall instead."""
+        """Records a reported load, and cuts or raises the server's weight.
+
+        Weights depend on the mean load: if all servers are slow alike, the cap has to fall instead.
+        """
         self.loads.record_report(server, load)
         if load > max(load_targets.HIGH_LOAD, OUTLIER_RATIO * self.loads.fleet_load):
             self.cut_weight(server)
@@ -74,40 +86,43 @@
             server.weight = min(MAX_WEIGHT, server.weight + WEIGHT_RISE)
 
     def record_report(self, server: Server, report: dict[str, float]) -> None:
-        """A report that may tell a load."""
+        """Records the load of a load report, if the report has one."""
         load = load_of_report(report)
         if load is not None:
             self.record_load(server, load)
 
     def cut_weight(self, server: Server) -> None:
-        """One cut per feedback delay."""
+        """Cuts the server's weight, at most once per feedback delay."""
         if self.batch.now_us - server.weight_cut_us >= FEEDBACK_DELAY_US:
             server.weight_cut_us = self.batch.now_us
             server.weight = max(MIN_WEIGHT, server.weight * WEIGHT_CUT_FACTOR)
 
     def record_reachable(self, server: Server) -> None:
-        """The server answered: evidence that the link to its zone is whole."""
-        self._record_evidence(server, answered=True)
+        """Records that the server answered, which shows that the link to its zone works."""
+        self._record_evidence(server, has_answered=True)
 
     def record_unreachable(self, server: Server) -> None:
-        """Out of reach twice in a row: ejected for a time that doubles, then tried again."""
-        self._record_evidence(server, answered=False)
+        """Records a failed connection. A second one in a row ejects the server for a time that doubles."""
+        self._record_evidence(server, has_answered=False)
         self.index.add_suspect(server)
         server.consecutive_failures = min(server.consecutive_failures + 1, MAX_FAILURES)
-        ejected = server.consecutive_failures >= FAILURES_TO_EJECT
-        if ejected and not self.domains.is_partitioned(server.zone):
+        is_outlier = server.consecutive_failures >= FAILURES_TO_EJECT
+        if is_outlier and not self.domains.is_partitioned(server.zone):
             ejection_us = FIRST_EJECTION_US * 2**server.consecutive_failures
             jitter = 0.75 + self.rng.random() / 2
             server.ejected_until_us = self.batch.now_us + int(ejection_us * jitter)
         self.cut_weight(server)
 
     def update_failure_domains(self) -> None:
-        """What failed there is the link, and no server: none is ejected for it once the link is whole."""
+        """Evaluates the failure domains, and ends the ejections in each domain that changed.
+
+        Failures during a partition are the link's, not the servers'.
+        """
         for zone in self.domains.evaluate(self.batch.now_us):
             for server in self.servers.values():
                 if server.zone == zone:
                     server.consecutive_failures = server.ejected_until_us = 0
 
-    def _record_evidence(self, server: Server, answered: bool) -> None:
+    def _record_evidence(self, server: Server, has_answered: bool) -> None:
         if server.zone != self.settings.zone:
-            self.domains.record(server.zone, server.id, answered)
+            self.domains.record(server.zone, server.id, has_answered)
--- a/glenrock/routing/request_lifecycle.py
+++ b/glenrock/routing/request_lifecycle.py
@@ -1,4 +1,7 @@
-"""A request from its arrival to the end of its connection: asks the policies, carries out what they say."""
+"""The life of a request, from its arrival to the end of its connection.
+
+Asks the policies for each decision, and emits the actions that follow.
+"""
 
 from __future__ import annotations
 
@@ -20,9 +23,11 @@
     Settings,
     StartAttempt,
 )
+from .load_estimation import LoadEstimator
 from .migration import Migration
 from .outlier_ejection import OutlierEjection
 from .retries import RetryPolicy
+from .server_index import ServerIndex
 from .server_selection import HEALTH_CHECK_WAIT_US, ServerSelection
 from .slow_start import SlowStart
 from .state import Attempt, RoutedRequest, Server
@@ -41,7 +46,11 @@
 
 @dataclass(eq=False)
 class RequestLifecycle:
-    """All requests under way, by their ids, and those of them that wait for a server."""
+    """All requests under way.
+
+    Attributes:
+        requests: by id, until the request is rejected, or it or its connection has ended.
+    """
 
     batch: EventBatch
     settings: Settings
@@ -49,6 +58,8 @@
     waiting_queue: WaitingQueue
     concurrency: ConcurrencyLimit
     affinity: GroupAffinity
+    index: ServerIndex
+    loads: LoadEstimator
     slow_start: SlowStart
     ejection: OutlierEjection
     retries: RetryPolicy
@@ -57,50 +68,50 @@
     health_checks: HealthChecker
     migration: Migration
     requests: dict[str, RoutedRequest] = field(init=False, default_factory=dict)
-    _checking: dict[str, RoutedRequest] = field(init=False, default_factory=dict)
-    _waiting: dict[str, None] = field(init=False, default_factory=dict)
+    _awaiting_checks: dict[str, RoutedRequest] = field(init=False, default_factory=dict)
+    _awaiting_server: dict[str, None] = field(init=False, default_factory=dict)
 
     def start(self, request: RoutedRequest) -> None:
-        """A request that has just arrived: admitted and placed, or rejected."""
+        """Handles a request that has just arrived: admits and routes it, or rejects it."""
         self.requests[request.event.id] = request
         if not self.admission.admit(request):
             self._reject(request)
             return
-        self.batch.set_timer(
-            request.event.deadline_us - self.retries.answer_margin_us, RequestTimer(request.event.id)
-        )
-        self._place(request)
+        answer_at_us = request.event.deadline_us - self.retries.answer_margin_us
+        self.batch.set_timer(answer_at_us, RequestTimer(request.event.id))
+        self._route(request)
 
     def adopt(self, request: RoutedRequest, server: Server) -> None:
-        """A connection that stood before this balancer did."""
+        """Takes over a connection that was open at a server before this balancer started."""
         request.attempts.append(Attempt(server, self.batch.now_us))
         request.server, request.answered = server, True
         self.requests[request.event.id] = request
         self._record_connection(request, server)
         self.sessions.add_connection(request)
 
-    # -- to a server ---------------------------------------------------------------------------------
+    # -- attempts ------------------------------------------------------------------------------------
 
-    def _place(self, request: RoutedRequest) -> None:
-        may_go = self.concurrency.may_start() and self.retries.may_attempt(request)
-        request.candidates = self.selection.candidates(request) if may_go else []
+    def _route(self, request: RoutedRequest) -> None:
+        """Sends the request to the best candidate, or lets it wait, or ends it."""
+        may_attempt = self.concurrency.may_start() and self.retries.may_attempt(request)
+        request.candidates = self.selection.candidates(request) if may_attempt else []
         if not request.candidates:
-            self._wait_or_end(request)
-        elif not self._wait_for_checks(request):
+            self._await_server_or_end(request)
+        elif not self._await_checks(request):
             self._send_to_best(request)
 
-    def _wait_for_checks(self, request: RoutedRequest) -> bool:
-        """Whether the request waits for fresh loads of its candidates."""
+    def _await_checks(self, request: RoutedRequest) -> bool:
+        """Returns whether the request waits for load reports of its candidates."""
         request.pending_checks = self.health_checks.check_candidates(request)
         if not request.pending_checks:
             return False
-        self._checking[request.event.id] = request
+        self._awaiting_checks[request.event.id] = request
         self.batch.set_timer(self.batch.now_us + HEALTH_CHECK_WAIT_US, RequestTimer(request.event.id))
         return True
 
     def finish_check(self, server_id: str) -> None:
-        """A health check has its result: who waited for nothing else goes on."""
-        waiting = [r for r in self._checking.values() if server_id in r.pending_checks]
+        """Handles the end of a health check: sends the requests that waited for no other check."""
+        waiting = [r for r in self._awaiting_checks.values() if server_id in r.pending_checks]
         for request in waiting:
             request.pending_checks.discard(server_id)
             if not request.pending_checks:
@@ -108,10 +119,10 @@
 
     def _send_to_best(self, request: RoutedRequest) -> None:
         request.pending_checks.clear()
-        self._checking.pop(request.event.id, None)
+        self._awaiting_checks.pop(request.event.id, None)
         server = self.selection.best(request)
         if server is None:
-            self._wait_or_end(request)
+            self._await_server_or_end(request)
         else:
             self._send(request, server)
 
@@ -119,36 +130,37 @@
         timeout_us = self.retries.attempt_timeout_us(request)
         request.attempts.append(Attempt(server, self.batch.now_us))
         self.slow_start.record_sent(server, request.load)
-        self.health_checks.loads.record_sent(server, request.load)
+        self.loads.record_sent(server, request.load)
         self.admission.record_attempt()
         self.concurrency.record_sent()
         self.batch.emit(StartAttempt(request.event.id, server.id, timeout_us))
 
-    def _wait_or_end(self, request: RoutedRequest) -> None:
+    def _await_server_or_end(self, request: RoutedRequest) -> None:
         if request.attempt_is_in_flight:
             return
         if self.retries.may_wait(request):
-            self._waiting[request.event.id] = None
+            self._awaiting_server[request.event.id] = None
         else:
             self._end(request)
 
     def retry_waiting(self) -> None:
-        """Once a round: requests that wait for a server are placed anew."""
-        for request_id in list(self._waiting):
-            if self._waiting.pop(request_id, 0) is None:  # one that ended may have let it in
-                self._place(self.requests[request_id])
-
-    def _place_next(self) -> None:
-        """A set-up has ended: who waits for its place goes at once, and not with the next round."""
-        if self._waiting and self.concurrency.is_limited and self.concurrency.may_start():
-            first = next(iter(self._waiting))
-            del self._waiting[first]
-            self._place(self.requests[first])
-
-    # -- what becomes of attempts --------------------------------------------------------------------
-
-    def established(self, event: ConnectionEstablished) -> None:
-        """An attempt is up."""
+        """Routes, once a round, the requests that wait for a server."""
+        for request_id in list(self._awaiting_server):
+            # The end of one request may have routed or ended another of this list.
+            if self._awaiting_server.pop(request_id, 0) is None:
+                self._route(self.requests[request_id])
+
+    def _route_next_waiting(self) -> None:
+        """Routes the first waiting request at once, after a set-up has ended under a concurrency limit."""
+        if self._awaiting_server and self.concurrency.is_limited and self.concurrency.may_start():
+            first = next(iter(self._awaiting_server))
+            del self._awaiting_server[first]
+            self._route(self.requests[first])
+
+    # -- outcomes of attempts ------------------------------------------------------------------------
+
+    def establish(self, event: ConnectionEstablished) -> None:
+        """Handles an attempt that established its connection."""
         request = self.requests.get(event.id)
         if request is None or request.answered or not 0 <= event.attempt < len(request.attempts):
             return
@@ -158,16 +170,21 @@
         server.consecutive_failures = 0
         self.ejection.record_reachable(server)
         self.concurrency.record_established(server.id, event.latency_us)
-        self._place_next()
+        self._route_next_waiting()
 
     def _record_connection(self, request: RoutedRequest, server: Server) -> None:
         server.connections[request.event.id] = request
-        self.health_checks.endpoints.index.add_occupied(server)
+        self.index.add_occupied(server)
         server.last_heard_us = self.batch.now_us
         self.affinity.remember(request.event.group, server)
 
-    def attempt_ended(self, event: AttemptEnded, is_draining: bool) -> None:
-        """An attempt, or the connection that it became, is over."""
+    def end_attempt(self, event: AttemptEnded, is_draining: bool) -> None:
+        """Handles the end of an attempt, or of the connection that it established.
+
+        Args:
+            event: how it ended.
+            is_draining: this balancer migrates its clients to the others.
+        """
         request = self.requests.get(event.id)
         if request is None or not 0 <= event.attempt < len(request.attempts):
             return
@@ -177,8 +194,8 @@
         self.ejection.record_report(server, event.report)
         if not request.server:
             self.concurrency.record_ended(server.id, event.outcome)
-            self._place_next()
-        # A client that is sent away stands at another balancer, and would count at both for seconds.
+            self._route_next_waiting()
+        # The session of a client that migrates to another balancer would count at both for seconds.
         keep_session = not is_draining
         if event.outcome in SERVER_FAULT_OUTCOMES:
             self.ejection.cut_weight(server)
@@ -192,22 +209,22 @@
                 self.batch.emit(Fail(event.id))
             self._forget(request, keep_session)
         elif not request.answered:
-            self._place(request)
+            self._route(request)
 
-    # -- its end -------------------------------------------------------------------------------------
+    # -- the end of a request ------------------------------------------------------------------------
 
     def client_disconnected(self, request_id: str) -> None:
-        """The client closed or cancelled."""
+        """Forgets the request of a client that closed its connection or cancelled."""
         if request := self.requests.get(request_id):
             self._forget(request, keep_session=False)
 
     def timer_fired(self, request_id: str) -> None:
-        """The request's time is nearly up, or it has waited for health checks long enough."""
+        """Ends a request whose deadline is near, or sends one whose wait for health checks is over."""
         request = self.requests.get(request_id)
         if request is None or request.answered:
             return
         if self.retries.is_overdue(request):
-            self._end(request)  # a request left unanswered is lost
+            self._end(request)
         elif request.pending_checks:
             self._send_to_best(request)
 
@@ -216,7 +233,7 @@
         self.requests.pop(request.event.id, None)
 
     def _end(self, request: RoutedRequest) -> None:
-        """The final answer of a request that was admitted and could not be served."""
+        """Rejects or fails a request that was admitted and could not be served."""
         if request.answered:
             return
         if self.settings.may_cancel:
@@ -236,10 +253,10 @@
             self.concurrency.record_abandoned()
         request.answered = True
         self.requests.pop(request_id, None)
-        self._waiting.pop(request_id, None)
-        self._checking.pop(request_id, None)
+        self._awaiting_server.pop(request_id, None)
+        self._awaiting_checks.pop(request_id, None)
         if request.server:
             request.server.connections.pop(request_id, None)
-        migrated_away = request_id in self.migration.without_session
-        self.sessions.remove_connection(request, keep_session and not migrated_away)
+        is_migrated_without_session = request_id in self.migration.without_session
+        self.sessions.remove_connection(request, keep_session and not is_migrated_without_session)
         self.migration.without_session.discard(request_id)
--- a/glenrock/routing/server_selection.py
+++ b/glenrock/routing/server_selection.py
@@ -1,4 +1,4 @@
-"""Which servers are considered for a request, and which of them gets it."""
+"""Which servers are candidates for a request, and which candidate receives it."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
 from .state import RoutedRequest, Server
 from .token_budget import LARGE_FLEET
 
-HEALTH_CHECK_WAIT_US = 40_000  # a request waits this long for health checks: small beside any objective
-MAX_CANDIDATES = 5  # compared for a request; more cost health checks and gain little
-MAX_DRAWS = 16  # from the rings, for a request
-AFFINITY_PENALTY = 0.10  # load a group's later candidates must be better by: each one pays for the group anew
-ZONE_CROSSING_FACTOR = 3.0  # load that a crossing of zones must gain, as a multiple of its cost
-UNANSWERED_CHECK_LOAD = 1.0  # what a server is held to have that leaves a health check unanswered
+HEALTH_CHECK_WAIT_US = 40_000  # a request's longest wait for health checks
+MAX_CANDIDATES = 5  # compared for one request
+MAX_DRAWS = 16  # from the rings, for one request
+AFFINITY_PENALTY = 0.10  # load, for each rank of a candidate in its group's order
+ZONE_CROSSING_FACTOR = 3.0  # load that a connection to another zone has to save, as a multiple of its cost
+UNANSWERED_CHECK_LOAD = 1.0  # least load assumed of a server that leaves a health check unanswered
 
 
 @dataclass(eq=False)
 class ServerSelection:
-    """Weighted random picks, the same at every balancer for the connections of a group."""
+    """Weighted random draws, which agree at all balancers for the connections of a group."""
 
     batch: EventBatch
     settings: Settings
@@ -43,11 +43,11 @@
     affinity: GroupAffinity
 
     def candidates(self, request: RoutedRequest) -> list[Server]:
-        """Servers that may take the request, drawn by weight; a group seeds the draw.
+        """Draws servers that may receive the request, by weight, and seeded by the group if there is one.
 
-        Each server that holds any of a group pays for it once more, and where each of many balancers went by
-        its own weights and zone a group would end on all servers. So the order of a group's servers is the
-        same at all, after the one where it was last seen to stand.
+        Each server that holds connections of a group bears the group's common work once more. So all
+        balancers try a group's servers in the same order, after the server where the group was last seen: by
+        weights and zones of their own they would spread it over all servers.
         """
         group = request.event.group
         seed = self.rng.getrandbits(64) if group is None else mix(group)
@@ -64,9 +64,9 @@
         return found or self._any_server(request, seed, tried)
 
     def _warming_candidates(self, request: RoutedRequest, seed: int, tried: set[str]) -> list[Server]:
-        """Where the others are full, servers that are warming up come first.
+        """Returns servers that are warming up, if the request is only for them or the others are full.
 
-        They would stay nearly empty: each of many balancers may bring one a connection only now and then.
+        As ordinary candidates they would stay nearly empty: each of many balancers may rarely send to them.
         """
         if not request.slow_start_only and self.loads.fleet_load <= load_targets.TARGET_LOAD:
             return []
@@ -79,12 +79,12 @@
         return found
 
     def _draw(self, request: RoutedRequest, seed: int, tried: set[str], found: list[Server]) -> None:
-        """Fills up the candidates from the rings, each server as likely as its weight is high."""
-        grouped = request.event.group is not None
-        scale = 1 if grouped else MAX_WEIGHT / 2
+        """Adds candidates from the rings, each server with a probability proportional to its weight."""
+        is_grouped = request.event.group is not None
+        scale = 1 if is_grouped else MAX_WEIGHT / 2
         for n in range(MAX_DRAWS):
-            near = not grouped and self.endpoints.zone_ring and (n % 2 == 0 or n > MAX_DRAWS // 2)
-            ring = self.endpoints.zone_ring if near else self.endpoints.ring
+            uses_zone = not is_grouped and self.endpoints.zone_ring and (n % 2 == 0 or n > MAX_DRAWS // 2)
+            ring = self.endpoints.zone_ring if uses_zone else self.endpoints.ring
             server = ring.at(mix(seed + n))
             if server in found or server.id in tried or not self.retries.may_send(request, server):
                 continue
@@ -94,13 +94,16 @@
                     return
 
     def _any_server(self, request: RoutedRequest, seed: int, tried: set[str]) -> list[Server]:
-        """Few may take it: once round the ring, those already tried last."""
+        """Returns the first server on the ring that may receive the request; tried servers come last."""
         around = self.endpoints.ring.around(mix(seed))
         allowed = [server for server in around if self.retries.may_send(request, server)]
         return [server for server in allowed if server.id not in tried][:1] or allowed[:1]
 
     def best(self, request: RoutedRequest) -> Server | None:
-        """The least loaded candidate, with a handicap for crossing zones and for spreading a group."""
+        """Returns the least loaded candidate that may still receive the request; None if there is none.
+
+        Candidates in other zones, and later candidates of a group, count with a penalty.
+        """
         best, least = None, 0.0
         for rank, server in enumerate(request.candidates):
             cost = self.expected_load(server)
@@ -113,15 +116,15 @@
         return best
 
     def expected_load(self, server: Server) -> float:
-        """The load of a server with what was sent there since its last report."""
+        """Returns the estimated load of a server, including load sent there since its last report."""
         load = self.loads.load(server)
         sent_us = server.health_check_sent_us
         if sent_us >= 0 and self.batch.now_us - sent_us >= HEALTH_CHECK_WAIT_US:
             load = max(load, UNANSWERED_CHECK_LOAD)
         if not self.capacity.server_capacity:
             return load
-        # One that has become slow shows little load once it is emptied, and a few clients fill it.
+        # A slow server reports little load once it is emptied, and few clients fill it again.
         slowness = min(1.0, server.capacity_ratio / load_targets.SLOW_CAPACITY_RATIO)
-        is_large = len(self.endpoints.index.ready) > LARGE_FLEET
-        unreported = self.loads.recently_sent_load(server) if is_large else server.unreported_load
+        is_large_fleet = len(self.endpoints.index.ready) > LARGE_FLEET
+        unreported = self.loads.recently_sent_load(server) if is_large_fleet else server.unreported_load
         return load + unreported / self.capacity.server_capacity / slowness
--- a/glenrock/routing/slow_start.py
+++ b/glenrock/routing/slow_start.py
@@ -1,7 +1,7 @@
-"""Servers that started lately: how warm they are, and what one balancer may bring to them.
+"""Slow start: how warm a server is, and the load that one balancer may send to a server that is warming up.
 
-A server that is warming up is pushed over by all balancers together. So each has a budget of its own, and the
-budgets add up to what the server can take, however many balancers there are.
+Such a server fails under the load that all balancers send together. So each balancer has a budget for it, and
+the budgets add up to what the server bears, whatever the number of balancers.
 """
 
 from __future__ import annotations
@@ -15,9 +15,9 @@
 from .load_estimation import LoadEstimator
 from .state import Peer, Server, TimedLoad
 
-SLOW_START_BUDGET_FRACTION = 0.45  # of the slow-start budget used in any window: the rest is for chance
-MIN_FLEET_LOAD = 0.5  # a mean load below this is taken for this much in budgets
-SMALLEST_DRAW = 1e-9
+SLOW_START_BUDGET_FRACTION = 0.45  # of the load that fails a warming server; the rest covers random peaks
+MIN_FLEET_LOAD = 0.5  # bounds a division
+MIN_DRAW = 1e-9
 
 
 def reference_load(
@@ -27,18 +27,18 @@
     balancers: int,
     is_draining: bool,
 ) -> float:
-    """The load by which this balancer's slow-start budgets go.
+    """Returns the load from which this balancer's slow-start budgets are computed.
 
-    A balancer that its clients leave uses none of its part, and one that they come to had none: a server that
-    warms up would stay empty beside full ones. So load at balancers without a part of the clients counts by
-    parts at those that have one; counted at both it would be brought twice.
+    Load at balancers without clients of their own, which are draining or have just started, is divided among
+    the balancers that have clients: counted at both it would be sent twice, counted at neither a warming
+    server would stay empty beside full ones.
 
     Args:
-        own_load: load that stands here.
-        client_fraction: this balancer's part of all clients; None where it is not known.
-        peers: the other balancers' last summaries.
-        balancers: how many the settings name.
-        is_draining: this balancer sends its clients away.
+        own_load: load of the connections here.
+        client_fraction: this balancer's fraction of all clients; None if it is not known.
+        peers: the last summaries of the other balancers.
+        balancers: number of balancers in the settings.
+        is_draining: this balancer migrates its clients.
     """
     if not peers:
         return 0.0 if is_draining else own_load
@@ -51,11 +51,11 @@
 
 
 class SlowStart:
-    """Warmth of the servers, and this balancer's budgets.
+    """Warmth of the servers, and this balancer's slow-start budgets.
 
     Attributes:
         warming: servers in reach that are warming up, as of the last round.
-        reference_load: load by which the budgets go.
+        reference_load: the load from which budgets are computed.
     """
 
     def __init__(
@@ -77,7 +77,7 @@
         self.reference_load = 0.0
 
     def warmth(self, server: Server) -> float:
-        """The part of its capacity that a server surely has by now."""
+        """Returns the fraction of its capacity that a server has by now."""
         age_us = self._batch.now_us - server.started_us
         if not server.started_us or age_us >= self._settings.slow_start_us:
             return 1.0
@@ -85,59 +85,60 @@
         return initial + (1 - initial) * max(0, age_us) / self._settings.slow_start_us
 
     def is_warm(self, server: Server) -> bool:
-        """Whether its slow start is over."""
+        """Returns whether the server's slow start is over."""
         return self.warmth(server) >= 1
 
     def filled_fraction(self, server: Server) -> float:
-        """The part of a server's capacity that all balancers together may have brought to it by now."""
+        """Returns the fraction of a server's capacity that all balancers may have sent there by now."""
         settings = self._settings
-        age = max(0, self._batch.now_us - server.started_us) / max(1, settings.slow_start_us)
+        age_fraction = max(0, self._batch.now_us - server.started_us) / max(1, settings.slow_start_us)
         mean_warmth = (settings.slow_start_initial_fraction + self.warmth(server)) / 2
-        return SLOW_START_BUDGET_FRACTION * settings.slow_start_multiple * age * mean_warmth
+        return SLOW_START_BUDGET_FRACTION * settings.slow_start_multiple * age_fraction * mean_warmth
 
     def update_reference_load(self, load: float, is_draining: bool) -> None:
-        """Once a round.
+        """Updates the reference load, once a round.
 
-        Where all servers are out or have died nothing stands, and nothing would be brought until the first
-        one is warm. So while none is warm the budgets go by what stood when some were.
+        While no server is warm the last load is kept: after a loss of all servers no connections are left,
+        and budgets of 0 would last until the first server is warm.
         """
         if is_draining or not self._capacity.has_no_warm_server:
             self.reference_load = load
 
     def headroom(self, server: Server) -> float:
-        """Load that this balancer may bring to a server now.
+        """Returns the load that this balancer may send to a server now; infinite for a warm server.
 
-        Each one's part is what it carries on a warm server, full, spread over the warm-up time; one that
-        carries nothing yet sends nothing. What was sent counts for a window of its own: with a budget for
-        each spell, the end of one and the start of the next would be two in one window.
+        The budget of a window is this balancer's load on one full warm server, spread over the slow start.
+        The window slides: in fixed windows the end of one and the start of the next would add up.
         """
         warmth = self.warmth(server)
         if warmth >= 1:
             return float("inf")
         settings, now_us = self._settings, self._batch.now_us
         window_us = settings.slow_start_window_us
-        share = min(1.0, window_us / max(1, settings.slow_start_us))
-        share = SLOW_START_BUDGET_FRACTION * settings.slow_start_multiple * warmth * share
-        servers = self._capacity.warm_server_count or max(1, len(self._servers))
-        share /= servers * max(MIN_FLEET_LOAD, self._loads.fleet_load)
-        server.slow_start_sends = [sent for sent in server.slow_start_sends if now_us - sent[0] < window_us]
-        budget = share * self.reference_load
+        fraction = min(1.0, window_us / max(1, settings.slow_start_us))
+        fraction = SLOW_START_BUDGET_FRACTION * settings.slow_start_multiple * warmth * fraction
+        server_count = self._capacity.warm_server_count or max(1, len(self._servers))
+        fraction /= server_count * max(MIN_FLEET_LOAD, self._loads.fleet_load)
+        server.slow_start_sends = [
+            sent for sent in server.slow_start_sends if now_us - sent.at_us < window_us
+        ]
+        budget = fraction * self.reference_load
         left = budget - sum(load for _, load in server.slow_start_sends)
         if not server.slow_start_sends:
-            left = max(left, budget * self._luck(server))
+            left = max(left, budget * self._window_multiple(server))
         return left
 
-    def _luck(self, server: Server) -> float:
-        """How many times its budget one connection may have, where the budget is below one connection.
+    def _window_multiple(self, server: Server) -> float:
+        """Returns the multiple of its budget that the first connection of this window may have.
 
-        One of any load passes in so many windows, drawn for each balancer and window. Saving up instead would
-        let all balancers send at once.
+        It is drawn for each balancer and window, so that a connection above the budget is sent in the
+        matching fraction of the windows. Budgets saved up over windows would let all balancers send at once.
         """
         window = (self._batch.now_us - server.started_us) // self._settings.slow_start_window_us
-        draw = max(SMALLEST_DRAW, mix(server.hash ^ self._salt ^ mix(window)) / MASK)
+        draw = max(MIN_DRAW, mix(server.hash ^ self._salt ^ mix(window)) / MASK)
         return min(1 / draw, self._settings.balancers / 2)
 
     def record_sent(self, server: Server, load: float) -> None:
-        """Load is on its way to a server."""
+        """Records load that was sent to a server."""
         if not self.is_warm(server):
             server.slow_start_sends.append(TimedLoad(self._batch.now_us, load))
--- a/glenrock/routing/state.py
+++ b/glenrock/routing/state.py
@@ -1,4 +1,4 @@
-"""Records of servers, requests and peers. They decide nothing; each has one owner, named where it is made.
+"""Records of servers, requests and peers, without decisions.
 
 Times are microseconds on the caller's clock, loads as in the interface.
 """
@@ -14,14 +14,14 @@
 
 
 class TimedLoad(NamedTuple):
-    """A load, and when it was sent or seen."""
+    """A load, and the time at which it was sent or observed."""
 
     at_us: int
     load: float
 
 
 class DelaySample(NamedTuple):
-    """How long a message took at a server, and what stood there of this balancer's load then."""
+    """The duration of a message at a server, and this balancer's load there at that time."""
 
     at_us: int
     delay_s: float
@@ -29,31 +29,33 @@
 
 
 def stable_hash(server_id: str) -> int:
-    """A number of the server's own, the same at every balancer and in every run."""
+    """Returns a 64-bit hash of the id, the same at every balancer and in every run."""
     return int.from_bytes(blake2b(server_id.encode(), digest_size=8).digest(), "big")
 
 
 @dataclass(slots=True, eq=False)
 class Server:
-    """A server, as listed and as seen from this balancer. Loads of it are parts of its capacity.
+    """A server, as listed and as observed from this balancer. Its loads are fractions of its capacity.
 
     Attributes:
-        ready: listed as such, and not taken out by an operator.
-        reported_load: as last learned; below 0 where it is not known.
-        unreported_load: load sent there that no report can show yet; `recent_sends` has its parts.
-        own_load_history: what stood there of this balancer's load, round by round.
-        own_load_at_report: the same at the time of which the last report tells.
-        health_check_sent_us: a health check is out since then; below 0 where none is.
-        last_checked_us: the last health check was sent.
-        order: of the listing, counted from 0. `added_us`: when it was first listed.
-        last_heard_us: it said anything: a set-up, a load, a report.
-        delayed_at_us: word came that messages there take long.
-        objective_missed_us: and that they missed their objective.
-        migrate_by_us: it drains or is gone, and its clients should be elsewhere by then; 0 otherwise.
-        connections: connections of this balancer that stand there, by request.
-        slow_start_sends: what was sent there while it warmed up.
-        capacity: load that would fill it, as lately seen; 0 where it is not known. `usual_capacity` as seen
-            over a longer time, and `capacity_ratio` the part of the usual that it still has, at most 1.
+        ready: listed as ready, and not suspended by an operator.
+        reported_load: last reported load; below 0 if it is not known.
+        unreported_load: load sent there that no report can show yet, in total; `recent_sends` has its parts.
+        own_load_history: this balancer's load there, round by round.
+        own_load_at_report: the same, at the time that the last report describes.
+        health_check_sent_us: start of the health check in flight; below 0 if there is none.
+        last_checked_us: start of the last health check.
+        order: position in the order in which servers were first listed, from 0.
+        added_us: when the server was first listed.
+        last_heard_us: when its last set-up, load or report arrived.
+        delayed_at_us: when slow messages were last reported.
+        objective_missed_us: when messages were last reported that missed their objective.
+        migrate_by_us: deadline for its clients to migrate, if it drains or is gone; 0 otherwise.
+        connections: connections of this balancer there, by request id.
+        slow_start_sends: load sent there during its slow start.
+        capacity: load that would fill it, as of late; 0 if it is not known.
+        usual_capacity: the same, over a longer time.
+        capacity_ratio: the fraction of its usual capacity that it still has, at most 1.
     """
 
     id: str
@@ -91,11 +93,11 @@
 
     @property
     def own_load(self) -> float:
-        """Load of this balancer's connections there."""
+        """Total load of this balancer's connections there."""
         return sum(request.load for request in self.connections.values())
 
     def reset_for_restart(self, at_us: int) -> None:
-        """A new process, or one that counts as new: what was known of the old one is void."""
+        """Discards what was observed of the server's previous process."""
         self.started_us = at_us
         self.ejected_until_us = 0
         self.consecutive_failures = 0
@@ -105,7 +107,7 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One try to set a request up at a server. `outcome` is None while it is in flight."""
+    """One try to set a request up at a server. `outcome` is None while the attempt is in flight."""
 
     server: Server
     sent_at_us: int
@@ -117,12 +119,14 @@
     """A request, from its arrival to the end of its connection.
 
     Attributes:
-        event: the request as it came.
-        server: where it stands, once it is up.
-        answered: it has its final answer, or its connection.
-        slow_start_only: admitted for servers that are warming up, and for no others.
-        pending_checks: servers whose health checks it waits for.
-        candidates: servers drawn for it, best first where it has a group.
+        event: the request as it arrived.
+        key: identity of the client; the request's id if the client named none.
+        load: load of the connection, as hinted, reported or expected.
+        server: where the connection is established; None before.
+        answered: the request has its final answer or its connection.
+        slow_start_only: admitted for servers that are warming up only.
+        pending_checks: ids of the servers whose health checks the request awaits.
+        candidates: servers drawn for the request; those of a group in the group's order.
     """
 
     event: Request
@@ -139,7 +143,7 @@
 
     @property
     def first_executed(self) -> Attempt | None:
-        """The first attempt that may have run; one that is still out may."""
+        """The first attempt that may have executed, which includes one in flight; None if there is none."""
         for attempt in self.attempts:
             if attempt.outcome not in NOT_EXECUTED_OUTCOMES:
                 return attempt
@@ -151,12 +155,12 @@
         return any(attempt.outcome is None for attempt in self.attempts)
 
     def tried_servers(self) -> set[str]:
-        """Ids of the servers that had an attempt."""
+        """Returns the ids of the servers that had an attempt."""
         return {attempt.server.id for attempt in self.attempts}
 
 
 class WaitingLoad(NamedTuple):
-    """Load that waits in a bucket of the waiting line."""
+    """Load of a bucket of the waiting queue."""
 
     bucket: int
     load: float
@@ -164,7 +168,7 @@
 
 @dataclass(slots=True)
 class Peer:
-    """What another balancer's last summary told."""
+    """The last gossip summary of another balancer."""
 
     stamp: int
     heard_us: int
