--- a/glenrock/lab/policies/module.py
+++ b/glenrock/lab/policies/module.py
@@ -75,7 +75,7 @@
     if key == "MAX_LINE":  # one bound for both, as experiment files have it
         group_affinity.MAX_GROUPS = int(value)
     if key == "CALM_US":
-        gossip.PEER_LOST_AFTER_US = 3 * int(value)
+        gossip.MAX_PEER_SILENCE_US = 3 * int(value)
 
 
 @contextmanager
--- a/glenrock/routing/__init__.py
+++ b/glenrock/routing/__init__.py
@@ -1,8 +1,8 @@
 """The routing decisions of a balancer for long-lived connections.
 
-Pure: no clock, no I/O, and nothing else of glenrock is imported. Events go in with the time, actions come
-    out; the network code and the simulators carry them out. Policy modules decide, the others keep records or
-    work out figures; the design note (docs/notes/readable.md) draws the line.
+The package is pure: it has no clock, does no I/O, and imports nothing else of glenrock. Events and the time
+go in, actions come out; the network code and the simulators carry the actions out. docs/architecture.md lists
+the rules.
 """
 
 from .balancer import Balancer
--- a/glenrock/routing/activity_history.py
+++ b/glenrock/routing/activity_history.py
@@ -1,4 +1,4 @@
-"""Clients and active load as they were some seconds ago: for quotas, and for reports that tell of then."""
+"""The numbers of clients and the active load of the last seconds, for quotas and for late load reports."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class ActivitySample(NamedTuple):
-    """Clients seen here and active load known of the tier, at one time."""
+    """Clients seen by this balancer, and the known active load of the tier, at one time."""
 
     at_us: int
     clients: int
@@ -16,21 +16,21 @@
 
 
 class ActivityHistory:
-    """One sample a round, kept for `kept_us`."""
+    """Samples of the last `max_age_us`, one a round."""
 
-    def __init__(self, batch: EventBatch, kept_us: int) -> None:
+    def __init__(self, batch: EventBatch, max_age_us: int) -> None:
         self._batch = batch
-        self._kept_us = kept_us
+        self._max_age_us = max_age_us
         self.samples: list[ActivitySample] = []
 
     def record(self, clients: int, tier_load: float) -> None:
-        """What is seen now."""
+        """Records a sample of the present time."""
         now_us = self._batch.now_us
-        self.samples = [sample for sample in self.samples if now_us - sample.at_us <= self._kept_us]
+        self.samples = [sample for sample in self.samples if now_us - sample.at_us <= self._max_age_us]
         self.samples.append(ActivitySample(now_us, clients, tier_load))
 
     def oldest_within(self, span_us: int) -> ActivitySample | None:
-        """The oldest sample that is no older than that."""
+        """Returns the oldest sample of the last `span_us`; None if there is none."""
         for sample in self.samples:
             if self._batch.now_us - sample.at_us <= span_us:
                 return sample
--- a/glenrock/routing/client_sessions.py
+++ b/glenrock/routing/client_sessions.py
@@ -1,4 +1,7 @@
-"""Admitted clients: a session outlives its connections for a while, so that who is cut off may come back."""
+"""Sessions of admitted clients.
+
+A session outlives its connections for a while, so that a client whose connection broke may return.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +13,7 @@
 
 @dataclass(slots=True)
 class Session:
-    """An admitted client, by the load of its connections and how many of these are open."""
+    """An admitted client: the load and the number of its connections."""
 
     load: float
     last_seen_us: int
@@ -18,10 +21,10 @@
 
 
 class ClientSessions:
-    """Sessions of this balancer.
+    """The sessions of this balancer.
 
     Attributes:
-        active_load: load of all sessions.
+        active_load: total load of all sessions.
         session_us: a session without connections ends after this time.
     """
 
@@ -32,15 +35,15 @@
         self.active_load = 0.0
 
     def __len__(self) -> int:
-        """Clients with a session."""
+        """Number of clients with a session."""
         return len(self.by_key)
 
     def get(self, key: int | str) -> Session | None:
-        """The client's session, if it has one."""
+        """Returns the client's session; None if it has none."""
         return self.by_key.get(key)
 
     def add_connection(self, request: RoutedRequest) -> None:
-        """The request belongs to its client's session from now on."""
+        """Adds the request to its client's session, and begins one if there is none."""
         session = self.by_key.get(request.key)
         if session is None:
             session = self.by_key[request.key] = Session(0.0, self._batch.now_us)
@@ -52,8 +55,8 @@
         session.load += request.load
         self.active_load += request.load
 
-    def remove_connection(self, request: RoutedRequest, keep: bool) -> None:
-        """The request is over. Its session goes on for a while where `keep` says so, or ends with it."""
+    def remove_connection(self, request: RoutedRequest, keep_session: bool) -> None:
+        """Removes a request that ended. Its session ends with the last one, or expires if it is kept."""
         session = self.by_key.get(request.key)
         if session is None:
             return
@@ -62,7 +65,7 @@
         if session.connections > 0:
             session.load -= request.load
             self.active_load -= request.load
-        elif not keep:
+        elif not keep_session:
             self.end(request.key)
 
     def end(self, key: int | str) -> None:
@@ -70,7 +73,7 @@
         self.active_load -= self.by_key.pop(key).load
 
     def change_load(self, request: RoutedRequest, load: float) -> None:
-        """The request's connection has another load now."""
+        """Changes the load of the request's connection."""
         session = self.by_key.get(request.key)
         if session:
             self.active_load += load - request.load
@@ -78,7 +81,7 @@
         request.load = load
 
     def expire(self) -> None:
-        """Ends sessions that have had no connection for too long."""
+        """Ends sessions that have been without a connection for longer than `session_us`."""
         oldest_us = self._batch.now_us - self.session_us
         expired = [
             key
@@ -88,4 +91,4 @@
         for key in expired:
             self.end(key)
         if not self.by_key:
-            self.active_load = 0.0  # no drift from rounding
+            self.active_load = 0.0  # removes rounding errors
--- a/glenrock/routing/connection_concurrency.py
+++ b/glenrock/routing/connection_concurrency.py
@@ -1,9 +1,9 @@
-"""Set-ups out at a time, limited only while many fail or take long: at their store, which all servers call.
+"""A limit on concurrent connection set-ups, in force only while many set-ups fail or are slow.
 
-A mass return on a slow store fails everywhere, and each failure is retried at once. What waits in the store's
-queue is given up there and asked for anew, so nothing comes up. A limit on the rate, set by what came up,
-would starve the servers for ten seconds. A window of set-ups out keeps a store busy, whatever it can do, and
-its queue short (Little's law).
+All servers call one session store for a set-up. After a mass return a slow store times out everywhere, failed
+set-ups are retried at once, and the store works for attempts that were given up. A bound on the number in
+flight keeps a store of any rate busy and its queue short (Little's law); a bound on the rate would follow the
+low rate of the overload.
 """
 
 from __future__ import annotations
@@ -12,66 +12,67 @@
 from .interface import AttemptOutcome
 
 UNLIMITED = float("inf")
-MIN_WINDOW = 1.0
-SLOW_FRACTION = 0.5  # of the shortest objective: a set-up that took longer stood in a queue
-CUT_FACTOR = 0.7  # of the window, at most once in `MIN_CUT_INTERVAL_US`
-RISE_FACTOR, RISE_STEP = 1.25, 0.5  # of the window, in a round in which it bound
-MIN_CUT_INTERVAL_US = SECOND_US  # what was out before a cut has ended by then, or nearly
-MIN_AFFECTED_SERVERS = 3  # one or two that are slow are their own trouble
-STORM_FAILURES = 6  # in a round, that are waited for no longer
-IDLE_ROUNDS = 20  # in which the window did not bind: it is lifted
-RATE_DECAY = 0.98  # of the best rate seen, a round: half of it in some 17 s
+MIN_LIMIT = 1.0
+SLOW_FRACTION = 0.5  # of the shortest latency objective; a slower set-up waited in a queue
+CUT_FACTOR = 0.7  # of the limit, at most once per `MIN_CUT_INTERVAL_US`
+RISE_FACTOR = 1.25  # of the limit, in a round that reached it
+RISE_STEP = 0.5  # added to the same
+MIN_CUT_INTERVAL_US = SECOND_US  # set-ups in flight at a cut have nearly all ended by then
+MIN_AFFECTED_SERVERS = 3  # fewer slow servers are not the store's fault
+STORM_FAILURES = 6  # in a round; beyond them the limit is cut before the round ends
+IDLE_ROUNDS = 20  # rounds below the limit until it is lifted
+RATE_DECAY = 0.98  # of the best rate, per round
 
 
 class ConcurrencyLimit:
-    """The window of set-ups that may be out.
+    """The limit on set-ups in flight.
 
     Attributes:
-        window: set-ups that may be out; `UNLIMITED` while it does not bind.
-        pending: set-ups that are out.
+        limit: largest number in flight; `UNLIMITED` while it is not in force.
+        pending: number in flight.
     """
 
     def __init__(self, batch: EventBatch, objective_us: int) -> None:
         self._batch = batch
         self._objective_us = objective_us
-        self.window = UNLIMITED
+        self.limit = UNLIMITED
         self.pending = 0
-        self._peak = 0  # most of them out in this round
-        self._slow_or_failed = self._in_time = self._established = 0  # set-ups of this round
+        self._peak = 0  # largest number in flight in this round
+        self._slow_or_failed = self._in_time = self._established = 0  # in this round
         self._servers_affected: set[str] = set()
         self._cut_at_us = NEVER_US
         self._idle_rounds = 0
-        self._best_rate = 0.0  # set-ups a second that came up, the most lately
+        self._best_rate = 0.0  # established per second
 
     @property
     def is_limited(self) -> bool:
-        """Whether the window binds at all."""
-        return self.window < UNLIMITED
+        """Whether a limit is in force."""
+        return self.limit < UNLIMITED
 
     def may_start(self) -> bool:
-        """Whether another set-up may go out."""
-        return self.pending < self.window
+        """Returns whether another set-up may start."""
+        return self.pending < self.limit
 
     def record_sent(self) -> None:
-        """A set-up went out."""
+        """Records that a set-up started."""
         self.pending += 1
         self._peak = max(self._peak, self.pending)
 
     def record_abandoned(self) -> None:
-        """Nobody waits for a set-up any more."""
+        """Records that a set-up was given up."""
         self.pending -= 1
 
-    def record_established(self, server: str, took_us: int) -> None:
-        """A set-up stands, so long after it was sent."""
+    def record_established(self, server: str, latency_us: int) -> None:
+        """Records a set-up that succeeded."""
         self.pending -= 1
         self._established += 1
-        if took_us > SLOW_FRACTION * self._objective_us:
+        if latency_us > SLOW_FRACTION * self._objective_us:
             self._record_slow_or_failed(server)
         else:
             self._in_time += 1
 
     def record_ended(self, server: str, outcome: AttemptOutcome) -> None:
-        """A set-up ended otherwise. Rejections and dead servers say nothing of the store."""
+        """Records a set-up that failed. Rejections and unreachable servers do not show the store's state."""
         self.pending -= 1
         if outcome in (AttemptOutcome.ERROR, AttemptOutcome.TIMEOUT):
             self._record_slow_or_failed(server)
@@ -79,45 +80,45 @@
     def _record_slow_or_failed(self, server: str) -> None:
         self._slow_or_failed += 1
         self._servers_affected.add(server)
-        storm = self._slow_or_failed > STORM_FAILURES + 2 * self._in_time
-        if len(self._servers_affected) >= MIN_AFFECTED_SERVERS and storm:
+        is_storm = self._slow_or_failed > STORM_FAILURES + 2 * self._in_time
+        if len(self._servers_affected) >= MIN_AFFECTED_SERVERS and is_storm:
             self._cut()
 
     def _cut(self) -> None:
         if self._batch.now_us - self._cut_at_us < MIN_CUT_INTERVAL_US:
             return
-        window = self.window
+        limit = self.limit
         if not self.is_limited:
-            # With so many out a store that does the best rate seen answers within the wanted time.
-            window = max(self._best_rate, 1.0) * SLOW_FRACTION * self._objective_us / SECOND_US
-        self.window = max(MIN_WINDOW, CUT_FACTOR * window)
+            # Little's law: at the best rate seen, so many in flight end within the wanted time.
+            limit = max(self._best_rate, 1.0) * SLOW_FRACTION * self._objective_us / SECOND_US
+        self.limit = max(MIN_LIMIT, CUT_FACTOR * limit)
         self._cut_at_us = self._batch.now_us
         self._idle_rounds = 0
 
     def finish_round(self) -> None:
-        """The window of the next round."""
+        """Ends a round: cuts, raises or lifts the limit, and starts new counts."""
         self._best_rate = max(RATE_DECAY * self._best_rate, self._established * SECOND_US / ROUND_US)
         if self._many_are_slow():
             self._cut()
-        elif self.is_limited and self._peak >= self.window - 1:
+        elif self.is_limited and self._peak >= self.limit - 1:
             if self._in_time > self._slow_or_failed:
-                self.window = self.window * RISE_FACTOR + RISE_STEP
+                self.limit = self.limit * RISE_FACTOR + RISE_STEP
             self._idle_rounds = 0
         elif self.is_limited:
             self._idle_rounds += 1
             if self._idle_rounds >= IDLE_ROUNDS:
-                self.window = UNLIMITED
+                self.limit = UNLIMITED
         self._slow_or_failed = self._in_time = self._established = 0
         self._peak = self.pending
         self._servers_affected.clear()
 
     def _many_are_slow(self) -> bool:
-        """Whether enough of this round's set-ups were slow or failed.
+        """Returns whether so many of this round's set-ups were slow or failed that the limit is cut.
 
-        A small window reaches few servers in a round. Raised while nothing came up, it would keep the queue
-        of a slow store as long as it is, for ever.
+        Under a limit few servers are reached in a round, so a majority is enough there: a rise while nothing
+        is established would keep the store's queue long.
         """
         if self._slow_or_failed <= self._in_time / 3:
             return False
-        several_servers = len(self._servers_affected) >= MIN_AFFECTED_SERVERS
-        return several_servers or (self.is_limited and self._slow_or_failed > self._in_time)
+        are_several_servers = len(self._servers_affected) >= MIN_AFFECTED_SERVERS
+        return are_several_servers or (self.is_limited and self._slow_or_failed > self._in_time)
--- a/glenrock/routing/endpoint_table.py
+++ b/glenrock/routing/endpoint_table.py
@@ -1,4 +1,4 @@
-"""Servers as the endpoint list and the operators have them, and the rings that picks are drawn from."""
+"""The known servers, as the endpoint list and the operators state them, and the rings for weighted draws."""
 
 from __future__ import annotations
 
@@ -19,7 +19,8 @@
 from .server_index import ServerIndex
 from .state import RoutedRequest, Server, stable_hash
 
-MIN_INITIAL_WEIGHT, MAX_WEIGHT = 0.25, 3.0
+MIN_INITIAL_WEIGHT = 0.25
+MAX_WEIGHT = 3.0
 
 
 class _Change(NamedTuple):
@@ -28,22 +29,22 @@
 
 
 class EndpointTable:
-    """All servers that are known, by their ids.
+    """All known servers.
 
     Attributes:
-        servers: by id. Owned here; others read it, and keep what they learn in the records.
-        index: over the servers, for what a round looks at.
-        ring: of all servers that are ready. `zone_ring`: of those in this balancer's zone.
-        drain_us: clients of a server that drains or is gone are migrated within this time.
+        servers: by id. Only this class adds and removes servers; others store observations in the records.
+        index: indices over the servers.
+        ring: ready servers.
+        zone_ring: ready servers in this balancer's zone; empty if crossing zones costs nothing.
     """
 
     def __init__(
-        self, batch: EventBatch, settings: Settings, overrides: OperatorOverrides, drain_us: int
+        self, batch: EventBatch, settings: Settings, overrides: OperatorOverrides, migration_us: int
     ) -> None:
         self._batch = batch
         self._settings = settings
         self._overrides = overrides
-        self._drain_us = drain_us
+        self._migration_us = migration_us
         self.servers: dict[str, Server] = {}
         self.ring: HashRing[Server] = HashRing()
         self.zone_ring: HashRing[Server] = HashRing()
@@ -52,7 +53,7 @@
         self._added = 0
 
     def apply(self, event: EndpointList, requests: Mapping[str, RoutedRequest]) -> None:
-        """Takes in a list or changes. `requests` under way may still need a server that is gone."""
+        """Applies a list or changes. A server stays known while `requests` under way have attempts there."""
         if event.kind != EndpointListKind.CHANGES:
             self._unlist_others(event, requests)
         sizes = [entry.size for entry in event.entries]
@@ -68,7 +69,7 @@
         self._change_rings()
 
     def apply_override(self, event: OperatorOverride) -> None:
-        """An operator takes a server out, or lets it serve again."""
+        """Applies an operator's suspension or return of a server."""
         changed = self._overrides.apply(event, self._batch.now_us)
         server = self.servers.get(event.server)
         if changed and server:
@@ -77,12 +78,12 @@
             self._change_rings()
 
     def start_draining(self, server: Server) -> None:
-        """A connection stands at a server that was to go before this balancer knew it."""
+        """Starts the migration off a server that was not ready when its connection was adopted."""
         if not server.ready and not server.migrate_by_us:
-            server.migrate_by_us = self._batch.now_us + self._drain_us
+            server.migrate_by_us = self._batch.now_us + self._migration_us
 
     def ready_servers(self) -> Sequence[Server]:
-        """Servers that may get something new."""
+        """Returns the ready servers."""
         return self.index.ready
 
     def _restarted(self, server: Server, at_us: int) -> None:
@@ -110,21 +111,21 @@
         self.servers[entry.server] = server
         return server
 
-    def _set_listed(self, server: Server, listed: bool) -> None:
-        server.listed = listed
-        ready = listed and self._overrides.allows(server.id)
+    def _set_listed(self, server: Server, is_listed: bool) -> None:
+        server.listed = is_listed
+        ready = is_listed and self._overrides.allows(server.id)
         if server.ready == ready:
             return
         server.ready = ready
         self.index.invalidate_ready()
-        # Gone counts too: a machine that vanished leaves its connections open and silent.
-        server.migrate_by_us = 0 if ready else self._batch.now_us + self._drain_us
+        # A server that is gone has clients to migrate too: its machine may have left connections open.
+        server.migrate_by_us = 0 if ready else self._batch.now_us + self._migration_us
         in_zone = server.zone == self._settings.zone and self._settings.cross_zone_cost > 0
         change = RingChange(server, ring_points(server.hash), ready)
         self._changes.append(_Change(change, in_zone))
 
     def _change_rings(self) -> None:
-        """One change for the whole list: server by server, thousands of them would take seconds."""
+        """Applies all pending changes at once: thousands of single changes would take seconds."""
         self.ring.change([change.ring_change for change in self._changes])
         self.zone_ring.change([change.ring_change for change in self._changes if change.in_zone])
         self._changes.clear()
--- a/glenrock/routing/gossip_codec.py
+++ b/glenrock/routing/gossip_codec.py
@@ -1,6 +1,6 @@
-"""The form of a gossip summary: at most 256 bytes, whole numbers of seven bits a byte.
+"""The encoding of a gossip summary: at most 256 bytes, with integers as base-128 varints.
 
-Version, stamp (2 bytes, high first), active load, clients seen, then pairs of bucket age and load waiting.
+Version, stamp (2 bytes, big-endian), active load, clients seen, then pairs of bucket age and waiting load.
 """
 
 from __future__ import annotations
@@ -15,14 +15,18 @@
 HEADER_BYTES = 3
 MIN_BYTES = 5
 MAX_VALUE = (1 << 63) - 1
-MAX_SHIFT = 70  # bits of a number that may be read before it is none of ours
+MAX_SHIFT = 70  # bits; a longer number is malformed
 MAX_CLIENTS = 1_000_000  # at one balancer
-ABSURD_MULTIPLE = 100  # of the load of all connections that tenants may hold: no balancer has so much
+MAX_TENANT_LOAD_MULTIPLE = 100  # of the load of all connections that tenants may hold
 MAX_STAMP = 0xFFFF
 
 
-class Summary(NamedTuple):
-    """What a balancer tells the others. `waiting` has the ages of its buckets, youngest first."""
+class InvalidSummaryError(ValueError):
+    """A summary is malformed or implausible; the message is a line for the log."""
+
+
+class GossipSummary(NamedTuple):
+    """The state that a balancer shares. `waiting` has the ages of its buckets, youngest first."""
 
     stamp: int
     active_load: float
@@ -31,7 +35,14 @@
 
 
 def encode(stamp: int, active_load: float, clients: int, waiting: Sequence[tuple[int, float]]) -> bytes:
-    """A datagram. `waiting` comes youngest first, so that what is cut off are the oldest."""
+    """Encodes a summary. Pairs of `waiting` that exceed the size limit are cut off.
+
+    Args:
+        stamp: time of the summary, modulo `MAX_STAMP + 1`.
+        active_load: load of the admitted clients.
+        clients: number of clients seen.
+        waiting: age and load of each bucket, youngest first.
+    """
     data = bytearray((VERSION, stamp >> 8 & 0xFF, stamp & 0xFF))
     _append_number(data, round(active_load))
     _append_number(data, clients)
@@ -53,19 +64,19 @@
     data.append(value)
 
 
-def decode(data: bytes) -> Summary | None:
-    """None for anything that is not a whole summary of this version."""
+def decode(data: bytes) -> GossipSummary | None:
+    """Decodes a summary; None if the data is malformed or of another version."""
     if not MIN_BYTES <= len(data) <= MAX_BYTES or data[0] != VERSION:
         return None
     values = _numbers(data[HEADER_BYTES:])
     if values is None or len(values) < 2 or len(values) % 2 or max(values) > MAX_VALUE:
         return None
     waiting = [WaitingLoad(values[n], float(values[n + 1])) for n in range(2, len(values), 2)]
-    return Summary(data[1] << 8 | data[2], float(values[0]), values[1], waiting)
+    return GossipSummary(data[1] << 8 | data[2], float(values[0]), values[1], waiting)
 
 
 def _numbers(data: bytes) -> list[int] | None:
-    """The numbers in the data; None where one is cut or too long."""
+    """Decodes a sequence of numbers; None if one is truncated or too long."""
     values: list[int] = []
     value = shift = 0
     for byte in data:
@@ -79,24 +90,26 @@
     return None if shift else values
 
 
-def fault(peer: int, balancers: int, summary: Summary | None, tenant_load: float) -> str:
-    """What is wrong with a summary, in a line; empty where nothing is.
+def check_summary(
+    peer: int, balancers: int, summary: GossipSummary | None, tenant_load: float
+) -> GossipSummary:
+    """Returns the summary if it is plausible. Raises InvalidSummaryError otherwise.
 
-    One figure out of all measure would count as known active load at every balancer, and shut every cap.
+    An excessive load would count as known active load at every balancer, and close every cap.
 
     Args:
-        peer: who sent it.
-        balancers: how many the settings name.
-        summary: as decoded; None where that failed.
-        tenant_load: load of all connections that tenants may hold; 0 where it is not known.
+        peer: number of the sender.
+        balancers: number of balancers in the settings.
+        summary: as decoded; None if that failed.
+        tenant_load: load of all connections that tenants may hold; 0 if it is not known.
     """
     if not 0 <= peer < balancers:
-        return f"summary of balancer {peer} ignored: the settings name {balancers}"
+        raise InvalidSummaryError(f"summary of balancer {peer} ignored: the settings name {balancers}")
     if summary is None:
-        return f"summary of balancer {peer} ignored: it cannot be read"
+        raise InvalidSummaryError(f"summary of balancer {peer} ignored: it cannot be read")
     load = max(summary.active_load, sum(load for _, load in summary.waiting))
-    absurd_load = tenant_load > 0 and load > ABSURD_MULTIPLE * tenant_load
-    if summary.clients > MAX_CLIENTS or absurd_load:
-        told = f"{summary.clients} clients and a load of {load:.3g}"
-        return f"summary of balancer {peer} ignored: {told} are absurd"
-    return ""
+    is_load_excessive = tenant_load > 0 and load > MAX_TENANT_LOAD_MULTIPLE * tenant_load
+    if summary.clients > MAX_CLIENTS or is_load_excessive:
+        claim = f"{summary.clients} clients and a load of {load:.3g}"
+        raise InvalidSummaryError(f"summary of balancer {peer} ignored: {claim} are absurd")
+    return summary
--- a/glenrock/routing/hash_ring.py
+++ b/glenrock/routing/hash_ring.py
@@ -1,7 +1,7 @@
-"""A ring of servers for picks that every balancer can repeat: consistent hashing. Nothing is decided here.
+"""Consistent hashing: a ring of servers for draws that agree at all balancers.
 
-Source: Karger et al., Consistent Hashing and Random Trees (STOC 1997). The scramble is splitmix64's (Steele,
-    Lea and Flood, Fast Splittable Pseudorandom Number Generators, OOPSLA 2014).
+Sources: Karger et al., Consistent Hashing and Random Trees (STOC 1997); the mixing function is splitmix64's
+(Steele, Lea and Flood, Fast Splittable Pseudorandom Number Generators, OOPSLA 2014).
 """
 
 from __future__ import annotations
@@ -14,12 +14,18 @@
 
 BITS = 64
 MASK = (1 << BITS) - 1
-POINTS = 16  # of each server: evens out its arcs
-STEP, FIRST, SECOND = 0x9E3779B97F4A7C15, 0xBF58476D1CE4E5B9, 0x94D049BB133111EB  # splitmix64's constants
-MIN_POINTS, MAX_POINTS, USUAL_POINTS = 8, 256, 64  # a bucket: outside of these the buckets are laid out anew
-
-# Sixteen numbers side by side in one large one, each in a lane twice its width, so that a product stays
-# in its lane: one pass of big-number arithmetic scrambles all points of a server.
+POINTS = 16  # of each member
+# The constants of splitmix64.
+STEP = 0x9E3779B97F4A7C15
+FIRST_MULTIPLIER = 0xBF58476D1CE4E5B9
+SECOND_MULTIPLIER = 0x94D049BB133111EB
+# Points per bucket: outside the bounds the ring is divided into new buckets of the usual number.
+MIN_BUCKET_POINTS = 8
+MAX_BUCKET_POINTS = 256
+USUAL_BUCKET_POINTS = 64
+
+# One large integer holds a number per point, each in a lane of twice its width, so that products do not
+# overlap: a single pass of integer arithmetic mixes all points of a member.
 LANE_BITS = 2 * BITS
 ONES = sum(1 << LANE_BITS * n for n in range(POINTS))
 LOW_BITS = ONES * MASK
@@ -28,7 +34,7 @@
 
 
 class Hashed(Protocol):
-    """Anything that stands on the ring; points are taken from its hash."""
+    """A member of a ring; its points are derived from its hash."""
 
     hash: int
 
@@ -37,7 +43,7 @@
 
 
 class RingChange(NamedTuple, Generic[Member]):
-    """A member with its points, which is put in or taken out."""
+    """A member with its points; `present` adds it to the ring, otherwise it is removed."""
 
     member: Member
     points: tuple[int, ...]
@@ -45,26 +51,26 @@
 
 
 def mix(x: int) -> int:
-    """A fixed 64-bit scramble: the same group draws the same servers at every balancer."""
+    """Mixes a 64-bit number by splitmix64; the same at every balancer."""
     x = (x + STEP) & MASK
-    x = ((x ^ (x >> 30)) * FIRST) & MASK
-    x = ((x ^ (x >> 27)) * SECOND) & MASK
+    x = ((x ^ (x >> 30)) * FIRST_MULTIPLIER) & MASK
+    x = ((x ^ (x >> 27)) * SECOND_MULTIPLIER) & MASK
     return x ^ (x >> 31)
 
 
 def ring_points(hash_: int) -> tuple[int, ...]:
-    """`mix(hash_ + n)` for each n below POINTS, at a quarter of the price of calling it so often."""
+    """Returns `mix(hash_ + n)` for each n below POINTS, faster than by single calls."""
     x = (hash_ * ONES + STEPS) & LOW_BITS
-    x = ((x ^ (x >> 30 & LOW_BITS)) * FIRST) & LOW_BITS
-    x = ((x ^ (x >> 27 & LOW_BITS)) * SECOND) & LOW_BITS
+    x = ((x ^ (x >> 30 & LOW_BITS)) * FIRST_MULTIPLIER) & LOW_BITS
+    x = ((x ^ (x >> 27 & LOW_BITS)) * SECOND_MULTIPLIER) & LOW_BITS
     return _unpack_lanes((x ^ (x >> 31 & LOW_BITS)).to_bytes(POINTS * LANE_BITS // 8, "little"))
 
 
 class HashRing(Generic[Member]):
-    """Members at points of a circle, which is cut into equal buckets that are sorted when first asked.
+    """Members at points of a circle, divided into equal buckets that are sorted on first use.
 
-    A list of thousands is one change of the ring: to insert its points one by one into sorted lists moves all
-    that lie behind, which is quadratic. Each bucket is a dict from point to member.
+    Each bucket is a dict from point to member, so that a change of thousands of members takes linear time;
+    inserting their points into one sorted list would be quadratic.
     """
 
     def __init__(self) -> None:
@@ -74,63 +80,65 @@
         self._sorted: list[list[int] | None] = [[]]
 
     def __len__(self) -> int:
-        """Points on the ring."""
+        """Number of points on the ring."""
         return self._count
 
     @property
     def bucket_count(self) -> int:
-        """Into how many buckets the ring is cut."""
+        """Number of buckets."""
         return len(self._buckets)
 
     def change(self, changes: Sequence[RingChange[Member]]) -> None:
-        """Puts in each member that is present, and takes out the others, in that order."""
-        self._lay_out(self._count + POINTS * sum(present for _, _, present in changes))
+        """Adds each member that is present and removes the others, in the given order."""
+        self._resize(self._count + POINTS * sum(present for _, _, present in changes))
         buckets, shift = self._buckets, self._shift
-        many = len(changes) > len(buckets)
-        if many:
+        are_many = len(changes) > len(buckets)
+        if are_many:
             self._sorted = [None] * len(buckets)
         for member, points, present in changes:
             for point in points:
                 if present:
-                    buckets[point >> shift].setdefault(point, member)  # shared: it stays with the first
+                    buckets[point >> shift].setdefault(
+                        point, member
+                    )  # a shared point stays with its first member
                 else:
                     buckets[point >> shift].pop(point, None)
-            if not many:
+            if not are_many:
                 for point in points:
                     self._sorted[point >> shift] = None
         self._count = sum(map(len, buckets))
-        self._lay_out(self._count)
+        self._resize(self._count)
 
-    def at(self, spot: int) -> Member:
-        """The member at the first point from that spot on. IndexError where the ring is empty."""
-        first = spot >> self._shift
+    def at(self, position: int) -> Member:
+        """Returns the member at the first point from that position on. Raises IndexError on an empty ring."""
+        first = position >> self._shift
         points = self._points_of(first)
-        index = bisect_left(points, spot)
+        index = bisect_left(points, position)
         if index < len(points):
             return self._buckets[first][points[index]]
         for later in chain(range(first + 1, len(self._buckets)), range(first + 1)):
             if points := self._points_of(later):
                 return self._buckets[later][points[0]]
-        raise IndexError("an empty ring")
+        raise IndexError("the ring is empty")
 
-    def around(self, spot: int) -> list[Member]:
-        """Each member once, in the order met from that spot on."""
-        first = spot >> self._shift
+    def around(self, position: int) -> list[Member]:
+        """Returns each member once, in the order of their first points from that position on."""
+        first = position >> self._shift
         points = self._points_of(first)
-        index = bisect_left(points, spot)
-        met = [self._buckets[first][point] for point in points[index:]]
+        index = bisect_left(points, position)
+        members = [self._buckets[first][point] for point in points[index:]]
         for later in chain(range(first + 1, len(self._buckets)), range(first)):
             bucket = self._buckets[later]
-            met += [bucket[point] for point in self._points_of(later)]
-        met += [self._buckets[first][point] for point in points[:index]]
-        return list(dict.fromkeys(met))
-
-    def _lay_out(self, count: int) -> None:
-        """Buckets for so many points, with those that are there."""
-        fits = MIN_POINTS <= count / len(self._buckets) <= MAX_POINTS
-        if fits or (count <= MAX_POINTS and self._shift == BITS):
+            members += [bucket[point] for point in self._points_of(later)]
+        members += [self._buckets[first][point] for point in points[:index]]
+        return list(dict.fromkeys(members))
+
+    def _resize(self, count: int) -> None:
+        """Divides the ring into new buckets if that number of points does not fit the present ones."""
+        fits = MIN_BUCKET_POINTS <= count / len(self._buckets) <= MAX_BUCKET_POINTS
+        if fits or (count <= MAX_BUCKET_POINTS and self._shift == BITS):
             return
-        bits = max(0, (count // USUAL_POINTS).bit_length())
+        bits = max(0, (count // USUAL_BUCKET_POINTS).bit_length())
         before = self._buckets
         self._shift = BITS - bits
         self._buckets = [{} for _ in range(1 << bits)]
--- a/glenrock/routing/load_estimation.py
+++ b/glenrock/routing/load_estimation.py
@@ -1,7 +1,7 @@
-"""How loaded a server is now: from its reports, from word of slow messages, and from what has changed since.
+"""The present load of a server, from load reports, reports of slow messages, and changes since.
 
-A report tells of the past: it is refreshed now and then, and delivered late. What was sent since is in none
-yet, and what has left since is in it still. Where messages are late their delays tell of the present.
+A load report describes the past: it is refreshed rarely and delivered late. Load sent since is not in it, and
+load that left since still is. Where messages are late, their delays show the present.
 """
 
 from __future__ import annotations
@@ -12,38 +12,36 @@
 from .interface import LOAD_RATIO, UTILIZATION, Settings
 from .state import DelaySample, Server, TimedLoad
 
-FEEDBACK_DELAY_US = 2 * SECOND_US  # load reports may be refreshed and delivered this late
+FEEDBACK_DELAY_US = 2 * SECOND_US  # largest delay of a load report, refresh and delivery
 MEAN_REPORT_AGE_US = FEEDBACK_DELAY_US // 2
-FRESH_REPORT_US = 1 * SECOND_US  # a report counts as the present this long
-VALID_REPORT_US = 10 * SECOND_US  # and is better than the mean of all servers this long
-DELAY_REPORT_VALID_US = 3 * SECOND_US // 2  # word of slow messages comes once a second
-MIN_DELAY_SAMPLE_INTERVAL_US = SECOND_US // 2  # nearer ones say nothing of how a delay grows
-OWN_LOAD_HISTORY_US = 4 * SECOND_US  # own load at a server is kept this long: longer than reports are late
-
-BUSY_LOAD = 0.82  # what slow messages say of a server
-MIN_LATE_LOAD = 1.1  # what a server has at least whose messages miss their objective
-QUIET_LOAD = 0.58  # what silence says where there are no reports: room enough for the cap to rise
-MIN_DELAY_GROWTH_LOAD, MAX_DELAY_GROWTH_LOAD = (
-    0.3,
-    3.0,
-)  # what the growth of a delay may say: beyond these it is chance
+FRESH_REPORT_US = 1 * SECOND_US  # up to this age a report counts as the present load
+VALID_REPORT_US = 10 * SECOND_US  # up to this age a report is preferred to the fleet's mean load
+DELAY_REPORT_VALID_US = 3 * SECOND_US // 2  # of reports of slow messages, which arrive once a second
+MIN_DELAY_SAMPLE_INTERVAL_US = SECOND_US // 2  # closer samples do not show how a delay grows
+OWN_LOAD_HISTORY_US = 4 * SECOND_US  # more than the largest delay of a report
+
+BUSY_LOAD = 0.82  # assumed of a server with slow messages
+MIN_LATE_LOAD = 1.1  # least load of a server whose messages miss their objective
+QUIET_LOAD = 0.58  # assumed of a silent server without load reports; lets the cap rise
+MIN_DELAY_GROWTH_LOAD = 0.3  # bounds of the load that the growth of a delay shows
+MAX_DELAY_GROWTH_LOAD = 3.0
 INITIAL_FLEET_LOAD = 0.5
-ENOUGH_CONNECTIONS = 5  # own connections at a server that say something of the rest there
+ENOUGH_CONNECTIONS = 5  # own connections at a server that represent all connections there
 
 
 def load_of_report(report: dict[str, float]) -> float | None:
-    """The load that a report tells, as a part of capacity; None where it tells none."""
+    """Returns the load of a report as a fraction of capacity; None if it has none."""
     load = report.get(LOAD_RATIO, report.get(UTILIZATION))
     return load if load is not None and load >= 0 else None
 
 
 class LoadEstimator:
-    """Loads of the servers as known now.
+    """Estimates of the present loads of the servers.
 
     Attributes:
-        has_reports: health checks tell of load at all.
-        is_silence_healthy: word comes of connections whose messages are slow, so none means that none are.
-        fleet_load: mean load of the servers, as the capacity estimate has it.
+        has_reports: health checks return a load.
+        is_silence_healthy: slow messages are reported, so a server without such reports is not slow.
+        fleet_load: mean load of the servers, which `CapacityEstimator` updates.
     """
 
     def __init__(self, batch: EventBatch, settings: Settings) -> None:
@@ -52,42 +50,44 @@
         self.has_reports = settings.may_health_check and (LOAD_RATIO in fields or UTILIZATION in fields)
         self.is_silence_healthy = settings.has_message_delay_reports
         self.fleet_load = INITIAL_FLEET_LOAD
-        self._remembered: dict[str, Server] = {}  # servers with a history of own load
-        self._remembered_us = NEVER_US  # the last round
+        self._with_history: dict[str, Server] = {}
+        self._last_round_us = NEVER_US
 
     def record_own_load(self, servers: Iterable[Server]) -> None:
-        """Once a round: what stands where, for reports that tell of now later.
+        """Records this balancer's load at each server, once a round, to compare with later reports.
 
         Args:
-            servers: those where connections stand. One where nothing stands, nor did lately, has no history:
-                that says as much.
+            servers: those with connections. A server without connections, now or lately, has no history,
+                which counts as a load of 0.
         """
         now_us = self._batch.now_us
         for server in servers:
-            if server.id not in self._remembered:
-                self._remembered[server.id] = server
-                if server.added_us <= self._remembered_us:
-                    server.own_load_history = [TimedLoad(self._remembered_us, 0.0)]
-        for server in list(self._remembered.values()):
-            history = [past for past in server.own_load_history if now_us - past[0] < OWN_LOAD_HISTORY_US]
+            if server.id not in self._with_history:
+                self._with_history[server.id] = server
+                if server.added_us <= self._last_round_us:
+                    server.own_load_history = [TimedLoad(self._last_round_us, 0.0)]
+        for server in list(self._with_history.values()):
+            history = [past for past in server.own_load_history if now_us - past.at_us < OWN_LOAD_HISTORY_US]
             history.append(TimedLoad(now_us, server.own_load))
             server.own_load_history = history
             if not server.connections and not any(load for _, load in history):
                 server.own_load_history = []
-                del self._remembered[server.id]
-        self._remembered_us = now_us
+                del self._with_history[server.id]
+        self._last_round_us = now_us
 
     def record_report(self, server: Server, load: float) -> None:
-        """A load as a report tells it, a part of capacity.
+        """Records the load of a report, a fraction of capacity.
 
-        Only what was sent since the time of which it tells still counts beside it: with all that was sent
-        before the report taken off, a server would look empty for the second that reports are old.
+        Load sent since the time that the report describes still counts beside it: without it, a server would
+        seem empty while reports are old.
         """
         now_us = self._batch.now_us
         server.reported_load = load
         server.reported_at_us = now_us
         server.own_load_at_report = self._own_load_before(server, now_us - MEAN_REPORT_AGE_US)
-        server.recent_sends = [sent for sent in server.recent_sends if now_us - sent[0] < MEAN_REPORT_AGE_US]
+        server.recent_sends = [
+            sent for sent in server.recent_sends if now_us - sent.at_us < MEAN_REPORT_AGE_US
+        ]
         server.unreported_load = sum(load for _, load in server.recent_sends)
 
     def _own_load_before(self, server: Server, at_us: int) -> float:
@@ -97,7 +97,7 @@
         return server.own_load_history[0].load if server.own_load_history else 0.0
 
     def record_sent(self, server: Server, load: float) -> None:
-        """Load was sent there: no report shows it yet. What no report can leave out any more is forgotten."""
+        """Records load that was sent to the server, and forgets load that every report must include."""
         now_us = self._batch.now_us
         sends = server.recent_sends
         if sends and now_us - sends[0].at_us >= VALID_REPORT_US:
@@ -107,12 +107,12 @@
         server.unreported_load += load
 
     def recently_sent_load(self, server: Server) -> float:
-        """Load sent there that no report can show yet, where servers may go without a report for long."""
+        """Returns the load sent to the server in the last `VALID_REPORT_US`, for fleets with rare reports."""
         since_us = self._batch.now_us - VALID_REPORT_US
         return sum(load for at_us, load in server.recent_sends if at_us >= since_us)
 
     def record_delay(self, server: Server, delay_us: float, objective_us: int) -> bool:
-        """Word of how long a message takes there. True if it misses its objective."""
+        """Records the duration of a message. Returns whether it misses its objective."""
         now_us = self._batch.now_us
         if delay_us > objective_us / 3:
             server.delayed_at_us = now_us
@@ -127,26 +127,26 @@
         return delay_us >= objective_us
 
     def misses_message_objective(self, server: Server) -> bool:
-        """Whether messages there miss their objective now."""
+        """Returns whether messages at the server miss their objective now."""
         return self._batch.now_us - server.objective_missed_us < DELAY_REPORT_VALID_US
 
     def was_slow_recently(self, server: Server) -> bool:
-        """Whether it told of slow messages while a health check was out: no answer then tells of load."""
+        """Returns whether slow messages were reported lately, so that a timed-out check shows overload."""
         return bool(server.connections) and self._batch.now_us - server.delayed_at_us < DELAY_REPORT_VALID_US
 
     def was_heard_recently(self, server: Server) -> bool:
-        """Whether it said anything: an unanswered health check is no proof then that it is out of reach."""
+        """Returns whether the server was heard lately, so that a timed-out check proves nothing."""
         return self._batch.now_us - server.last_heard_us < DELAY_REPORT_VALID_US
 
     @staticmethod
     def load_from_delays(server: Server) -> float:
-        """The load of a server whose messages are late, from how fast their delay grows.
+        """Returns the load of a server with late messages, from the growth of their delay.
 
-        Reports of the time before would have the same excess sent away twice; and one that only works off
-        what is piled up would look as loaded as one that goes on piling up.
+        Older reports would cause the same excess to migrate twice. The growth also distinguishes a backlog
+        that shrinks from one that grows.
         """
         at_us, delay_s, own_load = server.delay_samples[-1]
-        growth = delay_s  # before the first word there was no delay worth telling, a second ago
+        growth = delay_s  # no delay was reported a second before the first sample
         if len(server.delay_samples) > 1:
             first = server.delay_samples[0]
             growth = (delay_s - first.delay_s) * SECOND_US / (at_us - first.at_us)
@@ -154,37 +154,41 @@
         remaining = 1.0
         if own_load > 0 and len(server.connections) >= ENOUGH_CONNECTIONS:
             remaining = min(1.0, server.own_load / own_load)
-        asked_for = min(MAX_DELAY_GROWTH_LOAD, max(MIN_DELAY_GROWTH_LOAD, 1 + growth))
-        return asked_for * remaining + delay_s * SECOND_US / FEEDBACK_DELAY_US
+        offered_load = min(MAX_DELAY_GROWTH_LOAD, max(MIN_DELAY_GROWTH_LOAD, 1 + growth))
+        return offered_load * remaining + delay_s * SECOND_US / FEEDBACK_DELAY_US
 
     def load(self, server: Server) -> float:
-        """The load of a server as known now: from late messages, its last report, or the mean of all."""
+        """Returns the present load of a server, from late messages, its last report, or the fleet's mean."""
         now_us = self._batch.now_us
         age_us = now_us - server.reported_at_us
-        known = server.reported_load >= 0 and age_us < VALID_REPORT_US
-        load = server.reported_load if known else min(self.fleet_load, 1.0)
-        newer_than_report = server.objective_missed_us > server.reported_at_us - MEAN_REPORT_AGE_US
-        if self.misses_message_objective(server) and server.delay_samples and newer_than_report:
+        is_known = server.reported_load >= 0 and age_us < VALID_REPORT_US
+        load = server.reported_load if is_known else min(self.fleet_load, 1.0)
+        is_newer_than_report = server.objective_missed_us > server.reported_at_us - MEAN_REPORT_AGE_US
+        if self.misses_message_objective(server) and server.delay_samples and is_newer_than_report:
             return self.load_from_delays(server)
         if age_us < FRESH_REPORT_US:
             return load
         if now_us - server.delayed_at_us < DELAY_REPORT_VALID_US:
             return max(load, BUSY_LOAD)
         if server.connections and self.is_silence_healthy:
-            # Only servers in trouble are asked again, and their old reports would hold the cap down. One that
-            # holds connections of ours and sends no word of slow messages is not busy.
+            # Mostly servers with faults are checked again, and their old high loads would keep the cap low. A
+            # server with connections here and no reports of slow messages is not busy.
             return min(load, BUSY_LOAD if self.has_reports else QUIET_LOAD)
         return load
 
     def remaining_load_fraction(self, server: Server) -> float:
-        """The part of our load there that has not left since its last report.
+        """Returns the fraction of this balancer's load at the server that remains since its last report.
 
-        The other balancers shed as we do. Of a hundred connections there a balancer of many holds two; one
-        that ends says nothing of the rest.
+        The other balancers shed load alike, so the fraction holds for the whole server. It is 1 where this
+        balancer has few of the server's connections.
         """
         own_load = server.own_load
         age_us = self._batch.now_us - server.reported_at_us
-        enough = len(server.connections) >= ENOUGH_CONNECTIONS and age_us < VALID_REPORT_US
-        if enough and not self.misses_message_objective(server) and server.own_load_at_report > own_load:
+        is_representative = len(server.connections) >= ENOUGH_CONNECTIONS and age_us < VALID_REPORT_US
+        if (
+            is_representative
+            and not self.misses_message_objective(server)
+            and server.own_load_at_report > own_load
+        ):
             return own_load / server.own_load_at_report
         return 1.0
--- a/glenrock/routing/operator_overrides.py
+++ b/glenrock/routing/operator_overrides.py
@@ -1,35 +1,39 @@
-"""Servers taken out of rotation by an operator.
+"""Servers that an operator suspended.
 
-An override stands until the server is called back, whatever the endpoint list says meanwhile: that it is
-ready, gone, listed anew or started again. To the server's clients it is a drain told now. On its return it
-counts as just started: it may have been restarted meanwhile, and the list tells so seconds late. Times are
-microseconds.
+A suspension lasts until the operator returns the server, whatever the endpoint list reports meanwhile. For
+the server's clients it is a drain. After its return a server counts as just started: it may have restarted
+meanwhile, which the list reports seconds late. Times are microseconds.
 """
 
 from __future__ import annotations
 
 from .interface import OperatorOverride
 
-MAX_REMEMBERED_RETURNS = 4096  # remembered
+MAX_REMEMBERED_RETURNS = 4096
 
 
 class OperatorOverrides:
-    """Servers that are out, and when the others were called back."""
+    """Suspended servers, and the times of the last returns.
+
+    Attributes:
+        suspended_servers: ids.
+        resumed_at_us: time of the last return by server id, oldest first.
+    """
 
     def __init__(self) -> None:
         self.suspended_servers: set[str] = set()
-        self.resumed_at_us: dict[str, int] = {}  # longest ago first
+        self.resumed_at_us: dict[str, int] = {}
 
     def apply(self, event: OperatorOverride, now_us: int) -> bool:
-        """A call out or back. False where it changes nothing: calls may be repeated."""
+        """Applies a suspension or a return. Returns whether it changed anything: calls may be repeated."""
         if event.is_suspended:
-            changed = event.server not in self.suspended_servers
+            is_new = event.server not in self.suspended_servers
             self.suspended_servers.add(event.server)
-            return changed
+            return is_new
         at_us = min(now_us, event.at_us or now_us)
-        # A return that another process was told of may come with no override known here.
-        news = bool(event.at_us) and at_us > self.resumed_at_us.get(event.server, 0)
-        if event.server not in self.suspended_servers and not news:
+        # A return that another process received may arrive without a suspension here.
+        is_later_return = bool(event.at_us) and at_us > self.resumed_at_us.get(event.server, 0)
+        if event.server not in self.suspended_servers and not is_later_return:
             return False
         self.suspended_servers.discard(event.server)
         self.resumed_at_us.pop(event.server, None)
@@ -39,9 +43,9 @@
         return True
 
     def allows(self, server: str) -> bool:
-        """Whether the server may be in rotation."""
+        """Returns whether the server is not suspended."""
         return server not in self.suspended_servers
 
     def started_us(self, server: str, listed_us: int) -> int:
-        """The time from which a server counts as started, where the list tells `listed_us`."""
+        """Returns when the server counts as started, if the endpoint list states `listed_us`."""
         return max(listed_us, self.resumed_at_us.get(server, 0))
--- a/glenrock/routing/server_index.py
+++ b/glenrock/routing/server_index.py
@@ -1,8 +1,7 @@
-"""Indices over the servers, kept up to date where servers change: no round looks at each of thousands.
+"""Indices over the servers, updated where servers change, so that no round has to visit each of thousands.
 
-What a round has to do goes by this balancer's traffic and by what is in trouble: servers where its
-connections stand, those that failed lately, those that are warming up. The rest are one list that changes
-with the endpoint list alone.
+The work of a round depends on this balancer's traffic and on recent faults: servers with connections, servers
+that failed lately, servers that are warming up.
 """
 
 from __future__ import annotations
@@ -13,7 +12,7 @@
 
 
 class ServerIndex:
-    """Servers by what matters in a round. All lists are in the order in which servers were first listed."""
+    """Servers by the state that a round needs. All lists are in the order of the first listing."""
 
     def __init__(self, servers: Mapping[str, Server]) -> None:
         self._servers = servers
@@ -22,41 +21,41 @@
         self._suspects: dict[str, Server] = {}
         self._starting: dict[str, Server] = {}
 
-    # -- what changed --------------------------------------------------------------------------------
+    # -- changes ---------------------------------------------------------------------------------------
 
     def invalidate_ready(self) -> None:
-        """A server may get something new from now on, or no longer."""
+        """Discards the list of ready servers, after a server became ready or ceased to be."""
         self._ready = None
 
     def add_occupied(self, server: Server) -> None:
-        """A connection of this balancer stands there."""
+        """Adds a server that holds a connection of this balancer."""
         self._occupied[server.id] = server
 
     def add_suspect(self, server: Server) -> None:
-        """A failure is held against the server."""
+        """Adds a server that has just failed."""
         self._suspects[server.id] = server
 
     def add_starting(self, server: Server) -> None:
-        """The server's process is new."""
+        """Adds a server whose process has just started."""
         self._starting[server.id] = server
 
-    # -- what is -------------------------------------------------------------------------------------
+    # -- queries ---------------------------------------------------------------------------------------
 
     @property
     def ready(self) -> list[Server]:
-        """Servers that may get something new: the same list until that changes, and not to be changed."""
+        """Ready servers. The list object stays the same until its content changes; do not modify it."""
         if self._ready is None:
             self._ready = [server for server in self._servers.values() if server.ready]
         return self._ready
 
     def with_connections(self) -> list[Server]:
-        """Servers where connections of this balancer stand."""
+        """Returns the servers that hold connections of this balancer."""
         for server_id in [id_ for id_, server in self._occupied.items() if not server.connections]:
             del self._occupied[server_id]
         return sorted(self._occupied.values(), key=_order)
 
     def ready_without_suspects(self, now_us: int) -> list[Server]:
-        """Ready servers without a failure held against them; `ready` itself where there is none."""
+        """Returns the ready servers without a recent failure; the object `ready` itself if none failed."""
         for server_id, server in list(self._suspects.items()):
             if not server.consecutive_failures and now_us >= server.ejected_until_us:
                 del self._suspects[server_id]
@@ -65,7 +64,7 @@
     def split_by_warmth(
         self, servers: list[Server], is_warm: Callable[[Server], bool]
     ) -> tuple[list[Server], list[Server]]:
-        """Of these, those that are warm (the same list where all are) and those that are warming up."""
+        """Splits servers into warm ones (the same list object if all are) and those that are warming up."""
         for server_id, server in list(self._starting.items()):
             if is_warm(server):
                 del self._starting[server_id]
@@ -73,8 +72,8 @@
         return _without(servers, self._starting), warming
 
 
-def _without(servers: list[Server], left_out: Collection[str]) -> list[Server]:
-    return [server for server in servers if server.id not in left_out] if left_out else servers
+def _without(servers: list[Server], excluded: Collection[str]) -> list[Server]:
+    return [server for server in servers if server.id not in excluded] if excluded else servers
 
 
 def _order(server: Server) -> int:
--- a/glenrock/routing/settings_codec.py
+++ b/glenrock/routing/settings_codec.py
@@ -1,6 +1,6 @@
-"""Settings and load reports as the outside spells them, turned into those of the interface.
+"""Decodes settings and load reports from the names that the platform uses.
 
-Used by the simulator's adapter and by the real balancer, so that both decide by the same figures.
+The simulator's adapter and the program share this module, so that both decide by the same settings.
 """
 
 from __future__ import annotations
@@ -21,17 +21,17 @@
 
 Kind = TypeVar("Kind", bound=StrEnum)
 
-# The simulator's wire and the lines on sockets name the same values differently.
+# The simulator's wire and the lines on sockets have different names for the same fields.
 REPORT_FIELDS = {"x0": LOAD_RATIO, "x1": "backlog_s", "util": UTILIZATION, "queue": "backlog"}
 
 
 def report_field(name: str) -> str:
-    """The interface's name of a load report's field."""
+    """Returns the interface's name of a load report's field."""
     return REPORT_FIELDS.get(name, name)
 
 
 def settings_of(raw: Any) -> Settings:
-    """The settings object, decoded from JSON. SettingsError says what is wrong with it."""
+    """Returns the settings of an object decoded from JSON. Raises SettingsError if it is not valid."""
     try:
         return _settings_of(raw)
     except KeyError as error:
--- a/glenrock/routing/simulator_adapter.py
+++ b/glenrock/routing/simulator_adapter.py
@@ -1,6 +1,6 @@
-"""The simulator's adapter: one Balancer an instance, batches on standard input, actions on standard output.
+"""The simulator's adapter: reads batches on standard input, and writes actions on standard output.
 
-It decides nothing. Exit code 2 where the input breaks the wire's form, told in one line.
+There is one Balancer for each simulated balancer. Exit code 2 and one line of error mean malformed input.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from typing import NamedTuple, TextIO
 
 from .balancer import Balancer
-from .interface import Endpoint, EndpointList, Event, Settings
+from .interface import Endpoint, EndpointList, EndpointListKind, Event, Settings
 from .simulator_codec import (
     EVENTS,
     MAX_QUOTED_CHARS,
@@ -23,7 +23,7 @@
     settings_from,
 )
 
-TRACEBACK_LINES = 6  # of a fault that are told on the wire
+TRACEBACK_LINES = 6  # of an error, on the wire
 EXIT_BAD_INPUT = 2
 
 
@@ -33,7 +33,7 @@
 
 
 class SimulatorAdapter:
-    """State of the pipe: one Balancer for each instance, and the batch that is being read."""
+    """The balancers by number, and the batch that is being read."""
 
     def __init__(self) -> None:
         self._balancers: dict[int, Balancer] = {}
@@ -42,19 +42,19 @@
         self._rows: list[Endpoint] = []
         self._rows_due = 0
         self._now_us: int | None = None
-        self._events: dict[int, list[Event]] = {}  # of this batch, by instance, in the order of their first
+        self._events: dict[int, list[Event]] = {}  # of this batch, by balancer
         self._starts: dict[int, _Start] = {}
 
     @property
-    def inside_batch(self) -> bool:
-        """Whether more lines have to come."""
+    def is_inside_batch(self) -> bool:
+        """Whether the batch needs further lines."""
         return self._now_us is not None or self._rows_due > 0
 
     def feed(self, line: str) -> list[str] | None:
-        """Takes one line; returns the reply lines when it closes a batch. Raises WireError."""
+        """Handles a line. Returns the reply at the end of a batch, else None. Raises WireError."""
         word, _, rest = line.partition(" ")
         if self._rows_due:
-            self._take_row(word, rest)
+            self._add_row(word, rest)
         elif word == "begin_batch":
             self._begin_batch(rest)
         elif self._now_us is None:
@@ -63,9 +63,9 @@
             return self._close_batch(self._now_us)
         elif word in EVENTS:
             fields = Fields(rest)
-            self._add(fields.number("balancer"), EVENTS[word](fields))
+            self._add_event(fields.number("balancer"), EVENTS[word](fields))
         elif word == "topology":
-            self._take_list(Fields(rest))
+            self._add_list(Fields(rest))
         elif word == "list":
             self._begin_list(Fields(rest))
         elif word == "start":
@@ -89,7 +89,7 @@
         if not self._rows_due:
             self._lists[self._list_number] = ()
 
-    def _take_row(self, word: str, rest: str) -> None:
+    def _add_row(self, word: str, rest: str) -> None:
         if word != "item":
             raise WireError(
                 f"{self._rows_due} more item lines were announced, got {word[:MAX_QUOTED_CHARS]!r}"
@@ -99,49 +99,49 @@
         if not self._rows_due:
             self._lists[self._list_number] = tuple(self._rows)
 
-    def _take_list(self, fields: Fields) -> None:
+    def _add_list(self, fields: Fields) -> None:
         kind = list_kind_from(fields)
         endpoints: tuple[Endpoint, ...] = ()
-        if kind != "failed":
+        if kind != EndpointListKind.FAILED:
             number = fields.number("bank")
             if number not in self._lists:
                 raise WireError(f"topology names list {number}, which never came")
             endpoints = self._lists[number]
-        self._add(fields.number("balancer"), EndpointList(kind, endpoints))
+        self._add_event(fields.number("balancer"), EndpointList(kind, endpoints))
 
     def _start(self, fields: Fields) -> None:
-        instance = fields.number("balancer")
-        self._forget(instance)
-        self._starts[instance] = _Start(settings_from(fields), fields.number("seed"))
-        self._events[instance] = []
+        number = fields.number("balancer")
+        self._forget(number)
+        self._starts[number] = _Start(settings_from(fields), fields.number("seed"))
+        self._events[number] = []
 
-    def _forget(self, instance: int) -> None:
-        self._balancers.pop(instance, None)
-        self._starts.pop(instance, None)
-        self._events.pop(instance, None)
+    def _forget(self, number: int) -> None:
+        self._balancers.pop(number, None)
+        self._starts.pop(number, None)
+        self._events.pop(number, None)
 
-    def _add(self, instance: int, event: Event) -> None:
-        if instance in self._balancers or instance in self._starts:  # else it holds no state here
-            self._events.setdefault(instance, []).append(event)
+    def _add_event(self, number: int, event: Event) -> None:
+        if number in self._balancers or number in self._starts:
+            self._events.setdefault(number, []).append(event)
 
     def _close_batch(self, now_us: int) -> list[str]:
         self._now_us = None
         reply: list[str] = []
-        for instance in self._events:
-            reply += self._handle(instance, now_us)
+        for number in self._events:
+            reply += self._handle(number, now_us)
         reply.append("ready")
         return reply
 
-    def _handle(self, instance: int, now_us: int) -> list[str]:
-        """An instance's lines. A fault of it is told on the wire, which stops the run and shows the text."""
+    def _handle(self, number: int, now_us: int) -> list[str]:
+        """Returns the reply lines of one balancer. An error is reported on the wire, which ends the run."""
         try:
-            if start := self._starts.get(instance):
-                self._balancers[instance] = Balancer(start.settings, start.seed)
-            actions = self._balancers[instance].handle(now_us, self._events[instance])
-            return [line_of(instance, action) for action in actions]
+            if start := self._starts.get(number):
+                self._balancers[number] = Balancer(start.settings, start.seed)
+            actions = self._balancers[number].handle(now_us, self._events[number])
+            return [line_of(number, action) for action in actions]
         except Exception:  # noqa: BLE001 - the edge of the adapter
             text = " | ".join(traceback.format_exc().splitlines()[-TRACEBACK_LINES:])
-            return [f"give_in balancer={instance} message={text}"]
+            return [f"give_in balancer={number} message={text}"]
 
 
 def run(source: Iterable[str], sink: TextIO, errors: TextIO) -> int:
@@ -159,14 +159,14 @@
         if reply is not None:
             sink.write("\n".join(reply) + "\n")
             sink.flush()
-    if adapter.inside_batch:
+    if adapter.is_inside_batch:
         print("glenrock: input ended inside a batch", file=errors)
         return EXIT_BAD_INPUT
     return 0
 
 
 def main() -> int:
-    """Standard input to standard output."""
+    """Runs the adapter on standard input and output. Returns the exit code."""
     reconfigure = getattr(sys.stdin, "reconfigure", None)
     if reconfigure:
         reconfigure(encoding="utf-8", errors="strict", newline="\n")
--- a/glenrock/routing/simulator_codec.py
+++ b/glenrock/routing/simulator_codec.py
@@ -1,4 +1,4 @@
-"""Lines of the simulator's wire as events, and actions as lines of it."""
+"""The simulator's wire: decodes lines into events, and encodes actions as lines."""
 
 from __future__ import annotations
 
@@ -57,18 +57,19 @@
     "Persisted": EndpointListKind.CACHED,
     "Error": EndpointListKind.FAILED,
 }
-TEXT_FIELDS = ("profileData", "message")  # they run to the end of the line
-LOAD_NOTE, DELAY_NOTE = 1, 2  # what a note tells: microseconds a second; milliseconds
+TEXT_FIELDS = ("profileData", "message")  # their values extend to the end of the line
+LOAD_NOTE = 1  # its amount is a load
+DELAY_NOTE = 2  # its amount is the time of a message in milliseconds
 MAX_DIGITS = 20
-MAX_QUOTED_CHARS = 40  # characters of the input that an error shows
+MAX_QUOTED_CHARS = 40  # of the input, in the text of an error
 
 
 class WireError(ValueError):
-    """The input breaks the wire's form."""
+    """The input violates the form of the wire."""
 
 
 class Fields:
-    """The `name=value` pairs of a line. What is missing or out of form raises WireError."""
+    """The `name=value` pairs of a line. Reading a missing or malformed field raises WireError."""
 
     __slots__ = ("_values",)
 
@@ -80,18 +81,18 @@
         return name in self._values
 
     def text(self, name: str) -> str:
-        """The field's value."""
+        """Returns the field's value. Raises WireError if it is missing."""
         try:
             return self._values[name]
         except KeyError:
             raise WireError(f"missing field {name}") from None
 
     def text_or(self, name: str, default: str) -> str:
-        """The field's value, or the default where it is missing."""
+        """Returns the field's value, or the default if it is missing."""
         return self._values.get(name, default)
 
     def number(self, name: str) -> int:
-        """A whole number."""
+        """Returns a whole number. Raises WireError if it is missing or malformed."""
         text = self.text(name)
         digits = text[1:] if text[:1] == "-" else text
         if not (digits.isdigit() and digits.isascii()) or len(digits) > MAX_DIGITS:
@@ -99,15 +100,15 @@
         return int(text)
 
     def number_or(self, name: str, default: int) -> int:
-        """A whole number, or the default where it is missing."""
+        """Returns a whole number, or the default if it is missing."""
         return self.number(name) if name in self._values else default
 
     def optional_number(self, name: str) -> int | None:
-        """A whole number, or None where it is missing."""
+        """Returns a whole number, or None if it is missing."""
         return self.number(name) if name in self._values else None
 
     def flag(self, name: str) -> bool:
-        """Whether the field is 1; it may be missing."""
+        """Returns whether the field is 1; a missing field counts as 0."""
         text = self._values.get(name, "0")
         if text not in ("0", "1"):
             raise WireError(f"{name} is neither 0 nor 1: {text[:MAX_QUOTED_CHARS]!r}")
@@ -141,17 +142,17 @@
 
 
 def settings_from(fields: Fields) -> Settings:
-    """The settings that an instance starts with."""
+    """Decodes the settings of a starting balancer."""
     try:
         return settings_of(json.loads(fields.text("profileData")))
     except WireError:
         raise
-    except ValueError as error:  # JSONDecodeError is one
+    except ValueError as error:  # SettingsError, or malformed JSON
         raise WireError(f"profileData: {error}") from error
 
 
 def endpoint_from(fields: Fields) -> Endpoint:
-    """A row of the endpoint list. A state of a later wire counts as draining, the careful reading."""
+    """Decodes a row of the endpoint list. An unknown state counts as draining."""
     return Endpoint(
         server=fields.text("server"),
         state=STATES.get(fields.text_or("availability", "Ready"), EndpointState.DRAINING),
@@ -163,7 +164,7 @@
 
 
 def list_kind_from(fields: Fields) -> EndpointListKind:
-    """Which kind of news a list is."""
+    """Decodes the kind of an endpoint list. Raises WireError if it is unknown."""
     word = fields.text("kind")
     kind = LIST_KINDS.get(word)
     if kind is None:
@@ -236,7 +237,7 @@
 
 
 def _outcome_from(fields: Fields) -> AttemptOutcome:
-    """A word of a later wire is taken for an error that may have run, the careful reading."""
+    """Decodes an outcome. An unknown one counts as an error after which the request may have executed."""
     return OUTCOMES.get(fields.text("verdict"), AttemptOutcome.ERROR)
 
 
@@ -273,31 +274,31 @@
     "health_result": _health_check_result_from,
     "message": _gossip_from,
 }
-"""Readers of events, by the first word of their lines."""
+"""Decoders of events, by the first word of the line."""
 
 
 # -- actions -----------------------------------------------------------------------------------------
 
 
-def line_of(instance: int, action: Action) -> str:
-    """The action as a line of the reply."""
+def line_of(balancer: int, action: Action) -> str:
+    """Encodes an action as a line of the reply."""
     match action:
         case StartAttempt(request_id, server, timeout_us):
-            return f"issue balancer={instance} msgId={request_id} server={server} limitUs={timeout_us}"
+            return f"issue balancer={balancer} msgId={request_id} server={server} limitUs={timeout_us}"
         case SetTimer(at_us, ref):
-            return f"timer balancer={instance} timeUs={at_us} ref={ref}"
+            return f"timer balancer={balancer} timeUs={at_us} ref={ref}"
         case SendHealthCheck(server):
-            return f"inspect balancer={instance} server={server}"
+            return f"inspect balancer={balancer} server={server}"
         case Reject(request_id, retry_after_us):
-            return f"refuse balancer={instance} msgId={request_id} stayAwayUs={retry_after_us}"
+            return f"refuse balancer={balancer} msgId={request_id} stayAwayUs={retry_after_us}"
         case Fail(request_id):
-            return f"error balancer={instance} msgId={request_id}"
+            return f"error balancer={balancer} msgId={request_id}"
         case CancelAttempt(request_id, attempt):
-            return f"revoke balancer={instance} msgId={request_id} shot={attempt}"
+            return f"revoke balancer={balancer} msgId={request_id} shot={attempt}"
         case Migrate(request_id):
-            return f"go_away balancer={instance} msgId={request_id}"
+            return f"go_away balancer={balancer} msgId={request_id}"
         case SendGossip(data):
-            return f"notify balancer={instance} target=-1 raw={data.hex() or '-'}"
+            return f"notify balancer={balancer} target=-1 raw={data.hex() or '-'}"
         case WatchEndpoints():
-            return f"listen balancer={instance} on=1"
+            return f"listen balancer={balancer} on=1"
     assert_never(action)
--- a/glenrock/routing/token_budget.py
+++ b/glenrock/routing/token_budget.py
@@ -1,39 +1,40 @@
-"""Budgets that first attempts of clients pay into, and that acts with a price are paid from."""
+"""Token budgets: the first attempts of clients earn tokens, and acts that have a cost spend them."""
 
 from __future__ import annotations
 
 from .gossip_codec import MAX_BYTES
 from .interface import Settings
 
-MIN_COST = 1e-4  # a cost below this is taken for this much
+MIN_COST = 1e-4  # bounds a division
 
-HEALTH_CHECK_BUDGET = 0.016  # part of the result that health checks may take
-INITIAL_HEALTH_CHECKS, MAX_HEALTH_CHECKS = 10.0, 60.0  # at the start; saved up
+HEALTH_CHECK_BUDGET = 0.016  # fraction of the platform's result that health checks may cost
+INITIAL_HEALTH_CHECKS = 10.0
+MAX_HEALTH_CHECKS = 60.0  # saved up
 
-LARGE_FLEET = 128  # servers: more than a process keeps connections for health checks to
-IDLE_HEALTH_CONNECTION_US = 8_000_000  # such a connection is kept this long after a check
-CONNECTIONS_EARNED = 1.0  # by a first attempt: no more are made for health checks than for clients
+LARGE_FLEET = 128  # servers; in a larger fleet idle connections for health checks are closed
+IDLE_HEALTH_CONNECTION_US = 8_000_000  # how long such a connection stays open after a check
+CONNECTIONS_EARNED = 1.0  # per first attempt, so that health checks open no more connections than clients
 MAX_CONNECTIONS = 64.0  # at the start, and saved up
 
-GOSSIP_BUDGET = 0.004  # part of the result that summaries may take
+GOSSIP_BUDGET = 0.004  # fraction of the platform's result that gossip may cost
 INITIAL_GOSSIP_BYTES = 1024.0  # times receivers
-MAX_SUMMARIES = 64.0  # saved up, to each balancer
+MAX_SUMMARIES = 64.0  # saved up, per balancer
 
 
 class TokenBudget:
-    """Tokens that may be spent; never more than `most` are saved up."""
+    """Tokens, of which at most `maximum` are saved up."""
 
-    def __init__(self, initial: float, earned: float, most: float) -> None:
+    def __init__(self, initial: float, earned: float, maximum: float) -> None:
         self.tokens = initial
         self._earned = earned
-        self._most = most
+        self._maximum = maximum
 
     def earn(self) -> None:
-        """A client's first attempt pays in."""
-        self.tokens = min(self._most, self.tokens + self._earned)
+        """Adds the tokens that a client's first attempt earns."""
+        self.tokens = min(self._maximum, self.tokens + self._earned)
 
     def try_spend(self, cost: float) -> bool:
-        """Takes the cost, where there is enough; False where there is not."""
+        """Spends tokens. Returns False, and spends none, if there are too few."""
         if self.tokens < cost:
             return False
         self.tokens -= cost
@@ -41,17 +42,17 @@
 
 
 def health_check_budget(settings: Settings) -> TokenBudget:
-    """A token is a health check."""
+    """Returns the budget of health checks. A token pays for one check."""
     earned = HEALTH_CHECK_BUDGET / max(settings.health_check_cost, MIN_COST)
     return TokenBudget(INITIAL_HEALTH_CHECKS, earned, MAX_HEALTH_CHECKS)
 
 
 def health_connection_budget() -> TokenBudget:
-    """A token is a new connection for health checks, where there are too many servers to keep one to each."""
+    """Returns the budget of a large fleet's health check connections. A token pays for a new one."""
     return TokenBudget(MAX_CONNECTIONS, CONNECTIONS_EARNED, MAX_CONNECTIONS)
 
 
 def gossip_budget(settings: Settings) -> TokenBudget:
-    """A token is a byte to one receiver."""
+    """Returns the budget of gossip. A token pays for one byte to one receiver."""
     earned = MAX_BYTES * GOSSIP_BUDGET / max(settings.gossip_cost, MIN_COST)
     return TokenBudget(INITIAL_GOSSIP_BYTES, earned, MAX_SUMMARIES * MAX_BYTES * settings.balancers)
--- a/glenrock/routing/waiting_queue.py
+++ b/glenrock/routing/waiting_queue.py
@@ -1,4 +1,7 @@
-"""Rejected clients, by the bucket of time in which they were first seen: the oldest are admitted first."""
+"""The waiting queue: rejected clients by the time of their first rejection.
+
+The oldest are admitted first.
+"""
 
 from __future__ import annotations
 
@@ -7,14 +10,14 @@
 from .event_batch import EventBatch
 from .state import RoutedRequest
 
-MAX_WAITING = 20_000  # clients kept: memory stays bounded in a flood
-BUCKETS_UNTIL_EXPIRED = 4
-NO_BUCKET = 1 << 62  # past all others: buckets may be negative on a young clock
+MAX_WAITING = 20_000  # clients; bounds the memory in a flood
+MAX_BUCKETS_UNSEEN = 4  # a client not seen for so many buckets is forgotten
+NO_BUCKET = 1 << 62  # beyond all buckets, which may be negative on a clock near 0
 
 
 @dataclass(slots=True)
 class WaitingClient:
-    """A rejected client that is expected to come again."""
+    """A rejected client that is expected to retry."""
 
     bucket: int
     load: float
@@ -22,7 +25,7 @@
 
 
 class WaitingQueue:
-    """Clients that were rejected here. All who are rejected together return as one bucket."""
+    """Clients that this balancer rejected, grouped into buckets of `bucket_us` by their first rejection."""
 
     def __init__(self, batch: EventBatch, bucket_us: int) -> None:
         self._batch = batch
@@ -30,7 +33,7 @@
         self.clients: dict[int | str, WaitingClient] = {}
 
     def __len__(self) -> int:
-        """Clients that wait."""
+        """Number of waiting clients."""
         return len(self.clients)
 
     def __contains__(self, key: int | str) -> bool:
@@ -38,19 +41,19 @@
         return key in self.clients
 
     def current_bucket(self) -> int:
-        """The bucket of a client that is first seen now."""
+        """Returns the bucket of a client that is first rejected now."""
         return self._batch.now_us // self.bucket_us
 
     def get(self, key: int | str) -> WaitingClient | None:
-        """The client's place, if it has one."""
+        """Returns the client's entry; None if it does not wait."""
         return self.clients.get(key)
 
     def remove(self, key: int | str) -> None:
-        """The client was admitted."""
+        """Removes a client that was admitted."""
         self.clients.pop(key, None)
 
     def add_rejected(self, request: RoutedRequest, bucket: int) -> None:
-        """The client was rejected: it keeps its place, or gets one while there is room."""
+        """Adds a rejected client while the queue has space; one that waits already keeps its bucket."""
         client = self.clients.get(request.key)
         if client:
             client.last_seen_us = self._batch.now_us
@@ -58,12 +61,12 @@
             self.clients[request.key] = WaitingClient(bucket, request.load, self._batch.now_us)
 
     def requeue(self, request: RoutedRequest) -> None:
-        """An admitted client that no server took: it waits by its arrival, and holds no session."""
+        """Adds an admitted client that no server accepted, to the bucket of its arrival."""
         bucket = request.arrived_us // self.bucket_us
         self.clients.setdefault(request.key, WaitingClient(bucket, request.load, self._batch.now_us))
 
     def load_by_bucket(self) -> dict[int, float]:
-        """Load that waits: of clients rejected here lately, for others have gone elsewhere."""
+        """Returns the waiting load by bucket, of clients seen lately: others may wait elsewhere by now."""
         loads: dict[int, float] = {}
         for client in self.clients.values():
             if self._batch.now_us - client.last_seen_us <= self.bucket_us:
@@ -71,9 +74,11 @@
         return loads
 
     def expire(self) -> None:
-        """Forgets clients that have not come again for some buckets."""
-        lapse_us = BUCKETS_UNTIL_EXPIRED * self.bucket_us
+        """Removes clients that have not retried for `MAX_BUCKETS_UNSEEN` buckets."""
+        max_unseen_us = MAX_BUCKETS_UNSEEN * self.bucket_us
         now_us = self._batch.now_us
-        expired = [key for key, client in self.clients.items() if now_us - client.last_seen_us > lapse_us]
+        expired = [
+            key for key, client in self.clients.items() if now_us - client.last_seen_us > max_unseen_us
+        ]
         for key in expired:
             del self.clients[key]
--- a/tests/routing/test_connection_concurrency.py
+++ b/tests/routing/test_connection_concurrency.py
@@ -65,18 +65,18 @@
         limit.record_sent()
         limit.record_established(f"s{n % 7}", 20_000)
     limit.finish_round()
-    assert limit.window == connection_concurrency.UNLIMITED
+    assert limit.limit == connection_concurrency.UNLIMITED
 
 
 def test_the_window_is_lifted_when_it_no_longer_binds() -> None:
     batch = EventBatch()
     limit = ConcurrencyLimit(batch, 300_000)
-    limit.window = 4.0
+    limit.limit = 4.0
     for _ in range(connection_concurrency.IDLE_ROUNDS):
         batch.now_us += ROUND
-        assert limit.window == 4.0
+        assert limit.limit == 4.0
         limit.finish_round()
-    assert limit.window == connection_concurrency.UNLIMITED
+    assert limit.limit == connection_concurrency.UNLIMITED
 
 
 ENDS = ("up", "up", "full", "timeout", "error", "no_connection", "left")
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -11,7 +11,7 @@
 
 from glenrock.net import endpoint_watcher, peers
 from glenrock.routing import interface
-from glenrock.routing.gossip_codec import decode, encode, fault
+from glenrock.routing.gossip_codec import check_summary, decode, encode
 
 ALL = 9_000_000 + 5 * 25_000  # what the sound tier holds
 A, B, C = ("127.0.0.1", 1), ("127.0.0.1", 2), ("127.0.0.1", 3)
@@ -106,7 +106,9 @@
 )
 def test_what_a_balancer_of_the_tier_says_is_believed(active, clients, line, peer) -> None:
     read = decode(encode(7, active, clients, line))
-    assert fault(peer, 40, read, 25_000.0 * 600) == "" == fault(peer, 40, read, 0.0)
+    assert read is not None
+    assert check_summary(peer, 40, read, 25_000.0 * 600) is read
+    assert check_summary(peer, 40, read, 0.0) is read
 
 
 @given(data=st.binary(max_size=256))
