--- /dev/null
+++ b/tests/upgrade/test_process_registry.py
@@ -0,0 +1,30 @@
+"""The descriptors of the other process of an upgrade."""
+
+from __future__ import annotations
+
+import os
+import subprocess
+import sys
+from pathlib import Path
+
+from glenrock.upgrade.process_registry import ProcessRegistry
+
+
+def test_descriptors_of_a_live_process_are_counted(tmp_path: Path) -> None:
+    code = "import sys; files = [open('/dev/null') for _ in range(50)]; print(flush=True); sys.stdin.read()"
+    other = subprocess.Popen([sys.executable, "-c", code], stdin=subprocess.PIPE, stdout=subprocess.PIPE)
+    try:
+        other.stdout.readline()
+        here, there = ProcessRegistry(str(tmp_path), os.getpid()), ProcessRegistry(str(tmp_path), other.pid)
+        here.register()
+        assert here.count_other_descriptors() == 0
+        there.register()
+        assert 50 <= here.count_other_descriptors() <= 60
+        (tmp_path / f"glenrock-process-{os.getppid()}-1").touch()  # the id was reused by another process
+        assert 50 <= here.count_other_descriptors() <= 60
+    finally:
+        other.communicate()
+    assert here.count_other_descriptors() == 0
+    assert [name.name for name in tmp_path.iterdir()] == [here.file_name]
+    here.unregister()
+    assert not list(tmp_path.iterdir())
--- /dev/null
+++ b/tests/upgrade/test_processes.py
@@ -0,0 +1,140 @@
+"""Upgrades with real processes: connections, overrides, and what happens without a successor."""
+
+from __future__ import annotations
+
+import asyncio
+import re
+import signal
+
+from glenrock.upgrade import override_file
+
+from .conftest import UpgradeSite
+
+STOP_TIMEOUT_S = 5
+OVERRIDE_DELAY_S = 0.4  # within which the other process has read the shared file
+
+
+async def run_client(site: UpgradeSite, number: int, lines: int, pause_s: float) -> str:
+    """Sends lines and compares the echoes. Returns `kept`, `migrated`, `rejected`, or what went wrong."""
+    try:
+        reader, writer = await asyncio.open_connection("127.0.0.1", site.client_port)
+        writer.write(b"OPEN c%d %x c=look,d=1000\r\n" % (number, number))
+        answer = await reader.readline()
+        if answer.startswith(b"BUSY"):
+            return "rejected"
+        if answer != b"UP r\r\n":
+            return f"was answered {answer!r}"
+        for n in range(lines):
+            # In two pieces, so that some relays are handed over in the middle of a line.
+            writer.write(b"line ")
+            await asyncio.sleep(pause_s / 2)
+            writer.write(b"%d\r\n" % n)
+            echo = await reader.readline()
+            if echo == b"MOVE\r\n":
+                return "migrated"
+            if echo != b"line %d\r\n" % n:
+                return f"line {n} came back as {echo!r}"
+            await asyncio.sleep(pause_s / 2)
+        writer.close()
+        return "kept"
+    except OSError as error:
+        return repr(error)
+
+
+def test_upgrade_keeps_every_connection_and_override(run_on_site) -> None:
+    async def scenario(site: UpgradeSite) -> None:
+        first = await site.start_process()
+        assert (await site.call(first, "POST", "session-servers/s1/suspend")).startswith("200")
+        established = [asyncio.create_task(run_client(site, n, 40, 0.1)) for n in range(30)]
+        arriving: list[asyncio.Task] = []
+        is_stopped = False
+        for n in range(120):
+            arriving.append(asyncio.create_task(run_client(site, 100 + n, 2, 0.1)))
+            if n == 20:
+                starting = asyncio.create_task(site.start_process())
+            is_second_ready = n > 20 and starting.done() and len(site.processes) == 2
+            if is_second_ready and not site.processes[0].returncode and not is_stopped:
+                is_stopped = True
+                site.processes[0].send_signal(signal.SIGTERM)
+            await asyncio.sleep(0.03)
+        second = await starting
+        assert await asyncio.wait_for(site.processes[0].wait(), STOP_TIMEOUT_S) == 0, site.log(0)
+        ends = await asyncio.gather(*established, *arriving)
+        assert ends.count("kept") == len(ends), (sorted(set(ends)), site.log(0), site.log(1))
+        # No client migrated: each server connection is the one that the client had from the start.
+        assert site.connection_counts == {"s1": 0, "s2": len(ends)}
+        # The suspended server is still suspended, and a server id that was ever listed is known.
+        metrics = await site.call(second, "GET", "metrics")
+        assert "app_out_of_rotation 1\n" in metrics and "app_open_requests 0\n" in metrics
+        assert (await site.call(second, "POST", "session-servers/s1/resume")).startswith("200")
+        assert (await site.call(second, "POST", "session-servers/s3/resume")).startswith("404")
+        # Most relays were handed over, and both processes count the same number.
+        handed_over = int(re.search(r"(\d+) relays handed over", site.log(0))[1])
+        assert handed_over >= 25 and f"relays taken over count={handed_over}\n" in site.log(1)
+
+    run_on_site(scenario)
+
+
+def test_clients_migrate_without_a_successor_and_the_backlog_waits(run_on_site) -> None:
+    async def scenario(site: UpgradeSite) -> None:
+        await site.start_process()
+        established = [asyncio.create_task(run_client(site, n, 40, 0.1)) for n in range(10)]
+        await asyncio.sleep(0.5)
+        # A process that dies before it is ready leaves nothing behind that the old one would mistake for a successor.
+        starting = asyncio.create_task(site.start_process())
+        while len(site.processes) < 2:
+            await asyncio.sleep(0.01)
+        site.processes[1].kill()
+        starting.cancel()
+        site.processes[0].send_signal(signal.SIGTERM)
+        assert await asyncio.wait_for(site.processes[0].wait(), STOP_TIMEOUT_S) == 0
+        assert set(await asyncio.gather(*established)) == {"migrated"}, site.log(0)
+        assert "no successor found, migrating clients instead of handing them over" in site.log(0)
+        # New connections wait in the listening socket's backlog for the next process.
+        late = asyncio.create_task(run_client(site, 50, 1, 0.1))
+        await site.start_process()
+        assert await late == "kept"
+
+    run_on_site(scenario)
+
+
+def test_consecutive_upgrades_and_a_kill(run_on_site) -> None:
+    async def scenario(site: UpgradeSite) -> None:
+        await site.start_process()
+        clients = [asyncio.create_task(run_client(site, n, 50, 0.1)) for n in range(20)]
+        await asyncio.sleep(0.5)
+        await site.start_process()
+        # The second process is stopped while the first one is still stopping.
+        starting = asyncio.create_task(site.start_process())
+        site.processes[0].send_signal(signal.SIGTERM)
+        await starting
+        site.processes[1].send_signal(signal.SIGTERM)
+        for process in site.processes[:2]:
+            assert await asyncio.wait_for(process.wait(), STOP_TIMEOUT_S) == 0
+        ends = await asyncio.gather(*clients)
+        assert ends.count("kept") == 20, (ends, site.log(0), site.log(1), site.log(2))
+        # A killed process loses its clients, but the listening socket stays open.
+        site.processes[2].kill()
+        late = asyncio.create_task(run_client(site, 90, 1, 0.1))
+        await site.start_process()
+        assert await late == "kept"
+
+    run_on_site(scenario)
+
+
+def test_overrides_reach_both_processes_and_a_damaged_file_is_replaced(run_on_site) -> None:
+    async def scenario(site: UpgradeSite) -> None:
+        shared_file = site.folder / override_file.FILE_NAME
+        shared_file.write_text('{"version": 9}')
+        first = await site.start_process()
+        assert f"ignoring an invalid override file file={override_file.FILE_NAME}" in site.log(0)
+        second = await site.start_process()
+        for port, other_port, action, count in ((first, second, "suspend", 1), (second, first, "resume", 0)):
+            assert (await site.call(port, "POST", f"session-servers/s1/{action}")).startswith("200")
+            await asyncio.sleep(OVERRIDE_DELAY_S)
+            assert f"app_out_of_rotation {count}\n" in await site.call(other_port, "GET", "metrics")
+        shared_file.write_text("half a f")
+        await asyncio.sleep(OVERRIDE_DELAY_S)
+        assert (await site.call(first, "POST", "session-servers/s2/suspend")).startswith("200")
+
+    run_on_site(scenario)
