--- a/glenrock/cli/fleet.py
+++ b/glenrock/cli/coordination.py
@@ -6,7 +6,12 @@
 
 command = LazyGroup(
     "glenrock.cli",
-    {"jobs": "fleet_jobs", "owner": "fleet_owner", "history": "fleet_history", "start-report": "fleet_start"},
+    {
+        "jobs": "coordination_jobs",
+        "owner": "coordination_holder",
+        "history": "coordination_history",
+        "start-report": "coordination_start_report",
+    },
     name="fleet",
     help=("Who owns what, since when, on which term, and what was refused.\n\nPage: docs/fleet.md"),
 )
--- a/glenrock/cli/demo.py
+++ b/glenrock/cli/demo.py
@@ -20,7 +20,7 @@
       glenrock demo
     """
     from ..testbed import scenario
-    from .stage_run import play
+    from .scenario_run import play
 
     file = Path(__file__).resolve().parents[2] / "scenes" / "three.toml"
     if not file.exists():
--- a/glenrock/cli/main.py
+++ b/glenrock/cli/main.py
@@ -41,9 +41,9 @@
 COMMANDS = {
     "serve": "serve",
     "check": "check",
-    "lab": "lab",
-    "stage": "stage",
-    "fleet": "fleet",
+    "lab": "simulation",
+    "stage": "scenario",
+    "fleet": "coordination",
     "demo": "demo",
     "soak": "soak",
 }
--- a/glenrock/cli/stage.py
+++ b/glenrock/cli/scenario.py
@@ -6,7 +6,7 @@
 
 command = LazyGroup(
     "glenrock.cli",
-    {"run": "stage_run"},
+    {"run": "scenario_run"},
     name="stage",
     help=("Start processes of the program on loopback, strike them, and judge what came of it.\n\nPage: docs/stage.md"),
 )
--- a/glenrock/cli/stage_run.py
+++ b/glenrock/cli/scenario_run.py
@@ -7,7 +7,7 @@
 
 import click
 
-from . import lab_options as options
+from . import shared_options as options
 from .main import CommandFailedError
 
 if TYPE_CHECKING:
@@ -45,7 +45,7 @@
     """
     from ..lab import record, report
     from ..testbed import scenario_runner, scenario_testbed
-    from .stage_live import LiveTable
+    from .scenario_live_table import LiveTable
 
     summary: dict[str, Any] = {}
 
--- a/glenrock/cli/lab.py
+++ b/glenrock/cli/simulation.py
@@ -6,7 +6,13 @@
 
 command = LazyGroup(
     "glenrock.cli",
-    {"run": "lab_run", "sweep": "lab_sweep", "compare": "lab_compare", "report": "lab_report", "list": "lab_list"},
+    {
+        "run": "simulation_run",
+        "sweep": "simulation_sweep",
+        "compare": "simulation_compare",
+        "report": "simulation_report",
+        "list": "simulation_list",
+    },
     name="lab",
     help=("Emulate the fleet in simulated time: run, sweep, compare, report, list.\n\nPage: docs/lab.md"),
 )
--- a/glenrock/cli/lab_compare.py
+++ b/glenrock/cli/simulation_compare.py
@@ -9,8 +9,8 @@
 import click
 
 from ..toml_file import InputFileError
-from . import lab_options as options
-from .lab_sweep import play
+from . import shared_options as options
+from .simulation_sweep import play
 
 
 def runs_of(what: str, seeds: list[int], jobs: int, over: dict[str, Any]) -> list[dict[str, Any]]:
--- a/glenrock/cli/lab_run.py
+++ b/glenrock/cli/simulation_run.py
@@ -7,7 +7,7 @@
 
 import click
 
-from . import lab_options as options
+from . import shared_options as options
 from .main import CommandFailedError
 
 
--- a/glenrock/cli/lab_sweep.py
+++ b/glenrock/cli/simulation_sweep.py
@@ -9,7 +9,7 @@
 
 import click
 
-from . import lab_options as options
+from . import shared_options as options
 from .main import CommandFailedError
 
 if TYPE_CHECKING:
--- a/glenrock/cli/soak.py
+++ b/glenrock/cli/soak.py
@@ -8,7 +8,7 @@
 
 import click
 
-from . import lab_options as options
+from . import shared_options as options
 from .main import CommandFailedError
 
 MAX_JOBS = 6  # runs beside each other: each has up to twelve processes of its own
--- a/tests/test_cli.py
+++ b/tests/cli/test_simulation.py
@@ -14,7 +14,7 @@
 
 from glenrock.cli.main import run
 
-ROOT = Path(__file__).resolve().parent.parent
+ROOT = Path(__file__).resolve().parents[2]
 SMALL = """name = "small"
 length_s = 10.0
 [fleet]
