--- a/glenrock/cli/fleet_history.py
+++ b/glenrock/cli/fleet_history.py
@@ -28,7 +28,7 @@
     """
     for name in [job] if job else sorted(store_queries.query_store(file, lambda store: store.leases())):
         for past in store_queries.query_store(file, functools.partial(_past_terms, name)):
-            click.echo(f"{store_queries.local_time(past.at_s)}  {name}  term {past.term}  {past.holder}")
+            click.echo(f"{store_queries.local_time(past.started_s)}  {name}  term {past.term}  {past.holder}")
     for address in at:
         seen = store_queries.fetch_view(address)
         click.echo(f"{seen['name']}: {seen['refused']} refused since its start; the store: {seen['store']}")
--- a/glenrock/cli/fleet_jobs.py
+++ b/glenrock/cli/fleet_jobs.py
@@ -21,6 +21,8 @@
     """
     found = store_queries.query_store(file, lambda store: store.leases())
     for job, lease in sorted(found.items()):
-        click.echo(f"{job}  term {lease.term}  {lease.holder or 'nobody'}  {store_queries.seconds_left(lease.left_us)}")
+        click.echo(
+            f"{job}  term {lease.term}  {lease.holder or 'nobody'}  {store_queries.seconds_left(lease.remaining_us)}"
+        )
     if not found:
         click.echo("no job was ever held")
--- a/glenrock/cli/fleet_owner.py
+++ b/glenrock/cli/fleet_owner.py
@@ -27,6 +27,6 @@
         raise CommandFailedError(f"{job} was never held; `glenrock fleet jobs` names all that were")
     if not lease.holder:
         raise CommandFailedError(f"nobody owns {job}; the last was {past[-1].holder}, term {past[-1].term}")
-    since = store_queries.local_time(past[-1].at_s)
-    left = store_queries.seconds_left(lease.left_us)
+    since = store_queries.local_time(past[-1].started_s)
+    left = store_queries.seconds_left(lease.remaining_us)
     click.echo(f"{lease.holder}  term {lease.term}  since {since}  {left}")
--- a/glenrock/cli/fleet_start.py
+++ b/glenrock/cli/fleet_start.py
@@ -19,11 +19,11 @@
       glenrock fleet start-report --at 127.0.0.1:9090 --at 127.0.0.1:9091
     Exit codes: 0 done, 1 a balancer does not answer or is of another version, 2 bad input.
     """
-    from ..coordination.warm_start.start_report import report
+    from ..coordination.warm_start.start_report import format_report
 
     views = {address: store_queries.fetch_view(address) for address in dict.fromkeys(at)}
     for address, view in views.items():
         if not isinstance(view.get("start"), dict):
             raise CommandFailedError(f"{address}: tells nothing of its start: another version")
-    for line in report(list(views.values())):
+    for line in format_report(list(views.values())):
         click.echo(line)
--- a/glenrock/cli/store_queries.py
+++ b/glenrock/cli/store_queries.py
@@ -37,7 +37,7 @@
         CommandFailedError: the store is not there, or does not answer within 5 s.
     """
     from ..coordination import config
-    from ..coordination.agent import store_of
+    from ..coordination.agent import build_store
     from ..coordination.leases.store import StoreUnavailableError
 
     settings = config.load(path)
@@ -45,7 +45,7 @@
         raise CommandFailedError(f"the store {settings.store.path} is not there: no balancer has used it yet")
 
     async def ask() -> T:
-        store = store_of(settings, "operator")
+        store = build_store(settings, "operator")
         try:
             return await asyncio.wait_for(query(store), ANSWER_TIMEOUT_S)
         finally:
--- a/glenrock/coordination/agent.py
+++ b/glenrock/coordination/agent.py
@@ -55,7 +55,7 @@
     )
 
 
-def store_of(file: CoordinationFile, holder: str) -> LeaseStore:
+def build_store(file: CoordinationFile, holder: str) -> LeaseStore:
     """The store that the operator's file names. OSError where its token cannot be read."""
     settings = file.store
     lock_delay_us = round(settings.lock_delay_ms * MICROS)
@@ -125,7 +125,7 @@
         context = self._context
         try:
             if context.state.read(context.fence, context.overrides):
-                counts = f"{len(context.overrides.entries)} words and {len(context.fence.seen)} terms"
+                counts = f"{len(context.overrides.entries)} words and {len(context.fence.positions)} terms"
                 say("fleet", f"{counts} read back")
         except ValueError as error:
             say("fleet", f"{context.state.path} is left aside, the store must tell: {error}")
@@ -150,7 +150,8 @@
             if one.state != "idle" or job in leases.manager.jobs
         }
         entries = {
-            server: {"out": entry.out, "revision": entry.revision} for server, entry in overrides.entries.items()
+            server: {"out": entry.is_suspended, "revision": entry.revision}
+            for server, entry in overrides.entries.items()
         }
         kept = self._start_cache.status if self._start_cache else "nothing is kept"
         refusals = self.overrides.receiver.refusals if self.overrides else []
@@ -160,8 +161,8 @@
             "store": leases.store_error or "answers",
             "members": sorted(context.membership.members(now_us)),
             "jobs": jobs,
-            "seen": context.fence.seen,
-            "refused": context.fence.refused,
+            "seen": context.fence.positions,
+            "refused": context.fence.rejected_count,
             "refusals": [refusal._asdict() for refusal in refusals],
             "words": entries,
             "start": {"says": kept, **self._milestones.view()},
@@ -189,7 +190,7 @@
     name = host.config.name or f"balancer-{settings.index}"
     holder = f"{name}/{os.getpid()}-{boottime_us()}"
     try:
-        store = store_of(file, holder)
+        store = build_store(file, holder)
     except OSError as error:
         raise ConfigError(f"fleet: {path}: store.token_file: {error}") from error
     membership = PeerLiveness(settings.index, range(settings.balancers), boottime_us())
--- a/glenrock/coordination/datagrams.py
+++ b/glenrock/coordination/datagrams.py
@@ -18,7 +18,7 @@
 HEADER = struct.Struct(">BB")  # kind, bytes of the job's name
 
 HEARTBEAT, SYNC_REQUEST, OVERRIDE_UPDATE, ACKNOWLEDGEMENT = 0xF1, 0xF2, 0xF3, 0xF4
-LOAD_SHARE, JOB_RELEASED, KNOWN_OVERRIDE = 0xF5, 0xF6, 0xF7
+SHARED_LOADS, JOB_RELEASED, KNOWN_OVERRIDE = 0xF5, 0xF6, 0xF7
 FIRST_KIND, LAST_KIND = HEARTBEAT, KNOWN_OVERRIDE
 BODIES = {
     HEARTBEAT: struct.Struct(">QQ"),
@@ -56,9 +56,9 @@
 
     job: str
     term: int
-    number: int
+    sequence: int
     revision: Revision
-    out: bool
+    is_suspended: bool
     server: str
 
 
@@ -66,21 +66,21 @@
 class Acknowledgement:
     """To a sender of `OverrideUpdate` or `LeaderHeartbeat`: taken, or refused since a higher term was seen.
 
-    `order`: of this among all that the receiver's process has judged, since its answers go different ways.
+    `verdict_sequence`: of this among all that the receiver's process has judged, since its answers go different ways.
     """
 
     job: str
-    accepted: bool
-    seen_term: int
+    is_accepted: bool
+    highest_term: int
     term: int
-    number: int
+    sequence: int
     revision: Revision
-    order: int
+    verdict_sequence: int
     server: str
 
 
 @dataclass(frozen=True, slots=True)
-class LoadShare:
+class SharedLoads:
     """Loads of servers that one balancer asked for all."""
 
     data: bytes
@@ -99,11 +99,11 @@
 
     job: str
     revision: Revision
-    out: bool
+    is_suspended: bool
     server: str
 
 
-Message = KnownOverride | LeaderHeartbeat | SyncRequest | OverrideUpdate | Acknowledgement | LoadShare | JobReleased
+Message = KnownOverride | LeaderHeartbeat | SyncRequest | OverrideUpdate | Acknowledgement | SharedLoads | JobReleased
 
 
 def _clamp(*numbers: int) -> list[int]:
@@ -112,8 +112,8 @@
 
 def encode(message: Message) -> bytes | None:
     """None where it is longer than a datagram may be: long names go by the store alone."""
-    if isinstance(message, LoadShare):
-        data = bytes([LOAD_SHARE]) + message.data
+    if isinstance(message, SharedLoads):
+        data = bytes([SHARED_LOADS]) + message.data
         return data if len(data) <= MAX_BYTES else None
     kind, body = _body_of(message)
     job = message.job.encode()
@@ -132,14 +132,14 @@
             return HEARTBEAT, BODIES[HEARTBEAT].pack(*_clamp(term, digest))
         case SyncRequest(_, term, upto, every):
             return SYNC_REQUEST, BODIES[SYNC_REQUEST].pack(*_clamp(term, *upto), every)
-        case OverrideUpdate(_, term, number, revision, out, server):
-            body = BODIES[OVERRIDE_UPDATE].pack(*_clamp(term, number, *revision), out)
+        case OverrideUpdate(_, term, sequence, revision, is_suspended, server):
+            body = BODIES[OVERRIDE_UPDATE].pack(*_clamp(term, sequence, *revision), is_suspended)
             return OVERRIDE_UPDATE, body + server.encode()
-        case Acknowledgement(_, accepted, seen_term, term, number, revision, order, server):
-            numbers = _clamp(seen_term, term, number, *revision, order)
-            return ACKNOWLEDGEMENT, BODIES[ACKNOWLEDGEMENT].pack(accepted, *numbers) + server.encode()
-        case KnownOverride(_, revision, out, server):
-            return KNOWN_OVERRIDE, BODIES[KNOWN_OVERRIDE].pack(*_clamp(*revision), out) + server.encode()
+        case Acknowledgement(_, is_accepted, highest_term, term, sequence, revision, verdict_sequence, server):
+            numbers = _clamp(highest_term, term, sequence, *revision, verdict_sequence)
+            return ACKNOWLEDGEMENT, BODIES[ACKNOWLEDGEMENT].pack(is_accepted, *numbers) + server.encode()
+        case KnownOverride(_, revision, is_suspended, server):
+            return KNOWN_OVERRIDE, BODIES[KNOWN_OVERRIDE].pack(*_clamp(*revision), is_suspended) + server.encode()
         case JobReleased():
             return JOB_RELEASED, b""
     assert_never(message)
@@ -150,8 +150,8 @@
     if not HEADER.size <= len(data) <= MAX_BYTES or not FIRST_KIND <= data[0] <= LAST_KIND:
         return None
     kind = data[0]
-    if kind == LOAD_SHARE:
-        return LoadShare(data[1:])
+    if kind == SHARED_LOADS:
+        return SharedLoads(data[1:])
     body = BODIES[kind]
     body_start = HEADER.size + data[1]
     body_end = body_start + body.size
--- a/glenrock/coordination/durable_state.py
+++ b/glenrock/coordination/durable_state.py
@@ -17,7 +17,7 @@
 from typing import Any, NamedTuple
 
 from .. import durable_file
-from .leases.fence import Fence, TermMark
+from .leases.fence import Fence, FencePosition
 from .leases.sqlite_store import current_boot
 from .shared_work.override_log import OverrideEntry, OverrideLog, PendingOverride, pending_of
 from .shared_work.revision import Revision
@@ -50,10 +50,10 @@
     """A file, read and checked."""
 
     boot: Any
-    seen: dict[str, TermMark]
+    seen: dict[str, FencePosition]
     entries: dict[str, OverrideEntry]
     pending: dict[str, PendingOverride | None]
-    numbered_upto: dict[str, int]
+    committed_up_to: dict[str, int]
     tickets: dict[str, Ticket]
 
 
@@ -91,55 +91,55 @@
             self._take_previous(fence, overrides)
             raise
         complete = bool(content.boot == self.boot)
-        was_known = fence.known
+        was_known = fence.is_restored
         self._take(content, fence, overrides)
-        fence.known = was_known or complete
+        fence.is_restored = was_known or complete
         return complete
 
     def _take_previous(self, fence: Fence, overrides: OverrideLog) -> None:
         """The last whole record, where the newest is spoilt: its marks count, and the store must say the rest."""
         with contextlib.suppress(OSError, DurableStateError):
-            was_known = fence.known
+            was_known = fence.is_restored
             content = _content_of(durable_file.previous_of(self.path).read_bytes()[: MAX_BYTES + 1])
             self._take(content, fence, overrides)
-            fence.known = was_known
+            fence.is_restored = was_known
 
     def _take(self, content: _Content, fence: Fence, overrides: OverrideLog) -> None:
         fence.restore(content.seen)
         for server, entry in content.entries.items():
-            overrides.take(server, entry)
-        for incarnation, count in content.numbered_upto.items():
-            overrides.record_numbered(incarnation, count)
+            overrides.merge_entry(server, entry)
+        for incarnation, count in content.committed_up_to.items():
+            overrides.record_committed(incarnation, count)
         for pending_id, pending in content.pending.items():
             if pending and pending_id not in overrides.pending:
-                overrides.add_pending(pending_id, pending.server, pending.out)
+                overrides.add_pending(pending_id, pending.server, pending.is_suspended)
         self.tickets.update(content.tickets)
 
     def merge(self, snapshot: dict[str, Any], fence: Fence, overrides: OverrideLog) -> dict[str, bool]:
         """Takes in what another process of this name knew. Returns the servers that change by it."""
         for job, mark in snapshot["seen"].items():
-            fence.seen[job] = max(fence.mark_of(job), TermMark(*mark))
+            fence.positions[job] = max(fence.position(job), FencePosition(*mark))
         changes = {}
         for server, (out, term, number) in snapshot["words"].items():
-            changed = overrides.take(server, OverrideEntry(out, Revision(term, number)))
+            changed = overrides.merge_entry(server, OverrideEntry(out, Revision(term, number)))
             if changed is not None:
                 changes[server] = changed
         for incarnation, count in snapshot["lives"].items():
-            changes.update(overrides.record_numbered(incarnation, count))
+            changes.update(overrides.record_committed(incarnation, count))
         return changes
 
     # -- writing ---------------------------------------------------------------------------------------
 
     def snapshot(self, fence: Fence, overrides: OverrideLog) -> dict[str, Any]:
         """What is to be written, as it is now."""
-        entries = {server: [entry.out, *entry.revision] for server, entry in overrides.entries.items()}
-        pending = {id_: {"server": one.server, "out": one.out} for id_, one in overrides.pending.items()}
+        entries = {server: [entry.is_suspended, *entry.revision] for server, entry in overrides.entries.items()}
+        pending = {id_: {"server": one.server, "out": one.is_suspended} for id_, one in overrides.pending.items()}
         return {
             "version": VERSION,
             "boot": self.boot,
-            "seen": dict(fence.seen),
+            "seen": dict(fence.positions),
             "tickets": dict(self.tickets),
-            "lives": dict(overrides.numbered_upto),
+            "lives": dict(overrides.committed_up_to),
             "words": entries,
             "wishes": pending,
         }
@@ -190,13 +190,13 @@
         durable_file.check_seal(raw)
         return _Content(
             boot=raw.get("boot"),
-            seen={str(job): TermMark(int(term), int(number)) for job, (term, number) in raw["seen"].items()},
+            seen={str(job): FencePosition(int(term), int(number)) for job, (term, number) in raw["seen"].items()},
             entries={
                 str(server): OverrideEntry(bool(out), Revision(int(term), int(number)))
                 for server, (out, term, number) in raw["words"].items()
             },
             pending={str(id_): pending_of(json.dumps(one)) for id_, one in raw["wishes"].items()},
-            numbered_upto={str(incarnation): int(count) for incarnation, count in raw["lives"].items()},
+            committed_up_to={str(incarnation): int(count) for incarnation, count in raw["lives"].items()},
             tickets={str(job): Ticket(str(holder), int(term)) for job, (holder, term) in raw["tickets"].items()},
         )
     except (KeyError, TypeError, ValueError, AttributeError) as error:
--- a/glenrock/coordination/lease_runner.py
+++ b/glenrock/coordination/lease_runner.py
@@ -126,7 +126,7 @@
     async def _run_requests(self) -> None:
         tick_s = max(MIN_TICK_S, self.timing.lease_us * TICK_SHARE / SECOND_US)
         while True:
-            for job, mark in self._fence.seen.items():
+            for job, mark in self._fence.positions.items():
                 self.manager.require_above(job, mark.term)
             outcome = self.manager.tick(boottime_us())
             self.publish(outcome.events)
@@ -170,7 +170,7 @@
 
     async def _learn_terms(self) -> None:
         """A fence whose memory is lost takes nothing until the store has said which terms there were."""
-        while not self._fence.known:
+        while not self._fence.is_restored:
             try:
                 leases = await self.store.leases()
                 self._fence.restore({job: (lease.term, 0) for job, lease in leases.items()})
--- a/glenrock/coordination/leases/consul_store.py
+++ b/glenrock/coordination/leases/consul_store.py
@@ -93,7 +93,7 @@
     return base64.b64encode(json.dumps(value).encode()).decode()
 
 
-def lock_value(entry: Entry | None) -> LockValue:
+def decode_lock_value(entry: Entry | None) -> LockValue:
     """A lock's value; one that somebody else wrote counts as none, so that its term is above it by `min_term` alone."""
     try:
         value = json.loads(base64.b64decode(entry["Value"] or "")) if entry else {}
@@ -264,7 +264,7 @@
         return found
 
     def _acquisition(self, job: str, request: LeaseRequest, entry: Entry | None) -> _Acquisition:
-        before = lock_value(entry)
+        before = decode_lock_value(entry)
         term = max(before.term, request.min_term) + 1
         began = [term, self.holder, round(time.time(), TERM_DECIMALS)]
         past = [*before.past, began][-PAST_TERMS_KEPT:]
@@ -299,7 +299,7 @@
         """See `LeaseStore`."""
         entries, _ = await self._read(f"jobs/{escape_key(job)}")
         for entry in entries:
-            value = lock_value(entry)
+            value = decode_lock_value(entry)
             if (value.holder, value.term) == (holder, term) and entry.get("Session"):
                 await self._unlock(job, int(entry["ModifyIndex"]), entry["Session"])
 
@@ -313,7 +313,7 @@
         start = len(f"{self._prefix}/jobs/")
         leases = {}
         for entry in entries:
-            value = lock_value(entry)
+            value = decode_lock_value(entry)
             holder = value.holder if entry.get("Session") else ""
             leases[unescape_key(entry["Key"][start:])] = Lease(holder, value.term, TIME_UNKNOWN)
         return leases
@@ -321,7 +321,7 @@
     async def past_terms(self, job: str) -> list[PastTerm]:
         """See `LeaseStore`."""
         entries, _ = await self._read(f"jobs/{escape_key(job)}")
-        return [PastTerm(*row) for entry in entries for row in lock_value(entry).past]
+        return [PastTerm(*row) for entry in entries for row in decode_lock_value(entry).past]
 
     # -- records and proposals -------------------------------------------------------------------------
 
--- a/glenrock/coordination/leases/fence.py
+++ b/glenrock/coordination/leases/fence.py
@@ -12,22 +12,22 @@
 from typing import NamedTuple
 
 
-class TermMark(NamedTuple):
+class FencePosition(NamedTuple):
     """The highest term seen of a job, and the last effect's number in it."""
 
     term: int
-    number: int
+    sequence: int
 
 
-NO_MARK = TermMark(0, 0)
+NO_POSITION = FencePosition(0, 0)
 
 
 @dataclass(frozen=True, slots=True)
 class FenceVerdict:
-    """Whether an effect is taken. `seen_term` is told to a sender that was refused: it learns that it is late."""
+    """Whether an effect is taken. `highest_term` is told to a sender that was refused: it learns that it is late."""
 
-    accepted: bool
-    seen_term: int
+    is_accepted: bool
+    highest_term: int
     reason: str = ""
 
 
@@ -36,48 +36,48 @@
     """What one receiver has seen.
 
     Attributes:
-        known: False just after a start, while what it knew before has not been read back.
-        seen: by job.
-        refused: how many effects and heartbeats.
+        is_restored: False just after a start, while what it knew before has not been read back.
+        positions: by job.
+        rejected_count: how many effects and heartbeats.
     """
 
-    known: bool = False
-    seen: dict[str, TermMark] = field(default_factory=dict)
-    refused: int = 0
+    is_restored: bool = False
+    positions: dict[str, FencePosition] = field(default_factory=dict)
+    rejected_count: int = 0
 
-    def mark_of(self, job: str) -> TermMark:
+    def position(self, job: str) -> FencePosition:
         """The highest term seen of a job."""
-        return self.seen.get(job, NO_MARK)
+        return self.positions.get(job, NO_POSITION)
 
     def restore(self, seen: Mapping[str, tuple[int, int]]) -> None:
         """Read back after a start; what was seen meanwhile stands where it is higher."""
-        for job, mark in seen.items():
-            self.seen[job] = max(self.mark_of(job), TermMark(*mark))
-        self.known = True
+        for job, position in seen.items():
+            self.positions[job] = max(self.position(job), FencePosition(*position))
+        self.is_restored = True
 
-    def take(self, job: str, term: int, number: int) -> FenceVerdict:
-        """Whether an effect is taken. Its mark must be written down before it is carried out."""
-        mark = self.mark_of(job)
+    def check_effect(self, job: str, term: int, number: int) -> FenceVerdict:
+        """Whether an effect is taken. Its position must be written down before it is carried out."""
+        position = self.position(job)
         reason = ""
-        if not self.known:
+        if not self.is_restored:
             reason = "what was seen before the start is not known yet"
-        elif term < mark.term:
-            reason = f"term {term} is past, {mark.term} was seen"
-        elif term == mark.term and number <= mark.number:
+        elif term < position.term:
+            reason = f"term {term} is past, {position.term} was seen"
+        elif term == position.term and number <= position.sequence:
             reason = f"number {number} of term {term} was taken before"
         if reason:
-            self.refused += 1
-            return FenceVerdict(False, mark.term, reason)
-        self.seen[job] = TermMark(term, number)
+            self.rejected_count += 1
+            return FenceVerdict(False, position.term, reason)
+        self.positions[job] = FencePosition(term, number)
         return FenceVerdict(True, term)
 
-    def hear(self, job: str, term: int) -> FenceVerdict:
+    def check_heartbeat(self, job: str, term: int) -> FenceVerdict:
         """A holder's heartbeat, without an effect: a higher term closes the door to all lower ones."""
-        mark = self.mark_of(job)
-        if self.known and term >= mark.term:
-            if term > mark.term:
-                self.seen[job] = TermMark(term, 0)
+        position = self.position(job)
+        if self.is_restored and term >= position.term:
+            if term > position.term:
+                self.positions[job] = FencePosition(term, 0)
             return FenceVerdict(True, term)
-        self.refused += 1
-        reason = f"term {term} is past, {mark.term} was seen" if self.known else "not known yet"
-        return FenceVerdict(False, mark.term, reason)
+        self.rejected_count += 1
+        reason = f"term {term} is past, {position.term} was seen" if self.is_restored else "not known yet"
+        return FenceVerdict(False, position.term, reason)
--- a/glenrock/coordination/leases/lease_manager.py
+++ b/glenrock/coordination/leases/lease_manager.py
@@ -222,7 +222,7 @@
             observed = self._observed.setdefault(job, ObservedLease())
             if lease.holder:
                 observed.holder = lease.holder
-                observed.free_us = now_us + lease.left_us if lease.left_us >= 0 else NOT_KNOWN
+                observed.free_us = now_us + lease.remaining_us if lease.remaining_us >= 0 else NOT_KNOWN
             elif not observed.free_is_known or observed.holder:
                 observed.holder = ""
                 observed.free_us = now_us
--- a/glenrock/coordination/leases/model_checker.py
+++ b/glenrock/coordination/leases/model_checker.py
@@ -123,7 +123,7 @@
             clocks=list(self.clocks),
             slipped=list(self.slipped),
             marks=list(self.marks),
-            fences=[replace(fence, seen=dict(fence.seen)) for fence in self.fences],
+            fences=[replace(fence, positions=dict(fence.positions)) for fence in self.fences],
         )
 
     def key(self) -> Key:
@@ -132,7 +132,7 @@
         wire = tuple(sorted(self._message_key(message, numbers) for message in self.wire))
         return (
             tuple(self._candidate_key(n) for n in range(len(self.candidates))),
-            tuple((fence.known, fence.mark_of(JOB).term) for fence in self.fences),
+            tuple((fence.is_restored, fence.position(JOB).term) for fence in self.fences),
             tuple(self.marks),
             self.holder,
             self.term,
@@ -212,7 +212,7 @@
             candidates=[LeaseCandidate(TIMING) for _ in range(count)],
             clocks=[0] * count,
             slipped=[LEASE] * count,
-            fences=[Fence(known=True) for _ in range(self.receivers)],
+            fences=[Fence(is_restored=True) for _ in range(self.receivers)],
             marks=[0] * self.receivers,
         )
 
@@ -271,7 +271,7 @@
         for n in range(self.receivers):
             after = world.copy()
             after.restarts += 1
-            kept = dict(after.fences[n].seen)
+            kept = dict(after.fences[n].positions)
             after.fences[n] = Fence()
             # Its mark was written before the effect was carried out; in memory only, nothing is left.
             after.fences[n].restore({} if "forgets" in self.faults else kept)
@@ -344,14 +344,14 @@
     def _effect_arrives(self, after: World, message: EffectMessage) -> Step:
         _, n, receiver, term = message
         fence = after.fences[receiver]
-        verdict = fence.take(JOB, term, fence.mark_of(JOB).number + 1)
-        if verdict.accepted:
+        verdict = fence.check_effect(JOB, term, fence.position(JOB).sequence + 1)
+        if verdict.is_accepted:
             if term < after.marks[receiver]:
                 after.wrong = f"order: receiver {receiver} takes term {term} after {after.marks[receiver]}"
             after.marks[receiver] = max(after.marks[receiver], term)
         elif len(after.wire) < self.wire:
-            after.wire += (RefusalMessage("refused", n, verdict.seen_term),)
-        return Step(f"receiver {receiver}: {'takes' if verdict.accepted else 'refuses'} term {term} of {n}", after)
+            after.wire += (RefusalMessage("refused", n, verdict.highest_term),)
+        return Step(f"receiver {receiver}: {'takes' if verdict.is_accepted else 'refuses'} term {term} of {n}", after)
 
     def _store_answers(self, world: World, message: RequestMessage) -> int:
         """The store takes a request: the term granted, or 0."""
--- a/glenrock/coordination/leases/sqlite_store.py
+++ b/glenrock/coordination/leases/sqlite_store.py
@@ -250,8 +250,8 @@
 
 
 def _lease_of(row: _LeaseRow, now_us: int) -> Lease:
-    left_us = row.until_us - now_us
-    return Lease(row.holder if left_us > 0 else "", row.term, max(0, left_us))
+    remaining_us = row.until_us - now_us
+    return Lease(row.holder if remaining_us > 0 else "", row.term, max(0, remaining_us))
 
 
 class AsyncSqliteStore:
--- a/glenrock/coordination/leases/store.py
+++ b/glenrock/coordination/leases/store.py
@@ -22,11 +22,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Lease:
-    """A job's lease. `holder` is empty where nobody has it; `left_us` is TIME_UNKNOWN where the store does not tell."""
+    """A lease of a job. `holder` is empty while the job has none; `remaining_us` may be TIME_UNKNOWN."""
 
     holder: str
     term: int
-    left_us: int
+    remaining_us: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,11 +40,11 @@
 
 @dataclass(frozen=True, slots=True)
 class PastTerm:
-    """A term that began. `at_s` is Unix time, for people."""
+    """A term that began. `started_s` is Unix time, for people."""
 
     term: int
     holder: str
-    at_s: float
+    started_s: float
 
 
 class LeaseStore(Protocol):
--- a/glenrock/coordination/override_applier.py
+++ b/glenrock/coordination/override_applier.py
@@ -40,23 +40,23 @@
         overrides = self._context.overrides
         if operators := self._context.host.operators:
             self._applied = dict.fromkeys(operators.override_sync.held.out, True)
-        self._apply({server: overrides.is_out(server) for server in overrides.entries})
+        self._apply({server: overrides.is_suspended(server) for server in overrides.entries})
         self._context.tasks.run(self._settle())
 
     def take(self, server: str, entry: OverrideEntry) -> None:
         """Takes an entry in; it is carried out once it is written down."""
         overrides = self._context.overrides
-        changed = overrides.take(server, entry)
+        changed = overrides.merge_entry(server, entry)
         if changed is not None:
             self._context.merged_changes[server] = changed
         self._dirty |= overrides.entries.get(server) == entry
 
-    def record_numbered(self, incarnation: str, count: int) -> None:
+    def record_committed(self, incarnation: str, count: int) -> None:
         """The holder has answered an incarnation's proposals up to that one."""
         overrides = self._context.overrides
-        before = overrides.numbered_upto.get(incarnation, 0)
-        self._context.merged_changes.update(overrides.record_numbered(incarnation, count))
-        self._dirty |= overrides.numbered_upto[incarnation] != before
+        before = overrides.committed_up_to.get(incarnation, 0)
+        self._context.merged_changes.update(overrides.record_committed(incarnation, count))
+        self._dirty |= overrides.committed_up_to[incarnation] != before
 
     def mark_dirty(self) -> None:
         """What is known has changed, and is to be written down."""
--- a/glenrock/coordination/override_holder.py
+++ b/glenrock/coordination/override_holder.py
@@ -125,9 +125,9 @@
     async def _number_proposal(self, term: int, proposal_id: str, proposal: PendingOverride) -> bool:
         """False where the store refused the record."""
         self._number += 1
-        entry = OverrideEntry(proposal.out, Revision(term, self._number))
+        entry = OverrideEntry(proposal.is_suspended, Revision(term, self._number))
         incarnation, count = split_pending_id(proposal_id)
-        posted_again = count <= self._context.overrides.numbered_upto.get(incarnation, 0)  # though it had counted
+        posted_again = count <= self._context.overrides.committed_up_to.get(incarnation, 0)  # though it had counted
         records = {} if posted_again else {proposal.server: entry.value(), incarnation_key(incarnation): str(count)}
         if not await self._leases.store.put(OVERRIDES_JOB, term, self._number, records, proposal_id):
             say("fleet", f"the store refused a record of term {term}")
@@ -135,7 +135,7 @@
             return False
         if not posted_again:
             self._applier.take(proposal.server, entry)
-            self._applier.record_numbered(incarnation, count)
+            self._applier.record_committed(incarnation, count)
             self._applier.unsettled.set()
             self._tell_all(proposal.server, entry)
         return True
@@ -151,13 +151,13 @@
             if record is not None and Revision(record.term, record.number) >= entry.revision:
                 continue
             self._number += 1
-            renewed = OverrideEntry(entry.out, Revision(term, self._number))
+            renewed = OverrideEntry(entry.is_suspended, Revision(term, self._number))
             if self._leases.current_term(OVERRIDES_JOB) != term:
                 return False
             values = {server: renewed.value()}
             if not await self._leases.store.put(OVERRIDES_JOB, term, self._number, values):
                 return False
-            say("fleet", f"{server}: the store had forgotten that it is {'out' if entry.out else 'back'}")
+            say("fleet", f"{server}: the store had forgotten that it is {'out' if entry.is_suspended else 'back'}")
             self._applier.take(server, renewed)
             self._tell_all(server, renewed)
         self._applier.unsettled.set()
@@ -165,7 +165,7 @@
 
     def _fence_own_term(self, term: int) -> None:
         """A holder is a receiver too: it takes nothing of a lower term any more."""
-        self._context.fence.hear(OVERRIDES_JOB, term)
+        self._context.fence.check_heartbeat(OVERRIDES_JOB, term)
         self._applier.mark_dirty()
         self._applier.unsettled.set()
 
@@ -190,7 +190,7 @@
                 return
             self._datagrams_sent += 1
             update = datagrams.OverrideUpdate(
-                OVERRIDES_JOB, term, self._datagrams_sent, entry.revision, entry.out, server
+                OVERRIDES_JOB, term, self._datagrams_sent, entry.revision, entry.is_suspended, server
             )
             self._context.transport.send(peer, update)
 
@@ -203,16 +203,16 @@
         self.work_due.set()
 
     def _on_acknowledgement(self, peer: int, message: datagrams.Acknowledgement) -> None:
-        if message.accepted:
+        if message.is_accepted:
             self._retransmissions.acknowledged(peer, message.server, message.revision)
-        elif message.seen_term > (self._leases.current_term(OVERRIDES_JOB) or message.seen_term):
-            self._leases.refused(OVERRIDES_JOB, message.seen_term)
+        elif message.highest_term > (self._leases.current_term(OVERRIDES_JOB) or message.highest_term):
+            self._leases.refused(OVERRIDES_JOB, message.highest_term)
 
     def _on_known_override(self, peer: int, message: datagrams.KnownOverride) -> None:
         """An override of a higher revision than the store's own is one that the store has forgotten."""
         entry = self._context.overrides.entries.get(message.server)
         known = entry.revision if entry else NO_REVISION
         if self.is_holder() and self._ready and message.revision > known:
-            self._applier.take(message.server, OverrideEntry(message.out, message.revision))
+            self._applier.take(message.server, OverrideEntry(message.is_suspended, message.revision))
             self._must_repair = True
             self.work_due.set()
--- a/glenrock/coordination/override_receiver.py
+++ b/glenrock/coordination/override_receiver.py
@@ -47,16 +47,16 @@
 
     def _on_heartbeat(self, peer: int, message: datagrams.LeaderHeartbeat) -> None:
         fence = self._context.fence
-        before = fence.seen.get(message.job)
-        verdict = fence.hear(message.job, message.term)
-        if not verdict.accepted:
+        before = fence.positions.get(message.job)
+        verdict = fence.check_heartbeat(message.job, message.term)
+        if not verdict.is_accepted:
             self._refuse(peer, message.job, message.term, verdict)
             answer = datagrams.Acknowledgement(
-                message.job, False, verdict.seen_term, message.term, 0, NO_REVISION, self._next_order(), NO_SERVER
+                message.job, False, verdict.highest_term, message.term, 0, NO_REVISION, self._next_order(), NO_SERVER
             )
             self._applier.reply(peer, answer)
             return
-        if fence.seen.get(message.job) != before:
+        if fence.positions.get(message.job) != before:
             self._applier.mark_dirty()
         if message.digest != self._context.overrides.digest:
             self._ask_for_missing(peer, message)
@@ -70,23 +70,23 @@
         self._applier.reply(peer, request)
         if asked_before:
             for server, entry in overrides.entries_after(NO_REVISION)[-MAX_KNOWN_TOLD:]:
-                known = datagrams.KnownOverride(message.job, entry.revision, entry.out, server)
+                known = datagrams.KnownOverride(message.job, entry.revision, entry.is_suspended, server)
                 self._applier.reply(peer, known)
         self._asked_for_all = digests
 
     def _on_update(self, peer: int, message: datagrams.OverrideUpdate) -> None:
-        verdict = self._context.fence.take(message.job, message.term, message.number)
-        if verdict.accepted:
-            self._applier.take(message.server, OverrideEntry(message.out, message.revision))
+        verdict = self._context.fence.check_effect(message.job, message.term, message.sequence)
+        if verdict.is_accepted:
+            self._applier.take(message.server, OverrideEntry(message.is_suspended, message.revision))
             self._applier.mark_dirty()
         else:
             self._refuse(peer, message.job, message.term, verdict)
         answer = datagrams.Acknowledgement(
             message.job,
-            verdict.accepted,
-            verdict.seen_term,
+            verdict.is_accepted,
+            verdict.highest_term,
             message.term,
-            message.number,
+            message.sequence,
             message.revision,
             self._next_order(),
             message.server,
@@ -95,7 +95,7 @@
 
     def _refuse(self, peer: int, job: str, term: int, verdict: FenceVerdict) -> None:
         at_ms = round(self._context.host.clock.now())
-        self.refusals.append(Refusal(at_ms, peer, job, term, verdict.seen_term, verdict.reason))
+        self.refusals.append(Refusal(at_ms, peer, job, term, verdict.highest_term, verdict.reason))
         del self.refusals[:-MAX_REFUSALS]
         say("refused", f"balancer {peer}, {job}, term {term}: {verdict.reason}")
 
--- a/glenrock/coordination/override_records.py
+++ b/glenrock/coordination/override_records.py
@@ -14,7 +14,7 @@
     """Takes in all that the store has. Raises StoreUnavailableError."""
     for key, record in (await store.records(OVERRIDES_JOB)).items():
         if key[:1] == "\n":
-            applier.record_numbered(key[1:], int(record.value) if record.value.isdecimal() else 0)
+            applier.record_committed(key[1:], int(record.value) if record.value.isdecimal() else 0)
         elif entry := entry_of(record.value, Revision(record.term, record.number)):
             applier.take(key, entry)
     applier.unsettled.set()
--- a/glenrock/coordination/sharded_health_checks.py
+++ b/glenrock/coordination/sharded_health_checks.py
@@ -27,7 +27,7 @@
         self._load_fields = [name for name in LOAD_FIELDS if name in reported]
         self._send_health_check = host.routing.probe
         self._post = host.servers.post
-        context.transport.register(datagrams.LoadShare, self._on_load_share)
+        context.transport.register(datagrams.SharedLoads, self._on_shared_loads)
         if self._load_fields:
             host.routing.probe = self._check
             host.servers.post = self._tap
@@ -57,7 +57,7 @@
             self._shards.record_result(event.server, load, boottime_us())
         return self._post(event)
 
-    def _on_load_share(self, peer: int, message: datagrams.LoadShare) -> None:
+    def _on_shared_loads(self, peer: int, message: datagrams.SharedLoads) -> None:
         loads = self._shards.receive(message.data, boottime_us()) if self._load_fields else []
         if loads is None:
             say("fleet", f"loads from balancer {peer} ignored: they cannot be read")
@@ -68,10 +68,10 @@
     async def _run(self) -> None:
         while True:
             self._shards.update_servers(self._warm_servers())
-            for server in self._shards.due(boottime_us()):
+            for server in self._shards.start_due_checks(boottime_us()):
                 self._send_health_check(server)
-            for data in self._shards.take_datagrams():
-                self._context.transport.broadcast(datagrams.LoadShare(data))
+            for data in self._shards.pop_datagrams():
+                self._context.transport.broadcast(datagrams.SharedLoads(data))
             await asyncio.sleep(CHECK_INTERVAL_US / ROUNDS_PER_INTERVAL / 1e6)
 
     def _warm_servers(self) -> list[str]:
--- a/glenrock/coordination/shared_work/health_check_shards.py
+++ b/glenrock/coordination/shared_work/health_check_shards.py
@@ -25,7 +25,7 @@
 MAX_STEP = (1 << STEP_BITS) - 1
 
 
-class SharedLoad(NamedTuple):
+class ReceivedLoad(NamedTuple):
     """A server's load as another balancer told it."""
 
     server: str
@@ -92,7 +92,7 @@
             self._members = members
         return self._own
 
-    def due(self, now_us: int) -> list[str]:
+    def start_due_checks(self, now_us: int) -> list[str]:
         """Servers of this balancer's shard that are to be asked now; they count as asked."""
         latest_us = now_us - CHECK_INTERVAL_US
         due = [name for name in self.own_servers(now_us) if self._asked_us.get(name, -CHECK_INTERVAL_US) <= latest_us]
@@ -104,7 +104,7 @@
         heard = self._heard.get(server)
         return heard.load if heard and now_us - heard.at_us < FRESH_REPORT_US else None
 
-    def age_us(self, server: str, now_us: int) -> int:
+    def load_age_us(self, server: str, now_us: int) -> int:
         """How old the load is that another told. KeyError where none did."""
         return now_us - self._heard[server].at_us
 
@@ -114,7 +114,7 @@
             self._asked_us[server] = now_us
             self._to_tell[server] = load
 
-    def take_datagrams(self) -> list[bytes]:
+    def pop_datagrams(self) -> list[bytes]:
         """What has been learned since the last call, for all others."""
         entries = [
             LOAD_ENTRY.pack(self._servers[name] << STEP_BITS | step_of(load))
@@ -126,7 +126,7 @@
             b"".join(entries[at : at + ENTRIES_PER_DATAGRAM]) for at in range(0, len(entries), ENTRIES_PER_DATAGRAM)
         ]
 
-    def receive(self, data: bytes, now_us: int) -> list[SharedLoad] | None:
+    def receive(self, data: bytes, now_us: int) -> list[ReceivedLoad] | None:
         """Loads that another told; None for data that are none. Servers that are not known here are passed over."""
         if not data or len(data) % LOAD_ENTRY.size:
             return None
@@ -136,7 +136,7 @@
             load = load_of(entry & MAX_STEP)
             if name is not None:
                 self._heard[name] = _Heard(now_us, load)
-                loads.append(SharedLoad(name, load))
+                loads.append(ReceivedLoad(name, load))
         return loads
 
 
--- a/glenrock/coordination/shared_work/override_log.py
+++ b/glenrock/coordination/shared_work/override_log.py
@@ -28,12 +28,12 @@
 class OverrideEntry:
     """An operator's word, numbered: whether a server is out."""
 
-    out: bool
+    is_suspended: bool
     revision: Revision
 
     def value(self) -> str:
         """As the store keeps it."""
-        return json.dumps({"out": self.out})
+        return json.dumps({"out": self.is_suspended})
 
 
 def entry_of(value: str, revision: Revision) -> OverrideEntry | None:
@@ -50,11 +50,11 @@
     """An operator's word, not numbered yet."""
 
     server: str
-    out: bool
+    is_suspended: bool
 
     def value(self) -> str:
         """As the store keeps it."""
-        return json.dumps({"server": self.server, "out": self.out})
+        return json.dumps({"server": self.server, "out": self.is_suspended})
 
 
 def pending_of(value: str) -> PendingOverride | None:
@@ -86,43 +86,43 @@
     Attributes:
         entries: by server.
         pending: of this balancer, by their ids.
-        numbered_upto: up to which proposal each incarnation has been answered.
+        committed_up_to: up to which proposal each incarnation has been answered.
         digest: of all entries: the same at two that have the same.
         last: the highest revision.
     """
 
     entries: dict[str, OverrideEntry] = field(default_factory=dict)
     pending: dict[str, PendingOverride] = field(default_factory=dict)
-    numbered_upto: dict[str, int] = field(default_factory=dict)
+    committed_up_to: dict[str, int] = field(default_factory=dict)
     digest: int = 0
     last: Revision = NO_REVISION
 
-    def take(self, server: str, entry: OverrideEntry) -> bool | None:
+    def merge_entry(self, server: str, entry: OverrideEntry) -> bool | None:
         """Takes an entry in. Returns whether the server is out now; None where that has not changed."""
         old = self.entries.get(server)
         if (old and old.revision >= entry.revision) or (not old and len(self.entries) >= MAX_ENTRIES):
             return None
-        before = self.is_out(server)
+        before = self.is_suspended(server)
         if old:
             self.digest ^= stable_hash(server, *old.revision)
         self.digest ^= stable_hash(server, *entry.revision)
         self.entries[server] = entry
         self.last = max(self.last, entry.revision)
-        after = self.is_out(server)
+        after = self.is_suspended(server)
         return after if after != before else None
 
-    def record_numbered(self, incarnation: str, count: int) -> dict[str, bool]:
+    def record_committed(self, incarnation: str, count: int) -> dict[str, bool]:
         """The holder has answered an incarnation's proposals up to that one. Returns the servers that change by it."""
-        self.numbered_upto[incarnation] = max(count, self.numbered_upto.get(incarnation, 0))
+        self.committed_up_to[incarnation] = max(count, self.committed_up_to.get(incarnation, 0))
         changes = {}
         for pending_id in list(self.pending):
             owner, number = split_pending_id(pending_id)
             if owner != incarnation or number > count:
                 continue
             server = self.pending[pending_id].server
-            before = self.is_out(server)
+            before = self.is_suspended(server)
             del self.pending[pending_id]
-            if self.is_out(server) != before:
+            if self.is_suspended(server) != before:
                 changes[server] = not before
         return changes
 
@@ -132,13 +132,13 @@
             del self.pending[old]
         self.pending[pending_id] = PendingOverride(server, out)
 
-    def is_out(self, server: str) -> bool:
+    def is_suspended(self, server: str) -> bool:
         """Whether the server is out of rotation."""
         for pending in self.pending.values():
             if pending.server == server:
-                return pending.out
+                return pending.is_suspended
         entry = self.entries.get(server)
-        return bool(entry and entry.out)
+        return bool(entry and entry.is_suspended)
 
     def entries_after(self, revision: Revision) -> list[tuple[str, OverrideEntry]]:
         """Servers and entries that somebody lacks who has all up to that revision, oldest first."""
--- a/glenrock/coordination/warm_start/start_report.py
+++ b/glenrock/coordination/warm_start/start_report.py
@@ -42,7 +42,7 @@
     return f"{calls.get('answered', 0)}" + (f" and {lost} not" if lost else "")
 
 
-def report(views: list[dict[str, Any]]) -> list[str]:
+def format_report(views: list[dict[str, Any]]) -> list[str]:
     """Lines: a row a balancer, then what it came to for all.
 
     Times are since a balancer's own process began, but for `began`, which is since the first one did. KeyError or
--- a/glenrock/lab/shards.py
+++ b/glenrock/lab/shards.py
@@ -6,7 +6,7 @@
 
 from glenrock.routing import interface
 
-from ..coordination.datagrams import LOAD_SHARE
+from ..coordination.datagrams import SHARED_LOADS
 from ..coordination.membership import PeerLiveness
 from ..coordination.shared_work.health_check_shards import CHECK_INTERVAL_US, HealthCheckShards
 from .model.balancer import Host
@@ -43,10 +43,10 @@
         mine = self.shards(host)
         cold_us = self.day.e.rules.cold_s * 1_000_000
         mine.update_servers(n for n in host.known if n in host.last and now - host.last[n].started_us >= cold_us)
-        for server in mine.due(now):
+        for server in mine.start_due_checks(now):
             self.day.probe_now(host, server)
-        for data in mine.take_datagrams():
-            self.day.tell(host, bytes([LOAD_SHARE]) + data)
+        for data in mine.pop_datagrams():
+            self.day.tell(host, bytes([SHARED_LOADS]) + data)
 
     def knows(self, host: Host, server: str) -> bool:
         """Whether another's word answers what the decisions ask; it is handed over in the next turn."""
@@ -54,7 +54,7 @@
         load = mine.fresh_load(server, now)
         if load is None:
             return False
-        self.ages.append(mine.age_us(server, now))
+        self.ages.append(mine.load_age_us(server, now))
         self.day.engine.at(now + 1, self.hand, host, host.life, server, load)
         return True
 
@@ -69,7 +69,7 @@
         """Whether that was words on loads, and no summary."""
         mine, now = self.shards(host), self.day.engine.now
         mine.membership.record_heard(peer, now)  # type: ignore[attr-defined]
-        if data[:1] != bytes([LOAD_SHARE]):
+        if data[:1] != bytes([SHARED_LOADS]):
             return False
         for server, load in mine.receive(data[1:], now) or ():
             self.hand(host, host.life, server, load)
--- a/glenrock/stage/together.py
+++ b/glenrock/stage/together.py
@@ -15,7 +15,7 @@
 import aiohttp
 
 from ..coordination import datagrams
-from ..coordination.leases.consul_store import lock_value, unescape_key
+from ..coordination.leases.consul_store import decode_lock_value, unescape_key
 from .consul import Consul
 
 if TYPE_CHECKING:
@@ -95,7 +95,7 @@
             found = {}
             for key, e in self.consul.state.entries.items():
                 if "/jobs/" in key and e.value:
-                    value = lock_value(e.told(key))
+                    value = decode_lock_value(e.told(key))
                     found[unescape_key(key.rpartition("/")[2])] = value.term, value.holder
             return found
         with (
@@ -115,19 +115,19 @@
     def crossed(self, sender: int, receiver: int, data: bytes) -> None:
         """A datagram that a balancer has sent, whatever becomes of it."""
         m = datagrams.decode(data) if data[:1] >= b"\xf1" else None
-        if isinstance(m, datagrams.Acknowledgement) and m.number:
+        if isinstance(m, datagrams.Acknowledgement) and m.sequence:
             self.stage.history.note(
                 f"balancer:{sender}",
                 "effect",
                 job=m.job,
                 term=m.term,
-                number=m.number,
-                ok=m.accepted,
-                seen=m.seen_term,
-                order=m.order,
+                number=m.sequence,
+                ok=m.is_accepted,
+                seen=m.highest_term,
+                order=m.verdict_sequence,
             )
         elif isinstance(m, datagrams.Acknowledgement):
-            self.stage.history.note(f"balancer:{sender}", "mark refused", job=m.job, term=m.term, seen=m.seen_term)
+            self.stage.history.note(f"balancer:{sender}", "mark refused", job=m.job, term=m.term, seen=m.highest_term)
 
     # -- operators -------------------------------------------------------------------------------------
 
--- a/tests/coordination/test_coldstart.py
+++ b/tests/coordination/test_coldstart.py
@@ -24,7 +24,7 @@
     encode,
     usable_knowledge,
 )
-from glenrock.coordination.warm_start.start_report import HEADER, report
+from glenrock.coordination.warm_start.start_report import HEADER, format_report
 from glenrock.net.clock import SetClock
 from glenrock.net.poll_backoff import PollBackoff
 from glenrock.net.server_connections import ServerRegistry
@@ -363,7 +363,7 @@
 
 def test_a_report_puts_starts_side_by_side_and_names_who_is_missing() -> None:
     calls = {"answered": 1, "refused": 2, "failed": 3}
-    lines = report([view("n1", NOW + 500, waited_ms=1250, list="none", calls=calls), view("n0", NOW)])
+    lines = format_report([view("n1", NOW + 500, waited_ms=1250, list="none", calls=calls), view("n0", NOW)])
     assert [line.split() for line in lines[:3]] == [
         list(HEADER),
         "n0 0.00 s - kept 0.30 s 0.20 s 0.90 s 2 9 8 1 0".split(),
@@ -375,7 +375,7 @@
         "all have served: 1.40 s after the first process began",
         "calls for the list: 4.0 a balancer, 2 refused, 3 failed",
     ]
-    late = report([view("n0", NOW), *(view(f"m{n}", NOW, heard_ms=0, served_ms=0) for n in range(6))])
+    late = format_report([view("n0", NOW), *(view(f"m{n}", NOW, heard_ms=0, served_ms=0) for n in range(6))])
     assert "all have heard the list: not yet: m0, m1, m2, m3, m4 and more" in late
     assert "all doors are open: 0.30 s after the first process began" in late
 
--- a/tests/coordination/test_ownership.py
+++ b/tests/coordination/test_ownership.py
@@ -106,13 +106,13 @@
 
 @given(st.lists(st.tuples(st.integers(1, 4), st.integers(1, 4), st.booleans()), max_size=40))
 def test_a_fence_takes_terms_in_order_and_nothing_twice_over_restarts(effects) -> None:
-    f, taken = Fence(known=True), []
+    f, taken = Fence(is_restored=True), []
     for term, number, restarts in effects:
         if restarts:
-            kept, f = f.seen, Fence()
-            assert not f.take("job", 9, 9).accepted, "nothing is taken before it has read back what it knew"
+            kept, f = f.positions, Fence()
+            assert not f.check_effect("job", 9, 9).is_accepted, "nothing is taken before it has read back what it knew"
             f.restore(kept)
-        if f.take("job", term, number).accepted:
+        if f.check_effect("job", term, number).is_accepted:
             taken.append((term, number))
     assert taken == sorted(set(taken))
 
--- a/tests/coordination/test_together.py
+++ b/tests/coordination/test_together.py
@@ -50,29 +50,31 @@
 def test_words_in_any_order_and_twice_are_the_same_board(said, draw) -> None:
     one, other = OverrideLog(), OverrideLog()
     for server, term, number in said:
-        one.take(server, OverrideEntry(bool(number % 2), (term, number)))
+        one.merge_entry(server, OverrideEntry(bool(number % 2), (term, number)))
     again = said + draw.sample(said, len(said) // 2)
     draw.shuffle(again)
     for server, term, number in again:
-        other.take(server, OverrideEntry(bool(number % 2), (term, number)))
+        other.merge_entry(server, OverrideEntry(bool(number % 2), (term, number)))
     assert one.entries == other.entries and one.digest == other.digest and one.last == other.last
     highest = {s: max((t, n) for x, t, n in said if x == s) for s, _, _ in said}
-    assert all(one.is_out(s) == bool(revision[1] % 2) for s, revision in highest.items())
+    assert all(one.is_suspended(s) == bool(revision[1] % 2) for s, revision in highest.items())
     lacks = OverrideLog()
     for server, word in one.entries_after((0, 0)):
-        lacks.take(server, word)
+        lacks.merge_entry(server, word)
     assert lacks.digest == one.digest
 
 
 def test_what_was_said_here_holds_until_its_life_is_numbered_whatever_older_words_say() -> None:
     b = OverrideLog()
     b.add_pending("n1/5#1", "s", True)
-    assert b.take("s", OverrideEntry(False, (1, 1))) is None and b.is_out("s"), "an older word changes nothing here"
+    assert b.merge_entry("s", OverrideEntry(False, (1, 1))) is None and b.is_suspended("s"), (
+        "an older word changes nothing here"
+    )
     b.add_pending("n1/5#2", "s", False)
-    assert list(b.pending) == ["n1/5#2"] and not b.is_out("s"), "the last that was said counts"
+    assert list(b.pending) == ["n1/5#2"] and not b.is_suspended("s"), "the last that was said counts"
     b.add_pending("n1/5#3", "t", True)
-    b.take("t", OverrideEntry(False, (1, 3)))  # its own word was followed by another before it was seen here
-    assert b.record_numbered("n2/9", 9) == {} and b.record_numbered("n1/5", 3) == {"t": False} and not b.pending
+    b.merge_entry("t", OverrideEntry(False, (1, 3)))  # its own word was followed by another before it was seen here
+    assert b.record_committed("n2/9", 9) == {} and b.record_committed("n1/5", 3) == {"t": False} and not b.pending
 
 
 @pytest.mark.parametrize(
@@ -270,12 +272,14 @@
     shards = [HealthCheckShards(PeerLiveness(n, range(4), 0)) for n in range(4)]
     for s in shards:
         s.update_servers(names)
-    asked = [s.due(0) for s in shards]
-    assert sorted(sum(asked, [])) == sorted(names) and not any(s.due(CHECK_INTERVAL_US - 1) for s in shards)
+    asked = [s.start_due_checks(0) for s in shards]
+    assert sorted(sum(asked, [])) == sorted(names) and not any(
+        s.start_due_checks(CHECK_INTERVAL_US - 1) for s in shards
+    )
     for name in asked[0]:
         shards[0].record_result(name, 0.7, 10)
-    (data,) = shards[0].take_datagrams()
-    assert len(data) < 256 and shards[0].take_datagrams() == []
+    (data,) = shards[0].pop_datagrams()
+    assert len(data) < 256 and shards[0].pop_datagrams() == []
     loads = shards[1].receive(data, 100)
     assert {n for n, _ in loads} == set(asked[0]) and all(abs(x - 0.7) < 0.02 for _, x in loads)
     name = asked[0][0]
@@ -285,7 +289,9 @@
         for other in (1, 2, 3):
             s.membership.record_heard(other, SILENT_US)
     now = SILENT_US + 1
-    assert set(sum((s.due(now) for s in shards[1:]), [])) == set(names), "the silent one's share goes to the rest"
+    assert set(sum((s.start_due_checks(now) for s in shards[1:]), [])) == set(names), (
+        "the silent one's share goes to the rest"
+    )
     assert shards[1].receive(data[:3], now) is None
 
 
@@ -298,32 +304,36 @@
 
 
 def test_terms_and_words_outlive_a_restart_marks_only_grow_and_a_bad_file_is_no_memory(tmp_path) -> None:
-    kept, fence, board = DurableState(tmp_path, "n"), Fence(known=True), OverrideLog()
-    fence.take("bans", 4, 9)
-    board.take("s", OverrideEntry(True, (4, 2)))
+    kept, fence, board = DurableState(tmp_path, "n"), Fence(is_restored=True), OverrideLog()
+    fence.check_effect("bans", 4, 9)
+    board.merge_entry("s", OverrideEntry(True, (4, 2)))
     board.add_pending("n/1#3", "t", True)
     kept.tickets["turnstile/0"] = Ticket("n/1", 2)
     kept.write(kept.snapshot(fence, board))
     twin, fence2, board2 = DurableState(tmp_path, "n"), Fence(), OverrideLog()
-    assert twin.read(fence2, board2) and fence2.known and board2.digest == board.digest
-    assert list(board2.pending) == ["n/1#3"] and twin.tickets == kept.tickets and not fence2.take("bans", 3, 1).accepted
-    fence.take("bans", 6, 1)
+    assert twin.read(fence2, board2) and fence2.is_restored and board2.digest == board.digest
+    assert (
+        list(board2.pending) == ["n/1#3"]
+        and twin.tickets == kept.tickets
+        and not fence2.check_effect("bans", 3, 1).is_accepted
+    )
+    fence.check_effect("bans", 6, 1)
     kept.write(kept.snapshot(fence, board))
     raw = twin.snapshot(fence2, board2)
     assert twin.write(raw), "the other process of an upgrade wrote meanwhile: it is not forgotten"
-    assert twin.merge(raw, fence2, board2) == {} and fence2.seen["bans"] == (6, 1)
+    assert twin.merge(raw, fence2, board2) == {} and fence2.positions["bans"] == (6, 1)
     third, fence3 = DurableState(tmp_path, "n"), Fence()
-    assert third.read(fence3, OverrideLog()) and fence3.seen["bans"] == (6, 1)
+    assert third.read(fence3, OverrideLog()) and fence3.positions["bans"] == (6, 1)
     for bad in ("{", "[]", '{"version": 9}', '{"version": 1, "boot": "x", "seen": {"a": 1}}'):
         kept.path.write_text(bad)
         fence4 = Fence()
         with pytest.raises(ValueError):
             third.read(fence4, OverrideLog())
-        assert not fence4.known and not fence4.take("bans", 99, 1).accepted
+        assert not fence4.is_restored and not fence4.check_effect("bans", 99, 1).is_accepted
     raw = {"version": 1, "boot": "another", "seen": {"bans": [6, 1]}, "words": {}, "wishes": {}, "lives": {}}
     raw["tickets"] = {}
     kept.path.write_text(json.dumps(raw))
-    assert not third.read(fence4, OverrideLog()) and not fence4.known, (
+    assert not third.read(fence4, OverrideLog()) and not fence4.is_restored, (
         "after a crash of the machine the store must say too"
     )
 
@@ -381,9 +391,9 @@
     held = SimpleNamespace(out={"back", "alone"})
     override_sync = SimpleNamespace(held=held, set_override=call)
     board = OverrideLog()
-    board.take("back", OverrideEntry(False, (1, 1)))
-    board.take("out", OverrideEntry(True, (1, 2)))
-    board.take("never", OverrideEntry(False, (1, 3)))
+    board.merge_entry("back", OverrideEntry(False, (1, 1)))
+    board.merge_entry("out", OverrideEntry(True, (1, 2)))
+    board.merge_entry("never", OverrideEntry(False, (1, 3)))
     context = context_with(board)
     context.tasks = SimpleNamespace(run=tasks.append)
     context.host = SimpleNamespace(operators=SimpleNamespace(override_sync=override_sync))
@@ -410,7 +420,7 @@
         task = asyncio.create_task(replication._post_proposals())
         while len(posts) < 4:  # a store that forgets them: posted once, nobody would ever number them
             await asyncio.sleep(0.05)
-        context.overrides.record_numbered("n/1", 2)
+        context.overrides.record_committed("n/1", 2)
         before = len(posts)
         await asyncio.sleep(0.7)
         assert posts[:4] == ["n/1#1", "n/1#2"] * 2 and len(posts) == before
--- a/tests/test_durable_file.py
+++ b/tests/test_durable_file.py
@@ -79,7 +79,7 @@
     fence, log = Fence(), OverrideLog()
     DurableState(folder, "n").read(fence, log)
     entry = log.entries.get("s")
-    return fence.mark_of("bans").term, entry.out if entry else None
+    return fence.position("bans").term, entry.is_suspended if entry else None
 
 
 def left_beside(folder: Path) -> list[str]:
@@ -87,9 +87,9 @@
 
 
 def write_state(folder: Path, term: int, out: bool) -> None:
-    fence, log = Fence(known=True), OverrideLog()
-    fence.take("bans", term, 1)
-    log.take("s", OverrideEntry(out, (term, 1)))
+    fence, log = Fence(is_restored=True), OverrideLog()
+    fence.check_effect("bans", term, 1)
+    log.merge_entry("s", OverrideEntry(out, (term, 1)))
     state = DurableState(folder, "n")
     state.write(state.snapshot(fence, log))
 
@@ -143,7 +143,7 @@
         fence, log = Fence(), OverrideLog()
         with pytest.raises(DurableStateError):
             DurableState(tmp_path, "n").read(fence, log)
-        assert not fence.known and fence.mark_of("bans").term == 3 and log.entries["s"].out
+        assert not fence.is_restored and fence.position("bans").term == 3 and log.entries["s"].is_suspended
     with pytest.raises(DurableStateError, match="digest"):
         DurableState(tmp_path, "n").read(Fence(), OverrideLog())
 
--- a/tests/test_recorded.py
+++ b/tests/test_recorded.py
@@ -43,11 +43,11 @@
     shutil.copy(RECORDED / "glenrock-n1.fleet.json", tmp_path)
     file, fence, board = durable_state.DurableState(tmp_path, "n1"), Fence(), OverrideLog()
     file.boot = "boot-one"
-    assert file.read(fence, board) and fence.known
-    assert fence.seen == {"bans": (7, 12), "turn": (3, 0)}
+    assert file.read(fence, board) and fence.is_restored
+    assert fence.positions == {"bans": (7, 12), "turn": (3, 0)}
     assert board.entries == {"a:1": OverrideEntry(True, (7, 11)), "b:1": OverrideEntry(False, (6, 2))}
-    assert board.numbered_upto == {"n1.5": 4} and file.tickets == {"turn": ("n2.9", 3)}
-    assert [(i, w.server, w.out) for i, w in board.pending.items()] == [("n1.5#5", "c:1", True)]
+    assert board.committed_up_to == {"n1.5": 4} and file.tickets == {"turn": ("n2.9", 3)}
+    assert [(i, w.server, w.is_suspended) for i, w in board.pending.items()] == [("n1.5#5", "c:1", True)]
     written = json.loads(json.dumps(file.snapshot(fence, board)))
     assert written == json.loads((RECORDED / "glenrock-n1.fleet.json").read_bytes())
 
@@ -128,7 +128,7 @@
         datagrams.SyncRequest("bans", 7, (6, 2), True),
         datagrams.OverrideUpdate("bans", 7, 12, (7, 11), True, "a:1"),
         datagrams.Acknowledgement("bans", True, 7, 7, 12, (7, 11), 3, "a:1"),
-        datagrams.LoadShare(bytes(range(8))),
+        datagrams.SharedLoads(bytes(range(8))),
         datagrams.JobReleased("turn"),
         datagrams.KnownOverride("bans", (6, 2), False, "b:1"),
     ]
