--- a/glenrock/testbed/coordination_observer.py
+++ b/glenrock/testbed/coordination_observer.py
@@ -43,16 +43,16 @@
         if not isinstance(message, datagrams.Acknowledgement):
             return
         party = f"balancer:{sender}"
-        if not message.number:
-            self._history.note(party, "mark refused", job=message.job, term=message.term, seen=message.seen_term)
+        if not message.sequence:
+            self._history.note(party, "mark refused", job=message.job, term=message.term, seen=message.highest_term)
             return
         self._history.note(
             party,
             "effect",
             job=message.job,
             term=message.term,
-            number=message.number,
-            ok=message.accepted,
-            seen=message.seen_term,
-            order=message.order,
+            number=message.sequence,
+            ok=message.is_accepted,
+            seen=message.highest_term,
+            order=message.verdict_sequence,
         )
