--- a/glenrock/routing/simulator_codec.py
+++ b/glenrock/routing/simulator_codec.py
@@ -16,12 +16,12 @@
     ConnectionEstablished,
     ConnectionFeedback,
     Endpoint,
+    EndpointListKind,
     EndpointState,
     Event,
     Fail,
     GossipReceived,
     HealthCheckResult,
-    ListKind,
     Migrate,
     OpenConnection,
     Reject,
@@ -37,26 +37,30 @@
 from .settings_codec import report_field, settings_of
 
 OUTCOMES: dict[str, AttemptOutcome] = {
-    "delivered": "served",
-    "app_error": "error",
-    "shed": "full",
-    "expired": "timeout",
-    "dial_failed": "no_connection",
-    "dropped": "broken",
-    "revoked": "cancelled",
-    "unused": "unsent",
+    "delivered": AttemptOutcome.SERVED,
+    "app_error": AttemptOutcome.ERROR,
+    "shed": AttemptOutcome.FULL,
+    "expired": AttemptOutcome.TIMEOUT,
+    "dial_failed": AttemptOutcome.NO_CONNECTION,
+    "dropped": AttemptOutcome.BROKEN,
+    "revoked": AttemptOutcome.CANCELLED,
+    "unused": AttemptOutcome.UNSENT,
 }
-STATES: dict[str, EndpointState] = {"Ready": "ready", "Terminating": "draining", "Gone": "gone"}
-LIST_KINDS: dict[str, ListKind] = {
-    "Partial": "changes",
-    "Complete": "full",
-    "Persisted": "remembered",
-    "Error": "failed",
+STATES: dict[str, EndpointState] = {
+    "Ready": EndpointState.READY,
+    "Terminating": EndpointState.DRAINING,
+    "Gone": EndpointState.GONE,
+}
+LIST_KINDS: dict[str, EndpointListKind] = {
+    "Partial": EndpointListKind.CHANGES,
+    "Complete": EndpointListKind.FULL,
+    "Persisted": EndpointListKind.CACHED,
+    "Error": EndpointListKind.FAILED,
 }
 TEXT_FIELDS = ("profileData", "message")  # they run to the end of the line
-NOTE_OF_LOAD, NOTE_OF_DELAY = 1, 2  # what a note tells: microseconds a second; milliseconds
+LOAD_NOTE, DELAY_NOTE = 1, 2  # what a note tells: microseconds a second; milliseconds
 MAX_DIGITS = 20
-SHOWN = 40  # characters of the input that an error shows
+MAX_QUOTED_CHARS = 40  # characters of the input that an error shows
 
 
 class WireError(ValueError):
@@ -91,7 +95,7 @@
         text = self.text(name)
         digits = text[1:] if text[:1] == "-" else text
         if not (digits.isdigit() and digits.isascii()) or len(digits) > MAX_DIGITS:
-            raise WireError(f"{name} is not a whole number: {text[:SHOWN]!r}")
+            raise WireError(f"{name} is not a whole number: {text[:MAX_QUOTED_CHARS]!r}")
         return int(text)
 
     def number_or(self, name: str, default: int) -> int:
@@ -106,7 +110,7 @@
         """Whether the field is 1; it may be missing."""
         text = self._values.get(name, "0")
         if text not in ("0", "1"):
-            raise WireError(f"{name} is neither 0 nor 1: {text[:SHOWN]!r}")
+            raise WireError(f"{name} is neither 0 nor 1: {text[:MAX_QUOTED_CHARS]!r}")
         return text == "1"
 
 
@@ -120,16 +124,16 @@
     try:
         return dict([part.split("=", 1) for part in text.split(" ")]) if text else {}
     except ValueError:
-        raise WireError(f"expected name=value, got {text[:SHOWN]!r}") from None
+        raise WireError(f"expected name=value, got {text[:MAX_QUOTED_CHARS]!r}") from None
 
 
 def _real(text: str, name: str) -> float:
     try:
         value = float(text)
     except ValueError:
-        raise WireError(f"{name} is not a number: {text[:SHOWN]!r}") from None
+        raise WireError(f"{name} is not a number: {text[:MAX_QUOTED_CHARS]!r}") from None
     if not isfinite(value):
-        raise WireError(f"{name} is not finite: {text[:SHOWN]!r}")
+        raise WireError(f"{name} is not finite: {text[:MAX_QUOTED_CHARS]!r}")
     return value
 
 
@@ -150,7 +154,7 @@
     """A row of the endpoint list. A state of a later wire counts as draining, the careful reading."""
     return Endpoint(
         server=fields.text("server"),
-        state=STATES.get(fields.text_or("availability", "Ready"), "draining"),
+        state=STATES.get(fields.text_or("availability", "Ready"), EndpointState.DRAINING),
         zone=fields.text_or("area", ""),
         cell=fields.number_or("unitGroup", 0),
         size=_real(fields.text_or("units", "1"), "units"),
@@ -158,12 +162,12 @@
     )
 
 
-def list_kind_from(fields: Fields) -> ListKind:
+def list_kind_from(fields: Fields) -> EndpointListKind:
     """Which kind of news a list is."""
     word = fields.text("kind")
     kind = LIST_KINDS.get(word)
     if kind is None:
-        raise WireError(f"unknown topology kind {word[:SHOWN]!r}")
+        raise WireError(f"unknown topology kind {word[:MAX_QUOTED_CHARS]!r}")
     return kind
 
 
@@ -185,8 +189,8 @@
         group=fields.optional_number("channel"),
         tenant=fields.text_or("project", ""),
         load=fields.number_or("sizeHintUs", 0),
-        returning=fields.flag("reconnect"),
-        midflow=fields.flag("midflow"),
+        is_returning=fields.flag("reconnect"),
+        is_midstream=fields.flag("midflow"),
     )
 
 
@@ -205,8 +209,8 @@
     return ConnectionFeedback(
         id=fields.text("msgId"),
         server=fields.text("server"),
-        load=amount if sort == NOTE_OF_LOAD else None,
-        message_us=amount * 1000 if sort == NOTE_OF_DELAY else None,
+        load=amount if sort == LOAD_NOTE else None,
+        message_us=amount * 1000 if sort == DELAY_NOTE else None,
     )
 
 
@@ -216,7 +220,7 @@
         attempt=fields.number("shot"),
         server=fields.text("server"),
         outcome=_outcome_from(fields),
-        done=fields.flag("doneFlag"),
+        is_final=fields.flag("doneFlag"),
         latency_us=fields.number_or("latencyUs", 0),
         report=_report_from(fields),
     )
@@ -233,7 +237,7 @@
 
 def _outcome_from(fields: Fields) -> AttemptOutcome:
     """A word of a later wire is taken for an error that may have run, the careful reading."""
-    return OUTCOMES.get(fields.text("verdict"), "error")
+    return OUTCOMES.get(fields.text("verdict"), AttemptOutcome.ERROR)
 
 
 def _report_from(fields: Fields) -> dict[str, float]:
@@ -243,7 +247,7 @@
         for part in text.split(","):
             name, colon, value = part.partition(":")
             if not colon:
-                raise WireError(f"gauge is not name:value pairs: {text[:SHOWN]!r}")
+                raise WireError(f"gauge is not name:value pairs: {text[:MAX_QUOTED_CHARS]!r}")
             report[report_field(name)] = _real(value, "gauge")
     return report
 
@@ -255,7 +259,7 @@
     except WireError:
         raise
     except ValueError:
-        raise WireError(f"raw is not hex: {raw[:SHOWN]!r}") from None
+        raise WireError(f"raw is not hex: {raw[:MAX_QUOTED_CHARS]!r}") from None
 
 
 EVENTS: dict[str, Callable[[Fields], Event]] = {
--- a/tests/admin/test_metrics.py
+++ b/tests/admin/test_metrics.py
@@ -44,6 +44,6 @@
 def test_count_avoided_includes_ejected_and_suspended_servers(make) -> None:
     harness = make()
     assert harness.b.count_avoided(harness.b.servers) == 0
-    harness.b.servers["a:1"].ejected_until_us = harness.b.turn.now_us + 1
+    harness.b.servers["a:1"].ejected_until_us = harness.b.batch.now_us + 1
     harness.give(interface.OperatorOverride("b:1", True))
     assert harness.b.count_avoided(harness.b.servers) == 2
--- a/tests/lab/test_hard_cases.py
+++ b/tests/lab/test_hard_cases.py
@@ -68,11 +68,11 @@
     d.prepare()
     at(d, 9.9)
     (host,) = d.hosts
-    assert host.decisions.waiting_line
+    assert host.decisions.waiting_queue
     at(d, 10.2)
     assert not host.up
     at(d, 10.6)
-    assert host.up and not host.decisions.waiting_line and host.decisions.servers
+    assert host.up and not host.decisions.waiting_queue and host.decisions.servers
     d.engine.run(d.begin_us + 24_000_000)
     assert not any(d.judge.counts.values()), d.judge.breaches
 
@@ -194,13 +194,13 @@
 def test_constants_of_the_module_are_set_for_the_run_alone() -> None:
     from glenrock.routing import Balancer, admission
 
-    before = admission.CAP_CUT
+    before = admission.CAP_CUT_FACTOR
     seen = []
 
     class Looks(Balancer):
         def handle(self, now_us, events):
-            seen.append(admission.CAP_CUT)
+            seen.append(admission.CAP_CUT_FACTOR)
             return super().handle(now_us, events)
 
     day(make=Looks, constants={"CAP_CUT": 0.5}).run()
-    assert set(seen) == {0.5} and admission.CAP_CUT == before
+    assert set(seen) == {0.5} and admission.CAP_CUT_FACTOR == before
