--- a/glenrock/testbed/coordination_store.py
+++ b/glenrock/testbed/coordination_store.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import Any
 
-from ..coordination.leases.consul_store import lock_value, unescape_key
+from ..coordination.leases.consul_store import decode_lock_value, unescape_key
 from .consul_server import ConsulServer
 from .loopback import Address, LoopbackNetwork
 from .scenario import Together
@@ -101,6 +101,6 @@
         found = {}
         for key, entry in consul.state.entries.items():
             if "/jobs/" in key and entry.value:
-                value = lock_value(entry.told(key))
+                value = decode_lock_value(entry.told(key))
                 found[unescape_key(key.rpartition("/")[2])] = StoredLease(value.term, value.holder)
         return found
