--- a/tests/admin/test_metrics.py
+++ b/tests/admin/test_metrics.py
@@ -31,9 +31,9 @@
     )
 
 
-def test_count_avoided_is_fast_for_the_largest_endpoint_list(make) -> None:
+def test_count_avoided_is_fast_for_the_largest_endpoint_list(make_harness) -> None:
     names = [f"s{n}:1" for n in range(4096)]
-    balancer = make(names=names).b
+    balancer = make_harness(names=names).balancer
     for n in range(0, 4096, 4):
         balancer.servers[names[n]].ready = False
     started_s = time.process_time()
@@ -41,9 +41,9 @@
     assert time.process_time() - started_s < MAX_COUNT_S
 
 
-def test_count_avoided_includes_ejected_and_suspended_servers(make) -> None:
-    harness = make()
-    assert harness.b.count_avoided(harness.b.servers) == 0
-    harness.b.servers["a:1"].ejected_until_us = harness.b.batch.now_us + 1
-    harness.give(interface.OperatorOverride("b:1", True))
-    assert harness.b.count_avoided(harness.b.servers) == 2
+def test_count_avoided_includes_ejected_and_suspended_servers(make_harness) -> None:
+    harness = make_harness()
+    assert harness.balancer.count_avoided(harness.balancer.servers) == 0
+    harness.balancer.servers["a:1"].ejected_until_us = harness.balancer.batch.now_us + 1
+    harness.deliver(interface.OperatorOverride("b:1", True))
+    assert harness.balancer.count_avoided(harness.balancer.servers) == 2
--- a/tests/routing/test_connection_concurrency.py
+++ b/tests/routing/test_connection_concurrency.py
@@ -39,7 +39,7 @@
         for n, (since, server, cares) in enumerate(line):
             if cares and now - since > GIVE_UP:
                 line[n] = (since, server, False)  # the store goes on with it
-                limit.record_ended(server, "timeout")
+                limit.record_ended(server, interface.AttemptOutcome.TIMEOUT)
                 waiting += 1
         if now % ROUND == 0:
             limit.finish_round()
@@ -47,7 +47,7 @@
 
 
 @pytest.mark.parametrize("rate", [5, 20, 50, 200])
-def test_a_storm_of_set_ups_keeps_the_store_busy(rate) -> None:
+def test_storm_of_set_ups_keeps_the_store_busy(rate) -> None:
     # Seen on the simulator: after all had been slow at once, 400 came back to a store of 55 a second; nothing came up,
     # the rate fell to the usual 6 a second, and took ten seconds to rise.
     up = storm(rate, seconds=25)
@@ -55,20 +55,20 @@
         assert up[n] + up[n - 1] >= 2 * 0.6 * rate, f"seconds {n - 1} and {n}: {up}"
 
 
-def test_one_slow_server_limits_nobody() -> None:
+def test_single_slow_server_causes_no_limit() -> None:
     batch = EventBatch()
     limit = ConcurrencyLimit(batch, 300_000)
     for n in range(40):
         batch.now_us += TICK
         limit.record_sent()
-        limit.record_ended("slow", "timeout")
+        limit.record_ended("slow", interface.AttemptOutcome.TIMEOUT)
         limit.record_sent()
         limit.record_established(f"s{n % 7}", 20_000)
     limit.finish_round()
     assert limit.limit == connection_concurrency.UNLIMITED
 
 
-def test_the_window_is_lifted_when_it_no_longer_binds() -> None:
+def test_limit_is_lifted_after_idle_rounds() -> None:
     batch = EventBatch()
     limit = ConcurrencyLimit(batch, 300_000)
     limit.limit = 4.0
@@ -83,9 +83,16 @@
 
 
 @given(st.lists(st.sampled_from(ENDS), max_size=60), st.integers(0, 9))
-def test_set_ups_out_are_those_that_nobody_has_ended(ends, seed) -> None:
+def test_pending_count_equals_set_ups_without_outcome(ends, seed) -> None:
     b = Balancer(settings(balancers=1, max_attempts=2), seed)
-    b.handle(SECOND, [interface.EndpointList("full", tuple(interface.Endpoint(f"s{n}:1") for n in range(4)))])
+    b.handle(
+        SECOND,
+        [
+            interface.EndpointList(
+                interface.EndpointListKind.FULL, tuple(interface.Endpoint(f"s{n}:1") for n in range(4))
+            )
+        ],
+    )
     now = SECOND
     tries: dict[str, int] = {}
     for n, end in enumerate([*ends, *["full"] * 200]):
@@ -102,6 +109,9 @@
             for x in again:
                 if isinstance(x, interface.StartAttempt):
                     tries[x.id] = tries.get(x.id, -1) + 1
-                    b.handle(now, [interface.AttemptEnded(x.id, tries[x.id], x.server, "error", False)])
+                    b.handle(
+                        now,
+                        [interface.AttemptEnded(x.id, tries[x.id], x.server, interface.AttemptOutcome.ERROR, False)],
+                    )
         standing = sum(1 for f in b.requests.values() if not f.server and f.attempts and not f.attempts[-1].outcome)
         assert b.concurrency.pending == standing
--- a/tests/routing/test_failure_domains.py
+++ b/tests/routing/test_failure_domains.py
@@ -25,7 +25,7 @@
 
 @settings(max_examples=200, deadline=None)
 @given(st.lists(st.tuples(st.integers(0, 3 * SECOND), st.lists(EVIDENCE, max_size=8)), max_size=12), st.randoms())
-def test_evidence_of_one_batch_in_any_order_gives_one_belief(batches, rng) -> None:
+def test_result_does_not_depend_on_the_order_within_a_batch(batches, rng) -> None:
     one, two, now = FailureDomains(), FailureDomains(), 0
     for span, evidence in batches:
         now += span
@@ -47,7 +47,7 @@
     return d.evaluate(now)
 
 
-def test_one_dead_member_convicts_nobody_however_often_it_fails() -> None:
+def test_single_dead_member_causes_no_partition() -> None:
     d = FailureDomains()
     for n in range(200):
         assert fails(d, n * 20_000, "u") == []
@@ -56,7 +56,7 @@
     assert not d.is_partitioned("b") and d.usable_fraction(5 * SECOND, "b") == 1.0
 
 
-def test_three_members_within_a_second_convict_and_an_answer_takes_back_in_steps() -> None:
+def test_three_failed_members_cause_a_partition_and_an_answer_starts_the_recovery_ramp() -> None:
     d = FailureDomains()
     assert fails(d, 0, "u") == [] and fails(d, 100_000, "v") == []
     assert fails(d, 200_000, "w") == ["b"]
@@ -72,7 +72,7 @@
     assert used == [64, 128, 192, 256]
 
 
-def test_beliefs_return_to_neutral_without_evidence() -> None:
+def test_score_and_partition_expire_without_evidence() -> None:
     d = FailureDomains()
     fails(d, 0, "u", "v")
     before = d.suspicion(0, "b")
@@ -83,14 +83,14 @@
     assert d.evaluate(20 * SECOND + 2 + domains.EVIDENCE_TIMEOUT_US) == ["b"] and not d.is_partitioned("b")
 
 
-def test_a_domain_believed_cut_is_asked_by_a_trickle() -> None:
+def test_partitioned_domain_is_checked_at_the_interval() -> None:
     d = FailureDomains()
     fails(d, 0, "u", "v", "w")
     asked = [now for now in range(0, 4 * SECOND, 10_000) if d.due_health_checks(now)]
     assert len(asked) == 4 * SECOND // domains.HEALTH_CHECK_INTERVAL_US
 
 
-def test_the_stated_error_rates_hold() -> None:
+def test_stated_error_rates_hold() -> None:
     """Sound domains of 6, each failing by itself now and then: alarms in a million draws under twice the rate."""
     rng, alarms, runs = random.Random(7), 0, 4000
     for _ in range(runs):
@@ -117,70 +117,77 @@
 # -- what the module does with them --------------------------------------------------------------------
 
 
-def two_zones(make, **over):
-    h = make(
+def two_zones(make_harness, **over):
+    harness = make_harness(
         zone="a", names=(), may_health_check=True, load_report_fields=("load_ratio",), health_check_cost=0.0001, **over
     )
-    entries = [interface.Endpoint(f"{z}{n}:1", "ready", z) for z in "ab" for n in range(4)]
-    h.give(interface.EndpointList("full", tuple(entries)))
-    return h
+    entries = [interface.Endpoint(f"{z}{n}:1", interface.EndpointState.READY, z) for z in "ab" for n in range(4)]
+    harness.deliver(interface.EndpointList(interface.EndpointListKind.FULL, tuple(entries)))
+    return harness
 
 
-def unreachable(h, *servers: str) -> None:
+def unreachable(harness, *servers: str) -> None:
     for s in servers:
-        h.give(interface.HealthCheckResult(s, "timeout"))
+        harness.deliver(interface.HealthCheckResult(s, interface.AttemptOutcome.TIMEOUT))
 
 
-def test_a_link_believed_cut_is_left_as_a_whole_and_taken_back_whole(make) -> None:
-    h = two_zones(make)
-    unreachable(h, "b0:1", "b1:1", "b2:1")
-    h.run(10_000)
-    names = [h.request(key=n, group=n) for n in range(40)]
-    h.run(100_000)
-    assert {h.sends(n)[0].server[0] for n in names} == {"a"}
+def test_partitioned_zone_gets_no_requests_and_recovers_as_a_whole(make_harness) -> None:
+    harness = two_zones(make_harness)
+    unreachable(harness, "b0:1", "b1:1", "b2:1")
+    harness.advance(10_000)
+    names = [harness.send_request(key=n, group=n) for n in range(40)]
+    harness.advance(100_000)
+    assert {harness.attempts_of(n)[0].server[0] for n in names} == {"a"}
     # When one answers, none is out of use for what was the link's; a part comes back at once, and then all.
-    h.give(interface.HealthCheckResult("b3:1", "served", 1000, {"load_ratio": 0.1}))
-    h.run(4 * domains.RECOVERY_STEP_US)
-    assert all(h.b.ejection.is_usable(s) for s in h.b.servers.values())
-    assert not any(s.consecutive_failures for s in h.b.servers.values())
-
-
-def test_while_it_is_cut_the_link_is_asked_a_few_times_a_second(make) -> None:
-    h = two_zones(make)
-    h.request(key=1)
-    unreachable(h, "b0:1", "b1:1", "b2:1")
-    h.log.clear()
-    h.run(5 * SECOND)
-    asked = [a for _, a in h.log if isinstance(a, interface.SendHealthCheck) and a.server[0] == "b"]
+    harness.deliver(interface.HealthCheckResult("b3:1", interface.AttemptOutcome.SERVED, 1000, {"load_ratio": 0.1}))
+    harness.advance(4 * domains.RECOVERY_STEP_US)
+    assert all(harness.balancer.ejection.is_usable(s) for s in harness.balancer.servers.values())
+    assert not any(s.consecutive_failures for s in harness.balancer.servers.values())
+
+
+def test_partitioned_zone_is_checked_few_times_a_second(make_harness) -> None:
+    harness = two_zones(make_harness)
+    harness.send_request(key=1)
+    unreachable(harness, "b0:1", "b1:1", "b2:1")
+    harness.action_log.clear()
+    harness.advance(5 * SECOND)
+    asked = [a for _, a in harness.action_log if isinstance(a, interface.SendHealthCheck) and a.server[0] == "b"]
     assert 4 <= len(asked) <= 20
 
 
-def test_one_dead_server_of_another_zone_is_its_own_trouble(make) -> None:
-    h = two_zones(make)
+def test_single_dead_server_of_another_zone_is_ejected_alone(make_harness) -> None:
+    harness = two_zones(make_harness)
     for _ in range(6):
-        unreachable(h, "b0:1")
-        h.run(300_000)
-    assert not h.b.domains.is_partitioned("b")
-    assert not h.b.ejection.is_usable(h.b.servers["b0:1"]) and h.b.ejection.is_usable(h.b.servers["b1:1"])
-
-
-def test_a_cut_of_all_that_is_known_leaves_all_to_try(make) -> None:
-    h = two_zones(make)
-    h.give(interface.EndpointList("full", tuple(interface.Endpoint(f"b{n}:1", "ready", "b") for n in range(4))))
-    unreachable(h, "b0:1", "b1:1", "b2:1")
-    name = h.request(key=1)
-    h.run(100_000)
-    assert h.sends(name)
+        unreachable(harness, "b0:1")
+        harness.advance(300_000)
+    assert not harness.balancer.domains.is_partitioned("b")
+    assert not harness.balancer.ejection.is_usable(
+        harness.balancer.servers["b0:1"]
+    ) and harness.balancer.ejection.is_usable(harness.balancer.servers["b1:1"])
+
+
+def test_servers_are_tried_when_all_are_partitioned(make_harness) -> None:
+    harness = two_zones(make_harness)
+    harness.deliver(
+        interface.EndpointList(
+            interface.EndpointListKind.FULL,
+            tuple(interface.Endpoint(f"b{n}:1", interface.EndpointState.READY, "b") for n in range(4)),
+        )
+    )
+    unreachable(harness, "b0:1", "b1:1", "b2:1")
+    name = harness.send_request(key=1)
+    harness.advance(100_000)
+    assert harness.attempts_of(name)
 
 
 @pytest.mark.parametrize("zone", ["a", ""])
-def test_the_own_zone_has_no_link(make, zone: str) -> None:
-    h = two_zones(make)
-    unreachable(h, "a0:1", "a1:1", "a2:1", "a3:1")
-    assert not h.b.domains.states.get(zone)
+def test_own_zone_is_never_partitioned(make_harness, zone: str) -> None:
+    harness = two_zones(make_harness)
+    unreachable(harness, "a0:1", "a1:1", "a2:1", "a3:1")
+    assert not harness.balancer.domains.states.get(zone)
 
 
-def test_what_is_believed_of_a_link_is_logged_once_each_way(capsys) -> None:
+def test_partition_is_logged_once_at_its_start_and_once_at_its_end(capsys) -> None:
     from conftest import settings as usual
 
     from glenrock.net.routing_actor import RoutingActor
@@ -193,13 +200,13 @@
 
     clock = At()
     d = RoutingActor(usual(zone="a", may_health_check=True, load_report_fields=("load_ratio",)), 1, clock)
-    entries = tuple(interface.Endpoint(f"{z}{n}:1", "ready", z) for z in "ab" for n in range(4))
-    d.turn([interface.EndpointList("full", entries)])
+    entries = tuple(interface.Endpoint(f"{z}{n}:1", interface.EndpointState.READY, z) for z in "ab" for n in range(4))
+    d.turn([interface.EndpointList(interface.EndpointListKind.FULL, entries)])
     for events in (
-        [interface.HealthCheckResult(f"b{n}:1", "timeout") for n in range(3)],
+        [interface.HealthCheckResult(f"b{n}:1", interface.AttemptOutcome.TIMEOUT) for n in range(3)],
         [],
         [],
-        [interface.HealthCheckResult("b0:1", "served")],
+        [interface.HealthCheckResult("b0:1", interface.AttemptOutcome.SERVED)],
         [],
         [],
     ):
--- a/tests/routing/test_hash_ring.py
+++ b/tests/routing/test_hash_ring.py
@@ -38,7 +38,7 @@
 
 
 @given(st.integers(0, MASK))
-def test_points_are_what_mix_says(code: int) -> None:
+def test_ring_points_equal_single_mix_calls(code: int) -> None:
     assert list(ring_points(code)) == [mix(code + n) for n in range(POINTS)]
 
 
@@ -47,7 +47,7 @@
     st.lists(st.lists(st.tuples(st.integers(0, 300), st.booleans()), max_size=120), max_size=6),
     st.lists(st.integers(0, MASK), min_size=1, max_size=20),
 )
-def test_the_same_picks_as_a_sorted_list(lists: list[list[tuple[int, bool]]], asked: list[int]) -> None:
+def test_ring_equals_a_sorted_list(lists: list[list[tuple[int, bool]]], asked: list[int]) -> None:
     spots = [Spot(stable_hash(f"10.0.0.{n}:80")) for n in range(301)]
     spots[7].hash = spots[8].hash  # two that share every point: the first keeps them
     ring, plain = HashRing(), Plain()
@@ -64,7 +64,7 @@
             assert ring.around(spot) == want
 
 
-def test_a_large_list_grows_and_shrinks() -> None:
+def test_ring_resizes_for_a_large_list() -> None:
     ring, plain = HashRing(), Plain()
     whole = [RingChange(Spot(stable_hash(str(n))), ring_points(stable_hash(str(n))), True) for n in range(3000)]
     for part in (whole, [RingChange(s, p, False) for s, p, _ in whole[5:]], whole[:50]):
--- a/tests/routing/test_layout.py
+++ b/tests/routing/test_layout.py
@@ -35,7 +35,7 @@
 
 
 @pytest.mark.parametrize("path", MODULES, ids=lambda path: path.stem)
-def test_a_module_is_pure_and_imports_nothing_else_of_the_program(path: Path) -> None:
+def test_module_is_pure_and_imports_nothing_else_of_the_program(path: Path) -> None:
     outside = {name.partition(".")[0] for name in imported(path) if not name.startswith(".")}
     assert "glenrock" not in outside
     assert not outside & IMPURE
@@ -51,7 +51,7 @@
     assert not left, f"in circles: {sorted(left)}"
 
 
-def test_each_module_of_routing_is_a_policy_or_a_mechanism_or_an_adapter() -> None:
+def test_each_module_is_listed_as_policy_or_node_or_is_an_adapter() -> None:
     named = DEPLOY["policy"] + DEPLOY["node"]
     adapters = {f"glenrock/routing/{name}.py" for name in ("simulator_adapter", "simulator_codec")}
     ours = {str(path.relative_to(ROOT)) for path in MODULES}
@@ -59,7 +59,7 @@
     assert len(named) == len(set(named)) and all((ROOT / name).exists() for name in named)
 
 
-def test_whoever_starts_ends_or_moves_requests_is_named_as_policy() -> None:
+def test_modules_that_emit_request_actions_are_listed_as_policy() -> None:
     emitting = set()
     for path in MODULES:
         for node in ast.walk(ast.parse(path.read_text())):
--- a/tests/routing/test_many_balancers.py
+++ b/tests/routing/test_many_balancers.py
@@ -29,153 +29,170 @@
         "cross_zone_cost": 0.02,
         **over,
     }
-    h = Harness(settings(**over), seed)
-    h.give(interface.EndpointList("full", tuple(interface.Endpoint(x, zone=ZONES[n % 2]) for n, x in enumerate(names))))
-    return h
+    harness = Harness(settings(**over), seed)
+    harness.deliver(
+        interface.EndpointList(
+            interface.EndpointListKind.FULL,
+            tuple(interface.Endpoint(x, zone=ZONES[n % 2]) for n, x in enumerate(names)),
+        )
+    )
+    return harness
 
 
-def probed(h: Harness, load: float, names: tuple[str, ...] = NAMES) -> None:
-    h.give(*(interface.HealthCheckResult(x, "served", 1000, {"load_ratio": load}) for x in names))
+def probed(harness: Harness, load: float, names: tuple[str, ...] = NAMES) -> None:
+    harness.deliver(
+        *(interface.HealthCheckResult(x, interface.AttemptOutcome.SERVED, 1000, {"load_ratio": load}) for x in names)
+    )
 
 
-def sent(h: Harness, **over) -> str:
+def sent(harness: Harness, **over) -> str:
     """The server that a request goes to, started there."""
-    name = h.request(**over)
-    h.run(50_000)  # probes that are waited for
-    server = [a.server for a in h.done(name) if isinstance(a, interface.StartAttempt)][-1]
-    h.give(
+    name = harness.send_request(**over)
+    harness.advance(50_000)  # probes that are waited for
+    server = [a.server for a in harness.actions_for(name) if isinstance(a, interface.StartAttempt)][-1]
+    harness.deliver(
         interface.ConnectionEstablished(
-            name, len([a for a in h.done(name) if isinstance(a, interface.StartAttempt)]) - 1, server, 1000
+            name, len([a for a in harness.actions_for(name) if isinstance(a, interface.StartAttempt)]) - 1, server, 1000
         )
     )
     return name
 
 
-def place(h: Harness, name: str) -> str:
-    return h.b.requests[name].server.id
+def place(harness: Harness, name: str) -> str:
+    return harness.balancer.requests[name].server.id
 
 
 @given(group=st.integers(0, 1 << 62), seeds=st.lists(st.integers(0, 999), min_size=2, max_size=5))
-def test_all_balancers_know_the_same_order_for_a_group(group: int, seeds: list[int]) -> None:
+def test_all_balancers_have_the_same_candidates_for_a_group(group: int, seeds: list[int]) -> None:
     orders = []
     for n, seed in enumerate(seeds):
-        h = balancer(seed, zone=ZONES[n % 2])
-        for s in h.b.servers.values():
+        harness = balancer(seed, zone=ZONES[n % 2])
+        for s in harness.balancer.servers.values():
             s.weight = 1 + (seed + s.hash) % 3  # each has learned other weights
-        name = h.request(group=group)
-        orders.append([s.id for s in h.b.requests[name].candidates])
+        name = harness.send_request(group=group)
+        orders.append([s.id for s in harness.balancer.requests[name].candidates])
     assert all(order == orders[0] for order in orders)
 
 
-def test_a_group_goes_where_it_stands_whatever_its_order_says() -> None:
-    h = balancer()
-    h.give(interface.OpenConnection(interface.Request("o1", "read", T0 + SECOND, 1, 77), "s4:1"))
-    probed(h, 0.4)
-    assert place(h, sent(h, key=2, group=77)) == "s4:1"
-    h.servers("s4:1", kind="changes", state="draining")
-    assert place(h, sent(h, key=3, group=77)) != "s4:1"
+def test_group_goes_to_the_server_that_holds_its_connections() -> None:
+    harness = balancer()
+    harness.deliver(interface.OpenConnection(interface.Request("o1", "read", T0 + SECOND, 1, 77), "s4:1"))
+    probed(harness, 0.4)
+    assert place(harness, sent(harness, key=2, group=77)) == "s4:1"
+    harness.list_servers("s4:1", kind=interface.EndpointListKind.CHANGES, state=interface.EndpointState.DRAINING)
+    assert place(harness, sent(harness, key=3, group=77)) != "s4:1"
 
 
-def zone_lost(h: Harness) -> None:
+def zone_lost(harness: Harness) -> None:
     """Connections on five servers break, and the probes that follow are refused."""
     for n, x in enumerate(NAMES[4:]):
-        h.give(interface.OpenConnection(interface.Request(f"o{n}", "read", T0 + SECOND, 100 + n, load=10_000), x))
-    probed(h, 0.45)
-    h.run(2 * SECOND)
-    probed(h, 0.45)
+        harness.deliver(
+            interface.OpenConnection(interface.Request(f"o{n}", "read", T0 + SECOND, 100 + n, load=10_000), x)
+        )
+    probed(harness, 0.45)
+    harness.advance(2 * SECOND)
+    probed(harness, 0.45)
     out = []
     for n, x in enumerate(NAMES[4:]):
-        out += h.give(interface.AttemptEnded(f"o{n}", 0, x, "broken", True, 0, {}))
+        out += harness.deliver(interface.AttemptEnded(f"o{n}", 0, x, interface.AttemptOutcome.BROKEN, True, 0, {}))
     assert {a.server for a in out if isinstance(a, interface.SendHealthCheck)} == set(NAMES[4:])
-    h.give(*(interface.HealthCheckResult(x, "no_connection") for x in NAMES[4:]))
+    harness.deliver(*(interface.HealthCheckResult(x, interface.AttemptOutcome.NO_CONNECTION) for x in NAMES[4:]))
 
 
-def test_the_cap_closes_when_a_zone_is_lost_before_any_report_shows_it() -> None:
-    h = balancer()
-    zone_lost(h)
-    h.run(SECOND // 2)
-    assert h.b.loads.fleet_load == pytest.approx(
+def test_loss_of_a_zone_closes_the_cap_before_reports_show_it() -> None:
+    harness = balancer()
+    zone_lost(harness)
+    harness.advance(SECOND // 2)
+    assert harness.balancer.loads.fleet_load == pytest.approx(
         capacity_estimation.MAX_GUESSED_LOAD
-    ) and h.b.admission.load_cap < float("inf")
+    ) and harness.balancer.admission.load_cap < float("inf")
     # Reports from before the clients are back do not open it again; those from after do.
-    probed(h, 0.2, NAMES[:4])
-    h.run(SECOND // 4)
-    assert h.b.loads.fleet_load == pytest.approx(capacity_estimation.MAX_GUESSED_LOAD)
+    probed(harness, 0.2, NAMES[:4])
+    harness.advance(SECOND // 4)
+    assert harness.balancer.loads.fleet_load == pytest.approx(capacity_estimation.MAX_GUESSED_LOAD)
     for _ in range(12):
-        h.run(SECOND // 2)
-        probed(h, 0.2, NAMES[:4])
-    assert h.b.loads.fleet_load < 0.6
+        harness.advance(SECOND // 2)
+        probed(harness, 0.2, NAMES[:4])
+    assert harness.balancer.loads.fleet_load < 0.6
 
 
-def test_servers_that_drain_are_not_lost() -> None:
-    h = balancer()
-    probed(h, 0.45)
-    h.run(SECOND)
-    h.give(interface.EndpointList("changes", tuple(interface.Endpoint(x, "draining") for x in NAMES[4:])))
-    h.run(SECOND)
-    assert h.b.loads.fleet_load < 0.5 and h.b.admission.load_cap == float("inf")
+def test_draining_servers_do_not_raise_the_mean_load() -> None:
+    harness = balancer()
+    probed(harness, 0.45)
+    harness.advance(SECOND)
+    harness.deliver(
+        interface.EndpointList(
+            interface.EndpointListKind.CHANGES,
+            tuple(interface.Endpoint(x, interface.EndpointState.DRAINING) for x in NAMES[4:]),
+        )
+    )
+    harness.advance(SECOND)
+    assert harness.balancer.loads.fleet_load < 0.5 and harness.balancer.admission.load_cap == float("inf")
 
 
 @given(loads=st.lists(st.floats(0.05, 1.5), min_size=2, max_size=9), left=st.integers(1, 8))
-def test_a_guess_only_raises_and_stays_within_its_bound(loads: list[float], left: int) -> None:
+def test_guessed_mean_load_only_rises_and_is_bounded(loads: list[float], left: int) -> None:
     names = NAMES[: len(loads)]
-    h = balancer(names=names)
-    warm = list(h.b.servers.values())
-    h.b.batch.now_us, h.b.loads.fleet_load = T0, sum(loads) / len(loads)
-    h.b.capacity.follow_membership(warm)
-    before = h.b.loads.fleet_load
-    h.b.capacity.follow_membership(warm[:left])
-    lost_at, fleet = h.b.capacity.servers_lost_us, h.b.loads.fleet_load
+    harness = balancer(names=names)
+    warm = list(harness.balancer.servers.values())
+    harness.balancer.batch.now_us, harness.balancer.loads.fleet_load = T0, sum(loads) / len(loads)
+    harness.balancer.capacity.follow_membership(warm)
+    before = harness.balancer.loads.fleet_load
+    harness.balancer.capacity.follow_membership(warm[:left])
+    lost_at, fleet = harness.balancer.capacity.servers_lost_us, harness.balancer.loads.fleet_load
     assert before <= fleet <= max(before, capacity_estimation.MAX_GUESSED_LOAD)
     assert (lost_at == T0) == (left < len(warm))
 
 
-def test_one_connection_of_ours_says_nothing_of_a_servers_capacity() -> None:
-    h = balancer()
-    h.give(interface.OpenConnection(interface.Request("o", "read", T0 + SECOND, 1, load=90_000), "s0:1"))
-    h.b.connection_loads.mean_load = 10_000
+def test_single_connection_does_not_change_a_capacity() -> None:
+    harness = balancer()
+    harness.deliver(interface.OpenConnection(interface.Request("o", "read", T0 + SECOND, 1, load=90_000), "s0:1"))
+    harness.balancer.connection_loads.mean_load = 10_000
     for load in (0.2, 0.2, 0.2, 0.2, 1.4):
-        probed(h, load)
-        h.run(SECOND // 2)
-    assert all(s.capacity_ratio == 1.0 for s in h.b.servers.values())
+        probed(harness, load)
+        harness.advance(SECOND // 2)
+    assert all(s.capacity_ratio == 1.0 for s in harness.balancer.servers.values())
 
 
-def test_a_fleet_that_may_be_full_is_looked_at_with_few_tokens_left() -> None:
-    h = balancer()
-    h.run(SECOND)
-    h.b.health_checks.budget.tokens, h.b.loads.fleet_load = 4.0, 0.3
-    assert not [a for a in h.run(SECOND) if isinstance(a, interface.SendHealthCheck)]
-    h.b.health_checks.budget.tokens, h.b.loads.fleet_load = 4.0, 0.7
-    assert [a for a in h.run(SECOND) if isinstance(a, interface.SendHealthCheck)]
+def test_busy_fleet_is_checked_down_to_the_last_tokens() -> None:
+    harness = balancer()
+    harness.advance(SECOND)
+    harness.balancer.health_checks.budget.tokens, harness.balancer.loads.fleet_load = 4.0, 0.3
+    assert not [a for a in harness.advance(SECOND) if isinstance(a, interface.SendHealthCheck)]
+    harness.balancer.health_checks.budget.tokens, harness.balancer.loads.fleet_load = 4.0, 0.7
+    assert [a for a in harness.advance(SECOND) if isinstance(a, interface.SendHealthCheck)]
 
 
-def test_cold_servers_bring_room_beside_a_cap_that_is_closed() -> None:
-    h = balancer(
+def test_warming_servers_raise_the_slow_start_load_cap_beside_a_closed_cap() -> None:
+    harness = balancer(
         slow_start_us=9 * SECOND,
         slow_start_initial_fraction=0.31,
         slow_start_multiple=3.0,
         slow_start_window_us=3 * SECOND,
     )
-    h.give(interface.OpenConnection(interface.Request("o", "read", T0 + SECOND, 1, load=1_000_000), "s0:1"))
-    h.give(
+    harness.deliver(interface.OpenConnection(interface.Request("o", "read", T0 + SECOND, 1, load=1_000_000), "s0:1"))
+    harness.deliver(
         interface.EndpointList(
-            "changes", tuple(interface.Endpoint(x, "ready", "a", started_us=h.now) for x in NAMES[4:])
+            interface.EndpointListKind.CHANGES,
+            tuple(
+                interface.Endpoint(x, interface.EndpointState.READY, "a", started_us=harness.now_us) for x in NAMES[4:]
+            ),
         )
     )
     room = []
     for _ in range(14):
-        probed(h, 0.95, NAMES[:4])
-        h.run(SECOND // 2)
-        room.append(h.b.admission.slow_start_load_cap)
-    assert room[0] < room[4] < room[9] and h.b.admission.load_cap < float("inf")
+        probed(harness, 0.95, NAMES[:4])
+        harness.advance(SECOND // 2)
+        room.append(harness.balancer.admission.slow_start_load_cap)
+    assert room[0] < room[4] < room[9] and harness.balancer.admission.load_cap < float("inf")
     assert room[9] < 5 / 4 * 0.72 * 1_000_000 / 0.9
-    h.run(3 * SECOND)
-    assert h.b.admission.slow_start_load_cap == 0  # warm: they count in the cap
+    harness.advance(3 * SECOND)
+    assert harness.balancer.admission.slow_start_load_cap == 0  # warm: they count in the cap
 
 
 def full_with_cold(seed: int = 1, load: float = 0.95) -> Harness:
     """Four full servers, a closed cap, and five that started lately."""
-    h = balancer(
+    harness = balancer(
         seed,
         slow_start_us=9 * SECOND,
         slow_start_initial_fraction=0.31,
@@ -183,27 +200,37 @@
         slow_start_window_us=3 * SECOND,
     )
     for n in range(8):
-        h.give(
+        harness.deliver(
             interface.OpenConnection(
                 interface.Request(f"o{n}", "read", T0 + SECOND, 500 + n, load=10_000), NAMES[n % 4]
             )
         )
-    h.give(
+    harness.deliver(
         interface.EndpointList(
-            "changes", tuple(interface.Endpoint(x, "ready", "a", started_us=h.now - 2 * SECOND) for x in NAMES[4:])
+            interface.EndpointListKind.CHANGES,
+            tuple(
+                interface.Endpoint(x, interface.EndpointState.READY, "a", started_us=harness.now_us - 2 * SECOND)
+                for x in NAMES[4:]
+            ),
         )
     )
     for _ in range(3):
-        h.run(SECOND // 2)
-        probed(h, load, NAMES[:4])
-    h.run(SECOND // 2)
-    h.b.admission.load_cap = h.b.admission.quota = h.b.admission.slow_start_load_cap = 0.0
-    h.b.admission.may_admit_newcomers, h.b.admission.partial_bucket, h.b.admission.extra_buckets = False, 0, 0
-    return h
+        harness.advance(SECOND // 2)
+        probed(harness, load, NAMES[:4])
+    harness.advance(SECOND // 2)
+    harness.balancer.admission.load_cap = harness.balancer.admission.quota = (
+        harness.balancer.admission.slow_start_load_cap
+    ) = 0.0
+    (
+        harness.balancer.admission.may_admit_newcomers,
+        harness.balancer.admission.partial_bucket,
+        harness.balancer.admission.extra_buckets,
+    ) = False, 0, 0
+    return harness
 
 
 @pytest.mark.parametrize("begin_ms", [0, 1500, 2500, 2900, 5600])
-def test_no_window_holds_more_than_the_budget_of_one(begin_ms: int) -> None:
+def test_no_sliding_window_exceeds_the_slow_start_budget(begin_ms: int) -> None:
     # Found in the laboratory, hand-drain: what was left of one spell and the next one together pushed a server over.
     rules = settings(
         slow_start_us=9 * SECOND,
@@ -240,62 +267,64 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_cold_servers_take_what_the_cap_refuses_and_no_more_than_their_budgets(seed: int) -> None:
-    h = full_with_cold(seed)
-    probed(h, 1.3, NAMES[4:])  # worse than the others, and still the only ones that have a budget
-    rooms = sum(max(0.0, h.b.slow_start.headroom(s)) for s in h.b.slow_start.warming)
-    assert len(h.b.slow_start.warming) == 5 and 0 < rooms
-    names = [h.request(key=n, load=1000, group=n) for n in range(400)]
-    h.run(50_000)
-    to = [a.server for x in names for a in h.done(x) if isinstance(a, interface.StartAttempt)]
+def test_warming_servers_get_requests_beyond_the_cap_within_their_budgets(seed: int) -> None:
+    harness = full_with_cold(seed)
+    probed(harness, 1.3, NAMES[4:])  # worse than the others, and still the only ones that have a budget
+    rooms = sum(max(0.0, harness.balancer.slow_start.headroom(s)) for s in harness.balancer.slow_start.warming)
+    assert len(harness.balancer.slow_start.warming) == 5 and 0 < rooms
+    names = [harness.send_request(key=n, load=1000, group=n) for n in range(400)]
+    harness.advance(50_000)
+    to = [a.server for x in names for a in harness.actions_for(x) if isinstance(a, interface.StartAttempt)]
     assert to and set(to) <= set(NAMES[4:])  # those beside the cap go nowhere else
     assert 1000 * len(to) <= rooms + 1000 * len(NAMES[4:])
-    assert sum(isinstance(a, interface.Reject) for x in names for a in h.done(x)) == 400 - len(to)
+    assert sum(isinstance(a, interface.Reject) for x in names for a in harness.actions_for(x)) == 400 - len(to)
 
 
-def test_cold_servers_come_first_where_the_others_are_full_and_not_where_they_have_room() -> None:
+def test_warming_servers_are_first_candidates_only_while_the_others_are_full() -> None:
     for load, first in ((0.95, True), (0.3, False)):
-        h = full_with_cold(load=load)
-        h.b.admission.load_cap = float("inf")
-        h.b.admission.may_admit_newcomers = True
-        colds = {s.id for s in h.b.slow_start.warming}
-        for s in h.b.slow_start.warming:
-            s.slow_start_sends = [TimedLoad(h.now, -1e9)]  # room for all
+        harness = full_with_cold(load=load)
+        harness.balancer.admission.load_cap = float("inf")
+        harness.balancer.admission.may_admit_newcomers = True
+        colds = {s.id for s in harness.balancer.slow_start.warming}
+        for s in harness.balancer.slow_start.warming:
+            s.slow_start_sends = [TimedLoad(harness.now_us, -1e9)]  # room for all
         ahead = []
         for n in range(20):
-            h.b.health_checks.budget.tokens = 0.0
-            f = h.b.requests[h.request(key=n, load=1000, group=n)]
+            harness.balancer.health_checks.budget.tokens = 0.0
+            f = harness.balancer.requests[harness.send_request(key=n, load=1000, group=n)]
             ahead.append([s.id in colds for s in f.candidates])
         assert all(a[0] for a in ahead) == first
 
 
-def test_what_stands_pays_for_probes_and_a_calm_fleet_leaves_half_of_them() -> None:
-    h = balancer(health_check_cost=0.0015)
+def test_open_connections_earn_check_tokens_and_a_calm_fleet_keeps_half() -> None:
+    harness = balancer(health_check_cost=0.0015)
     for n in range(30):
-        h.give(interface.OpenConnection(interface.Request(f"o{n}", "read", T0 + SECOND, n, load=10_000), NAMES[n % 9]))
-    assert h.b.health_checks.budget.tokens == 60
+        harness.deliver(
+            interface.OpenConnection(interface.Request(f"o{n}", "read", T0 + SECOND, n, load=10_000), NAMES[n % 9])
+        )
+    assert harness.balancer.health_checks.budget.tokens == 60
     for _ in range(80):
-        probed(h, 0.3)
-        h.run(SECOND // 2)
-    assert 29 <= h.b.health_checks.budget.tokens <= 31
-    left = h.b.health_checks.budget.tokens
+        probed(harness, 0.3)
+        harness.advance(SECOND // 2)
+    assert 29 <= harness.balancer.health_checks.budget.tokens <= 31
+    left = harness.balancer.health_checks.budget.tokens
     for _ in range(40):
-        probed(h, 0.8)
-        h.run(SECOND // 2)
-    assert h.b.health_checks.budget.tokens < left - 10
+        probed(harness, 0.8)
+        harness.advance(SECOND // 2)
+    assert harness.balancer.health_checks.budget.tokens < left - 10
 
 
-def test_balancers_that_start_together_do_not_ask_the_same_server_first() -> None:
+def test_balancers_that_start_together_check_different_servers_first() -> None:
     first = []
     for seed in range(40):
-        h = balancer(seed)
-        h.b.health_checks.budget.tokens = 60.0
-        first.append(next(a.server for a in h.run(SECOND) if isinstance(a, interface.SendHealthCheck)))
+        harness = balancer(seed)
+        harness.balancer.health_checks.budget.tokens = 60.0
+        first.append(next(a.server for a in harness.advance(SECOND) if isinstance(a, interface.SendHealthCheck)))
     assert max(map(first.count, NAMES)) <= 14 and len(set(first)) == len(NAMES)
 
 
-def test_one_that_has_just_warmed_up_takes_nothing_beside_the_cap() -> None:
-    h = full_with_cold()
-    h.now += 9 * SECOND  # and no round since
-    names = [h.request(key=n, load=1000, group=n) for n in range(20)]
-    assert all(isinstance(h.done(x)[0], interface.Reject) for x in names)
+def test_just_warmed_server_gets_nothing_beyond_the_cap() -> None:
+    harness = full_with_cold()
+    harness.now_us += 9 * SECOND  # and no round since
+    names = [harness.send_request(key=n, load=1000, group=n) for n in range(20)]
+    assert all(isinstance(harness.actions_for(x)[0], interface.Reject) for x in names)
--- a/tests/routing/test_random_events.py
+++ b/tests/routing/test_random_events.py
@@ -13,7 +13,7 @@
 
 
 def judge(
-    h: Harness,
+    harness: Harness,
     owed: dict[str, int],
     effect: str,
     scope: str,
@@ -24,7 +24,7 @@
 ) -> None:
     sent: dict[str, list[tuple[int, str]]] = {}
     final: dict[str, int] = {}
-    for at, a in h.log:
+    for at, a in harness.action_log:
         if isinstance(a, interface.StartAttempt):
             assert a.id not in final, "sent after its final answer"
             assert at < over.get(a.id, 1 << 62), "sent after its end was reported"
@@ -44,7 +44,7 @@
                     part = "zone" if scope == "zone" else "cell"
                     assert getattr(first, part) == getattr(where[a.server], part)
             tries.append((at, a.server))
-            assert len(tries) <= h.settings.max_attempts
+            assert len(tries) <= harness.settings.max_attempts
         elif isinstance(a, interface.Reject | interface.Fail):
             assert a.id not in final, "two final answers"
             final[a.id] = at
@@ -63,7 +63,7 @@
 def test_rules_hold_over_random_events(effect: str, scope: str, seed: int) -> None:
     rng = random.Random(f"{effect}{scope}{seed}")
     kind = interface.RequestClass("read", 300_000, 1_000_000, 60_000, 1.0, effect, scope, 400_000)
-    h = Harness(
+    harness = Harness(
         settings(
             classes=(kind,),
             may_health_check=seed % 2 == 0,
@@ -75,48 +75,52 @@
         ),
         seed,
     )
-    where = {f"s{n}:1": interface.Endpoint(f"s{n}:1", "ready", f"z{n % 3}", n % 4) for n in range(12)}
+    where = {
+        f"s{n}:1": interface.Endpoint(f"s{n}:1", interface.EndpointState.READY, f"z{n % 3}", n % 4) for n in range(12)
+    }
     gone: dict[str, list[list[int]]] = {name: [] for name in where}
     ended: dict[str, dict[int, str]] = {}
     owed: dict[str, int] = {}
     over: dict[str, int] = {}
     read = 0
-    h.give(interface.EndpointList("remembered", tuple(where.values())))
+    harness.deliver(interface.EndpointList(interface.EndpointListKind.CACHED, tuple(where.values())))
     pending: list[tuple[int, str, int, str]] = []
     for _ in range(400):
         roll = rng.random()
         if roll < 0.45:
             life = rng.choice([3_000, 20_000, 300_000, SECOND])
-            name = h.request(
+            name = harness.send_request(
                 key=rng.randrange(60),
                 group=rng.choice([None, rng.randrange(5)]),
                 life_us=life,
                 load=rng.choice([0, 500, 9000]),
                 is_midstream=rng.random() < 0.05,
             )
-            owed[name] = h.now + life
+            owed[name] = harness.now_us + life
         elif roll < 0.5:
             name = rng.choice(sorted(where))
             state = rng.choice(["ready", "ready", "draining", "gone"])
-            e = interface.Endpoint(name, state, where[name].zone, where[name].cell, 1.0, rng.choice([0, h.now]))
-            if gone[name] and gone[name][-1][1] > h.now:
-                gone[name][-1][1] = h.now
+            e = interface.Endpoint(
+                name, state, where[name].zone, where[name].cell, 1.0, rng.choice([0, harness.now_us])
+            )
+            if gone[name] and gone[name][-1][1] > harness.now_us:
+                gone[name][-1][1] = harness.now_us
             if state != "ready":
-                gone[name].append([h.now, 1 << 62])
-            h.give(interface.EndpointList("changes", (e,)))
+                gone[name].append([harness.now_us, 1 << 62])
+            harness.deliver(interface.EndpointList(interface.EndpointListKind.CHANGES, (e,)))
         elif roll < 0.55:
-            h.give(
-                interface.EndpointList("failed"),
+            harness.deliver(
+                interface.EndpointList(interface.EndpointListKind.FAILED),
                 interface.TimerFired(999_999),
                 interface.GossipReceived(1, rng.randbytes(9)),
             )
-        h.run(rng.choice([4_000, 8_000, 40_000, 150_000]))
-        for _, a in h.log[read:]:
+        harness.advance(rng.choice([4_000, 8_000, 40_000, 150_000]))
+        for _, a in harness.action_log[read:]:
             if isinstance(a, interface.StartAttempt):
                 n = len(ended.setdefault(a.id, {})) + sum(p[1] == a.id for p in pending)
-                pending.append((h.now + rng.choice([1_000, 90_000, 2 * SECOND]), a.id, n, a.server))
+                pending.append((harness.now_us + rng.choice([1_000, 90_000, 2 * SECOND]), a.id, n, a.server))
             elif isinstance(a, interface.SendHealthCheck) and rng.random() < 0.8:
-                h.give(
+                harness.deliver(
                     interface.HealthCheckResult(
                         a.server,
                         rng.choice(interface.ATTEMPT_OUTCOMES),
@@ -124,19 +128,19 @@
                         {"load_ratio": rng.choice([0.1, 0.5, 0.7, 1.4])},
                     )
                 )
-        read = len(h.log)
-        for p in [p for p in pending if p[0] <= h.now]:
+        read = len(harness.action_log)
+        for p in [p for p in pending if p[0] <= harness.now_us]:
             pending.remove(p)
             _, name, n, server = p
-            answered = any(isinstance(a, interface.Reject | interface.Fail) for a in h.done(name))
+            answered = any(isinstance(a, interface.Reject | interface.Fail) for a in harness.actions_for(name))
             if not answered and rng.random() < 0.6:
-                over[name] = h.now
-                h.give(interface.ConnectionEstablished(name, n, server, 1000))
-                pending.append((h.now + 3 * SECOND, name, n, server))
+                over[name] = harness.now_us
+                harness.deliver(interface.ConnectionEstablished(name, n, server, 1000))
+                pending.append((harness.now_us + 3 * SECOND, name, n, server))
                 continue
             verdict = rng.choice(interface.ATTEMPT_OUTCOMES[1:])
             ended.setdefault(name, {})[n] = verdict
-            h.give(interface.AttemptEnded(name, n, server, verdict, answered or name in over, 1000))
-    h.run(3 * SECOND)
-    judge(h, owed, effect, scope, gone, ended, over, where)
-    assert sum(isinstance(a, interface.StartAttempt) for _, a in h.log) > 8
+            harness.deliver(interface.AttemptEnded(name, n, server, verdict, answered or name in over, 1000))
+    harness.advance(3 * SECOND)
+    judge(harness, owed, effect, scope, gone, ended, over, where)
+    assert sum(isinstance(a, interface.StartAttempt) for _, a in harness.action_log) > 8
--- a/tests/routing/test_simulator_adapter.py
+++ b/tests/routing/test_simulator_adapter.py
@@ -83,7 +83,7 @@
     )
 
 
-def test_a_whole_run_replies_to_each_batch_and_exits_0() -> None:
+def test_adapter_replies_to_each_batch_and_exits_0() -> None:
     done = play(script())
     assert (done.returncode, done.stderr) == (0, "")
     out = done.stdout.splitlines()
@@ -92,11 +92,11 @@
     assert {x.split()[0] for x in out} <= {"issue", "timer", "inspect", "refuse", "error", "revoke", "notify", "ready"}
 
 
-def test_the_hash_seed_changes_nothing() -> None:
+def test_hash_seed_changes_nothing() -> None:
     assert play(script(), PYTHONHASHSEED="1").stdout == play(script(), PYTHONHASHSEED="77").stdout
 
 
-def test_instances_in_one_process_do_not_meet() -> None:
+def test_balancers_of_one_process_are_independent() -> None:
     def of(text: str, who: int) -> list[str]:
         return [x for x in text.splitlines() if f"balancer={who} " in x]
 
@@ -129,14 +129,14 @@
         ("list bank=0 membersList=2\ngo", "item lines were announced"),
     ],
 )
-def test_malformed_lines_stop_it_with_one_message(line: str, fault: str) -> None:
+def test_malformed_line_ends_the_adapter_with_one_message(line: str, fault: str) -> None:
     done = play([*script()[:8], "begin_batch wallUs=2000000", *line.split("\n"), "go"])
     assert done.returncode != 0
     assert len(done.stderr.splitlines()) == 1 and fault in done.stderr and "Traceback" not in done.stderr
     assert "line " in done.stderr
 
 
-def test_a_failure_in_the_decisions_is_told_on_the_wire(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_error_of_a_balancer_is_reported_on_the_wire(monkeypatch: pytest.MonkeyPatch) -> None:
     from glenrock.routing import simulator_adapter
 
     class Broken(simulator_adapter.Balancer):
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -60,20 +60,22 @@
 
 
 def tier() -> Harness:
-    h = Harness(settings(tenants=(interface.Tenant("t", 600.0),)))
-    h.servers("a:1")
+    harness = Harness(settings(tenants=(interface.Tenant("t", 600.0),)))
+    harness.list_servers("a:1")
     for n in range(5):
-        h.give(interface.OpenConnection(interface.Request(f"o{n}", "read", h.now, n, load=25_000), "a:1"))
-    h.give(interface.GossipReceived(1, encode(1, 9_000_000, 300, [])))
-    assert h.b.gossip.tier_load() == ALL
-    return h
+        harness.deliver(
+            interface.OpenConnection(interface.Request(f"o{n}", "read", harness.now_us, n, load=25_000), "a:1")
+        )
+    harness.deliver(interface.GossipReceived(1, encode(1, 9_000_000, 300, [])))
+    assert harness.balancer.gossip.tier_load() == ALL
+    return harness
 
 
 def test_one_that_holds_little_does_not_measure_others_by_it() -> None:
-    h = Harness(settings(tenants=(interface.Tenant("t", 600.0),)))
-    h.b.connection_loads.mean_load = 1.0  # no connection has told its load yet
-    h.give(interface.GossipReceived(1, encode(1, 9_000_000, 300, [])))
-    assert h.b.gossip.tier_load() == 9_000_000 and not h.b.batch.warnings
+    harness = Harness(settings(tenants=(interface.Tenant("t", 600.0),)))
+    harness.balancer.connection_loads.mean_load = 1.0  # no connection has told its load yet
+    harness.deliver(interface.GossipReceived(1, encode(1, 9_000_000, 300, [])))
+    assert harness.balancer.gossip.tier_load() == 9_000_000 and not harness.balancer.batch.warnings
 
 
 @pytest.mark.parametrize(
@@ -88,14 +90,20 @@
     ],
 )
 def test_an_unsound_summary_is_told_and_the_one_before_stands(peer: int, data: bytes, told: str) -> None:
-    h = tier()
-    h.give(interface.GossipReceived(peer, data))
+    harness = tier()
+    harness.deliver(interface.GossipReceived(peer, data))
     assert (
-        len(h.b.batch.warnings) == 1 and told in h.b.batch.warnings[0] and f"balancer {peer}" in h.b.batch.warnings[0]
+        len(harness.balancer.batch.warnings) == 1
+        and told in harness.balancer.batch.warnings[0]
+        and f"balancer {peer}" in harness.balancer.batch.warnings[0]
     )
-    assert h.b.gossip.tier_load() == ALL and not h.b.waiting_queue.load_by_bucket() and set(h.b.gossip.peers) == {1}
-    h.give()
-    assert h.b.batch.warnings == []
+    assert (
+        harness.balancer.gossip.tier_load() == ALL
+        and not harness.balancer.waiting_queue.load_by_bucket()
+        and set(harness.balancer.gossip.peers) == {1}
+    )
+    harness.deliver()
+    assert harness.balancer.batch.warnings == []
 
 
 @given(
@@ -113,6 +121,6 @@
 
 @given(data=st.binary(max_size=256))
 def test_no_bytes_whatever_change_what_is_known_beyond_measure(data: bytes) -> None:
-    h = tier()
-    h.give(interface.GossipReceived(1, data))
-    assert h.b.gossip.tier_load() <= 100 * 600 * 25_000
+    harness = tier()
+    harness.deliver(interface.GossipReceived(1, data))
+    assert harness.balancer.gossip.tier_load() <= 100 * 600 * 25_000
