--- a/tests/routing/test_admission.py
+++ b/tests/routing/test_admission.py
@@ -12,7 +12,7 @@
 
 
 def test_quota_is_free_load_times_lagged_client_fraction(make_harness) -> None:
-    # 50 of 100 clients here at the lag, cap 1000, 800 active: this balancer may add 100.
+    # This balancer had 50 of 100 clients, the cap is 1000 and the active load 800, so its quota is 100.
     harness = make_harness()
     b = harness.balancer
     b.batch.now_us, b.admission.load_cap, b.sessions.active_load = harness.now_us, 1000.0, 300.0
@@ -52,6 +52,7 @@
 
 
 def test_oldest_buckets_open_first_and_the_partial_bucket_gets_the_quota(make_harness) -> None:
+    # 52 of the load is free; 2 wait in the oldest bucket, 50 in the next one, 60 in the last.
     harness = make_harness()
     b = harness.balancer
     b.batch.now_us, b.admission.load_cap, b.sessions.active_load = harness.now_us, 200.0, 148.0
@@ -61,26 +62,28 @@
     b.admission.history.samples = [ActivitySample(harness.now_us, 1, 148.0)]
     b.admission.update_quota()
     assert (b.admission.last_open_bucket, b.admission.partial_bucket, b.admission.quota) == (now - 2, now - 1, 0.0)
-    b.admission.load_cap = 220.0  # 20 left for the last bucket
+    b.admission.load_cap = 220.0  # leaves 20 for the last bucket
     b.admission.update_quota()
     assert (b.admission.partial_bucket, b.admission.quota) == (now - 1, 20.0)
 
 
 def test_load_reserved_for_absent_clients_goes_to_younger_buckets(make_harness) -> None:
-    # Old buckets at peers hold all the free slots, but their clients come back at other balancers.
+    # Old buckets of a peer reserve all the free load, and their clients do not return.
     harness = make_harness(balancers=2)
     b = harness.balancer
     harness.advance(SECOND)
     for n in range(10):
         harness.establish(harness.send_request(key=n, load=1))
     harness.advance(SECOND)
-    came = 0
+    admitted_count = 0
     for n in range(16):
         b.admission.load_cap = 40.0
         receive_summary(harness, 1, 10.0, 10, [(9, 19), (5, 30)])
         harness.advance(SECOND // 2)
-        came += sum(bool(harness.attempts_of(harness.send_request(key=100 + 10 * n + k, load=1))) for k in range(2))
-    assert came >= 8
+        admitted_count += sum(
+            bool(harness.attempts_of(harness.send_request(key=100 + 10 * n + k, load=1))) for k in range(2)
+        )
+    assert admitted_count >= 8
 
 
 def test_negative_buckets_of_a_young_clock_are_handled(make_harness) -> None:
@@ -108,7 +111,7 @@
     harness.balancer.batch.now_us = harness.now_us
     assert (
         not harness.balancer.waiting_queue.load_by_bucket() and 1 in harness.balancer.waiting_queue.clients
-    )  # it keeps its place all the same
+    )  # and keeps its entry
 
 
 def test_admitted_client_returns_while_its_session_lasts(make_harness) -> None:
@@ -128,7 +131,7 @@
 
 
 def test_client_dropped_soon_after_its_start_loses_its_session(make_harness) -> None:
-    # A loaded server drops its newest: as sessions they would pass at once and be dropped again, without end.
+    # With a session the client would be admitted at once and dropped again.
     harness = make_harness()
     name = harness.send_request(key=7)
     harness.establish(name)
@@ -143,7 +146,7 @@
 
 
 def test_cap_rises_again_without_load_reports(make_harness) -> None:
-    # No probes, no reports: only word of slow messages, and then silence.
+    # Only slow messages are reported; silence follows.
     harness = make_harness(has_message_delay_reports=True, names=tuple(f"s{n}:1" for n in range(15)))
     names = [harness.send_request(key=n, load=1) for n in range(120)]
     for name in names:
@@ -153,12 +156,12 @@
             *(interface.ConnectionFeedback(n, harness.attempts_of(n)[0].server, None, 500_000.0) for n in names)
         )
         harness.advance(SECOND // 2)
-    cut = harness.balancer.admission.load_cap
-    assert cut < float("inf")
+    cut_cap = harness.balancer.admission.load_cap
+    assert cut_cap < float("inf")
     harness.advance(10 * SECOND)
     assert (
-        harness.balancer.admission.load_cap > cut and harness.balancer.loads.fleet_load < 0.65
-    )  # or silence would hold it at the cut
+        harness.balancer.admission.load_cap > cut_cap and harness.balancer.loads.fleet_load < 0.65
+    )  # silence lowers the mean load
 
 
 def test_cap_is_cut_once_per_feedback_delay_and_rises_again(make_harness) -> None:
@@ -176,7 +179,7 @@
     assert b.admission.load_cap == first
     b.batch.now_us += 2 * SECOND
     b.admission.update_cap()
-    assert b.admission.load_cap == first  # a cut of the cut would starve the line: the load has not left yet
+    assert b.admission.load_cap == first  # the load of the first cut has not left yet
     for s in b.servers.values():
         b.ejection.record_load(s, 0.4)
     b.admission.update_cap()
@@ -188,7 +191,7 @@
     harness = with_loaded_servers(make_harness, loads)
     run_rounds(harness, loads, ENOUGH_ROUNDS)
     run_rounds(harness, loads | {"d:1": 1.6, "e:1": 2.4}, 8)
-    # Three whole ones and two at 0.3 to 0.4 bear 0.84 of it at the target; a plain mean, 1.12, would let in 0.64.
+    # Three healthy servers and two with 0.3 to 0.4 of their capacity bear 0.84 of the load; a plain mean allows 0.64.
     assert (
         harness.balancer.loads.fleet_load < 0.86
         and harness.balancer.admission.load_cap > 0.8 * harness.balancer.sessions.active_load
--- a/tests/routing/test_capacity_estimation.py
+++ b/tests/routing/test_capacity_estimation.py
@@ -45,4 +45,4 @@
     harness = with_loaded_servers(make_harness, many)
     run_rounds(harness, many, 4)
     run_rounds(harness, {name: 1.1 for name in list(many)[:3]}, 1)
-    assert harness.balancer.loads.fleet_load < 0.7, "three of twenty are not"
+    assert harness.balancer.loads.fleet_load < 0.7, "three of twenty servers do not determine the mean"
--- a/tests/routing/test_connection_concurrency.py
+++ b/tests/routing/test_connection_concurrency.py
@@ -1,4 +1,4 @@
-"""Set-ups out at a time, on a model of a store that holds a line and works for callers who have left."""
+"""The concurrency limit, on a model of a store with a queue that also works for abandoned set-ups."""
 
 from __future__ import annotations
 
@@ -12,13 +12,15 @@
 from glenrock.routing.event_batch import EventBatch
 
 ROUND, TICK = SECOND // 2, 10_000
-GIVE_UP = 600_000
+CLIENT_TIMEOUT_US = 600_000
 
 
 def storm(rate: float, seconds: int) -> list[int]:
-    """How many came up in each second at a store that does `rate` a second. Three seconds' work comes back at once,
-    and then as much as the store can do."""
-    batch, up, line = EventBatch(), [0] * seconds, []
+    """Returns the set-ups established in each second, at a store of that rate.
+
+    Three seconds' work arrives at once, and then as much as the store can do.
+    """
+    batch, established, queue = EventBatch(), [0] * seconds, []
     limit = ConcurrencyLimit(batch, 300_000)
     done, waiting = 0.0, 3.0 * rate
     for now in range(TICK, seconds * SECOND, TICK):
@@ -27,32 +29,30 @@
         while waiting >= 1 and limit.may_start():
             limit.record_sent()
             waiting -= 1
-            line.append((now, f"s{round(waiting) % 5}", True))
+            queue.append((now, f"s{round(waiting) % 5}", True))
         done += rate * TICK / SECOND
-        while done >= 1 and line:
+        while done >= 1 and queue:
             done -= 1
-            since, server, cares = line.pop(0)
-            if cares:
+            since, server, is_awaited = queue.pop(0)
+            if is_awaited:
                 limit.record_established(server, now - since)
-                up[now // SECOND] += 1
+                established[now // SECOND] += 1
         done = min(done, 1.0)
-        for n, (since, server, cares) in enumerate(line):
-            if cares and now - since > GIVE_UP:
-                line[n] = (since, server, False)  # the store goes on with it
+        for n, (since, server, is_awaited) in enumerate(queue):
+            if is_awaited and now - since > CLIENT_TIMEOUT_US:
+                queue[n] = (since, server, False)  # the store works on for it
                 limit.record_ended(server, interface.AttemptOutcome.TIMEOUT)
                 waiting += 1
         if now % ROUND == 0:
             limit.finish_round()
-    return up
+    return established
 
 
 @pytest.mark.parametrize("rate", [5, 20, 50, 200])
 def test_storm_of_set_ups_keeps_the_store_busy(rate) -> None:
-    # Seen on the simulator: after all had been slow at once, 400 came back to a store of 55 a second; nothing came up,
-    # the rate fell to the usual 6 a second, and took ten seconds to rise.
-    up = storm(rate, seconds=25)
+    established = storm(rate, seconds=25)
     for n in range(8, 25):
-        assert up[n] + up[n - 1] >= 2 * 0.6 * rate, f"seconds {n - 1} and {n}: {up}"
+        assert established[n] + established[n - 1] >= 2 * 0.6 * rate, f"seconds {n - 1} and {n}: {established}"
 
 
 def test_single_slow_server_causes_no_limit() -> None:
--- a/tests/routing/test_connection_load.py
+++ b/tests/routing/test_connection_load.py
@@ -22,12 +22,12 @@
         harness.establish(name)
         harness.deliver(interface.ConnectionFeedback(name, harness.attempts_of(name)[0].server, load=load))
     assert harness.balancer.requests[harness.send_request(key=99)].load == pytest.approx(72_500.0, rel=0.01), (
-        "the plain mean of twenty"
+        "the plain mean of twenty loads"
     )
     for n in range(600):
         harness.deliver(
             interface.ConnectionFeedback(names[1 + n % 19], harness.attempts_of(names[1])[0].server, load=50_000.0)
         )
     assert harness.balancer.requests[harness.send_request(key=100)].load == pytest.approx(50_000.0, rel=0.01), (
-        "and it follows"
+        "the mean follows later loads"
     )
--- a/tests/routing/test_hash_ring.py
+++ b/tests/routing/test_hash_ring.py
@@ -1,4 +1,4 @@
-"""The ring against a plain sorted list: the same picks, whatever came in which order."""
+"""The ring compared with a plain sorted list, under changes in any order."""
 
 from __future__ import annotations
 
@@ -13,28 +13,28 @@
 
 
 @dataclass(eq=False)
-class Spot:
+class Member:
     hash: int
 
 
-class Plain:
-    """What the ring promises, written down in the simplest way."""
+class SortedListRing:
+    """The same ring as one dict, sorted for each query."""
 
     def __init__(self) -> None:
-        self.there: dict[int, Spot] = {}
+        self.points: dict[int, Member] = {}
 
     def change(self, changes) -> None:
-        for spot, its, stays in changes:
-            for point in its:
-                if stays:
-                    self.there.setdefault(point, spot)
+        for member, points, present in changes:
+            for point in points:
+                if present:
+                    self.points.setdefault(point, member)
                 else:
-                    self.there.pop(point, None)
+                    self.points.pop(point, None)
 
-    def around(self, spot: int) -> list[Spot]:
-        order = sorted(self.there)
-        n = bisect_left(order, spot)
-        return list(dict.fromkeys(self.there[p] for p in order[n:] + order[:n]))
+    def around(self, position: int) -> list[Member]:
+        order = sorted(self.points)
+        n = bisect_left(order, position)
+        return list(dict.fromkeys(self.points[p] for p in order[n:] + order[:n]))
 
 
 @given(st.integers(0, MASK))
@@ -47,28 +47,30 @@
     st.lists(st.lists(st.tuples(st.integers(0, 300), st.booleans()), max_size=120), max_size=6),
     st.lists(st.integers(0, MASK), min_size=1, max_size=20),
 )
-def test_ring_equals_a_sorted_list(lists: list[list[tuple[int, bool]]], asked: list[int]) -> None:
-    spots = [Spot(stable_hash(f"10.0.0.{n}:80")) for n in range(301)]
-    spots[7].hash = spots[8].hash  # two that share every point: the first keeps them
-    ring, plain = HashRing(), Plain()
+def test_ring_equals_a_sorted_list(lists: list[list[tuple[int, bool]]], positions: list[int]) -> None:
+    members = [Member(stable_hash(f"10.0.0.{n}:80")) for n in range(301)]
+    members[7].hash = members[8].hash  # they share every point, which the first keeps
+    ring, expected_ring = HashRing(), SortedListRing()
     for n, changes in enumerate(lists):
-        whole = [RingChange(spots[m], ring_points(spots[m].hash), stays) for m, stays in changes]
-        ring.change(whole)
-        plain.change(whole)
-        assert len(ring) == len(plain.there)
-        # Only some are asked in between, so that buckets are changed sorted and unsorted.
-        for spot in asked[: n + 1] + [0, MASK]:
-            want = plain.around(spot)
+        ring_changes = [RingChange(members[m], ring_points(members[m].hash), present) for m, present in changes]
+        ring.change(ring_changes)
+        expected_ring.change(ring_changes)
+        assert len(ring) == len(expected_ring.points)
+        # Only some positions are queried in between, so that sorted and unsorted buckets are changed.
+        for position in positions[: n + 1] + [0, MASK]:
+            want = expected_ring.around(position)
             if want:
-                assert ring.at(spot) is want[0]
-            assert ring.around(spot) == want
+                assert ring.at(position) is want[0]
+            assert ring.around(position) == want
 
 
 def test_ring_resizes_for_a_large_list() -> None:
-    ring, plain = HashRing(), Plain()
-    whole = [RingChange(Spot(stable_hash(str(n))), ring_points(stable_hash(str(n))), True) for n in range(3000)]
-    for part in (whole, [RingChange(s, p, False) for s, p, _ in whole[5:]], whole[:50]):
+    ring, expected_ring = HashRing(), SortedListRing()
+    ring_changes = [
+        RingChange(Member(stable_hash(str(n))), ring_points(stable_hash(str(n))), True) for n in range(3000)
+    ]
+    for part in (ring_changes, [RingChange(s, p, False) for s, p, _ in ring_changes[5:]], ring_changes[:50]):
         ring.change(part)
-        plain.change(part)
-        assert all(ring.at(mix(n)) is plain.around(mix(n))[0] for n in range(20))
-    assert ring.bucket_count < 50  # it does not keep the room of the large one
+        expected_ring.change(part)
+        assert all(ring.at(mix(n)) is expected_ring.around(mix(n))[0] for n in range(20))
+    assert ring.bucket_count < 50  # the buckets of the large list are gone
--- a/tests/routing/test_layout.py
+++ b/tests/routing/test_layout.py
@@ -1,4 +1,4 @@
-"""The shape that the design note draws (docs/notes/readable.md): what routing imports, and which files decide."""
+"""The structure of routing: what its modules import, and which of them decide (docs/notes/readable.md)."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 ROUTING = ROOT / "glenrock/routing"
 MODULES = sorted(ROUTING.glob("*.py"))
 IMPURE = {"asyncio", "datetime", "os", "pathlib", "select", "signal", "socket", "subprocess", "threading", "time"}
-ADAPTERS = {"simulator_adapter"}  # read standard input, and are not used by the program
-DECIDED = {"StartAttempt", "CancelAttempt", "Reject", "Fail", "Migrate"}  # actions on requests and connections
+ADAPTERS = {"simulator_adapter"}  # read standard input; the program does not use them
+REQUEST_ACTIONS = {"StartAttempt", "CancelAttempt", "Reject", "Fail", "Migrate"}  # actions on requests and connections
 DEPLOY = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())
 
 
 def imported(path: Path) -> set[str]:
-    """Modules that a file imports, routing's own by their names with a leading dot."""
+    """Returns the modules that a file imports; those of routing have a leading dot."""
     found: set[str] = set()
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.Import):
@@ -44,18 +44,18 @@
 
 
 def test_imports_form_no_circle() -> None:
-    left = {path.stem: siblings(path) for path in MODULES}
-    while free := [name for name, needs in left.items() if not needs & left.keys()]:
+    remaining = {path.stem: siblings(path) for path in MODULES}
+    while free := [name for name, needs in remaining.items() if not needs & remaining.keys()]:
         for name in free:
-            del left[name]
-    assert not left, f"in circles: {sorted(left)}"
+            del remaining[name]
+    assert not remaining, f"in circles: {sorted(remaining)}"
 
 
 def test_each_module_is_listed_as_policy_or_node_or_is_an_adapter() -> None:
     named = DEPLOY["policy"] + DEPLOY["node"]
     adapters = {f"glenrock/routing/{name}.py" for name in ("simulator_adapter", "simulator_codec")}
-    ours = {str(path.relative_to(ROOT)) for path in MODULES}
-    assert ours == {name for name in named if name.startswith("glenrock/routing")} | adapters
+    routing_modules = {str(path.relative_to(ROOT)) for path in MODULES}
+    assert routing_modules == {name for name in named if name.startswith("glenrock/routing")} | adapters
     assert len(named) == len(set(named)) and all((ROOT / name).exists() for name in named)
 
 
@@ -66,7 +66,7 @@
             if not isinstance(node, ast.Call) or not isinstance(node.func, ast.Attribute) or node.func.attr != "emit":
                 continue
             action = node.args[0]
-            if isinstance(action, ast.Call) and isinstance(action.func, ast.Name) and action.func.id in DECIDED:
+            if isinstance(action, ast.Call) and isinstance(action.func, ast.Name) and action.func.id in REQUEST_ACTIONS:
                 emitting.add(str(path.relative_to(ROOT)))
     assert emitting, "no action was found: the way in which modules emit has changed"
     assert emitting <= set(DEPLOY["policy"]), f"not named as policy: {sorted(emitting - set(DEPLOY['policy']))}"
--- a/tests/routing/test_load_estimation.py
+++ b/tests/routing/test_load_estimation.py
@@ -1,4 +1,4 @@
-"""What is believed of a server's load: late messages, probes that time out, and what came or left since a report."""
+"""The estimated load of a server: delays, checks that time out, and changes since a report."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 from .scenarios import with_one_connection
 
 
-def told(make_harness, count: int = 20):
-    """A server with connections of ours that tells of late messages and may be probed."""
+def with_delay_reports(make_harness, count: int = 20):
+    """Returns a harness, a server with connections and delay reports, and a request there."""
     harness = make_harness(
         names=("a:1", "b:1"),
         may_health_check=True,
@@ -35,8 +35,8 @@
     return harness, s, next(iter(s.connections))
 
 
-def late(harness, id_: str, waits_ms: list[int]) -> None:
-    """Word of slow messages, a second apart; probes stay unanswered, as they do at a full server."""
+def report_delays(harness, id_: str, waits_ms: list[int]) -> None:
+    """Reports message delays, a second apart; health checks stay unanswered."""
     for n, ms in enumerate(waits_ms):
         if n:
             harness.advance(SECOND)
@@ -44,35 +44,34 @@
 
 
 @pytest.mark.parametrize(
-    "waits, load",
+    "delays_ms, load",
     [
-        ([500], 1.5 + 0.25),  # the first word: what is piled up came within a second
-        ([500, 1000], 1.5 + 0.5),  # grows by half a second a second, and one is piled up
-        ([1000, 500], 0.5 + 0.25),  # works it off: half of its capacity is asked for
+        ([500], 1.5 + 0.25),  # a first delay: the backlog grew within a second
+        ([500, 1000], 1.5 + 0.5),  # the delay grows by 0.5 s a second, with a backlog of 1 s
+        ([1000, 500], 0.5 + 0.25),  # the backlog shrinks at half of the capacity
         ([1000, 60], load_estimation.MIN_DELAY_GROWTH_LOAD + 0.03),
         ([100, 9000], load_estimation.MAX_DELAY_GROWTH_LOAD + 4.5),
     ],
 )
-def test_load_of_a_late_server_follows_the_growth_of_its_delay(make_harness, waits, load) -> None:
-    # Seen on a day on which all slow down at once: by reports of the time before all were emptied twice.
-    harness, s, id_ = told(make_harness)
+def test_load_of_a_late_server_follows_the_growth_of_its_delay(make_harness, delays_ms, load) -> None:
+    harness, s, id_ = with_delay_reports(make_harness)
     harness.balancer.ejection.record_load(s, 0.5)
-    late(harness, id_, waits)
+    report_delays(harness, id_, delays_ms)
     assert harness.balancer.loads.load(s) == pytest.approx(load, abs=0.01)
 
 
 def test_connections_ended_since_delay_reports_lower_the_load(make_harness) -> None:
-    harness, s, id_ = told(make_harness)
-    late(harness, id_, [500, 1000])
+    harness, s, id_ = with_delay_reports(make_harness)
+    report_delays(harness, id_, [500, 1000])
     before = harness.balancer.loads.load(s)
     for name in list(s.connections)[1 : len(s.connections) // 2 + 1]:
         harness.end_attempt(name, interface.AttemptOutcome.CANCELLED, is_final=True)
-    piled = 1.0 * SECOND / load_estimation.FEEDBACK_DELAY_US
-    assert harness.balancer.loads.load(s) - piled == pytest.approx((before - piled) * 0.5, rel=0.15)
+    backlog = 1.0 * SECOND / load_estimation.FEEDBACK_DELAY_US
+    assert harness.balancer.loads.load(s) - backlog == pytest.approx((before - backlog) * 0.5, rel=0.15)
 
 
 def test_connections_ended_since_a_report_lower_the_remaining_fraction(make_harness) -> None:
-    harness, s, _ = told(make_harness)
+    harness, s, _ = with_delay_reports(make_harness)
     harness.advance(3 * SECOND)
     harness.balancer.ejection.record_load(s, 1.4)
     assert harness.balancer.loads.remaining_load_fraction(s) == 1.0
@@ -83,10 +82,10 @@
 
 
 def test_few_ended_connections_do_not_lower_the_load(make_harness) -> None:
-    harness, s, id_ = told(make_harness, count=8)
+    harness, s, id_ = with_delay_reports(make_harness, count=8)
     harness.advance(3 * SECOND)
     harness.balancer.ejection.record_load(s, 1.4)
-    late(harness, id_, [500])
+    report_delays(harness, id_, [500])
     before = harness.balancer.loads.load(s)
     for name in list(s.connections)[1:]:
         harness.end_attempt(name, interface.AttemptOutcome.CANCELLED, is_final=True)
@@ -96,11 +95,9 @@
 
 
 def test_timed_out_check_of_a_late_server_counts_as_load(make_harness) -> None:
-    # In the laboratory, all slow at once: full servers counted as out of reach for half a minute, the fleet's load
-    # came from the two that answered, and half of the clients stayed outside (one-room-slow 0.60, 0.68 with this).
-    harness, s, id_ = told(make_harness)
+    harness, s, id_ = with_delay_reports(make_harness)
     harness.balancer.ejection.record_load(s, 0.5)
-    late(harness, id_, [400])
+    report_delays(harness, id_, [400])
     for _ in range(3):
         harness.deliver(interface.HealthCheckResult("a:1", interface.AttemptOutcome.TIMEOUT))
     assert (
@@ -108,14 +105,14 @@
         and harness.balancer.ejection.is_usable(s)
         and s.reported_load >= load_estimation.MIN_LATE_LOAD
     )
-    harness.advance(3 * SECOND)  # it says nothing at all now
+    harness.advance(3 * SECOND)  # nothing is heard of the server
     for _ in range(3):
         harness.deliver(interface.HealthCheckResult("a:1", interface.AttemptOutcome.TIMEOUT))
     assert s.consecutive_failures and not harness.balancer.ejection.is_usable(s)
 
 
 def test_answered_check_ends_an_ejection(make_harness) -> None:
-    harness, s, _ = told(make_harness)
+    harness, s, _ = with_delay_reports(make_harness)
     for _ in range(6):
         harness.deliver(interface.HealthCheckResult("a:1", interface.AttemptOutcome.NO_CONNECTION))
     assert not harness.balancer.ejection.is_usable(s)
@@ -124,17 +121,17 @@
 
 
 def test_load_sent_after_a_report_counts_beside_it(make_harness) -> None:
-    harness, _, _ = told(make_harness)
+    harness, _, _ = with_delay_reports(make_harness)
     harness.advance(3 * SECOND)
     name = harness.send_request(key=99, load=100)
-    harness.advance(SECOND // 10)  # no probe is answered
+    harness.advance(SECOND // 10)  # no health check is answered
     sent = harness.balancer.servers[harness.attempts_of(name)[0].server]
-    for later, load, seen in ((0, 0.3, 0.4), (2 * SECOND, 0.4, 0.4)):
+    for later, load, observed in ((0, 0.3, 0.4), (2 * SECOND, 0.4, 0.4)):
         harness.now_us += later
         harness.deliver()
         harness.balancer.ejection.record_load(sent, load)
         harness.balancer.capacity.server_capacity, sent.health_check_sent_us, sent.capacity_ratio = 1000.0, -1, 1.0
-        assert harness.balancer.selection.expected_load(sent) == pytest.approx(seen)
+        assert harness.balancer.selection.expected_load(sent) == pytest.approx(observed)
 
 
 def test_servers_with_inherited_connections_are_checked_at_once(make_harness) -> None:
@@ -148,23 +145,21 @@
 
 
 @given(st.lists(st.tuples(st.integers(0, 4_000_000), st.floats(0, 5e6)), min_size=1, max_size=20))
-def test_load_from_delays_is_bounded_and_grows_with_the_delay(words) -> None:
+def test_load_from_delays_is_bounded_and_grows_with_the_delay(delays) -> None:
     batch, s = EventBatch(), Server("a", "", 0, 1)
     loads = LoadEstimator(batch, settings())
-    for gap, wait in words:
+    for gap, wait in delays:
         batch.now_us += gap
         loads.record_delay(s, wait, 60_000)
     low = loads.load_from_delays(s)
-    at, wait, held = s.delay_samples[-1]
+    at, wait, own_load = s.delay_samples[-1]
     assert 0 < low <= load_estimation.MAX_DELAY_GROWTH_LOAD + wait
-    s.delay_samples[-1] = DelaySample(at, wait + 0.5, held)
+    s.delay_samples[-1] = DelaySample(at, wait + 0.5, own_load)
     assert loads.load_from_delays(s) > low
 
 
 def test_timed_out_check_of_a_server_just_heard_is_no_failure(make_harness) -> None:
-    # Seen on sockets: while all that stood before is set up, probes wait. Four servers of five counted as lost, and the
-    # cap was closed by what their clients would bring elsewhere.
-    harness, s, id_ = told(make_harness)
+    harness, s, id_ = with_delay_reports(make_harness)
     for _ in range(3):
         harness.deliver(
             interface.ConnectionFeedback(id_, "a:1", 10.0),
@@ -177,12 +172,17 @@
 
 
 @given(st.integers(2, 40), st.data())
-def test_hanging_servers_do_not_raise_the_mean_load_but_a_full_fleet_does(many: int, data: st.DataObject) -> None:
-    """Up to half of them hang and tell of many times what they can do; with thin traffic nothing else tells of it."""
-    hang = data.draw(st.integers(0, many // 2))
+def test_hanging_servers_do_not_raise_the_mean_load_but_a_full_fleet_does(
+    server_count: int, data: st.DataObject
+) -> None:
+    """Up to half of the servers hang and report a multiple of their capacity; nothing else is known."""
+    hanging_count = data.draw(st.integers(0, server_count // 2))
     load = data.draw(st.floats(0.2, 0.6))
     batch = EventBatch()
-    servers = [Server(f"s{n}", "", 0, n, ready=True, reported_load=8.0 if n < hang else load) for n in range(many)]
+    servers = [
+        Server(f"s{n}", "", 0, n, ready=True, reported_load=8.0 if n < hanging_count else load)
+        for n in range(server_count)
+    ]
     capacity = CapacityEstimator(
         batch,
         {s.id: s for s in servers},
@@ -190,14 +190,16 @@
         ClientSessions(batch, SECOND),
         ConnectionLoads(),
     )
-    seen = [ObservedLoad(s, min(3.0, s.reported_load)) for s in servers]
-    most = load * many / (many - hang)  # the others bear what was there
-    assert capacity.mean_load(seen, 1.0) <= most + 1e-9
-    assert capacity.mean_load([ObservedLoad(s, 1.2) for s in servers], 1.0) == pytest.approx(1.2), "all are full"
+    observed = [ObservedLoad(s, min(3.0, s.reported_load)) for s in servers]
+    most = load * server_count / (server_count - hanging_count)  # the others bear the whole load
+    assert capacity.mean_load(observed, 1.0) <= most + 1e-9
+    assert capacity.mean_load([ObservedLoad(s, 1.2) for s in servers], 1.0) == pytest.approx(1.2), (
+        "all servers are full"
+    )
 
 
 def test_old_high_report_of_a_silent_server_loses_its_effect(make_harness) -> None:
-    # Asked while hot and not since; its connections send no word of slow messages any more.
+    # The server was checked while overloaded and not since; slow messages are no longer reported.
     harness, name, s = with_one_connection(make_harness)
     harness.balancer.ejection.record_load(s, 1.8)
     assert harness.balancer.loads.load(s) == 1.8
@@ -208,7 +210,7 @@
 
 
 def test_late_messages_outweigh_an_earlier_report(make_harness) -> None:
-    # Reports show the past: at the onset of trouble they are good while messages are late already.
+    # Reports describe the past: at the onset of an overload they are low while messages are late.
     harness, name, s = with_one_connection(make_harness)
     harness.balancer.ejection.record_load(s, 0.4)
     harness.advance(100_000)
@@ -216,7 +218,7 @@
     assert harness.balancer.loads.load(s) > 1
     harness.advance(100_000)
     harness.deliver(interface.HealthCheckResult("a:1", interface.AttemptOutcome.SERVED, 1000, {"load_ratio": 0.4}))
-    assert harness.balancer.loads.load(s) > 1, "reports are old: this one may be of a time before the word"
+    assert harness.balancer.loads.load(s) > 1, "the report may describe a time before the delay"
     harness.advance(SECOND)
     harness.deliver(interface.HealthCheckResult("a:1", interface.AttemptOutcome.SERVED, 1000, {"load_ratio": 0.4}))
     assert harness.balancer.loads.load(s) == 0.4
--- a/tests/routing/test_migration.py
+++ b/tests/routing/test_migration.py
@@ -47,7 +47,7 @@
     loads = {"a:1": 0.3, "b:1": 0.3, "c:1": 0.3, "d:1": 0.3, "e:1": 1.5}
     harness = with_loaded_servers(make_harness, loads, connections_each=10)
     moved = {a.id for a in run_rounds(harness, loads, 1) if isinstance(a, interface.Migrate)}
-    assert len(moved) >= 6, "down to half its capacity, not just below all of it"
+    assert len(moved) >= 6, "down to half of its capacity"
     assert moved <= set(harness.balancer.servers["e:1"].connections)
 
 
--- a/tests/routing/test_operator_overrides.py
+++ b/tests/routing/test_operator_overrides.py
@@ -1,4 +1,4 @@
-"""Servers out by hand: whatever lists say, nothing new goes there, and they come back cold."""
+"""Operator overrides: a suspended server receives nothing, whatever the list reports, and warms up after its return."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 NAMES = [f"s{n}:1" for n in range(5)]
 
 
-def listed(kind: str, names, **over) -> interface.EndpointList:
+def endpoint_list(kind: str, names, **over) -> interface.EndpointList:
     return interface.EndpointList(kind, tuple(interface.Endpoint(n, **over) for n in names))
 
 
@@ -33,16 +33,16 @@
     assert sorted({a.id for _, a in harness.action_log if isinstance(a, interface.Migrate)}) == sorted(there)
 
 
-def bring(harness: Harness, number: int) -> None:
+def establish_connections(harness: Harness, number: int) -> None:
     names = [harness.send_request(key=n, load=10) for n in range(number)]
-    harness.advance(SECOND // 10)  # no probe is answered
+    harness.advance(SECOND // 10)  # no health check is answered
     for name in names:
         harness.establish(name)
 
 
-def moved(harness: Harness, loads: dict[str, float], rounds: int) -> set[str]:
-    """Who is moved while the servers report these loads."""
-    out = set()
+def migrated_during(harness: Harness, loads: dict[str, float], rounds: int) -> set[str]:
+    """Returns the requests that migrate while the servers report these loads."""
+    migrated: set[str] = set()
     for _ in range(rounds):
         harness.deliver(
             *(
@@ -50,38 +50,36 @@
                 for name, x in loads.items()
             )
         )
-        out |= {a.id for a in harness.advance(SECOND // 2) if isinstance(a, interface.Migrate)}
-    return out
+        migrated |= {a.id for a in harness.advance(SECOND // 2) if isinstance(a, interface.Migrate)}
+    return migrated
 
 
 def test_clients_of_a_suspended_server_stay_while_the_others_are_full(make_harness) -> None:
-    # Found on sockets, hand+drain: moved to servers at 0.7 to 1.1, they and those who stood there were not served.
     harness = make_harness(names=NAMES, may_health_check=True, load_report_fields=("load_ratio",))
-    bring(harness, 60)
+    establish_connections(harness, 60)
     s, full = harness.balancer.servers[NAMES[0]], {name: 0.75 for name in NAMES}
-    assert s.connections and not moved(harness, full, 8)
+    assert s.connections and not migrated_during(harness, full, 8)
     harness.deliver(interface.OperatorOverride(NAMES[0], True))
-    assert not moved(harness, full, 8), "no room there; the target is 0.72"
+    assert not migrated_during(harness, full, 8), "the others are above the target of 0.72"
     there = set(s.connections)
-    few = moved(harness, {name: 0.65 for name in NAMES}, 7)
-    assert few and few < there, "a part each round as there is room"
-    assert moved(harness, {name: 0.3 for name in NAMES}, 8) | few == there
+    few = migrated_during(harness, {name: 0.65 for name in NAMES}, 7)
+    assert few and few < there, "a part each round, within the free capacity"
+    assert migrated_during(harness, {name: 0.3 for name in NAMES}, 8) | few == there
 
 
 def test_clients_of_a_suspended_server_that_is_gone_migrate_at_once(make_harness) -> None:
     harness = make_harness(names=NAMES, may_health_check=True, load_report_fields=("load_ratio",))
-    bring(harness, 60)
+    establish_connections(harness, 60)
     full = {name: 0.75 for name in NAMES}
-    moved(harness, full, 8)
+    migrated_during(harness, full, 8)
     there = set(harness.balancer.servers[NAMES[0]].connections)
     harness.deliver(interface.OperatorOverride(NAMES[0], True))
-    assert there and not moved(harness, full, 6)
-    harness.deliver(listed(interface.EndpointListKind.CHANGES, NAMES[:1], state=interface.EndpointState.GONE))
-    assert moved(harness, full, 1) >= there
+    assert there and not migrated_during(harness, full, 6)
+    harness.deliver(endpoint_list(interface.EndpointListKind.CHANGES, NAMES[:1], state=interface.EndpointState.GONE))
+    assert migrated_during(harness, full, 1) >= there
 
 
 def test_servers_resumed_together_warm_up_within_their_budgets(make_harness) -> None:
-    # Each counts as cold and nothing stands: clients were refused for all of the nine seconds.
     harness = make_harness(
         names=NAMES,
         balancers=1,
@@ -90,19 +88,17 @@
         slow_start_multiple=3.0,
         slow_start_window_us=3 * SECOND,
     )
-    bring(harness, 100)
+    establish_connections(harness, 100)
     harness.advance(6 * SECOND)
-    stood = harness.balancer.slow_start.reference_load
-    assert stood == 1000
+    reference_load_before = harness.balancer.slow_start.reference_load
+    assert reference_load_before == 1000
     harness.deliver(*(interface.OperatorOverride(name, True) for name in NAMES))
     harness.advance(SECOND)
     for name in [f for f in harness.balancer.requests]:
         harness.end_attempt(name, interface.AttemptOutcome.BROKEN, is_final=True)
     harness.advance(4 * SECOND)
     refused = harness.send_request(key=500, load=10)
-    assert any(isinstance(a, interface.Reject) for a in harness.actions_for(refused)), (
-        "with all out there is nowhere to go"
-    )
+    assert any(isinstance(a, interface.Reject) for a in harness.actions_for(refused)), "all servers are suspended"
     harness.deliver(*(interface.OperatorOverride(name, False) for name in NAMES))
     sent = 0
     for n in range(100):
@@ -113,7 +109,7 @@
         harness.advance(25_000)
     share = harness.balancer.slow_start.warmth(harness.balancer.servers[NAMES[0]])
     assert 10 <= sent <= 0.45 * 3 * 3 / 9 * share * 100 / harness.balancer.loads.fleet_load + len(NAMES)
-    assert harness.balancer.slow_start.reference_load == stood
+    assert harness.balancer.slow_start.reference_load == reference_load_before
 
 
 def test_resumed_server_warms_up_whatever_the_list_reports(make_harness) -> None:
@@ -125,9 +121,9 @@
     harness.advance(SECOND)
     harness.deliver(interface.OperatorOverride(NAMES[0], False))
     assert s.ready and harness.balancer.slow_start.warmth(s) < 0.2
-    harness.deliver(listed(interface.EndpointListKind.FULL, NAMES, started_us=0))
+    harness.deliver(endpoint_list(interface.EndpointListKind.FULL, NAMES, started_us=0))
     assert s.ready and harness.balancer.slow_start.warmth(s) < 0.2
-    harness.deliver(interface.OperatorOverride(NAMES[0], False))  # and again: it is in rotation, so nothing starts anew
+    harness.deliver(interface.OperatorOverride(NAMES[0], False))  # a repeated return changes nothing
     assert s.started_us == harness.now_us
 
 
@@ -158,7 +154,7 @@
     assert harness.attempts_of(harness.send_request())
 
 
-def told(harness: Harness) -> tuple:
+def last_summary(harness: Harness) -> tuple:
     return decode([a.data for _, a in harness.action_log if isinstance(a, interface.SendGossip)][-1])
 
 
@@ -168,18 +164,18 @@
     for name in names:
         harness.establish(name)
     harness.advance(6 * SECOND)
-    assert harness.balancer.sessions.active_load == 200 and told(harness)[1:3] == (200.0, 20)
+    assert harness.balancer.sessions.active_load == 200 and last_summary(harness)[1:3] == (200.0, 20)
     harness.deliver(interface.DrainMode(True))
     for name in names[:15]:
         harness.end_attempt(name, interface.AttemptOutcome.CANCELLED, is_final=True)
-    assert harness.balancer.sessions.active_load == 50  # no session is kept for them
+    assert harness.balancer.sessions.active_load == 50  # they keep no session
     harness.advance(SECOND)
-    assert told(harness)[1:3] == (50.0, 0)  # and its part of the free slots is the others'
+    assert last_summary(harness)[1:3] == (50.0, 0)  # the others divide its quota
     harness.deliver(interface.DrainMode(False))
     harness.end_attempt(names[15], interface.AttemptOutcome.CANCELLED, is_final=True)
-    assert harness.balancer.sessions.active_load == 50  # now one that was moved off a server comes back here
+    assert harness.balancer.sessions.active_load == 50  # the session of a client that migrated off a server is kept
     harness.advance(6 * SECOND)
-    assert told(harness)[2] > 0
+    assert last_summary(harness)[2] > 0
 
 
 def test_quota_and_slow_start_budget_of_a_draining_balancer_go_to_the_others(make_harness) -> None:
@@ -187,39 +183,38 @@
     harness.advance(SECOND)
     harness.establish(harness.send_request(key=1, load=10))
     harness.advance(5 * SECOND)
-    harness.deliver(listed(interface.EndpointListKind.CHANGES, NAMES[:1], started_us=harness.now_us))
+    harness.deliver(endpoint_list(interface.EndpointListKind.CHANGES, NAMES[:1], started_us=harness.now_us))
 
-    def heard(clients: int) -> tuple[float, float]:
+    def after_summary(clients: int) -> tuple[float, float]:
         harness.advance(SECOND)
         harness.deliver(interface.GossipReceived(1, encode(harness.now_us // 100_000 & 0xFFFF, 2000.0, clients, [])))
         harness.advance(SECOND // 2)
         return harness.balancer.admission.client_fraction(), harness.balancer.slow_start.reference_load
 
-    assert heard(99) == (0.01, 10)
-    assert heard(0) == (1.0, 2010)
+    assert after_summary(99) == (0.01, 10)
+    assert after_summary(0) == (1.0, 2010)
 
 
 @given(
     st.lists(
-        st.tuples(st.floats(1, 1e6), st.sampled_from(["has", "has", "goes", "new"]), st.integers(1, 500)),
+        st.tuples(st.floats(1, 1e6), st.sampled_from(["serving", "serving", "draining", "new"]), st.integers(1, 500)),
         min_size=2,
         max_size=8,
     )
 )
 def test_reference_loads_add_up_to_the_load_of_the_tier(tier: list[tuple[float, str, int]]) -> None:
-    # Found in the laboratory, hand-drain: one that went brought its part beside the others, and a server fell over.
-    clients = [n if what == "has" else 0 for _, what, n in tier]
-    brought = 0.0
+    clients = [n if what == "serving" else 0 for _, what, n in tier]
+    total_reference_load = 0.0
     for me, (own, what, n) in enumerate(tier):
         peers = [Peer(0, 0, load, clients[k], []) for k, (load, _, _) in enumerate(tier) if k != me]
         mine = 0 if what == "new" else n
         others = sum(c for k, c in enumerate(clients) if k != me)
         share = mine / (mine + others) if mine else None
-        brought += reference_load(own, share, peers, len(tier), is_draining=what == "goes")
+        total_reference_load += reference_load(own, share, peers, len(tier), is_draining=what == "draining")
     total = sum(load for load, _, _ in tier)
-    assert brought <= total * 1.001
+    assert total_reference_load <= total * 1.001
     if any(clients):
-        assert brought >= total * 0.999
+        assert total_reference_load >= total * 0.999
 
 
 @pytest.mark.parametrize("seed", range(25))
@@ -228,20 +223,20 @@
     harness = Harness(
         settings(may_health_check=seed % 2 == 0, load_report_fields=("load_ratio",), slow_start_us=4 * SECOND), seed
     )
-    harness.deliver(listed(interface.EndpointListKind.FULL, NAMES))
-    out: set[str] = set()
+    harness.deliver(endpoint_list(interface.EndpointListKind.FULL, NAMES))
+    suspended: set[str] = set()
     read = 0
     for _ in range(250):
         n = rng.random()
         if n < 0.15:
-            name, away = rng.choice(NAMES), rng.random() < 0.6
-            harness.deliver(interface.OperatorOverride(name, away))
-            (out.add if away else out.discard)(name)
+            name, is_suspended = rng.choice(NAMES), rng.random() < 0.6
+            harness.deliver(interface.OperatorOverride(name, is_suspended))
+            (suspended.add if is_suspended else suspended.discard)(name)
         elif n < 0.3:
             kind = rng.choice(["full", "changes", "remembered"])
             some = rng.sample(NAMES, rng.randint(1, 5))
             harness.deliver(
-                listed(
+                endpoint_list(
                     kind,
                     some,
                     state=rng.choice(["ready", "ready", "draining", "gone"]),
@@ -258,12 +253,12 @@
         else:
             harness.advance(rng.choice([10_000, 100_000, SECOND]))
         for _, a in harness.action_log[read:]:
-            assert not (isinstance(a, interface.StartAttempt | interface.SendHealthCheck) and a.server in out), (
-                f"{a} while it is out"
+            assert not (isinstance(a, interface.StartAttempt | interface.SendHealthCheck) and a.server in suspended), (
+                f"{a} while it is suspended"
             )
         read = len(harness.action_log)
-    for name in out:
+    for name in suspended:
         harness.deliver(interface.OperatorOverride(name, False))
-    harness.deliver(listed(interface.EndpointListKind.FULL, NAMES))
-    harness.advance(20 * SECOND)  # warm, and what was out of reach has been for its while
+    harness.deliver(endpoint_list(interface.EndpointListKind.FULL, NAMES))
+    harness.advance(20 * SECOND)  # all servers are warm and no ejection is left
     assert all(harness.balancer.ejection.may_receive(harness.balancer.servers[name], 1.0) for name in NAMES)
--- a/tests/routing/test_outlier_ejection.py
+++ b/tests/routing/test_outlier_ejection.py
@@ -28,9 +28,9 @@
     assert all(s.ejected_until_us > harness.now_us + SECOND for s in harness.balancer.servers.values())
     name = harness.send_request(key=1)
     harness.advance(SECOND // 10)
-    assert harness.attempts_of(name), "tried rather than left without an attempt"
+    assert harness.attempts_of(name), "an ejected server is tried"
     for name in ("a:1", "b:1"):
         harness.balancer.servers[name].ejected_until_us = 0
     again = harness.send_request(key=2)
     harness.advance(SECOND // 10)
-    assert harness.attempts_of(again)[0].server != "c:1", "with others back, the one out of use stays out"
+    assert harness.attempts_of(again)[0].server != "c:1", "the server that is still ejected receives nothing"
--- a/tests/routing/test_retries.py
+++ b/tests/routing/test_retries.py
@@ -21,7 +21,7 @@
 
 @pytest.mark.parametrize("scope", ["all", "zone", "cell"])
 def test_attempt_of_keyed_request_times_out_within_its_idempotency_window(make_harness, scope: str) -> None:
-    """A connection that comes up later would carry a second effect."""
+    """A connection established after the window could execute the request twice."""
     kind = interface.RequestClass(
         "read", 300_000, 2_000_000, 60_000, idempotency="keyed", idempotency_scope=scope, idempotency_window_us=400_000
     )
@@ -31,7 +31,7 @@
     harness.end_attempt(name, interface.AttemptOutcome.BROKEN)
     harness.advance(20_000)
     first, again = harness.attempts_of(name)
-    # The process may be held up for 150 ms between this decision and its write.
+    # The process may be paused for 150 ms between this decision and the write.
     assert 0 < again.timeout_us <= 50_000 < first.timeout_us
 
 
--- a/tests/routing/test_simulator_adapter.py
+++ b/tests/routing/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter as a process, started as deploy/balancer.toml says."""
+"""The adapter as a process, started by the command of deploy/balancer.toml."""
 
 from __future__ import annotations
 
@@ -44,27 +44,27 @@
 }
 
 
-def script(who: int = 3) -> list[str]:
+def script(number: int = 3) -> list[str]:
     lines = [
         "begin_batch wallUs=1000000",
-        f"start balancer={who} seed=5 profileData={json.dumps(PROFILE)}",
+        f"start balancer={number} seed=5 profileData={json.dumps(PROFILE)}",
         "list bank=0 membersList=3",
     ]
     lines += [
         f"item server=10.0.0.{n}:9 area=z{1 + n % 2} flavor=k unitGroup=0 availability=Ready units=1" for n in range(3)
     ]
-    lines += [f"topology balancer={who} kind=Persisted seqNo=1 bank=0", "go"]
+    lines += [f"topology balancer={number} kind=Persisted seqNo=1 bank=0", "go"]
     for n in range(1, 80):
         now = 1000000 + n * 20000
         lines += [
             f"begin_batch wallUs={now}",
-            f"call balancer={who} msgId=m{who}-{n} service=c deadlineUs={now + 900000} item={n % 9}"
+            f"call balancer={number} msgId=m{number}-{n} service=c deadlineUs={now + 900000} item={n % 9}"
             f" channel={n % 4} sizeHintUs={5000 + n} odd_field=7",
-            f"message balancer={who} src=1 raw=68692037",
-            f"something_new balancer={who} x=1",
+            f"message balancer={number} src=1 raw=68692037",
+            f"something_new balancer={number} x=1",
         ]
         if n % 3 == 0:
-            lines.append(f"reminder balancer={who} ref={n // 3}")
+            lines.append(f"reminder balancer={number} ref={n // 3}")
         lines.append("go")
     return lines
 
@@ -97,8 +97,8 @@
 
 
 def test_balancers_of_one_process_are_independent() -> None:
-    def of(text: str, who: int) -> list[str]:
-        return [x for x in text.splitlines() if f"balancer={who} " in x]
+    def of(text: str, number: int) -> list[str]:
+        return [x for x in text.splitlines() if f"balancer={number} " in x]
 
     three, four = script(3), script(4)
     both: list[str] = []
--- a/tests/routing/test_slow_start.py
+++ b/tests/routing/test_slow_start.py
@@ -18,12 +18,12 @@
     for n in range(100, 200):
         harness.advance(20_000)
         sent += harness.attempts_of(harness.send_request(key=n))[0].server == "c:1"
-    # 2 s; each server carries some 40 connections, so a tenth of that a 20 s warm-up, three times over
+    # 2 s at some 40 connections a server: a tenth of that over a slow start of 20 s, times 3.
     assert sent <= 3
 
 
 def test_budgets_of_many_balancers_together_do_not_overload_a_warming_server() -> None:
-    # Each keeps its part alone; a crowd falls on all of them at the same moment, after a quiet while.
+    # Clients arrive at all balancers at the same time, after some seconds without requests.
     count, load, multiple, window, cold = 40, 1000, 3.0, SECOND, 20 * SECOND
     harnesses = []
     for n in range(count):
