--- a/glenrock/cli/__init__.py
+++ b/glenrock/cli/__init__.py
@@ -1,7 +1,7 @@
-"""The command line: one module a sub-command, imported only when it is called.
+"""The command line: one module for each sub-command, imported only when the sub-command is called.
 
-May import all of the project. Nothing imports it: `python -m glenrock` without arguments is the program that
-serves, and loads none of this. Exit codes: 0 done, 1 failed, 2 bad input, told in one line.
+This package may import every other package, and no other package imports it: `python -m glenrock` serves clients
+without it. Exit codes: 0 done, 1 failed, 2 bad input; a failure is reported in one line on standard error.
 """
 
 from __future__ import annotations
--- a/glenrock/cli/check.py
+++ b/glenrock/cli/check.py
@@ -1,4 +1,4 @@
-"""`glenrock check FILE`: is a file sound?"""
+"""`glenrock check FILE`: validates a file of any kind that the project reads."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 @click.command("check")
 @click.argument("file", type=click.Path(path_type=Path))
 def command(file: Path) -> None:
-    """Check an experiment, what balancers do together (.toml) or the platform's configuration (.json).
+    """Validate an experiment, a coordination file (.toml) or a configuration (.json).
 
     \b
     Example:
       glenrock check experiments/calm.toml
-    Exit codes: 0 sound, 2 not; then one line names the file, the line and the key.
+    Exit codes: 0 valid, 2 invalid; one line names the file, the line and the key.
     """
     if file.suffix == ".toml" and "jobs" in toml_file.read(file)[0]:
-        from ..coordination import config as together
+        from ..coordination import config as coordination_config
 
-        found = together.load(file)
-        click.echo(f"{file}: sound (a fleet's work, on {found.store.kind})")
+        coordination = coordination_config.load(file)
+        click.echo(f"{file}: sound (a fleet's work, on {coordination.store.kind})")
     elif file.suffix == ".toml":
         from ..lab import spec
 
--- a/glenrock/cli/coordination.py
+++ b/glenrock/cli/coordination.py
@@ -1,4 +1,4 @@
-"""`glenrock fleet`: what balancers do together, as the store and the balancers tell it."""
+"""`glenrock fleet`: the state of coordination, from the store and from balancers."""
 
 from __future__ import annotations
 
@@ -13,5 +13,5 @@
         "start-report": "coordination_start_report",
     },
     name="fleet",
-    help=("Who owns what, since when, on which term, and what was refused.\n\nPage: docs/fleet.md"),
+    help=("Show lease holders, terms, past terms and rejected messages.\n\nPage: docs/fleet.md"),
 )
--- a/glenrock/cli/coordination_start_report.py
+++ b/glenrock/cli/coordination_start_report.py
@@ -1,4 +1,4 @@
-"""`glenrock fleet start-report`: what a start came to at each balancer, and for all."""
+"""`glenrock fleet start-report`: compares the starts of several balancers."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 
 @click.command("start-report")
-@click.option("--at", multiple=True, required=True, help="A balancer's operators' address, host:port. Repeatable.")
+@click.option("--at", multiple=True, required=True, help="Operators' address of a balancer, host:port. Repeatable.")
 def command(at: tuple[str, ...]) -> None:
-    """When each balancer was ready, had heard the list and served, and what that cost in calls.
+    """Show when each balancer was ready, had an endpoint list and served, and its calls to discovery.
 
     \b
-    Attempts, clients brought up, refused and failed are those of the first 5 s of service.
+    Counts of attempts and of established, rejected and failed requests cover the first 5 s of service.
     Example:
       glenrock fleet start-report --at 127.0.0.1:9090 --at 127.0.0.1:9091
     Exit codes: 0 done, 1 a balancer does not answer or is of another version, 2 bad input.
--- a/glenrock/cli/demo.py
+++ b/glenrock/cli/demo.py
@@ -1,4 +1,4 @@
-"""`glenrock demo`: three balancers through a kill, a pause and a one-sided cut."""
+"""`glenrock demo`: plays the scenario `scenes/three.toml` on the testbed."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 @click.command("demo")
-@click.option("--live/--no-live", default=None, help="A table that follows the run; on a terminal by itself.")
+@click.option("--live/--no-live", default=None, help="Show a live table; the default on a terminal.")
 @click.option("--out", type=click.Path(path_type=Path), default=Path("out") / "demo", show_default=True)
 def command(live: bool | None, out: Path) -> None:
-    """Three balancers serve through a kill, a pause and a one-sided cut. Takes half a minute and ends by itself.
+    """Run three balancers through a kill, a pause and a one-way partition, for half a minute.
 
     \b
     Example:
@@ -26,8 +26,8 @@
     if not file.exists():
         raise CommandFailedError(f"{file} is missing: the demo runs from a checkout")
     summary = play(scenario.load(file), 1, out, live)
-    c = summary["counts"]
+    counts = summary["counts"]
     click.echo(
-        f"{c['set_up']} connections were set up, {c['moved']} moved, {c['broken']} lost to the faults; "
+        f"{counts['set_up']} connections were set up, {counts['moved']} moved, {counts['broken']} lost to the faults; "
         "every other request got its one answer in time"
     )
--- a/glenrock/cli/main.py
+++ b/glenrock/cli/main.py
@@ -1,4 +1,4 @@
-"""The root of the command line, and the way in which every fault is told."""
+"""The root of the command line; maps errors to exit codes."""
 
 from __future__ import annotations
 
@@ -16,26 +16,32 @@
 
 
 class CommandFailedError(Exception):
-    """What was asked for was sound and did not come about: exit 1, with this line."""
+    """A command with valid input failed. The exit code is 1, and the message is written to standard error."""
 
 
 class LazyGroup(click.Group):
-    """Sub-commands by name, each in a module of its own with a `command`."""
+    """A group of sub-commands, each the `command` of a module that is imported when the sub-command is called.
 
-    def __init__(self, package: str, names: dict[str, str], **given: object) -> None:
-        super().__init__(**given)  # type: ignore[arg-type]
-        self.package, self.names = package, names
+    Attributes:
+        package: of the modules.
+        modules: by name of the sub-command, in the order of the help page.
+    """
+
+    def __init__(self, package: str, modules: dict[str, str], **options: object) -> None:
+        super().__init__(**options)  # type: ignore[arg-type]
+        self.package = package
+        self.modules = modules
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        """The names, in the order of the help page."""
-        return list(self.names)
+        """Returns the names of the sub-commands, in the order of the help page."""
+        return list(self.modules)
 
     def get_command(self, ctx: click.Context, name: str) -> click.Command | None:
-        """Imports the sub-command\'s module; None where there is no such name."""
-        if name not in self.names:
+        """Imports a sub-command. Returns None if there is none of that name."""
+        if name not in self.modules:
             return None
-        found: click.Command = importlib.import_module(f"{self.package}.{self.names[name]}").command
-        return found
+        command: click.Command = importlib.import_module(f"{self.package}.{self.modules[name]}").command
+        return command
 
 
 COMMANDS = {
@@ -57,21 +63,21 @@
 )
 
 
-def main(given: Sequence[str] | None = None) -> None:
-    """The console script."""
-    sys.exit(run(given))
+def main(arguments: Sequence[str] | None = None) -> None:
+    """Runs the console script, and exits."""
+    sys.exit(run(arguments))
 
 
-def run(given: Sequence[str] | None = None) -> int:
-    """Runs a command line and returns its exit code; tests call this."""
+def run(arguments: Sequence[str] | None = None) -> int:
+    """Runs a command line, by default that of the process, and returns its exit code."""
     try:
-        code = ROOT.main(given, prog_name="glenrock", standalone_mode=False)
+        code = ROOT.main(arguments, prog_name="glenrock", standalone_mode=False)
         return code if isinstance(code, int) else EXIT_DONE
     except InputFileError as error:
         return _fail(str(error), EXIT_BAD_INPUT)
     except click.UsageError as error:
-        where = f"{error.ctx.command_path}: " if error.ctx else ""
-        return _fail(f"{where}{error.format_message()}".replace("\n", " "), EXIT_BAD_INPUT)
+        prefix = f"{error.ctx.command_path}: " if error.ctx else ""
+        return _fail(f"{prefix}{error.format_message()}".replace("\n", " "), EXIT_BAD_INPUT)
     except click.ClickException as error:
         return _fail(error.format_message(), EXIT_BAD_INPUT)
     except click.Abort:
@@ -86,6 +92,6 @@
         return EXIT_FAILED
 
 
-def _fail(text: str, exit_code: int) -> int:
-    print(f"glenrock: {text}", file=sys.stderr)
+def _fail(message: str, exit_code: int) -> int:
+    print(f"glenrock: {message}", file=sys.stderr)
     return exit_code
--- a/glenrock/cli/scenario.py
+++ b/glenrock/cli/scenario.py
@@ -1,4 +1,4 @@
-"""`glenrock stage`: processes of the real program among stand-ins and faults."""
+"""`glenrock stage`: written scenarios of the testbed."""
 
 from __future__ import annotations
 
@@ -8,5 +8,5 @@
     "glenrock.cli",
     {"run": "scenario_run"},
     name="stage",
-    help=("Start processes of the program on loopback, strike them, and judge what came of it.\n\nPage: docs/stage.md"),
+    help=("Run processes of the program on loopback under faults, and check the invariants.\n\nPage: docs/stage.md"),
 )
--- a/glenrock/cli/scenario_live_table.py
+++ b/glenrock/cli/scenario_live_table.py
@@ -1,4 +1,4 @@
-"""The table that follows a run of a scenario."""
+"""A table on the terminal that follows a run of a scenario."""
 
 from __future__ import annotations
 
@@ -6,54 +6,75 @@
 from typing import TYPE_CHECKING
 
 from rich.console import Console
-from rich.live import Live as Screen
+from rich.live import Live
 from rich.table import Table
 
 if TYPE_CHECKING:
     from ..testbed.scenario_testbed import ScenarioTestbed
 
 
+MAX_LOG_LINE_LENGTH = 60  # characters shown
+MIN_CAPACITY = 1e-9
+
+
 class LiveTable:
-    """Shows the table while a run goes on. `shown` None: only where standard output is a terminal."""
+    """Shows the table during a run. `is_shown` None: only if standard output is a terminal."""
 
-    def __init__(self, shown: bool | None) -> None:
-        self.screen = (
-            Screen(console=Console(), auto_refresh=False) if (sys.stdout.isatty() if shown is None else shown) else None
-        )
+    def __init__(self, is_shown: bool | None) -> None:
+        if is_shown is None:
+            is_shown = sys.stdout.isatty()
+        self._screen = Live(console=Console(), auto_refresh=False) if is_shown else None
 
     def __enter__(self) -> LiveTable:
-        if self.screen:
-            self.screen.start()
+        if self._screen:
+            self._screen.start()
         return self
 
     def __exit__(self, *_: object) -> None:
-        if self.screen:
-            self.screen.stop()
+        if self._screen:
+            self._screen.stop()
 
-    def second(self, bed: ScenarioTestbed) -> None:
-        """Called once a second."""
-        if self.screen:
-            self.screen.update(table_of(bed), refresh=True)
+    def update(self, bed: ScenarioTestbed) -> None:
+        """Draws the table again. Called once a second."""
+        if self._screen:
+            self._screen.update(table_of(bed), refresh=True)
 
 
 def table_of(bed: ScenarioTestbed) -> Table:
-    """The table: a row for each balancer, with the faults that are on above it."""
-    on = (
-        ", ".join(f"{s.kind} ({', '.join(sorted(s.parties)) or 'datagrams'})" for s in bed.history.active_intervals())
-        or "no fault"
-    )
-    out = Table(title=f"{bed.scenario.name}, {bed.clients.seconds():.0f} of {bed.length_s:.0f} s: {on}")
-    for name in ("balancer", "state", "connections", "life", "last said"):
-        out.add_column(name)
-    for b in bed.balancers:
-        state = "asleep" if b.paused else "up" if b.up else "down"
-        state += "" if b.number in bed.frontend.known else ", left out"
-        held = sum(a.balancer == b.number for s in bed.servers for a in s.open_now)
-        said = next((e.data["text"] for e in reversed(bed.history.events) if e.what == "log" and e.who == b.name), "")
-        out.add_row(b.name, state, str(held), str(b.lives), said[:60])
+    """Returns a table with the active faults and one row for each balancer."""
+    title = f"{bed.scenario.name}, {bed.clients.seconds():.0f} of {bed.length_s:.0f} s: {_active_faults(bed)}"
+    table = Table(title=title)
+    for column in ("balancer", "state", "connections", "life", "last said"):
+        table.add_column(column)
+    for balancer in bed.balancers:
+        state = "asleep" if balancer.paused else "up" if balancer.up else "down"
+        state += "" if balancer.number in bed.frontend.known else ", left out"
+        connection_count = sum(
+            attempt.balancer == balancer.number for server in bed.servers for attempt in server.open_now
+        )
+        last_line = _last_log_line(bed, balancer.name)[:MAX_LOG_LINE_LENGTH]
+        table.add_row(balancer.name, state, str(connection_count), str(balancer.lives), last_line)
     loads = " ".join(
-        f"{s.model.demand / max(1e-9, s.model.capacity(bed.engine.now)):.2f}" if s.model.up else "-"
-        for s in bed.servers
+        f"{server.model.demand / max(MIN_CAPACITY, server.model.capacity(bed.engine.now)):.2f}"
+        if server.model.up
+        else "-"
+        for server in bed.servers
     )
-    out.caption = f"{bed.clients.standing()} clients stand, {bed.clients.waiting()} wait; loads {loads}"
-    return out
+    table.caption = f"{bed.clients.standing()} clients stand, {bed.clients.waiting()} wait; loads {loads}"
+    return table
+
+
+def _active_faults(bed: ScenarioTestbed) -> str:
+    faults = [
+        f"{interval.kind} ({', '.join(sorted(interval.parties)) or 'datagrams'})"
+        for interval in bed.history.active_intervals()
+    ]
+    return ", ".join(faults) or "no fault"
+
+
+def _last_log_line(bed: ScenarioTestbed, balancer: str) -> str:
+    for event in reversed(bed.history.events):
+        if event.what == "log" and event.who == balancer:
+            text: str = event.data["text"]
+            return text
+    return ""
--- a/glenrock/cli/scenario_run.py
+++ b/glenrock/cli/scenario_run.py
@@ -1,4 +1,4 @@
-"""`glenrock stage run`: one scene, played in real time."""
+"""`glenrock stage run`: runs one scenario on the testbed."""
 
 from __future__ import annotations
 
@@ -11,9 +11,10 @@
 from .main import CommandFailedError
 
 if TYPE_CHECKING:
+    from ..testbed.scenario import Scenario
     from ..testbed.scenario_testbed import ScenarioTestbed
 
-SHOWN_BREACHES = 3
+MAX_SHOWN_VIOLATIONS = 3
 
 
 @click.command("run")
@@ -21,27 +22,27 @@
 @click.option("--seed", type=click.IntRange(0, 2**31), default=1, show_default=True)
 @options.out
 @options.settings
-@click.option("--live/--no-live", default=None, help="A table that follows the run; on a terminal by itself.")
-def command(file: Path, seed: int, out: Path | None, over: tuple[str, ...], live: bool | None) -> None:
-    """Play a scene with processes of the program, in real time, and write summary.json, history.txt and report.html.
+@click.option("--live/--no-live", default=None, help="Show a live table; the default on a terminal.")
+def command(file: Path, seed: int, out: Path | None, overrides: tuple[str, ...], live: bool | None) -> None:
+    """Run a scenario with processes of the program, and write summary.json, history.txt and report.html.
 
     \b
     Examples:
       glenrock stage run scenes/three.toml
       glenrock stage run scenes/three.toml --seed 7 --set fleet.balancers=5 --out out/five
-    Exit codes: 0 done, 1 a rule was broken or a process did not come up, 2 bad input.
+    Exit codes: 0 done, 1 an invariant was violated or a process was not ready in time, 2 bad input.
     """
-    from ..testbed import scenario
+    from ..testbed import scenario as scenario_file
 
-    scene = scenario.load(file, options.parse_overrides(over))
-    play(scene, seed, out or Path("out") / "stage" / f"{scene.name}-{seed}", live)
+    scenario = scenario_file.load(file, options.parse_overrides(overrides))
+    play(scenario, seed, out or Path("out") / "stage" / f"{scenario.name}-{seed}", live)
 
 
-def play(scene: Any, seed: int, into: Path, live: bool | None) -> dict[str, Any]:
-    """Plays a scene into a folder, and returns its summary.
+def play(scenario: Scenario, seed: int, folder: Path, live: bool | None) -> dict[str, Any]:
+    """Runs a scenario, and writes its results to a folder. Returns its summary.
 
     Raises:
-        CommandFailedError: a process did not come up, or a rule was broken.
+        CommandFailedError: a process was not ready in time, or an invariant was violated.
     """
     from ..lab import record, report
     from ..testbed import scenario_runner, scenario_testbed
@@ -49,52 +50,58 @@
 
     summary: dict[str, Any] = {}
 
-    def fill(beside: Path) -> None:
-        with LiveTable(live) as shown:
+    def run_and_write(temporary: Path) -> None:
+        with LiveTable(live) as table:
             try:
-                bed, found = scenario_runner.play(scene, seed, beside, shown.second)
+                bed, bed_summary = scenario_runner.play(scenario, seed, temporary, table.update)
             except scenario_testbed.BalancersNotReadyError as error:
                 raise CommandFailedError(str(error)) from error
-        summary.update(found)
-        write_results(beside, bed, found)
-        (beside / "report.html").write_text(report.of_run(beside), encoding="utf-8")
+        summary.update(bed_summary)
+        write_results(temporary, bed, bed_summary)
+        (temporary / "report.html").write_text(report.of_run(temporary), encoding="utf-8")
 
-    record.folder(into, fill)
+    record.folder(folder, run_and_write)
     print_summary(summary)
-    click.echo(f"results: {into}/summary.json, history.txt, series.csv, report.html, balancer-N/log")
-    if broken := {k: v for k, v in summary["rules"].items() if v}:
-        for b in summary["breaches"][:SHOWN_BREACHES]:
-            click.echo(f"{b['rule']} at {b['at_s']} s: {b['text']}")
-            for line in b["led"]:
-                click.echo(f"    {line}")
-        raise CommandFailedError(f"rules broken: {options.counts_text(broken)}; see history.txt")
+    click.echo(f"results: {folder}/summary.json, history.txt, series.csv, report.html, balancer-N/log")
+    if violations := {rule: count for rule, count in summary["rules"].items() if count}:
+        _print_violations(summary["breaches"])
+        raise CommandFailedError(f"rules broken: {options.format_counts(violations)}; see history.txt")
     return summary
 
 
-def write_results(beside: Path, bed: ScenarioTestbed, summary: dict[str, Any]) -> None:
+def write_results(folder: Path, bed: ScenarioTestbed, summary: dict[str, Any]) -> None:
     """Writes the tables and the history of a run."""
     from ..lab import record
 
-    record.write_tables(beside, bed.measure, bed.scenario, [s.name for s in bed.servers], summary)
-    lines = (e.line(bed.history.day) for e in bed.history.events)
-    (beside / "history.txt").write_text("".join(f"{line}\n" for line in lines), encoding="utf-8")
+    record.write_tables(folder, bed.measure, bed.scenario, [server.name for server in bed.servers], summary)
+    lines = (event.line(bed.history.day) for event in bed.history.events)
+    (folder / "history.txt").write_text("".join(f"{line}\n" for line in lines), encoding="utf-8")
 
 
-def print_summary(s: dict[str, Any]) -> None:
-    """Prints a run's summary."""
-    fleet, worth, c = s["fleet"], s["worth"], s["counts"]
+def print_summary(summary: dict[str, Any]) -> None:
+    """Prints the summary of a run."""
+    fleet, worth, counts = summary["fleet"], summary["worth"], summary["counts"]
     click.echo(
-        f"{s['experiment']}, seed {s['seed']}: {fleet['balancers']} balancers, {fleet['instances']} instances, "
-        f"{c['clients']} clients, {c['tries']} tries, {s['clock']['wall_s']} s"
+        f"{summary['experiment']}, seed {summary['seed']}: {fleet['balancers']} balancers, "
+        f"{fleet['instances']} instances, {counts['clients']} clients, {counts['tries']} tries, "
+        f"{summary['clock']['wall_s']} s"
     )
     click.echo(f"worth: goal {worth['goal']:.3f}, whole {worth['whole']:.3f}, worst 10 s {worth['worst_window']:.3f}")
-    for f in s["recovery_s"]:
-        back = "not back" if f["recovery_s"] is None else f"back after {f['recovery_s']} s"
-        lowest = "-" if f["lowest"] is None else f"{f['lowest']:.2f}"
-        click.echo(f"{f['kind']} at {f['from_s']:.1f} s: lowest {lowest}, {back}")
-    click.echo(
-        "rules: "
-        + ", ".join(
-            f"{k} {v} of {s['seen'].get(k, 0)} ({s['excused'].get(k, 0)} by faults)" for k, v in s["rules"].items()
-        )
-    )
+    for fault in summary["recovery_s"]:
+        recovery = "not back" if fault["recovery_s"] is None else f"back after {fault['recovery_s']} s"
+        lowest = "-" if fault["lowest"] is None else f"{fault['lowest']:.2f}"
+        click.echo(f"{fault['kind']} at {fault['from_s']:.1f} s: lowest {lowest}, {recovery}")
+    checked, excused = summary["seen"], summary["excused"]
+    rules = [
+        f"{rule} {count} of {checked.get(rule, 0)} ({excused.get(rule, 0)} by faults)"
+        for rule, count in summary["rules"].items()
+    ]
+    click.echo("rules: " + ", ".join(rules))
+
+
+def _print_violations(violations: list[dict[str, Any]]) -> None:
+    """Prints the first violations, each with the events that led to it."""
+    for violation in violations[:MAX_SHOWN_VIOLATIONS]:
+        click.echo(f"{violation['rule']} at {violation['at_s']} s: {violation['text']}")
+        for line in violation["led"]:
+            click.echo(f"    {line}")
--- a/glenrock/cli/serve.py
+++ b/glenrock/cli/serve.py
@@ -1,4 +1,4 @@
-"""`glenrock serve`: the real program."""
+"""`glenrock serve`: runs the balancer."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 
 @click.command("serve")
-@click.option("--config", type=click.Path(dir_okay=False), help="The configuration, in place of LB_CONFIG.")
+@click.option("--config", type=click.Path(dir_okay=False), help="The configuration file; default LB_CONFIG.")
 def command(config: str | None) -> int:
-    """Serve clients. The same as `python -m glenrock`.
+    """Run the balancer, like `python -m glenrock`.
 
     \b
     Example:
--- a/glenrock/cli/shared_options.py
+++ b/glenrock/cli/shared_options.py
@@ -1,4 +1,4 @@
-"""Options that the laboratory's sub-commands share, and their checks."""
+"""Options that several sub-commands share, and their parsers."""
 
 from __future__ import annotations
 
@@ -11,24 +11,26 @@
 
 from ..toml_file import InputFileError
 
+MAX_SEED = 2**63
+
 file = click.argument("file", type=click.Path(path_type=Path))
-policy = click.option("--policy", default="glenrock", show_default=True, help="What is driven; see `lab list`.")
-policies = click.option("--policy", "policies", multiple=True, help="What is driven; may be given more than once.")
-out = click.option("--out", type=click.Path(path_type=Path), help="The folder of the results.")
+policy = click.option("--policy", default="glenrock", show_default=True, help="Routing policy; see `lab list`.")
+policies = click.option("--policy", "policies", multiple=True, help="Routing policy; repeatable.")
+out = click.option("--out", type=click.Path(path_type=Path), help="Folder for the results.")
 jobs = click.option(
     "--jobs", type=click.IntRange(1), default=os.cpu_count() or 1, show_default="cores", help="Parallel processes."
 )
-seeds = click.option("--seeds", default="10", show_default=True, help="How many seeds, or a range such as 5-24.")
+seeds = click.option("--seeds", default="10", show_default=True, help="A count of seeds, or a range such as 5-24.")
 settings = click.option(
-    "--set", "over", multiple=True, metavar="KEY=VALUE", help="Replace a value of the file: --set traffic.load=0.6"
+    "--set", "overrides", multiple=True, metavar="KEY=VALUE", help="Replace a value of the file: --set traffic.load=0.6"
 )
 
 
 def check_policy(name: str) -> str:
-    """The name, where there is such a policy.
+    """Returns the name of a policy.
 
     Raises:
-        InputFileError: there is none.
+        InputFileError: no policy has this name.
     """
     from ..lab.policies import POLICIES
 
@@ -37,40 +39,40 @@
     return name
 
 
-def parse_overrides(given: tuple[str, ...]) -> dict[str, Any]:
-    """KEY=VALUE pairs; a value is read as TOML, or else taken as text.
+def parse_overrides(pairs: tuple[str, ...]) -> dict[str, Any]:
+    """Parses KEY=VALUE pairs. A value that is not TOML is a string.
 
     Raises:
-        InputFileError: a pair is none.
+        InputFileError: a pair has no key or no equals sign.
     """
-    out: dict[str, Any] = {}
-    for pair in given:
+    values: dict[str, Any] = {}
+    for pair in pairs:
         key, equals, text = pair.partition("=")
         if not equals or not key:
             raise InputFileError(f"--set {pair}: expected KEY=VALUE")
         try:
-            out[key] = tomllib.loads(f"x = {text}")["x"]
+            values[key] = tomllib.loads(f"value = {text}")["value"]
         except tomllib.TOMLDecodeError:
-            out[key] = text
-    return out
+            values[key] = text
+    return values
 
 
 def parse_seeds(text: str) -> list[int]:
-    """The seeds that a count (10: 0 to 9) or a range (5-24) stands for.
+    """Parses a count (10: the seeds 0 to 9) or a range (5-24) of seeds.
 
     Raises:
-        InputFileError: the text is neither.
+        InputFileError: the text is neither, or a seed is above 2**63.
     """
     first, dash, last = text.partition("-")
     try:
-        found = list(range(int(first), int(last) + 1)) if dash else list(range(int(first)))
+        numbers = list(range(int(first), int(last) + 1)) if dash else list(range(int(first)))
     except ValueError:
-        found = []
-    if not found or found[-1] > 2**63:
+        numbers = []
+    if not numbers or numbers[-1] > MAX_SEED:
         raise InputFileError(f"--seeds {text}: expected a count such as 10, or a range such as 5-24")
-    return found
+    return numbers
 
 
-def counts_text(counts: dict[str, int]) -> str:
-    """Broken rules and how often, as one line tells them."""
+def format_counts(counts: dict[str, int]) -> str:
+    """Formats counts of violations by invariant in one line."""
     return ", ".join(f"{name} {count} times" for name, count in counts.items())
--- a/glenrock/cli/simulation.py
+++ b/glenrock/cli/simulation.py
@@ -1,4 +1,4 @@
-"""`glenrock lab`: the laboratory's sub-commands."""
+"""`glenrock lab`: the sub-commands of the simulation."""
 
 from __future__ import annotations
 
@@ -14,5 +14,5 @@
         "list": "simulation_list",
     },
     name="lab",
-    help=("Emulate the fleet in simulated time: run, sweep, compare, report, list.\n\nPage: docs/lab.md"),
+    help=("Simulate a fleet: run, sweep, compare, report, list.\n\nPage: docs/lab.md"),
 )
--- a/glenrock/cli/simulation_compare.py
+++ b/glenrock/cli/simulation_compare.py
@@ -1,4 +1,4 @@
-"""`glenrock lab compare`: two sets of runs, paired by seed."""
+"""`glenrock lab compare`: compares two sets of simulations, paired by seed."""
 
 from __future__ import annotations
 
@@ -10,26 +10,42 @@
 
 from ..toml_file import InputFileError
 from . import shared_options as options
-from .simulation_sweep import play
+from .simulation_sweep import run_tasks
 
 
-def runs_of(what: str, seeds: list[int], jobs: int, over: dict[str, Any]) -> list[dict[str, Any]]:
-    """A folder of results (DIR@POLICY: one policy's), or FILE@POLICY to be played now."""
-    from ..lab import record, runner, spec
+def load_or_run(source: str, seeds: list[int], jobs: int, overrides: dict[str, Any]) -> list[dict[str, Any]]:
+    """Returns summaries: those of a folder, of one policy of a folder (DIR@POLICY), or simulated now (FILE@POLICY).
 
-    name, at, policy = what.rpartition("@")
-    folder = Path(name) if at and Path(name).is_dir() else Path(what)
+    Raises:
+        InputFileError: the source is none of these, or the folder has several policies and none is named.
+    """
+    from ..lab import runner, spec
+
+    name, at, policy = source.rpartition("@")
+    folder = Path(name) if at and Path(name).is_dir() else Path(source)
     if folder.is_dir():
-        files = sorted((folder / "runs").glob("*.json")) or [folder / "summary.json"]
-        found = [{"where": {}, **record.read_summary(f)} for f in files]
-        found = [s for s in found if folder == Path(what) or s["policy"] == policy]
-        if len({s["policy"] for s in found}) != 1:
-            raise InputFileError(f"{what}: holds {len({s['policy'] for s in found})} policies; name one as DIR@POLICY")
-        return runner.order(found)
+        return runner.order(_read_summaries(source, folder, policy if folder != Path(source) else None))
     if not at:
-        raise InputFileError(f"{what}: neither a folder of results nor FILE@POLICY")
-    points = spec.points(Path(name), over)
-    return play(runner.tasks(points, seeds, [options.check_policy(policy)]), jobs, None, False)
+        raise InputFileError(f"{source}: neither a folder of results nor FILE@POLICY")
+    points = spec.points(Path(name), overrides)
+    return run_tasks(runner.tasks(points, seeds, [options.check_policy(policy)]), jobs, None, False)
+
+
+def _read_summaries(source: str, folder: Path, policy: str | None) -> list[dict[str, Any]]:
+    """Reads the summaries of one policy; `policy` None: of the only one.
+
+    Raises:
+        InputFileError: a summary cannot be read, or the summaries are not of exactly one policy.
+    """
+    from ..lab import record
+
+    files = sorted((folder / "runs").glob("*.json")) or [folder / "summary.json"]
+    summaries = [{"where": {}, **record.read_summary(file)} for file in files]
+    summaries = [summary for summary in summaries if policy is None or summary["policy"] == policy]
+    policy_count = len({summary["policy"] for summary in summaries})
+    if policy_count != 1:
+        raise InputFileError(f"{source}: holds {policy_count} policies; name one as DIR@POLICY")
+    return summaries
 
 
 @click.command("compare")
@@ -39,10 +55,10 @@
 @options.jobs
 @options.out
 @options.settings
-def command(a: str, b: str, seeds: str, jobs: int, out: Path | None, over: tuple[str, ...]) -> None:
+def command(a: str, b: str, seeds: str, jobs: int, out: Path | None, overrides: tuple[str, ...]) -> None:
     """Pair A and B by seed: difference, 95% interval and sign test of each measure.
 
-    A and B are folders of results, DIR@POLICY for one policy of a folder, or FILE@POLICY, which is played now.
+    A and B are folders of results, DIR@POLICY for one policy of a folder, or FILE@POLICY, which is simulated now.
 
     \b
     Examples:
@@ -50,27 +66,33 @@
       glenrock lab compare out/lab/before out/lab/after
     Exit codes: 0 done, 1 stopped, 2 bad input.
     """
-    which, changed = options.parse_seeds(seeds), options.parse_overrides(over)
-    from ..lab import plots, record, report
+    seed_numbers, values = options.parse_seeds(seeds), options.parse_overrides(overrides)
+    from ..lab import report
 
-    left, right = runs_of(a, which, jobs, changed), runs_of(b, which, jobs, changed)
-    names = (a, b)
-    found = report.compared(left, right, names)
-    for r in found["rows"]:
+    left = load_or_run(a, seed_numbers, jobs, values)
+    right = load_or_run(b, seed_numbers, jobs, values)
+    comparison = report.compared(left, right, (a, b))
+    for row in comparison["rows"]:
         click.echo(
-            f"{r['measure']:24} {r['a']:10.4f} {r['b']:10.4f}  {r['difference']:+.4f} "
-            f"[{r['low']:+.4f}, {r['high']:+.4f}]  higher {r['wins']} lower {r['losses']}  p {r['p']:.3f}"
+            f"{row['measure']:24} {row['a']:10.4f} {row['b']:10.4f}  {row['difference']:+.4f} "
+            f"[{row['low']:+.4f}, {row['high']:+.4f}]  higher {row['wins']} lower {row['losses']}  p {row['p']:.3f}"
         )
     if out:
-        points = [s for s in found["seeds"] if s["a"] is not None and s["b"] is not None]
-        rows = {name: [(s[side],) * 3 for s in points] for name, side in ((a, "a"), (b, "b"))}
-        image = plots.bars("goal, by seed", "goal", [str(s["seed"]) for s in points], rows)
+        _write_results(out, a, b, comparison)
+        click.echo(f"results: {out}/compare.json, report.html")
 
-        def fill(beside: Path) -> None:
-            (beside / "compare.json").write_text(record.text_of(json.loads(json.dumps(found))), encoding="utf-8")
-            (beside / "report.html").write_text(
-                report.page("compare.html", s=found, image=plots.address(image)), encoding="utf-8"
-            )
 
-        record.folder(out, fill)
-        click.echo(f"results: {out}/compare.json, report.html")
+def _write_results(out: Path, a: str, b: str, comparison: dict[str, Any]) -> None:
+    from ..lab import plots, record, report
+
+    pairs = [pair for pair in comparison["seeds"] if pair["a"] is not None and pair["b"] is not None]
+    bars = {name: [(pair[side],) * 3 for pair in pairs] for name, side in ((a, "a"), (b, "b"))}
+    image = plots.bars("goal, by seed", "goal", [str(pair["seed"]) for pair in pairs], bars)
+    page = report.page("compare.html", s=comparison, image=plots.address(image))
+
+    def write_files(temporary: Path) -> None:
+        content = record.text_of(json.loads(json.dumps(comparison)))
+        (temporary / "compare.json").write_text(content, encoding="utf-8")
+        (temporary / "report.html").write_text(page, encoding="utf-8")
+
+    record.folder(out, write_files)
--- a/glenrock/cli/simulation_list.py
+++ b/glenrock/cli/simulation_list.py
@@ -1,4 +1,4 @@
-"""`glenrock lab list`: what there is to run, to drive and to break."""
+"""`glenrock lab list`: lists experiments, policies and faults."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 @click.command("list")
 @click.option("--folder", type=click.Path(path_type=Path), default=Path("experiments"), show_default=True)
 def command(folder: Path) -> None:
-    """Name the experiments of a folder, the policies and the faults.
+    """List the experiments of a folder, the routing policies and the faults.
 
     \b
     Example:
@@ -24,14 +24,14 @@
     click.echo("experiments:")
     for path in sorted(folder.glob("*.toml")):
         try:
-            e = spec.load(path)
-            axes = f"; sweeps {', '.join(e.sweep)}" if e.sweep else ""
-            click.echo(f"  {path}: {e.title or e.name}{axes}")
+            experiment = spec.load(path)
+            axes = f"; sweeps {', '.join(experiment.sweep)}" if experiment.sweep else ""
+            click.echo(f"  {path}: {experiment.title or experiment.name}{axes}")
         except InputFileError as error:
             click.echo(f"  {error}")
     click.echo("policies:")
-    for name, (_, what) in POLICIES.items():
-        click.echo(f"  {name}: {what}")
+    for name, (_, description) in POLICIES.items():
+        click.echo(f"  {name}: {description}")
     click.echo("faults:")
     for fault in spec.FAULTS:
         click.echo(f"  {fault.__struct_config__.tag}: {(fault.__doc__ or '').strip().splitlines()[0]}")
--- a/glenrock/cli/simulation_report.py
+++ b/glenrock/cli/simulation_report.py
@@ -1,4 +1,4 @@
-"""`glenrock lab report`: the report of a folder of results, made anew."""
+"""`glenrock lab report`: regenerates the report of a folder of results."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 @click.command("report")
 @click.argument("folder", type=click.Path(path_type=Path))
 def command(folder: Path) -> None:
-    """Write report.html of a run's or a sweep's folder again.
+    """Regenerate report.html in the folder of a run or a sweep.
 
     \b
     Example:
--- a/glenrock/cli/simulation_run.py
+++ b/glenrock/cli/simulation_run.py
@@ -1,4 +1,4 @@
-"""`glenrock lab run`: one day."""
+"""`glenrock lab run`: runs one simulation."""
 
 from __future__ import annotations
 
@@ -17,46 +17,58 @@
 @options.policy
 @options.out
 @options.settings
-def command(file: Path, seed: int, policy: str, out: Path | None, over: tuple[str, ...]) -> None:
-    """Play one day of an experiment and write summary.json, series.csv and report.html.
+def command(file: Path, seed: int, policy: str, out: Path | None, overrides: tuple[str, ...]) -> None:
+    """Simulate an experiment once, and write summary.json, series.csv and report.html.
 
     \b
     Examples:
       glenrock lab run experiments/calm.toml
       glenrock lab run experiments/crash-quarter.toml --seed 7 --policy two_choices --out out/seven
-    Exit codes: 0 done, 1 the policy failed or a rule was broken, 2 bad input.
+    Exit codes: 0 done, 1 the policy failed or an invariant was violated, 2 bad input.
     """
     options.check_policy(policy)
     from ..lab import record, report, spec
     from ..lab.day import Day
 
-    e = spec.load(file, options.parse_overrides(over))
-    into = out or Path("out") / "lab" / f"{e.name}-{policy}-{seed}"
-    day = Day(e, seed, policy)
-    if into.exists():  # told before the work, not after it
-        record.folder(into.parent / f".{into.name}.check", lambda beside: None)
-        (into.parent / f".{into.name}.check").rmdir()
+    experiment = spec.load(file, options.parse_overrides(overrides))
+    folder = out or Path("out") / "lab" / f"{experiment.name}-{policy}-{seed}"
+    day = Day(experiment, seed, policy)
+    if folder.exists():
+        _check_replaceable(folder)
     summary = day.run()
 
-    def fill(beside: Path) -> None:
-        record.write_run(beside, day, summary)
-        (beside / "report.html").write_text(report.of_run(beside), encoding="utf-8")
+    def write_results(temporary: Path) -> None:
+        record.write_run(temporary, day, summary)
+        (temporary / "report.html").write_text(report.of_run(temporary), encoding="utf-8")
 
-    record.folder(into, fill)
+    record.folder(folder, write_results)
     print_summary(summary)
-    click.echo(f"results: {into}/summary.json, series.csv, report.html")
+    click.echo(f"results: {folder}/summary.json, series.csv, report.html")
     if summary["failure"]:
         raise CommandFailedError(f"{policy} failed: {summary['failure']}")
-    if broken := {k: v for k, v in summary["rules"].items() if v}:
-        raise CommandFailedError(f"rules broken: {options.counts_text(broken)}; see report.html")
+    if violations := {rule: count for rule, count in summary["rules"].items() if count}:
+        raise CommandFailedError(f"rules broken: {options.format_counts(violations)}; see report.html")
 
 
-def print_summary(s: dict[str, Any]) -> None:
-    """Prints a day's summary."""
-    fleet, worth, clock = s["fleet"], s["worth"], s["clock"]
+def _check_replaceable(folder: Path) -> None:
+    """Fails before the simulation starts, in place of after it, if the results cannot be written.
+
+    Raises:
+        InputFileError: no folder can be created beside this one.
+    """
+    from ..lab import record
+
+    trial = folder.parent / f".{folder.name}.check"
+    record.folder(trial, lambda temporary: None)
+    trial.rmdir()
+
+
+def print_summary(summary: dict[str, Any]) -> None:
+    """Prints the summary of a simulation."""
+    fleet, worth, clock = summary["fleet"], summary["worth"], summary["clock"]
     click.echo(
-        f"{s['experiment']}, seed {s['seed']}, {s['policy']}: {fleet['balancers']} balancers, "
-        f"{fleet['instances']} instances, {s['counts']['clients']} clients, {s['events']} events, "
+        f"{summary['experiment']}, seed {summary['seed']}, {summary['policy']}: {fleet['balancers']} balancers, "
+        f"{fleet['instances']} instances, {summary['counts']['clients']} clients, {summary['events']} events, "
         f"{clock['wall_s']} s"
     )
     if worth:
@@ -65,13 +77,13 @@
             f"{worth['worst_window']:.3f}, worst class {worth['worst_class']:.3f}, "
             f"worst tenant {worth['worst_tenant']:.3f}"
         )
-    each = s["per_client"]
+    per_client = summary["per_client"]
     click.echo(
-        f"a client: {each['attempts']:.2f} attempts, {each['refused']:.2f} refusals, "
-        f"{each['broken']:.2f} breaks, {each['moved']:.2f} moves, {each['probes']:.2f} probes"
+        f"a client: {per_client['attempts']:.2f} attempts, {per_client['refused']:.2f} refusals, "
+        f"{per_client['broken']:.2f} breaks, {per_client['moved']:.2f} moves, {per_client['probes']:.2f} probes"
     )
-    for f in s["recovery_s"]:
-        back = "not back" if f["recovery_s"] is None else f"back after {f['recovery_s']} s"
-        lowest = "-" if f["lowest"] is None else f"{f['lowest']:.2f}"
-        click.echo(f"{f['kind']} at {f['from_s']:g} s: lowest {lowest}, {back}")
-    click.echo("rules: " + ", ".join(f"{k} {v}" for k, v in s["rules"].items()))
+    for fault in summary["recovery_s"]:
+        recovery = "not back" if fault["recovery_s"] is None else f"back after {fault['recovery_s']} s"
+        lowest = "-" if fault["lowest"] is None else f"{fault['lowest']:.2f}"
+        click.echo(f"{fault['kind']} at {fault['from_s']:g} s: lowest {lowest}, {recovery}")
+    click.echo("rules: " + ", ".join(f"{rule} {count}" for rule, count in summary["rules"].items()))
--- a/glenrock/cli/simulation_sweep.py
+++ b/glenrock/cli/simulation_sweep.py
@@ -1,4 +1,4 @@
-"""`glenrock lab sweep`: all points of an experiment's axes, over seeds and policies, in parallel."""
+"""`glenrock lab sweep`: simulates all points of an experiment's axes, over seeds and policies, in parallel."""
 
 from __future__ import annotations
 
@@ -15,15 +15,30 @@
 if TYPE_CHECKING:
     from ..lab.runner import Task
 
+SWEEP_FORMAT = 1
 
-def play(todo: list[Task], jobs: int, kept: Path | None, resume: bool) -> list[dict[str, Any]]:
-    """Runs with progress shown. Ctrl-C keeps what is finished."""
+
+def run_tasks(tasks: list[Task], jobs: int, run_folder: Path | None, resume: bool) -> list[dict[str, Any]]:
+    """Runs simulations with a progress bar.
+
+    Args:
+        tasks: the simulations.
+        jobs: how many run in parallel.
+        run_folder: where finished runs are stored; None to store none.
+        resume: skip the runs that the folder has.
+
+    Returns:
+        Their summaries, ordered.
+
+    Raises:
+        CommandFailedError: stopped by Ctrl-C; finished runs stay in the folder.
+    """
     from rich.console import Console
     from rich.progress import BarColumn, MofNCompleteColumn, Progress, TextColumn, TimeRemainingColumn
 
     from ..lab import runner
 
-    found: list[dict[str, Any]] = []
+    summaries: list[dict[str, Any]] = []
     try:
         with Progress(
             TextColumn("runs"),
@@ -33,45 +48,48 @@
             console=Console(stderr=True),
             transient=True,
         ) as progress:
-            bar = progress.add_task("", total=len(todo))
-            # Closed here, not when it is collected: Ctrl-C may come while the generator waits for its caller,
-            # and the pool would play all that is left before the process ends.
-            with closing(runner.run_all(todo, jobs, kept, resume, lambda n: progress.advance(bar, n))) as runs:
+            bar = progress.add_task("", total=len(tasks))
+            # Closed before the generator is collected: after Ctrl-C the pool would otherwise finish all tasks.
+            with closing(
+                runner.run_all(tasks, jobs, run_folder, resume, lambda count: progress.advance(bar, count))
+            ) as runs:
                 for summary in runs:
-                    found.append(summary)
+                    summaries.append(summary)
     except KeyboardInterrupt as error:
-        kept_at = f", kept in {kept}; --resume goes on" if kept else ""
-        raise CommandFailedError(f"stopped with {len(found)} of {len(todo)} runs finished{kept_at}") from error
-    return runner.order(found)
+        kept_at = f", kept in {run_folder}; --resume goes on" if run_folder else ""
+        raise CommandFailedError(f"stopped with {len(summaries)} of {len(tasks)} runs finished{kept_at}") from error
+    return runner.order(summaries)
 
 
-def write(into: Path, name: str, axes: list[str], seeds: list[int], found: list[dict[str, Any]]) -> dict[str, Any]:
-    """sweep.json, sweep.csv and report.html, each whole."""
+def write_results(
+    folder: Path, name: str, axes: list[str], seeds: list[int], summaries: list[dict[str, Any]]
+) -> dict[str, Any]:
+    """Writes sweep.json, sweep.csv and report.html, each atomically. Returns the content of sweep.json."""
     from ..lab import record, report
 
     measures = list(report.MEASURES)
-    failures = sorted({s["failure"] for s in found if s["failure"]})
+    failures = sorted({summary["failure"] for summary in summaries if summary["failure"]})
     sweep = {
-        "format": 1,
+        "format": SWEEP_FORMAT,
         "experiment": name,
         "axes": axes,
         "seeds": seeds,
-        "runs": len(found),
-        "failed": sum(bool(s["failure"]) for s in found),
+        "runs": len(summaries),
+        "failed": sum(bool(summary["failure"]) for summary in summaries),
         "failures": failures,
-        "rows": report.table_of(found, measures),
+        "rows": report.table_of(summaries, measures),
     }
-    lines = into / ".sweep.csv"
-    with open(lines, "w", newline="", encoding="utf-8") as f:
-        table = csv.writer(f)
+    temporary = folder / ".sweep.csv"
+    with open(temporary, "w", newline="", encoding="utf-8") as file:
+        table = csv.writer(file)
         table.writerow([*axes, "policy", "seed", *measures])
-        for s in found:
-            table.writerow(
-                [*(s["where"][a] for a in axes), s["policy"], s["seed"], *(report.value(s, m) for m in measures)]
-            )
-    lines.replace(into / "sweep.csv")
-    record.file(into / "sweep.json", record.text_of(sweep))
-    record.file(into / "report.html", report.of_sweep(sweep))
+        for summary in summaries:
+            point = [summary["where"][axis] for axis in axes]
+            values = [report.value(summary, measure) for measure in measures]
+            table.writerow([*point, summary["policy"], summary["seed"], *values])
+    temporary.replace(folder / "sweep.csv")
+    record.file(folder / "sweep.json", record.text_of(sweep))
+    record.file(folder / "report.html", report.of_sweep(sweep))
     return sweep
 
 
@@ -81,12 +99,18 @@
 @options.policies
 @options.jobs
 @options.out
-@click.option("--resume", is_flag=True, help="Go on with what an earlier call left in the folder.")
+@click.option("--resume", is_flag=True, help="Keep the finished runs of an earlier call in the folder.")
 @options.settings
 def command(
-    file: Path, seeds: str, policies: tuple[str, ...], jobs: int, out: Path | None, resume: bool, over: tuple[str, ...]
+    file: Path,
+    seeds: str,
+    policies: tuple[str, ...],
+    jobs: int,
+    out: Path | None,
+    resume: bool,
+    overrides: tuple[str, ...],
 ) -> None:
-    """Play every point of the file's [sweep] under every seed and policy; plot each measure against each axis.
+    """Simulate every point of the file's [sweep] with every seed and policy, and plot each measure over each axis.
 
     \b
     Examples:
@@ -94,28 +118,44 @@
       glenrock lab sweep experiments/lag-and-gains.toml --seeds 0-19 --resume
     Exit codes: 0 done, 1 stopped or a run failed, 2 bad input.
     """
-    names = [options.check_policy(p) for p in policies or ("glenrock",)]
-    which = options.parse_seeds(seeds)
+    policy_names = [options.check_policy(name) for name in policies or ("glenrock",)]
+    seed_numbers = options.parse_seeds(seeds)
     from ..lab import runner, spec
+
+    points = spec.points(file, options.parse_overrides(overrides))
+    axes, experiment = points[0]
+    folder = out or Path("out") / "lab" / f"{experiment.name}-sweep"
+    run_folder = _prepare_run_folder(folder, resume)
+    summaries = run_tasks(runner.tasks(points, seed_numbers, policy_names), jobs, run_folder, resume)
+    sweep = write_results(folder, experiment.name, list(axes), seed_numbers, summaries)
+    _print_sweep(sweep)
+    click.echo(f"results: {folder}/sweep.json, sweep.csv, report.html")
+    if sweep["failed"]:
+        raise CommandFailedError(f"{sweep['failed']} of {sweep['runs']} runs failed: {'; '.join(sweep['failures'])}")
+
+
+def _prepare_run_folder(folder: Path, resume: bool) -> Path:
+    """Creates the folder for single runs, and deletes earlier runs unless they are resumed.
+
+    Raises:
+        InputFileError: the folder cannot be created.
+    """
     from ..toml_file import InputFileError
 
-    points = spec.points(file, options.parse_overrides(over))
-    e = points[0][1]
-    into = out or Path("out") / "lab" / f"{e.name}-sweep"
+    run_folder = folder / "runs"
     try:
-        (into / "runs").mkdir(parents=True, exist_ok=True)
+        run_folder.mkdir(parents=True, exist_ok=True)
     except OSError as error:
-        raise InputFileError(f"{into}: {error.strerror or error}") from error
+        raise InputFileError(f"{folder}: {error.strerror or error}") from error
     if not resume:
-        for old in (into / "runs").glob("*.json"):
-            old.unlink()
-    found = play(runner.tasks(points, which, names), jobs, into / "runs", resume)
-    sweep = write(into, e.name, list(points[0][0]), which, found)
-    for r in sweep["rows"]:
-        goal, broken = r["values"]["worth.goal"], r["values"]["rules_broken"]
-        where = ", ".join(f"{k} {v}" for k, v in r["where"].items())
+        for earlier_run in run_folder.glob("*.json"):
+            earlier_run.unlink()
+    return run_folder
+
+
+def _print_sweep(sweep: dict[str, Any]) -> None:
+    for row in sweep["rows"]:
+        goal, violations = row["values"]["worth.goal"], row["values"]["rules_broken"]
+        point = ", ".join(f"{axis} {value}" for axis, value in row["where"].items())
         figure = f"goal {goal[0]:.3f} [{goal[1]:.3f}, {goal[2]:.3f}]" if goal else "failed"
-        click.echo(f"{where + ': ' if where else ''}{r['policy']}: {figure}, breaches a run {broken[0]:g}")
-    click.echo(f"results: {into}/sweep.json, sweep.csv, report.html")
-    if sweep["failed"]:
-        raise CommandFailedError(f"{sweep['failed']} of {sweep['runs']} runs failed: {'; '.join(sweep['failures'])}")
+        click.echo(f"{point + ': ' if point else ''}{row['policy']}: {figure}, breaches a run {violations[0]:g}")
--- a/glenrock/cli/store_queries.py
+++ b/glenrock/cli/store_queries.py
@@ -1,4 +1,4 @@
-"""What the sub-commands of `glenrock fleet` share: the operator's file, its store, and balancers' own view."""
+"""Queries that the sub-commands of `glenrock fleet` share: of the store, and of balancers."""
 
 from __future__ import annotations
 
@@ -20,21 +20,22 @@
 
 T = TypeVar("T")
 ANSWER_TIMEOUT_S = 5.0
+MICROSECONDS = 1_000_000  # of a second
 
 file_option = click.option(
     "--file",
     type=click.Path(path_type=Path),
     envvar="LB_FLEET",
     required=True,
-    help="The operator's file; LB_FLEET where it is not given.",
+    help="The coordination file; default LB_FLEET.",
 )
 
 
 def query_store(path: Path, query: Callable[[LeaseStore], Awaitable[T]]) -> T:
-    """The result of a query on the store that the operator\'s file names.
+    """Returns the result of a query on the store that the coordination file names.
 
     Raises:
-        CommandFailedError: the store is not there, or does not answer within 5 s.
+        CommandFailedError: the store does not exist, or does not answer within 5 s.
     """
     from ..coordination import config
     from ..coordination.agent import build_store
@@ -44,7 +45,7 @@
     if settings.store.kind == "sqlite" and not Path(settings.store.path).exists():
         raise CommandFailedError(f"the store {settings.store.path} is not there: no balancer has used it yet")
 
-    async def ask() -> T:
+    async def run_query() -> T:
         store = build_store(settings, "operator")
         try:
             return await asyncio.wait_for(query(store), ANSWER_TIMEOUT_S)
@@ -52,32 +53,32 @@
             await store.close()
 
     try:
-        return asyncio.run(ask())
+        return asyncio.run(run_query())
     except (StoreUnavailableError, TimeoutError, OSError) as error:
         raise CommandFailedError(f"the store does not answer: {error or 'no answer in time'}") from error
 
 
 def fetch_view(address: str) -> dict[str, Any]:
-    """A balancer\'s own view, from its operators\' address, `host:port`.
+    """Returns the coordination view of a balancer, from its operators' address `host:port`.
 
     Raises:
-        CommandFailedError: it does not answer, or does nothing together with others.
+        CommandFailedError: the balancer does not answer, or has no coordination configured.
     """
     try:
-        with urllib.request.urlopen(f"http://{address}/v1/fleet", timeout=ANSWER_TIMEOUT_S) as answer:
-            found: dict[str, Any] = json.loads(answer.read())
-            return found
+        with urllib.request.urlopen(f"http://{address}/v1/fleet", timeout=ANSWER_TIMEOUT_S) as response:
+            view: dict[str, Any] = json.loads(response.read())
+            return view
     except urllib.error.HTTPError as error:
         raise CommandFailedError(f"{address}: {error.code}: nothing is done together there") from error
     except (OSError, ValueError) as error:
         raise CommandFailedError(f"{address}: {error}") from error
 
 
-def local_time(unix_s: float) -> str:
-    """Date and time of day on this machine."""
+def format_local_time(unix_s: float) -> str:
+    """Formats a Unix time as date and time in the machine's time zone."""
     return time.strftime("%Y-%m-%d %H:%M:%S", time.localtime(unix_s))
 
 
-def seconds_left(us: int) -> str:
-    """The rest of a lease, given in microseconds; a dash where the store does not tell it."""
-    return "-" if us < 0 else f"{us / 1e6:.1f} s"
+def format_seconds_left(left_us: int) -> str:
+    """Formats the remaining time of a lease in seconds; a dash if it is negative, which means unknown."""
+    return "-" if left_us < 0 else f"{left_us / MICROSECONDS:.1f} s"
