--- /dev/null
+++ b/tests/cli/conftest.py
@@ -0,0 +1,31 @@
+from __future__ import annotations
+
+import subprocess
+import sys
+from pathlib import Path
+
+import pytest
+
+ROOT = Path(__file__).resolve().parents[2]
+COMMAND = [sys.executable, "-c", "from glenrock.cli import main; main()"]
+SMALL_EXPERIMENT = """name = "small"
+length_s = 10.0
+[fleet]
+balancers = 2
+instances = 4
+[traffic]
+life_s = 8.0
+"""
+
+
+@pytest.fixture
+def experiment(tmp_path: Path) -> Path:
+    """Writes an experiment that takes little time."""
+    path = tmp_path / "small.toml"
+    path.write_text(SMALL_EXPERIMENT)
+    return path
+
+
+def run_process(*arguments: object) -> subprocess.CompletedProcess:
+    """Runs a command line in a process."""
+    return subprocess.run([*COMMAND, *map(str, arguments)], capture_output=True, text=True, cwd=ROOT, timeout=120)
--- /dev/null
+++ b/tests/cli/test_main.py
@@ -0,0 +1,84 @@
+"""Exit codes of invalid input, `check`, `lab list`, and what serving imports."""
+
+from __future__ import annotations
+
+import os
+import subprocess
+import sys
+from pathlib import Path
+
+import pytest
+
+from glenrock.cli.main import run
+
+from .conftest import ROOT
+
+
+@pytest.mark.parametrize(
+    "arguments,message",
+    [
+        (["lab", "run", "nowhere.toml"], "nowhere.toml: No such file or directory"),
+        (["lab", "run", "SMALL", "--policy", "best"], "--policy best: not one of glenrock, random"),
+        (["lab", "run", "SMALL", "--seed", "x"], "'x' is not a valid integer"),
+        (["lab", "run", "SMALL", "--seed", "-1"], "-1 is not in the range"),
+        (["lab", "run", "SMALL", "--set", "fleet.balancers=0"], "fleet.balancers: Expected `int` >= 1"),
+        (["lab", "run", "SMALL", "--set", "fleet"], "--set fleet: expected KEY=VALUE"),
+        (["lab", "run", "SMALL", "--out", "/proc/no/such"], "/proc/no/such: "),
+        (["lab", "run", "SMALL", "--out", "FULL"], "holds other things than results"),
+        (["lab", "run", "SMALL", "--out", "SMALL"], "not a folder"),
+        (["lab", "sweep", "SMALL", "--seeds", "none"], "--seeds none: expected a count"),
+        (["lab", "compare", "SMALL", "SMALL"], "neither a folder of results nor FILE@POLICY"),
+        (["lab", "report", "FULL"], "summary.json: No such file or directory"),
+        (["lab", "fly"], "No such command 'fly'"),
+        (["check", "SMALL", "--fast"], "No such option"),
+        (["check", "x.yaml"], "neither .toml nor .json"),
+        (["serve", "--config", "nowhere.json"], "LB_CONFIG: cannot read nowhere.json"),
+    ],
+)
+def test_invalid_input_is_reported_in_one_line_with_exit_code_2(
+    experiment: Path, tmp_path: Path, capsys, monkeypatch, arguments, message
+) -> None:
+    monkeypatch.setenv("LB_CONFIG", "")
+    full = tmp_path / "full"
+    full.mkdir()
+    (full / "letter.txt").write_text("mine")
+    paths = {"SMALL": str(experiment), "FULL": str(full)}
+    assert run([paths.get(argument, argument) for argument in arguments]) == 2
+    error_output = capsys.readouterr().err
+    assert error_output.count("\n") == 1 and error_output.startswith("glenrock: ") and message in error_output
+    assert (full / "letter.txt").read_text() == "mine" and len(list(full.iterdir())) == 1
+    assert not (tmp_path / "out").exists()
+
+
+def test_check_and_list_accept_valid_files(experiment: Path, tmp_path: Path, capsys) -> None:
+    assert run(["check", str(experiment)]) == 0
+    config = tmp_path / "c.json"
+    config.write_text(
+        '{"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": {"classes": ['
+        '{"name": "a", "targetUs": 1, "deadlineUs": 2}]}}'
+    )
+    assert run(["check", str(config)]) == 0
+    assert run(["lab", "list", "--folder", str(ROOT / "experiments")]) == 0
+    output = capsys.readouterr().out
+    assert all(word in output for word in ("sound", "crash-quarter.toml", "prequal", "zone_cut"))
+    config.write_text("{}")
+    assert run(["check", str(config)]) == 2
+
+
+def test_serving_imports_no_tools() -> None:
+    code = (
+        "import sys, glenrock.__main__; found = ' '.join(sorted({m.split('.')[0] for m in sys.modules} & "
+        "{'click', 'msgspec', 'numpy', 'matplotlib', 'rich', 'jinja2', 'hdrh', 'xxhash', 'structlog', 'aiohttp'}))"
+    )
+    tools = ("glenrock.lab", "glenrock.testbed", "glenrock.coordination")
+    code += f"; found += ' '.join(m for m in sys.modules if m.startswith({tools}))"
+    code += "\nsys.exit(found or 0)"
+    done = subprocess.run(
+        [sys.executable, "-c", code],
+        capture_output=True,
+        text=True,
+        cwd=ROOT,
+        timeout=60,
+        env={**os.environ, "PYTHONPATH": str(ROOT)},
+    )
+    assert done.returncode == 0, done.stderr
