--- a/tests/routing/test_layout.py
+++ b/tests/routing/test_layout.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import ast
+import importlib
 import tomllib
 from pathlib import Path
 
@@ -70,3 +71,31 @@
                 emitting.add(str(path.relative_to(ROOT)))
     assert emitting, "no action was found: the way in which modules emit has changed"
     assert emitting <= set(DEPLOY["policy"]), f"not named as policy: {sorted(emitting - set(DEPLOY['policy']))}"
+
+
+def test_each_number_that_limits_or_tunes_is_on_the_capacity_page() -> None:
+    """Numbers of the wires and of arithmetic are excepted by module or by name."""
+    page = (ROOT / "docs/capacity.md").read_text()
+    excepted_modules = {"simulator_adapter", "simulator_codec", "settings_codec"}
+    excepted = {"SECOND_US", "NO_CAP", "NO_BUCKET", "UNLIMITED", "VERSION"}
+    excepted |= {
+        "BITS",
+        "MASK",
+        "STEP",
+        "FIRST_MULTIPLIER",
+        "SECOND_MULTIPLIER",
+        "LANE_BITS",
+        "ONES",
+        "LOW_BITS",
+        "STEPS",
+    }
+    missing = []
+    for path in MODULES:
+        module = importlib.import_module(f"glenrock.routing.{path.stem}")
+        for node in ast.parse(path.read_text()).body:
+            targets = node.targets if isinstance(node, ast.Assign) else []
+            for name in (target.id for target in targets if isinstance(target, ast.Name)):
+                is_number = isinstance(getattr(module, name), int | float)
+                if is_number and name.isupper() and name not in excepted and f"`{name}`" not in page:
+                    missing.append(f"{path.stem}.{name}")
+    assert not [name for name in missing if name.partition(".")[0] not in excepted_modules]
