--- a/glenrock/routing/admission.py
+++ b/glenrock/routing/admission.py
@@ -94,7 +94,7 @@
         bucket = client.bucket if client else self.waiting_queue.current_bucket()
         is_admitted = self._fits_cap(request, bucket, is_waiting=client is not None)
         if not is_admitted and self._fits_warming_server(request):
-            is_admitted = request.slow_start_only = True
+            is_admitted = request.is_slow_start_only = True
         if is_admitted:
             self.waiting_queue.remove(request.key)
             self.sessions.add_connection(request)
--- a/glenrock/routing/balancer.py
+++ b/glenrock/routing/balancer.py
@@ -259,7 +259,7 @@
     def count_avoided(self, server_ids: Iterable[str]) -> int:
         """Returns how many of these servers are suspended, ejected, not ready or not known."""
         found = (self.servers.get(server_id) for server_id in server_ids)
-        return sum(s is None or not s.ready or not self.ejection.is_usable(s) for s in found)
+        return sum(s is None or not s.is_ready or not self.ejection.is_usable(s) for s in found)
 
     # -- events --------------------------------------------------------------------------------------
 
--- a/glenrock/routing/capacity_estimation.py
+++ b/glenrock/routing/capacity_estimation.py
@@ -96,7 +96,7 @@
         present = {server.id for server in warm}
         added = [self._loads.load(server) for server in warm if server.id not in self._in_reach]
         missing = [self._servers[id_] for id_ in self._in_reach - present if id_ in self._servers]
-        lost = sum(server.ready for server in missing)
+        lost = sum(server.is_ready for server in missing)
         if self._in_reach and warm and (added or lost):
             self._guess_fleet_load(len(warm), added, lost)
         self._in_reach = present or self._in_reach
@@ -149,7 +149,7 @@
         """
         if all(server.usual_capacity or load <= 1 for server, load in observed):
             return [server.capacity_ratio for server, _ in observed]
-        known = [s.reported_load for s in self._servers.values() if s.ready and s.reported_load >= 0]
+        known = [s.reported_load for s in self._servers.values() if s.is_ready and s.reported_load >= 0]
         loads = sorted(known) or [1.0]
         median = loads[(len(loads) - 1) // 2]
         return [
--- a/glenrock/routing/endpoint_table.py
+++ b/glenrock/routing/endpoint_table.py
@@ -25,7 +25,7 @@
 
 class _Change(NamedTuple):
     ring_change: RingChange[Server]
-    in_zone: bool
+    is_in_zone: bool
 
 
 class EndpointTable:
@@ -74,12 +74,12 @@
         server = self.servers.get(event.server)
         if changed and server:
             self._restarted(server, max(server.started_us, self._overrides.started_us(server.id, 0)))
-            self._set_listed(server, server.listed)
+            self._set_listed(server, server.is_listed)
             self._change_rings()
 
     def start_draining(self, server: Server) -> None:
         """Starts the migration off a server that was not ready when its connection was adopted."""
-        if not server.ready and not server.migrate_by_us:
+        if not server.is_ready and not server.migrate_by_us:
             server.migrate_by_us = self._batch.now_us + self._migration_us
 
     def ready_servers(self) -> Sequence[Server]:
@@ -112,22 +112,22 @@
         return server
 
     def _set_listed(self, server: Server, is_listed: bool) -> None:
-        server.listed = is_listed
-        ready = is_listed and self._overrides.allows(server.id)
-        if server.ready == ready:
+        server.is_listed = is_listed
+        is_ready = is_listed and self._overrides.allows(server.id)
+        if server.is_ready == is_ready:
             return
-        server.ready = ready
+        server.is_ready = is_ready
         self.index.invalidate_ready()
         # A server that is gone has clients to migrate too: its machine may have left connections open.
-        server.migrate_by_us = 0 if ready else self._batch.now_us + self._migration_us
-        in_zone = server.zone == self._settings.zone and self._settings.cross_zone_cost > 0
-        change = RingChange(server, ring_points(server.hash), ready)
-        self._changes.append(_Change(change, in_zone))
+        server.migrate_by_us = 0 if is_ready else self._batch.now_us + self._migration_us
+        is_in_zone = server.zone == self._settings.zone and self._settings.cross_zone_cost > 0
+        change = RingChange(server, ring_points(server.hash), is_ready)
+        self._changes.append(_Change(change, is_in_zone))
 
     def _change_rings(self) -> None:
         """Applies all pending changes at once: thousands of single changes would take seconds."""
         self.ring.change([change.ring_change for change in self._changes])
-        self.zone_ring.change([change.ring_change for change in self._changes if change.in_zone])
+        self.zone_ring.change([change.ring_change for change in self._changes if change.is_in_zone])
         self._changes.clear()
 
 
--- a/glenrock/routing/hash_ring.py
+++ b/glenrock/routing/hash_ring.py
@@ -43,11 +43,11 @@
 
 
 class RingChange(NamedTuple, Generic[Member]):
-    """A member with its points; `present` adds it to the ring, otherwise it is removed."""
+    """A member with its points; `is_present` adds it to the ring, otherwise it is removed."""
 
     member: Member
     points: tuple[int, ...]
-    present: bool
+    is_present: bool
 
 
 def mix(x: int) -> int:
@@ -90,14 +90,14 @@
 
     def change(self, changes: Sequence[RingChange[Member]]) -> None:
         """Adds each member that is present and removes the others, in the given order."""
-        self._resize(self._count + POINTS * sum(present for _, _, present in changes))
+        self._resize(self._count + POINTS * sum(is_present for _, _, is_present in changes))
         buckets, shift = self._buckets, self._shift
         are_many = len(changes) > len(buckets)
         if are_many:
             self._sorted = [None] * len(buckets)
-        for member, points, present in changes:
+        for member, points, is_present in changes:
             for point in points:
-                if present:
+                if is_present:
                     buckets[point >> shift].setdefault(
                         point, member
                     )  # a shared point stays with its first member
--- a/glenrock/routing/health_checks.py
+++ b/glenrock/routing/health_checks.py
@@ -145,14 +145,14 @@
     def _check_inherited_load(self) -> None:
         """Checks servers without a report that hold connections from before this balancer started."""
         for server in self.endpoints.index.with_connections():
-            if server.ready and server.reported_load < 0 and len(server.connections) >= ENOUGH_CONNECTIONS:
+            if server.is_ready and server.reported_load < 0 and len(server.connections) >= ENOUGH_CONNECTIONS:
                 self.send(server)
 
     def _check_silent_servers(self) -> None:
         """Checks busy servers with connections and no fresh report, where slow messages are not reported."""
         for server in self.endpoints.index.with_connections():
             is_stale = self.batch.now_us - server.reported_at_us > FRESH_REPORT_US
-            if not server.ready or not is_stale:
+            if not server.is_ready or not is_stale:
                 continue
             if max(self.loads.fleet_load, self.selection.expected_load(server)) > QUIET_LOAD:
                 self.send(server)
--- a/glenrock/routing/migration.py
+++ b/glenrock/routing/migration.py
@@ -70,12 +70,12 @@
         its clients, and overloaded servers would not. The bound brings the other servers to the target load,
         by this balancer's part of their load.
         """
-        if not server.listed or self.overrides.allows(server.id):
+        if not server.is_listed or self.overrides.allows(server.id):
             return float("inf")
         load_elsewhere = sum(
             request.load
             for other in self.index.with_connections()
-            if other.ready
+            if other.is_ready
             for request in other.connections.values()
         )
         if not load_elsewhere:
--- a/glenrock/routing/outlier_ejection.py
+++ b/glenrock/routing/outlier_ejection.py
@@ -51,7 +51,7 @@
 
         A server that is draining, or suspended by an operator, is not ready and receives nothing.
         """
-        is_allowed = server.ready and (self.is_usable(server) or self.is_panicking)
+        is_allowed = server.is_ready and (self.is_usable(server) or self.is_panicking)
         return is_allowed and self.slow_start.headroom(server) >= load
 
     def is_usable(self, server: Server) -> bool:
--- a/glenrock/routing/request_lifecycle.py
+++ b/glenrock/routing/request_lifecycle.py
@@ -84,7 +84,7 @@
     def adopt(self, request: RoutedRequest, server: Server) -> None:
         """Takes over a connection that was open at a server before this balancer started."""
         request.attempts.append(Attempt(server, self.batch.now_us))
-        request.server, request.answered = server, True
+        request.server, request.is_answered = server, True
         self.requests[request.event.id] = request
         self._record_connection(request, server)
         self.sessions.add_connection(request)
@@ -162,10 +162,10 @@
     def establish(self, event: ConnectionEstablished) -> None:
         """Handles an attempt that established its connection."""
         request = self.requests.get(event.id)
-        if request is None or request.answered or not 0 <= event.attempt < len(request.attempts):
+        if request is None or request.is_answered or not 0 <= event.attempt < len(request.attempts):
             return
         server = request.attempts[event.attempt].server
-        request.server, request.answered = server, True
+        request.server, request.is_answered = server, True
         self._record_connection(request, server)
         server.consecutive_failures = 0
         self.ejection.record_reachable(server)
@@ -208,7 +208,7 @@
             if not event.is_final and not request.event.is_midstream:
                 self.batch.emit(Fail(event.id))
             self._forget(request, keep_session)
-        elif not request.answered:
+        elif not request.is_answered:
             self._route(request)
 
     # -- the end of a request ------------------------------------------------------------------------
@@ -221,7 +221,7 @@
     def timer_fired(self, request_id: str) -> None:
         """Ends a request whose deadline is near, or sends one whose wait for health checks is over."""
         request = self.requests.get(request_id)
-        if request is None or request.answered:
+        if request is None or request.is_answered:
             return
         if self.retries.is_overdue(request):
             self._end(request)
@@ -234,7 +234,7 @@
 
     def _end(self, request: RoutedRequest) -> None:
         """Rejects or fails a request that was admitted and could not be served."""
-        if request.answered:
+        if request.is_answered:
             return
         if self.settings.may_cancel:
             for number, attempt in enumerate(request.attempts):
@@ -251,7 +251,7 @@
         request_id = request.event.id
         if not request.server and request.attempt_is_in_flight:
             self.concurrency.record_abandoned()
-        request.answered = True
+        request.is_answered = True
         self.requests.pop(request_id, None)
         self._awaiting_server.pop(request_id, None)
         self._awaiting_checks.pop(request_id, None)
--- a/glenrock/routing/retries.py
+++ b/glenrock/routing/retries.py
@@ -41,7 +41,7 @@
 
     def may_attempt(self, request: RoutedRequest) -> bool:
         """Returns whether a further attempt is allowed at any server."""
-        if request.answered or request.server or len(request.attempts) >= self.settings.max_attempts:
+        if request.is_answered or request.server or len(request.attempts) >= self.settings.max_attempts:
             return False
         return not request.attempt_is_in_flight and not self.is_overdue(request)
 
@@ -49,13 +49,12 @@
         """Returns whether the request may be sent to that server now. Every send is subject to this rule."""
         if not self.may_attempt(request) or not self.ejection.may_receive(server, request.load):
             return False
-        return self._is_safe_to_execute_at(request, server)
-
-    def _is_safe_to_execute_at(self, request: RoutedRequest, server: Server) -> bool:
-        """Returns whether the request, sent to that server, cannot take effect twice."""
         first = request.first_executed
-        request_class = request.request_class
-        if first is None or request_class.idempotency == Idempotency.SAFE:
+        return first is None or self._is_safe_to_retry(request.request_class, first, server)
+
+    def _is_safe_to_retry(self, request_class: RequestClass, first: Attempt, server: Server) -> bool:
+        """Returns whether a request that may have executed cannot take effect again at that server."""
+        if request_class.idempotency == Idempotency.SAFE:
             return True
         if request_class.idempotency == Idempotency.UNSAFE:
             return False
@@ -68,7 +67,7 @@
 
     def may_reject(self, request: RoutedRequest) -> bool:
         """Returns whether the request may be rejected: the retry that this invites must be harmless."""
-        if request.answered or request.server:
+        if request.is_answered or request.server:
             return False
         request_class = request.request_class
         has_global_key = (
--- a/glenrock/routing/server_index.py
+++ b/glenrock/routing/server_index.py
@@ -45,7 +45,7 @@
     def ready(self) -> list[Server]:
         """Ready servers. The list object stays the same until its content changes; do not modify it."""
         if self._ready is None:
-            self._ready = [server for server in self._servers.values() if server.ready]
+            self._ready = [server for server in self._servers.values() if server.is_ready]
         return self._ready
 
     def with_connections(self) -> list[Server]:
--- a/glenrock/routing/server_selection.py
+++ b/glenrock/routing/server_selection.py
@@ -54,7 +54,7 @@
         tried = request.tried_servers()
         self.ejection.update_panic()
         found = self._warming_candidates(request, seed, tried)
-        if request.slow_start_only or not self.endpoints.ring:
+        if request.is_slow_start_only or not self.endpoints.ring:
             return found[:MAX_CANDIDATES]
         home = self.affinity.server_of(group)
         if home and home not in found and home.id not in tried and self.retries.may_send(request, home):
@@ -68,7 +68,7 @@
 
         As ordinary candidates they would stay nearly empty: each of many balancers may rarely send to them.
         """
-        if not request.slow_start_only and self.loads.fleet_load <= load_targets.TARGET_LOAD:
+        if not request.is_slow_start_only and self.loads.fleet_load <= load_targets.TARGET_LOAD:
             return []
         found = [
             server
--- a/glenrock/routing/state.py
+++ b/glenrock/routing/state.py
@@ -38,7 +38,8 @@
     """A server, as listed and as observed from this balancer. Its loads are fractions of its capacity.
 
     Attributes:
-        ready: listed as ready, and not suspended by an operator.
+        is_ready: listed as ready, and not suspended by an operator.
+        is_listed: listed as ready.
         reported_load: last reported load; below 0 if it is not known.
         unreported_load: load sent there that no report can show yet, in total; `recent_sends` has its parts.
         own_load_history: this balancer's load there, round by round.
@@ -62,8 +63,8 @@
     zone: str
     cell: int
     hash: int
-    ready: bool = False
-    listed: bool = False
+    is_ready: bool = False
+    is_listed: bool = False
     started_us: int = 0
     weight: float = 1.0
     reported_load: float = -1.0
@@ -123,8 +124,8 @@
         key: identity of the client; the request's id if the client named none.
         load: load of the connection, as hinted, reported or expected.
         server: where the connection is established; None before.
-        answered: the request has its final answer or its connection.
-        slow_start_only: admitted for servers that are warming up only.
+        is_answered: the request has its final answer or its connection.
+        is_slow_start_only: admitted for servers that are warming up only.
         pending_checks: ids of the servers whose health checks the request awaits.
         candidates: servers drawn for the request; those of a group in the group's order.
     """
@@ -136,8 +137,8 @@
     arrived_us: int
     attempts: list[Attempt] = field(default_factory=list)
     server: Server | None = None
-    answered: bool = False
-    slow_start_only: bool = False
+    is_answered: bool = False
+    is_slow_start_only: bool = False
     pending_checks: set[str] = field(default_factory=set)
     candidates: list[Server] = field(default_factory=list)
 
--- a/tests/admin/test_metrics.py
+++ b/tests/admin/test_metrics.py
@@ -35,7 +35,7 @@
     names = [f"s{n}:1" for n in range(4096)]
     balancer = make_harness(names=names).balancer
     for n in range(0, 4096, 4):
-        balancer.servers[names[n]].ready = False
+        balancer.servers[names[n]].is_ready = False
     started_s = time.process_time()
     assert balancer.count_avoided([*names, "never:1"]) == 1025
     assert time.process_time() - started_s < MAX_COUNT_S
--- a/tests/routing/test_hash_ring.py
+++ b/tests/routing/test_hash_ring.py
@@ -24,9 +24,9 @@
         self.points: dict[int, Member] = {}
 
     def change(self, changes) -> None:
-        for member, points, present in changes:
+        for member, points, is_present in changes:
             for point in points:
-                if present:
+                if is_present:
                     self.points.setdefault(point, member)
                 else:
                     self.points.pop(point, None)
@@ -52,7 +52,7 @@
     members[7].hash = members[8].hash  # they share every point, which the first keeps
     ring, expected_ring = HashRing(), SortedListRing()
     for n, changes in enumerate(lists):
-        ring_changes = [RingChange(members[m], ring_points(members[m].hash), present) for m, present in changes]
+        ring_changes = [RingChange(members[m], ring_points(members[m].hash), is_present) for m, is_present in changes]
         ring.change(ring_changes)
         expected_ring.change(ring_changes)
         assert len(ring) == len(expected_ring.points)
--- a/tests/routing/test_load_estimation.py
+++ b/tests/routing/test_load_estimation.py
@@ -180,7 +180,7 @@
     load = data.draw(st.floats(0.2, 0.6))
     batch = EventBatch()
     servers = [
-        Server(f"s{n}", "", 0, n, ready=True, reported_load=8.0 if n < hanging_count else load)
+        Server(f"s{n}", "", 0, n, is_ready=True, reported_load=8.0 if n < hanging_count else load)
         for n in range(server_count)
     ]
     capacity = CapacityEstimator(
--- a/tests/routing/test_operator_overrides.py
+++ b/tests/routing/test_operator_overrides.py
@@ -117,12 +117,12 @@
     harness.deliver(interface.OperatorOverride(NAMES[0], True))
     harness.deliver(interface.OperatorOverride(NAMES[0], True))
     s = harness.balancer.servers[NAMES[0]]
-    assert not s.ready and harness.balancer.slow_start.warmth(s) == 1
+    assert not s.is_ready and harness.balancer.slow_start.warmth(s) == 1
     harness.advance(SECOND)
     harness.deliver(interface.OperatorOverride(NAMES[0], False))
-    assert s.ready and harness.balancer.slow_start.warmth(s) < 0.2
+    assert s.is_ready and harness.balancer.slow_start.warmth(s) < 0.2
     harness.deliver(endpoint_list(interface.EndpointListKind.FULL, NAMES, started_us=0))
-    assert s.ready and harness.balancer.slow_start.warmth(s) < 0.2
+    assert s.is_ready and harness.balancer.slow_start.warmth(s) < 0.2
     harness.deliver(interface.OperatorOverride(NAMES[0], False))  # a repeated return changes nothing
     assert s.started_us == harness.now_us
 
@@ -133,12 +133,12 @@
     harness.list_servers(*NAMES[1:])
     assert NAMES[0] not in harness.balancer.servers
     harness.list_servers(*NAMES)
-    assert not harness.balancer.servers[NAMES[0]].ready
+    assert not harness.balancer.servers[NAMES[0]].is_ready
     harness.list_servers(*NAMES[1:])
     harness.deliver(interface.OperatorOverride(NAMES[0], False))
     harness.list_servers(*NAMES)
     assert (
-        harness.balancer.servers[NAMES[0]].ready
+        harness.balancer.servers[NAMES[0]].is_ready
         and harness.balancer.slow_start.warmth(harness.balancer.servers[NAMES[0]]) < 0.2
     )
 
