--- a/glenrock/cli/stage_live.py
+++ b/glenrock/cli/stage_live.py
@@ -39,18 +39,20 @@
 def table_of(bed: ScenarioTestbed) -> Table:
     """The table: a row for each balancer, with the faults that are on above it."""
     on = (
-        ", ".join(f"{s.kind} ({', '.join(sorted(s.parties)) or 'datagrams'})" for s in bed.history.active_intervals())
+        ", ".join(f"{s.kind} ({', '.join(sorted(s.parties)) or 'datagrams'})" for s in bed.history.active_faults())
         or "no fault"
     )
     out = Table(title=f"{bed.scenario.name}, {bed.clients.seconds():.0f} of {bed.length_s:.0f} s: {on}")
     for name in ("balancer", "state", "connections", "life", "last said"):
         out.add_column(name)
     for b in bed.balancers:
-        state = "asleep" if b.paused else "up" if b.up else "down"
+        state = "asleep" if b.is_paused else "up" if b.is_running else "down"
         state += "" if b.number in bed.frontend.known else ", left out"
         held = sum(a.balancer == b.number for s in bed.servers for a in s.open_now)
-        said = next((e.data["text"] for e in reversed(bed.history.events) if e.what == "log" and e.who == b.name), "")
-        out.add_row(b.name, state, str(held), str(b.lives), said[:60])
+        said = next(
+            (e.data["text"] for e in reversed(bed.history.events) if e.kind == "log" and e.party == b.party), ""
+        )
+        out.add_row(b.party, state, str(held), str(b.incarnation), said[:60])
     loads = " ".join(
         f"{s.model.demand / max(1e-9, s.model.capacity(bed.engine.now)):.2f}" if s.model.up else "-"
         for s in bed.servers
--- a/glenrock/cli/stage_run.py
+++ b/glenrock/cli/stage_run.py
@@ -76,7 +76,7 @@
     from ..lab import record
 
     record.write_tables(beside, bed.measure, bed.scenario, [s.name for s in bed.servers], summary)
-    lines = (e.line(bed.history.day) for e in bed.history.events)
+    lines = (e.text(bed.history.measured_from_us) for e in bed.history.events)
     (beside / "history.txt").write_text("".join(f"{line}\n" for line in lines), encoding="utf-8")
 
 
--- a/glenrock/testbed/clients.py
+++ b/glenrock/testbed/clients.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from .loopback import Address, reset_connection
-from .records import ConnectionEnd, RequestRecord, RunRecord
+from .records import ConnectionEnd, Idempotency, RequestRecord, RunRecord
 
 LATE_ANSWER_S = 3.0  # an answer is awaited this long past the deadline, so that a late one is told from none
 STANDING_WAIT_S = 40.0
@@ -65,7 +65,7 @@
     def __init__(self, plan: ClientPlan, address: Address, record: RunRecord) -> None:
         self.plan = plan
         self.request = RequestRecord(
-            plan.request_id, plan.balancer, plan.deadline_ms, plan.standing_at, effect=plan.effect
+            plan.request_id, plan.balancer, plan.deadline_ms, plan.standing_at, Idempotency(plan.effect)
         )
         self.up = asyncio.Event()
         self.ended = asyncio.Event()
@@ -149,6 +149,7 @@
             return False
         request.answer = line.decode("latin-1").strip()
         request.answered_s = time.monotonic()
+        request.answers = 1
         return True
 
     async def _use(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -174,7 +175,7 @@
         expected = f"hello {request.request_id}\r\n".encode()
         while line := await reader.readline():
             if line == b"MOVE\r\n":
-                request.moved = True
+                request.is_migrated = True
             elif line == b"BYE\r\n":
                 continue
             elif line == expected:
--- a/glenrock/testbed/coordination_invariants.py
+++ b/glenrock/testbed/coordination_invariants.py
@@ -1,124 +1,123 @@
-"""What the judge asks of work that balancers do together. Pure; figures of it for the summary.
-
-`terms`: no receiver takes an effect of a lower term than it has taken, nor one twice, over its restarts.
-`tickets`: no more balancers are away by hand at once than there are tickets.
-`banned`: no balancer sends anything new to an instance from 1 s after an operator was told that it is out.
-`agreed`: at the end all say the same.
-"""
+"""Invariants of coordination: terms, drain permits, operators' overrides, and agreement at the end. Pure."""
 
 from __future__ import annotations
 
 from collections import defaultdict
-from typing import Any
 
-from .history import History
-from .history_invariants import MS, SLACK_MS, Figures, Verdict, party, register, tell
+from .check_context import CheckContext, Disturbance
+from .invariant import Invariant, Violation
+from .records import STORE, AttemptRecord, EffectRecord, OverrideRecord, balancer_party
+from .request_invariants import SLACK_S
+
+OVERRIDE_PROPAGATION_S = 1.0  # an acknowledged suspension reaches every balancer that can be reached
+DRAIN_LOOK_GAP_S = 0.6  # the front end looks at a draining balancer more often than this
+HTTP_OK = 200
 
-REACHED_MS = 1000  # a ban told once reaches every balancer that can be reached
-LOOK_GAP_MS = 600  # looks of the front at one balancer come closer than this while it is away
 
+def check_term_order(context: CheckContext) -> None:
+    """A receiver accepts no effect of a lower term than it has accepted, nor one effect twice, over its restarts.
 
-def terms(h: History, figures: Figures, v: Verdict) -> None:
+    Acknowledgements to different lease holders take different paths, so they are put in the receiver's own order.
+    """
     last: dict[tuple[str, str], tuple[int, int]] = {}
-    lives: dict[str, int] = defaultdict(int)
-    judged = []
-    for e in h.events:
-        lives[e.who] += e.what == "started"
-        if e.what == "effect":
-            # Answers to different owners go different ways; the receiver says in which order it judged.
-            judged.append((lives[e.who], e.data["order"], e))
-    for _, _, e in sorted(judged, key=lambda x: x[:2]):
-        if not e.data["ok"]:
-            v.seen["late"] += e.data["term"] < e.data["seen"]
+    for effect in sorted(context.record.effects, key=lambda effect: (effect.incarnation, effect.order)):
+        if not effect.is_accepted:
             continue
-        v.case("terms")
-        key, mark = (e.who, e.data["job"]), (e.data["term"], e.data["number"])
-        if mark <= last.get(key, (0, 0)):
-            tell(h, v, "terms", e, f"{e.who} took {mark} of {e.data['job']} after {last[key]}", "")
-        last[key] = max(mark, last.get(key, (0, 0)))
+        context.count_case(Invariant.TERM_ORDER)
+        key, mark = (effect.receiver, effect.job), (effect.term, effect.number)
+        highest = last.get(key, (0, 0))
+        if mark <= highest:
+            context.report(_term_violation(effect, highest))
+        last[key] = max(mark, highest)
+
+
+def _term_violation(effect: EffectRecord, highest: tuple[int, int]) -> Violation:
+    text = (
+        f"{effect.receiver} accepted {effect.job} term {effect.term} number {effect.number} "
+        f"after term {highest[0]} number {highest[1]}"
+    )
+    return Violation(Invariant.TERM_ORDER, effect.at_s, text)
 
 
-def tickets(h: History, figures: Figures, v: Verdict) -> None:
-    """Away by hand is what the front sees: from the first ERR to the last of one row of looks."""
-    if not figures.tickets:
+def check_drain_permits(context: CheckContext) -> None:
+    """No more balancers drain at a time than there are permits, as the front end sees them."""
+    permits = context.limits.drain_permits
+    if not permits:
         return
-    away: dict[int, list[tuple[int, int]]] = defaultdict(list)
-    for e in h.each("away"):
-        spells = away[e.data["balancer"]]
-        if spells and e.at - spells[-1][1] < LOOK_GAP_MS * MS:
-            spells[-1] = spells[-1][0], e.at
-        else:
-            spells.append((e.at, e.at))
-    # Within one instant who comes is counted before who goes: a spell of one look has both.
+    spans = _drain_spans(context)
+    context.result.cases[Invariant.DRAIN_PERMITS] += len(spans)
+    # At one instant, beginnings come before ends: a span of one look has both.
     edges = sorted(
-        ((at, step, n) for n, spells in away.items() for begin, end in spells for at, step in ((begin, 1), (end, -1))),
-        key=lambda edge: (edge[0], -edge[1]),
+        [(from_s, 0, balancer) for balancer, from_s, _ in spans] + [(to_s, 1, balancer) for balancer, _, to_s in spans],
+        key=lambda edge: edge[:2],
     )
-    v.seen["tickets"] += len(edges) // 2
-    out: set[int] = set()
-    for at, step, n in edges:
-        (out.add if step > 0 else out.discard)(n)
-        if len(out) > figures.tickets:
-            e = next(x for x in h.events if x.at >= at)
-            tell(h, v, "tickets", e, f"balancers {sorted(out)} are away at once, {figures.tickets} may be", "")
-
-
-def banned(h: History, figures: Figures, v: Verdict) -> None:
-    out: dict[str, int] = {}
-    last: dict[str, bool] = {}  # what an operator said last of each
-    for e in h.events:
-        if e.what == "says":
-            last[e.data["instance"]] = e.data["out"]
-        if e.what == "heard" and e.data["out"] and e.data["status"] == 200:
-            if last.get(e.data["instance"], True):
-                out.setdefault(e.data["instance"], e.at)
-        elif e.what == "heard" and e.data["out"]:
-            v.excused["banned"] += 1  # not answered, or not numbered yet: told later, and `agreed` looks at the end
-        elif e.what == "says" and not e.data["out"]:
-            out.pop(e.data["instance"], None)
-        elif e.what == "line" and e.who in out:
-            v.case("banned")
-            past = (e.at - out[e.who]) / MS
-            if past > REACHED_MS + SLACK_MS:
-                # Who could not be reached in that time is excused: paused, down, or cut from store and owner.
-                near = h.disturbed(out[e.who], e.at, party(e.data["balancer"]), "store")
-                tell(h, v, "banned", e, f"sent {past:.0f} ms after it was taken out", near, e.who)
-
-
-def agreed(h: History, figures: Figures, v: Verdict) -> None:
-    v.case("agreed")
-    for text in figures.apart:
-        tell(h, v, "agreed", h.events[-1], f"at the end {text}", "")
-
-
-register({"terms": terms, "tickets": tickets, "banned": banned, "agreed": agreed})
-
-
-def figures(h: History, lease_us: int) -> dict[str, Any]:
-    """Terms, effects, and seconds without an owner of `bans` after what struck the one that there was."""
-    began = [(e.at, e.data["holder"]) for e in h.each("term") if e.data["job"] == "bans"]
-    gaps: dict[str, list[float]] = defaultdict(list)
-    for spell in h.spells:
-        if spell.kind not in ("kill", "pause", "stop") or (
-            spell.kind == "pause" and spell.end - spell.begin < lease_us
-        ):
-            continue  # an owner that slept for less is the owner still
-        before = [holder for at, holder in began if at <= spell.begin]
-        owner = f"balancer:{before[-1].partition('/')[0][1:]}" if before else ""
-        after = [at for at, _ in began if at > spell.begin]
-        if after and (owner in spell.parties):
-            gaps[spell.kind].append(round((after[0] - spell.begin) / 1e6, 3))
-    effects = list(h.each("effect"))
-    return {
-        "terms": len(began),
-        "taken": sum(e.data["ok"] for e in effects),
-        "late": sum(not e.data["ok"] and e.data["term"] < e.data["seen"] for e in effects)
-        + sum(1 for _ in h.each("mark refused")),
-        "struck": sum(s.kind in ("kill", "pause", "way", "stop", "store_fault") for s in h.spells),
-        "until_next_term_s": dict(gaps),
-        "told": sum(1 for e in h.each("heard") if e.data["status"] == 200),
-        "told_later": sum(1 for e in h.each("heard") if e.data["status"] == 202),
-        "not_heard": sum(1 for e in h.each("heard") if e.data["status"] not in (200, 202)),
-        "drained": sum(1 for e in h.each("drain") if e.data["status"] == 200),
-        "drains_refused": sum(1 for e in h.each("drain") if e.data["status"] == 503),
-    }
+    draining: set[int] = set()
+    for at_s, is_end, balancer in edges:
+        (draining.discard if is_end else draining.add)(balancer)
+        if len(draining) > permits:
+            text = f"balancers {sorted(draining)} drain at a time, {permits} may"
+            context.report(Violation(Invariant.DRAIN_PERMITS, at_s, text))
+
+
+def _drain_spans(context: CheckContext) -> list[tuple[int, float, float]]:
+    """Returns balancer, beginning and end of each drain: a row of looks without a gap."""
+    spans: dict[int, list[tuple[float, float]]] = defaultdict(list)
+    for seen in context.record.drains:
+        found = spans[seen.balancer]
+        if found and seen.at_s - found[-1][1] < DRAIN_LOOK_GAP_S:
+            found[-1] = found[-1][0], seen.at_s
+        else:
+            found.append((seen.at_s, seen.at_s))
+    return [(balancer, from_s, to_s) for balancer, found in spans.items() for from_s, to_s in found]
+
+
+def check_override_applied(context: CheckContext) -> None:
+    """Nothing new goes to a server after an operator's suspension was acknowledged.
+
+    A balancer that could not be reached in that time is excused: paused, down, or cut off from the store.
+    """
+    suspended_s: dict[str, float] = {}
+    requested: dict[str, bool] = {}
+    events: list[OverrideRecord | AttemptRecord] = [*context.record.overrides, *context.record.attempts]
+    for event in sorted(events, key=_event_time_s):
+        match event:
+            case OverrideRecord(status=None):
+                requested[event.server] = event.is_suspended
+                if not event.is_suspended:
+                    suspended_s.pop(event.server, None)
+            case OverrideRecord(is_suspended=True):
+                if event.status != HTTP_OK:
+                    # Not acknowledged: it may be applied later, and the check of agreement covers the end.
+                    context.result.excused[Invariant.OVERRIDE_APPLIED] += 1
+                elif requested.get(event.server, True):
+                    suspended_s.setdefault(event.server, event.at_s)
+            case AttemptRecord() if event.server in suspended_s:
+                _check_suspended(context, event, suspended_s[event.server])
+
+
+def _event_time_s(event: OverrideRecord | AttemptRecord) -> float:
+    return event.at_s if isinstance(event, OverrideRecord) else event.first_byte_s
+
+
+def _check_suspended(context: CheckContext, attempt: AttemptRecord, since_s: float) -> None:
+    context.count_case(Invariant.OVERRIDE_APPLIED)
+    past_s = attempt.first_byte_s - since_s
+    if past_s <= OVERRIDE_PROPAGATION_S + SLACK_S:
+        return
+    balancer = context.balancer_of(attempt)
+    violation = Violation(
+        Invariant.OVERRIDE_APPLIED,
+        attempt.first_byte_s,
+        f"sent {1000 * past_s:.0f} ms after its suspension was acknowledged",
+        attempt.request_id,
+        balancer,
+        attempt.server,
+    )
+    context.report(violation, Disturbance(since_s, attempt.first_byte_s, (balancer_party(balancer), STORE)))
+
+
+def check_agreement(context: CheckContext) -> None:
+    """At the end all balancers have the same overrides."""
+    context.count_case(Invariant.AGREEMENT)
+    for text in context.record.disagreements:
+        context.report(Violation(Invariant.AGREEMENT, context.record.ended_s, f"at the end {text}"))
--- a/glenrock/testbed/coordination_observer.py
+++ b/glenrock/testbed/coordination_observer.py
@@ -6,7 +6,7 @@
 
 from ..coordination import datagrams
 from .coordination_store import CoordinationStore
-from .history import History
+from .history import EventKind, History
 
 LEASE_POLL_S = 0.05
 FIRST_COORDINATION_BYTE = b"\xf1"  # datagrams of coordination begin with this byte or a higher one
@@ -34,7 +34,7 @@
             for job, lease in self._store.leases().items():
                 if lease.term != self._terms.get(job):
                     self._terms[job] = lease.term
-                    self._history.note("store", "term", job=job, term=lease.term, holder=lease.holder)
+                    self._history.note("store", EventKind.TERM_BEGAN, job=job, term=lease.term, holder=lease.holder)
             await asyncio.sleep(LEASE_POLL_S)
 
     def observe_datagram(self, sender: int, receiver: int, data: bytes) -> None:
@@ -44,11 +44,13 @@
             return
         party = f"balancer:{sender}"
         if not message.number:
-            self._history.note(party, "mark refused", job=message.job, term=message.term, seen=message.seen_term)
+            self._history.note(
+                party, EventKind.MARK_REJECTED, job=message.job, term=message.term, seen=message.seen_term
+            )
             return
         self._history.note(
             party,
-            "effect",
+            EventKind.EFFECT_ACKNOWLEDGED,
             job=message.job,
             term=message.term,
             number=message.number,
--- a/glenrock/testbed/discovery_service.py
+++ b/glenrock/testbed/discovery_service.py
@@ -7,7 +7,7 @@
 from typing import Any
 from urllib.parse import parse_qs, urlsplit
 
-from .history import History
+from .history import EventKind, History
 from .loopback import Address, Listener, LoopbackNetwork, reset_connection
 from .modelled_servers import ModelledServer
 
@@ -61,7 +61,7 @@
         """DELETED, DRAINING or SERVING; a new start under one name is a change too."""
         self.index += 1
         self.status[number], self.changed_at[number] = status, self.index
-        self.history.note("list", "changed", instance=number, status=status, index=self.index)
+        self.history.note("list", EventKind.LIST_CHANGED, instance=number, status=status, index=self.index)
         self.news.set()
         self.news = asyncio.Event()
 
@@ -94,7 +94,7 @@
             if target.path != "/discovery/hosts":
                 await self.say(writer, 404, {})
                 continue
-            self.history.note("list", "call", balancer=balancer)
+            self.history.note("list", EventKind.DISCOVERY_CALL, balancer=balancer)
             since = int(asked["index"][0]) if "index" in asked else None
             # A watch that goes on is no new call: it costs nothing.
             now = asyncio.get_running_loop().time()
@@ -121,7 +121,9 @@
             for s in self.instances:
                 if any(row["name"] == s.name for row in body["endpoints"]):
                     s.told_start[balancer] = s.started_ms
-                    self.history.note("list", "told", balancer=balancer, instance=s.party, status=self.status[s.number])
+                    self.history.note(
+                        "list", EventKind.LISTED, balancer=balancer, instance=s.party, status=self.status[s.number]
+                    )
 
     async def line(self) -> bool:
         """A turn in the line of calls; False for one that has waited too long. The service works on for it."""
--- a/glenrock/testbed/fault_player.py
+++ b/glenrock/testbed/fault_player.py
@@ -14,8 +14,9 @@
 from .discovery_agent import DiscoveryAgent
 from .endpoint_directory import DELETED, DRAINING, SERVING
 from .fault_schedule import ALL_BALANCERS, FaultKind, PlannedFault, SoakPlan
+from .invariant import Invariant
 from .loopback import reset_connection
-from .records import FaultRecord, HalfRequestRecord
+from .records import FaultRecord, HalfRequestRecord, balancer_party
 from .session_servers import ServerMode, SessionServer
 
 KILL_AFTER_MS = 700.0  # after the longest deadline, which counts as 3 s at least
@@ -23,6 +24,7 @@
 STALL_MS = 150
 NOTICE_S = 0.3  # the front sends new connections so long to a balancer that was told to end
 RELOAD_GAP_S = 0.15
+KILL_VISIBLE_S = 0.3  # around a SIGKILL, in which its effects are seen
 MODES = {
     FaultKind.SERVER_HANG: ServerMode.HANGS,
     FaultKind.SERVER_ERRORS: ServerMode.ERRORS,
@@ -32,6 +34,20 @@
 HALF_LINE = b"OPEN 00ff 00"
 
 
+def kill_record(balancer: int, at_s: float) -> FaultRecord:
+    """Returns the record of a SIGKILL. It accounts for lost answers and connections, and for nothing else."""
+    excuses = frozenset(
+        {
+            Invariant.FINAL_ANSWER,
+            Invariant.PROTOCOL_ANSWER,
+            Invariant.NO_REJECT_AFTER_EXECUTION,
+            Invariant.CONNECTION_KEPT,
+        }
+    )
+    parties = frozenset({balancer_party(balancer)})
+    return FaultRecord("kill", parties, at_s - KILL_VISIBLE_S, at_s + KILL_VISIBLE_S, excuses)
+
+
 class FaultPlayer:
     """The faults of one run.
 
@@ -77,8 +93,9 @@
         await asyncio.sleep(fault.at_s)
         began_s = time.monotonic()
         await self._handlers[fault.kind](fault)
-        parties = (f"balancer {fault.target}",)
-        self._bed.record.faults.append(FaultRecord(fault.kind.value, parties, began_s, time.monotonic()))
+        parties = frozenset({balancer_party(fault.target)})
+        excused = frozenset[Invariant]()
+        self._bed.record.faults.append(FaultRecord(fault.kind.value, parties, began_s, time.monotonic(), excused))
 
     # -- balancers -------------------------------------------------------------------------------------
 
@@ -90,7 +107,6 @@
         process = self._bed.processes[number]
         process.send_signal(signal.SIGTERM)
         told_s = time.monotonic()
-        self._bed.record.stopped_s.setdefault(number, []).append(told_s)
         await asyncio.sleep(NOTICE_S)
         self.taken.discard(number)
         longest_ms = max(SHORTEST_LONGEST_DEADLINE_MS, self._plan.shape.deadline_ms)
@@ -102,7 +118,7 @@
         if fault.target in self._restarting:
             return
         self._restarting.add(fault.target)
-        self._bed.record.killed_s.setdefault(fault.target, []).append(time.monotonic())
+        self._bed.record.faults.append(kill_record(fault.target, time.monotonic()))
         await self._restart(fault.target, fault.value, True)
 
     async def _restart(self, number: int, pause_s: float, restart: bool) -> None:
--- a/glenrock/testbed/frontend.py
+++ b/glenrock/testbed/frontend.py
@@ -5,7 +5,7 @@
 import asyncio
 import random
 
-from .history import History
+from .history import EventKind, History
 from .loopback import Address
 
 PING_S = 1.0  # a balancer that has not answered within this did not answer
@@ -36,15 +36,15 @@
         while True:
             answer = await self.ping(number)
             if answer == b"ERR":
-                self.history.note("front", "away", balancer=number)
+                self.history.note("front", EventKind.BALANCER_DRAINS, balancer=number)
             if answer == b"PONG":
                 self.heard[number] = loop.time()
                 if number not in self.known:
                     self.known.add(number)
-                    self.history.note("front", "takes in", balancer=number)
+                    self.history.note("front", EventKind.BALANCER_ADDED, balancer=number)
             elif number in self.known and (answer == b"ERR" or loop.time() - self.heard[number] > self.notice_s):
                 self.known.discard(number)
-                self.history.note("front", "leaves out", balancer=number)
+                self.history.note("front", EventKind.BALANCER_REMOVED, balancer=number)
             await asyncio.sleep(self.look_s)
 
     async def ping(self, number: int) -> bytes:
--- a/glenrock/testbed/modelled_servers.py
+++ b/glenrock/testbed/modelled_servers.py
@@ -16,7 +16,7 @@
 
 from ..lab.model.instance import Connection, Figures, Instance, Shape
 from ..lab.model.plan import Row
-from .history import History
+from .history import EventKind, History
 from .loopback import Address, Listener, LoopbackNetwork, RealTimeEngine, reset_connection
 from .scenario import Scenario
 
@@ -87,13 +87,13 @@
             self.model.begin(self.engine.now)
         for listener in self.listeners:
             listener.open()
-        self.history.note(self.party, "started", cold=bool(self.started_ms))
+        self.history.note(self.party, EventKind.STARTED, cold=bool(self.started_ms))
 
     def stop(self) -> None:
         """Its process dies: connections are reset, new ones are refused."""
         if not self.model.up:
             return
-        self.history.note(self.party, "died")
+        self.history.note(self.party, EventKind.CRASHED)
         for listener in self.listeners:
             listener.refuse()
         self.model.stop(self.engine.now)
@@ -128,13 +128,13 @@
                 await self.command(balancer, line.decode(), reader, writer)
                 return
             else:
-                self.history.note(self.party, "unread", line=repr(line[:80]))
+                self.history.note(self.party, EventKind.UNKNOWN_LINE, line=repr(line[:80]))
                 return
 
     async def probe(self, word: bytes, writer: asyncio.StreamWriter) -> None:
         r = self.scene.reports
         took = self.model.work(self.engine.now, float(r.probe_ms) * 1000, r.probe_waits) / S
-        self.history.note(self.party, "probed")
+        self.history.note(self.party, EventKind.HEALTH_CHECK)
         await asyncio.sleep(min(took, LONGEST_ECHO_S))
         if word == b"PING":
             writer.write(b"PONG\r\n")
@@ -159,7 +159,7 @@
         a = Attempt(id_, balancer, loop.create_future(), writer)
         self.open_now[a] = None
         self.attempts += "at" not in fields
-        self.history.note(self.party, "line", id_, balancer=balancer, at="at" in fields)
+        self.history.note(self.party, EventKind.ATTEMPT_RECEIVED, id_, balancer=balancer, at="at" in fields)
         try:
             if "at" in fields:
                 self.model.opening[a] = True  # type: ignore[index]
@@ -168,7 +168,7 @@
                 known = self.told_start.get(balancer, -1.0) >= self.started_ms
                 self.model.arrive(self.engine.now, a, self.work(row), row.usual, known)  # type: ignore[arg-type]
                 if self.model.fallen and self.model.up:
-                    self.history.note(self.party, "fell", id_, balancer=balancer)
+                    self.history.note(self.party, EventKind.OVERLOADED, id_, balancer=balancer)
                     self.stop()
             leaves = asyncio.ensure_future(reader.read(1))  # a client says nothing before its answer
             await asyncio.wait([a.done, leaves], return_when=asyncio.FIRST_COMPLETED)
@@ -203,7 +203,7 @@
         if not self.model.open(self.engine.now, c, load_at(row, self.engine)):
             reset_connection(writer)
             return
-        self.history.note(self.party, "up", a.id, balancer=a.balancer)
+        self.history.note(self.party, EventKind.ATTEMPT_UP, a.id, balancer=a.balancer)
         writer.write(f"UP {self.name}-{a.id}\r\n".encode())
         changes = asyncio.ensure_future(self.changes(c, row, writer))
         try:
@@ -234,7 +234,7 @@
         if a.connection is not None:
             self.model.close(self.engine.now, a.connection)
             self.credit(self.rows[a.id], a.connection.earned)
-        self.history.note(self.party, "over", a.id, by=by, balancer=a.balancer)
+        self.history.note(self.party, EventKind.ATTEMPT_ENDED, a.id, by=by, balancer=a.balancer)
 
     def day_begins(self) -> None:
         """What was served until now is no part of the day."""
--- a/glenrock/testbed/operator_calls.py
+++ b/glenrock/testbed/operator_calls.py
@@ -8,6 +8,7 @@
 
 import aiohttp
 
+from .history import EventKind
 from .scenario_testbed import ScenarioTestbed
 
 CALL_TIMEOUT_S = 5.0
@@ -36,26 +37,28 @@
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
             return 0, repr(error)
 
-    def _note(self, what: str, balancer: int, status: int, text: str, **data: Any) -> None:
+    def _note(self, kind: EventKind, balancer: int, status: int, text: str, **data: Any) -> None:
         shown = text.strip()[:MAX_TEXT_CHARACTERS]
-        self._bed.history.note("operator", what, balancer=balancer, **data, status=status, text=shown)
+        self._bed.history.note("operator", kind, balancer=balancer, **data, status=status, text=shown)
 
     async def override_server(self, balancer: int, server: int, is_suspended: bool) -> None:
         """Suspends a server at one balancer, or resumes it."""
         party, action = f"instance:{server}", "suspend" if is_suspended else "resume"
-        self._bed.history.note("operator", "says", balancer=balancer, instance=party, out=is_suspended)
+        self._bed.history.note(
+            "operator", EventKind.OVERRIDE_REQUESTED, balancer=balancer, instance=party, out=is_suspended
+        )
         name = self._bed.servers[server].name
         status, text = await self._call(balancer, "POST", f"/v1/session-servers/{name}/{action}")
-        self._note("heard", balancer, status, text, instance=party, out=is_suspended)
+        self._note(EventKind.OVERRIDE_ANSWERED, balancer, status, text, instance=party, out=is_suspended)
 
     async def drain_balancer(self, balancer: int, lasts_s: float) -> None:
         """Drains a balancer, and ends the drain after `lasts_s` where it was permitted."""
         status, text = await self._call(balancer, "POST", "/v1/balancer/drain")
-        self._note("drain", balancer, status, text)
+        self._note(EventKind.DRAIN_ANSWERED, balancer, status, text)
         if status == HTTP_OK:
             await asyncio.sleep(lasts_s)
             status, text = await self._call(balancer, "POST", "/v1/balancer/activate")
-            self._note("activate", balancer, status, text)
+            self._note(EventKind.ACTIVATE_ANSWERED, balancer, status, text)
 
     async def _view(self, balancer: int) -> dict[str, Any]:
         status, text = await self._call(balancer, "GET", "/v1/fleet")
@@ -74,7 +77,9 @@
             await asyncio.sleep(AGREEMENT_POLL_S)
 
     async def _differing_views(self) -> list[str]:
-        running = [balancer.number for balancer in self._bed.balancers if balancer.up and not balancer.paused]
+        running = [
+            balancer.number for balancer in self._bed.balancers if balancer.is_running and not balancer.is_paused
+        ]
         views = {number: await self._view(number) for number in running}
         overrides = {
             number: {server: word["out"] for server, word in view.get("words", {}).items()}
--- a/glenrock/testbed/records.py
+++ b/glenrock/testbed/records.py
@@ -1,16 +1,33 @@
-"""What the stand-ins saw, as typed records. Times are seconds of the machine's monotonic clock."""
+"""What the stand-ins of a run saw, as typed records. Times are seconds on one clock for a run."""
 
 from __future__ import annotations
 
-import time
+from collections import defaultdict
+from collections.abc import Iterable
 from dataclasses import dataclass, field
-from enum import Enum
+from enum import Enum, StrEnum
 
-NEVER = float("inf")
+from .invariant import NEVER, Invariant
+
+CLIENTS, DISCOVERY, STORE = "clients", "list", "store"  # parties of which a run has one
+ALL_INVARIANTS = frozenset(Invariant)
+
+
+def balancer_party(number: int) -> str:
+    """Returns the name of a balancer among the parties that faults strike."""
+    return f"balancer:{number}"
+
+
+class Idempotency(StrEnum):
+    """Whether a request may execute again. The values are the settings' words."""
+
+    SAFE = "safe"
+    KEYED = "keyed"
+    UNSAFE = "unsafe"
 
 
 class ConnectionEnd(Enum):
-    """How a connection ended, as one side saw it."""
+    """How a connection ended, as its client saw it."""
 
     OPEN = "open"
     FINISHED = "finished"
@@ -20,25 +37,26 @@
 
 @dataclass(eq=False)
 class AttemptRecord:
-    """A first line that reached a session server.
+    """A request line that reached a session server.
 
     Attributes:
         request_id: of the line.
         server: name of the session server.
-        balancer: number of the balancer process, where the id tells it.
-        standing: the line asked for a connection that stood before.
-        first_byte_s: the first byte arrived. `whole_s`: the last one did.
+        is_resumed: the line asked for a connection that was open before the run.
+        first_byte_s: the first byte arrived. `last_byte_s`: the last one did.
+        balancer: number of the process that sent it; -1 where the server does not know.
         up_s: UP was sent; NEVER where it was not.
-        ended_s: the connection ended; NEVER while it is open. `ended_by_server`: by the stand-in itself.
+        ended_s: the connection ended; NEVER while it is open. `ended_by_server`: by the session server.
         answer: the first word that the server wrote; empty where it wrote none.
         hung_s: the server hung from then on while the connection was open.
     """
 
     request_id: str
     server: str
-    standing: bool
+    is_resumed: bool
     first_byte_s: float
-    whole_s: float
+    last_byte_s: float
+    balancer: int = -1
     up_s: float = NEVER
     ended_s: float = NEVER
     ended_by_server: bool = False
@@ -54,13 +72,16 @@
         request_id: new with every connection.
         balancer: number of the process that it was sent to.
         deadline_ms: how long the client waits.
-        standing_at: the server that its connection stood at before; empty for a new one.
-        sent_s: its last byte was written.
+        resumes_at: the server that its connection was open at before the run; empty for a new one.
+        idempotency: of its class.
+        sent_s: its last byte was written; NEVER where that was not seen.
         answer: the first line that came; empty where none did.
-        answered_s: when that was.
-        unexpected: what came before UP and was neither of the protocol's answers, or a second answer.
-        moved: MOVE came.
-        left_s: the client closed by itself; NEVER where it did not.
+        answered_s: the time of the answer. `answers`: how many came.
+        server: that the answer names; empty where the record does not tell.
+        unexpected: received, and neither an answer of the protocol nor a line of the session server.
+        is_migrated: MOVE came.
+        left_s: the client closed the connection; NEVER where it did not.
+        gave_up_s: the client stopped waiting after its deadline.
         end: how the balancer ended it. `ended_s`: when.
         last_line_s: the last line came back from the session server.
     """
@@ -68,14 +89,17 @@
     request_id: str
     balancer: int
     deadline_ms: float
-    standing_at: str = ""
-    effect: str = "safe"
+    resumes_at: str = ""
+    idempotency: Idempotency = Idempotency.SAFE
     sent_s: float = NEVER
     answer: str = ""
     answered_s: float = NEVER
+    answers: int = 0
+    server: str = ""
     unexpected: str = ""
-    moved: bool = False
+    is_migrated: bool = False
     left_s: float = NEVER
+    gave_up_s: float = NEVER
     end: ConnectionEnd = ConnectionEnd.OPEN
     ended_s: float = NEVER
     last_line_s: float = NEVER
@@ -88,17 +112,25 @@
 
 @dataclass(frozen=True)
 class FaultRecord:
-    """A fault that was on: what, whom it struck, from when to when."""
+    """An injected fault.
+
+    Attributes:
+        kind: its word.
+        parties: struck by it.
+        began_s, ended_s: the time in which it may show, effects after its end included.
+        excuses: invariants whose violation it accounts for.
+    """
 
     kind: str
-    parties: tuple[str, ...]
+    parties: frozenset[str]
     began_s: float
     ended_s: float = NEVER
+    excuses: frozenset[Invariant] = ALL_INVARIANTS
 
 
 @dataclass(frozen=True)
 class ListedRecord:
-    """A balancer was told of a server's state."""
+    """A balancer was sent the status of a server."""
 
     balancer: int
     server: str
@@ -108,26 +140,94 @@
 
 @dataclass(eq=False)
 class HalfRequestRecord:
-    """A client that stopped within a request and stayed. `ended_s`: it was answered or closed."""
+    """A client that stopped within a request line and stayed. `ended_s`: it was answered or closed."""
 
     balancer: int
     sent_s: float
     ended_s: float = NEVER
 
 
+@dataclass(frozen=True)
+class OverloadRecord:
+    """A server went down of overload while it was warming up, at the attempt of this request."""
+
+    server: str
+    at_s: float
+    request_id: str
+    balancer: int
+
+
+@dataclass(frozen=True)
+class EffectRecord:
+    """A receiver's acknowledgement of an effect.
+
+    Attributes:
+        receiver: party. `incarnation`: its starts before the acknowledgement.
+        job, term, number: of the effect. `seen_term`: the highest that the receiver had seen.
+        order: of the receiver's decisions within its incarnation; acknowledgements may arrive in another.
+    """
+
+    receiver: str
+    incarnation: int
+    job: str
+    term: int
+    number: int
+    is_accepted: bool
+    seen_term: int
+    order: int
+    at_s: float
+
+
+@dataclass(frozen=True)
+class DrainObservation:
+    """The front end was rejected by a balancer that drains."""
+
+    balancer: int
+    at_s: float
+
+
+@dataclass(frozen=True)
+class OverrideRecord:
+    """An operator's call for a server: as it was made, and as it was answered (`status` is set)."""
+
+    server: str
+    is_suspended: bool
+    at_s: float
+    status: int | None = None
+
+
 @dataclass
 class RunRecord:
-    """All records of a run."""
+    """All records of a run, each list in the order of time.
+
+    Attributes:
+        server_starts: how many.
+        disagreements: at the end, balancers whose overrides differ from the others', as text.
+        ended_s: the end of the run; an answer that is due later is not checked.
+        log_lines: by balancer.
+    """
 
-    began_s: float = field(default_factory=time.monotonic)
     attempts: list[AttemptRecord] = field(default_factory=list)
     requests: list[RequestRecord] = field(default_factory=list)
     faults: list[FaultRecord] = field(default_factory=list)
     listed: list[ListedRecord] = field(default_factory=list)
     half_requests: list[HalfRequestRecord] = field(default_factory=list)
-    stopped_s: dict[int, list[float]] = field(default_factory=dict)  # balancer: SIGTERMs
-    killed_s: dict[int, list[float]] = field(default_factory=dict)  # balancer: SIGKILLs
-
-    def attempts_of(self, request_id: str) -> list[AttemptRecord]:
-        """The attempts of a request, in the order in which they arrived."""
-        return [attempt for attempt in self.attempts if attempt.request_id == request_id]
+    overloads: list[OverloadRecord] = field(default_factory=list)
+    effects: list[EffectRecord] = field(default_factory=list)
+    drains: list[DrainObservation] = field(default_factory=list)
+    overrides: list[OverrideRecord] = field(default_factory=list)
+    server_starts: int = 0
+    disagreements: tuple[str, ...] = ()
+    ended_s: float = NEVER
+    log_lines: dict[int, list[str]] = field(default_factory=lambda: defaultdict(list))
+
+    def is_disturbed(self, invariant: Invariant, from_s: float, to_s: float, parties: Iterable[str]) -> bool:
+        """Whether a fault that excuses the invariant struck one of the parties in that time."""
+        struck = frozenset(parties)
+        return any(
+            invariant in fault.excuses
+            and fault.began_s <= to_s
+            and from_s <= fault.ended_s
+            and not struck.isdisjoint(fault.parties)
+            for fault in self.faults
+        )
--- a/glenrock/testbed/scenario_clients.py
+++ b/glenrock/testbed/scenario_clients.py
@@ -9,7 +9,7 @@
 from ..lab.model.client import Habits
 from ..lab.model.plan import Row
 from .frontend import Frontend
-from .history import History
+from .history import EventKind, History
 from .loopback import Address, RealTimeEngine
 from .scenario import Scenario
 
@@ -134,7 +134,7 @@
         patience = STANDING_S if at else float(kind.give_up_ms) / 1000
         try:
             writer.write(f"OPEN {id_} {row.number:x} {fields}\r\n".encode())
-            self.history.note("clients", "sent", id_, balancer=number, d_ms=patience * 1000, at=at)
+            self.history.note("clients", EventKind.SENT, id_, balancer=number, d_ms=patience * 1000, at=at)
             try:
                 how, told = await self.answer(c, id_, number, reader, patience)
             finally:
@@ -155,27 +155,27 @@
                 line = await reader.readline()
         except TimeoutError:
             self.counts["overdue"] += 1
-            self.history.note("clients", "silent", id_, balancer=number)
+            self.history.note("clients", EventKind.GAVE_UP, id_, balancer=number)
             return "silent", 0
         except OSError:
             line = b""
         word, _, rest = line.decode("ascii", "replace").strip().partition(" ")
         if not line.endswith(b"\n"):
             self.counts["broken"] += 1
-            self.history.note("clients", "closed", id_, balancer=number)
+            self.history.note("clients", EventKind.CLOSED_UNANSWERED, id_, balancer=number)
             return "closed", 0
         if word == "UP":
             self.counts["set_up"] += 1
             self.history.note(
-                "clients", "answered", id_, balancer=number, answer="UP", instance=rest.rpartition("-")[0]
+                "clients", EventKind.ANSWERED, id_, balancer=number, answer="UP", instance=rest.rpartition("-")[0]
             )
             return "up", 0
         self.counts["refused" if word == "BUSY" else "failed"] += 1
-        self.history.note("clients", "answered", id_, balancer=number, answer=word)
+        self.history.note("clients", EventKind.ANSWERED, id_, balancer=number, answer=word)
         with contextlib.suppress(OSError, TimeoutError):
             async with asyncio.timeout(SILENT_S):
                 while more := await reader.readline():  # an answer is one line
-                    self.history.note("clients", "answered", id_, balancer=number, answer=repr(more))
+                    self.history.note("clients", EventKind.ANSWERED, id_, balancer=number, answer=repr(more))
         told = int(rest) * 1000 if word == "BUSY" and rest.isdecimal() else 0
         return "refused" if word == "BUSY" else "failed", told
 
@@ -207,7 +207,7 @@
             asks.cancel()
         if how in ("eof", "reset"):
             self.counts["broken"] += 1
-        self.history.note("clients", "ended", id_, balancer=number, how=how)
+        self.history.note("clients", EventKind.CONNECTION_ENDED, id_, balancer=number, how=how)
         return how
 
     async def asks(self, writer: asyncio.StreamWriter) -> None:
--- a/glenrock/testbed/scenario_faults.py
+++ b/glenrock/testbed/scenario_faults.py
@@ -6,7 +6,6 @@
 import contextlib
 import os
 import random
-import signal
 import sqlite3
 from collections.abc import Callable, Coroutine
 from typing import TYPE_CHECKING, Any
@@ -15,14 +14,14 @@
 
 from ..lab.spec_faults import Fault, fault_name
 from . import network_faults, scenario
-from .history import FaultInterval, S
+from .history import US_PER_S, FaultInterval
 from .scenario_testbed import ScenarioTestbed
 
 if TYPE_CHECKING:
     from .operator_calls import Operator
 
-SETTLE_US = 1 * S  # what a process's fault did shows so much later
-STREAM_SETTLE_US = 4 * S  # and a way's: the kernel sends again after up to some seconds
+SETTLE_US = 1 * US_PER_S  # what a process's fault did shows so much later
+STREAM_SETTLE_US = 4 * US_PER_S  # and a way's: the kernel sends again after up to some seconds
 
 
 class ScenarioFaultPlayer:
@@ -56,7 +55,7 @@
         await getattr(self, fault_name(type(f).__name__))(f, number)
 
     def strike(self, f: Fault, *parties: str, lag_us: int = SETTLE_US) -> FaultInterval:
-        spell = self.bed.history.strike(fault_name(type(f).__name__), parties, lag_us)
+        spell = self.bed.history.begin_fault(fault_name(type(f).__name__), parties, lag_us)
         self.on.append(spell)
         return spell
 
@@ -76,7 +75,7 @@
         self.lift(spell)
 
     def lift(self, spell: FaultInterval) -> None:
-        self.bed.history.lift(spell)
+        self.bed.history.end_fault(spell)
         self.on.remove(spell)
 
     # -- processes -------------------------------------------------------------------------------------
@@ -88,34 +87,34 @@
             return
         await asyncio.sleep(down_s)
         bed.frontend.known.discard(number)
-        bed.balancers[number].begin()
+        bed.balancers[number].start()
         while number not in bed.frontend.known:
             await asyncio.sleep(0.02)
         self.lift(spell)
 
     async def kill(self, f: scenario.Kill, number: int) -> None:
         b = self.bed.balancers[number]
-        spell = self.strike(f, b.name)
+        spell = self.strike(f, b.party)
         b.kill()
-        await b.ended(5.0)
+        await b.wait_ended(5.0)
         await self.back(number, float(f.down_s), spell)
 
     async def stop(self, f: scenario.Stop, number: int) -> None:
         """A planned end excuses nothing: the spell begins with the process's end."""
         b = self.bed.balancers[number]
-        b.signal(signal.SIGTERM, "stopping")
-        if not await b.ended(float(f.patience_s)):
+        b.terminate()
+        if not await b.wait_ended(float(f.patience_s)):
             b.kill()
-            await b.ended(5.0)
-        await self.back(number, float(f.down_s), self.strike(f, b.name))
+            await b.wait_ended(5.0)
+        await self.back(number, float(f.down_s), self.strike(f, b.party))
 
     async def pause(self, f: scenario.Pause, number: int) -> None:
         b = self.bed.balancers[number]
-        await self.lasting(f, b.pause, b.resume, b.name)
+        await self.lasting(f, b.pause, b.resume, b.party)
 
     async def squeeze(self, f: scenario.Squeeze, number: int) -> None:
         b = self.bed.balancers[number]
-        await self.lasting(f, lambda: b.squeeze(f.nice, max(self.cores)), lambda: b.loosen(self.cores), b.name)
+        await self.lasting(f, lambda: b.limit_cpu(f.nice, max(self.cores)), lambda: b.restore_cpu(self.cores), b.party)
 
     # -- stand-ins -------------------------------------------------------------------------------------
 
@@ -199,9 +198,9 @@
             free = [
                 b.number
                 for b in self.bed.balancers
-                if b.up
-                and not b.paused
-                and not any(b.name in s.parties and s.kind in ("pause", "kill") for s in self.on)
+                if b.is_running
+                and not b.is_paused
+                and not any(b.party in s.parties and s.kind in ("pause", "kill") for s in self.on)
             ]
             kind = draw.choice(f.kinds)
             if len(free) > 1:
@@ -252,9 +251,9 @@
 
     async def way(self, f: scenario.Way, number: int) -> None:
         bed = self.bed
-        every = ["clients", "list", "store", *(b.name for b in bed.balancers), *(s.party for s in bed.servers)]
+        every = ["clients", "list", "store", *(b.party for b in bed.balancers), *(s.party for s in bed.servers)]
         struck = {p for p in every for q in every if network_faults.strikes(f, p, q) or network_faults.strikes(f, q, p)}
-        datagrams = struck <= {b.name for b in bed.balancers}
+        datagrams = struck <= {b.party for b in bed.balancers}
         # What balancers tell each other is no part of any rule: losing it excuses nothing.
         await self.lasting(
             f,
--- a/glenrock/testbed/scenario_runner.py
+++ b/glenrock/testbed/scenario_runner.py
@@ -9,8 +9,9 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
-from . import history_invariants
-from .history import S
+from .history import US_PER_S, EventKind
+from .history_records import check_history, records_of
+from .invariant import CheckResult, InvariantLimits
 from .loopback import LoopbackNetwork
 from .scenario import Scenario
 from .scenario_faults import ScenarioFaultPlayer
@@ -57,8 +58,7 @@
                 self._disagreements = await self._operator.disagreements(AGREEMENT_TIMEOUT_S)
         finally:
             await self._close()
-        verdict = history_invariants.judge(bed.history, self._limits())
-        return summary(bed, verdict, self._cpu_s, time.monotonic() - wall_s, time.process_time() - cpu_s)
+        return summary(bed, self._check(), self._cpu_s, time.monotonic() - wall_s, time.process_time() - cpu_s)
 
     async def _start(self) -> None:
         bed = self._bed
@@ -77,7 +77,7 @@
         bed = self._bed
         for server in bed.servers:
             server.day_begins()
-        bed.engine.day = bed.history.day = bed.engine.now
+        bed.engine.day = bed.history.measured_from_us = bed.engine.now
         bed.is_measuring = True
         bed.clients.begin()
         self._faults.begin()
@@ -89,15 +89,15 @@
             server.model.advance(bed.engine.now)
             for attempt in list(server.open_now):
                 server.settle(attempt)
-        bed.measure.ask(bed.plan.rows, round(bed.length_s * S))
+        bed.measure.ask(bed.plan.rows, round(bed.length_s * US_PER_S))
         bed.is_measuring = False
 
     def _measure_second(self, second: int) -> None:
         bed, measure = self._bed, self._bed.measure
         load = sum(self._measure_server(server_number, second) for server_number in range(len(bed.servers)))
         for balancer in bed.balancers:
-            for line in balancer.log_lines():
-                bed.history.note(balancer.name, "log", text=line)
+            for line in balancer.new_log_lines():
+                bed.history.note(balancer.party, EventKind.LOG_LINE, text=line)
         if second < measure.seconds:
             measure.put(
                 second,
@@ -109,7 +109,7 @@
                 attempts=float(sum(server.attempts for server in bed.servers)),
                 broken=float(measure.counts["broken"]),
                 up=float(sum(server.model.up for server in bed.servers)),
-                balancers=float(sum(balancer.up and not balancer.paused for balancer in bed.balancers)),
+                balancers=float(sum(balancer.is_running and not balancer.is_paused for balancer in bed.balancers)),
             )
         if self._live_view:
             self._live_view(bed)
@@ -140,15 +140,17 @@
         if self._bed.store:
             await self._bed.store.close()
 
-    def _limits(self) -> history_invariants.Figures:
-        scenario = self._bed.scenario
-        return history_invariants.Figures(
-            scenario.rules.drain_grace_ms,
-            scenario.rules.answer_grace_ms,
-            scenario.together.turnstile,
-            self._bed.history.events[-1].at,
-            tuple(self._disagreements),
+    def _check(self) -> CheckResult:
+        scenario, history = self._bed.scenario, self._bed.history
+        limits = InvariantLimits(
+            drain_grace_s=float(scenario.rules.drain_grace_ms) / 1000,
+            answer_grace_s=float(scenario.rules.answer_grace_ms) / 1000,
+            drain_permits=scenario.together.turnstile,
         )
+        record = records_of(history)
+        record.ended_s = history.events[-1].at_us / US_PER_S
+        record.disagreements = tuple(self._disagreements)
+        return check_history(history, limits, record)
 
 
 def play(
--- a/glenrock/testbed/scenario_summary.py
+++ b/glenrock/testbed/scenario_summary.py
@@ -3,12 +3,14 @@
 from __future__ import annotations
 
 import os
+from collections import Counter
 from typing import Any
 
 from ..lab.measure import rounded, told
-from . import coordination_invariants, history_invariants
-from .history import S
-from .history_invariants import Verdict
+from .coordination_figures import coordination_figures
+from .history import US_PER_S, EventKind
+from .invariant import CheckResult, Invariant
+from .invariants import INVARIANTS
 from .scenario import drawn_number
 from .scenario_testbed import ScenarioTestbed
 
@@ -18,12 +20,12 @@
 
 
 def summary(
-    bed: ScenarioTestbed, verdict: Verdict, cpu_s: dict[int, float], wall_s: float, rig_cpu_s: float
+    bed: ScenarioTestbed, check: CheckResult, cpu_s: dict[int, float], wall_s: float, rig_cpu_s: float
 ) -> dict[str, Any]:
     """Returns the content of `summary.json`. `cpu_s`: of each balancer; `rig_cpu_s`: of this process."""
     measure, counts = bed.measure, bed.measure.counts
     counts["attempts"] = sum(server.attempts for server in bed.servers)
-    counts["probes"] = sum(1 for _ in bed.history.each("probed"))
+    counts["probes"] = sum(1 for _ in bed.history.each(EventKind.HEALTH_CHECK))
     counts["list_calls"], counts["list_refused"] = bed.discovery.calls, bed.discovery.refused
     counts["datagrams"], counts["datagrams_lost"] = bed.datagram_relays.carried, bed.datagram_relays.lost
     clients = max(1, counts["clients"])
@@ -34,12 +36,10 @@
         "policy": "processes",
         "failure": "",
         "worth": measure.worth(),
-        "rules": {
-            name: sum(violation.rule == name for violation in verdict.breaches) for name in history_invariants.CHECKS
-        },
-        "excused": dict(verdict.excused),
-        "seen": dict(verdict.seen),
-        "breaches": _violations(bed, verdict),
+        "rules": _rules(check),
+        "excused": _by_word(check.excused),
+        "seen": _cases(bed, check),
+        "breaches": _violations(bed, check),
         "recovery_s": measure.recovery(_faults(bed)),
         "counts": dict(counts),
         "per_client": {key: rounded(counts[key] / clients) for key in PER_CLIENT_COUNTS},
@@ -53,18 +53,18 @@
         "fleet": {
             "balancers": bed.balancer_count,
             "instances": len(bed.servers),
-            "capacity_cores": rounded(bed.plan.capacity / S),
+            "capacity_cores": rounded(bed.plan.capacity / US_PER_S),
             "clients_per_s": rounded(bed.plan.per_s),
         },
         "list": _discovery(bed),
         "processes": {
-            balancer.name: {"lives": balancer.lives, "cpu_s": rounded(cpu_s.get(balancer.number, 0.0))}
+            balancer.party: {"lives": balancer.incarnation, "cpu_s": rounded(cpu_s.get(balancer.number, 0.0))}
             for balancer in bed.balancers
         },
     }
     if bed.store:
         lease_us = round(drawn_number(bed.scenario.together.lease_ms) * 1000)
-        found["together"] = coordination_invariants.figures(bed.history, lease_us)
+        found["together"] = coordination_figures(bed.history, lease_us)
     found["clock"] = {
         "wall_s": round(wall_s, 3),
         "cpu_s": round(rig_cpu_s, 3),
@@ -74,18 +74,36 @@
     return found
 
 
-def _violations(bed: ScenarioTestbed, verdict: Verdict) -> list[dict[str, Any]]:
+def _rules(check: CheckResult) -> dict[str, int]:
+    found = Counter(violation.invariant for violation in check.violations)
+    return {invariant.value: found[invariant] for invariant in INVARIANTS}
+
+
+def _by_word(counts: Counter[Invariant]) -> dict[str, int]:
+    return {invariant.value: count for invariant, count in counts.items()}
+
+
+def _cases(bed: ScenarioTestbed, check: CheckResult) -> dict[str, int]:
+    """Cases by invariant, and under `late` the effects of an old term that were rejected."""
+    found = _by_word(check.cases)
+    rejected = [event.data for event in bed.history.each(EventKind.EFFECT_ACKNOWLEDGED) if not event.data["ok"]]
+    if rejected:
+        found["late"] = sum(effect["term"] < effect["seen"] for effect in rejected)
+    return found
+
+
+def _violations(bed: ScenarioTestbed, check: CheckResult) -> list[dict[str, Any]]:
     return [
         {
-            "rule": violation.rule,
-            "at_s": rounded((violation.at - bed.engine.day) / S),
+            "rule": violation.invariant.value,
+            "at_s": rounded(violation.at_s - bed.engine.day / US_PER_S),
             "text": violation.text,
-            "request": violation.id,
+            "request": violation.request_id,
             "balancer": violation.balancer,
-            "instance": violation.instance,
-            "led": list(violation.led),
+            "instance": violation.server,
+            "led": list(violation.details),
         }
-        for violation in verdict.breaches[:MAX_VIOLATIONS]
+        for violation in check.violations[:MAX_VIOLATIONS]
     ]
 
 
@@ -93,12 +111,12 @@
     day_us = bed.engine.day
     return [
         {
-            "kind": interval.kind,
-            "from_s": rounded((interval.begin - day_us) / S),
-            "to_s": rounded(min(bed.length_s, (interval.end - day_us) / S)),
+            "kind": fault.kind,
+            "from_s": rounded((fault.begin_us - day_us) / US_PER_S),
+            "to_s": rounded(min(bed.length_s, (fault.end_us - day_us) / US_PER_S)),
         }
-        for interval in bed.history.spells
-        if interval.begin - day_us < bed.length_s * S
+        for fault in bed.history.faults
+        if fault.begin_us - day_us < bed.length_s * US_PER_S
     ]
 
 
--- a/glenrock/testbed/scenario_testbed.py
+++ b/glenrock/testbed/scenario_testbed.py
@@ -14,16 +14,16 @@
 from ..lab.model.plan import Row
 from ..lab.streams import Streams
 from . import balancer_settings
+from .balancer_process import BalancerProcess
 from .discovery_service import DiscoveryService
 from .frontend import Frontend
-from .history import History, S
+from .history import US_PER_S, History
 from .loopback import Address, LoopbackNetwork, RealTimeEngine
 from .modelled_servers import ModelledServer
 from .network_faults import NetworkPaths
 from .network_relays import DatagramRelays, StreamRelay
 from .scenario import Scenario, Strikes, Way, drawn_number
 from .scenario_clients import ScenarioClients
-from .scenario_processes import Balancer
 
 if TYPE_CHECKING:
     from .coordination_store import CoordinationStore
@@ -56,7 +56,7 @@
         self.seed, self.folder, self.network = seed, folder, network
         self.streams = Streams(seed)
         self.server_shapes = shapes.shapes(self.scenario, self.streams)
-        capacity = sum(shape.cores * shape.speed for shape in self.server_shapes) * S
+        capacity = sum(shape.cores * shape.speed for shape in self.server_shapes) * US_PER_S
         self.plan = plans.plan(self.scenario, self.streams, capacity)
         self.balancer_count = int(drawn_number(self.scenario.fleet.balancers))
         self.length_s = drawn_number(self.scenario.length_s)
@@ -64,7 +64,7 @@
         self.clients_by_request: dict[str, Row] = {}
         self.paths = NetworkPaths(_planned_path_faults(self.scenario))
         self.stream_relays: list[StreamRelay] = []
-        self.balancers: list[Balancer] = []
+        self.balancers: list[BalancerProcess] = []
         self.store: CoordinationStore | None = None
         self.is_measuring = False
         self.started_s = 0.0
@@ -201,12 +201,13 @@
         for number in range(self.balancer_count):
             config = self._balancer_config(number)
             folder = self.folder / f"balancer-{number}"
-            self.balancers.append(Balancer(number, folder, config, self.history, self.scenario.rig.memory_mb))
+            memory_mb = self.scenario.rig.memory_mb
+            self.balancers.append(BalancerProcess(number, folder, config, memory_mb=memory_mb, history=self.history))
         for relay in self.stream_relays:
             relay.open()
         self.started_s = asyncio.get_running_loop().time()
         for balancer in self.balancers:
-            balancer.begin()
+            balancer.start()
             await asyncio.sleep(START_GAP_S)  # a start takes tens of milliseconds of the loop that serves the others
         self.frontend.open()
         await self._wait_until_ready()
@@ -221,7 +222,7 @@
             if asyncio.get_running_loop().time() > until_s:
                 missing = min(set(range(self.balancer_count)) - self.frontend.known)
                 raise BalancersNotReadyError(
-                    f"balancer {missing} did not answer PING in time; its log: {self.balancers[missing].folder / 'log'}"
+                    f"balancer {missing} did not answer PING in time; its log: {self.balancers[missing].log_path}"
                 )
             await asyncio.sleep(POLL_S)
 
--- a/glenrock/testbed/session_servers.py
+++ b/glenrock/testbed/session_servers.py
@@ -6,8 +6,9 @@
 import time
 from enum import Enum
 
+from .invariant import NEVER
 from .loopback import Address, Listener, reset_connection
-from .records import NEVER, AttemptRecord, RunRecord
+from .records import AttemptRecord, RunRecord
 
 REPORT = b"PONG util=0.30,queue=0,x0=0.30\r\n"
 ERROR_ANSWERS = {"errors": b"ERR\r\n", "busy": b"BUSY\r\n"}
--- a/glenrock/testbed/soak.py
+++ b/glenrock/testbed/soak.py
@@ -13,16 +13,19 @@
 import uvloop
 
 from .balancer_process import ROOT
-from .bed import Testbed
+from .bed import BedShape, Testbed
 from .call_faults import CallFaults, NoCompilerError, build
 from .clients import Client
 from .fault_player import FaultPlayer
 from .fault_schedule import PlannedFault, SoakPlan, draw
-from .invariants import InvariantChecker, Violation
+from .invariant import InvariantLimits, Violation
+from .invariants import check
 
+ANSWER_GRACE_S = 0.05  # of the rules on sockets
+END_VISIBLE_S = 0.15  # one loop runs all stand-ins, so each may see an end this much later
+CUT_OFF_WINDOW_S = 1.0  # an end is passed on within this
 END_S = 12.0  # for the last clients after the shutdown
 MAX_RUN_S = 90.0
-BAD_LOG_LINES = ("Traceback", "module: failed", "execution: ", "connection: ", "an actor ended")
 LOG_LINES_SHOWN = 6
 RESTING_SHARE, RETURN_S = 0.25, 0.05
 CROSSING_SHARE, IDLE_S, CROSSING_S = 0.1, 10.0, 0.02  # requests sent just as the balancer ends a resting connection
@@ -34,7 +37,7 @@
     """What came of a run. `partial`: why it was not played to its end; empty where it was."""
 
     plan: SoakPlan
-    breaches: list[Violation] = field(default_factory=list)
+    violations: list[Violation] = field(default_factory=list)
     log_lines: dict[int, list[str]] = field(default_factory=dict)
     answers: Counter[str] = field(default_factory=Counter)
     partial: str = ""
@@ -42,7 +45,7 @@
     @property
     def is_clean(self) -> bool:
         """Whether it was played whole and no rule was broken."""
-        return not self.breaches and not self.partial
+        return not self.violations and not self.partial
 
     def text(self) -> str:
         """A line for a clean run; the first breaches, the plan and the log for another."""
@@ -55,14 +58,28 @@
         )
         if self.is_clean:
             return f"{head}; clean"
-        lines = [f"{head}; {len(self.breaches)} breaches {self.partial}".rstrip()]
-        lines += [f"  {one.rule} at balancer {one.balancer}, {one.request_id}: {one.text}" for one in self.breaches[:8]]
+        lines = [f"{head}; {len(self.violations)} violations {self.partial}".rstrip()]
+        lines += [
+            f"  {one.invariant} at balancer {one.balancer}, {one.request_id}: {one.text}: {' | '.join(one.details)}"
+            for one in self.violations[:8]
+        ]
         lines += [f"  fault: {fault.text()}" for fault in self.plan.faults]
         for number, log_lines in self.log_lines.items():
             lines += [f"  log of {number}: {line}" for line in log_lines[-LOG_LINES_SHOWN:]]
         return "\n".join(lines)
 
 
+def limits_of(shape: BedShape) -> InvariantLimits:
+    """Returns the limits that a run of that shape is checked against."""
+    return InvariantLimits(
+        drain_grace_s=shape.drain_grace_ms / 1000,
+        answer_grace_s=ANSWER_GRACE_S,
+        idempotency_window_s=shape.window_ms / 1000,
+        end_visible_s=END_VISIBLE_S,
+        cut_off_window_s=CUT_OFF_WINDOW_S,
+    )
+
+
 class SoakRun:
     """One run of a plan."""
 
@@ -134,7 +151,10 @@
             )
             await self._until_ended(client)
             request = client.request
-            if not (request.is_up and (request.moved or request.left_s > 1e9)) or time.monotonic() > stays_until_s:
+            if (
+                not (request.is_up and (request.is_migrated or request.left_s > 1e9))
+                or time.monotonic() > stays_until_s
+            ):
                 return
             await asyncio.sleep(RETURN_S)
             if not player.taken:
@@ -158,15 +178,12 @@
 
     def _judge(self) -> None:
         record, result = self._bed.record, self._result
-        result.breaches = InvariantChecker(record, self._plan.shape).breaches()
-        result.answers = Counter(request.answer.split(" ")[0] or "none" for request in record.requests)
         for process in self._bed.processes:
-            lines = process.log_lines()
-            bad = [line for line in lines if any(text in line for text in BAD_LOG_LINES)]
-            if bad:
-                result.breaches.append(Violation("crash", 0.0, f"log: {bad[0]}", "", process.number))
-            if any(breach.balancer == process.number for breach in result.breaches):
-                result.log_lines[process.number] = lines
+            record.log_lines[process.number] = process.log_lines()
+        result.violations = check(record, limits_of(self._plan.shape)).violations
+        result.answers = Counter(request.answer.split(" ")[0] or "none" for request in record.requests)
+        struck = {violation.balancer for violation in result.violations}
+        result.log_lines = {number: lines for number, lines in record.log_lines.items() if number in struck}
 
 
 def run(plan: SoakPlan, source: Path = ROOT) -> SoakResult:
@@ -189,12 +206,12 @@
 
 def shrink(result: SoakResult, source: Path, tell: Callable[[str], None]) -> SoakResult:
     """Leaves out each fault in turn, and keeps it out where the run still fails by the same rule."""
-    rules = {breach.rule for breach in result.breaches}
+    rules = {violation.invariant for violation in result.violations}
     smallest = result
     for fault in result.plan.faults:
         plan = smallest.plan.without(fault)
         again = run(plan, source)
-        still = bool(rules & {breach.rule for breach in again.breaches})
+        still = bool(rules & {violation.invariant for violation in again.violations})
         tell(f"without {_name(fault)}: {'still fails' if still else 'clean'}")
         if still:
             smallest = again
--- a/tests/test_fleet_of_thousands.py
+++ b/tests/test_fleet_of_thousands.py
@@ -50,11 +50,11 @@
         assert {client.request.answer.split(" ")[0] for client in clients} == {"UP"}
         for attempt in bed.record.attempts:
             told_s = drained_s.get(attempt.server, float("inf"))
-            assert attempt.standing or attempt.first_byte_s < told_s + GRACE_S + 0.05
-        on_what_drains = [client for client in standing if client.request.standing_at in drained_s]
-        assert await bed.until(lambda: all(client.request.moved for client in on_what_drains), 4.0)
+            assert attempt.is_resumed or attempt.first_byte_s < told_s + GRACE_S + 0.05
+        on_what_drains = [client for client in standing if client.request.resumes_at in drained_s]
+        assert await bed.until(lambda: all(client.request.is_migrated for client in on_what_drains), 4.0)
         kept = [client for client in standing if client not in on_what_drains]
-        assert not any(client.request.moved or client.request.ended_s < float("inf") for client in kept)
+        assert not any(client.request.is_migrated or client.request.ended_s < float("inf") for client in kept)
 
     played(descriptors, story)
 
@@ -74,7 +74,7 @@
         assert time.monotonic() - asked_s < 6.0
         assert await bed.until(lambda: not told.is_running, KILL_AFTER_S - (time.monotonic() - asked_s))
         assert told.exit_code == 0
-        assert all(client.request.moved for client in clients[:10])
+        assert all(client.request.is_migrated for client in clients[:10])
         told.start()
         await bed.until_ready(told)
         again = [bed.client(number) for number in (0, 1) for _ in range(10)]
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -97,7 +97,7 @@
             bed.processes[0].send_signal(15)
             assert await bed.until(lambda: not bed.processes[0].is_running, 3.7)
             assert time.monotonic() - asked_s > 2.0 and bed.processes[0].exit_code == 0
-            assert all(client.request.moved for client in [*clients, *late])
+            assert all(client.request.is_migrated for client in [*clients, *late])
             faults.close()
 
     uvloop.run(asyncio.wait_for(play(), 30))
--- a/tests/testbed/test_balancer_process.py
+++ b/tests/testbed/test_balancer_process.py
@@ -12,7 +12,8 @@
 
 from glenrock.routing import interface
 from glenrock.routing.settings_codec import settings_of
-from glenrock.testbed import balancer_settings, scenario_processes
+from glenrock.testbed import balancer_settings
+from glenrock.testbed.balancer_process import BalancerProcess
 from glenrock.testbed.history import History
 from glenrock.testbed.loopback import LoopbackNetwork
 
@@ -53,33 +54,33 @@
 
 def test_a_process_is_started_paused_resumed_squeezed_and_ended_whatever_its_state(tmp_path) -> None:
     h = History(lambda: 0)
-    b = scenario_processes.Balancer(0, tmp_path / "b", told(LoopbackNetwork()), h, 512)
+    b = BalancerProcess(0, tmp_path / "b", told(LoopbackNetwork()), memory_mb=512, history=h)
     try:
-        b.begin()
-        pid = b.process.pid
-        assert until(lambda: any("ready" in line for line in b.log_lines()))
+        b.start()
+        pid = b.process_id
+        assert until(lambda: any("ready" in line for line in b.new_log_lines()))
         assert b.pause() and until(lambda: state(pid) == "T")
         b.resume()
         assert until(lambda: state(pid) in "SR")
-        b.squeeze(10, max(os.sched_getaffinity(0)))
+        b.limit_cpu(10, max(os.sched_getaffinity(0)))
         assert os.sched_getaffinity(pid) == {max(os.sched_getaffinity(0))} and b.neighbour.poll() is None
         burner = b.neighbour.pid
-        b.loosen(os.sched_getaffinity(0))
+        b.restore_cpu(os.sched_getaffinity(0))
         assert os.sched_getaffinity(pid) == os.sched_getaffinity(0) and state(burner) == "gone"
         b.pause()
     finally:
         b.end()
     assert state(pid) == "gone" and not b.kill() and not b.pause()
-    assert [e.what for e in h.events] == ["started", "paused", "resumed", "squeezed", "loosened", "paused"]
+    assert [e.kind for e in h.events] == ["started", "paused", "resumed", "squeezed", "loosened", "paused"]
 
 
 def test_no_process_outlives_a_stage_that_is_killed(tmp_path) -> None:
     (tmp_path / "told.json").write_text(json.dumps(told(LoopbackNetwork())))
     code = (
-        "import json, sys, time; from pathlib import Path; from glenrock.testbed import scenario_processes, history\n"
+        "import json, sys, time; from pathlib import Path; from glenrock.testbed import balancer_process, history\n"
         "told = json.loads(Path('told.json').read_text())\n"
-        "b = scenario_processes.Balancer(0, Path('b'), told, history.History(lambda: 0), 512)\n"
-        "b.begin(); print(b.process.pid, flush=True); time.sleep(60)"
+        "b = balancer_process.BalancerProcess(0, Path('b'), told, memory_mb=512, history=history.History(lambda: 0))\n"
+        "b.start(); print(b.process_id, flush=True); time.sleep(60)"
     )
     testbed = subprocess.Popen([sys.executable, "-c", code], stdout=subprocess.PIPE, cwd=tmp_path)
     pid = int(testbed.stdout.readline())
--- a/tests/testbed/test_call_faults.py
+++ b/tests/testbed/test_call_faults.py
@@ -48,7 +48,7 @@
     faults.clear()
     before_s = time.monotonic()
     assert await bed.until(lambda: all(before_s < client.request.last_line_s < 1e18 for client in standing), 3.0)
-    assert not any(client.request.moved for client in standing)
+    assert not any(client.request.is_migrated for client in standing)
     # Both sides of the clients that stand, the program's own, and health checks' connections: one a server at most.
     most = 2 * STANDING + 24 + SHAPE.servers
     assert await bed.until(lambda: bed.processes[0].usage().descriptors <= most, 5.0)
@@ -116,7 +116,7 @@
         await asyncio.sleep(0.3)
         struck = len(faults.injected())
         before_s = time.monotonic()
-        whole = [client for client in standing if client.request.ended_s > before_s and not client.request.moved]
+        whole = [client for client in standing if client.request.ended_s > before_s and not client.request.is_migrated]
         assert len(whole) >= len(standing) - struck
         assert await bed.until(lambda: all(client.request.last_line_s > before_s for client in whole), 3.0)
         assert bed.processes[0].is_running
--- a/tests/testbed/test_cold_start.py
+++ b/tests/testbed/test_cold_start.py
@@ -9,7 +9,7 @@
 
 from glenrock.cli.main import run as command
 from glenrock.testbed import scenario_runner
-from glenrock.testbed.history import S
+from glenrock.testbed.history import US_PER_S
 from glenrock.testbed.scenario_testbed import ScenarioTestbed
 
 from .scenarios import played, scene
@@ -38,11 +38,11 @@
         seed=3, length_s=10.0, rig={"known": False}, together={"store": "sqlite", "keep": keep}, faults=faults
     )
     assert not s["breaches"], [(b["rule"], b["text"], *b["led"]) for b in s["breaches"]]
-    day = bed.history.day
-    ups = [e.at - day for e in bed.history.each("up")]
-    broken = [e.at - day for e in bed.history.each("over")]
+    day = bed.history.measured_from_us
+    ups = [e.at_us - day for e in bed.history.each("up")]
+    broken = [e.at_us - day for e in bed.history.each("over")]
     assert s["counts"]["broken"] >= 10 and broken
-    silent = [at for at in ups if 4.0 * S <= at < 6.9 * S]  # all are up again, and the list is not
+    silent = [at for at in ups if 4.0 * US_PER_S <= at < 6.9 * US_PER_S]  # all are up again, and the list is not
     assert (len(silent) >= 10) is keep and bool(silent) is keep, (len(silent), s["counts"])
     lines = [str(e.data["text"]) for e in bed.history.each("log") if "start: " in str(e.data["text"])]
     assert sum("its list of 4 servers is used" in line for line in lines) == keep * (
@@ -59,8 +59,10 @@
         seed=5, length_s=17.0, together={"store": "sqlite", "spaced": spaced, "sound_ms": 6000.0}, faults=LOOP
     )
     assert not s["breaches"], [(b["rule"], b["text"], *b["led"]) for b in s["breaches"]]
-    day = bed.history.day
-    taken = [(e.at - day) / S for e in bed.history.each("takes in") if e.data["balancer"] == 0 and e.at > day]
+    day = bed.history.measured_from_us
+    taken = [
+        (e.at_us - day) / US_PER_S for e in bed.history.each("takes in") if e.data["balancer"] == 0 and e.at_us > day
+    ]
     late = [at for at in taken if 7.1 < at < 8.5]  # of a life that waits at least as long as it has
     assert (not late) is spaced, taken
     waits = [
@@ -70,7 +72,7 @@
     ]
     assert (len(waits) >= 3) is spaced and waits == sorted(waits), waits
     assert taken[-1] > 8.5, "it serves once it lives"
-    ups = [e for e in bed.history.each("up") if (e.at - day) / S > taken[-1]]
+    ups = [e for e in bed.history.each("up") if (e.at_us - day) / US_PER_S > taken[-1]]
     assert ups or s["counts"]["set_up"] > 20
 
 
--- a/tests/testbed/test_coordination.py
+++ b/tests/testbed/test_coordination.py
@@ -4,9 +4,10 @@
 
 import pytest
 
-from glenrock.testbed import history_invariants
-from glenrock.testbed.coordination_invariants import figures
+from glenrock.testbed.coordination_figures import coordination_figures
 from glenrock.testbed.history import History
+from glenrock.testbed.history_records import check_history, records_of
+from glenrock.testbed.invariant import Invariant, InvariantLimits
 from glenrock.toml_file import InputFileError
 
 from .scenarios import played, scene
@@ -83,7 +84,9 @@
     assert not s["breaches"] and s["counts"]["set_up"] > 20, s["breaches"]
     t = s["together"]
     assert (t["told"], t["told_later"], t["drained"], t["drains_refused"]) == (0, 1, 0, 1)
-    lines = [e for e in bed.history.each("line") if e.who == "instance:2" and e.at > bed.history.day + 2e6]
+    lines = [
+        e for e in bed.history.each("line") if e.party == "instance:2" and e.at_us > bed.history.measured_from_us + 2e6
+    ]
     assert not [e for e in lines if e.data["balancer"] == 0]
 
 
@@ -138,16 +141,19 @@
 )
 def test_the_judge_sees_what_is_not_kept(events, broken) -> None:
     h = history(*sorted(events, key=lambda e: e[0]))
-    v = history_invariants.judge(h, history_invariants.Figures(2500.0, tickets=1))
-    assert {b.rule for b in v.breaches} == ({broken} if broken else set())
-    assert sum(v.seen.values()) > 0 and figures(h, 1000)["taken"] == sum(e.data["ok"] for e in h.each("effect"))
+    v = check_history(h, InvariantLimits(2.5, drain_permits=1))
+    assert {b.invariant for b in v.violations} == ({broken} if broken else set())
+    assert sum(v.cases.values()) > 0 and coordination_figures(h, 1000)["taken"] == sum(
+        e.data["ok"] for e in h.each("effect")
+    )
 
 
 def test_who_says_another_thing_at_the_end_is_told() -> None:
-    v = history_invariants.judge(
-        history(effect(1, 5, 1)), history_invariants.Figures(2500.0, apart=("balancer 2: {}",))
-    )
-    assert [b.rule for b in v.breaches] == ["agreed"] and "balancer 2" in v.breaches[0].text
+    h = history(effect(1, 5, 1))
+    record = records_of(h)
+    record.disagreements = ("balancer 2: {}",)
+    v = check_history(h, InvariantLimits(2.5), record)
+    assert [b.invariant for b in v.violations] == [Invariant.AGREEMENT] and "balancer 2" in v.violations[0].text
 
 
 @pytest.mark.parametrize(
--- a/tests/testbed/test_history_invariants.py
+++ b/tests/testbed/test_history_invariants.py
@@ -4,11 +4,12 @@
 
 import pytest
 
-from glenrock.testbed import history_invariants
 from glenrock.testbed.history import FaultInterval, History
+from glenrock.testbed.history_records import check_history
+from glenrock.testbed.invariant import InvariantLimits
 
 MS = 1000
-FIGURES = history_invariants.Figures(drain_grace_ms=2000.0)
+LIMITS = InvariantLimits(drain_grace_s=2.0)
 
 
 def history(*rows) -> History:
@@ -16,7 +17,7 @@
     h = History(lambda: h.at)  # type: ignore[attr-defined]
     for row in rows:
         if row[0] == "fault":
-            h.spells.append(FaultInterval("test", frozenset(row[3:]), row[1] * MS, row[2] * MS))
+            h.faults.append(FaultInterval("test", frozenset(row[3:]), row[1] * MS, row[2] * MS))
             continue
         h.at, who, what, id_, data = row[0] * MS, row[1], row[2], row[3], row[4] if len(row) > 4 else {}
         h.note(who, what, id_, **data)
@@ -109,7 +110,7 @@
 
 @pytest.mark.parametrize("rule, rows, breaches, excused", CASES)
 def test_what_the_judge_says_of_a_history(rule, rows, breaches, excused) -> None:
-    v = history_invariants.judge(history(*rows), FIGURES)
-    of_rule = [b for b in v.breaches if b.rule == rule]
-    assert (len(of_rule), v.excused[rule]) == (breaches, excused), [b.text for b in v.breaches]
-    assert all(b.led or not b.id for b in of_rule)
+    v = check_history(history(*rows), LIMITS)
+    of_rule = [b for b in v.violations if b.invariant == rule]
+    assert (len(of_rule), v.excused[rule]) == (breaches, excused), [b.text for b in v.violations]
+    assert all(b.details or not b.request_id for b in of_rule)
--- a/tests/testbed/test_scenario_runner.py
+++ b/tests/testbed/test_scenario_runner.py
@@ -49,9 +49,9 @@
     assert bed.measure.series["standing"][-1] >= 0.6 * (
         bed.measure.series["standing"][-1] + bed.measure.series["line"][-1]
     )
-    assert not any(b.up for b in bed.balancers)
+    assert not any(b.is_running for b in bed.balancers)
     if name == "processes":
-        assert [b.lives for b in bed.balancers] == [2, 1, 2]
+        assert [b.incarnation for b in bed.balancers] == [2, 1, 2]
         assert s["counts"]["moved"] > 0, "the one that was told to go moved its clients"
     if name == "ways":
         assert s["counts"]["datagrams_lost"] > 0 and s["counts"]["datagrams"] > 0
--- a/tests/testbed/test_soak.py
+++ b/tests/testbed/test_soak.py
@@ -10,13 +10,16 @@
 from glenrock.testbed import soak
 from glenrock.testbed.bed import BedShape
 from glenrock.testbed.endpoint_directory import DRAINING, SERVING
+from glenrock.testbed.fault_player import kill_record
 from glenrock.testbed.fault_schedule import FaultKind, draw
-from glenrock.testbed.invariants import InvariantChecker
+from glenrock.testbed.invariant import NEVER, Invariant
+from glenrock.testbed.invariants import check
 from glenrock.testbed.records import (
-    NEVER,
     AttemptRecord,
     ConnectionEnd,
+    FaultRecord,
     HalfRequestRecord,
+    Idempotency,
     ListedRecord,
     RequestRecord,
     RunRecord,
@@ -27,8 +30,8 @@
 
 def request(**over) -> RequestRecord:
     values = {"request_id": "r", "balancer": 0, "deadline_ms": 1000.0, "sent_s": 10.0, "answer": "UP x"}
-    values |= {"answered_s": 10.1, "moved": True, "end": ConnectionEnd.FINISHED, "ended_s": 15.0}
-    values |= {"answered_s": NEVER} if over.get("answer") == "" else {}
+    values |= {"answered_s": 10.1, "answers": 1, "is_migrated": True, "end": ConnectionEnd.FINISHED, "ended_s": 15.0}
+    values |= {"answered_s": NEVER, "answers": 0} if over.get("answer") == "" else {}
     return RequestRecord(**(values | over))
 
 
@@ -39,9 +42,8 @@
 
 def rules(one: RequestRecord, *attempts: AttemptRecord, **over) -> list[str]:
     record = RunRecord(requests=[one], attempts=list(attempts), **over)
-    return [
-        breach.rule for breach in InvariantChecker(record, BedShape(window_ms=500.0, drain_grace_ms=2500.0)).breaches()
-    ]
+    limits = soak.limits_of(BedShape(window_ms=500.0, drain_grace_ms=2500.0))
+    return [violation.invariant for violation in check(record, limits).violations]
 
 
 def test_a_sound_request_breaks_no_rule() -> None:
@@ -53,17 +55,26 @@
 @pytest.mark.parametrize(
     ("broken", "expected"),
     [
-        (lambda: rules(request(answer="", end=ConnectionEnd.RESET)), ["lost"]),
-        (lambda: rules(request(answered_s=11.6), attempt()), ["lost"]),
-        (lambda: rules(request(standing_at="s", answer="BUSY 300")), ["lost"]),
-        (lambda: rules(request(answer="HELLO")), ["wrong"]),
-        (lambda: rules(request(unexpected="b'x'"), attempt()), ["wrong"]),
-        (lambda: rules(request(moved=False), attempt()), ["cut off"]),
-        (lambda: rules(request(), attempt(10.0, 10.9, ""), attempt(10.5)), ["duplicate"]),
-        (lambda: rules(request(effect="unsafe"), attempt(10.0, 10.2, "ERR"), attempt(10.3)), ["duplicate"]),
-        (lambda: rules(request(effect="keyed"), attempt(10.0, 10.2, "ERR"), attempt(10.6)), ["duplicate"]),
-        (lambda: rules(request(effect="unsafe", answer="BUSY 9"), attempt(10.0, 10.2, "ERR")), ["refused"]),
-        (lambda: rules(request(answer="", left_s=10.1), attempt(10.5, 10.6, "")), ["forwarded"]),
+        (lambda: rules(request(answer="", end=ConnectionEnd.RESET)), [Invariant.FINAL_ANSWER]),
+        (lambda: rules(request(answered_s=11.6), attempt()), [Invariant.FINAL_ANSWER]),
+        (lambda: rules(request(resumes_at="s", answer="BUSY 300")), [Invariant.FINAL_ANSWER]),
+        (lambda: rules(request(answer="HELLO")), [Invariant.PROTOCOL_ANSWER]),
+        (lambda: rules(request(unexpected="b'x'"), attempt()), [Invariant.PROTOCOL_ANSWER]),
+        (lambda: rules(request(is_migrated=False), attempt()), [Invariant.CONNECTION_KEPT]),
+        (lambda: rules(request(), attempt(10.0, 10.9, ""), attempt(10.5)), [Invariant.SINGLE_ATTEMPT]),
+        (
+            lambda: rules(request(idempotency=Idempotency.UNSAFE), attempt(10.0, 10.2, "ERR"), attempt(10.3)),
+            [Invariant.SINGLE_EXECUTION],
+        ),
+        (
+            lambda: rules(request(idempotency=Idempotency.KEYED), attempt(10.0, 10.2, "ERR"), attempt(10.6)),
+            [Invariant.SINGLE_EXECUTION],
+        ),
+        (
+            lambda: rules(request(idempotency=Idempotency.UNSAFE, answer="BUSY 9"), attempt(10.0, 10.2, "ERR")),
+            [Invariant.NO_REJECT_AFTER_EXECUTION],
+        ),
+        (lambda: rules(request(answer="", left_s=10.1), attempt(10.5, 10.6, "")), [Invariant.CLIENT_PRESENT]),
     ],
 )
 def test_each_broken_rule_is_told(broken, expected: list[str]) -> None:
@@ -71,16 +82,20 @@
 
 
 def test_what_a_kill_or_a_server_took_away_is_excused_and_nothing_else() -> None:
-    lost, cut = request(answer="", end=ConnectionEnd.RESET), request(moved=False)
-    assert rules(lost, killed_s={0: [10.5]}) == [] and rules(lost, killed_s={1: [10.5]}) == ["lost"]
-    assert rules(lost, stopped_s={0: [10.0]}) == ["lost"]
+    lost, cut = request(answer="", end=ConnectionEnd.RESET), request(is_migrated=False)
+    assert rules(lost, faults=[kill_record(0, 10.5)]) == [] and rules(lost, faults=[kill_record(1, 10.5)]) == [
+        Invariant.FINAL_ANSWER
+    ]
+    assert rules(lost, faults=[FaultRecord("terminate", frozenset({"balancer:0"}), 10.0, 15.0, frozenset())]) == [
+        Invariant.FINAL_ANSWER
+    ]
     assert rules(cut, attempt(ended_by_server=True)) == [] and rules(cut, attempt(hung_s=12.0)) == []
-    assert rules(cut, attempt(hung_s=16.0)) == ["cut off"]
+    assert rules(cut, attempt(hung_s=16.0)) == [Invariant.CONNECTION_KEPT]
 
 
 def test_a_send_after_the_grace_is_told_by_when_the_list_came() -> None:
     told = [ListedRecord(0, "s", SERVING, 1.0), ListedRecord(0, "s", DRAINING, 7.0)]
-    assert rules(request(), attempt(), listed=told) == ["drain"]
+    assert rules(request(), attempt(), listed=told) == [Invariant.DRAIN_GRACE]
     assert rules(request(), attempt(), listed=[*told, ListedRecord(0, "s", SERVING, 9.0)]) == []
     assert rules(request(), attempt(), listed=[ListedRecord(0, "s", DRAINING, 8.0)]) == []
     assert rules(request(), attempt(), listed=[ListedRecord(1, "s", DRAINING, 1.0)]) == []
@@ -88,7 +103,7 @@
 
 def test_half_a_request_that_is_left_open_is_told() -> None:
     kept, closed = HalfRequestRecord(0, 10.0, 14.0), HalfRequestRecord(0, 10.0, 12.0)
-    assert rules(request(), attempt(), half_requests=[kept, closed]) == ["bad client"]
+    assert rules(request(), attempt(), half_requests=[kept, closed]) == [Invariant.HALF_REQUEST_CLOSED]
 
 
 def test_a_plan_is_its_seeds_and_all_kinds_are_drawn() -> None:
