--- a/glenrock/testbed/coordination_observer.py
+++ b/glenrock/testbed/coordination_observer.py
@@ -43,9 +43,9 @@
         if not isinstance(message, datagrams.Acknowledgement):
             return
         party = f"balancer:{sender}"
-        if not message.number:
+        if not message.sequence:
             self._history.note(
-                party, EventKind.MARK_REJECTED, job=message.job, term=message.term, seen=message.seen_term
+                party, EventKind.MARK_REJECTED, job=message.job, term=message.term, seen=message.highest_term
             )
             return
         self._history.note(
@@ -53,8 +53,8 @@
             EventKind.EFFECT_ACKNOWLEDGED,
             job=message.job,
             term=message.term,
-            number=message.number,
-            ok=message.accepted,
-            seen=message.seen_term,
-            order=message.order,
+            number=message.sequence,
+            ok=message.is_accepted,
+            seen=message.highest_term,
+            order=message.verdict_sequence,
         )
