--- a/glenrock/cli/scenario_live_table.py
+++ b/glenrock/cli/scenario_live_table.py
@@ -47,13 +47,13 @@
     for column in ("balancer", "state", "connections", "life", "last said"):
         table.add_column(column)
     for balancer in bed.balancers:
-        state = "asleep" if balancer.paused else "up" if balancer.up else "down"
+        state = "asleep" if balancer.is_paused else "up" if balancer.is_running else "down"
         state += "" if balancer.number in bed.frontend.known else ", left out"
         connection_count = sum(
             attempt.balancer == balancer.number for server in bed.servers for attempt in server.open_now
         )
-        last_line = _last_log_line(bed, balancer.name)[:MAX_LOG_LINE_LENGTH]
-        table.add_row(balancer.name, state, str(connection_count), str(balancer.lives), last_line)
+        last_line = _last_log_line(bed, balancer.party)[:MAX_LOG_LINE_LENGTH]
+        table.add_row(balancer.party, state, str(connection_count), str(balancer.incarnation), last_line)
     loads = " ".join(
         f"{server.model.demand / max(MIN_CAPACITY, server.model.capacity(bed.engine.now)):.2f}"
         if server.model.up
@@ -67,14 +67,14 @@
 def _active_faults(bed: ScenarioTestbed) -> str:
     faults = [
         f"{interval.kind} ({', '.join(sorted(interval.parties)) or 'datagrams'})"
-        for interval in bed.history.active_intervals()
+        for interval in bed.history.active_faults()
     ]
     return ", ".join(faults) or "no fault"
 
 
-def _last_log_line(bed: ScenarioTestbed, balancer: str) -> str:
+def _last_log_line(bed: ScenarioTestbed, party: str) -> str:
     for event in reversed(bed.history.events):
-        if event.what == "log" and event.who == balancer:
+        if event.kind == "log" and event.party == party:
             text: str = event.data["text"]
             return text
     return ""
