--- a/benchmarks/ownership.py
+++ b/benchmarks/ownership.py
@@ -17,7 +17,13 @@
 from glenrock.coordination.membership import PeerLiveness
 
 S = 1_000_000
-RULES = LeaseTiming(lease_us=10 * S, drift=0.01, request_timeout_us=2 * S, retry_us=S, unreachable_backoff_us=2 * S)
+RULES = LeaseTiming(
+    lease_us=10 * S,
+    max_drift_fraction=0.01,
+    request_timeout_us=2 * S,
+    retry_interval_us=S,
+    unreachable_backoff_us=2 * S,
+)
 TURN, LOOK, ALL_EACH = 50_000, 2 * S, 5  # as the program has them
 WAY = 3000
 
@@ -59,7 +65,7 @@
                     asked = h.jobs_to_watch(self.now, self.looks[n] % ALL_EACH == 0)
                     self.calls["looks"] += bool(asked)
                     if self.now >= self.down_until:
-                        h.observed(asked, {j: self.lease(j) for j in asked if j in self.leases}, self.now)
+                        h.record_leases(asked, {j: self.lease(j) for j in asked if j in self.leases}, self.now)
                 if self.turn_at[n] <= self.now:
                     self.turn_at[n] = self.now + TURN
                     self.answer(n, h, h.tick(self.now).requests)
@@ -74,10 +80,10 @@
         self.calls["acquires"] += (1 + min(kinds["acquire"], 5) + -(-kinds["acquire"] // 32)) if kinds["acquire"] else 0
         self.calls["releases"] += kinds["release"]
         if self.now < self.down_until:
-            h.unanswered(asks, self.now + RULES.request_timeout_us)
+            h.handle_timeouts(asks, self.now + RULES.request_timeout_us)
             return
         granted = {j: self.ask(n, j, a.kind, a.term) for j, a in asks}
-        outcome = h.answered(asks, granted, self.now + WAY)
+        outcome = h.handle_answers(asks, granted, self.now + WAY)
         for job, e in outcome.events:
             if isinstance(e, LeaseAcquired) and job in self.free_since:
                 self.gaps.append((self.now - self.free_since.pop(job)) / RULES.lease_us)
--- a/glenrock/coordination/config.py
+++ b/glenrock/coordination/config.py
@@ -1,34 +1,45 @@
-"""The operator's file: what balancers do together. Read only where a configuration names it.
-
-Keys are the operators': they stay as they are. Times are milliseconds.
-"""
+"""The operators' coordination file (`fleet.toml`). Its keys are operators' words and stay. Times are milliseconds."""
 
 from __future__ import annotations
 
+from enum import StrEnum
 from pathlib import Path
-from typing import Annotated, Literal
+from typing import Annotated, NamedTuple
 
 from msgspec import Meta, Struct
 
 from .. import toml_file
 from ..toml_file import fault
 
-CONSUL_MIN_TTL_MS = 10_000  # of the service: a session's TTL is never shorter unless its own settings allow it
+CONSUL_MIN_TTL_MS = 10_000  # Consul's bound on a session's TTL, unless its own configuration lowers it
 DAY_MS = 86_400_000
 
 
+class StoreKind(StrEnum):
+    """The lease store. SQLITE serves the balancers of one machine, CONSUL those of several."""
+
+    SQLITE = "sqlite"
+    CONSUL = "consul"
+
+
 class Section(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """A table of the file; keys that are not known are told."""
+    """A table of the file. An unknown key is an error."""
 
 
 class StoreSettings(Section, frozen=True):
-    """Where leases are kept.
-
-    `sqlite`: balancers of one machine, `path`. `consul`: `addresses`, `prefix`, and a file with a token. `shortest_ms`:
-    the least TTL that the service takes.
+    """The lease store.
+
+    Attributes:
+        kind: which one.
+        path: of the SQLite file.
+        addresses: `host:port` of Consul's servers or agents.
+        prefix: of Consul's keys.
+        token_file: path of a file with Consul's token; empty if none is needed.
+        lock_delay_ms: time from the expiry of a lease until another holder may acquire it.
+        shortest_ms: the shortest TTL of a session that Consul accepts.
     """
 
-    kind: Literal["sqlite", "consul"]
+    kind: StoreKind
     path: str = ""
     addresses: tuple[Annotated[str, Meta(pattern=r"^[^\s:/]+:[0-9]{1,5}$")], ...] = ()
     prefix: Annotated[str, Meta(pattern=r"^[A-Za-z0-9_./-]{1,100}$")] = "glenrock"
@@ -38,7 +49,13 @@
 
 
 class LeaseSettings(Section, frozen=True):
-    """A term's length, the drift between any two clocks that is allowed for, and the time of a request."""
+    """Durations of a lease.
+
+    Attributes:
+        lease_ms: how long a lease lasts.
+        drift: bound on the drift of two clocks against each other, as a fraction.
+        ask_ms: timeout of a request to the store.
+    """
 
     lease_ms: Annotated[float, Meta(ge=100, le=3_600_000)] = 10_000.0
     drift: Annotated[float, Meta(ge=0, le=0.2)] = 0.01
@@ -46,7 +63,13 @@
 
 
 class JobSettings(Section, frozen=True):
-    """`turnstile`: at most so many balancers drained by hand at a time; 0: not counted."""
+    """The work that balancers share.
+
+    Attributes:
+        bans: whether operators' overrides are replicated.
+        turnstile: how many balancers may drain at a time by an operator's call; 0 for no bound.
+        probe_shards: whether health checks are sharded.
+    """
 
     bans: bool = True
     turnstile: Annotated[int, Meta(ge=0, le=100)] = 0
@@ -54,11 +77,15 @@
 
 
 class StartSettings(Section, frozen=True):
-    """What a start knows from before.
-
-    `keep`: the endpoint list and what was learned of clients are kept in `folder` for the next start. A list older than
-    `list_ms` is not used; what was learned counts half after `half_ms`. `spaced`: a balancer whose incarnations end
-    within `sound_ms` again and again comes back ever later, `most_wait_ms` at the longest.
+    """What a start uses from earlier incarnations.
+
+    Attributes:
+        keep: whether the endpoint list and the learned loads are cached for the next start.
+        list_ms: an older cached list is not used.
+        half_ms: age at which learned loads count half.
+        spaced: whether a start is delayed after repeated crashes.
+        sound_ms: an incarnation that ran for this long did not crash at its start.
+        most_wait_ms: bound on the delay.
     """
 
     keep: bool = False
@@ -70,7 +97,7 @@
 
 
 class CoordinationFile(Section, frozen=True):
-    """The whole file. `folder`: what a balancer must know after its own restart stands there."""
+    """The whole file. `folder` is where each balancer stores what must outlive its restart."""
 
     folder: str
     store: StoreSettings
@@ -79,32 +106,41 @@
     start: StartSettings = StartSettings()
 
 
+class _Requirement(NamedTuple):
+    """A condition across keys, the key at fault if it is not met, and the message."""
+
+    is_met: bool
+    key: str
+    message: str
+
+
 def load(path: Path) -> CoordinationFile:
-    """Reads the file. Raises InputFileError with file, line and key."""
+    """Reads and checks the file. Raises InputFileError, which names file, line and key."""
     raw, text = toml_file.read(path)
-    found: CoordinationFile = toml_file.convert(path, text, raw, CoordinationFile)
-    store, lease = found.store, found.lease
-    is_consul = store.kind == "consul"
-    requirements = (
-        (bool(found.folder), "folder", "a folder is needed"),
-        (is_consul or bool(store.path), "store.path", "a file is needed where kind is sqlite"),
-        (
-            not is_consul or bool(store.addresses),
-            "store.addresses",
-            "at least one is needed where kind is consul",
+    file: CoordinationFile = toml_file.convert(path, text, raw, CoordinationFile)
+    for requirement in _requirements(file):
+        if not requirement.is_met:
+            raise fault(path, text, requirement.key, requirement.message)
+    return file
+
+
+def _requirements(file: CoordinationFile) -> list[_Requirement]:
+    store, lease = file.store, file.lease
+    is_consul = store.kind is StoreKind.CONSUL
+    return [
+        _Requirement(bool(file.folder), "folder", "a folder is needed"),
+        _Requirement(is_consul or bool(store.path), "store.path", "a file is needed where kind is sqlite"),
+        _Requirement(
+            not is_consul or bool(store.addresses), "store.addresses", "at least one is needed where kind is consul"
         ),
-        (
+        _Requirement(
             not is_consul or lease.lease_ms >= store.shortest_ms,
             "lease.lease_ms",
             f"the service takes no TTL under {store.shortest_ms:g} ms (store.shortest_ms)",
         ),
-        (
+        _Requirement(
             lease.ask_ms * 2 <= lease.lease_ms,
             "lease.ask_ms",
             "at most half of lease_ms, or no renewal could be lost",
         ),
-    )
-    for is_met, key, what in requirements:
-        if not is_met:
-            raise fault(path, text, key, what)
-    return found
+    ]
--- a/glenrock/coordination/datagrams.py
+++ b/glenrock/coordination/datagrams.py
@@ -1,7 +1,7 @@
-"""Datagrams of the coordination, within 256 bytes, beside the gossip summaries on the same socket.
+"""The datagrams of the coordination, of at most 256 bytes, on the same socket as the gossip summaries.
 
-Pure. The first byte tells the kind; a gossip summary begins with its version, 1. Whole numbers are big-endian; `decode`
-takes nothing that is cut, longer than it says, or of a kind that is not known.
+Pure. The first byte is the kind; that of a gossip summary is its version, 1. Integers are big-endian. `decode` rejects
+data that are truncated, have trailing bytes or are of an unknown kind.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 MAX_BYTES = 256
 MAX_JOB_BYTES = 32
 MAX_NUMBER = (1 << 64) - 1
-HEADER = struct.Struct(">BB")  # kind, bytes of the job's name
+HEADER = struct.Struct(">BB")  # kind, length of the job's name in bytes
 
 HEARTBEAT, SYNC_REQUEST, OVERRIDE_UPDATE, ACKNOWLEDGEMENT = 0xF1, 0xF2, 0xF3, 0xF4
 SHARED_LOADS, JOB_RELEASED, KNOWN_OVERRIDE = 0xF5, 0xF6, 0xF7
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaderHeartbeat:
-    """A lease holder's, each second: its term, and a digest of all overrides."""
+    """Sent by a lease holder each second: its term, and the digest of its override log."""
 
     job: str
     term: int
@@ -42,17 +42,33 @@
 
 @dataclass(frozen=True, slots=True)
 class SyncRequest:
-    """To a lease holder: what is known up to, by one whose digest differs. `all`: that was not enough before."""
+    """Asks a lease holder for missing overrides, after a heartbeat with a different digest.
+
+    Attributes:
+        job: the job.
+        term: of the heartbeat.
+        up_to: the highest revision known; later overrides are asked for.
+        wants_all: whether all overrides are asked for, since those after `up_to` did not suffice.
+    """
 
     job: str
     term: int
-    upto: Revision
-    all: bool
+    up_to: Revision
+    wants_all: bool
 
 
 @dataclass(frozen=True, slots=True)
 class OverrideUpdate:
-    """An effect: an override, in the name of a term, with a number that grows with each datagram of that term."""
+    """An effect of a lease holder: an override.
+
+    Attributes:
+        job: the job.
+        term: of the holder.
+        sequence: number of this datagram within the term.
+        revision: of the override.
+        is_suspended: whether the server is out of rotation.
+        server: name of the server.
+    """
 
     job: str
     term: int
@@ -64,9 +80,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Acknowledgement:
-    """To a sender of `OverrideUpdate` or `LeaderHeartbeat`: taken, or refused since a higher term was seen.
-
-    `verdict_sequence`: of this among all that the receiver's process has judged, since its answers go different ways.
+    """Answers an `OverrideUpdate`, or rejects a `LeaderHeartbeat`.
+
+    Attributes:
+        job: the job.
+        is_accepted: whether the receiver's fence accepted it.
+        highest_term: the highest term that the receiver has seen.
+        term: of the sender.
+        sequence: of the update; 0 for a heartbeat.
+        revision: of the update.
+        verdict_sequence: number of this verdict among those of the receiver's process; acknowledgements may be
+            reordered.
+        server: of the update.
     """
 
     job: str
@@ -81,21 +106,21 @@
 
 @dataclass(frozen=True, slots=True)
 class SharedLoads:
-    """Loads of servers that one balancer asked for all."""
+    """Loads from health checks of the sender, in the form of `HealthCheckShards`."""
 
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class JobReleased:
-    """A job's lease was given back just now."""
+    """The sender has released the lease of a job."""
 
     job: str
 
 
 @dataclass(frozen=True, slots=True)
 class KnownOverride:
-    """To a holder that tells other overrides than are known here, though it has told all of its own."""
+    """Sent to a lease holder whose digest still differs after a full sync: an override that it may lack."""
 
     job: str
     revision: Revision
@@ -107,11 +132,12 @@
 
 
 def _clamp(*numbers: int) -> list[int]:
+    """Returns the numbers, each limited to 64 bits without a sign."""
     return [max(0, min(MAX_NUMBER, number)) for number in numbers]
 
 
 def encode(message: Message) -> bytes | None:
-    """None where it is longer than a datagram may be: long names go by the store alone."""
+    """Returns the datagram; None if it would be longer than MAX_BYTES."""
     if isinstance(message, SharedLoads):
         data = bytes([SHARED_LOADS]) + message.data
         return data if len(data) <= MAX_BYTES else None
@@ -126,12 +152,12 @@
 def _body_of(
     message: KnownOverride | LeaderHeartbeat | SyncRequest | OverrideUpdate | Acknowledgement | JobReleased,
 ) -> tuple[int, bytes]:
-    """The kind, and what stands behind the job's name."""
+    """Returns the kind, and the bytes after the job's name."""
     match message:
         case LeaderHeartbeat(_, term, digest):
             return HEARTBEAT, BODIES[HEARTBEAT].pack(*_clamp(term, digest))
-        case SyncRequest(_, term, upto, every):
-            return SYNC_REQUEST, BODIES[SYNC_REQUEST].pack(*_clamp(term, *upto), every)
+        case SyncRequest(_, term, up_to, wants_all):
+            return SYNC_REQUEST, BODIES[SYNC_REQUEST].pack(*_clamp(term, *up_to), wants_all)
         case OverrideUpdate(_, term, sequence, revision, is_suspended, server):
             body = BODIES[OVERRIDE_UPDATE].pack(*_clamp(term, sequence, *revision), is_suspended)
             return OVERRIDE_UPDATE, body + server.encode()
@@ -146,7 +172,7 @@
 
 
 def decode(data: bytes) -> Message | None:
-    """None for anything that is no datagram of these."""
+    """Returns the message; None if the data are not a valid datagram."""
     if not HEADER.size <= len(data) <= MAX_BYTES or not FIRST_KIND <= data[0] <= LAST_KIND:
         return None
     kind = data[0]
@@ -168,6 +194,7 @@
 
 
 def _message_of(kind: int, job: str, values: tuple[int, ...], server: str) -> Message:
+    """Builds the message of a kind from the numbers of its body."""
     if kind == HEARTBEAT:
         return LeaderHeartbeat(job, *values)
     if kind == SYNC_REQUEST:
--- a/glenrock/coordination/drain_limiter.py
+++ b/glenrock/coordination/drain_limiter.py
@@ -12,7 +12,7 @@
 from ..log import say
 from ..operation_errors import OperationRejectedError
 from .context import CoordinationContext
-from .durable_state import Ticket
+from .durable_state import StoredPermit
 from .leases.candidate import LeaseAcquired, LeaseLost
 from .leases.store import Lease, StoreUnavailableError
 from .membership import stable_hash
@@ -86,7 +86,7 @@
         """Releases the permit, if one is held."""
         job, self.permit = self.permit, ""
         if job:
-            self._context.state.tickets.pop(job, None)
+            self._context.state.permits.pop(job, None)
             self._context.tasks.run(self._write_state())
             self._leases.step_down(job)
 
@@ -95,7 +95,7 @@
 
     async def _acquire(self, job: str, within_s: float) -> bool:
         answer = self._answers[job] = asyncio.get_running_loop().create_future()
-        self._leases.want(job)
+        self._leases.request_lease(job)
         try:
             acquired = await asyncio.wait_for(answer, max(0.0, within_s))
         except TimeoutError:
@@ -105,7 +105,7 @@
         if not acquired or term is None:
             self._leases.step_down(job)
             return False
-        self._context.state.tickets[job] = Ticket(self._context.holder, term)
+        self._context.state.permits[job] = StoredPermit(self._context.holder, term)
         self.permit = job
         if await self._context.write_state() and self.drain_permit_is_valid():
             return True
@@ -124,7 +124,7 @@
     def _lose(self, reason: str) -> None:
         """Without the ticket another may be drained now."""
         say("ticket", f"{self.permit} is lost ({reason}): clients are taken again")
-        self._leases.manager.wanted.discard(self.permit)
+        self._leases.manager.requested_jobs.discard(self.permit)
         self.permit = ""
         with contextlib.suppress(OperationRejectedError):  # a stopping process ends no drain
             self._context.host.shutdown.end_manual_drain()
@@ -138,7 +138,7 @@
 
     async def _give_back_old_tickets(self) -> None:
         """Tickets of earlier incarnations, once clients are taken again."""
-        tickets = self._context.state.tickets
+        tickets = self._context.state.permits
         old = dict(tickets)
         if not old:
             return
@@ -155,10 +155,10 @@
         operators = self._context.host.operators
         return bool(operators and operators.operations.serves)
 
-    async def _free(self, job: str, ticket: Ticket) -> None:
+    async def _free(self, job: str, ticket: StoredPermit) -> None:
         while True:
             try:
-                await self._leases.store.free(job, ticket.holder, ticket.term)
+                await self._leases.store.release_for(job, ticket.holder, ticket.term)
             except StoreUnavailableError as error:
                 self._leases.record_store_error(error)
                 await asyncio.sleep(RETRY_S)
--- a/glenrock/coordination/durable_state.py
+++ b/glenrock/coordination/durable_state.py
@@ -1,8 +1,8 @@
-"""What a balancer must know after its own restart: terms seen, overrides taken, its operators' pending words.
+"""What a balancer must know after its own restart: fence positions, overrides, pending overrides and drain permits.
 
-One file for each balancer, replaced as a whole before what it says is carried out. Two processes of one name, in an
-upgrade, share it: under a lock each takes over what the other has written, and marks only grow. The keys of the file
-are those that earlier versions wrote.
+Each balancer has one file, which is replaced as a whole before what it says is carried out. The two processes of an
+upgrade have one name and share the file: under a lock, each merges what the other has written. The keys of the file are
+those of earlier versions; this module alone knows them.
 """
 
 from __future__ import annotations
@@ -17,62 +17,96 @@
 from typing import Any, NamedTuple
 
 from .. import durable_file
-from .leases.fence import Fence, FencePosition
+from .leases.fence import NO_POSITION, Fence, FencePosition
 from .leases.sqlite_store import current_boot
-from .shared_work.override_log import OverrideEntry, OverrideLog, PendingOverride, pending_of
-from .shared_work.revision import Revision
+from .shared_work.override_log import OverrideEntry, OverrideLog, PendingOverride, decode_pending
+from .shared_work.revision import NO_REVISION, Revision
 
 VERSION = 1
 MAX_BYTES = 8 << 20
 
 
 class DurableStateError(ValueError):
-    """The file cannot be used; the message says why."""
+    """The file cannot be used; the message is the reason."""
 
 
-class Ticket(NamedTuple):
-    """A drain ticket that may still be out: who took it, and in which term."""
+class StoredPermit(NamedTuple):
+    """A drain permit that an incarnation may still hold: its holder, and the term of its lease."""
 
     holder: str
     term: int
 
 
 class FileStamp(NamedTuple):
-    """Differs once the file has been replaced."""
+    """Identifies one version of the file."""
 
     modified_ns: int
     inode: int
-    size: int
+    size_bytes: int
 
 
-@dataclass(frozen=True, slots=True)
-class _Content:
-    """A file, read and checked."""
+@dataclass(slots=True)
+class StateSnapshot:
+    """The content of the file.
+
+    Attributes:
+        boot: identifier of the machine's boot.
+        positions: fence positions by job.
+        permits: drain permits by job.
+        committed_up_to: see `OverrideLog`.
+        entries: overrides by server.
+        pending: pending overrides by identifier; None for one that cannot be read.
+    """
 
     boot: Any
-    seen: dict[str, FencePosition]
+    positions: dict[str, FencePosition]
+    permits: dict[str, StoredPermit]
+    committed_up_to: dict[str, int]
     entries: dict[str, OverrideEntry]
     pending: dict[str, PendingOverride | None]
-    committed_up_to: dict[str, int]
-    tickets: dict[str, Ticket]
+
+    def to_json(self) -> dict[str, Any]:
+        """Returns the content in the file's form."""
+        return {
+            "version": VERSION,
+            "boot": self.boot,
+            "seen": self.positions,
+            "tickets": self.permits,
+            "lives": self.committed_up_to,
+            "words": {server: [entry.is_suspended, *entry.revision] for server, entry in self.entries.items()},
+            "wishes": {
+                pending_id: {"server": pending.server, "out": pending.is_suspended}
+                for pending_id, pending in self.pending.items()
+                if pending
+            },
+        }
 
 
 class DurableState:
-    """The file of one balancer. `tickets`: by job, those that may still be out."""
+    """The file of one balancer.
+
+    Attributes:
+        boot: identifier of the machine's boot.
+        path: of the file.
+        permits: by job, the drain permits of this and earlier incarnations that may still be held.
+    """
 
     def __init__(self, folder: Path, name: str) -> None:
         self.boot = current_boot()
         self.path = folder / f"glenrock-{name}.fleet.json"
-        self.tickets: dict[str, Ticket] = {}
-        self._stamp: FileStamp | None = None  # of the file as this process last read or wrote it
+        self.permits: dict[str, StoredPermit] = {}
+        self._stamp: FileStamp | None = None  # of the version that this process last read or wrote
 
     # -- reading ---------------------------------------------------------------------------------------
 
     def read(self, fence: Fence, overrides: OverrideLog) -> bool:
-        """Takes over what stands there; True where that is all that was seen.
+        """Merges the file into the fence and the override log.
 
-        After a boot the file's marks count, and the store must say the rest. So it is with the record before, where the
-        file is spoilt.
+        A file of an earlier boot is merged, but may lack the last writes; the fence must then be restored from the
+        store too. If the file is corrupt, its previous version is merged in the same way.
+
+        Returns:
+            True if the file has everything that was known before the restart.
 
         Raises:
             DurableStateError: the file cannot be used.
@@ -86,26 +120,26 @@
         except OSError as error:
             raise DurableStateError(str(error)) from error
         try:
-            content = _content_of(data)
+            content = _decode(data)
         except DurableStateError:
-            self._take_previous(fence, overrides)
+            self._merge_previous(fence, overrides)
             raise
-        complete = bool(content.boot == self.boot)
-        was_known = fence.is_restored
-        self._take(content, fence, overrides)
-        fence.is_restored = was_known or complete
-        return complete
-
-    def _take_previous(self, fence: Fence, overrides: OverrideLog) -> None:
-        """The last whole record, where the newest is spoilt: its marks count, and the store must say the rest."""
+        is_complete = bool(content.boot == self.boot)
+        was_restored = fence.is_restored
+        self._merge_content(content, fence, overrides)
+        fence.is_restored = was_restored or is_complete
+        return is_complete
+
+    def _merge_previous(self, fence: Fence, overrides: OverrideLog) -> None:
+        """Merges the previous version of the file, if it can be read."""
         with contextlib.suppress(OSError, DurableStateError):
-            was_known = fence.is_restored
-            content = _content_of(durable_file.previous_of(self.path).read_bytes()[: MAX_BYTES + 1])
-            self._take(content, fence, overrides)
-            fence.is_restored = was_known
+            was_restored = fence.is_restored
+            content = _decode(durable_file.previous_of(self.path).read_bytes()[: MAX_BYTES + 1])
+            self._merge_content(content, fence, overrides)
+            fence.is_restored = was_restored
 
-    def _take(self, content: _Content, fence: Fence, overrides: OverrideLog) -> None:
-        fence.restore(content.seen)
+    def _merge_content(self, content: StateSnapshot, fence: Fence, overrides: OverrideLog) -> None:
+        fence.restore(content.positions)
         for server, entry in content.entries.items():
             overrides.merge_entry(server, entry)
         for incarnation, count in content.committed_up_to.items():
@@ -113,51 +147,52 @@
         for pending_id, pending in content.pending.items():
             if pending and pending_id not in overrides.pending:
                 overrides.add_pending(pending_id, pending.server, pending.is_suspended)
-        self.tickets.update(content.tickets)
+        self.permits.update(content.permits)
+
+    def merge(self, snapshot: StateSnapshot, fence: Fence, overrides: OverrideLog) -> dict[str, bool]:
+        """Merges a snapshot with what the other process of this name has written.
 
-    def merge(self, snapshot: dict[str, Any], fence: Fence, overrides: OverrideLog) -> dict[str, bool]:
-        """Takes in what another process of this name knew. Returns the servers that change by it."""
-        for job, mark in snapshot["seen"].items():
-            fence.positions[job] = max(fence.position(job), FencePosition(*mark))
+        Returns:
+            By server, whether it is suspended now, for the servers of which that has changed.
+        """
+        for job, position in snapshot.positions.items():
+            fence.positions[job] = max(fence.position(job), position)
         changes = {}
-        for server, (out, term, number) in snapshot["words"].items():
-            changed = overrides.merge_entry(server, OverrideEntry(out, Revision(term, number)))
+        for server, entry in snapshot.entries.items():
+            changed = overrides.merge_entry(server, entry)
             if changed is not None:
                 changes[server] = changed
-        for incarnation, count in snapshot["lives"].items():
+        for incarnation, count in snapshot.committed_up_to.items():
             changes.update(overrides.record_committed(incarnation, count))
         return changes
 
     # -- writing ---------------------------------------------------------------------------------------
 
-    def snapshot(self, fence: Fence, overrides: OverrideLog) -> dict[str, Any]:
-        """What is to be written, as it is now."""
-        entries = {server: [entry.is_suspended, *entry.revision] for server, entry in overrides.entries.items()}
-        pending = {id_: {"server": one.server, "out": one.is_suspended} for id_, one in overrides.pending.items()}
-        return {
-            "version": VERSION,
-            "boot": self.boot,
-            "seen": dict(fence.positions),
-            "tickets": dict(self.tickets),
-            "lives": dict(overrides.committed_up_to),
-            "words": entries,
-            "wishes": pending,
-        }
+    def snapshot(self, fence: Fence, overrides: OverrideLog) -> StateSnapshot:
+        """Returns a copy of the current state, to be written."""
+        return StateSnapshot(
+            boot=self.boot,
+            positions=dict(fence.positions),
+            permits=dict(self.permits),
+            committed_up_to=dict(overrides.committed_up_to),
+            entries=dict(overrides.entries),
+            pending=dict(overrides.pending),
+        )
 
-    def write(self, snapshot: dict[str, Any]) -> bool:
-        """Replaces the file. From a thread: a disk may take seconds.
+    def write(self, snapshot: StateSnapshot) -> bool:
+        """Replaces the file. Call it in a thread, since a disk may take seconds.
 
         Returns:
-            True where the other process of this name has written meanwhile; its content is merged into the snapshot.
+            True if the other process of this name has written since; its content is merged into the snapshot.
 
         Raises:
-            OSError: it cannot be written; then what it would say must not be carried out.
+            OSError: the file cannot be written; then the snapshot must not be acted on.
         """
         with self._locked():
-            merged = self._merge_file(snapshot)
-            durable_file.replace(self.path, durable_file.sealed(snapshot), sync=True)
+            is_merged = self._merge_file(snapshot)
+            durable_file.replace(self.path, durable_file.sealed(snapshot.to_json()), sync=True)
             self._stamp = _stamp_of(os.stat(self.path))
-            return merged
+            return is_merged
 
     @contextlib.contextmanager
     def _locked(self) -> Iterator[None]:
@@ -165,12 +200,11 @@
             fcntl.flock(file, fcntl.LOCK_EX)
             yield
 
-    def _merge_file(self, snapshot: dict[str, Any]) -> bool:
-        """Whether the other process has written since, and could be read."""
+    def _merge_file(self, snapshot: StateSnapshot) -> bool:
+        """Merges the file into the snapshot if the other process has written it. Returns whether it has."""
         with contextlib.suppress(OSError, ValueError):
             if _stamp_of(os.stat(self.path)) != self._stamp:
-                theirs = json.loads(self.path.read_bytes()[:MAX_BYTES])
-                return _merge_snapshots(snapshot, theirs)
+                return _merge_json(snapshot, json.loads(self.path.read_bytes()[:MAX_BYTES]))
         return False
 
 
@@ -178,8 +212,8 @@
     return FileStamp(status.st_mtime_ns, status.st_ino, status.st_size)
 
 
-def _content_of(data: bytes) -> _Content:
-    """Raises DurableStateError."""
+def _decode(data: bytes) -> StateSnapshot:
+    """Decodes and checks a file. Raises DurableStateError."""
     try:
         raw: Any = json.loads(data) if len(data) <= MAX_BYTES else None
     except ValueError as error:
@@ -188,30 +222,45 @@
         raise DurableStateError(f"not of version {VERSION}")
     try:
         durable_file.check_seal(raw)
-        return _Content(
+        return StateSnapshot(
             boot=raw.get("boot"),
-            seen={str(job): FencePosition(int(term), int(number)) for job, (term, number) in raw["seen"].items()},
-            entries={
-                str(server): OverrideEntry(bool(out), Revision(int(term), int(number)))
-                for server, (out, term, number) in raw["words"].items()
+            positions=_decode_positions(raw),
+            permits={str(job): StoredPermit(str(holder), int(term)) for job, (holder, term) in raw["tickets"].items()},
+            committed_up_to=_decode_committed(raw),
+            entries=_decode_entries(raw),
+            pending={
+                str(pending_id): decode_pending(json.dumps(pending)) for pending_id, pending in raw["wishes"].items()
             },
-            pending={str(id_): pending_of(json.dumps(one)) for id_, one in raw["wishes"].items()},
-            committed_up_to={str(incarnation): int(count) for incarnation, count in raw["lives"].items()},
-            tickets={str(job): Ticket(str(holder), int(term)) for job, (holder, term) in raw["tickets"].items()},
         )
     except (KeyError, TypeError, ValueError, AttributeError) as error:
         raise DurableStateError(f"not what it should be: {error!r}") from error
 
 
-def _merge_snapshots(own: dict[str, Any], theirs: Any) -> bool:
-    """What the other process has written stands where it is higher; its pending words and tickets are its own."""
-    if theirs.get("version") != VERSION:
+def _decode_positions(raw: dict[str, Any]) -> dict[str, FencePosition]:
+    return {str(job): FencePosition(int(term), int(sequence)) for job, (term, sequence) in raw["seen"].items()}
+
+
+def _decode_committed(raw: dict[str, Any]) -> dict[str, int]:
+    return {str(incarnation): int(count) for incarnation, count in raw["lives"].items()}
+
+
+def _decode_entries(raw: dict[str, Any]) -> dict[str, OverrideEntry]:
+    return {
+        str(server): OverrideEntry(bool(is_suspended), Revision(int(term), int(sequence)))
+        for server, (is_suspended, term, sequence) in raw["words"].items()
+    }
+
+
+def _merge_json(snapshot: StateSnapshot, raw: Any) -> bool:
+    """Merges the other process's file where it is newer; pending overrides and permits are each process's own."""
+    if raw.get("version") != VERSION:
         return False
-    for job, mark in theirs["seen"].items():
-        own["seen"][job] = max(tuple(own["seen"].get(job, (0, 0))), tuple(mark))
-    for server, entry in theirs["words"].items():
-        if tuple(entry[1:]) > tuple(own["words"].get(server, (False, 0, 0))[1:]):
-            own["words"][server] = entry
-    for incarnation, count in theirs["lives"].items():
-        own["lives"][incarnation] = max(own["lives"].get(incarnation, 0), count)
+    for job, position in _decode_positions(raw).items():
+        snapshot.positions[job] = max(snapshot.positions.get(job, NO_POSITION), position)
+    for server, entry in _decode_entries(raw).items():
+        own = snapshot.entries.get(server)
+        if entry.revision > (own.revision if own else NO_REVISION):
+            snapshot.entries[server] = entry
+    for incarnation, count in _decode_committed(raw).items():
+        snapshot.committed_up_to[incarnation] = max(snapshot.committed_up_to.get(incarnation, 0), count)
     return True
--- a/glenrock/coordination/host.py
+++ b/glenrock/coordination/host.py
@@ -1,4 +1,4 @@
-"""What the coordination needs of the program that builds it. Nothing here imports the program."""
+"""The parts of a balancer that the coordination uses. Nothing here imports the program that builds them."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 
 class OperatorParts(Protocol):
-    """Where operators call: servers out of rotation, shared by both processes of an upgrade, and all other calls."""
+    """The operators' calls, and the overrides that both processes of an upgrade share."""
 
     override_sync: OverrideSync
     operations: Operations
 
 
 class BalancerHost(Protocol):
-    """The parts of a balancer. `config` may be replaced before the first endpoint list is read."""
+    """The parts of a balancer. `config` may be replaced until the first endpoint list is read."""
 
     config: Config
     clock: Clock
@@ -39,5 +39,5 @@
 
     @property
     def operators(self) -> OperatorParts | None:
-        """None where nothing listens for operators."""
+        """The operators' calls; None if the balancer does not listen for them."""
         ...
--- a/glenrock/coordination/lease_runner.py
+++ b/glenrock/coordination/lease_runner.py
@@ -1,4 +1,4 @@
-"""Leases of this process: makes the lease manager's requests to the store, and tells what was acquired and lost."""
+"""Runs the leases of this process: submits the lease manager's requests to the store and publishes its events."""
 
 from __future__ import annotations
 
@@ -6,33 +6,43 @@
 import contextlib
 from collections.abc import Callable
 
-from ..log import say
+from ..log import get_logger
 from . import datagrams
 from .background_tasks import BackgroundTasks
-from .leases.candidate import STEPPED_DOWN, LeaseAcquired, LeaseLost, LeaseTiming
+from .leases.candidate import LeaseAcquired, LeaseLost, LeaseTiming, LossReason
 from .leases.fence import Fence
 from .leases.lease_manager import JobEvent, JobRequest, LeaseManager
 from .leases.sqlite_store import boottime_us
 from .leases.store import LeaseStore, StoreUnavailableError
 from .transport import DatagramTransport
 
+logger = get_logger(__name__)
+
 SECOND_US = 1_000_000
-TICK_SHARE, MIN_TICK_S = 0.0125, 0.02  # of a lease, between two looks at the clock; renewals come long before an end
-WATCH_SHARE = 0.2  # of a lease, between two looks at who holds what
-FULL_WATCH_EACH = 5  # of these looks one is at every job, not at those alone that are this one's to take
-STORE_RETRY_S = 0.5  # after the store was not there
-STOP_TIMEOUT_S = 0.3  # for each call to the store while the process ends
+TICK_LEASE_FRACTION = 0.0125  # of a lease, between two ticks of the manager
+MIN_TICK_S = 0.02
+WATCH_LEASE_FRACTION = 0.2  # of a lease, between two reads of the leases of others
+FULL_WATCH_INTERVAL = 5  # every so many reads cover all jobs
+STORE_RETRY_S = 0.5
+STOP_TIMEOUT_S = 0.3  # of each call to the store while the process stops
 
 EventListener = Callable[[str, LeaseAcquired | LeaseLost], None]
+"""Called with a job, and the event of its lease."""
+
+AnswerListener = Callable[[str], None]
+"""Called with a job for whose lease a request was answered or timed out."""
 
 
 class LeaseRunner:
     """Runs the leases of one process.
 
     Attributes:
-        store_error: why the store could not be asked last; empty while it answers.
-        event_listeners: hear what was acquired and lost. `answer_listeners`: hear of each job that was asked for.
-        manager: decides on requests.
+        store: the lease store.
+        manager: decides on the requests.
+        timing: durations of a lease.
+        event_listeners: called for each lease that is acquired or lost.
+        answer_listeners: called for each request that is answered or timed out.
+        store_error: why the last call to the store failed; empty if it did not.
     """
 
     def __init__(
@@ -48,8 +58,8 @@
         self.manager = manager
         self.timing = timing
         self.event_listeners: list[EventListener] = []
-        self.answer_listeners: list[Callable[[str], None]] = []
-        self.store_error = "not asked yet"
+        self.answer_listeners: list[AnswerListener] = []
+        self.store_error = "not asked yet"  # in the operators' view
         self._fence = fence
         self._transport = transport
         self._tasks = tasks
@@ -58,62 +68,64 @@
         transport.register(datagrams.JobReleased, self._on_job_released)
 
     def start(self) -> None:
-        """Begins to ask for leases."""
-        for work in (self._run_requests, self._watch_leases, self._learn_terms):
+        """Starts the tasks that request leases."""
+        for work in (self._run_requests, self._watch_leases, self._restore_fence):
             self._tasks.run(work())
 
     def current_term(self, job: str) -> int | None:
-        """The term in which an effect may leave now, asked right before each; None where the lease is not held."""
+        """Returns the term in which an effect may be sent now; None if the lease is not held.
+
+        Callers check it immediately before each effect.
+        """
         return self.manager.current_term(job, boottime_us())
 
-    def want(self, job: str) -> None:
-        """Asks for a job's lease at once."""
-        self.manager.want(job, boottime_us())
+    def request_lease(self, job: str) -> None:
+        """Requests a job's lease at once, until `step_down`."""
+        self.manager.request_lease(job, boottime_us())
         self._tick_now.set()
 
-    def watch_soon(self) -> None:
-        """Who holds what may have changed."""
+    def watch_now(self) -> None:
+        """Reads the leases of others at once, since one may have changed."""
         self._watch_now.set()
 
     def step_down(self, job: str) -> None:
-        """Gives a lease back."""
-        outcome = self.manager.step_down(job, boottime_us())
-        self.publish(outcome.events)
-        if outcome.requests:
-            self._tasks.run(self._submit(outcome.requests))
+        """Releases a job's lease."""
+        actions = self.manager.step_down(job, boottime_us())
+        self.publish(actions.events)
+        if actions.requests:
+            self._tasks.run(self._submit(actions.requests))
 
-    def refused(self, job: str, seen_term: int) -> None:
-        """A receiver has seen a higher term."""
-        self.publish(self.manager.refused(job, boottime_us(), seen_term))
+    def handle_rejection(self, job: str, highest_term: int) -> None:
+        """Applies that a receiver has seen `highest_term` of a job."""
+        self.publish(self.manager.handle_rejection(job, boottime_us(), highest_term))
 
     def record_work(self, job: str) -> None:
-        """The work of a job went round once more."""
+        """Records that this holder is working on the job."""
         self.manager.record_work(job, boottime_us())
 
-    def record_store_error(self, error: object) -> None:
-        """The store could not be asked: nothing that clients wait for waits for it."""
+    def record_store_error(self, error: Exception) -> None:
+        """Records that the store did not answer. Clients do not depend on the store."""
         self.store_error = str(error) or "no answer in time"
-        say("fleet", f"the store: {self.store_error}; jobs rest, clients are served on")
+        logger.warning("lease store unavailable", error=self.store_error)
 
     def publish(self, events: list[JobEvent]) -> None:
-        """Tells of leases that were acquired or lost."""
+        """Calls the listeners, and broadcasts each lease that was released."""
         for job, event in events:
-            reason = event.reason if isinstance(event, LeaseLost) else ""
-            say("owner", f"{job}: term {event.term} {f'ends: {reason}' if reason else 'begins'}")
+            _log_event(job, event)
             for listener in self.event_listeners:
                 listener(job, event)
-            if reason == STEPPED_DOWN:
+            if isinstance(event, LeaseLost) and event.reason is LossReason.RELEASED:
                 self._transport.broadcast(datagrams.JobReleased(job))
 
-    async def stop(self, keep: str) -> None:
-        """Gives all leases back, but for one job's."""
-        for job in [job for job in self.manager.candidates if job != keep]:
-            outcome = self.manager.step_down(job, boottime_us())
-            self.publish(outcome.events)
-            if not outcome.requests:
+    async def release_all(self, except_job: str) -> None:
+        """Releases all leases but that of `except_job`, and waits for the store's answers."""
+        for job in [job for job in self.manager.candidates if job != except_job]:
+            actions = self.manager.step_down(job, boottime_us())
+            self.publish(actions.events)
+            if not actions.requests:
                 continue
             with contextlib.suppress(StoreUnavailableError, TimeoutError):
-                await asyncio.wait_for(self.store.submit(outcome.requests, self.timing.lease_us), STOP_TIMEOUT_S)
+                await asyncio.wait_for(self.store.submit(actions.requests, self.timing.lease_us), STOP_TIMEOUT_S)
                 self._transport.broadcast(datagrams.JobReleased(job))
 
     async def close(self) -> None:
@@ -121,17 +133,17 @@
         with contextlib.suppress(Exception):
             await asyncio.wait_for(self.store.close(), STOP_TIMEOUT_S)
 
-    # -- loops -----------------------------------------------------------------------------------------
+    # -- tasks -----------------------------------------------------------------------------------------
 
     async def _run_requests(self) -> None:
-        tick_s = max(MIN_TICK_S, self.timing.lease_us * TICK_SHARE / SECOND_US)
+        tick_s = max(MIN_TICK_S, self.timing.lease_us * TICK_LEASE_FRACTION / SECOND_US)
         while True:
-            for job, mark in self._fence.positions.items():
-                self.manager.require_above(job, mark.term)
-            outcome = self.manager.tick(boottime_us())
-            self.publish(outcome.events)
-            if outcome.requests:
-                self._tasks.run(self._submit(outcome.requests))
+            for job, position in self._fence.positions.items():
+                self.manager.raise_term_floor(job, position.term)
+            actions = self.manager.tick(boottime_us())
+            self.publish(actions.events)
+            if actions.requests:
+                self._tasks.run(self._submit(actions.requests))
             self._tick_now.clear()
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(self._tick_now.wait(), tick_s)
@@ -139,37 +151,39 @@
     async def _submit(self, requests: list[JobRequest]) -> None:
         timeout_s = self.timing.request_timeout_us / SECOND_US
         try:
-            granted = await asyncio.wait_for(self.store.submit(requests, self.timing.lease_us), timeout_s)
+            granted_terms = await asyncio.wait_for(self.store.submit(requests, self.timing.lease_us), timeout_s)
         except (StoreUnavailableError, TimeoutError) as error:
             self.record_store_error(error)
-            self.manager.unanswered(requests, boottime_us())
+            self.manager.handle_timeouts(requests, boottime_us())
         else:
             self.store_error = ""
-            outcome = self.manager.answered(requests, granted, boottime_us())
-            self.publish(outcome.events)
-            if outcome.requests:
-                self._tasks.run(self._submit(outcome.requests))
+            actions = self.manager.handle_answers(requests, granted_terms, boottime_us())
+            self.publish(actions.events)
+            if actions.requests:
+                self._tasks.run(self._submit(actions.requests))
         for job, _ in requests:
             for listener in self.answer_listeners:
                 listener(job)
 
     async def _watch_leases(self) -> None:
-        """Who holds what, so that a job that comes free is taken."""
+        """Reads the leases of others, so that a job without a holder is requested."""
         timeout_s = self.timing.request_timeout_us / SECOND_US
-        count = 0
+        interval_s = self.timing.lease_us * WATCH_LEASE_FRACTION / SECOND_US
+        watch_count = 0
         while True:
-            count += 1
-            jobs = self.manager.jobs_to_watch(boottime_us(), every=count % FULL_WATCH_EACH == 0)
+            watch_count += 1
+            is_full_watch = watch_count % FULL_WATCH_INTERVAL == 0
+            jobs = self.manager.jobs_to_watch(boottime_us(), is_full_watch)
             if jobs:
                 with contextlib.suppress(StoreUnavailableError, TimeoutError):
                     leases = await asyncio.wait_for(self.store.leases(jobs), timeout_s)
-                    self.manager.observed(jobs, leases, boottime_us())
+                    self.manager.record_leases(jobs, leases, boottime_us())
             self._watch_now.clear()
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(self._watch_now.wait(), self.timing.lease_us * WATCH_SHARE / SECOND_US)
+                await asyncio.wait_for(self._watch_now.wait(), interval_s)
 
-    async def _learn_terms(self) -> None:
-        """A fence whose memory is lost takes nothing until the store has said which terms there were."""
+    async def _restore_fence(self) -> None:
+        """Restores the fence from the store if the durable state did not."""
         while not self._fence.is_restored:
             try:
                 leases = await self.store.leases()
@@ -179,4 +193,13 @@
                 await asyncio.sleep(STORE_RETRY_S)
 
     def _on_job_released(self, peer: int, message: datagrams.JobReleased) -> None:
-        self.watch_soon()
+        self.watch_now()
+
+
+def _log_event(job: str, event: LeaseAcquired | LeaseLost) -> None:
+    if isinstance(event, LeaseAcquired):
+        logger.info("lease acquired", job=job, term=event.term)
+    elif event.reason is LossReason.RELEASED:
+        logger.info("lease released", job=job, term=event.term)
+    else:
+        logger.warning("lease lost", job=job, term=event.term, reason=event.reason)
--- a/glenrock/coordination/leases/candidate.py
+++ b/glenrock/coordination/leases/candidate.py
@@ -1,45 +1,83 @@
-"""A candidate's side of one job: when to ask the store for the lease, and whether it may act.
+"""The election state machine of one candidate for one job: when to request the lease, and whether it may act.
 
-Pure. Times are whole microseconds on the candidate's own clock, which must go on through a suspend (CLOCK_BOOTTIME) and
-may run faster or slower than the store's by at most `drift`. Nothing here compares two machines' clocks.
+Pure. Times are whole microseconds of the candidate's own clock. That clock must advance during a suspend
+(CLOCK_BOOTTIME), and may run faster or slower than the store's by at most `LeaseTiming.max_drift_fraction`. Clocks of
+two machines are never compared.
 
-A holder is one who can prove its term now: `current_term(now_us)` is asked right before each effect leaves, not once
-before many.
+A caller checks `current_term` immediately before each effect, not once before several.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
-from typing import Literal
+from enum import StrEnum
 
-STEPPED_DOWN = "stepped down"  # reason of a lease that was given back
 
-RequestKind = Literal["acquire", "renew", "release"]
-CandidateState = Literal["idle", "asking", "owner", "leaving", "wary"]
-"""`asking`: a lease was asked for. `owner`: it is held. `leaving`: it is being given back. `wary`: no answer came.
+class CandidateState(StrEnum):
+    """The state of a candidate in the election for one job.
 
-The words stand in what operators are shown, and stay."""
+    IDLE: the candidate neither holds the lease nor requests it.
+    ACQUIRING: a request to acquire the lease is pending.
+    HOLDER: the candidate holds the lease until `LeaseCandidate.expires_us`.
+    RELEASING: a request to release the lease is pending.
+    BACKING_OFF: the store did not answer the last request to acquire or release.
+    """
+
+    IDLE = "idle"
+    ACQUIRING = "acquiring"
+    HOLDER = "holder"
+    RELEASING = "releasing"
+    BACKING_OFF = "backing off"
+
+    __hash__ = str.__hash__
+
+
+class RequestKind(StrEnum):
+    """What a candidate requests from the store."""
+
+    ACQUIRE = "acquire"
+    RENEW = "renew"
+    RELEASE = "release"
+
+    __hash__ = str.__hash__
+
+
+class LossReason(StrEnum):
+    """Why a lease is no longer held.
+
+    EXPIRED: it was not renewed in time.
+    REVOKED: the store rejected a renewal.
+    SUPERSEDED: a receiver has seen a higher term.
+    RELEASED: the holder stepped down.
+    """
+
+    EXPIRED = "expired"
+    REVOKED = "revoked"
+    SUPERSEDED = "superseded"
+    RELEASED = "released"
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseRequest:
-    """To the store.
+    """A request to the store for one job's lease.
 
     Attributes:
-        number: of this holder's requests; they are taken in order.
-        term: the one to renew or release.
-        min_term: a term that some receiver has seen; the one granted must be above it.
+        sequence: the request's number among those of this holder; the store ignores one that is not higher than the
+            last.
+        kind: what is requested.
+        term: the term to renew or release.
+        term_floor: the highest term that a receiver has seen; a granted term must be above it.
     """
 
-    number: int
+    sequence: int
     kind: RequestKind
     term: int
-    min_term: int
+    term_floor: int
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseAcquired:
-    """The lease is held from now on, until `expires_us` unless it is renewed."""
+    """The lease is held from now until `expires_us`, unless it is renewed."""
 
     term: int
     expires_us: int
@@ -47,178 +85,185 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseLost:
-    """The lease is not held any more."""
+    """The lease of `term` is no longer held."""
 
     term: int
-    reason: str
+    reason: LossReason
 
 
-CandidateEffect = LeaseRequest | LeaseAcquired | LeaseLost
+CandidateAction = LeaseRequest | LeaseAcquired | LeaseLost
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseTiming:
-    """Times of a lease, in microseconds.
+    """Durations of a lease, in microseconds.
 
     Attributes:
-        lease_us: counted by the store from when it takes a request.
-        drift: of either clock against the other, at most, as a part of the time.
-        renew_after_share: part of the lease after which it is asked to be longer.
-        request_timeout_us: an answer later than this is lost.
-        retry_us: between two requests after one was refused.
-        unreachable_backoff_us: the same after the store did not answer.
+        lease_us: how long the store grants a lease for, counted from when it takes the request.
+        max_drift_fraction: bound on the drift of the store's clock and the holder's against each other.
+        renew_after_fraction: the part of the lease after which the holder renews it.
+        request_timeout_us: how long an answer may take.
+        retry_interval_us: time before the next request after a rejected one.
+        unreachable_backoff_us: time before the next request after one without an answer.
     """
 
     lease_us: int = 10_000_000
-    drift: float = 0.01
-    renew_after_share: float = 0.4
+    max_drift_fraction: float = 0.01
+    renew_after_fraction: float = 0.4
     request_timeout_us: int = 2_000_000
-    retry_us: int = 1_000_000
+    retry_interval_us: int = 1_000_000
     unreachable_backoff_us: int = 3_000_000
 
     @property
     def holder_lease_us(self) -> int:
-        """What a holder may count on, from before it asked, on its own clock."""
-        return int(self.lease_us / (1 + self.drift))
+        """The part of a lease that the holder may use, counted from the request on the holder's clock."""
+        return int(self.lease_us / (1 + self.max_drift_fraction))
 
 
 @dataclass(slots=True)
 class LeaseCandidate:
-    """One job at one candidate. Events come through its methods, with the time; each returns what to do.
+    """The election state of one candidate for one job. Each method takes the time and returns the actions to carry out.
 
     Attributes:
-        term: held, or last held.
-        expires_us: the term is over then, whatever anybody says.
-        last_request: number of the last request.
-        pending: kind of the request that is out.
-        sent_us: when the last request left. `next_us`: none leaves before then.
-        min_term: terms up to this one are too old for some receiver.
+        timing: durations of the lease.
+        state: the state in the election.
+        term: the term held now, or the last one held.
+        expires_us: when `term` ends, regardless of any later answer.
+        last_sequence: number of the last request.
+        pending_kind: kind of the request that has no answer yet; None while there is none.
+        request_sent_us: when the last request was sent.
+        next_request_us: no request is sent before this time.
+        term_floor: the highest term that a receiver has seen.
     """
 
     timing: LeaseTiming
-    state: CandidateState = "idle"
+    state: CandidateState = CandidateState.IDLE
     term: int = 0
     expires_us: int = 0
-    last_request: int = 0
-    pending: RequestKind | None = None
-    sent_us: int = 0
-    next_us: int = 0
-    min_term: int = 0
+    last_sequence: int = 0
+    pending_kind: RequestKind | None = None
+    request_sent_us: int = 0
+    next_request_us: int = 0
+    term_floor: int = 0
 
     def current_term(self, now_us: int) -> int | None:
-        """The term in which an effect may leave now; None for everybody who holds no lease."""
-        return self.term if self.state == "owner" and now_us < self.expires_us else None
-
-    def request(self, now_us: int, kind: RequestKind) -> list[CandidateEffect]:
-        """A request leaves now."""
-        self.last_request += 1
-        self.pending = kind
-        self.sent_us = now_us
-        return [LeaseRequest(self.last_request, kind, self.term, self.min_term)]
-
-    def tick(self, now_us: int) -> list[CandidateEffect]:
-        """Time has passed: whoever has slept learns here first what it has slept through."""
-        effects: list[CandidateEffect] = []
-        if self.state == "owner" and now_us >= self.expires_us:
-            effects += self._end_term(now_us, "the term is over")
-        if self.pending and now_us >= self.sent_us + self.timing.request_timeout_us:
-            effects += self.unanswered(now_us, self.last_request)
-        if self.pending or now_us < self.next_us:
-            return effects
-        if self.state == "owner":
-            renew_us = self.sent_us + int(self.timing.holder_lease_us * self.timing.renew_after_share)
+        """Returns the term in which an effect may be sent now; None if the lease is not held."""
+        return self.term if self.state is CandidateState.HOLDER and now_us < self.expires_us else None
+
+    def tick(self, now_us: int) -> list[CandidateAction]:
+        """Applies the passage of time: expires the lease or the pending request, and sends the next request."""
+        actions: list[CandidateAction] = []
+        if self.state is CandidateState.HOLDER and now_us >= self.expires_us:
+            actions += self._end_term(now_us, LossReason.EXPIRED)
+        if self.pending_kind and now_us >= self.request_sent_us + self.timing.request_timeout_us:
+            self.handle_timeout(now_us, self.last_sequence)
+        if self.pending_kind or now_us < self.next_request_us:
+            return actions
+        if self.state is CandidateState.HOLDER:
+            renew_us = self.request_sent_us + int(self.timing.holder_lease_us * self.timing.renew_after_fraction)
             if now_us >= renew_us:
-                effects += self.request(now_us, "renew")
-        elif self.state in ("idle", "wary"):
-            self.state = "asking"
-            effects += self.request(now_us, "acquire")
-        return effects
-
-    def answer(self, now_us: int, number: int, granted: int) -> list[CandidateEffect]:
-        """The store's answer: the term granted, or 0. One to an older request than the last is nobody's."""
-        if number != self.last_request or not self.pending:
+                actions += self.renew(now_us)
+        elif self.state in (CandidateState.IDLE, CandidateState.BACKING_OFF):
+            self.state = CandidateState.ACQUIRING
+            actions += self._request(now_us, RequestKind.ACQUIRE, self.term)
+        return actions
+
+    def renew(self, now_us: int) -> list[CandidateAction]:
+        """Requests the renewal of the lease that is held."""
+        return self._request(now_us, RequestKind.RENEW, self.term)
+
+    def step_down(self, now_us: int) -> list[CandidateAction]:
+        """Releases the lease if it is held. The answer to a pending request is ignored."""
+        if self.state is not CandidateState.HOLDER:
             return []
-        kind, self.pending = self.pending, None
-        # Counted from the answer, a lease would be held for as long as the answer was under way, or as this process
-        # slept before it read it, after the store has given it to another.
-        expires_us = self.sent_us + self.timing.holder_lease_us
-        if kind == "release":
-            return self._released(now_us)
-        if kind == "renew" and self.state == "owner":
-            return self._renewed(now_us, granted, expires_us)
-        if self.state != "asking":
-            return self._give_back(now_us, granted)
-        return self._acquired(now_us, granted, expires_us)
-
-    def _released(self, now_us: int) -> list[CandidateEffect]:
-        if self.state == "leaving":
-            self._rest(now_us)
+        self.state = CandidateState.RELEASING
+        lost = LeaseLost(self.term, LossReason.RELEASED)
+        return [lost, *self._request(now_us, RequestKind.RELEASE, self.term)]
+
+    def handle_answer(self, now_us: int, sequence: int, granted_term: int) -> list[CandidateAction]:
+        """Applies the store's answer to a request; an answer to an earlier request than the last is ignored.
+
+        Args:
+            now_us: when the answer is read.
+            sequence: number of the request.
+            granted_term: the term granted, or 0.
+        """
+        if sequence != self.last_sequence or not self.pending_kind:
+            return []
+        kind, self.pending_kind = self.pending_kind, None
+        # Counted from the request: counted from the answer, the lease would last beyond the store's by the answer's
+        # time on the network or in a suspended process.
+        expires_us = self.request_sent_us + self.timing.holder_lease_us
+        if kind is RequestKind.RELEASE:
+            return self._handle_release(now_us)
+        if kind is RequestKind.RENEW and self.state is CandidateState.HOLDER:
+            return self._handle_renewal(now_us, granted_term, expires_us)
+        if self.state is not CandidateState.ACQUIRING:
+            return self._release_unused(now_us, granted_term)
+        return self._handle_acquisition(now_us, granted_term, expires_us)
+
+    def handle_timeout(self, now_us: int, sequence: int) -> None:
+        """Applies that a request got no answer. The store may have carried the request out."""
+        if sequence != self.last_sequence or not self.pending_kind:
+            return
+        kind, self.pending_kind = self.pending_kind, None
+        if self.state is CandidateState.HOLDER and kind is RequestKind.RENEW:
+            self.next_request_us = now_us + self.timing.retry_interval_us  # the lease is held until it expires
+        elif self.state in (CandidateState.ACQUIRING, CandidateState.RELEASING):
+            self.state = CandidateState.BACKING_OFF
+            self.next_request_us = now_us + self.timing.unreachable_backoff_us
+
+    def handle_rejection(self, now_us: int, highest_term: int) -> list[CandidateAction]:
+        """Applies that a receiver has seen `highest_term`: another holder is newer, or the store lost its state."""
+        self.term_floor = max(self.term_floor, highest_term)
+        if self.state is CandidateState.HOLDER and highest_term > self.term:
+            return self._end_term(now_us, LossReason.SUPERSEDED)
+        return []
+
+    def _request(self, now_us: int, kind: RequestKind, term: int) -> list[CandidateAction]:
+        self.last_sequence += 1
+        self.pending_kind = kind
+        self.request_sent_us = now_us
+        return [LeaseRequest(self.last_sequence, kind, term, self.term_floor)]
+
+    def _handle_release(self, now_us: int) -> list[CandidateAction]:
+        if self.state is CandidateState.RELEASING:
+            self._become_idle(now_us)
         return []
 
-    def _renewed(self, now_us: int, granted: int, expires_us: int) -> list[CandidateEffect]:
-        if granted == self.term and now_us < expires_us:
+    def _handle_renewal(self, now_us: int, granted_term: int, expires_us: int) -> list[CandidateAction]:
+        if granted_term == self.term and now_us < expires_us:
             self.expires_us = expires_us
             return []
-        return self._end_term(now_us, "the store has given it to another")
+        return self._end_term(now_us, LossReason.REVOKED)
 
-    def _acquired(self, now_us: int, granted: int, expires_us: int) -> list[CandidateEffect]:
-        if not granted:
-            self._rest(now_us)
+    def _handle_acquisition(self, now_us: int, granted_term: int, expires_us: int) -> list[CandidateAction]:
+        if not granted_term:
+            self._become_idle(now_us)
             return []
-        if granted <= self.min_term or now_us >= expires_us:
-            # Too old for a receiver, or slept through: a term that cannot be used is given back at once.
-            self._rest(now_us)
-            return self._give_back(now_us, granted)
-        self.state = "owner"
-        self.term = granted
+        if granted_term <= self.term_floor or now_us >= expires_us:
+            # Receivers would reject the term, or it expired before the answer was read.
+            self._become_idle(now_us)
+            return self._release_unused(now_us, granted_term)
+        self.state = CandidateState.HOLDER
+        self.term = granted_term
         self.expires_us = expires_us
-        self.next_us = now_us
-        return [LeaseAcquired(granted, expires_us)]
-
-    def _rest(self, now_us: int) -> None:
-        self.state = "idle"
-        self.next_us = now_us + self.timing.retry_us
+        self.next_request_us = now_us
+        return [LeaseAcquired(granted_term, expires_us)]
 
-    def _give_back(self, now_us: int, granted: int) -> list[CandidateEffect]:
-        """A term that was granted and is not used."""
-        if not granted or self.pending:
-            return []
-        self.last_request += 1
-        self.pending = "release"
-        self.sent_us = now_us
-        if self.state == "idle":
-            self.state = "leaving"
-        return [LeaseRequest(self.last_request, "release", granted, self.min_term)]
-
-    def unanswered(self, now_us: int, number: int) -> list[CandidateEffect]:
-        """No answer came, or word that none will. The request may have counted all the same."""
-        if number != self.last_request or not self.pending:
+    def _release_unused(self, now_us: int, granted_term: int) -> list[CandidateAction]:
+        """Releases a term that was granted and that this candidate does not use."""
+        if not granted_term or self.pending_kind:
             return []
-        kind, self.pending = self.pending, None
-        if self.state == "owner" and kind == "renew":
-            self.next_us = now_us + self.timing.retry_us  # the term goes on as long as it is proven
-        elif self.state in ("asking", "leaving"):
-            self.state = "wary"
-            self.next_us = now_us + self.timing.unreachable_backoff_us
-        return []
-
-    def refused(self, now_us: int, seen_term: int) -> list[CandidateEffect]:
-        """A receiver has seen a higher term than ours: another holds the lease, or the store has gone back in time."""
-        self.min_term = max(self.min_term, seen_term)
-        if self.state == "owner" and seen_term > self.term:
-            return self._end_term(now_us, f"a receiver has seen term {seen_term}")
-        return []
+        if self.state is CandidateState.IDLE:
+            self.state = CandidateState.RELEASING
+        return self._request(now_us, RequestKind.RELEASE, granted_term)
 
-    def step_down(self, now_us: int) -> list[CandidateEffect]:
-        """Gives the lease back in good order. What is out then is answered to nobody."""
-        if self.state != "owner":
-            return []
-        term = self.term
-        self.state = "leaving"
-        self.pending = None
-        return [LeaseLost(term, STEPPED_DOWN), *self.request(now_us, "release")]
-
-    def _end_term(self, now_us: int, reason: str) -> list[CandidateEffect]:
-        self._rest(now_us)
-        self.pending = None
+    def _end_term(self, now_us: int, reason: LossReason) -> list[CandidateAction]:
+        self._become_idle(now_us)
+        self.pending_kind = None
         return [LeaseLost(self.term, reason)]
+
+    def _become_idle(self, now_us: int) -> None:
+        self.state = CandidateState.IDLE
+        self.next_request_us = now_us + self.timing.retry_interval_us
--- a/glenrock/coordination/leases/consul_store.py
+++ b/glenrock/coordination/leases/consul_store.py
@@ -1,12 +1,14 @@
-"""The lease store of several machines: Consul, by its published HTTP API (sessions, KV, transactions, watches).
+"""The lease store of balancers on several machines: Consul, through its HTTP API (sessions, KV, transactions, watches).
 
-`PREFIX/jobs/JOB` is the lock of a job; its value holds the term, who holds it and the terms before. A term is told out
-of one transaction that checks the lock's index and takes it, so of two that read the same state one is refused, and a
-call that was given up and comes late changes nothing. `PREFIX/work/JOB/record/KEY` and `.../wish/KEY` are records and
-proposals.
+Keys: `PREFIX/jobs/JOB` is the lock of a job, with the term, its holder and the past terms as its value;
+`PREFIX/work/JOB/record/KEY` and `PREFIX/work/JOB/wish/KEY` are records and proposals.
 
-A session lives at least its TTL from when the store took the last renewal, or longer: a holder counts from before it
-asked. A session that lives proves no lock (an operator may have taken it away), so renewals check each lock's index.
+A term is granted by one transaction that checks the lock's index and acquires the lock. So of two processes that read
+the same state one fails, and a call that was given up and arrives late changes nothing.
+
+A session lives at least its TTL from when the store accepted the last renewal, possibly longer; a holder counts from
+before its request. A live session does not prove that its locks are held, since an operator may have removed one, so
+a renewal also checks the index of each lock.
 """
 
 from __future__ import annotations
@@ -21,31 +23,33 @@
 
 import aiohttp
 
-from .candidate import LeaseRequest
+from .candidate import LeaseRequest, RequestKind
 from .store import TIME_UNKNOWN, Lease, PastTerm, Record, StoreUnavailableError
 
 CALL_TIMEOUT_S = 1.5
-MAX_OPERATIONS = 64  # in a transaction, of the service
-PAST_TERMS_KEPT = 20  # in a lock's value
-SINGLE_READS = 4  # locks read one by one; more are read at once
-TERM_DECIMALS = 3  # of the Unix time at which a term began
+MAX_OPERATIONS = 64  # in a transaction, a limit of Consul
+OPERATIONS_PER_ACQUISITION = 2  # a check of the index, and the lock
+MAX_PAST_TERMS = 20  # in the value of a lock
+MAX_SINGLE_READS = 4  # of locks; more are read in one call
+TERM_TIME_DECIMALS = 3  # of the Unix time at which a term began
 
 HTTP_OK, HTTP_NOT_FOUND, HTTP_CONFLICT, HTTP_SERVER_ERROR = 200, 404, 409, 500
-UNSAFE_CHARACTER, ESCAPED_BYTE = re.compile(r"[^A-Za-z0-9_.-]"), re.compile(r"=([0-9A-F]{2})")
+UNSAFE_CHARACTER = re.compile(r"[^A-Za-z0-9_.-]")
+ESCAPED_BYTE = re.compile(r"=([0-9A-F]{2})")
 
 Entry = dict[str, Any]
-"""A key of the service, as its API gives it."""
+"""A key with its value, as Consul's API returns it."""
 
 
 class HeldLock(NamedTuple):
-    """A lock that this holder has: its term, and the index by which the service knows it."""
+    """A lock that this process holds: its term, and the index of its last modification."""
 
     term: int
     modify_index: int
 
 
 class LockValue(NamedTuple):
-    """What a lock's value tells. `past` has a row a term: term, holder, Unix time."""
+    """The value of a lock. `past` has a row for each past term: term, holder, Unix time in seconds."""
 
     term: int
     holder: str
@@ -53,7 +57,7 @@
 
 
 class Reply(NamedTuple):
-    """An answer of the service."""
+    """Consul's answer to a call. `watch_index` is the position for the next blocking query."""
 
     status: int
     body: Any
@@ -61,13 +65,15 @@
 
 
 class TransactionResult(NamedTuple):
-    """Entries of a transaction, or the numbers of operations that failed; then nothing was done."""
+    """The entries that a transaction returned, or the positions of the operations that made it fail."""
 
     entries: list[Entry]
     failed: set[int]
 
 
 class _Acquisition(NamedTuple):
+    """The operations that acquire a job's lock in `term`."""
+
     job: str
     term: int
     operations: list[dict[str, Any]]
@@ -78,23 +84,23 @@
 
 
 def escape_key(name: str) -> str:
-    """A name as one part of a key: what a path would read otherwise is written =XX."""
+    """Returns a name as one part of a key; bytes with a meaning in a path are written as =XX."""
     return UNSAFE_CHARACTER.sub(lambda found: "".join(f"={byte:02X}" for byte in found[0].encode()), name)
 
 
 def unescape_key(part: str) -> str:
-    """The name that `escape_key` made the part of."""
+    """Returns the name that `escape_key` was given."""
     plain = ESCAPED_BYTE.sub(lambda code: chr(int(code[1], 16)), part)
     return plain.encode("latin-1").decode("utf-8", "replace")
 
 
 def encode_value(value: Any) -> str:
-    """A value as the service takes it."""
+    """Returns a value in the form that Consul's transactions take."""
     return base64.b64encode(json.dumps(value).encode()).decode()
 
 
 def decode_lock_value(entry: Entry | None) -> LockValue:
-    """A lock's value; one that somebody else wrote counts as none, so that its term is above it by `min_term` alone."""
+    """Returns the value of a lock; NO_LOCK if there is none or another program wrote it."""
     try:
         value = json.loads(base64.b64decode(entry["Value"] or "")) if entry else {}
         return LockValue(int(value["term"]), str(value["holder"]), list(value["past"]))
@@ -103,12 +109,14 @@
 
 
 class ConsulStore:
-    """`addresses`: one or more servers or agents, `host:port`; the next is asked where one does not answer.
+    """The store's calls.
 
     Attributes:
-        session: the service's session that locks are held in; empty while there is none.
-        calls: how many were made.
-        addresses: the one that is asked first.
+        holder: name of this incarnation of this process.
+        session: Consul's session that holds the locks; empty while there is none.
+        call_count: HTTP calls made.
+        addresses: `host:port` of Consul's servers or agents. The first is called; one that does not answer becomes the
+            last.
     """
 
     def __init__(
@@ -122,27 +130,27 @@
     ) -> None:
         self.holder = holder
         self.session = ""
-        self.calls = 0
+        self.call_count = 0
         self.addresses = list(addresses)
         self._prefix = prefix.strip("/")
         self._ttl = f"{lease_us / 1e6:.3f}s"
         self._lock_delay = f"{lock_delay_us / 1e6:.3f}s"
         self._headers = {"X-Consul-Token": token} if token else {}
         self._held: dict[str, HeldLock] = {}
-        self._watched_index = 0  # of the last blocking query
+        self._watch_index = 0  # of the last blocking query
         self._client: aiohttp.ClientSession | None = None
-        self._order = asyncio.Lock()  # one request of this holder's at a time
+        self._submit_lock = asyncio.Lock()  # keeps this holder's requests in order
 
     # -- calls -----------------------------------------------------------------------------------------
 
-    async def _call(self, method: str, path: str, body: Any = None, more_s: float = 0.0) -> Reply:
-        """A server error, and anything that is no answer, is StoreUnavailableError."""
+    async def _call(self, method: str, path: str, body: Any = None, wait_s: float = 0.0) -> Reply:
+        """Calls Consul; `wait_s` is added to the timeout. Raises StoreUnavailableError, also for a server error."""
         if self._client is None:
             self._client = aiohttp.ClientSession(headers=self._headers)
-        self.calls += 1
+        self.call_count += 1
         address = self.addresses[0]
         url = f"http://{address}/v1/{path}"
-        timeout = aiohttp.ClientTimeout(total=CALL_TIMEOUT_S + more_s)
+        timeout = aiohttp.ClientTimeout(total=CALL_TIMEOUT_S + wait_s)
         try:
             async with self._client.request(method, url, timeout=timeout, json=body) as answer:
                 data = await answer.read()
@@ -154,19 +162,19 @@
             self.addresses.append(self.addresses.pop(0))
             raise StoreUnavailableError(f"{address}: {error or 'no answer in time'}") from error
 
-    def _unexpected(self, status: int, what: str) -> StoreUnavailableError:
-        return StoreUnavailableError(f"{self.addresses[0]}: {status} to {what}")
+    def _unexpected(self, status: int, call: str) -> StoreUnavailableError:
+        return StoreUnavailableError(f"{self.addresses[0]}: {status} to {call}")
 
-    async def _read(self, path: str, more: str = "", wait_s: float = 0.0) -> tuple[list[Entry], int]:
-        """Entries, and the index of the answer."""
-        # Without `consistent` a server that has lost its leadership answers with what was true before.
-        reply = await self._call("GET", f"kv/{self._prefix}/{path}?consistent{more}", more_s=wait_s)
+    async def _read(self, path: str, query: str = "", wait_s: float = 0.0) -> tuple[list[Entry], int]:
+        """Returns the entries below a path, and the answer's watch index."""
+        # Without `consistent`, a server that has lost its leadership may return a past state.
+        reply = await self._call("GET", f"kv/{self._prefix}/{path}?consistent{query}", wait_s=wait_s)
         if reply.status not in (HTTP_OK, HTTP_NOT_FOUND):
             raise self._unexpected(reply.status, "a read")
         return reply.body or [], reply.watch_index
 
     async def transaction(self, operations: list[dict[str, Any]]) -> TransactionResult:
-        """All of the operations or none."""
+        """Carries out all of the operations, or none."""
         reply = await self._call("PUT", "txn", [{"KV": operation} for operation in operations])
         if reply.status == HTTP_OK:
             return TransactionResult([result["KV"] for result in reply.body.get("Results") or []], set())
@@ -184,27 +192,27 @@
 
     async def submit(self, requests: Sequence[tuple[str, LeaseRequest]], lease_us: int) -> dict[str, int]:
         """See `LeaseStore`."""
-        async with self._order:
+        async with self._submit_lock:
             granted: dict[str, int] = {}
-            renewals = [(job, request) for job, request in requests if request.kind == "renew"]
-            wanted = [(job, request) for job, request in requests if request.kind == "acquire"]
-            await self._release([(job, r) for job, r in requests if r.kind == "release"], granted)
-            if renewals or wanted:
-                # A lock that is taken in a session renewed a while ago runs out that much sooner.
-                lost = not await self._renew_session(create=bool(wanted))
-                await self._check_renewals(renewals, granted, lost)
-                await self._acquire(wanted, granted)
+            renewals = _of_kind(requests, RequestKind.RENEW)
+            acquisitions = _of_kind(requests, RequestKind.ACQUIRE)
+            await self._release(_of_kind(requests, RequestKind.RELEASE), granted)
+            if renewals or acquisitions:
+                # Renewed first: a lock acquired in a session lives only for the rest of the session's TTL.
+                is_renewed = await self._renew_session(may_create=bool(acquisitions))
+                await self._check_renewals(renewals, granted, is_renewed)
+                await self._acquire(acquisitions, granted)
             return granted
 
-    async def _renew_session(self, create: bool) -> bool:
-        """Whether the session that the locks are held in goes on."""
+    async def _renew_session(self, may_create: bool) -> bool:
+        """Renews the session, or creates one. Returns whether the session of before still lives."""
         if self.session:
             reply = await self._call("PUT", f"session/renew/{self.session}")
             if reply.status == HTTP_OK:
                 return True
             self.session = ""
             self._held.clear()
-        if create:
+        if may_create:
             body = {"Name": self.holder, "TTL": self._ttl, "LockDelay": self._lock_delay, "Behavior": "release"}
             reply = await self._call("PUT", "session/create", body)
             if reply.status != HTTP_OK:
@@ -213,48 +221,50 @@
         return False
 
     async def _check_renewals(
-        self, renewals: list[tuple[str, LeaseRequest]], granted: dict[str, int], lost: bool
+        self, renewals: list[tuple[str, LeaseRequest]], granted: dict[str, int], is_renewed: bool
     ) -> None:
-        sound = []
+        held = []
         for job, request in renewals:
-            if not lost and self._held.get(job, NOT_HELD).term == request.term:
-                sound.append((job, request))
+            if is_renewed and self._held.get(job, NOT_HELD).term == request.term:
+                held.append((job, request))
             else:
                 granted[job] = 0
-        for at in range(0, len(sound), MAX_OPERATIONS):
-            part = sound[at : at + MAX_OPERATIONS]
-            result = await self.transaction([self._index_check(job, self._held[job].modify_index) for job, _ in part])
-            for number, (job, request) in enumerate(part):
-                granted[job] = 0 if number in result.failed else request.term
-                if number in result.failed:
+        for start in range(0, len(held), MAX_OPERATIONS):
+            batch = held[start : start + MAX_OPERATIONS]
+            checks = [self._index_check(job, self._held[job].modify_index) for job, _ in batch]
+            result = await self.transaction(checks)
+            for position, (job, request) in enumerate(batch):
+                granted[job] = 0 if position in result.failed else request.term
+                if position in result.failed:
                     del self._held[job]
 
     def _index_check(self, job: str, index: int) -> dict[str, Any]:
         return {"Verb": "check-index", "Key": self._lock_key(job), "Index": index}
 
-    async def _acquire(self, wanted: list[tuple[str, LeaseRequest]], granted: dict[str, int]) -> None:
-        if not wanted:
+    async def _acquire(self, requests: list[tuple[str, LeaseRequest]], granted: dict[str, int]) -> None:
+        if not requests:
             return
-        found = await self._read_locks([job for job, _ in wanted])
-        todo: list[_Acquisition] = []
-        for job, request in wanted:
-            entry = found.get(self._lock_key(job))
+        locks = await self._read_locks([job for job, _ in requests])
+        waiting: list[_Acquisition] = []
+        for job, request in requests:
+            entry = locks.get(self._lock_key(job))
             if entry and entry.get("Session") not in (None, "", self.session):
                 granted[job] = 0
             else:
-                todo.append(self._acquisition(job, request, entry))
-        while todo:
-            part, todo = todo[: MAX_OPERATIONS // 2], todo[MAX_OPERATIONS // 2 :]
-            result = await self.transaction([one for acquisition in part for one in acquisition.operations])
+                waiting.append(self._acquisition(job, request, entry))
+        batch_size = MAX_OPERATIONS // OPERATIONS_PER_ACQUISITION
+        while waiting:
+            batch, waiting = waiting[:batch_size], waiting[batch_size:]
+            result = await self.transaction([operation for item in batch for operation in item.operations])
             if result.failed:
-                failed = {number // 2 for number in result.failed}  # two operations a job
-                granted.update((part[number].job, 0) for number in failed)
-                todo = [one for number, one in enumerate(part) if number not in failed] + todo
+                failed = {position // OPERATIONS_PER_ACQUISITION for position in result.failed}
+                granted.update((batch[position].job, 0) for position in failed)
+                waiting = [item for position, item in enumerate(batch) if position not in failed] + waiting
                 continue
-            self._record_acquired(part, result.entries, granted)
+            self._record_acquired(batch, result.entries, granted)
 
     async def _read_locks(self, jobs: list[str]) -> dict[str, Entry]:
-        if len(jobs) > SINGLE_READS:
+        if len(jobs) > MAX_SINGLE_READS:
             entries, _ = await self._read("jobs/", "&recurse")
             return {entry["Key"]: entry for entry in entries}
         found: dict[str, Entry] = {}
@@ -265,9 +275,9 @@
 
     def _acquisition(self, job: str, request: LeaseRequest, entry: Entry | None) -> _Acquisition:
         before = decode_lock_value(entry)
-        term = max(before.term, request.min_term) + 1
-        began = [term, self.holder, round(time.time(), TERM_DECIMALS)]
-        past = [*before.past, began][-PAST_TERMS_KEPT:]
+        term = max(before.term, request.term_floor) + 1
+        began = [term, self.holder, round(time.time(), TERM_TIME_DECIMALS)]
+        past = [*before.past, began][-MAX_PAST_TERMS:]
         check = {"Verb": "check-not-exists", "Key": self._lock_key(job)}
         if entry:
             check = self._index_check(job, entry["ModifyIndex"])
@@ -276,7 +286,7 @@
         return _Acquisition(job, term, [check, lock])
 
     def _record_acquired(self, acquired: list[_Acquisition], entries: list[Entry], granted: dict[str, int]) -> None:
-        """Checks have no result; of each lock the answer tells the index by which its term is known from now on."""
+        """Records the acquired locks with the indexes in the answer; the checks return no entries."""
         indexes = {entry["Key"]: int(entry["ModifyIndex"]) for entry in entries}
         for job, term, _ in acquired:
             granted[job] = term
@@ -291,11 +301,11 @@
                 self._held.pop(job, None)
 
     async def _unlock(self, job: str, index: int, session: str) -> None:
-        # The index is checked too: one that comes late must not give away a term that was taken since.
+        # The index is checked too: a late call must not release a lock that was acquired again since.
         unlock = {"Verb": "unlock", "Key": self._lock_key(job), "Session": session}
         await self.transaction([self._index_check(job, index), unlock])
 
-    async def free(self, job: str, holder: str, term: int) -> None:
+    async def release_for(self, job: str, holder: str, term: int) -> None:
         """See `LeaseStore`."""
         entries, _ = await self._read(f"jobs/{escape_key(job)}")
         for entry in entries:
@@ -325,7 +335,7 @@
 
     # -- records and proposals -------------------------------------------------------------------------
 
-    async def put(self, job: str, term: int, number: int, values: Mapping[str, str], proposal: str = "") -> bool:
+    async def put(self, job: str, term: int, sequence: int, values: Mapping[str, str], proposal: str = "") -> bool:
         """See `LeaseStore`."""
         held = self._held.get(job, NOT_HELD)
         if held.term != term or not self.session:
@@ -335,7 +345,7 @@
             self._index_check(job, held.modify_index),
         ]
         for key, value in values.items():
-            record = encode_value({"value": value, "term": term, "number": number})
+            record = encode_value({"value": value, "term": term, "number": sequence})
             operations.append({"Verb": "set", "Key": self._work_key(job, "record", key), "Value": record})
         if proposal:
             operations.append({"Verb": "delete", "Key": self._work_key(job, "wish", proposal)})
@@ -344,8 +354,8 @@
     async def records(self, job: str) -> dict[str, Record]:
         """See `LeaseStore`."""
         found = await self._values_below(job, "record")
-        records = {key: Record(v["value"], v["term"], v["number"]) for key, v in found.items()}
-        return dict(sorted(records.items(), key=lambda pair: (pair[1].term, pair[1].number)))
+        records = {key: Record(raw["value"], raw["term"], raw["number"]) for key, raw in found.items()}
+        return dict(sorted(records.items(), key=lambda pair: (pair[1].term, pair[1].sequence)))
 
     async def propose(self, job: str, proposal: str, value: str) -> None:
         """See `LeaseStore`."""
@@ -357,6 +367,7 @@
         return await self._values_below(job, "wish")
 
     async def _values_below(self, job: str, kind: str) -> dict[str, Any]:
+        """Returns the decoded values of a job's records or proposals, oldest first."""
         start = self._work_key(job, kind, "")
         entries, _ = await self._read(start[len(self._prefix) + 1 :], "&recurse")
         oldest_first = sorted(entries, key=lambda entry: int(entry["CreateIndex"]))
@@ -365,17 +376,21 @@
             for entry in oldest_first
         }
 
-    async def changed(self, wait_s: float) -> None:
+    async def wait_for_change(self, timeout_s: float) -> None:
         """See `LeaseStore`."""
-        more = "&recurse"
-        if self._watched_index:
-            more += f"&index={self._watched_index}&wait={max(1, round(wait_s * 1000))}ms"
-        _, index = await self._read("work/", more, wait_s)
-        # An index that goes back is a store that was restored; the next query begins anew.
-        self._watched_index = index if index >= self._watched_index else 0
+        query = "&recurse"
+        if self._watch_index:
+            query += f"&index={self._watch_index}&wait={max(1, round(timeout_s * 1000))}ms"
+        _, index = await self._read("work/", query, timeout_s)
+        # A lower index is that of a restored store; the next query starts anew.
+        self._watch_index = index if index >= self._watch_index else 0
 
     async def close(self) -> None:
         """Closes the client's connections."""
         if self._client is not None:
             await self._client.close()
             self._client = None
+
+
+def _of_kind(requests: Sequence[tuple[str, LeaseRequest]], kind: RequestKind) -> list[tuple[str, LeaseRequest]]:
+    return [(job, request) for job, request in requests if request.kind is kind]
--- a/glenrock/coordination/leases/fence.py
+++ b/glenrock/coordination/leases/fence.py
@@ -1,8 +1,8 @@
-"""A receiver's side: what it takes of whoever says that it holds a job's lease.
+"""The receiver's side of a lease: accepts effects in the order of their terms, and rejects those of past terms.
 
-Pure. A lower term than it has seen is refused, also after its own restart: until it has read back what it knew, from
-its own file or from the store, it takes nothing. Within a term effects come in order of their numbers; one that was
-taken is not taken again.
+Pure. A term lower than the highest one seen is rejected, also after a restart of the receiver: until the positions are
+restored, from the receiver's file or from the store, everything is rejected. Within a term, effects are accepted in the
+order of their sequence numbers, each at most once.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class FencePosition(NamedTuple):
-    """The highest term seen of a job, and the last effect's number in it."""
+    """The highest term seen of a job, and the sequence number of the last effect accepted in that term."""
 
     term: int
     sequence: int
@@ -24,7 +24,13 @@
 
 @dataclass(frozen=True, slots=True)
 class FenceVerdict:
-    """Whether an effect is taken. `highest_term` is told to a sender that was refused: it learns that it is late."""
+    """Whether an effect or heartbeat is accepted.
+
+    Attributes:
+        is_accepted: whether it is.
+        highest_term: the highest term seen; a rejected sender learns from it that its lease is superseded.
+        reason: why it is rejected, in words for operators; empty if it is accepted.
+    """
 
     is_accepted: bool
     highest_term: int
@@ -33,12 +39,12 @@
 
 @dataclass(slots=True)
 class Fence:
-    """What one receiver has seen.
+    """The positions of one receiver.
 
     Attributes:
-        is_restored: False just after a start, while what it knew before has not been read back.
+        is_restored: False from a start until the positions of before are read back.
         positions: by job.
-        rejected_count: how many effects and heartbeats.
+        rejected_count: effects and heartbeats rejected since the start.
     """
 
     is_restored: bool = False
@@ -46,38 +52,45 @@
     rejected_count: int = 0
 
     def position(self, job: str) -> FencePosition:
-        """The highest term seen of a job."""
+        """Returns the position of a job."""
         return self.positions.get(job, NO_POSITION)
 
-    def restore(self, seen: Mapping[str, tuple[int, int]]) -> None:
-        """Read back after a start; what was seen meanwhile stands where it is higher."""
-        for job, position in seen.items():
+    def restore(self, positions: Mapping[str, tuple[int, int]]) -> None:
+        """Merges positions that were read back after a start; the higher one of each job counts."""
+        for job, position in positions.items():
             self.positions[job] = max(self.position(job), FencePosition(*position))
         self.is_restored = True
 
-    def check_effect(self, job: str, term: int, number: int) -> FenceVerdict:
-        """Whether an effect is taken. Its position must be written down before it is carried out."""
+    def check_effect(self, job: str, term: int, sequence: int) -> FenceVerdict:
+        """Checks an effect, and advances the position if it is accepted.
+
+        The caller must store the new position before it carries the effect out.
+        """
         position = self.position(job)
         reason = ""
         if not self.is_restored:
             reason = "what was seen before the start is not known yet"
         elif term < position.term:
-            reason = f"term {term} is past, {position.term} was seen"
-        elif term == position.term and number <= position.sequence:
-            reason = f"number {number} of term {term} was taken before"
+            reason = _past_term_reason(term, position)
+        elif term == position.term and sequence <= position.sequence:
+            reason = f"number {sequence} of term {term} was taken before"
         if reason:
             self.rejected_count += 1
             return FenceVerdict(False, position.term, reason)
-        self.positions[job] = FencePosition(term, number)
+        self.positions[job] = FencePosition(term, sequence)
         return FenceVerdict(True, term)
 
     def check_heartbeat(self, job: str, term: int) -> FenceVerdict:
-        """A holder's heartbeat, without an effect: a higher term closes the door to all lower ones."""
+        """Checks a holder's heartbeat. A higher term fences all lower ones off, without an effect."""
         position = self.position(job)
         if self.is_restored and term >= position.term:
             if term > position.term:
                 self.positions[job] = FencePosition(term, 0)
             return FenceVerdict(True, term)
         self.rejected_count += 1
-        reason = f"term {term} is past, {position.term} was seen" if self.is_restored else "not known yet"
+        reason = _past_term_reason(term, position) if self.is_restored else "not known yet"
         return FenceVerdict(False, position.term, reason)
+
+
+def _past_term_reason(term: int, position: FencePosition) -> str:
+    return f"term {term} is past, {position.term} was seen"
--- a/glenrock/coordination/leases/lease_manager.py
+++ b/glenrock/coordination/leases/lease_manager.py
@@ -1,8 +1,8 @@
-"""All leases of one process: which jobs it asks for and when, in as few calls as can be.
+"""All leases of one process: for which jobs it requests the lease, and when, in as few calls to the store as possible.
 
-Pure. Times are microseconds on the process's own clock, as in `candidate`. Renewals of all jobs go together. A job seen
-free is asked for by the first in its order of members at once and by each next a step later, so that hundreds do not
-ask for the same; the order is for cost alone, terms come from the store.
+Pure. Times are whole microseconds of the process's own clock, as in `candidate`. All leases are renewed in one call. A
+free job is requested by the first member in its rendezvous order at once, and by each further member one step later, so
+that members do not all request it. That order only saves calls; the store alone grants terms.
 """
 
 from __future__ import annotations
@@ -12,65 +12,84 @@
 from typing import NamedTuple
 
 from ..membership import Membership, preferred_member, rank
-from .candidate import CandidateEffect, LeaseAcquired, LeaseCandidate, LeaseLost, LeaseRequest, LeaseTiming
+from .candidate import (
+    CandidateAction,
+    CandidateState,
+    LeaseAcquired,
+    LeaseCandidate,
+    LeaseLost,
+    LeaseRequest,
+    LeaseTiming,
+    RequestKind,
+)
 from .store import Lease
 
-WATCHING_MEMBERS = 3  # members that look after a job which is not theirs; the others look when these are gone
-MAX_PATIENCE = 256  # leases that a job is kept before it is offered again
+MAX_WATCHERS = 3  # members that watch a job's lease; the others read it at a full watch only
+MAX_STEPS = 10  # bound on the steps that a member waits for the members before it
+MAX_PATIENCE_LEASES = 256
 PATIENCE_FACTOR = 4
-MAX_STEPS = 10  # nobody waits longer than this many steps for those before it
-UNFIT_LEASES = 3  # a job that was held and not worked on is not asked for during so many leases
-SHED_SHARE = 10  # one in so many jobs is offered at a time
-NOT_KNOWN = -1
+IDLE_PENALTY_LEASES = 3  # a job whose lease was held without work is not requested for this many leases
+REBALANCE_DIVISOR = 10  # one in this many misplaced jobs is released at a time
+TIME_NOT_KNOWN = -1
 NO_LEASE = Lease("", 0, 0)
 
 
 class JobRequest(NamedTuple):
-    """A request to the store for one job."""
+    """A request to the store for one job's lease."""
 
     job: str
     request: LeaseRequest
 
 
 class JobEvent(NamedTuple):
-    """A job's lease was acquired or lost."""
+    """The lease of a job was acquired or lost."""
 
     job: str
     event: LeaseAcquired | LeaseLost
 
 
 @dataclass(slots=True)
-class Outcome:
-    """What follows from an event: requests to be made now, all in one call, and leases acquired or lost."""
+class LeaseActions:
+    """What the caller must do: submit `requests` in one call, and publish `events`."""
 
     requests: list[JobRequest] = field(default_factory=list)
     events: list[JobEvent] = field(default_factory=list)
 
-    def add(self, other: Outcome) -> None:
-        """Joins another's requests and events to these."""
+    def add(self, other: LeaseActions) -> None:
+        """Appends the requests and events of `other`."""
         self.requests += other.requests
         self.events += other.events
 
 
 @dataclass(slots=True)
 class ObservedLease:
-    """What the store last said of a job that is not ours. `free_us`: free since, or from then on."""
+    """What the store last reported of a lease that this process does not hold.
+
+    Attributes:
+        holder: the process that held it; empty if it was free.
+        free_since_us: when it became free, or will; TIME_NOT_KNOWN if the store did not report it.
+    """
 
     holder: str = ""
-    free_us: int = NOT_KNOWN
+    free_since_us: int = TIME_NOT_KNOWN
 
     @property
-    def free_is_known(self) -> bool:
-        """Whether the store has said when it is free."""
-        return self.free_us >= 0
+    def may_become_free(self) -> bool:
+        """Whether the time is known at which the lease is free."""
+        return self.free_since_us >= 0
 
 
 class LeaseManager:
-    """Leases of `jobs` are held by whoever comes; others only once `want` asks for them, and at once.
+    """Decides on the lease requests of one process.
+
+    Leases of `jobs` are requested when they are free. Leases of other jobs are requested only after `request_lease`.
 
     Attributes:
+        membership: the members among which the jobs are distributed.
+        timing: durations of a lease.
+        jobs: the jobs that all members share.
         candidates: by job.
-        wanted: jobs that `want` asked for.
+        requested_jobs: jobs whose lease was requested by `request_lease`.
     """
 
     def __init__(self, membership: Membership, timing: LeaseTiming, jobs: Iterable[str], step_us: int) -> None:
@@ -78,187 +97,204 @@
         self.timing = timing
         self.jobs = tuple(jobs)
         self.candidates = {job: LeaseCandidate(timing) for job in self.jobs}
-        self.wanted: set[str] = set()
+        self.requested_jobs: set[str] = set()
         self._step_us = step_us
         self._observed: dict[str, ObservedLease] = {}
-        self._live: set[str] = set()  # jobs of which a tick may make something: held, asked for, or free
+        self._active_jobs: set[str] = set()  # held, requested or free: the jobs that a tick may act on
         self._members: list[int] = []
-        self._watched: list[str] = []  # jobs that this member is among the first to take
-        self._unfit_until_us: dict[str, int] = {}  # jobs that were held and not worked on
-        self._worked_us: dict[str, int] = {}  # when each job's work last went round
+        self._watched: list[str] = []  # jobs for which this member is one of the watchers
+        self._penalty_until_us: dict[str, int] = {}
+        self._last_work_us: dict[str, int] = {}
         self._acquired_us: dict[str, int] = {}
-        self._shed_us = 0
-        self._patience: dict[str, int] = {}  # leases that a job is kept before it is offered to the first in its order
+        self._rebalanced_us = 0
+        self._patience_leases: dict[str, int] = {}  # how long a misplaced job is held before it is released
 
-    # -- who may act -----------------------------------------------------------------------------------
+    # -- leases held -----------------------------------------------------------------------------------
 
     def current_term(self, job: str, now_us: int) -> int | None:
-        """The term in which an effect may leave now; None where the lease is not held."""
+        """Returns the term in which an effect may be sent now; None if the lease is not held."""
         candidate = self.candidates.get(job)
         return candidate.current_term(now_us) if candidate else None
 
     def held_jobs(self, now_us: int) -> list[str]:
-        """Jobs whose lease is held."""
+        """Returns the jobs whose lease is held."""
         return [job for job in self.candidates if self.current_term(job, now_us) is not None]
 
     def record_work(self, job: str, now_us: int) -> None:
-        """The work of a job went round once more."""
-        self._worked_us[job] = now_us
+        """Records that the holder is working on the job; a holder that does not work for a lease steps down."""
+        self._last_work_us[job] = now_us
 
-    def require_above(self, job: str, term: int) -> None:
-        """This process has seen that term as a receiver: one of its own must be higher, whatever the store forgot."""
+    def raise_term_floor(self, job: str, term: int) -> None:
+        """Requires terms above one that this process has seen as a receiver, even if the store lost its state."""
         if job in self.candidates:
-            self.candidates[job].min_term = max(self.candidates[job].min_term, term)
+            self.candidates[job].term_floor = max(self.candidates[job].term_floor, term)
 
-    def refused(self, job: str, now_us: int, seen_term: int) -> list[JobEvent]:
-        """A receiver has seen a higher term."""
+    def handle_rejection(self, job: str, now_us: int, highest_term: int) -> list[JobEvent]:
+        """Applies that a receiver has seen `highest_term`."""
         candidate = self.candidates.get(job)
-        return self._outcome(job, candidate.refused(now_us, seen_term)).events if candidate else []
+        return self._collect(job, candidate.handle_rejection(now_us, highest_term)).events if candidate else []
 
-    # -- what is wanted --------------------------------------------------------------------------------
+    # -- requests of the caller ------------------------------------------------------------------------
 
-    def want(self, job: str, now_us: int) -> None:
-        """Asks for a job's lease at once."""
-        self.candidates.setdefault(job, LeaseCandidate(self.timing)).next_us = now_us
-        self.wanted.add(job)
-        self._live.add(job)
+    def request_lease(self, job: str, now_us: int) -> None:
+        """Requests a job's lease at the next tick, until `step_down`."""
+        self.candidates.setdefault(job, LeaseCandidate(self.timing)).next_request_us = now_us
+        self.requested_jobs.add(job)
+        self._active_jobs.add(job)
 
-    def step_down(self, job: str, now_us: int) -> Outcome:
-        """Gives a lease back, and asks for it no more where it was wanted."""
-        self.wanted.discard(job)
+    def step_down(self, job: str, now_us: int) -> LeaseActions:
+        """Releases a job's lease and withdraws its `request_lease`."""
+        self.requested_jobs.discard(job)
         if job not in self.candidates:
-            return Outcome()
-        return self._outcome(job, self.candidates[job].step_down(now_us))
+            return LeaseActions()
+        return self._collect(job, self.candidates[job].step_down(now_us))
 
-    def step_down_from_all(self, now_us: int) -> Outcome:
-        """Gives all leases back."""
-        outcome = Outcome()
+    def step_down_from_all(self, now_us: int) -> LeaseActions:
+        """Releases all leases."""
+        actions = LeaseActions()
         for job in self.candidates:
-            outcome.add(self.step_down(job, now_us))
-        return outcome
+            actions.add(self.step_down(job, now_us))
+        return actions
 
     # -- time ------------------------------------------------------------------------------------------
 
-    def tick(self, now_us: int) -> Outcome:
-        """Time has passed."""
-        outcome = Outcome()
-        for job in sorted(self._live):
-            self._tick_job(job, now_us, outcome)
-        outcome.add(self._shed(now_us))
-        if any(request.kind == "renew" for _, request in outcome.requests):
-            self._renew_all(now_us, outcome)
-        return outcome
-
-    def _tick_job(self, job: str, now_us: int, outcome: Outcome) -> None:
+    def tick(self, now_us: int) -> LeaseActions:
+        """Applies the passage of time."""
+        actions = LeaseActions()
+        for job in sorted(self._active_jobs):
+            self._tick_job(job, now_us, actions)
+        actions.add(self._rebalance(now_us))
+        if any(request.kind is RequestKind.RENEW for _, request in actions.requests):
+            self._renew_all(now_us, actions)
+        return actions
+
+    def _tick_job(self, job: str, now_us: int, actions: LeaseActions) -> None:
         candidate = self.candidates[job]
-        active = candidate.state != "idle" or candidate.pending
-        if not active and job not in self.wanted and not self._observed.get(job, ObservedLease()).free_is_known:
-            self._live.discard(job)
-        elif (active and candidate.state != "wary") or self._may_ask(job, now_us):
-            outcome.add(self._outcome(job, candidate.tick(now_us)))
-        idle_us = now_us - self._worked_us.get(job, now_us)
-        if candidate.state == "owner" and idle_us > self.timing.lease_us:
-            # Alive, renewing, and doing nothing: somebody else must be able to.
-            self._unfit_until_us[job] = now_us + UNFIT_LEASES * self.timing.lease_us
-            outcome.add(self._outcome(job, candidate.step_down(now_us)))
-
-    def _renew_all(self, now_us: int, outcome: Outcome) -> None:
-        """Where one lease is renewed, all are: in one call."""
-        for job in sorted(self._live):
+        is_active = candidate.state is not CandidateState.IDLE or candidate.pending_kind
+        may_become_free = self._observed.get(job, ObservedLease()).may_become_free
+        if not is_active and job not in self.requested_jobs and not may_become_free:
+            self._active_jobs.discard(job)
+        elif (is_active and candidate.state is not CandidateState.BACKING_OFF) or self._may_request(job, now_us):
+            actions.add(self._collect(job, candidate.tick(now_us)))
+        self._step_down_if_not_working(job, now_us, actions)
+
+    def _step_down_if_not_working(self, job: str, now_us: int, actions: LeaseActions) -> None:
+        """Lets another member take over from a holder that renews the lease and does not do the work."""
+        candidate = self.candidates[job]
+        idle_us = now_us - self._last_work_us.get(job, now_us)
+        if candidate.state is CandidateState.HOLDER and idle_us > self.timing.lease_us:
+            self._penalty_until_us[job] = now_us + IDLE_PENALTY_LEASES * self.timing.lease_us
+            actions.add(self._collect(job, candidate.step_down(now_us)))
+
+    def _renew_all(self, now_us: int, actions: LeaseActions) -> None:
+        """Renews all leases in the call that renews one of them."""
+        for job in sorted(self._active_jobs):
             candidate = self.candidates[job]
-            if candidate.state == "owner" and not candidate.pending:
-                outcome.add(self._outcome(job, candidate.request(now_us, "renew")))
+            if candidate.state is CandidateState.HOLDER and not candidate.pending_kind:
+                actions.add(self._collect(job, candidate.renew(now_us)))
 
-    def _may_ask(self, job: str, now_us: int) -> bool:
-        if job in self.wanted:
+    def _may_request(self, job: str, now_us: int) -> bool:
+        if job in self.requested_jobs:
             return True
         observed = self._observed.get(job)
-        unfit = now_us < self._unfit_until_us.get(job, 0)
-        if job not in self.jobs or unfit or observed is None or not observed.free_is_known:
+        is_penalized = now_us < self._penalty_until_us.get(job, 0)
+        if job not in self.jobs or is_penalized or observed is None or not observed.may_become_free:
             return False
-        before = rank(job, self.membership.me, self.membership.members(now_us), MAX_STEPS)
-        return now_us >= observed.free_us + before * self._step_us
-
-    def _shed(self, now_us: int) -> Outcome:
-        """Work goes back to the first in its order, a tenth of it at a time: after a start one may hold all."""
-        outcome = Outcome()
-        if now_us - self._shed_us < self.timing.lease_us:
-            return outcome
-        self._shed_us = now_us
+        steps = rank(job, self.membership.me, self.membership.members(now_us), MAX_STEPS)
+        return now_us >= observed.free_since_us + steps * self._step_us
+
+    def _rebalance(self, now_us: int) -> LeaseActions:
+        """Releases some of the jobs that another member is preferred for; after a start one member may hold all."""
+        actions = LeaseActions()
+        if now_us - self._rebalanced_us < self.timing.lease_us:
+            return actions
+        self._rebalanced_us = now_us
         members = list(self.membership.members(now_us))
-        away = [job for job in self.jobs if self._is_to_be_shed(job, members, now_us)]
-        for job in away[: 1 + len(away) // SHED_SHARE]:
-            # Who does not take it, though it is there, is asked ever more seldom: each time the job rests meanwhile.
-            self._patience[job] = min(MAX_PATIENCE, PATIENCE_FACTOR * self._patience.get(job, 1))
-            outcome.add(self._outcome(job, self.candidates[job].step_down(now_us)))
-        return outcome
-
-    def _is_to_be_shed(self, job: str, members: Sequence[int], now_us: int) -> bool:
+        misplaced = [job for job in self.jobs if self._is_misplaced(job, members, now_us)]
+        for job in misplaced[: 1 + len(misplaced) // REBALANCE_DIVISOR]:
+            # Backs off: a preferred member that does not acquire the lease costs an interval without a holder.
+            patience_leases = PATIENCE_FACTOR * self._patience_leases.get(job, 1)
+            self._patience_leases[job] = min(MAX_PATIENCE_LEASES, patience_leases)
+            actions.add(self._collect(job, self.candidates[job].step_down(now_us)))
+        return actions
+
+    def _is_misplaced(self, job: str, members: Sequence[int], now_us: int) -> bool:
+        """Whether this member holds a job that another member is preferred for, and has held it long enough."""
         candidate = self.candidates[job]
-        if candidate.current_term(now_us) is None or candidate.pending:
+        if candidate.current_term(now_us) is None or candidate.pending_kind:
             return False
-        kept_us = now_us - self._acquired_us.get(job, now_us)
-        if kept_us <= self.timing.lease_us * self._patience.get(job, 1):
+        held_us = now_us - self._acquired_us.get(job, now_us)
+        if held_us <= self.timing.lease_us * self._patience_leases.get(job, 1):
             return False
         return preferred_member(job, members) != self.membership.me
 
-    # -- what the store says ---------------------------------------------------------------------------
+    # -- the store's answers ---------------------------------------------------------------------------
 
-    def jobs_to_watch(self, now_us: int, every: bool) -> list[str]:
-        """Jobs whose leases are to be read: those that this member would be among the first to take."""
+    def jobs_to_watch(self, now_us: int, is_full_watch: bool) -> list[str]:
+        """Returns the jobs whose leases are to be read: all that this process does not hold, or those it watches."""
         members = list(self.membership.members(now_us))
         if members != self._members:
             self._members = members
-            self._watched = [
-                job for job in self.jobs if rank(job, self.membership.me, members, WATCHING_MEMBERS) < WATCHING_MEMBERS
-            ]
-        jobs = self.jobs if every else self._watched
+            me = self.membership.me
+            self._watched = [job for job in self.jobs if rank(job, me, members, MAX_WATCHERS) < MAX_WATCHERS]
+        jobs = self.jobs if is_full_watch else self._watched
         return [job for job in jobs if self.candidates[job].current_term(now_us) is None]
 
-    def observed(self, jobs: Iterable[str], leases: Mapping[str, Lease], now_us: int) -> None:
-        """What the store said of these jobs. One that was never held is free."""
+    def record_leases(self, jobs: Iterable[str], leases: Mapping[str, Lease], now_us: int) -> None:
+        """Records the leases of these jobs as the store reports them. A job without a lease is free."""
         for job in jobs:
             lease = leases.get(job, NO_LEASE)
             observed = self._observed.setdefault(job, ObservedLease())
             if lease.holder:
                 observed.holder = lease.holder
-                observed.free_us = now_us + lease.remaining_us if lease.remaining_us >= 0 else NOT_KNOWN
-            elif not observed.free_is_known or observed.holder:
+                is_known = lease.remaining_us >= 0
+                observed.free_since_us = now_us + lease.remaining_us if is_known else TIME_NOT_KNOWN
+            elif not observed.may_become_free or observed.holder:
                 observed.holder = ""
-                observed.free_us = now_us
-            if observed.free_is_known:
-                self._live.add(job)
-
-    def answered(self, requests: Iterable[JobRequest], granted: Mapping[str, int], now_us: int) -> Outcome:
-        """The store's answer to requests: by job, the term granted or 0. A job left out was not decided."""
-        outcome = Outcome()
+                observed.free_since_us = now_us
+            if observed.may_become_free:
+                self._active_jobs.add(job)
+
+    def handle_answers(
+        self, requests: Iterable[JobRequest], granted_terms: Mapping[str, int], now_us: int
+    ) -> LeaseActions:
+        """Applies the store's answers.
+
+        Args:
+            requests: the requests submitted.
+            granted_terms: by job, the term granted, or 0; a missing job counts as unanswered.
+            now_us: when the answers are read.
+        """
+        actions = LeaseActions()
         for job, request in requests:
             candidate = self.candidates[job]
-            if job not in granted:
-                candidate.unanswered(now_us, request.number)
+            if job not in granted_terms:
+                candidate.handle_timeout(now_us, request.sequence)
                 continue
-            if request.kind == "acquire" and not granted[job] and job in self._observed:
-                self._observed[job].free_us = NOT_KNOWN  # somebody was first: not free until the store says so again
-            outcome.add(self._outcome(job, candidate.answer(now_us, request.number, granted[job])))
-        return outcome
-
-    def unanswered(self, requests: Iterable[JobRequest], now_us: int) -> None:
-        """No answer came, or word that none will."""
+            granted_term = granted_terms[job]
+            if request.kind is RequestKind.ACQUIRE and not granted_term and job in self._observed:
+                self._observed[job].free_since_us = TIME_NOT_KNOWN  # another member has acquired it
+            actions.add(self._collect(job, candidate.handle_answer(now_us, request.sequence, granted_term)))
+        return actions
+
+    def handle_timeouts(self, requests: Iterable[JobRequest], now_us: int) -> None:
+        """Applies that requests got no answer."""
         for job, request in requests:
-            self.candidates[job].unanswered(now_us, request.number)
+            self.candidates[job].handle_timeout(now_us, request.sequence)
 
-    def _outcome(self, job: str, effects: Iterable[CandidateEffect]) -> Outcome:
-        outcome = Outcome()
-        for effect in effects:
-            match effect:
+    def _collect(self, job: str, actions: Iterable[CandidateAction]) -> LeaseActions:
+        """Sorts a candidate's actions into requests and events, and records what the events change."""
+        collected = LeaseActions()
+        for action in actions:
+            match action:
                 case LeaseRequest():
-                    outcome.requests.append(JobRequest(job, effect))
+                    collected.requests.append(JobRequest(job, action))
                     continue
                 case LeaseAcquired():
-                    self._acquired_us[job] = self._worked_us[job] = self.candidates[job].sent_us
+                    self._acquired_us[job] = self._last_work_us[job] = self.candidates[job].request_sent_us
                 case LeaseLost():
                     pass
-            outcome.events.append(JobEvent(job, effect))
+            collected.events.append(JobEvent(job, action))
             if job in self._observed:
-                self._observed[job].free_us = NOT_KNOWN  # what was seen before says nothing now
-        return outcome
+                self._observed[job].free_since_us = TIME_NOT_KNOWN  # reported before the change
+        return collected
--- a/glenrock/coordination/leases/model_checker.py
+++ b/glenrock/coordination/leases/model_checker.py
@@ -1,17 +1,11 @@
 """Explicit-state model checking of candidates, store and receivers, up to a number of terms.
 
-Pure. The real `LeaseCandidate` and `Fence` run in it; around them stand a store, messages that may be lost or wait for
-ever, candidates that sleep at any point but between a check and its send, clocks that slip, receivers and a store that
-restart. What is asked of every state:
-
-- `late`: no effect leaves a candidate when the store's lease for its term has run out, or is another's;
-- `order`: no receiver takes an effect of a lower term than it has taken before, over its restarts too;
-- `record`: no record is written in the name of a term that is not the job's.
-
-Faults can be planted, to see that each is found: the check left out (`no_check`), a lease counted from the answer
-(`from_answer`), a fence kept in memory only (`forgets`), leases void when the store restarts (`voids`), a store that
-takes a holder's requests in any order (`any_order`). `store_forgets` is a store rolled back to before its terms: there
-may be two holders, and the fences keep the order.
+Pure. The program's `LeaseCandidate` and `Fence` run in a model of the rest: a store; messages that are lost or delayed
+without bound; candidates that suspend at any point except between a check and the send that follows; clocks that drift;
+receivers and a store that restart. Each reachable state is checked against the invariants of `Invariant`.
+
+A `PlantedFault` breaks one rule, to show that the checker finds a violation. `STORE_FORGETS` is a store rolled back to
+before its terms: two candidates may hold the lease then, and only the order at the receivers is guaranteed.
 """
 
 from __future__ import annotations
@@ -19,366 +13,468 @@
 from collections import deque
 from collections.abc import Iterator
 from dataclasses import dataclass, field, replace
+from enum import StrEnum
 from typing import Any, Literal, NamedTuple
 
-from .candidate import CandidateEffect, LeaseCandidate, LeaseRequest, LeaseTiming, RequestKind
+from .candidate import CandidateAction, CandidateState, LeaseCandidate, LeaseRequest, LeaseTiming, RequestKind
 from .fence import Fence
 
 JOB = "job"
-LEASE, HOLDER_LEASE = 2, 1  # ticks: the store's, and what a holder counts on with clocks that may slip one in a lease
+LEASE_TICKS = 2  # of the store's lease
+HOLDER_LEASE_TICKS = 1  # usable by a holder whose clock may skip one tick in a lease
 TIMING = LeaseTiming(
-    lease_us=LEASE,
-    drift=LEASE / HOLDER_LEASE - 1,
-    renew_after_share=0.34,
+    lease_us=LEASE_TICKS,  # one microsecond of a candidate is one tick
+    max_drift_fraction=LEASE_TICKS / HOLDER_LEASE_TICKS - 1,
+    renew_after_fraction=0.34,
     request_timeout_us=1,
-    retry_us=1,
+    retry_interval_us=1,
     unreachable_backoff_us=1,
 )
-NOBODY = -1
+NO_HOLDER = -1
+
+StateKey = tuple[Any, ...]
+"""Equal for states from which the same can happen."""
+
+
+class Invariant(StrEnum):
+    """What every reachable state must keep.
+
+    LATE: no effect is sent unless the store's lease for its term lasts.
+    ORDER: no receiver accepts an effect of a lower term than it has accepted, over its restarts too.
+    RECORD: no record is written in the name of a term that the store has not granted to the writer.
+    """
+
+    LATE = "late"
+    ORDER = "order"
+    RECORD = "record"
+
+
+class PlantedFault(StrEnum):
+    """A rule that is broken on purpose.
+
+    NO_CHECK: a holder sends effects without checking that its lease lasts.
+    COUNTED_FROM_ANSWER: a lease is counted from its answer instead of from its request.
+    FENCE_FORGETS: a receiver loses its fence positions in a restart.
+    STORE_VOIDS: a restarted store regards the leases that it granted as expired.
+    STORE_FORGETS: a restarted store has also lost its terms.
+    ANY_ORDER: the store accepts a holder's requests in any order.
+    """
+
+    NO_CHECK = "no_check"
+    COUNTED_FROM_ANSWER = "counted_from_answer"
+    FENCE_FORGETS = "fence_forgets"
+    STORE_VOIDS = "store_voids"
+    STORE_FORGETS = "store_forgets"
+    ANY_ORDER = "any_order"
+
+
+class MessageKind(StrEnum):
+    """The first field of each message; it keeps messages of different kinds distinct and comparable."""
 
-Key = tuple[Any, ...]
-"""The same for states from which the same can happen."""
+    REQUEST = "request"
+    ANSWER = "answer"
+    EFFECT = "effect"
+    REJECTION = "rejection"
+
+    __hash__ = str.__hash__
 
 
 class RequestMessage(NamedTuple):
-    """A candidate's request, on its way to the store."""
+    """A candidate's request, in transit to the store."""
 
-    kind: Literal["ask"]
+    kind: Literal[MessageKind.REQUEST]
     candidate: int
-    number: int
+    sequence: int
     request: RequestKind
     term: int
-    min_term: int
+    term_floor: int
 
 
 class AnswerMessage(NamedTuple):
-    """The store's answer, on its way to a candidate."""
+    """The store's answer, in transit to a candidate."""
 
-    kind: Literal["answer"]
+    kind: Literal[MessageKind.ANSWER]
     candidate: int
-    number: int
-    granted: int
+    sequence: int
+    granted_term: int
 
 
 class EffectMessage(NamedTuple):
-    """An effect, on its way to a receiver."""
+    """An effect, in transit to a receiver."""
 
-    kind: Literal["effect"]
+    kind: Literal[MessageKind.EFFECT]
     candidate: int
     receiver: int
     term: int
 
 
-class RefusalMessage(NamedTuple):
-    """A receiver's refusal, on its way to a candidate."""
+class RejectionMessage(NamedTuple):
+    """A receiver's rejection, in transit to a candidate."""
 
-    kind: Literal["refused"]
+    kind: Literal[MessageKind.REJECTION]
     candidate: int
-    seen_term: int
+    highest_term: int
+
+
+Message = RequestMessage | AnswerMessage | EffectMessage | RejectionMessage
+SEQUENCED_MESSAGES = (RequestMessage, AnswerMessage)
+
+# Keys hold numbers in place of enum members: the garbage collector skips tuples of numbers, and there are many keys.
+STATE_CODES = {state: code for code, state in enumerate(CandidateState)}
+MESSAGE_CODES = {kind: code for code, kind in enumerate(MessageKind)}
+REQUEST_CODES = {kind: code for code, kind in enumerate((None, *RequestKind))}
 
 
-Message = RequestMessage | AnswerMessage | EffectMessage | RefusalMessage
+class Violation(NamedTuple):
+    """A broken invariant, and what broke it."""
+
+    invariant: Invariant
+    detail: str
 
 
 class Step(NamedTuple):
-    """One thing that may happen next, in words, and the state after it."""
+    """One thing that may happen next: its description, and the state after it."""
 
     name: str
-    world: World
+    state: ModelState
 
 
 @dataclass(slots=True)
-class World:
-    """One state. Candidates' clocks are their own.
+class ModelState:
+    """One state of the model.
 
-    Whoever sleeps is one that does nothing for a while: every step of a candidate is a step that may not come.
+    A suspended candidate needs no state: each step of a candidate is one that may not happen.
 
     Attributes:
-        slipped: ticks since each clock last slipped.
-        marks: the highest term that each receiver has taken, as an outsider saw it.
-        left: of the store's lease, in true ticks.
-        last_request: of its holder, that the store took last.
-        wire: messages under way.
-        wrong: what is wrong with it; empty where nothing is.
+        candidates: the candidates under test.
+        clocks: the time of each candidate's clock, in ticks.
+        ticks_since_skip: by candidate, ticks since its clock last skipped one.
+        fences: the receivers under test.
+        accepted_terms: by receiver, the highest term of which an effect was accepted, over restarts.
+        holder: the candidate that the store granted the lease to last.
+        term: the last term granted.
+        lease_ticks: what remains of the store's lease, in ticks of its own clock.
+        last_sequence: the last request of the holder that the store accepted.
+        messages: in transit.
+        restarts: of receivers and store so far.
+        violation: the invariant that the last step broke.
     """
 
     candidates: list[LeaseCandidate]
     clocks: list[int]
-    slipped: list[int]
+    ticks_since_skip: list[int]
     fences: list[Fence]
-    marks: list[int]
-    holder: int = NOBODY
+    accepted_terms: list[int]
+    holder: int = NO_HOLDER
     term: int = 0
-    left: int = 0
-    last_request: int = 0
-    wire: tuple[Message, ...] = ()
+    lease_ticks: int = 0
+    last_sequence: int = 0
+    messages: tuple[Message, ...] = ()
     restarts: int = 0
-    wrong: str = ""
+    violation: Violation | None = None
 
-    def copy(self) -> World:
-        """A state to change."""
+    def copy(self) -> ModelState:
+        """Returns a copy that may be changed."""
         return replace(
             self,
             candidates=[replace(candidate) for candidate in self.candidates],
             clocks=list(self.clocks),
-            slipped=list(self.slipped),
-            marks=list(self.marks),
+            ticks_since_skip=list(self.ticks_since_skip),
+            accepted_terms=list(self.accepted_terms),
             fences=[replace(fence, positions=dict(fence.positions)) for fence in self.fences],
         )
 
-    def key(self) -> Key:
-        """Times count from each candidate's now, and of request numbers only their order among those that matter."""
-        numbers = [self._request_numbers(n) for n in range(len(self.candidates))]
-        wire = tuple(sorted(self._message_key(message, numbers) for message in self.wire))
+    def send(self, candidate: int, actions: list[CandidateAction]) -> None:
+        """Puts the requests among a candidate's actions in transit."""
+        for action in actions:
+            if isinstance(action, LeaseRequest):
+                message = RequestMessage(
+                    MessageKind.REQUEST, candidate, action.sequence, action.kind, action.term, action.term_floor
+                )
+                self.messages += (message,)
+
+    def key(self) -> StateKey:
+        """Returns the state's key: times relative to each candidate's clock, sequence numbers by their order."""
+        sequences = [self._live_sequences(index) for index in range(len(self.candidates))]
+        messages = tuple(sorted(self._message_key(message, sequences) for message in self.messages))
         return (
-            tuple(self._candidate_key(n) for n in range(len(self.candidates))),
+            tuple(self._candidate_key(index) for index in range(len(self.candidates))),
             tuple((fence.is_restored, fence.position(JOB).term) for fence in self.fences),
-            tuple(self.marks),
+            tuple(self.accepted_terms),
             self.holder,
             self.term,
-            self.left,
-            numbers[self.holder].index(self.last_request) if self.holder >= 0 else 0,
-            wire,
+            self.lease_ticks,
+            sequences[self.holder].index(self.last_sequence) if self.holder >= 0 else 0,
+            messages,
             self.restarts,
         )
 
-    def _candidate_key(self, n: int) -> Key:
-        candidate = self.candidates[n]
-        now = self.clocks[n]
-        holds = candidate.state == "owner"
+    def _candidate_key(self, index: int) -> StateKey:
+        candidate = self.candidates[index]
+        now = self.clocks[index]
+        state = candidate.state
+        is_holder = state is CandidateState.HOLDER
+        pending = candidate.pending_kind
         return (
-            candidate.state,
-            candidate.term if holds or candidate.state == "leaving" else 0,
-            max(-1, candidate.expires_us - now) if holds else 0,
-            candidate.pending,
-            min(LEASE, now - candidate.sent_us) if candidate.pending or holds else 0,
-            max(0, candidate.next_us - now),
-            candidate.min_term,
-            self.slipped[n],
+            STATE_CODES[state],
+            candidate.term if is_holder or state is CandidateState.RELEASING else 0,
+            max(-1, candidate.expires_us - now) if is_holder else 0,
+            REQUEST_CODES[pending],
+            min(LEASE_TICKS, now - candidate.request_sent_us) if pending or is_holder else 0,
+            max(0, candidate.next_request_us - now),
+            candidate.term_floor,
+            self.ticks_since_skip[index],
         )
 
-    def _request_numbers(self, n: int) -> list[int]:
-        """Numbers of a candidate's requests that still play a part, the last first."""
-        numbers = {self.candidates[n].last_request}
-        for message in self.wire:
-            if isinstance(message, RequestMessage | AnswerMessage) and message.candidate == n:
-                numbers.add(message.number)
-        if n == self.holder:
-            numbers.add(self.last_request)
-        return sorted(numbers, reverse=True)
+    def _live_sequences(self, index: int) -> list[int]:
+        """Returns the sequence numbers of a candidate's requests that may still have an effect, the last first."""
+        sequences = {self.candidates[index].last_sequence}
+        for message in self.messages:
+            if isinstance(message, SEQUENCED_MESSAGES) and message.candidate == index:
+                sequences.add(message.sequence)
+        if index == self.holder:
+            sequences.add(self.last_sequence)
+        return sorted(sequences, reverse=True)
 
     @staticmethod
-    def _message_key(message: Message, numbers: list[list[int]]) -> Key:
-        if isinstance(message, RequestMessage | AnswerMessage):
-            return tuple(message._replace(number=numbers[message.candidate].index(message.number)))
-        return tuple(message)
+    def _message_key(message: Message, sequences: list[list[int]]) -> StateKey:
+        code = MESSAGE_CODES[message.kind]
+        if not isinstance(message, SEQUENCED_MESSAGES):
+            return (code, *message[1:])
+        index = message.candidate
+        order = sequences[index].index(message.sequence)
+        if isinstance(message, RequestMessage):
+            return (code, index, order, REQUEST_CODES[message.request], message.term, message.term_floor)
+        return (code, index, order, message.granted_term)
 
 
 @dataclass(frozen=True, slots=True)
 class CheckResult:
-    """States seen, what is wrong with the last one, and the steps that led to it."""
+    """The result of a run.
+
+    Attributes:
+        states: number of distinct states reached.
+        violation: the first violation found; None if there is none.
+        steps: names of the steps that lead to the violation.
+        is_complete: False if the run ended at `ModelChecker.max_states`.
+    """
 
     states: int
-    wrong: str = ""
-    way: tuple[str, ...] = ()
+    violation: Violation | None = None
+    steps: tuple[str, ...] = ()
+    is_complete: bool = True
 
 
 @dataclass(slots=True)
 class ModelChecker:
-    """Breadth first, so that what is found is found by the fewest steps.
+    """Searches the states breadth first, so that a violation is found by the fewest steps.
 
     Attributes:
-        wire: messages under way at once, at most.
-        slips: whether clocks slip. `losses`: whether messages are lost; without, they may still wait for ever.
-        faults: planted ones.
-        most: states, at most.
+        candidates: how many.
+        receivers: how many.
+        max_messages: bound on messages in transit.
+        max_restarts: bound on restarts of receivers and store.
+        max_terms: bound on terms granted.
+        has_clock_skips: whether a candidate's clock may skip a tick in each lease.
+        has_message_loss: whether messages may be lost; delayed without bound they are always.
+        faults: the planted faults.
+        max_states: bound on the states of a run.
+        seen: keys of the states reached.
     """
 
     candidates: int = 2
     receivers: int = 2
-    wire: int = 3
-    restarts: int = 1
-    terms: int = 3
-    slips: bool = True
-    losses: bool = True
-    faults: frozenset[str] = frozenset()
-    most: int = 400_000
-    seen: set[Key] = field(default_factory=set)
-
-    def initial(self) -> World:
-        """Nobody holds the lease, and nothing is under way."""
+    max_messages: int = 3
+    max_restarts: int = 1
+    max_terms: int = 3
+    has_clock_skips: bool = True
+    has_message_loss: bool = True
+    faults: frozenset[PlantedFault] = frozenset()
+    max_states: int = 400_000
+    seen: set[StateKey] = field(default_factory=set)
+
+    def initial(self) -> ModelState:
+        """Returns the state without a holder and without messages."""
         count = self.candidates
-        return World(
+        return ModelState(
             candidates=[LeaseCandidate(TIMING) for _ in range(count)],
             clocks=[0] * count,
-            slipped=[LEASE] * count,
+            ticks_since_skip=[LEASE_TICKS] * count,
             fences=[Fence(is_restored=True) for _ in range(self.receivers)],
-            marks=[0] * self.receivers,
+            accepted_terms=[0] * self.receivers,
         )
 
     def run(self) -> CheckResult:
-        """Goes through all states, until one is wrong or there are too many."""
-        first = self.initial()
-        todo: deque[tuple[World, tuple[str, ...]]] = deque([(first, ())])
-        self.seen = {first.key()}
-        while todo:
-            world, way = todo.popleft()
-            for name, after in self.steps(world):
-                if after.wrong:
-                    return CheckResult(len(self.seen), after.wrong, (*way, name))
+        """Visits all reachable states, until one has a violation or there are too many."""
+        initial = self.initial()
+        queue: deque[tuple[ModelState, tuple[str, ...]]] = deque([(initial, ())])
+        self.seen = {initial.key()}
+        while queue:
+            state, path = queue.popleft()
+            for name, after in self.steps(state):
+                if after.violation:
+                    return CheckResult(len(self.seen), after.violation, (*path, name))
                 key = after.key()
                 if key in self.seen:
                     continue
-                if len(self.seen) >= self.most:
-                    return CheckResult(len(self.seen), "", ("stopped: more states than asked for",))
+                if len(self.seen) >= self.max_states:
+                    return CheckResult(len(self.seen), is_complete=False)
                 self.seen.add(key)
-                todo.append((after, (*way, name)))
+                queue.append((after, (*path, name)))
         return CheckResult(len(self.seen))
 
-    def steps(self, world: World) -> Iterator[Step]:
-        """Each thing that may happen next."""
-        yield from self._ticks(world)
-        for n in range(self.candidates):
-            if len(world.wire) < self.wire:
-                after = world.copy()
-                _post(after, n, after.candidates[n].tick(after.clocks[n]))
-                yield Step(f"{n} looks at its clock", after)
-                yield from self._effects(world, n)
-        for at, message in enumerate(world.wire):
-            if message not in world.wire[:at]:
-                yield from self._arrivals(world, at)
-        if world.restarts < self.restarts:
-            yield from self._receiver_restarts(world)
-            yield self._store_restart(world)
+    def steps(self, state: ModelState) -> Iterator[Step]:
+        """Yields each thing that may happen next."""
+        yield from self._ticks(state)
+        for index in range(self.candidates):
+            if len(state.messages) < self.max_messages:
+                after = state.copy()
+                after.send(index, after.candidates[index].tick(after.clocks[index]))
+                yield Step(f"candidate {index} reads its clock", after)
+                yield from self._effects(state, index)
+        for position, message in enumerate(state.messages):
+            if message not in state.messages[:position]:
+                yield from self._deliveries(state, position)
+        if state.restarts < self.max_restarts:
+            yield from self._receiver_restarts(state)
+            yield self._store_restart(state)
 
     # -- time and restarts -----------------------------------------------------------------------------
 
-    def _ticks(self, world: World) -> Iterator[Step]:
-        yield Step("a tick", self._tick(world, None))
-        for n in range(self.candidates):
-            if self.slips and world.slipped[n] >= LEASE:
-                yield Step(f"a tick, the clock of {n} slips", self._tick(world, n))
-
-    def _tick(self, world: World, slips: int | None) -> World:
-        after = world.copy()
-        after.left = max(0, after.left - 1)
-        for n in range(self.candidates):
-            after.slipped[n] = 0 if n == slips else min(LEASE, after.slipped[n] + 1)
-            after.clocks[n] += n != slips
+    def _ticks(self, state: ModelState) -> Iterator[Step]:
+        yield Step("tick", self._tick(state, None))
+        for index in range(self.candidates):
+            if self.has_clock_skips and state.ticks_since_skip[index] >= LEASE_TICKS:
+                yield Step(f"tick, the clock of candidate {index} skips it", self._tick(state, index))
+
+    def _tick(self, state: ModelState, skipping: int | None) -> ModelState:
+        after = state.copy()
+        after.lease_ticks = max(0, after.lease_ticks - 1)
+        for index in range(self.candidates):
+            is_skipping = index == skipping
+            after.ticks_since_skip[index] = 0 if is_skipping else min(LEASE_TICKS, after.ticks_since_skip[index] + 1)
+            after.clocks[index] += not is_skipping
         return after
 
-    def _receiver_restarts(self, world: World) -> Iterator[Step]:
-        for n in range(self.receivers):
-            after = world.copy()
+    def _receiver_restarts(self, state: ModelState) -> Iterator[Step]:
+        for index in range(self.receivers):
+            after = state.copy()
             after.restarts += 1
-            kept = dict(after.fences[n].positions)
-            after.fences[n] = Fence()
-            # Its mark was written before the effect was carried out; in memory only, nothing is left.
-            after.fences[n].restore({} if "forgets" in self.faults else kept)
-            yield Step(f"receiver {n} restarts", after)
-
-    def _store_restart(self, world: World) -> Step:
-        after = world.copy()
+            stored = dict(after.fences[index].positions)
+            after.fences[index] = Fence()
+            after.fences[index].restore({} if PlantedFault.FENCE_FORGETS in self.faults else stored)
+            yield Step(f"receiver {index} restarts", after)
+
+    def _store_restart(self, state: ModelState) -> Step:
+        after = state.copy()
         after.restarts += 1
-        # What it had granted goes on for a whole lease from its start: it cannot know how long it was away.
-        after.left = LEASE if after.holder >= 0 else 0
-        if {"voids", "store_forgets"} & self.faults:
-            after.holder, after.left = NOBODY, 0
-        if "store_forgets" in self.faults:
+        # A granted lease lasts a whole lease from the restart: the store cannot know how long it was down.
+        after.lease_ticks = LEASE_TICKS if after.holder >= 0 else 0
+        if {PlantedFault.STORE_VOIDS, PlantedFault.STORE_FORGETS} & self.faults:
+            after.holder, after.lease_ticks = NO_HOLDER, 0
+        if PlantedFault.STORE_FORGETS in self.faults:
             after.term = 0
         return Step("the store restarts", after)
 
     # -- candidates ------------------------------------------------------------------------------------
 
-    def _effects(self, world: World, n: int) -> Iterator[Step]:
-        """An effect leaves, for each receiver. The check and the send are one step: no sleep lies between."""
-        candidate = world.candidates[n]
-        term = candidate.current_term(world.clocks[n])
-        unchecked = "no_check" in self.faults
-        if unchecked and candidate.state == "owner":
+    def _effects(self, state: ModelState, index: int) -> Iterator[Step]:
+        """Yields an effect for each receiver. The check and the send are one step, without a suspend between them."""
+        candidate = state.candidates[index]
+        term = candidate.current_term(state.clocks[index])
+        is_unchecked = PlantedFault.NO_CHECK in self.faults
+        if is_unchecked and candidate.state is CandidateState.HOLDER:
             term = candidate.term
         if term is None:
             return
+        is_granted = (state.holder, state.term) == (index, term)
+        is_late = not is_granted or not state.lease_ticks
         for receiver in range(self.receivers):
-            after = world.copy()
-            after.wire += (EffectMessage("effect", n, receiver, term),)
-            # A store gone back in time may have two holders: there the receivers' order is all that is asked.
-            is_late = (world.holder, world.term) != (n, term) or not world.left
-            if "store_forgets" not in self.faults and is_late:
-                after.wrong = f"late: {n} sends in term {term}; the store's is {world.term}, {world.left} ticks left"
-            yield Step(f"{n} sends an effect of term {term} to {receiver}", after)
-        if unchecked and (world.holder, world.term) != (n, term):
-            after = world.copy()
-            after.wrong = f"record: {n} writes in term {term}"
-            yield Step(f"{n} writes a record of term {term}", after)
+            after = state.copy()
+            after.messages += (EffectMessage(MessageKind.EFFECT, index, receiver, term),)
+            if PlantedFault.STORE_FORGETS not in self.faults and is_late:
+                detail = f"{index} sends in term {term}; the store's is {state.term}, {state.lease_ticks} ticks left"
+                after.violation = Violation(Invariant.LATE, detail)
+            yield Step(f"candidate {index} sends an effect of term {term} to receiver {receiver}", after)
+        if is_unchecked and not is_granted:
+            after = state.copy()
+            after.violation = Violation(Invariant.RECORD, f"{index} writes in term {term}")
+            yield Step(f"candidate {index} writes a record of term {term}", after)
 
     # -- messages --------------------------------------------------------------------------------------
 
-    def _arrivals(self, world: World, at: int) -> Iterator[Step]:
-        message = world.wire[at]
-        rest = world.wire[:at] + world.wire[at + 1 :]
-        if self.losses:
-            lost = world.copy()
-            lost.wire = rest
-            yield Step(f"lost: {tuple(message)}", lost)
-        after = world.copy()
-        after.wire = rest
+    def _deliveries(self, state: ModelState, position: int) -> Iterator[Step]:
+        message = state.messages[position]
+        others = state.messages[:position] + state.messages[position + 1 :]
+        if self.has_message_loss:
+            lost = state.copy()
+            lost.messages = others
+            yield Step(f"{message} is lost", lost)
+        after = state.copy()
+        after.messages = others
         match message:
             case EffectMessage():
-                yield self._effect_arrives(after, message)
+                yield self._deliver_effect(after, message)
             case RequestMessage():
-                granted = self._store_answers(after, message)
-                if after.term <= self.terms:
-                    after.wire += (AnswerMessage("answer", message.candidate, message.number, granted),)
-                    yield Step(f"the store: {message.request} of {message.candidate} gives {granted}", after)
-            case AnswerMessage(_, n, number, granted):
-                candidate = after.candidates[n]
-                if "from_answer" in self.faults:
-                    candidate.sent_us = after.clocks[n]
-                _post(after, n, candidate.answer(after.clocks[n], number, granted))
-                yield Step(f"{n} reads answer {(number, granted)}", after)
-            case RefusalMessage(_, n, seen_term):
-                _post(after, n, after.candidates[n].refused(after.clocks[n], seen_term))
-                yield Step(f"{n} reads refused {(seen_term,)}", after)
-
-    def _effect_arrives(self, after: World, message: EffectMessage) -> Step:
-        _, n, receiver, term = message
+                granted_term = self._answer_request(after, message)
+                if after.term <= self.max_terms:
+                    answer = AnswerMessage(MessageKind.ANSWER, message.candidate, message.sequence, granted_term)
+                    after.messages += (answer,)
+                    yield Step(f"the store answers {message.request} of {message.candidate}: {granted_term}", after)
+            case AnswerMessage():
+                yield self._deliver_answer(after, message)
+            case RejectionMessage(_, index, highest_term):
+                candidate = after.candidates[index]
+                after.send(index, candidate.handle_rejection(after.clocks[index], highest_term))
+                yield Step(f"candidate {index} reads a rejection by term {highest_term}", after)
+
+    def _deliver_answer(self, after: ModelState, message: AnswerMessage) -> Step:
+        _, index, sequence, granted_term = message
+        candidate = after.candidates[index]
+        now = after.clocks[index]
+        if PlantedFault.COUNTED_FROM_ANSWER in self.faults:
+            candidate.request_sent_us = now
+        after.send(index, candidate.handle_answer(now, sequence, granted_term))
+        return Step(f"candidate {index} reads answer {sequence}: {granted_term}", after)
+
+    def _deliver_effect(self, after: ModelState, message: EffectMessage) -> Step:
+        _, index, receiver, term = message
         fence = after.fences[receiver]
         verdict = fence.check_effect(JOB, term, fence.position(JOB).sequence + 1)
         if verdict.is_accepted:
-            if term < after.marks[receiver]:
-                after.wrong = f"order: receiver {receiver} takes term {term} after {after.marks[receiver]}"
-            after.marks[receiver] = max(after.marks[receiver], term)
-        elif len(after.wire) < self.wire:
-            after.wire += (RefusalMessage("refused", n, verdict.highest_term),)
-        return Step(f"receiver {receiver}: {'takes' if verdict.is_accepted else 'refuses'} term {term} of {n}", after)
-
-    def _store_answers(self, world: World, message: RequestMessage) -> int:
-        """The store takes a request: the term granted, or 0."""
-        n = message.candidate
-        if world.holder == n and message.number <= world.last_request and "any_order" not in self.faults:
-            return 0  # a holder's requests are taken in order: one that was given up may come late
-        if message.request == "acquire":
-            if world.left and world.holder != n:
-                return 0
-            world.holder = n
-            world.term = max(world.term, message.min_term) + 1
-            world.left = LEASE
-            world.last_request = message.number
-            return world.term
-        if (world.holder, world.term) != (n, message.term) or not world.left:
+            highest_term = after.accepted_terms[receiver]
+            if term < highest_term:
+                detail = f"receiver {receiver} accepts term {term} after {highest_term}"
+                after.violation = Violation(Invariant.ORDER, detail)
+            after.accepted_terms[receiver] = max(highest_term, term)
+        elif len(after.messages) < self.max_messages:
+            after.messages += (RejectionMessage(MessageKind.REJECTION, index, verdict.highest_term),)
+        verb = "accepts" if verdict.is_accepted else "rejects"
+        return Step(f"receiver {receiver} {verb} term {term} of candidate {index}", after)
+
+    def _answer_request(self, state: ModelState, message: RequestMessage) -> int:
+        """Applies a request at the store. Returns the term granted, or 0."""
+        index = message.candidate
+        is_in_order = message.sequence > state.last_sequence or PlantedFault.ANY_ORDER in self.faults
+        if state.holder == index and not is_in_order:
+            return 0
+        if message.request is RequestKind.ACQUIRE:
+            return self._grant(state, message)
+        if (state.holder, state.term) != (index, message.term) or not state.lease_ticks:
             return 0
-        world.last_request = message.number
-        if message.request == "renew":
-            world.left = LEASE
-            return world.term
-        world.left = 0  # given back; its holder's last request is kept
+        state.last_sequence = message.sequence
+        if message.request is RequestKind.RENEW:
+            state.lease_ticks = LEASE_TICKS
+            return state.term
+        state.lease_ticks = 0  # the holder stays, since its last sequence number must
         return 0
 
-
-def _post(world: World, n: int, effects: list[CandidateEffect]) -> None:
-    """Requests of a candidate leave."""
-    for effect in effects:
-        if isinstance(effect, LeaseRequest):
-            message = RequestMessage("ask", n, effect.number, effect.kind, effect.term, effect.min_term)
-            world.wire += (message,)
+    @staticmethod
+    def _grant(state: ModelState, message: RequestMessage) -> int:
+        if state.lease_ticks and state.holder != message.candidate:
+            return 0
+        state.holder = message.candidate
+        state.term = max(state.term, message.term_floor) + 1
+        state.lease_ticks = LEASE_TICKS
+        state.last_sequence = message.sequence
+        return state.term
--- a/glenrock/coordination/leases/sqlite_store.py
+++ b/glenrock/coordination/leases/sqlite_store.py
@@ -1,33 +1,33 @@
-"""The lease store for balancers of one machine: terms that only grow, and records that only a term's holder writes.
+"""The lease store of the balancers of one machine, in an SQLite file.
 
-One file; every call is one IMMEDIATE transaction, so that processes wait for each other and a killed one leaves nothing
-half done. Leases run on CLOCK_BOOTTIME, one clock for all processes of a machine, which goes on through a suspend;
-those of an earlier boot are void. Calls block for up to `BUSY_TIMEOUT_S`: `AsyncSqliteStore` makes them in a thread.
+Each call is one IMMEDIATE transaction: processes wait for each other, and a killed process leaves no partial write.
+Leases run on CLOCK_BOOTTIME, which all processes of a machine share and which advances during a suspend; leases of an
+earlier boot are void. Calls block for up to `BUSY_TIMEOUT_S`; `AsyncSqliteStore` makes them in threads.
 """
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
+import enum
 import sqlite3
 import time
 from collections.abc import Callable, Iterable, Iterator, Mapping, Sequence
 from concurrent.futures import ThreadPoolExecutor
 from pathlib import Path
-from typing import Literal, NamedTuple, TypeVar
+from typing import NamedTuple, TypeVar
 
-from .candidate import LeaseRequest
+from .candidate import LeaseRequest, RequestKind
 from .store import Lease, PastTerm, Record, StoreUnavailableError
 
 T = TypeVar("T")
-Access = Literal["write", "read"]
 
 BUSY_TIMEOUT_S = 1.0
 BOOT_ID_PATH = Path("/proc/sys/kernel/random/boot_id")
-PAST_TERMS_KEPT = 50  # of a job
-POLL_INTERVAL_S = 0.1  # between two looks whether the file has changed: a read of shared memory
-GIVEN_BACK_US = 0  # `until` of a lease that did not run out
-# Names of tables and columns are those of files that earlier versions have written.
+MAX_PAST_TERMS = 50  # stored of each job
+POLL_INTERVAL_S = 0.1  # between two reads of the file's version in shared memory
+RELEASED_US = 0  # in place of the expiry time of a lease that was released
+# Earlier versions have written files with these names of tables and columns.
 SCHEMA = """
 CREATE TABLE IF NOT EXISTS lease (job TEXT PRIMARY KEY, holder TEXT, term INTEGER NOT NULL, until INTEGER NOT NULL,
                                   boot TEXT NOT NULL, request INTEGER NOT NULL);
@@ -39,43 +39,70 @@
 """
 
 
+class Access(enum.Enum):
+    """Whether a call writes to the file."""
+
+    WRITE = enum.auto()
+    READ = enum.auto()
+
+
 def boottime_us() -> int:
-    """CLOCK_BOOTTIME in whole microseconds."""
+    """Returns CLOCK_BOOTTIME in whole microseconds."""
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1000
 
 
 def current_boot() -> str:
-    """The id of the machine's boot."""
+    """Returns the identifier of the machine's current boot."""
     return BOOT_ID_PATH.read_text().strip()
 
 
 class _LeaseRow(NamedTuple):
-    """Last holder, its term, when it ends, and the number of its last request that was taken."""
+    """A row of the lease table.
+
+    Attributes:
+        holder: the last holder; empty if there was none since the boot.
+        term: the last term granted.
+        expires_us: when the lease expires; RELEASED_US if it was released.
+        last_sequence: number of the holder's last request that was accepted.
+    """
 
     holder: str
     term: int
-    until_us: int
-    last_request: int
+    expires_us: int
+    last_sequence: int
 
 
 class SqliteStore:
-    """The blocking calls. `lock_delay_us`: after a lease that ran out, nobody gets it for so long."""
+    """The store's blocking calls.
+
+    Args:
+        path: of the file.
+        lock_delay_us: time from the expiry of a lease until another holder may acquire it.
+        now_us: the clock of the leases.
+        boot: identifier of the machine's boot.
+        busy_timeout_s: bound on the wait for another process's transaction.
+
+    Raises:
+        StoreUnavailableError: the file cannot be opened.
+    """
 
     def __init__(
         self,
         path: Path,
         lock_delay_us: int = 0,
-        now: Callable[[], int] = boottime_us,
+        now_us: Callable[[], int] = boottime_us,
         boot: str | None = None,
         busy_timeout_s: float = BUSY_TIMEOUT_S,
     ) -> None:
-        self._now = now
+        self._now_us = now_us
         self._lock_delay_us = lock_delay_us
         self._boot = boot if boot is not None else current_boot()
         try:
             self.db = sqlite3.connect(path, timeout=busy_timeout_s, isolation_level=None, check_same_thread=False)
             self.db.execute("PRAGMA journal_mode=WAL")
-            self.db.execute("PRAGMA synchronous=FULL")  # a term that was told must not be told again after a crash
+            self.db.execute(
+                "PRAGMA synchronous=FULL"
+            )  # a term that was granted must not be granted again after a crash
             self.db.executescript(SCHEMA)
         except sqlite3.Error as error:
             raise StoreUnavailableError(f"{path}: {error}") from error
@@ -86,7 +113,7 @@
 
     @contextlib.contextmanager
     def _writing(self) -> Iterator[sqlite3.Connection]:
-        """One transaction; what fails in it leaves nothing behind."""
+        """Opens a transaction that is rolled back if its body fails."""
         try:
             self.db.execute("BEGIN IMMEDIATE")
         except sqlite3.Error as error:
@@ -106,7 +133,7 @@
 
     @contextlib.contextmanager
     def _reading(self) -> Iterator[sqlite3.Connection]:
-        """One state of the file, without the lock that writers wait for."""
+        """Opens a transaction that reads one state of the file, without the lock of the writers."""
         try:
             self.db.execute("BEGIN")
             yield self.db
@@ -118,43 +145,52 @@
 
     # -- leases ----------------------------------------------------------------------------------------
 
-    def acquire(self, job: str, holder: str, number: int, lease_us: int, min_term: int = 0) -> int:
-        """A new term, or 0 where another holds the job.
+    def acquire(self, job: str, holder: str, sequence: int, lease_us: int, term_floor: int = 0) -> int:
+        """Acquires a job's lease.
+
+        A holder's requests must arrive in order: a late request that its sender gave up could otherwise undo the one
+        sent in its place. So requests are numbered, and a holder's name is used by one incarnation only.
+
+        Args:
+            job: the job.
+            holder: name of the incarnation that requests the lease.
+            sequence: number of the request among those of this holder.
+            lease_us: how long the lease lasts.
+            term_floor: the granted term is above it.
 
-        A request that was given up may come after the one that was made in its place, and its holder would act in a
-        term that the store has put aside or given back (found by the model checker). So each holder's requests are
-        numbered and taken in order, and a holder's name is one incarnation's own.
+        Returns:
+            The new term, or 0 if another process holds the lease.
         """
-        return self.submit(holder, [(job, LeaseRequest(number, "acquire", 0, min_term))], lease_us)[job]
+        return self.submit(holder, [(job, LeaseRequest(sequence, RequestKind.ACQUIRE, 0, term_floor))], lease_us)[job]
 
-    def renew(self, job: str, holder: str, number: int, term: int, lease_us: int) -> int:
-        """The same term, or 0: a lease that has run out is not brought back to life."""
-        return self.submit(holder, [(job, LeaseRequest(number, "renew", term, 0))], lease_us)[job]
+    def renew(self, job: str, holder: str, sequence: int, term: int, lease_us: int) -> int:
+        """Renews a lease. Returns its term, or 0 if it has expired."""
+        return self.submit(holder, [(job, LeaseRequest(sequence, RequestKind.RENEW, term, 0))], lease_us)[job]
 
-    def release(self, job: str, holder: str, number: int, term: int) -> None:
-        """Gives a lease back."""
-        self.submit(holder, [(job, LeaseRequest(number, "release", term, 0))], 0)
+    def release(self, job: str, holder: str, sequence: int, term: int) -> None:
+        """Releases a lease."""
+        self.submit(holder, [(job, LeaseRequest(sequence, RequestKind.RELEASE, term, 0))], 0)
 
     def submit(self, holder: str, requests: Iterable[tuple[str, LeaseRequest]], lease_us: int) -> dict[str, int]:
-        """All of one process's requests in one transaction. By job, the term granted or 0."""
+        """Applies the requests of one process in one transaction. Returns the term granted by job, or 0."""
         with self._writing() as db:
             return {job: self._answer(db, job, holder, request, lease_us) for job, request in requests}
 
     def _answer(self, db: sqlite3.Connection, job: str, holder: str, request: LeaseRequest, lease_us: int) -> int:
-        now_us = self._now()
+        now_us = self._now_us()
         row = self._row(db, job)
-        if row.holder == holder and request.number <= row.last_request:
+        if row.holder == holder and request.sequence <= row.last_sequence:
             return 0
-        if request.kind == "acquire":
+        if request.kind is RequestKind.ACQUIRE:
             return self._grant(db, job, holder, request, row, now_us, lease_us)
         if (row.holder, row.term) != (holder, request.term):
             return 0
-        if request.kind == "release":
-            self._write(db, job, _LeaseRow(holder, row.term, GIVEN_BACK_US, request.number))
+        if request.kind is RequestKind.RELEASE:
+            self._write(db, job, _LeaseRow(holder, row.term, RELEASED_US, request.sequence))
             return 0
-        if now_us >= row.until_us:
+        if now_us >= row.expires_us:
             return 0
-        self._write(db, job, _LeaseRow(holder, row.term, now_us + lease_us, request.number))
+        self._write(db, job, _LeaseRow(holder, row.term, now_us + lease_us, request.sequence))
         return row.term
 
     def _grant(
@@ -167,98 +203,102 @@
         now_us: int,
         lease_us: int,
     ) -> int:
-        # A lease that ran out is free after the lock delay; one that was given back ends at 0.
-        anothers = row.holder and row.holder != holder
-        if anothers and row.until_us and now_us < row.until_us + self._lock_delay_us:
+        is_of_another = row.holder and row.holder != holder
+        is_released = row.expires_us == RELEASED_US
+        if is_of_another and not is_released and now_us < row.expires_us + self._lock_delay_us:
             return 0
-        term = max(row.term, request.min_term) + 1
-        self._write(db, job, _LeaseRow(holder, term, now_us + lease_us, request.number))
+        term = max(row.term, request.term_floor) + 1
+        self._write(db, job, _LeaseRow(holder, term, now_us + lease_us, request.sequence))
         db.execute("INSERT OR REPLACE INTO past VALUES (?, ?, ?, ?)", (job, term, holder, time.time()))
-        db.execute("DELETE FROM past WHERE job = ? AND term <= ?", (job, term - PAST_TERMS_KEPT))
+        db.execute("DELETE FROM past WHERE job = ? AND term <= ?", (job, term - MAX_PAST_TERMS))
         return term
 
     def _row(self, db: sqlite3.Connection, job: str) -> _LeaseRow:
-        """A lease of an earlier boot is nobody's, and its term stays."""
+        """Reads a job's row. A lease of an earlier boot has no holder, and its term still counts."""
         found = db.execute("SELECT holder, term, until, request, boot FROM lease WHERE job = ?", (job,)).fetchone()
         if found is None:
-            return _LeaseRow("", 0, 0, 0)
-        holder, term, until_us, last_request, boot = found
-        return _LeaseRow(holder, term, until_us, last_request) if boot == self._boot else _LeaseRow("", term, 0, 0)
+            return _LeaseRow("", 0, RELEASED_US, 0)
+        holder, term, expires_us, last_sequence, boot = found
+        if boot != self._boot:
+            return _LeaseRow("", term, RELEASED_US, 0)
+        return _LeaseRow(holder, term, expires_us, last_sequence)
 
     def _write(self, db: sqlite3.Connection, job: str, row: _LeaseRow) -> None:
-        values = (job, row.holder, row.term, row.until_us, self._boot, row.last_request)
+        values = (job, row.holder, row.term, row.expires_us, self._boot, row.last_sequence)
         db.execute("INSERT OR REPLACE INTO lease VALUES (?, ?, ?, ?, ?, ?)", values)
 
-    def free(self, job: str, holder: str, term: int) -> None:
-        """Gives back what an earlier incarnation held."""
+    def release_for(self, job: str, holder: str, term: int) -> None:
+        """Releases the lease of an earlier incarnation, if it still holds the term."""
         with self._writing() as db:
             row = self._row(db, job)
-            if (row.holder, row.term) == (holder, term) and row.until_us:
-                self._write(db, job, _LeaseRow(holder, term, GIVEN_BACK_US, row.last_request + 1))
+            if (row.holder, row.term) == (holder, term) and row.expires_us != RELEASED_US:
+                self._write(db, job, _LeaseRow(holder, term, RELEASED_US, row.last_sequence + 1))
 
     def lease(self, job: str) -> Lease:
-        """One job's lease."""
+        """Returns the lease of a job."""
         return self.leases([job])[job]
 
     def leases(self, jobs: Iterable[str] = ()) -> dict[str, Lease]:
-        """Of these jobs, or of all that were ever held."""
+        """Returns the leases of these jobs; of all jobs that ever had a holder if `jobs` is empty."""
         with self._reading() as db:
-            now_us = self._now()
+            now_us = self._now_us()
             jobs = list(jobs) or [row[0] for row in db.execute("SELECT job FROM lease")]
             return {job: _lease_of(self._row(db, job), now_us) for job in jobs}
 
     # -- records and proposals -------------------------------------------------------------------------
 
-    def put(self, job: str, holder: str, term: int, number: int, values: Mapping[str, str], proposal: str = "") -> bool:
-        """Writes records in the name of a term. Refused once that term is not the job's any more."""
+    def put(
+        self, job: str, holder: str, term: int, sequence: int, values: Mapping[str, str], proposal: str = ""
+    ) -> bool:
+        """Writes records in the name of a term; see `LeaseStore.put`."""
         with self._writing() as db:
             row = self._row(db, job)
-            if (row.holder, row.term) != (holder, term) or self._now() >= row.until_us:
+            if (row.holder, row.term) != (holder, term) or self._now_us() >= row.expires_us:
                 return False
-            rows = [(job, key, value, term, number) for key, value in values.items()]
+            rows = [(job, key, value, term, sequence) for key, value in values.items()]
             db.executemany("INSERT OR REPLACE INTO record VALUES (?, ?, ?, ?, ?)", rows)
             db.execute("DELETE FROM wish WHERE job = ? AND key = ?", (job, proposal))
             return True
 
     def records(self, job: str) -> dict[str, Record]:
-        """A job's records, in the order of their revisions."""
+        """Returns a job's records by key, in the order of their revisions."""
         with self._reading() as db:
             found = db.execute(
                 "SELECT key, value, term, number FROM record WHERE job = ? ORDER BY term, number", (job,)
             )
-            return {key: Record(value, term, number) for key, value, term, number in found}
+            return {key: Record(value, term, sequence) for key, value, term, sequence in found}
 
     def propose(self, job: str, proposal: str, value: str) -> None:
-        """Asks the holder of a job for something."""
+        """Writes a proposal for the holder of a job."""
         with self._writing() as db:
             db.execute("INSERT OR REPLACE INTO wish VALUES (?, ?, ?)", (job, proposal, value))
 
     def proposals(self, job: str) -> dict[str, str]:
-        """What the holder of a job is asked for, oldest first."""
+        """Returns the values of a job's proposals by key, oldest first."""
         with self._reading() as db:
             return dict(db.execute("SELECT key, value FROM wish WHERE job = ? ORDER BY rowid", (job,)).fetchall())
 
     def past_terms(self, job: str) -> list[PastTerm]:
-        """Terms of a job, oldest first."""
+        """Returns the terms of a job, oldest first."""
         with self._reading() as db:
             found = db.execute("SELECT term, holder, at FROM past WHERE job = ? ORDER BY term", (job,))
             return [PastTerm(*row) for row in found]
 
     def data_version(self) -> int:
-        """Differs once another connection has changed the file."""
+        """Returns a number that differs after another connection has changed the file."""
         return int(self.db.execute("PRAGMA data_version").fetchone()[0])
 
 
 def _lease_of(row: _LeaseRow, now_us: int) -> Lease:
-    remaining_us = row.until_us - now_us
+    remaining_us = row.expires_us - now_us
     return Lease(row.holder if remaining_us > 0 else "", row.term, max(0, remaining_us))
 
 
 class AsyncSqliteStore:
-    """A `SqliteStore` behind the interface of all stores: a thread for what writes, so that its calls keep their order.
+    """A `SqliteStore` behind the interface `LeaseStore`.
 
-    Another for what reads. A process that sleeps within its transaction keeps all others from writing, and what is read
-    would wait in line behind a write that waits for it.
+    Writes are made by one thread, so that they keep their order, and reads by another: a process that is suspended in
+    its transaction blocks the writers, and reads must not wait behind them.
     """
 
     def __init__(self, path: Path, holder: str, lock_delay_us: int = 0, busy_timeout_s: float = BUSY_TIMEOUT_S) -> None:
@@ -266,14 +306,14 @@
         self._path = path
         self._lock_delay_us = lock_delay_us
         self._busy_timeout_s = busy_timeout_s
-        self._threads: dict[Access, ThreadPoolExecutor] = {
-            "write": ThreadPoolExecutor(1, "glenrock-store-write"),
-            "read": ThreadPoolExecutor(1, "glenrock-store-read"),
+        self._threads = {
+            Access.WRITE: ThreadPoolExecutor(1, "glenrock-store-write"),
+            Access.READ: ThreadPoolExecutor(1, "glenrock-store-read"),
         }
         self._stores: dict[Access, SqliteStore] = {}
         self._version = -1
 
-    async def _call(self, work: Callable[[SqliteStore], T], access: Access = "write") -> T:
+    async def _call(self, work: Callable[[SqliteStore], T], access: Access = Access.WRITE) -> T:
         def in_thread() -> T:
             if access not in self._stores:
                 self._stores[access] = SqliteStore(self._path, self._lock_delay_us, busy_timeout_s=self._busy_timeout_s)
@@ -287,15 +327,15 @@
 
     async def leases(self, jobs: Sequence[str] = ()) -> dict[str, Lease]:
         """See `LeaseStore`."""
-        return await self._call(lambda store: store.leases(jobs), "read")
+        return await self._call(lambda store: store.leases(jobs), Access.READ)
 
-    async def put(self, job: str, term: int, number: int, values: Mapping[str, str], proposal: str = "") -> bool:
+    async def put(self, job: str, term: int, sequence: int, values: Mapping[str, str], proposal: str = "") -> bool:
         """See `LeaseStore`."""
-        return await self._call(lambda store: store.put(job, self.holder, term, number, values, proposal))
+        return await self._call(lambda store: store.put(job, self.holder, term, sequence, values, proposal))
 
     async def records(self, job: str) -> dict[str, Record]:
         """See `LeaseStore`."""
-        return await self._call(lambda store: store.records(job), "read")
+        return await self._call(lambda store: store.records(job), Access.READ)
 
     async def propose(self, job: str, proposal: str, value: str) -> None:
         """See `LeaseStore`."""
@@ -303,29 +343,29 @@
 
     async def proposals(self, job: str) -> dict[str, str]:
         """See `LeaseStore`."""
-        return await self._call(lambda store: store.proposals(job), "read")
+        return await self._call(lambda store: store.proposals(job), Access.READ)
 
-    async def free(self, job: str, holder: str, term: int) -> None:
+    async def release_for(self, job: str, holder: str, term: int) -> None:
         """See `LeaseStore`."""
-        await self._call(lambda store: store.free(job, holder, term))
+        await self._call(lambda store: store.release_for(job, holder, term))
 
     async def past_terms(self, job: str) -> list[PastTerm]:
         """See `LeaseStore`."""
-        return await self._call(lambda store: store.past_terms(job), "read")
+        return await self._call(lambda store: store.past_terms(job), Access.READ)
 
-    async def changed(self, wait_s: float) -> None:
-        """Until the file's version is another, as the reading connection sees it, and no longer than that."""
+    async def wait_for_change(self, timeout_s: float) -> None:
+        """Returns when the file's version differs from that of the last call, or after `timeout_s`."""
         loop = asyncio.get_running_loop()
-        until = loop.time() + wait_s
-        while loop.time() < until:
-            version = await self._call(SqliteStore.data_version, "read")
+        deadline_s = loop.time() + timeout_s
+        while loop.time() < deadline_s:
+            version = await self._call(SqliteStore.data_version, Access.READ)
             if version != self._version:
                 self._version = version
                 return
             await asyncio.sleep(POLL_INTERVAL_S)
 
     async def close(self) -> None:
-        """Closes the file in the threads that opened it, and ends them."""
+        """Closes the file in the threads that opened it, and ends the threads."""
         loop = asyncio.get_running_loop()
         for access, thread in self._threads.items():
             if store := self._stores.get(access):
--- a/glenrock/coordination/leases/store.py
+++ b/glenrock/coordination/leases/store.py
@@ -1,8 +1,9 @@
-"""What is asked of a lease store, whichever it is. All calls are bounded in time and raise `StoreUnavailableError`.
+"""The interface of a lease store. `sqlite_store` and `consul_store` implement it.
 
-`submit` answers requests of `LeaseCandidate`, all of one process in one call. Records are written in the name of a
-term, proposals by
-anybody: a proposal is what the holder of a job shall do, and is taken away by the record that answers it.
+Each call is bounded in time and raises `StoreUnavailableError` if the store does not answer.
+
+A record is written by the holder of a job's lease, in the name of a term. A proposal is written by any process, for the
+holder of a job to carry out; the record that answers a proposal deletes it.
 """
 
 from __future__ import annotations
@@ -13,16 +14,22 @@
 
 from .candidate import LeaseRequest
 
-TIME_UNKNOWN = -1  # left of a lease, where the store does not tell
+TIME_UNKNOWN = -1  # `Lease.remaining_us` of a store that does not report the remaining time
 
 
 class StoreUnavailableError(Exception):
-    """The store could not be asked. What was asked may have counted."""
+    """The store did not answer. It may have carried the call out."""
 
 
 @dataclass(frozen=True, slots=True)
 class Lease:
-    """A lease of a job. `holder` is empty while the job has none; `remaining_us` may be TIME_UNKNOWN."""
+    """The lease of a job.
+
+    Attributes:
+        holder: the process that holds it; empty if the lease is free.
+        term: the last term granted.
+        remaining_us: until it expires; TIME_UNKNOWN if the store does not report it.
+    """
 
     holder: str
     term: int
@@ -31,16 +38,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """A value written in the name of a term. `number` counts within the term."""
+    """A value written in the name of a term. `sequence` counts within the term."""
 
     value: str
     term: int
-    number: int
+    sequence: int
 
 
 @dataclass(frozen=True, slots=True)
 class PastTerm:
-    """A term that began. `started_s` is Unix time, for people."""
+    """A term that was granted to `holder`. `started_s` is Unix time, for display only."""
 
     term: int
     holder: str
@@ -53,44 +60,60 @@
     holder: str
 
     async def submit(self, requests: Sequence[tuple[str, LeaseRequest]], lease_us: int) -> dict[str, int]:
-        """By job, the term granted or 0. A job that is left out was not decided, and counts as unanswered."""
+        """Submits the lease requests of this process in one call.
+
+        Args:
+            requests: pairs of a job and the request for its lease.
+            lease_us: how long a granted lease lasts.
+
+        Returns:
+            By job, the term granted, or 0. A job that is missing was not decided and counts as unanswered.
+        """
         ...
 
     async def leases(self, jobs: Sequence[str] = ()) -> dict[str, Lease]:
-        """Of these jobs; without, of all that were ever held."""
+        """Returns the leases of these jobs; of all jobs that ever had a holder if `jobs` is empty."""
         ...
 
-    async def put(self, job: str, term: int, number: int, values: Mapping[str, str], proposal: str = "") -> bool:
-        """Writes records by their keys in the name of a term that this holder holds now.
+    async def put(self, job: str, term: int, sequence: int, values: Mapping[str, str], proposal: str = "") -> bool:
+        """Writes records in the name of a term that this holder holds, and deletes the proposal that they answer.
+
+        Args:
+            job: the job whose records are written.
+            term: the term of this holder.
+            sequence: number of the records within the term.
+            values: by key.
+            proposal: key of the proposal to delete; empty for none.
 
-        Takes the proposal away with them; all of it or nothing. False where the term is not held.
+        Returns:
+            False if this holder does not hold the term; then nothing is written.
         """
         ...
 
     async def records(self, job: str) -> dict[str, Record]:
-        """A job's records by their keys, in the order of their revisions."""
+        """Returns a job's records by key, in the order of their revisions."""
         ...
 
     async def propose(self, job: str, proposal: str, value: str) -> None:
-        """Asks the holder of a job for something."""
+        """Writes a proposal for the holder of a job."""
         ...
 
     async def proposals(self, job: str) -> dict[str, str]:
-        """What the holder of a job is asked for, oldest first."""
+        """Returns the values of a job's proposals by key, oldest first."""
         ...
 
-    async def free(self, job: str, holder: str, term: int) -> None:
-        """Gives back what an earlier incarnation of this process held."""
+    async def release_for(self, job: str, holder: str, term: int) -> None:
+        """Releases the lease of an earlier incarnation of this process, if that incarnation still holds the term."""
         ...
 
-    async def changed(self, wait_s: float) -> None:
-        """Until records or proposals may have changed, and no longer than that."""
+    async def wait_for_change(self, timeout_s: float) -> None:
+        """Returns when records or proposals may have changed, or after `timeout_s`."""
         ...
 
     async def past_terms(self, job: str) -> list[PastTerm]:
-        """Terms of a job, oldest first."""
+        """Returns the terms of a job, oldest first."""
         ...
 
     async def close(self) -> None:
-        """Lets go of files and sockets."""
+        """Closes files and sockets."""
         ...
--- a/glenrock/coordination/membership.py
+++ b/glenrock/coordination/membership.py
@@ -1,8 +1,8 @@
-"""Which balancers are there, as this one believes, and the order in which members come for a piece of work.
+"""Which balancers are alive, as far as this one knows, and the order of members for a piece of work.
 
-Pure. For liveness and cost alone: a wrong belief has work done twice or late, never by two lease holders. The order is
-rendezvous hashing (Thaler and Ravishankar, Using Name-Based Mappings to Increase Hit Rates, 1998): who joins or goes
-changes nobody else's place. Times are microseconds.
+Pure. Times are whole microseconds. Membership serves liveness and cost only: if it is wrong, work is done twice or
+late, but never by two lease holders. The order is rendezvous hashing (Thaler and Ravishankar, Using Name-Based Mappings
+to Increase Hit Rates, 1998): a member that joins or leaves does not change the order of the others.
 """
 
 from __future__ import annotations
@@ -12,75 +12,77 @@
 from hashlib import blake2b
 from typing import Protocol
 
-SILENT_US = 3_000_000  # calm balancers speak each 1 to 5 s by gossip; heartbeats come each second
+LIVENESS_TIMEOUT_US = 3_000_000
 HASH_BITS = 64
 HASH_MASK = (1 << HASH_BITS) - 1
-HASHES_CACHED = 1 << 14  # members and pieces of work
-FIRST_FACTOR, SECOND_FACTOR = 0x9E3779B97F4A7C15, 0xBF58476D1CE4E5B9  # splitmix64's
+MAX_CACHED_HASHES = 1 << 14
+FIRST_FACTOR, SECOND_FACTOR = 0x9E3779B97F4A7C15, 0xBF58476D1CE4E5B9  # of splitmix64
 
 
-@lru_cache(maxsize=HASHES_CACHED)
+@lru_cache(maxsize=MAX_CACHED_HASHES)
 def stable_hash(*parts: object) -> int:
-    """A 64-bit number, the same at every balancer and in every run."""
+    """Returns a 64-bit hash that is the same at every balancer and in every run."""
     return int.from_bytes(blake2b("\0".join(map(str, parts)).encode(), digest_size=8).digest(), "big")
 
 
 class Membership(Protocol):
-    """Who takes part. `me` is this balancer's number."""
+    """The members among which work is distributed. `me` is the index of this balancer."""
 
     me: int
 
     def members(self, now_us: int) -> Iterable[int]:
-        """Numbers of the balancers that are believed to be there, this one's included."""
+        """Returns the indexes of the balancers that are alive, this one included."""
         ...
 
 
 class PeerLiveness:
-    """The configured peers, less those that have been silent; until one can have spoken it counts as there.
+    """The configured peers that were heard within `LIVENESS_TIMEOUT_US`; from the start each counts as heard.
 
     Attributes:
-        me: this balancer's number.
-        heard_us: when each peer was heard last.
+        me: the index of this balancer.
+        heard_us: by peer, when a datagram of it last arrived.
     """
 
-    def __init__(self, me: int, peers: Iterable[int], began_us: int) -> None:
+    def __init__(self, me: int, peers: Iterable[int], started_us: int) -> None:
         self.me = me
-        self.heard_us = dict.fromkeys((peer for peer in peers if peer != me), began_us)
+        self.heard_us = dict.fromkeys((peer for peer in peers if peer != me), started_us)
 
     def record_heard(self, peer: int, now_us: int) -> None:
-        """Anything came from that peer. One that is not configured changes nothing."""
+        """Records a datagram from a peer. A peer that is not configured is ignored."""
         if peer in self.heard_us:
             self.heard_us[peer] = now_us
 
     def members(self, now_us: int) -> Iterable[int]:
-        """This balancer, and the peers that were heard lately."""
-        return (self.me, *(peer for peer, at_us in self.heard_us.items() if now_us - at_us < SILENT_US))
+        """Returns this balancer and the peers that are alive."""
+        return (self.me, *(peer for peer, at_us in self.heard_us.items() if now_us - at_us < LIVENESS_TIMEOUT_US))
 
 
 def rendezvous_score(member: int, key_hash: int) -> int:
-    """A member's score for a piece of work; the lowest comes first.
+    """Returns a member's score for a piece of work; the member with the lowest score is preferred.
 
-    Mixed from two hashes that are cached, since large tiers have many pairs.
+    Args:
+        member: index of the member.
+        key_hash: `stable_hash` of the piece of work.
     """
-    x = ((stable_hash(member) ^ key_hash) * FIRST_FACTOR) & HASH_MASK
-    x = ((x ^ x >> 32) * SECOND_FACTOR) & HASH_MASK
-    return x ^ x >> 29
+    mixed = ((stable_hash(member) ^ key_hash) * FIRST_FACTOR) & HASH_MASK
+    mixed = ((mixed ^ mixed >> 32) * SECOND_FACTOR) & HASH_MASK
+    return mixed ^ mixed >> 29
 
 
 def preferred_member(key: str, members: Iterable[int]) -> int:
-    """The member that a piece of work is for."""
+    """Returns the member that is preferred for a piece of work."""
     key_hash = stable_hash(key)
     return min(members, key=lambda member: rendezvous_score(member, key_hash))
 
 
-def rank(key: str, me: int, members: Iterable[int], most: int) -> int:
-    """How many members come before this one, counted up to `most`."""
+def rank(key: str, me: int, members: Iterable[int], limit: int) -> int:
+    """Returns how many members are preferred to `me` for a piece of work, counted up to `limit`."""
     key_hash = stable_hash(key)
     own_score = rendezvous_score(me, key_hash)
-    before = 0
+    preferred = 0
     for member in members:
         if rendezvous_score(member, key_hash) < own_score:
-            before += 1
-            if before >= most:
+            preferred += 1
+            if preferred >= limit:
                 break
-    return before
+    return preferred
--- a/glenrock/coordination/override_holder.py
+++ b/glenrock/coordination/override_holder.py
@@ -16,9 +16,9 @@
 from .shared_work.override_log import (
     OverrideEntry,
     PendingOverride,
+    decode_pending,
+    decode_pending_id,
     incarnation_key,
-    pending_of,
-    split_pending_id,
 )
 from .shared_work.retransmissions import Retransmissions
 from .shared_work.revision import NO_REVISION, Revision
@@ -100,7 +100,7 @@
         if not await self._prepare(term):
             return
         for proposal_id, value in (await self._leases.store.proposals(OVERRIDES_JOB)).items():
-            proposal = pending_of(value)
+            proposal = decode_pending(value)
             if self._leases.current_term(OVERRIDES_JOB) != term:
                 return
             if proposal is None:
@@ -126,12 +126,12 @@
         """False where the store refused the record."""
         self._number += 1
         entry = OverrideEntry(proposal.is_suspended, Revision(term, self._number))
-        incarnation, count = split_pending_id(proposal_id)
+        incarnation, count = decode_pending_id(proposal_id)
         posted_again = count <= self._context.overrides.committed_up_to.get(incarnation, 0)  # though it had counted
-        records = {} if posted_again else {proposal.server: entry.value(), incarnation_key(incarnation): str(count)}
+        records = {} if posted_again else {proposal.server: entry.encode(), incarnation_key(incarnation): str(count)}
         if not await self._leases.store.put(OVERRIDES_JOB, term, self._number, records, proposal_id):
             say("fleet", f"the store refused a record of term {term}")
-            self._leases.watch_soon()
+            self._leases.watch_now()
             return False
         if not posted_again:
             self._applier.take(proposal.server, entry)
@@ -148,13 +148,13 @@
         stored = await self._leases.store.records(OVERRIDES_JOB)
         for server, entry in self._context.overrides.entries_after(NO_REVISION):
             record = stored.get(server)
-            if record is not None and Revision(record.term, record.number) >= entry.revision:
+            if record is not None and Revision(record.term, record.sequence) >= entry.revision:
                 continue
             self._number += 1
             renewed = OverrideEntry(entry.is_suspended, Revision(term, self._number))
             if self._leases.current_term(OVERRIDES_JOB) != term:
                 return False
-            values = {server: renewed.value()}
+            values = {server: renewed.encode()}
             if not await self._leases.store.put(OVERRIDES_JOB, term, self._number, values):
                 return False
             say("fleet", f"{server}: the store had forgotten that it is {'out' if entry.is_suspended else 'back'}")
@@ -183,7 +183,7 @@
                 self._context.transport.send(peer, datagrams.LeaderHeartbeat(OVERRIDES_JOB, term, digest))
 
     def _retransmit(self) -> None:
-        for peer, server in self._retransmissions.due(boottime_us()):
+        for peer, server in self._retransmissions.start_due_sends(boottime_us()):
             entry = self._context.overrides.entries.get(server)
             term = self._leases.current_term(OVERRIDES_JOB)
             if entry is None or term is None:
@@ -197,16 +197,16 @@
     def _on_sync_request(self, peer: int, message: datagrams.SyncRequest) -> None:
         if not self.is_holder() or not self._ready:
             return
-        revision = NO_REVISION if message.all else message.upto
+        revision = NO_REVISION if message.wants_all else message.up_to
         for server, entry in self._context.overrides.entries_after(revision):
             self._retransmissions.add(peer, server, entry.revision, boottime_us())
         self.work_due.set()
 
     def _on_acknowledgement(self, peer: int, message: datagrams.Acknowledgement) -> None:
         if message.is_accepted:
-            self._retransmissions.acknowledged(peer, message.server, message.revision)
+            self._retransmissions.acknowledge(peer, message.server, message.revision)
         elif message.highest_term > (self._leases.current_term(OVERRIDES_JOB) or message.highest_term):
-            self._leases.refused(OVERRIDES_JOB, message.highest_term)
+            self._leases.handle_rejection(OVERRIDES_JOB, message.highest_term)
 
     def _on_known_override(self, peer: int, message: datagrams.KnownOverride) -> None:
         """An override of a higher revision than the store's own is one that the store has forgotten."""
--- a/glenrock/coordination/override_receiver.py
+++ b/glenrock/coordination/override_receiver.py
@@ -17,15 +17,15 @@
 NO_SERVER = "-"  # in the answer to a heartbeat
 
 
-class Refusal(NamedTuple):
-    """An effect or heartbeat that was refused."""
+class Rejection(NamedTuple):
+    """An effect or heartbeat that was rejected."""
 
     at_ms: int
     peer: int
     job: str
     term: int
-    seen: int
-    why: str
+    highest_term: int
+    reason: str
 
 
 class _Digests(NamedTuple):
@@ -34,10 +34,10 @@
 
 
 class OverrideReceiver:
-    """Fences what comes. `refusals`: the last ones."""
+    """Fences what comes. `rejections`: the last ones."""
 
     def __init__(self, context: CoordinationContext, applier: OverrideApplier) -> None:
-        self.refusals: list[Refusal] = []
+        self.rejections: list[Rejection] = []
         self._context = context
         self._applier = applier
         self._judged = 0  # datagrams, by their order in this process
@@ -95,8 +95,8 @@
 
     def _refuse(self, peer: int, job: str, term: int, verdict: FenceVerdict) -> None:
         at_ms = round(self._context.host.clock.now())
-        self.refusals.append(Refusal(at_ms, peer, job, term, verdict.highest_term, verdict.reason))
-        del self.refusals[:-MAX_REFUSALS]
+        self.rejections.append(Rejection(at_ms, peer, job, term, verdict.highest_term, verdict.reason))
+        del self.rejections[:-MAX_REFUSALS]
         say("refused", f"balancer {peer}, {job}, term {term}: {verdict.reason}")
 
     def _next_order(self) -> int:
--- a/glenrock/coordination/override_replication.py
+++ b/glenrock/coordination/override_replication.py
@@ -75,7 +75,7 @@
                 await read_records(self._leases.store, self.applier)
                 if self.holder.is_holder():
                     self.holder.work_due.set()
-                await self._leases.store.changed(WATCH_TIMEOUT_S)
+                await self._leases.store.wait_for_change(WATCH_TIMEOUT_S)
             except StoreUnavailableError as error:
                 self._leases.record_store_error(error)
                 await asyncio.sleep(STORE_RETRY_S)
@@ -103,6 +103,6 @@
         for pending_id, pending in list(self._context.overrides.pending.items()):
             if loop.time() - self._posted_s.get(pending_id, -REPOST_INTERVAL_S) < REPOST_INTERVAL_S:
                 continue
-            await self._leases.store.propose(OVERRIDES_JOB, pending_id, pending.value())
+            await self._leases.store.propose(OVERRIDES_JOB, pending_id, pending.encode())
             self._posted_s[pending_id] = loop.time()
             self.holder.work_due.set()  # a store does not tell us of our own change
--- a/glenrock/coordination/shared_work/__init__.py
+++ b/glenrock/coordination/shared_work/__init__.py
@@ -1,1 +1,1 @@
-"""What is done for all balancers: operators' overrides, and health checks that one makes and all hear of. Pure."""
+"""The work that balancers share: the replicated log of operators' overrides, and sharded health checks. Pure."""
