--- a/glenrock/admin/prometheus_text.py
+++ b/glenrock/admin/prometheus_text.py
@@ -31,7 +31,7 @@
     """The metrics at one moment.
 
     Attributes:
-        outcomes: how many connections have ended, by outcome and by class.
+        outcomes: how many connections have been answered or left, by outcome and by class.
         relayed: how many attempts were written completely to a server.
         open_requests: connections that are accepted and have not ended.
         registry_entries: servers in the endpoint list.
--- a/glenrock/upgrade/process_registry.py
+++ b/glenrock/upgrade/process_registry.py
@@ -11,7 +11,7 @@
 import os
 import re
 
-FILE_NAME = re.compile(r"glenrock-process-(?P<pid>\d+)-(?P<start_time>\d+)")
+FILE_NAME_PATTERN = re.compile(r"glenrock-process-(?P<pid>\d+)-(?P<start_time>\d+)")
 START_TIME_FIELD = 19  # of /proc/<pid>/stat, counted from the field after the process name (proc(5))
 
 
@@ -56,7 +56,7 @@
         count = 0
         with contextlib.suppress(OSError):
             for name in os.listdir(self._folder):
-                if name != self.file_name and (found := FILE_NAME.fullmatch(name)):
+                if name != self.file_name and (found := FILE_NAME_PATTERN.fullmatch(name)):
                     count += self._count_descriptors(name, int(found["pid"]), found["start_time"])
         return count
 
