--- a/tests/test_newcomers.py
+++ b/tests/test_newcomers.py
@@ -77,26 +77,26 @@
     return before + check + accepted + admitted + textwrap.indent(RULE, "    ") + rest
 
 
-def test_example_of_an_admission_rule_fails_its_test_before_and_passes_after(make, monkeypatch) -> None:
+def test_example_of_an_admission_rule_fails_its_test_before_and_passes_after(make_harness, monkeypatch) -> None:
     namespace = {"interface": interface}
     exec(RULE_TEST, namespace)
     run_test = namespace["test_class_of_weight_0_is_rejected_under_a_cap"]
     with pytest.raises(AssertionError):
-        run_test(make)
+        run_test(make_harness)
     patched = dict(vars(admission))
     exec(admit_with_rule(), patched)
     monkeypatch.setattr(admission.AdmissionController, "admit", patched["admit"])
-    run_test(make)
+    run_test(make_harness)
 
 
-def test_example_of_a_metric_counts_requests_that_wait_for_a_server(make, monkeypatch) -> None:
+def test_example_of_a_metric_counts_requests_that_wait_for_a_server(make_harness, monkeypatch) -> None:
     namespace: dict[str, object] = {}
     exec(METRIC, namespace)
     monkeypatch.setattr(RequestLifecycle, "awaiting_server_count", namespace["awaiting_server_count"], raising=False)
-    harness = make(names=())
-    harness.request()
-    waiting = len(harness.b.lifecycle._awaiting_server)
-    owner = type("Operations", (), {"_routing": type("Routing", (), {"balancer": harness.b})})
+    harness = make_harness(names=())
+    harness.send_request()
+    waiting = len(harness.balancer.lifecycle._awaiting_server)
+    owner = type("Operations", (), {"_routing": type("Routing", (), {"balancer": harness.balancer})})
     assert eval(METRIC_USE, {"self": owner}) == waiting == 1
 
 
