--- a/glenrock/cli/scenario_run.py
+++ b/glenrock/cli/scenario_run.py
@@ -74,7 +74,7 @@
     from ..lab import record
 
     record.write_tables(folder, bed.measure, bed.scenario, [server.name for server in bed.servers], summary)
-    lines = (event.line(bed.history.day) for event in bed.history.events)
+    lines = (event.text(bed.history.measured_from_us) for event in bed.history.events)
     (folder / "history.txt").write_text("".join(f"{line}\n" for line in lines), encoding="utf-8")
 
 
