--- a/glenrock/routing/capacity_estimation.py
+++ b/glenrock/routing/capacity_estimation.py
@@ -187,8 +187,7 @@
         """Returns whether this balancer's fraction of the tier was about constant in `STEADY_WINDOW_US`.
 
         The estimate assumes the same fraction at each server as of the tier. While clients arrive from
-        another balancer, they stand where they were just sent, and a slow server would seem to bear a
-        multiple.
+        another balancer, the assumption fails: a slow server that just received them would seem to bear much.
         """
         now_us = self._batch.now_us
         history = [past for past in self._own_load_history if now_us - past.at_us <= STEADY_WINDOW_US]
@@ -205,11 +204,8 @@
         late reports still describe the time before.
         """
         now_us = self._batch.now_us
-        if (
-            not STEADY_FRACTION * self._tier_fraction
-            <= tier_fraction
-            <= self._tier_fraction / STEADY_FRACTION
-        ):
+        least, most = STEADY_FRACTION * self._tier_fraction, self._tier_fraction / STEADY_FRACTION
+        if not least <= tier_fraction <= most:
             self._tier_fraction = tier_fraction
             self._tier_fraction_since_us = now_us
             for server in self._servers.values():
--- a/glenrock/routing/connection_concurrency.py
+++ b/glenrock/routing/connection_concurrency.py
@@ -113,7 +113,7 @@
         self._servers_affected.clear()
 
     def _many_are_slow(self) -> bool:
-        """Returns whether so many of this round's set-ups were slow or failed that the limit is cut.
+        """Returns whether enough of this round's set-ups were slow or failed to cut the limit.
 
         Under a limit few servers are reached in a round, so a majority is enough there: a rise while nothing
         is established would keep the store's queue long.
--- a/glenrock/routing/endpoint_polling.py
+++ b/glenrock/routing/endpoint_polling.py
@@ -36,9 +36,9 @@
         """Schedules the next call after a failure, with a backoff that doubles and jitter."""
         self._is_watching = False
         self._failures += 1
-        backoff_us = FIRST_BACKOFF_US * 2 ** min(self._failures, MAX_DOUBLINGS)
-        backoff = min(self._settings.poll_within_us / 2, backoff_us)
-        self._next_us = self._batch.now_us + int(backoff * (0.5 + self._rng.random() / 2))
+        doubled_us = FIRST_BACKOFF_US * 2 ** min(self._failures, MAX_DOUBLINGS)
+        backoff_us = min(self._settings.poll_within_us / 2, doubled_us)
+        self._next_us = self._batch.now_us + int(backoff_us * (0.5 + self._rng.random() / 2))
 
     def record_success(self) -> None:
         """Resets the backoff, after a list or a change of it arrived."""
@@ -46,10 +46,7 @@
 
     def poll_if_due(self) -> None:
         """Requests the list if a call is due."""
-        if (
-            self._settings.must_poll_endpoints
-            and not self._is_watching
-            and self._batch.now_us >= self._next_us
-        ):
+        is_due = self._batch.now_us >= self._next_us
+        if self._settings.must_poll_endpoints and not self._is_watching and is_due:
             self._is_watching = True
             self._batch.emit(WatchEndpoints())
--- a/glenrock/routing/endpoint_table.py
+++ b/glenrock/routing/endpoint_table.py
@@ -69,7 +69,7 @@
         self._change_rings()
 
     def apply_override(self, event: OperatorOverride) -> None:
-        """Applies an operator's suspension or return of a server."""
+        """Suspends or resumes a server, as an operator demands."""
         changed = self._overrides.apply(event, self._batch.now_us)
         server = self.servers.get(event.server)
         if changed and server:
--- a/glenrock/routing/hash_ring.py
+++ b/glenrock/routing/hash_ring.py
@@ -97,10 +97,8 @@
             self._sorted = [None] * len(buckets)
         for member, points, is_present in changes:
             for point in points:
-                if is_present:
-                    buckets[point >> shift].setdefault(
-                        point, member
-                    )  # a shared point stays with its first member
+                if is_present:  # a shared point stays with its first member
+                    buckets[point >> shift].setdefault(point, member)
                 else:
                     buckets[point >> shift].pop(point, None)
             if not are_many:
--- a/glenrock/routing/interface.py
+++ b/glenrock/routing/interface.py
@@ -62,13 +62,21 @@
     """How an attempt, its connection, or a health check ended."""
 
     SERVED = "served"
+    """The connection ended normally, or the server answered the health check."""
     ERROR = "error"
+    """The server reported an error."""
     FULL = "full"
+    """The server rejected the attempt."""
     TIMEOUT = "timeout"
+    """The server did not answer in time."""
     NO_CONNECTION = "no_connection"
+    """No connection to the server was established, and nothing was sent."""
     BROKEN = "broken"
+    """The connection broke."""
     CANCELLED = "cancelled"
+    """The client or this balancer ended it."""
     UNSENT = "unsent"
+    """It was not sent, for a reason of this machine."""
 
     __hash__ = str.__hash__
 
@@ -153,13 +161,18 @@
     Attributes:
         index: number of this balancer among `balancers`.
         tick_us: interval at which the caller fires due timers.
-        may_hedge: a second attempt may be in flight beside the first. Never used here.
+        may_hedge: a second attempt may be in flight beside the first. Routing never uses it.
+        may_send_retry_after: a rejection states a delay, of at most `max_retry_after_us`.
+        connect_timeout_us: longest time to establish a connection to a server.
         must_poll_endpoints: the endpoint list comes only after a call, which is due within `poll_within_us`.
+        answer_grace_us: accepted delay of an answer after its deadline. Routing does not use it.
+        drain_grace_us: time from the notice of a drain until the server closes. Routing does not use it.
         slow_start_initial_fraction: part of its capacity that a server has when it starts; it has all of it
             after `slow_start_us`.
         slow_start_multiple: a server that is warming up fails if it receives more than this multiple of its
             capacity within `slow_start_window_us`.
-        is_weighted_by_work: priority weights apply to work, not to requests.
+        is_weighted_by_work: priority weights apply to work, not to requests. Routing does not use it.
+        over_quota_weight: weight of a tenant's connections beyond its quota, 0 to 1. Routing does not use it.
         load_report_fields: names of the fields that health checks return.
         has_message_delay_reports: servers report connections whose messages are slow.
         cross_zone_cost: cost of one connection to another zone, as a part of the platform's result; the other
@@ -346,9 +359,9 @@
 
 @dataclass(slots=True)
 class OperatorOverride:
-    """An operator takes a server out of rotation, or returns it. It prevails over the endpoint list.
+    """An operator suspends a server, or resumes it. The override prevails over the endpoint list.
 
-    `at_us`: time of the return; 0 for now.
+    `at_us`: time at which the server was resumed; 0 for now.
     """
 
     server: str
--- a/glenrock/routing/operator_overrides.py
+++ b/glenrock/routing/operator_overrides.py
@@ -1,23 +1,23 @@
 """Servers that an operator suspended.
 
-A suspension lasts until the operator returns the server, whatever the endpoint list reports meanwhile. For
-the server's clients it is a drain. After its return a server counts as just started: it may have restarted
-meanwhile, which the list reports seconds late. Times are microseconds.
+A suspension lasts until an operator resumes the server, whatever the endpoint list reports meanwhile. For the
+server's clients it is a drain. A resumed server counts as just started: it may have restarted meanwhile,
+which the list reports seconds late. Times are microseconds.
 """
 
 from __future__ import annotations
 
 from .interface import OperatorOverride
 
-MAX_REMEMBERED_RETURNS = 4096
+MAX_REMEMBERED_RESUMPTIONS = 4096
 
 
 class OperatorOverrides:
-    """Suspended servers, and the times of the last returns.
+    """Suspended servers, and the times at which servers were resumed.
 
     Attributes:
         suspended_servers: ids.
-        resumed_at_us: time of the last return by server id, oldest first.
+        resumed_at_us: time of the last resumption by server id, oldest first.
     """
 
     def __init__(self) -> None:
@@ -25,20 +25,20 @@
         self.resumed_at_us: dict[str, int] = {}
 
     def apply(self, event: OperatorOverride, now_us: int) -> bool:
-        """Applies a suspension or a return. Returns whether it changed anything: calls may be repeated."""
+        """Suspends or resumes a server. Returns whether that changed anything: calls may be repeated."""
         if event.is_suspended:
             is_new = event.server not in self.suspended_servers
             self.suspended_servers.add(event.server)
             return is_new
         at_us = min(now_us, event.at_us or now_us)
-        # A return that another process received may arrive without a suspension here.
-        is_later_return = bool(event.at_us) and at_us > self.resumed_at_us.get(event.server, 0)
-        if event.server not in self.suspended_servers and not is_later_return:
+        # A resumption that another process received may arrive without a suspension here.
+        is_later_resumption = bool(event.at_us) and at_us > self.resumed_at_us.get(event.server, 0)
+        if event.server not in self.suspended_servers and not is_later_resumption:
             return False
         self.suspended_servers.discard(event.server)
         self.resumed_at_us.pop(event.server, None)
         self.resumed_at_us[event.server] = at_us
-        if len(self.resumed_at_us) > MAX_REMEMBERED_RETURNS:
+        if len(self.resumed_at_us) > MAX_REMEMBERED_RESUMPTIONS:
             del self.resumed_at_us[next(iter(self.resumed_at_us))]
         return True
 
--- a/glenrock/routing/slow_start.py
+++ b/glenrock/routing/slow_start.py
@@ -107,8 +107,10 @@
     def headroom(self, server: Server) -> float:
         """Returns the load that this balancer may send to a server now; infinite for a warm server.
 
-        The budget of a window is this balancer's load on one full warm server, spread over the slow start.
-        The window slides: in fixed windows the end of one and the start of the next would add up.
+        The budget of a window is the load that this balancer has on one full warm server, times the warmth,
+        the part of the slow start that a window is, and `SLOW_START_BUDGET_FRACTION` of the multiple that
+        fails the server. The window slides: in fixed windows the end of one and the start of the next would
+        add up. The unit is that of `reference_load`, microseconds of work per second.
         """
         warmth = self.warmth(server)
         if warmth >= 1:
