--- a/glenrock/net/acceptor.py
+++ b/glenrock/net/acceptor.py
@@ -6,12 +6,11 @@
 import contextlib
 import random
 import socket
-import traceback
 from collections.abc import Callable
 from typing import Protocol
 
 from ..config import Address
-from ..log import say
+from ..log import get_logger
 from . import protocol
 from .clock import Clock, Limit
 from .metrics import ConnectionMetrics, ConnectionOutcome, RejectReason
@@ -27,9 +26,10 @@
 MAX_ACCEPTS = 8  # connections accepted in one turn: a flood must not keep the loop from its relays
 BACKLOG = 4096  # connections that the system accepts before this program does
 LAST_MS = 100.0  # once no more are taken, whoever has said nothing yet has this long
-TRACEBACK_LINES = -3
 LOGGED_BYTES = 120  # of a first line
 
+logger = get_logger(__name__)
+
 
 def _is_complete(data: bytes) -> bool:
     """A first line, or more of it than a line may have."""
@@ -167,7 +167,7 @@
 
         A shortage of a moment costs nobody a place; one that lasts is ours to end.
         """
-        say("accept", str(error))
+        logger.warning("accepting paused after a resource error", error=error, pause_ms=RESUME_MS)
         now_ms = self._clock.now()
         if is_shortage(error):
             self._short_since_ms = now_ms if self._short_since_ms is None else self._short_since_ms
@@ -212,7 +212,7 @@
             return True
         for pool in (self._answered, self.unheard):
             for task in pool:
-                say("shed", f"{len(self.unheard)} connections without a first line: the oldest is told to come again")
+                logger.warning("idle connection closed to free a descriptor", idle_connections=len(self.unheard))
                 del pool[task]
                 self._hurried.add(task)
                 if limit := self._waits.get(task):
@@ -242,8 +242,8 @@
             await self._connections.serve(sock, opened)
         except OSError:
             pass
-        except Exception:  # noqa: BLE001 - the edge of the connection's task
-            say("connection", traceback.format_exc(limit=TRACEBACK_LINES))
+        except Exception:  # the edge of the connection's task
+            logger.exception("unexpected error in an idle connection")
 
     async def _first_line(self, sock: socket.socket) -> protocol.OpenLine | None:
         """The request that the client opens with; None if it has left or was rejected."""
@@ -310,13 +310,13 @@
                 raise protocol.OpenLineError("the id of a command that is open")  # noqa: TRY301 - answered alike
         except protocol.OpenLineError as error:
             self._count_unsound(data)
-            say("first line", f"not understood, {error}: {data[:LOGGED_BYTES]!r}")
+            logger.info("request line rejected", reason=str(error), data=data[:LOGGED_BYTES])
             await self._reject(sock, protocol.FAILED, "unsound")
             return None
         if not (self.proven() and self.refuses) and not self._connections.full():
             return opened
         if not self.refuses:
-            say("descriptors", f"no room for another command: {opened.id} is told to come again")
+            logger.warning("request rejected: descriptor limit reached", request_id=opened.id)
         self._connections.record_answered("throttled", opened.class_name)
         await self._reject(sock, self._spread_busy_line(), "draining" if self.refuses else "descriptors")
         return None
--- a/glenrock/net/client_connection.py
+++ b/glenrock/net/client_connection.py
@@ -10,7 +10,7 @@
 
 from glenrock.routing import interface
 
-from ..log import say
+from ..log import get_logger
 from . import protocol
 from .acceptor import LINGER_MS
 from .attempt_outcomes import AttemptEnd, AttemptResult, Reach
@@ -37,6 +37,8 @@
 UNKNOWN_SERVER_MS = 2000.0  # where one stands at a server that nobody knows, its client is owed a word within 3 s
 RETRY_STANDING_MS = 250.0  # between two attempts for one
 GUARD_MS = 20.0  # a request that has no decision this long after its time is failed; 58 ms are allowed
+logger = get_logger(__name__)
+
 LAST_WORDS: dict[str, interface.AttemptOutcome] = {"BYE": "served", "MOVE": "cancelled", "ERR": "error"}
 """A server's last words, and how the connection ended."""
 
@@ -182,7 +184,7 @@
                 # Guards against decisions that failed: their own timer answers some milliseconds before `d`.
                 guard = self.clock.call_at(self._deadline_ms + GUARD_MS, self.mailbox.deliver, RelayEnd.OVERDUE)
                 if not self._routing.post(self._request()):
-                    say("events", f"{self.opened.id} is told to come again: too many events wait")
+                    logger.warning("request rejected: routing mailbox full", request_id=self.opened.id)
                     self._forgotten = True
                     self.reject(self._owner.retry_after_ms, "events")
             if await self._settle(standing_at):
@@ -215,7 +217,7 @@
                     await self._answer_now(retry_after_ms, standing_at)
                     return False
                 case RelayEnd.OVERDUE:
-                    say("overdue", f"{self.opened.id} had no decision in time")
+                    logger.error("routing made no decision in time", request_id=self.opened.id)
                     self.forget()
                     await self._answer(protocol.FAILED, "overdue")
                     return False
@@ -242,7 +244,7 @@
         if standing_at is None:
             self.forget()
         if end is RelayEnd.TOO_EARLY:
-            say("first line", f"{self.opened.id} sent bytes before its answer: failed")
+            logger.info("client sent bytes before its answer", request_id=self.opened.id)
             await self._answer(protocol.FAILED, "unsound")
         self.count("left")
 
@@ -252,7 +254,7 @@
         may_come = servers.knows(standing_at) or not servers.has_list
         wait_ms = STANDING_MS if may_come else UNKNOWN_SERVER_MS
         if self.clock.now() > self._arrived_ms + wait_ms:
-            say("standing", f"{self.opened.id} did not come up at {standing_at}: failed")
+            logger.warning("connection could not be resumed", request_id=self.opened.id, server=standing_at)
             await self._answer(protocol.FAILED, "failed")
             return False
         at_ms = self.clock.now() + RETRY_STANDING_MS
--- a/glenrock/net/connection_table.py
+++ b/glenrock/net/connection_table.py
@@ -5,12 +5,11 @@
 import asyncio
 import contextlib
 import socket
-import traceback
 from collections.abc import Callable, Coroutine
 
 from glenrock.routing import interface
 
-from ..log import say
+from ..log import get_logger
 from . import descriptor_budget, protocol
 from .client_connection import ClientConnection
 from .clock import Clock
@@ -26,7 +25,8 @@
 SLOW_SHARE = 3  # a message is slow past this part of the shortest objective
 RETRY_AFTER_MS = 1000.0  # whoever is rejected beside the decisions comes again after this, where clients may wait so
 LONGEST_WAIT = 10.0  # a client that wants to wait this many times its class's deadline sent no sound number
-TRACEBACK_LINES = -3
+
+logger = get_logger(__name__)
 
 
 class ConnectionTable:
@@ -116,8 +116,8 @@
         try:
             with contextlib.suppress(OSError):
                 await work
-        except Exception:  # noqa: BLE001 - the edge of the connection's actor
-            say("connection", traceback.format_exc(limit=TRACEBACK_LINES))
+        except Exception:  # the edge of the connection's actor
+            logger.exception("unexpected error in a connection", request_id=connection.opened.id)
         finally:
             connection.forget()
             connection.count("faulted")  # an exception ended it
@@ -147,7 +147,11 @@
             for connection in self.by_id.values():
                 asked_at = connection.asked_at
                 if asked_at is not None and asked_at < oldest_ms and not connection.migrating:
-                    say("silent", f"{connection.server} answers {connection.opened.id} no more: client moved")
+                    logger.warning(
+                        "server does not answer: client migrated",
+                        server=connection.server,
+                        request_id=connection.opened.id,
+                    )
                     connection.mailbox.put(MigrateClient("broken"))
             self.servers.tidy()
 
--- a/glenrock/net/endpoint_watcher.py
+++ b/glenrock/net/endpoint_watcher.py
@@ -14,7 +14,7 @@
 from glenrock.routing.interface import ListKind
 
 from ..config import Address
-from ..log import say
+from ..log import get_logger
 from .clock import Clock, Limit
 from .endpoint_rows import EndpointRow, row_of
 from .poll_backoff import PollBackoff
@@ -33,6 +33,8 @@
 READ_BYTES = 16384
 NO_VERSION = -1
 
+logger = get_logger(__name__)
+
 
 class DiscoveryError(OSError):
     """A call that brought nothing."""
@@ -90,11 +92,15 @@
         try:
             row = row_of(item)
         except (ValueError, TypeError, KeyError, OverflowError) as error:
-            say("name table", f"row {item!r:.200} left out: {error!r:.200}")
+            logger.warning("endpoint row ignored", row=f"{item!r:.200}", error=f"{error!r:.200}")
             continue
         if row.name in rows:
-            addresses = f"{rows[row.name].address} and {row.address}"
-            say("name table", f"{row.name} stands twice, at {addresses}: the later row counts")
+            logger.warning(
+                "endpoint listed twice: the later row counts",
+                server=row.name,
+                ignored_address=rows[row.name].address,
+                address=row.address,
+            )
         rows[row.name] = row
     version, is_full = raw["index"], raw["snapshot"]
     if not isinstance(version, int) or not isinstance(is_full, bool):
@@ -140,7 +146,7 @@
         try:
             news = news_of(known)
         except (KeyError, TypeError, ValueError) as error:
-            say("name table", f"known: not a list ({error!r}); starting without")
+            logger.warning("cached endpoint list unusable", error=error)
             self._update("remembered", [])
             return
         self._update("remembered", news.rows)
@@ -207,7 +213,7 @@
             # A watch opened while the agent is silent would wait on after its return, and what it got there counts at
             # once. So until it answers it is asked for what it has.
             self._version = None
-        say("name table", f"call failed ({error!r}); again in {pause_ms:.0f} ms")
+        logger.warning("endpoint poll failed", error=error, retry_ms=round(pause_ms))
         await self._pause(pause_ms)
 
     async def _pause(self, ms: float) -> None:
--- a/glenrock/net/graceful_shutdown.py
+++ b/glenrock/net/graceful_shutdown.py
@@ -9,7 +9,7 @@
 
 from glenrock.routing import interface
 
-from ..log import say
+from ..log import get_logger
 from .acceptor import Acceptor
 from .client_connection import ClientConnection
 from .clock import Clock
@@ -31,6 +31,8 @@
 AWAY_MS = 3000.0  # and all have been told to move by then; 4 s are allowed, and a line under way takes its time
 ROUND_UP = 0.49  # of a part of a connection
 
+logger = get_logger(__name__)
+
 
 class Successor(Protocol):
     """The process that came after this one."""
@@ -80,7 +82,7 @@
         if self._stopping:
             return "not done: the process is stopping"
         if not self._drain:
-            say("drain", f"{len(self._table.by_id)} clients are sent away")
+            logger.info("drain started", clients=len(self._table.by_id))
             self._acceptor.away = True
             self._acceptor.proof = proof
             self._table.routing.order(interface.DrainMode(True))
@@ -92,7 +94,7 @@
         if self._stopping:
             return "not done: the process is stopping"
         if self._drain:
-            say("drain", "ended: clients are taken again")
+            logger.info("drain ended: clients are accepted again")
             self._end_drain()
         return ""
 
@@ -189,4 +191,4 @@
                 give = functools.partial(successor.give, connection)
                 connection.offered = connection.mailbox.put(HandOverRelay(give))
             await self._clock.sleep(HAND_OVER_STEP_MS)
-        say("upgrade", f"{successor.given} relays handed over, {len(self._table.by_id)} commands left")
+        logger.info("relays handed over", relays=successor.given, connections_left=len(self._table.by_id))
--- a/glenrock/net/peers.py
+++ b/glenrock/net/peers.py
@@ -13,12 +13,14 @@
 from glenrock.routing import interface
 
 from ..config import Address
-from ..log import say
+from ..log import get_logger
 
 MAX_DATAGRAM = 256
 COORDINATION_KINDS = b"\xf1"  # and above; a gossip summary begins with its version
 MAX_READS = 64  # datagrams read in one turn: a flood must not keep the loop from its connections
 
+logger = get_logger(__name__)
+
 
 class Peers:
     """The socket, and who the peers are.
@@ -67,9 +69,10 @@
             if index.setdefault(address, number) != number:
                 fault = f"{address[0]}:{address[1]} stands for balancers {index[address]} and {number}"
         if fault:
-            say("peers", f"{fault}; {'the old ones stay' if self.index else 'the first of each counts'}")
             if self.index:
+                logger.error("peer addresses invalid: previous addresses stay", fault=fault)
                 return
+            logger.error("peer addresses invalid: the first balancer of each address counts", fault=fault)
         self.index = index
         self.peers = tuple(index)
         self._everyone = everyone
@@ -85,7 +88,7 @@
                 continue  # an ICMP error of an earlier send
             peer = self.index.get(sender)
             if peer is None or len(data) > MAX_DATAGRAM:
-                say("peer", f"datagram of {len(data)} bytes from {sender} ignored")
+                logger.warning("datagram ignored", sender=sender, size_bytes=len(data))
                 continue
             if self.others:
                 self.others(peer, data)
@@ -101,13 +104,13 @@
     def tell(self, data: bytes) -> None:
         """A gossip summary, to every other balancer."""
         if len(data) > MAX_DATAGRAM:
-            say("peer", f"a message of {len(data)} bytes was not sent")
+            logger.error("gossip summary too long to send", size_bytes=len(data))
             return
         for address in (self._everyone,) if self._everyone else self.peers:
             try:
                 self.sock.sendto(data, address)
             except OSError as error:
-                say("peer", f"message lost: {error}")
+                logger.warning("gossip summary not sent", error=error, address=address)
 
     def close(self) -> None:
         """Closes the socket."""
--- a/glenrock/net/routing_actor.py
+++ b/glenrock/net/routing_actor.py
@@ -8,20 +8,20 @@
 
 import asyncio
 import heapq
-import traceback
 from collections.abc import Callable
 from typing import Protocol
 
 from glenrock.routing import Balancer, interface
 from glenrock.routing.turn import ROUND_US
 
-from ..log import say
+from ..log import get_logger
 from .clock import Clock, micros, millis
 from .mailbox import Mailbox
 
 MAX_EVENTS = 65536  # that wait; past that new requests are rejected, and nothing grows
 ALARM_DELAY_MS = 0.5  # late rather than early: a turn too early would find nothing due
-TRACEBACK_LINES = -3
+
+logger = get_logger(__name__)
 
 
 class RoutedConnection(Protocol):
@@ -125,8 +125,8 @@
             batch.append(interface.TimerFired(heapq.heappop(self._timers)[1]))
         try:
             actions = self.balancer.handle(now_us, batch)
-        except Exception:  # noqa: BLE001 - the edge of the actor: connections are answered by their own deadline
-            say("module", f"failed on {len(batch)} events: " + traceback.format_exc(limit=TRACEBACK_LINES))
+        except Exception:  # the edge of the actor: connections are answered by their own deadline
+            logger.exception("unexpected error in routing", events=len(batch))
             actions = self.balancer.turn.actions
             if not self._timers:  # its round must go on
                 self.balancer.schedule_round(now_us + ROUND_US)
@@ -136,12 +136,12 @@
 
     def _log_turn(self) -> None:
         for warning in self.balancer.turn.warnings:
-            say("summary", warning)
+            logger.warning("gossip summary ignored", reason=warning)
         for zone, is_cut in self.balancer.domains.changes:
             if is_cut:
-                say("link", f"zone {zone} is believed cut off; its instances are left until one answers")
+                logger.warning("zone believed partitioned: no new connections to it", zone=zone)
             else:
-                say("link", f"zone {zone} answers again, or nobody says otherwise; taken back step by step")
+                logger.info("zone no longer believed partitioned: recovery ramp begins", zone=zone)
 
     def act(self, action: interface.Action) -> None:
         """Carries out an action."""
--- a/glenrock/net/server_actor.py
+++ b/glenrock/net/server_actor.py
@@ -9,7 +9,7 @@
 
 from glenrock.routing import interface
 
-from ..log import say
+from ..log import get_logger
 from . import protocol
 from .attempt_outcomes import AttemptEnd, AttemptResult, Reach
 from .clock import Clock
@@ -28,6 +28,8 @@
 
 Post = Callable[[interface.Event], bool]
 
+logger = get_logger(__name__)
+
 
 class ServerJob(Enum):
     """What a server's actor may be asked beside attempts."""
@@ -122,8 +124,8 @@
             result = AttemptResult(AttemptEnd.WITHDRAWN, attempt.reach)
         except OSError:
             result = AttemptResult(AttemptEnd.BROKEN, attempt.reach)
-        except Exception as error:  # noqa: BLE001 - the client must hear of an end, whatever went wrong
-            say("execution", f"{self.entry.name}: {error!r}")
+        except Exception:  # the client must hear of an end, whatever went wrong
+            logger.exception("unexpected error in an attempt", server=self.entry.name, request_id=attempt.request_id)
             result = AttemptResult(AttemptEnd.BROKEN, attempt.reach)
         if result.end is not AttemptEnd.UP and attempt.sock:
             # Guards against a second copy: the socket is closed before routing hears of the end.
@@ -146,7 +148,12 @@
         except OSError as error:
             if not is_local(error):
                 raise
-            say("descriptors", f"{attempt.request_id} could not be sent to {self.entry.name}: {error}")
+            logger.warning(
+                "attempt could not start on this machine",
+                request_id=attempt.request_id,
+                server=self.entry.name,
+                error=error,
+            )
             self._metrics.add_system_error(error)
             return AttemptResult(AttemptEnd.NOT_SENT, attempt.reach)
         if sock is None:
@@ -213,6 +220,6 @@
             attempt.reach = Reach.UP
             return AttemptResult(AttemptEnd.UP, attempt.reach)
         if word == "SYNTAX":
-            say("syntax", f"{self.entry.name} did not understand {attempt.line!r}")
+            logger.error("server rejected the form of a request line", server=self.entry.name, line=attempt.line)
         end = ENDS_BY_WORD.get(word, AttemptEnd.ERROR)
         return AttemptResult(end, attempt.reach, protocol.report_of(rest))
--- a/glenrock/net/server_connections.py
+++ b/glenrock/net/server_connections.py
@@ -6,7 +6,7 @@
 
 from glenrock.routing import interface
 
-from ..log import say
+from ..log import get_logger
 from .clock import Clock, micros
 from .descriptor_budget import DescriptorBudget
 from .endpoint_rows import STATES, EndpointRow
@@ -18,6 +18,8 @@
 MAX_SERVERS = 8192  # rows kept; a row is some hundred bytes, and a list past that is not this deployment's
 RETIRE_AFTER_MS = 10_000.0  # an actor without work is ended between one and two of these later
 
+logger = get_logger(__name__)
+
 
 class ServerRegistry:
     """All servers by name. A name is an identity: its address may change, its process may restart.
@@ -118,7 +120,7 @@
         if row.name not in self.rows and len(self.rows) >= MAX_SERVERS:
             self._forget_deleted()
             if len(self.rows) >= MAX_SERVERS:
-                say("name table", f"row of {row.name} left out: {MAX_SERVERS} servers are the most")
+                logger.error("endpoint row ignored: too many servers", server=row.name, max_servers=MAX_SERVERS)
                 return
         self.rows[row.name] = row
         if actor := self.actors.get(row.name):
--- a/glenrock/program.py
+++ b/glenrock/program.py
@@ -13,7 +13,7 @@
 from glenrock.routing import interface
 
 from .config import TAKEN_AT_START, Config, ConfigError
-from .log import say
+from .log import get_logger
 from .net.acceptor import Acceptor
 from .net.clock import Clock
 from .net.connection_table import ConnectionTable
@@ -34,6 +34,8 @@
 FIRST_LIST_MS = 300.0  # the whole list is awaited this long before clients are; then the known one must do
 POLL_SEED_MASK = 1  # keeps the random numbers of polls apart from those of the routing
 
+logger = get_logger(__name__)
+
 
 def raise_descriptor_limit(descriptors: int) -> None:
     """Raises this process's limit on open descriptors to that number, or as far as the hard limit lets it."""
@@ -97,7 +99,7 @@
         try:
             self._marks.arrive()
         except OSError as error:
-            say("upgrade", f"the other process does not know of this one: {error}")
+            logger.warning("process mark not written: the descriptor limit may be exceeded", error=error)
         connections = self._program.connections
         connections.elsewhere = self._marks.count_descriptors
         connections.budget.elsewhere = self._marks.count_descriptors()
@@ -222,7 +224,7 @@
             await self.endpoints.first.wait()
         self._accept_clients()
         host, port = self.config.listen
-        say("ready", f"{self.config.name} serves on {host}:{port}")
+        logger.info("ready", balancer=self.config.name, address=f"{host}:{port}")
 
     def _accept_clients(self) -> None:
         inherited = self._upgrade.listener if self._upgrade else None
@@ -242,14 +244,14 @@
         try:
             new = read_again(self._config_at_start)
         except ConfigError as error:
-            say("config", f"{error}; the old configuration stays")
+            logger.warning("configuration not reloaded: the previous one stays", error=str(error))
             return
         if shortfall := self.budget.shortfall_at(new.sockets):
-            say("config", f"limits.sockets: {shortfall}; the old configuration stays")
+            logger.warning("configuration not reloaded: descriptor limit too low", shortfall=shortfall)
             return
         waiting = [key for key in TAKEN_AT_START if getattr(new, key) != getattr(self.config, key)]
         if waiting:
-            say("config", f"{', '.join(waiting)}: changed, but taken over only at the next start")
+            logger.warning("configuration changes that need a restart", keys=",".join(waiting))
         self.endpoints.move(new.discovery)
         if self.peers:
             self.peers.move(new.peers, new.peers_all)
@@ -259,7 +261,7 @@
             self.config, discovery=new.discovery, peers=new.peers, peers_all=new.peers_all, sockets=new.sockets
         )
         host, port = new.discovery
-        say("config", f"read again: discovery is at {host}:{port}")
+        logger.info("configuration reloaded", discovery=f"{host}:{port}")
 
     async def run_until(self, stop: asyncio.Event) -> None:
         """Serves until that event, then hands all clients back.
@@ -272,14 +274,17 @@
         for task in self._tasks:
             if task.done():
                 raise RuntimeError("an actor ended") from task.exception()
-        say("stopping", f"{len(self.connections.by_id)} clients to hand back")
+        logger.info("stopping", clients=len(self.connections.by_id))
         successor = self._upgrade.successor() if self._upgrade else None
         if self.coordination:
             self.run(self.coordination.stop())
         await self.shutdown.stop(self._upgrade is not None, successor)
         if self._upgrade:
             self._upgrade.leave()
-        say("stopped", f"{len(self.connections.by_id)} clients left")
+        if self.connections.by_id:
+            logger.warning("stopped with clients still connected", clients=len(self.connections.by_id))
+        else:
+            logger.info("stopped")
 
 
 def _poll_backoff_of(config: Config) -> PollBackoff:
--- a/glenrock/testbed/soak.py
+++ b/glenrock/testbed/soak.py
@@ -22,7 +22,7 @@
 
 END_S = 12.0  # for the last clients after the shutdown
 MAX_RUN_S = 90.0
-BAD_LOG_LINES = ("Traceback", "module: failed", "execution: ", "connection: ", "an actor ended")
+BAD_LOG_LINES = ("Traceback", "unexpected error", "an actor ended")
 LOG_LINES_SHOWN = 6
 RESTING_SHARE, RETURN_S = 0.25, 0.05
 CROSSING_SHARE, IDLE_S, CROSSING_S = 0.1, 10.0, 0.02  # requests sent just as the balancer ends a resting connection
--- a/tests/routing/test_failure_domains.py
+++ b/tests/routing/test_failure_domains.py
@@ -179,7 +179,8 @@
     assert not h.b.domains.states.get(zone)
 
 
-def test_what_is_believed_of_a_link_is_logged_once_each_way(capsys) -> None:
+def test_what_is_believed_of_a_link_is_logged_once_each_way(caplog) -> None:
+    caplog.set_level("INFO", logger="glenrock")
     from conftest import settings as usual
 
     from glenrock.net.routing_actor import RoutingActor
@@ -204,5 +205,8 @@
     ):
         clock.ms += 10
         d.turn(events)
-    said = [line for line in capsys.readouterr().err.splitlines() if line.startswith("link: ")]
-    assert len(said) == 2 and "believed cut off" in said[0] and "answers again" in said[1]
+    said = [line for line in caplog.messages if line.startswith("zone ")]
+    assert said == [
+        "zone believed partitioned: no new connections to it zone=b",
+        "zone no longer believed partitioned: recovery ramp begins zone=b",
+    ]
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -17,14 +17,6 @@
 A, B, C = ("127.0.0.1", 1), ("127.0.0.1", 2), ("127.0.0.1", 3)
 
 
-@pytest.fixture
-def said(monkeypatch) -> list[str]:
-    lines: list[str] = []
-    for module in (endpoint_watcher, peers):
-        monkeypatch.setattr(module, "say", lambda kind, text: lines.append(f"{kind}: {text}"))
-    return lines
-
-
 def moved(*moves: tuple, balancers: int = 3) -> peers.Peers:
     async def inside() -> peers.Peers:
         p = peers.Peers(("127.0.0.1", 0), moves[0], None, lambda e: True, balancers)
@@ -36,17 +28,25 @@
     return asyncio.run(inside())
 
 
-def test_peers_that_repeat_an_address_or_are_too_many_leave_the_old_ones(said) -> None:
-    assert moved((A, B, C)).index == {A: 0, B: 1, C: 2} and said == []
+def test_peers_that_repeat_an_address_or_are_too_many_leave_the_old_ones(caplog) -> None:
+    assert moved((A, B, C)).index == {A: 0, B: 1, C: 2} and caplog.messages == []
     assert moved((A, B), (B, A, B)).index == {A: 0, B: 1}
-    assert said.pop() == "peers: 127.0.0.1:2 stands for balancers 0 and 2; the old ones stay"
+    assert caplog.messages == [
+        'peer addresses invalid: previous addresses stay fault="127.0.0.1:2 stands for balancers 0 and 2"'
+    ]
+    caplog.clear()
     assert moved((A, B), (A, B, C, ("127.0.0.1", 4))).index == {A: 0, B: 1}
-    assert said.pop() == "peers: 4 addresses for 3 balancers; the old ones stay"
+    assert caplog.messages == ['peer addresses invalid: previous addresses stay fault="4 addresses for 3 balancers"']
+    caplog.clear()
     p = moved((A, A, B, C))  # at the start there are no old ones
-    assert p.index == {A: 0, B: 2} and p.peers == (A, B) and "the first of each counts" in said[-1]
+    assert (
+        p.index == {A: 0, B: 2}
+        and p.peers == (A, B)
+        and "the first balancer of each address counts" in caplog.messages[-1]
+    )
 
 
-def test_an_instance_that_stands_twice_is_told(said) -> None:
+def test_an_instance_that_stands_twice_is_told(caplog) -> None:
     row = {"name": "s1", "status": "SERVING"}
     _, _, rows = endpoint_watcher.news_of(
         {
@@ -56,7 +56,9 @@
         }
     )
     assert [r.address for r in rows] == [B]
-    assert said == [f"name table: s1 stands twice, at {A} and {B}: the later row counts"]
+    assert caplog.messages == [
+        f'endpoint listed twice: the later row counts server=s1 ignored_address="{A}" address="{B}"'
+    ]
 
 
 def tier() -> Harness:
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -79,16 +79,16 @@
                 self.fail(f"ended without {words!r}")
 
             try:
-                until("name table: call failed")  # not ready yet
+                until("endpoint poll failed")  # not ready yet
                 program.send_signal(signal.SIGHUP)
-                until("config: read again: discovery is at 127.0.0.1:2")
-                until("ready")
+                until("configuration reloaded discovery=127.0.0.1:2")
+                until("program: ready")
                 path.write_text("{")
                 program.send_signal(signal.SIGHUP)
-                until("the old configuration stays")
+                until("configuration not reloaded: the previous one stays")
                 program.send_signal(signal.SIGTERM)
                 program.send_signal(signal.SIGHUP)
-                until("stopped")
+                until("program: stopped\n")
                 self.assertEqual(program.wait(10), 0)
             finally:
                 program.kill()
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -203,7 +203,7 @@
         assert (await site.call(second, "POST", "session-servers/s1/resume")).startswith("200")
         assert (await site.call(second, "POST", "session-servers/s3/resume")).startswith("404")
         # Most relays were handed over; those are counted by both.
-        given = int(re.search(r"(\d+) relays handed over", site.log(0))[1])
+        given = int(re.search(r"relays handed over relays=(\d+) ", site.log(0))[1])
         assert given >= 25 and f"{given} relays taken over" in site.log(1)
     finally:
         await site.close()
