--- a/glenrock/admin/coordination_parts.py
+++ b/glenrock/admin/coordination_parts.py
@@ -1,4 +1,4 @@
-"""What the operators' calls need of the coordination of balancers. The coordination imports this, never the reverse."""
+"""What operators' calls need of coordination. Coordination implements these protocols; admin never imports it."""
 
 from __future__ import annotations
 
@@ -6,42 +6,51 @@
 
 
 class ServerOverrides(Protocol):
-    """Servers out of rotation at all balancers."""
+    """Suspends and resumes servers at all balancers."""
 
-    async def set_override(self, server: str, out: bool) -> str:
-        """Out, or back. Returns why not; empty where it is done."""
+    async def set_override(self, server_id: str, is_suspended: bool) -> None:
+        """Suspends or resumes a server.
+
+        Raises:
+            OperationRejectedError: the override is not stored.
+            OperationPendingError: the override is in effect here, and the other balancers do not know of it yet.
+        """
         ...
 
 
-class DrainTickets(Protocol):
-    """How many balancers may be drained at a time."""
+class DrainPermits(Protocol):
+    """Bounds how many balancers drain at a time."""
+
+    async def acquire_permit(self) -> None:
+        """Acquires a drain permit, unless this balancer holds one.
 
-    async def take(self) -> str:
-        """Takes a ticket. Returns why there is none; empty where it is held."""
+        Raises:
+            OperationRejectedError: no permit is free, or the store does not answer.
+        """
         ...
 
-    def proven(self) -> bool:
-        """Whether the ticket is held now."""
+    def drain_permit_is_valid(self) -> bool:
+        """Returns whether this balancer holds a permit now."""
         ...
 
-    def give_back(self) -> None:
-        """Gives the ticket back."""
+    def release_permit(self) -> None:
+        """Releases the permit, if this balancer holds one."""
         ...
 
 
 class Coordination(Protocol):
-    """What balancers do together; each part is None where the operator's file says no."""
+    """The parts of coordination; a part is None if its job is not configured."""
 
     @property
     def overrides(self) -> ServerOverrides | None:
-        """Servers out of rotation at all balancers."""
+        """Overrides of all balancers."""
         ...
 
     @property
-    def drain_limiter(self) -> DrainTickets | None:
-        """How many may be drained at a time."""
+    def drain_limiter(self) -> DrainPermits | None:
+        """The bound on balancers that drain at a time."""
         ...
 
     def view(self) -> str:
-        """All of it, as JSON."""
+        """Returns the state of coordination as JSON."""
         ...
--- /dev/null
+++ b/glenrock/cli/simulation.py
@@ -0,0 +1,18 @@
+"""`glenrock lab`: the sub-commands of the simulation."""
+
+from __future__ import annotations
+
+from .main import LazyGroup
+
+command = LazyGroup(
+    "glenrock.cli",
+    {
+        "run": "simulation_run",
+        "sweep": "simulation_sweep",
+        "compare": "simulation_compare",
+        "report": "simulation_report",
+        "list": "simulation_list",
+    },
+    name="lab",
+    help=("Simulate a fleet: run, sweep, compare, report, list.\n\nPage: docs/lab.md"),
+)
--- /dev/null
+++ b/glenrock/cli/simulation_run.py
@@ -0,0 +1,89 @@
+"""`glenrock lab run`: runs one simulation."""
+
+from __future__ import annotations
+
+from pathlib import Path
+from typing import Any
+
+import click
+
+from . import shared_options as options
+from .main import CommandFailedError
+
+
+@click.command("run")
+@options.file
+@click.option("--seed", type=click.IntRange(0, 2**63), default=1, show_default=True)
+@options.policy
+@options.out
+@options.settings
+def command(file: Path, seed: int, policy: str, out: Path | None, overrides: tuple[str, ...]) -> None:
+    """Simulate an experiment once, and write summary.json, series.csv and report.html.
+
+    \b
+    Examples:
+      glenrock lab run experiments/calm.toml
+      glenrock lab run experiments/crash-quarter.toml --seed 7 --policy two_choices --out out/seven
+    Exit codes: 0 done, 1 the policy failed or an invariant was violated, 2 bad input.
+    """
+    options.check_policy(policy)
+    from ..lab import record, report, spec
+    from ..lab.day import Day
+
+    experiment = spec.load(file, options.parse_overrides(overrides))
+    folder = out or Path("out") / "lab" / f"{experiment.name}-{policy}-{seed}"
+    day = Day(experiment, seed, policy)
+    if folder.exists():
+        _check_replaceable(folder)
+    summary = day.run()
+
+    def write_results(temporary: Path) -> None:
+        record.write_run(temporary, day, summary)
+        (temporary / "report.html").write_text(report.of_run(temporary), encoding="utf-8")
+
+    record.folder(folder, write_results)
+    print_summary(summary)
+    click.echo(f"results: {folder}/summary.json, series.csv, report.html")
+    if summary["failure"]:
+        raise CommandFailedError(f"{policy} failed: {summary['failure']}")
+    if violations := {rule: count for rule, count in summary["rules"].items() if count}:
+        raise CommandFailedError(f"rules broken: {options.format_counts(violations)}; see report.html")
+
+
+def _check_replaceable(folder: Path) -> None:
+    """Fails before the simulation starts, in place of after it, if the results cannot be written.
+
+    Raises:
+        InputFileError: no folder can be created beside this one.
+    """
+    from ..lab import record
+
+    trial = folder.parent / f".{folder.name}.check"
+    record.folder(trial, lambda temporary: None)
+    trial.rmdir()
+
+
+def print_summary(summary: dict[str, Any]) -> None:
+    """Prints the summary of a simulation."""
+    fleet, worth, clock = summary["fleet"], summary["worth"], summary["clock"]
+    click.echo(
+        f"{summary['experiment']}, seed {summary['seed']}, {summary['policy']}: {fleet['balancers']} balancers, "
+        f"{fleet['instances']} instances, {summary['counts']['clients']} clients, {summary['events']} events, "
+        f"{clock['wall_s']} s"
+    )
+    if worth:
+        click.echo(
+            f"worth: goal {worth['goal']:.3f}, whole {worth['whole']:.3f}, worst 10 s "
+            f"{worth['worst_window']:.3f}, worst class {worth['worst_class']:.3f}, "
+            f"worst tenant {worth['worst_tenant']:.3f}"
+        )
+    per_client = summary["per_client"]
+    click.echo(
+        f"a client: {per_client['attempts']:.2f} attempts, {per_client['refused']:.2f} refusals, "
+        f"{per_client['broken']:.2f} breaks, {per_client['moved']:.2f} moves, {per_client['probes']:.2f} probes"
+    )
+    for fault in summary["recovery_s"]:
+        recovery = "not back" if fault["recovery_s"] is None else f"back after {fault['recovery_s']} s"
+        lowest = "-" if fault["lowest"] is None else f"{fault['lowest']:.2f}"
+        click.echo(f"{fault['kind']} at {fault['from_s']:g} s: lowest {lowest}, {recovery}")
+    click.echo("rules: " + ", ".join(f"{rule} {count}" for rule, count in summary["rules"].items()))
--- a/glenrock/lab/policies/module.py
+++ b/glenrock/lab/policies/module.py
@@ -12,6 +12,7 @@
     capacity_estimation,
     connection_concurrency,
     endpoint_table,
+    event_batch,
     gossip,
     group_affinity,
     health_checks,
@@ -21,20 +22,19 @@
     request_lifecycle,
     server_selection,
     token_budget,
-    turn,
-    waiting_line,
+    waiting_queue,
 )
 from glenrock.routing import balancer as balancer_module
 
 __all__ = ["OPEN", "Balancer", "constants", "gauges"]
 
-ROUND_MODULES = (turn, balancer_module, connection_concurrency, migration, gossip)
+ROUND_MODULES = (event_batch, balancer_module, connection_concurrency, migration, gossip)
 FEEDBACK_MODULES = (admission, capacity_estimation, outlier_ejection, migration)
 
 # Experiment files name constants as they always did; here stand the name and the modules that each one lives in today.
 CONSTANTS: dict[str, tuple[str, tuple[ModuleType, ...]]] = {
     "ROUND_US": ("ROUND_US", ROUND_MODULES),
-    "CALM_US": ("CALM_INTERVAL_US", (gossip,)),
+    "CALM_US": ("IDLE_GOSSIP_INTERVAL_US", (gossip,)),
     "LAG_US": ("LAG_US", (admission, balancer_module)),
     "PROBE_WAIT_US": ("HEALTH_CHECK_WAIT_US", (server_selection, request_lifecycle)),
     "TARGET": ("TARGET_LOAD", (load_targets,)),
@@ -44,25 +44,25 @@
     "SLOW": ("SLOW_CAPACITY_RATIO", (load_targets,)),
     "LEFT": ("EMPTIED_LOAD", (migration,)),
     "DRAIN_US": ("BACKLOG_US", (migration,)),
-    "LEAVE_US": ("DRAIN_US", (migration, balancer_module)),
+    "LEAVE_US": ("MIGRATION_US", (migration, balancer_module)),
     "MOVE_AT": ("OVERLOAD", (migration,)),
     "SAMPLE": ("ENOUGH_SERVERS", (capacity_estimation,)),
-    "CAP_CUT": ("CAP_CUT", (admission,)),
-    "CAP_RISE": ("CAP_RISE", (admission,)),
-    "WEIGHT_CUT": ("WEIGHT_CUT", (outlier_ejection,)),
+    "CAP_CUT": ("CAP_CUT_FACTOR", (admission,)),
+    "CAP_RISE": ("CAP_RISE_FRACTION", (admission,)),
+    "WEIGHT_CUT": ("WEIGHT_CUT_FACTOR", (outlier_ejection,)),
     "WEIGHT_RISE": ("WEIGHT_RISE", (outlier_ejection,)),
     "WEIGHT_MIN": ("MIN_WEIGHT", (outlier_ejection,)),
     "WEIGHT_MAX": ("MAX_WEIGHT", (endpoint_table, outlier_ejection, server_selection)),
-    "CANDIDATES": ("CANDIDATES", (server_selection,)),
-    "AFFINITY": ("AFFINITY", (server_selection,)),
-    "CROSSING": ("CROSSING", (server_selection,)),
+    "CANDIDATES": ("MAX_CANDIDATES", (server_selection,)),
+    "AFFINITY": ("AFFINITY_PENALTY", (server_selection,)),
+    "CROSSING": ("ZONE_CROSSING_FACTOR", (server_selection,)),
     "PROBE_BUDGET": ("HEALTH_CHECK_BUDGET", (token_budget,)),
     "MOST_PROBES": ("MAX_HEALTH_CHECKS", (token_budget, health_checks)),
     "PEER_BUDGET": ("GOSSIP_BUDGET", (token_budget,)),
-    "MAX_LINE": ("MAX_WAITING", (waiting_line, admission)),
+    "MAX_LINE": ("MAX_WAITING", (waiting_queue, admission)),
     "FEEDBACK_US": ("FEEDBACK_DELAY_US", FEEDBACK_MODULES),
     "FRESH_US": ("FRESH_REPORT_US", (health_checks, migration)),
-    "LATE": ("LATE_LOAD", (health_checks, migration)),
+    "LATE": ("MIN_LATE_LOAD", (health_checks, migration)),
     "QUIET": ("QUIET_LOAD", (health_checks,)),
 }
 OPEN: dict[str, float] = {key: getattr(modules[0], name) for key, (name, modules) in CONSTANTS.items()}
@@ -75,7 +75,7 @@
     if key == "MAX_LINE":  # one bound for both, as experiment files have it
         group_affinity.MAX_GROUPS = int(value)
     if key == "CALM_US":
-        gossip.PEER_LOST_AFTER_US = 3 * int(value)
+        gossip.MAX_PEER_SILENCE_US = 3 * int(value)
 
 
 @contextmanager
@@ -96,5 +96,5 @@
 def gauges(driven: object) -> tuple[float, float] | None:
     """The cap on active load, and the length of the waiting line, of a balancer that has them."""
     if isinstance(driven, Balancer):
-        return driven.admission.cap, float(len(driven.waiting_line))
+        return driven.admission.load_cap, float(len(driven.waiting_queue))
     return None
--- a/glenrock/program.py
+++ b/glenrock/program.py
@@ -29,7 +29,7 @@
 
 if TYPE_CHECKING:
     from .coordination.agent import CoordinationAgent
-    from .upgrade.relay_giver import RelayGiver
+    from .upgrade.relay_sender import RelaySender
 
 FIRST_LIST_MS = 300.0  # the whole list is awaited this long before clients are; then the known one must do
 POLL_SEED_MASK = 1  # keeps the random numbers of polls apart from those of the routing
@@ -86,42 +86,42 @@
         self._program = program
         self._folder = program.config.folder
         if self._folder:
-            from .upgrade.process_marks import ProcessMarks
-            from .upgrade.relay_taker import RelayTaker
+            from .upgrade.process_registry import ProcessRegistry
+            from .upgrade.relay_receiver import RelayReceiver
 
-            self._taker = RelayTaker(self._folder, program.connections)
-            self._marks = ProcessMarks(self._folder, os.getpid())
+            self._relay_receiver = RelayReceiver(self._folder, program.connections)
+            self._processes = ProcessRegistry(self._folder, os.getpid())
 
     def arrive(self) -> None:
         """Makes this process known to the other one, and counts what that one holds."""
         if not self._folder:
             return
         try:
-            self._marks.arrive()
+            self._processes.register()
         except OSError as error:
             logger.warning("process mark not written: the descriptor limit may be exceeded", error=error)
         connections = self._program.connections
-        connections.elsewhere = self._marks.count_descriptors
-        connections.budget.elsewhere = self._marks.count_descriptors()
+        connections.elsewhere = self._processes.count_other_descriptors
+        connections.budget.elsewhere = self._processes.count_other_descriptors()
 
     def take_relays(self) -> None:
         """From now on relays of the process before can be taken over."""
         if self._folder:
-            self._taker.listen()
+            self._relay_receiver.listen()
 
-    def successor(self) -> RelayGiver | None:
+    def successor(self) -> RelaySender | None:
         """Whoever may take this process's relays over; None without a shared folder."""
         if not self._folder:
             return None
-        from .upgrade.relay_giver import RelayGiver
+        from .upgrade.relay_sender import RelaySender
 
         program = self._program
-        return RelayGiver(self._folder, program.clock, self._taker.inode, program.routing.load_of)
+        return RelaySender(self._folder, program.clock, self._relay_receiver.socket_inode, program.routing.load_of)
 
     def leave(self) -> None:
         """This process holds no descriptors from now on."""
         if self._folder:
-            self._marks.leave()
+            self._processes.unregister()
 
 
 def _coordination_of(program: Program) -> CoordinationAgent:
@@ -183,7 +183,7 @@
             raise ConfigError(f"limits.sockets: {shortfall}")
 
     def _report_poll_failure(self) -> None:
-        self.routing.post(interface.EndpointList("failed"))
+        self.routing.post(interface.EndpointList(interface.EndpointListKind.FAILED))
 
     def _peers_of(self, config: Config) -> Peers | None:
         if not config.peer_listen:
@@ -233,7 +233,7 @@
         if self._upgrade:
             self._upgrade.take_relays()
         if self.operators:
-            self.operators.operations.serves = True
+            self.operators.operations.is_serving = True
 
     def reload(self, read_again: Callable[[Config], Config]) -> None:
         """Takes over what can change while clients are connected. A faulty file leaves all as it is.
--- a/glenrock/routing/simulator_codec.py
+++ b/glenrock/routing/simulator_codec.py
@@ -1,4 +1,4 @@
-"""Lines of the simulator's wire as events, and actions as lines of it."""
+"""The simulator's wire: decodes lines into events, and encodes actions as lines."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
     ConnectionEstablished,
     ConnectionFeedback,
     Endpoint,
+    EndpointListKind,
     EndpointState,
     Event,
     Fail,
     GossipReceived,
     HealthCheckResult,
-    ListKind,
     Migrate,
     OpenConnection,
     Reject,
@@ -37,34 +37,39 @@
 from .settings_codec import report_field, settings_of
 
 OUTCOMES: dict[str, AttemptOutcome] = {
-    "delivered": "served",
-    "app_error": "error",
-    "shed": "full",
-    "expired": "timeout",
-    "dial_failed": "no_connection",
-    "dropped": "broken",
-    "revoked": "cancelled",
-    "unused": "unsent",
+    "delivered": AttemptOutcome.SERVED,
+    "app_error": AttemptOutcome.ERROR,
+    "shed": AttemptOutcome.FULL,
+    "expired": AttemptOutcome.TIMEOUT,
+    "dial_failed": AttemptOutcome.NO_CONNECTION,
+    "dropped": AttemptOutcome.BROKEN,
+    "revoked": AttemptOutcome.CANCELLED,
+    "unused": AttemptOutcome.UNSENT,
 }
-STATES: dict[str, EndpointState] = {"Ready": "ready", "Terminating": "draining", "Gone": "gone"}
-LIST_KINDS: dict[str, ListKind] = {
-    "Partial": "changes",
-    "Complete": "full",
-    "Persisted": "remembered",
-    "Error": "failed",
+STATES: dict[str, EndpointState] = {
+    "Ready": EndpointState.READY,
+    "Terminating": EndpointState.DRAINING,
+    "Gone": EndpointState.GONE,
 }
-TEXT_FIELDS = ("profileData", "message")  # they run to the end of the line
-NOTE_OF_LOAD, NOTE_OF_DELAY = 1, 2  # what a note tells: microseconds a second; milliseconds
+LIST_KINDS: dict[str, EndpointListKind] = {
+    "Partial": EndpointListKind.CHANGES,
+    "Complete": EndpointListKind.FULL,
+    "Persisted": EndpointListKind.CACHED,
+    "Error": EndpointListKind.FAILED,
+}
+TEXT_FIELDS = ("profileData", "message")  # their values extend to the end of the line
+LOAD_NOTE = 1  # its amount is a load
+DELAY_NOTE = 2  # its amount is the time of a message in milliseconds
 MAX_DIGITS = 20
-SHOWN = 40  # characters of the input that an error shows
+MAX_QUOTED_CHARS = 40  # of the input, in the text of an error
 
 
 class WireError(ValueError):
-    """The input breaks the wire's form."""
+    """The input violates the form of the wire."""
 
 
 class Fields:
-    """The `name=value` pairs of a line. What is missing or out of form raises WireError."""
+    """The `name=value` pairs of a line. Reading a missing or malformed field raises WireError."""
 
     __slots__ = ("_values",)
 
@@ -76,37 +81,37 @@
         return name in self._values
 
     def text(self, name: str) -> str:
-        """The field's value."""
+        """Returns the field's value. Raises WireError if it is missing."""
         try:
             return self._values[name]
         except KeyError:
             raise WireError(f"missing field {name}") from None
 
     def text_or(self, name: str, default: str) -> str:
-        """The field's value, or the default where it is missing."""
+        """Returns the field's value, or the default if it is missing."""
         return self._values.get(name, default)
 
     def number(self, name: str) -> int:
-        """A whole number."""
+        """Returns a whole number. Raises WireError if it is missing or malformed."""
         text = self.text(name)
         digits = text[1:] if text[:1] == "-" else text
         if not (digits.isdigit() and digits.isascii()) or len(digits) > MAX_DIGITS:
-            raise WireError(f"{name} is not a whole number: {text[:SHOWN]!r}")
+            raise WireError(f"{name} is not a whole number: {text[:MAX_QUOTED_CHARS]!r}")
         return int(text)
 
     def number_or(self, name: str, default: int) -> int:
-        """A whole number, or the default where it is missing."""
+        """Returns a whole number, or the default if it is missing."""
         return self.number(name) if name in self._values else default
 
     def optional_number(self, name: str) -> int | None:
-        """A whole number, or None where it is missing."""
+        """Returns a whole number, or None if it is missing."""
         return self.number(name) if name in self._values else None
 
     def flag(self, name: str) -> bool:
-        """Whether the field is 1; it may be missing."""
+        """Returns whether the field is 1; a missing field counts as 0."""
         text = self._values.get(name, "0")
         if text not in ("0", "1"):
-            raise WireError(f"{name} is neither 0 nor 1: {text[:SHOWN]!r}")
+            raise WireError(f"{name} is neither 0 nor 1: {text[:MAX_QUOTED_CHARS]!r}")
         return text == "1"
 
 
@@ -120,16 +125,16 @@
     try:
         return dict([part.split("=", 1) for part in text.split(" ")]) if text else {}
     except ValueError:
-        raise WireError(f"expected name=value, got {text[:SHOWN]!r}") from None
+        raise WireError(f"expected name=value, got {text[:MAX_QUOTED_CHARS]!r}") from None
 
 
 def _real(text: str, name: str) -> float:
     try:
         value = float(text)
     except ValueError:
-        raise WireError(f"{name} is not a number: {text[:SHOWN]!r}") from None
+        raise WireError(f"{name} is not a number: {text[:MAX_QUOTED_CHARS]!r}") from None
     if not isfinite(value):
-        raise WireError(f"{name} is not finite: {text[:SHOWN]!r}")
+        raise WireError(f"{name} is not finite: {text[:MAX_QUOTED_CHARS]!r}")
     return value
 
 
@@ -137,20 +142,20 @@
 
 
 def settings_from(fields: Fields) -> Settings:
-    """The settings that an instance starts with."""
+    """Decodes the settings of a starting balancer."""
     try:
         return settings_of(json.loads(fields.text("profileData")))
     except WireError:
         raise
-    except ValueError as error:  # JSONDecodeError is one
+    except ValueError as error:  # SettingsError, or malformed JSON
         raise WireError(f"profileData: {error}") from error
 
 
 def endpoint_from(fields: Fields) -> Endpoint:
-    """A row of the endpoint list. A state of a later wire counts as draining, the careful reading."""
+    """Decodes a row of the endpoint list. An unknown state counts as draining."""
     return Endpoint(
         server=fields.text("server"),
-        state=STATES.get(fields.text_or("availability", "Ready"), "draining"),
+        state=STATES.get(fields.text_or("availability", "Ready"), EndpointState.DRAINING),
         zone=fields.text_or("area", ""),
         cell=fields.number_or("unitGroup", 0),
         size=_real(fields.text_or("units", "1"), "units"),
@@ -158,12 +163,12 @@
     )
 
 
-def list_kind_from(fields: Fields) -> ListKind:
-    """Which kind of news a list is."""
+def list_kind_from(fields: Fields) -> EndpointListKind:
+    """Decodes the kind of an endpoint list. Raises WireError if it is unknown."""
     word = fields.text("kind")
     kind = LIST_KINDS.get(word)
     if kind is None:
-        raise WireError(f"unknown topology kind {word[:SHOWN]!r}")
+        raise WireError(f"unknown topology kind {word[:MAX_QUOTED_CHARS]!r}")
     return kind
 
 
@@ -185,8 +190,8 @@
         group=fields.optional_number("channel"),
         tenant=fields.text_or("project", ""),
         load=fields.number_or("sizeHintUs", 0),
-        returning=fields.flag("reconnect"),
-        midflow=fields.flag("midflow"),
+        is_returning=fields.flag("reconnect"),
+        is_midstream=fields.flag("midflow"),
     )
 
 
@@ -205,8 +210,8 @@
     return ConnectionFeedback(
         id=fields.text("msgId"),
         server=fields.text("server"),
-        load=amount if sort == NOTE_OF_LOAD else None,
-        message_us=amount * 1000 if sort == NOTE_OF_DELAY else None,
+        load=amount if sort == LOAD_NOTE else None,
+        message_us=amount * 1000 if sort == DELAY_NOTE else None,
     )
 
 
@@ -216,7 +221,7 @@
         attempt=fields.number("shot"),
         server=fields.text("server"),
         outcome=_outcome_from(fields),
-        done=fields.flag("doneFlag"),
+        is_final=fields.flag("doneFlag"),
         latency_us=fields.number_or("latencyUs", 0),
         report=_report_from(fields),
     )
@@ -232,8 +237,8 @@
 
 
 def _outcome_from(fields: Fields) -> AttemptOutcome:
-    """A word of a later wire is taken for an error that may have run, the careful reading."""
-    return OUTCOMES.get(fields.text("verdict"), "error")
+    """Decodes an outcome. An unknown one counts as an error after which the request may have executed."""
+    return OUTCOMES.get(fields.text("verdict"), AttemptOutcome.ERROR)
 
 
 def _report_from(fields: Fields) -> dict[str, float]:
@@ -243,7 +248,7 @@
         for part in text.split(","):
             name, colon, value = part.partition(":")
             if not colon:
-                raise WireError(f"gauge is not name:value pairs: {text[:SHOWN]!r}")
+                raise WireError(f"gauge is not name:value pairs: {text[:MAX_QUOTED_CHARS]!r}")
             report[report_field(name)] = _real(value, "gauge")
     return report
 
@@ -255,7 +260,7 @@
     except WireError:
         raise
     except ValueError:
-        raise WireError(f"raw is not hex: {raw[:SHOWN]!r}") from None
+        raise WireError(f"raw is not hex: {raw[:MAX_QUOTED_CHARS]!r}") from None
 
 
 EVENTS: dict[str, Callable[[Fields], Event]] = {
@@ -269,31 +274,31 @@
     "health_result": _health_check_result_from,
     "message": _gossip_from,
 }
-"""Readers of events, by the first word of their lines."""
+"""Decoders of events, by the first word of the line."""
 
 
 # -- actions -----------------------------------------------------------------------------------------
 
 
-def line_of(instance: int, action: Action) -> str:
-    """The action as a line of the reply."""
+def line_of(balancer: int, action: Action) -> str:
+    """Encodes an action as a line of the reply."""
     match action:
         case StartAttempt(request_id, server, timeout_us):
-            return f"issue balancer={instance} msgId={request_id} server={server} limitUs={timeout_us}"
+            return f"issue balancer={balancer} msgId={request_id} server={server} limitUs={timeout_us}"
         case SetTimer(at_us, ref):
-            return f"timer balancer={instance} timeUs={at_us} ref={ref}"
+            return f"timer balancer={balancer} timeUs={at_us} ref={ref}"
         case SendHealthCheck(server):
-            return f"inspect balancer={instance} server={server}"
+            return f"inspect balancer={balancer} server={server}"
         case Reject(request_id, retry_after_us):
-            return f"refuse balancer={instance} msgId={request_id} stayAwayUs={retry_after_us}"
+            return f"refuse balancer={balancer} msgId={request_id} stayAwayUs={retry_after_us}"
         case Fail(request_id):
-            return f"error balancer={instance} msgId={request_id}"
+            return f"error balancer={balancer} msgId={request_id}"
         case CancelAttempt(request_id, attempt):
-            return f"revoke balancer={instance} msgId={request_id} shot={attempt}"
+            return f"revoke balancer={balancer} msgId={request_id} shot={attempt}"
         case Migrate(request_id):
-            return f"go_away balancer={instance} msgId={request_id}"
+            return f"go_away balancer={balancer} msgId={request_id}"
         case SendGossip(data):
-            return f"notify balancer={instance} target=-1 raw={data.hex() or '-'}"
+            return f"notify balancer={balancer} target=-1 raw={data.hex() or '-'}"
         case WatchEndpoints():
-            return f"listen balancer={instance} on=1"
+            return f"listen balancer={balancer} on=1"
     assert_never(action)
--- /dev/null
+++ b/glenrock/routing/waiting_queue.py
@@ -0,0 +1,84 @@
+"""The waiting queue: rejected clients by the time of their first rejection.
+
+The oldest are admitted first.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from .event_batch import EventBatch
+from .state import RoutedRequest
+
+MAX_WAITING = 20_000  # clients; bounds the memory in a flood
+MAX_BUCKETS_UNSEEN = 4  # a client not seen for so many buckets is forgotten
+NO_BUCKET = 1 << 62  # beyond all buckets, which may be negative on a clock near 0
+
+
+@dataclass(slots=True)
+class WaitingClient:
+    """A rejected client that is expected to retry."""
+
+    bucket: int
+    load: float
+    last_seen_us: int
+
+
+class WaitingQueue:
+    """Clients that this balancer rejected, grouped into buckets of `bucket_us` by their first rejection."""
+
+    def __init__(self, batch: EventBatch, bucket_us: int) -> None:
+        self._batch = batch
+        self.bucket_us = bucket_us
+        self.clients: dict[int | str, WaitingClient] = {}
+
+    def __len__(self) -> int:
+        """Number of waiting clients."""
+        return len(self.clients)
+
+    def __contains__(self, key: int | str) -> bool:
+        """Whether that client waits."""
+        return key in self.clients
+
+    def current_bucket(self) -> int:
+        """Returns the bucket of a client that is first rejected now."""
+        return self._batch.now_us // self.bucket_us
+
+    def get(self, key: int | str) -> WaitingClient | None:
+        """Returns the client's entry; None if it does not wait."""
+        return self.clients.get(key)
+
+    def remove(self, key: int | str) -> None:
+        """Removes a client that was admitted."""
+        self.clients.pop(key, None)
+
+    def add_rejected(self, request: RoutedRequest, bucket: int) -> None:
+        """Adds a rejected client while the queue has space; one that waits already keeps its bucket."""
+        client = self.clients.get(request.key)
+        if client:
+            client.last_seen_us = self._batch.now_us
+        elif len(self.clients) < MAX_WAITING:
+            self.clients[request.key] = WaitingClient(bucket, request.load, self._batch.now_us)
+
+    def requeue(self, request: RoutedRequest) -> None:
+        """Adds an admitted client that no server accepted, to the bucket of its arrival."""
+        bucket = request.arrived_us // self.bucket_us
+        self.clients.setdefault(request.key, WaitingClient(bucket, request.load, self._batch.now_us))
+
+    def load_by_bucket(self) -> dict[int, float]:
+        """Returns the waiting load by bucket, of clients seen lately: others may wait elsewhere by now."""
+        loads: dict[int, float] = {}
+        for client in self.clients.values():
+            if self._batch.now_us - client.last_seen_us <= self.bucket_us:
+                loads[client.bucket] = loads.get(client.bucket, 0.0) + client.load
+        return loads
+
+    def expire(self) -> None:
+        """Removes clients that have not retried for `MAX_BUCKETS_UNSEEN` buckets."""
+        max_unseen_us = MAX_BUCKETS_UNSEEN * self.bucket_us
+        now_us = self._batch.now_us
+        expired = [
+            key for key, client in self.clients.items() if now_us - client.last_seen_us > max_unseen_us
+        ]
+        for key in expired:
+            del self.clients[key]
--- /dev/null
+++ b/glenrock/testbed/coordination_invariants.py
@@ -0,0 +1,123 @@
+"""Invariants of coordination: terms, drain permits, operators' overrides, and agreement at the end. Pure."""
+
+from __future__ import annotations
+
+from collections import defaultdict
+
+from .check_context import CheckContext, Disturbance
+from .invariant import Invariant, Violation
+from .records import STORE, AttemptRecord, EffectRecord, OverrideRecord, balancer_party
+from .request_invariants import SLACK_S
+
+OVERRIDE_PROPAGATION_S = 1.0  # an acknowledged suspension reaches every balancer that can be reached
+DRAIN_LOOK_GAP_S = 0.6  # the front end looks at a draining balancer more often than this
+HTTP_OK = 200
+
+
+def check_term_order(context: CheckContext) -> None:
+    """A receiver accepts no effect of a lower term than it has accepted, nor one effect twice, over its restarts.
+
+    Acknowledgements to different lease holders take different paths, so they are put in the receiver's own order.
+    """
+    last: dict[tuple[str, str], tuple[int, int]] = {}
+    for effect in sorted(context.record.effects, key=lambda effect: (effect.incarnation, effect.order)):
+        if not effect.is_accepted:
+            continue
+        context.count_case(Invariant.TERM_ORDER)
+        key, mark = (effect.receiver, effect.job), (effect.term, effect.number)
+        highest = last.get(key, (0, 0))
+        if mark <= highest:
+            context.report(_term_violation(effect, highest))
+        last[key] = max(mark, highest)
+
+
+def _term_violation(effect: EffectRecord, highest: tuple[int, int]) -> Violation:
+    text = (
+        f"{effect.receiver} accepted {effect.job} term {effect.term} number {effect.number} "
+        f"after term {highest[0]} number {highest[1]}"
+    )
+    return Violation(Invariant.TERM_ORDER, effect.at_s, text)
+
+
+def check_drain_permits(context: CheckContext) -> None:
+    """No more balancers drain at a time than there are permits, as the front end sees them."""
+    permits = context.limits.drain_permits
+    if not permits:
+        return
+    spans = _drain_spans(context)
+    context.result.cases[Invariant.DRAIN_PERMITS] += len(spans)
+    # At one instant, beginnings come before ends: a span of one look has both.
+    edges = sorted(
+        [(from_s, 0, balancer) for balancer, from_s, _ in spans] + [(to_s, 1, balancer) for balancer, _, to_s in spans],
+        key=lambda edge: edge[:2],
+    )
+    draining: set[int] = set()
+    for at_s, is_end, balancer in edges:
+        (draining.discard if is_end else draining.add)(balancer)
+        if len(draining) > permits:
+            text = f"balancers {sorted(draining)} drain at a time, {permits} may"
+            context.report(Violation(Invariant.DRAIN_PERMITS, at_s, text))
+
+
+def _drain_spans(context: CheckContext) -> list[tuple[int, float, float]]:
+    """Returns balancer, beginning and end of each drain: a row of looks without a gap."""
+    spans: dict[int, list[tuple[float, float]]] = defaultdict(list)
+    for seen in context.record.drains:
+        found = spans[seen.balancer]
+        if found and seen.at_s - found[-1][1] < DRAIN_LOOK_GAP_S:
+            found[-1] = found[-1][0], seen.at_s
+        else:
+            found.append((seen.at_s, seen.at_s))
+    return [(balancer, from_s, to_s) for balancer, found in spans.items() for from_s, to_s in found]
+
+
+def check_override_applied(context: CheckContext) -> None:
+    """Nothing new goes to a server after an operator's suspension was acknowledged.
+
+    A balancer that could not be reached in that time is excused: paused, down, or cut off from the store.
+    """
+    suspended_s: dict[str, float] = {}
+    requested: dict[str, bool] = {}
+    events: list[OverrideRecord | AttemptRecord] = [*context.record.overrides, *context.record.attempts]
+    for event in sorted(events, key=_event_time_s):
+        match event:
+            case OverrideRecord(status=None):
+                requested[event.server] = event.is_suspended
+                if not event.is_suspended:
+                    suspended_s.pop(event.server, None)
+            case OverrideRecord(is_suspended=True):
+                if event.status != HTTP_OK:
+                    # Not acknowledged: it may be applied later, and the check of agreement covers the end.
+                    context.result.excused[Invariant.OVERRIDE_APPLIED] += 1
+                elif requested.get(event.server, True):
+                    suspended_s.setdefault(event.server, event.at_s)
+            case AttemptRecord() if event.server in suspended_s:
+                _check_suspended(context, event, suspended_s[event.server])
+
+
+def _event_time_s(event: OverrideRecord | AttemptRecord) -> float:
+    return event.at_s if isinstance(event, OverrideRecord) else event.first_byte_s
+
+
+def _check_suspended(context: CheckContext, attempt: AttemptRecord, since_s: float) -> None:
+    context.count_case(Invariant.OVERRIDE_APPLIED)
+    past_s = attempt.first_byte_s - since_s
+    if past_s <= OVERRIDE_PROPAGATION_S + SLACK_S:
+        return
+    balancer = context.balancer_of(attempt)
+    violation = Violation(
+        Invariant.OVERRIDE_APPLIED,
+        attempt.first_byte_s,
+        f"sent {1000 * past_s:.0f} ms after its suspension was acknowledged",
+        attempt.request_id,
+        balancer,
+        attempt.server,
+    )
+    context.report(violation, Disturbance(since_s, attempt.first_byte_s, (balancer_party(balancer), STORE)))
+
+
+def check_agreement(context: CheckContext) -> None:
+    """At the end all balancers have the same overrides."""
+    context.count_case(Invariant.AGREEMENT)
+    for text in context.record.disagreements:
+        context.report(Violation(Invariant.AGREEMENT, context.record.ended_s, f"at the end {text}"))
--- a/glenrock/stage/listing.py
+++ b/glenrock/testbed/discovery_service.py
@@ -7,24 +7,24 @@
 from typing import Any
 from urllib.parse import parse_qs, urlsplit
 
-from .history import History
-from .instances import Standin
-from .net import Address, Listener, Net, cut_off
+from .history import EventKind, History
+from .loopback import Address, Listener, LoopbackNetwork, reset_connection
+from .modelled_servers import ModelledServer
 
 LONGEST_WAIT_S = 60.0
 GOES_ON_S = 0.2  # a watch goes on where the next call comes within this of the last answer
 REASONS = {200: "OK", 404: "Not Found", 503: "Service Unavailable"}
 
 
-class Listing:
+class DiscoveryService:
     """The same names for all balancers, an address for each."""
 
     def __init__(
         self,
-        instances: list[Standin],
+        instances: list[ModelledServer],
         addresses: dict[tuple[int, int], Address],
         history: History,
-        net: Net,
+        net: LoopbackNetwork,
         balancers: int,
         call_ms: float,
         line_s: float,
@@ -61,11 +61,11 @@
         """DELETED, DRAINING or SERVING; a new start under one name is a change too."""
         self.index += 1
         self.status[number], self.changed_at[number] = status, self.index
-        self.history.note("list", "changed", instance=number, status=status, index=self.index)
+        self.history.note("list", EventKind.LIST_CHANGED, instance=number, status=status, index=self.index)
         self.news.set()
         self.news = asyncio.Event()
 
-    def row(self, balancer: int, s: Standin) -> dict[str, Any]:
+    def row(self, balancer: int, s: ModelledServer) -> dict[str, Any]:
         host, port = self.addresses[balancer, s.number]
         return {
             "name": s.name,
@@ -82,10 +82,8 @@
         there = [
             s
             for s in self.instances
-            if since is not None
-            and self.changed_at[s.number] > since
-            or since is None
-            and self.status[s.number] != "DELETED"
+            if (since is not None and self.changed_at[s.number] > since)
+            or (since is None and self.status[s.number] != "DELETED")
         ]
         return {"index": self.index, "snapshot": since is None, "endpoints": [self.row(balancer, s) for s in there]}
 
@@ -96,12 +94,12 @@
             if target.path != "/discovery/hosts":
                 await self.say(writer, 404, {})
                 continue
-            self.history.note("list", "call", balancer=balancer)
+            self.history.note("list", EventKind.DISCOVERY_CALL, balancer=balancer)
             since = int(asked["index"][0]) if "index" in asked else None
             # A watch that goes on is no new call: it costs nothing.
             now = asyncio.get_running_loop().time()
             goes_on = since is not None and now - self.answered.get(balancer, -1.0) < GOES_ON_S
-            if not goes_on and not await self.line() or self.refuses:
+            if (not goes_on and not await self.line()) or self.refuses:
                 self.refused += 1
                 await self.say(writer, 503, {})
                 continue
@@ -115,7 +113,7 @@
             while self.silent:
                 await asyncio.sleep(0.02)
             if self.refuses:
-                cut_off(writer)
+                reset_connection(writer)
                 return
             body = self.answer(balancer, since)
             await self.say(writer, 200, body)
@@ -123,7 +121,9 @@
             for s in self.instances:
                 if any(row["name"] == s.name for row in body["endpoints"]):
                     s.told_start[balancer] = s.started_ms
-                    self.history.note("list", "told", balancer=balancer, instance=s.party, status=self.status[s.number])
+                    self.history.note(
+                        "list", EventKind.LISTED, balancer=balancer, instance=s.party, status=self.status[s.number]
+                    )
 
     async def line(self) -> bool:
         """A turn in the line of calls; False for one that has waited too long. The service works on for it."""
--- a/glenrock/stage/instances.py
+++ b/glenrock/testbed/modelled_servers.py
@@ -16,9 +16,9 @@
 
 from ..lab.model.instance import Connection, Figures, Instance, Shape
 from ..lab.model.plan import Row
-from .history import History
-from .net import Address, Listener, LoopEngine, Net, cut_off
-from .spec import Scene
+from .history import EventKind, History
+from .loopback import Address, Listener, LoopbackNetwork, RealTimeEngine, reset_connection
+from .scenario import Scenario
 
 S = 1_000_000
 NAMES = {
@@ -43,7 +43,7 @@
     connection: Connection | None = None
 
 
-class Standin:
+class ModelledServer:
     """One instance, with an address for each balancer."""
 
     def __init__(
@@ -52,11 +52,11 @@
         name: str,
         shape: Shape,
         figures: Figures,
-        scene: Scene,
-        engine: LoopEngine,
+        scene: Scenario,
+        engine: RealTimeEngine,
         history: History,
         rows: dict[str, Row],
-        net: Net,
+        net: LoopbackNetwork,
         noise: Callable[[], float],
         earn: Callable[[int, int, float], None],
         work: Callable[[Row], float],
@@ -87,19 +87,19 @@
             self.model.begin(self.engine.now)
         for listener in self.listeners:
             listener.open()
-        self.history.note(self.party, "started", cold=bool(self.started_ms))
+        self.history.note(self.party, EventKind.STARTED, cold=bool(self.started_ms))
 
     def stop(self) -> None:
         """Its process dies: connections are reset, new ones are refused."""
         if not self.model.up:
             return
-        self.history.note(self.party, "died")
+        self.history.note(self.party, EventKind.CRASHED)
         for listener in self.listeners:
             listener.refuse()
         self.model.stop(self.engine.now)
         for a in list(self.open_now):
             self.over(a, "self")
-            cut_off(a.writer)
+            reset_connection(a.writer)
         self.draining = False
 
     def again(self) -> None:
@@ -111,7 +111,7 @@
         for c in self.model.tick(self.engine.now):
             a: Attempt = c.attempt  # type: ignore[assignment]
             self.over(a, "self")
-            cut_off(a.writer)
+            reset_connection(a.writer)
 
     def close(self) -> None:
         for listener in self.listeners:
@@ -128,13 +128,13 @@
                 await self.command(balancer, line.decode(), reader, writer)
                 return
             else:
-                self.history.note(self.party, "unread", line=repr(line[:80]))
+                self.history.note(self.party, EventKind.UNKNOWN_LINE, line=repr(line[:80]))
                 return
 
     async def probe(self, word: bytes, writer: asyncio.StreamWriter) -> None:
         r = self.scene.reports
         took = self.model.work(self.engine.now, float(r.probe_ms) * 1000, r.probe_waits) / S
-        self.history.note(self.party, "probed")
+        self.history.note(self.party, EventKind.HEALTH_CHECK)
         await asyncio.sleep(min(took, LONGEST_ECHO_S))
         if word == b"PING":
             writer.write(b"PONG\r\n")
@@ -159,7 +159,7 @@
         a = Attempt(id_, balancer, loop.create_future(), writer)
         self.open_now[a] = None
         self.attempts += "at" not in fields
-        self.history.note(self.party, "line", id_, balancer=balancer, at="at" in fields)
+        self.history.note(self.party, EventKind.ATTEMPT_RECEIVED, id_, balancer=balancer, at="at" in fields)
         try:
             if "at" in fields:
                 self.model.opening[a] = True  # type: ignore[index]
@@ -168,7 +168,7 @@
                 known = self.told_start.get(balancer, -1.0) >= self.started_ms
                 self.model.arrive(self.engine.now, a, self.work(row), row.usual, known)  # type: ignore[arg-type]
                 if self.model.fallen and self.model.up:
-                    self.history.note(self.party, "fell", id_, balancer=balancer)
+                    self.history.note(self.party, EventKind.OVERLOADED, id_, balancer=balancer)
                     self.stop()
             leaves = asyncio.ensure_future(reader.read(1))  # a client says nothing before its answer
             await asyncio.wait([a.done, leaves], return_when=asyncio.FIRST_COMPLETED)
@@ -186,7 +186,7 @@
                     writer.write(answer)
                     await writer.drain()
                 else:
-                    cut_off(writer)
+                    reset_connection(writer)
         finally:
             self.over(a, "peer")
 
@@ -201,9 +201,9 @@
             float(f.worth) * row.weight,
         )
         if not self.model.open(self.engine.now, c, load_at(row, self.engine)):
-            cut_off(writer)
+            reset_connection(writer)
             return
-        self.history.note(self.party, "up", a.id, balancer=a.balancer)
+        self.history.note(self.party, EventKind.ATTEMPT_UP, a.id, balancer=a.balancer)
         writer.write(f"UP {self.name}-{a.id}\r\n".encode())
         changes = asyncio.ensure_future(self.changes(c, row, writer))
         try:
@@ -234,7 +234,7 @@
         if a.connection is not None:
             self.model.close(self.engine.now, a.connection)
             self.credit(self.rows[a.id], a.connection.earned)
-        self.history.note(self.party, "over", a.id, by=by, balancer=a.balancer)
+        self.history.note(self.party, EventKind.ATTEMPT_ENDED, a.id, by=by, balancer=a.balancer)
 
     def day_begins(self) -> None:
         """What was served until now is no part of the day."""
@@ -250,7 +250,7 @@
             a.connection, c.value = None, 0.0
 
 
-def load_at(row: Row, engine: LoopEngine) -> float:
+def load_at(row: Row, engine: RealTimeEngine) -> float:
     """What the client asks for now, in microseconds of work a second."""
     now, load = engine.now - engine.day, row.changes[0][1] if row.changes else row.usual
     for at, size in row.changes:
--- a/glenrock/stage/clients.py
+++ b/glenrock/testbed/scenario_clients.py
@@ -1,4 +1,4 @@
-"""Clients: an open loop, drawn ahead by the laboratory's plan. Each connects, waits, stands, and comes again."""
+"""Clients of a scenario: an open loop, drawn ahead by the simulation's workload."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 from ..lab.model.client import Habits
 from ..lab.model.plan import Row
-from .front import Front
-from .history import History
-from .net import Address, LoopEngine
-from .spec import Scene
+from .frontend import Frontend
+from .history import EventKind, History
+from .loopback import Address, RealTimeEngine
+from .scenario import Scenario
 
 S = 1_000_000
 SILENT_S = 2.0  # a client waits this much longer than it said before it calls an answer lost
@@ -28,17 +28,17 @@
     standing: bool = False
 
 
-class Clients:
+class ScenarioClients:
     """All of them. `counts` are the laboratory's."""
 
     def __init__(
         self,
-        scene: Scene,
+        scene: Scenario,
         rows: list[Row],
-        front: Front,
+        front: Frontend,
         addresses: list[Address],
         habits: Habits,
-        engine: LoopEngine,
+        engine: RealTimeEngine,
         history: History,
         registry: dict[str, Row],
         counts: dict[str, int],
@@ -134,7 +134,7 @@
         patience = STANDING_S if at else float(kind.give_up_ms) / 1000
         try:
             writer.write(f"OPEN {id_} {row.number:x} {fields}\r\n".encode())
-            self.history.note("clients", "sent", id_, balancer=number, d_ms=patience * 1000, at=at)
+            self.history.note("clients", EventKind.SENT, id_, balancer=number, d_ms=patience * 1000, at=at)
             try:
                 how, told = await self.answer(c, id_, number, reader, patience)
             finally:
@@ -155,27 +155,27 @@
                 line = await reader.readline()
         except TimeoutError:
             self.counts["overdue"] += 1
-            self.history.note("clients", "silent", id_, balancer=number)
+            self.history.note("clients", EventKind.GAVE_UP, id_, balancer=number)
             return "silent", 0
         except OSError:
             line = b""
         word, _, rest = line.decode("ascii", "replace").strip().partition(" ")
         if not line.endswith(b"\n"):
             self.counts["broken"] += 1
-            self.history.note("clients", "closed", id_, balancer=number)
+            self.history.note("clients", EventKind.CLOSED_UNANSWERED, id_, balancer=number)
             return "closed", 0
         if word == "UP":
             self.counts["set_up"] += 1
             self.history.note(
-                "clients", "answered", id_, balancer=number, answer="UP", instance=rest.rpartition("-")[0]
+                "clients", EventKind.ANSWERED, id_, balancer=number, answer="UP", instance=rest.rpartition("-")[0]
             )
             return "up", 0
         self.counts["refused" if word == "BUSY" else "failed"] += 1
-        self.history.note("clients", "answered", id_, balancer=number, answer=word)
+        self.history.note("clients", EventKind.ANSWERED, id_, balancer=number, answer=word)
         with contextlib.suppress(OSError, TimeoutError):
             async with asyncio.timeout(SILENT_S):
                 while more := await reader.readline():  # an answer is one line
-                    self.history.note("clients", "answered", id_, balancer=number, answer=repr(more))
+                    self.history.note("clients", EventKind.ANSWERED, id_, balancer=number, answer=repr(more))
         told = int(rest) * 1000 if word == "BUSY" and rest.isdecimal() else 0
         return "refused" if word == "BUSY" else "failed", told
 
@@ -207,7 +207,7 @@
             asks.cancel()
         if how in ("eof", "reset"):
             self.counts["broken"] += 1
-        self.history.note("clients", "ended", id_, balancer=number, how=how)
+        self.history.note("clients", EventKind.CONNECTION_ENDED, id_, balancer=number, how=how)
         return how
 
     async def asks(self, writer: asyncio.StreamWriter) -> None:
--- a/glenrock/testbed/session_servers.py
+++ b/glenrock/testbed/session_servers.py
@@ -6,8 +6,9 @@
 import time
 from enum import Enum
 
-from ..stage.net import Address, Listener, cut_off
-from .records import NEVER, AttemptRecord, RunRecord
+from .invariant import NEVER
+from .loopback import Address, Listener, reset_connection
+from .records import AttemptRecord, RunRecord
 
 REPORT = b"PONG util=0.30,queue=0,x0=0.30\r\n"
 ERROR_ANSWERS = {"errors": b"ERR\r\n", "busy": b"BUSY\r\n"}
@@ -84,9 +85,9 @@
         self._listener.refuse()
         for record, writer in list(self._open.items()):
             record.ended_by_server = True
-            cut_off(writer)
+            reset_connection(writer)
         for writer in list(self._writers):
-            cut_off(writer)
+            reset_connection(writer)
 
     def end_all(self) -> None:
         """Serves all that stand there to their end; not while a line of it is under way in pieces."""
@@ -150,7 +151,7 @@
             return
         if self.mode is ServerMode.RESETS:
             record.ended_by_server = True
-            cut_off(writer)
+            reset_connection(writer)
             return
         if answer := ERROR_ANSWERS.get(self.mode.value):
             record.ended_by_server = True
--- a/tests/coordination/test_together.py
+++ b/tests/coordination/test_together.py
@@ -12,13 +12,13 @@
 from hypothesis import strategies as st
 
 from glenrock.coordination import config, datagrams
-from glenrock.coordination.durable_state import DurableState, Ticket
+from glenrock.coordination.durable_state import DurableState, StoredPermit
 from glenrock.coordination.leases.candidate import LeaseTiming
 from glenrock.coordination.leases.fence import Fence
 from glenrock.coordination.leases.lease_manager import LeaseManager
 from glenrock.coordination.leases.store import Lease
 from glenrock.coordination.membership import (
-    SILENT_US,
+    LIVENESS_TIMEOUT_US,
     PeerLiveness,
     preferred_member,
     rank,
@@ -30,10 +30,10 @@
 from glenrock.coordination.shared_work.override_log import (
     OverrideEntry,
     OverrideLog,
-    entry_of,
+    decode_entry,
+    decode_pending,
+    decode_pending_id,
     incarnation_key,
-    pending_of,
-    split_pending_id,
 )
 from glenrock.coordination.shared_work.retransmissions import Retransmissions
 from glenrock.routing.load_estimation import FRESH_REPORT_US
@@ -50,39 +50,43 @@
 def test_words_in_any_order_and_twice_are_the_same_board(said, draw) -> None:
     one, other = OverrideLog(), OverrideLog()
     for server, term, number in said:
-        one.take(server, OverrideEntry(bool(number % 2), (term, number)))
+        one.merge_entry(server, OverrideEntry(bool(number % 2), (term, number)))
     again = said + draw.sample(said, len(said) // 2)
     draw.shuffle(again)
     for server, term, number in again:
-        other.take(server, OverrideEntry(bool(number % 2), (term, number)))
+        other.merge_entry(server, OverrideEntry(bool(number % 2), (term, number)))
     assert one.entries == other.entries and one.digest == other.digest and one.last == other.last
     highest = {s: max((t, n) for x, t, n in said if x == s) for s, _, _ in said}
-    assert all(one.is_out(s) == bool(revision[1] % 2) for s, revision in highest.items())
+    assert all(one.is_suspended(s) == bool(revision[1] % 2) for s, revision in highest.items())
     lacks = OverrideLog()
     for server, word in one.entries_after((0, 0)):
-        lacks.take(server, word)
+        lacks.merge_entry(server, word)
     assert lacks.digest == one.digest
 
 
 def test_what_was_said_here_holds_until_its_life_is_numbered_whatever_older_words_say() -> None:
     b = OverrideLog()
     b.add_pending("n1/5#1", "s", True)
-    assert b.take("s", OverrideEntry(False, (1, 1))) is None and b.is_out("s"), "an older word changes nothing here"
+    assert b.merge_entry("s", OverrideEntry(False, (1, 1))) is None and b.is_suspended("s"), (
+        "an older word changes nothing here"
+    )
     b.add_pending("n1/5#2", "s", False)
-    assert list(b.pending) == ["n1/5#2"] and not b.is_out("s"), "the last that was said counts"
+    assert list(b.pending) == ["n1/5#2"] and not b.is_suspended("s"), "the last that was said counts"
     b.add_pending("n1/5#3", "t", True)
-    b.take("t", OverrideEntry(False, (1, 3)))  # its own word was followed by another before it was seen here
-    assert b.record_numbered("n2/9", 9) == {} and b.record_numbered("n1/5", 3) == {"t": False} and not b.pending
+    b.merge_entry("t", OverrideEntry(False, (1, 3)))  # its own word was followed by another before it was seen here
+    assert b.record_committed("n2/9", 9) == {} and b.record_committed("n1/5", 3) == {"t": False} and not b.pending
 
 
 @pytest.mark.parametrize(
     "value", ["", "{}", "[]", '{"out": 1}', '{"server": "", "out": true}', '{"server": 5, "out": true}']
 )
 def test_what_is_no_word_and_no_wish_is_none(value) -> None:
-    wish = pending_of(value)
-    assert wish is None and (entry_of(value, (1, 1)) is None or '"server"' in value)
+    wish = decode_pending(value)
+    assert wish is None and (decode_entry(value, (1, 1)) is None or '"server"' in value)
     assert (
-        split_pending_id("x") == ("", 0) and split_pending_id("a/b#7") == ("a/b", 7) and split_pending_id("a#x")[1] == 0
+        decode_pending_id("x") == ("", 0)
+        and decode_pending_id("a/b#7") == ("a/b", 7)
+        and decode_pending_id("a#x")[1] == 0
     )
     assert incarnation_key("a")[0] == "\n"
 
@@ -91,13 +95,13 @@
     t, now, sent = Retransmissions(), 0, []
     t.add(3, "s", (1, 2), now)
     while now < 10 * S:
-        sent += [now for _ in t.due(now)]
+        sent += [now for _ in t.start_due_sends(now)]
         now += 10_000
     assert 6 <= len(sent) <= 12 and sent[1] - sent[0] <= 100_000
-    t.acknowledged(3, "s", (1, 1))
-    assert t.outstanding, "an older word's answer does not count"
-    t.acknowledged(3, "s", (1, 2))
-    assert not t.outstanding and not t.due(now)
+    t.acknowledge(3, "s", (1, 1))
+    assert t.unacknowledged, "an older word's answer does not count"
+    t.acknowledge(3, "s", (1, 2))
+    assert not t.unacknowledged and not t.start_due_sends(now)
 
 
 # -- datagrams ---------------------------------------------------------------------------------------------
@@ -147,7 +151,11 @@
 # -- holdings ----------------------------------------------------------------------------------------------
 
 RULES = LeaseTiming(
-    lease_us=1_000_000, drift=0.02, request_timeout_us=300_000, retry_us=100_000, unreachable_backoff_us=200_000
+    lease_us=1_000_000,
+    max_drift_fraction=0.02,
+    request_timeout_us=300_000,
+    retry_interval_us=100_000,
+    unreachable_backoff_us=200_000,
 )
 
 
@@ -181,11 +189,11 @@
                 if self.now % 200_000 == 0:
                     asked = h.jobs_to_watch(self.now, self.now % S == 0)
                     self.calls += bool(asked)
-                    h.observed(asked, {j: self.lease(j) for j in asked if j in self.leases}, self.now)
+                    h.record_leases(asked, {j: self.lease(j) for j in asked if j in self.leases}, self.now)
                 asks = h.tick(self.now).requests
                 self.calls += bool(asks)
-                more = h.answered(asks, {j: self.ask(n, j, a.kind, a.term) for j, a in asks}, self.now).requests
-                h.answered(more, {j: self.ask(n, j, a.kind, a.term) for j, a in more}, self.now)
+                more = h.handle_answers(asks, {j: self.ask(n, j, a.kind, a.term) for j, a in asks}, self.now).requests
+                h.handle_answers(more, {j: self.ask(n, j, a.kind, a.term) for j, a in more}, self.now)
                 for j in h.held_jobs(self.now):
                     assert self.leases[j][0] == n, "who holds by its own clock holds at the store"
                     if n != idle:
@@ -270,12 +278,14 @@
     shards = [HealthCheckShards(PeerLiveness(n, range(4), 0)) for n in range(4)]
     for s in shards:
         s.update_servers(names)
-    asked = [s.due(0) for s in shards]
-    assert sorted(sum(asked, [])) == sorted(names) and not any(s.due(CHECK_INTERVAL_US - 1) for s in shards)
+    asked = [s.start_due_checks(0) for s in shards]
+    assert sorted(sum(asked, [])) == sorted(names) and not any(
+        s.start_due_checks(CHECK_INTERVAL_US - 1) for s in shards
+    )
     for name in asked[0]:
         shards[0].record_result(name, 0.7, 10)
-    (data,) = shards[0].take_datagrams()
-    assert len(data) < 256 and shards[0].take_datagrams() == []
+    (data,) = shards[0].pop_datagrams()
+    assert len(data) < 256 and shards[0].pop_datagrams() == []
     loads = shards[1].receive(data, 100)
     assert {n for n, _ in loads} == set(asked[0]) and all(abs(x - 0.7) < 0.02 for _, x in loads)
     name = asked[0][0]
@@ -283,9 +293,11 @@
     assert shards[1].fresh_load(name, 100 + FRESH_REPORT_US) is None
     for s in shards[1:]:
         for other in (1, 2, 3):
-            s.membership.record_heard(other, SILENT_US)
-    now = SILENT_US + 1
-    assert set(sum((s.due(now) for s in shards[1:]), [])) == set(names), "the silent one's share goes to the rest"
+            s.membership.record_heard(other, LIVENESS_TIMEOUT_US)
+    now = LIVENESS_TIMEOUT_US + 1
+    assert set(sum((s.start_due_checks(now) for s in shards[1:]), [])) == set(names), (
+        "the silent one's share goes to the rest"
+    )
     assert shards[1].receive(data[:3], now) is None
 
 
@@ -298,32 +310,36 @@
 
 
 def test_terms_and_words_outlive_a_restart_marks_only_grow_and_a_bad_file_is_no_memory(tmp_path) -> None:
-    kept, fence, board = DurableState(tmp_path, "n"), Fence(known=True), OverrideLog()
-    fence.take("bans", 4, 9)
-    board.take("s", OverrideEntry(True, (4, 2)))
+    kept, fence, board = DurableState(tmp_path, "n"), Fence(is_restored=True), OverrideLog()
+    fence.check_effect("bans", 4, 9)
+    board.merge_entry("s", OverrideEntry(True, (4, 2)))
     board.add_pending("n/1#3", "t", True)
-    kept.tickets["turnstile/0"] = Ticket("n/1", 2)
+    kept.permits["turnstile/0"] = StoredPermit("n/1", 2)
     kept.write(kept.snapshot(fence, board))
     twin, fence2, board2 = DurableState(tmp_path, "n"), Fence(), OverrideLog()
-    assert twin.read(fence2, board2) and fence2.known and board2.digest == board.digest
-    assert list(board2.pending) == ["n/1#3"] and twin.tickets == kept.tickets and not fence2.take("bans", 3, 1).accepted
-    fence.take("bans", 6, 1)
+    assert twin.read(fence2, board2) and fence2.is_restored and board2.digest == board.digest
+    assert (
+        list(board2.pending) == ["n/1#3"]
+        and twin.permits == kept.permits
+        and not fence2.check_effect("bans", 3, 1).is_accepted
+    )
+    fence.check_effect("bans", 6, 1)
     kept.write(kept.snapshot(fence, board))
     raw = twin.snapshot(fence2, board2)
     assert twin.write(raw), "the other process of an upgrade wrote meanwhile: it is not forgotten"
-    assert twin.merge(raw, fence2, board2) == {} and fence2.seen["bans"] == (6, 1)
+    assert twin.merge(raw, fence2, board2) == {} and fence2.positions["bans"] == (6, 1)
     third, fence3 = DurableState(tmp_path, "n"), Fence()
-    assert third.read(fence3, OverrideLog()) and fence3.seen["bans"] == (6, 1)
+    assert third.read(fence3, OverrideLog()) and fence3.positions["bans"] == (6, 1)
     for bad in ("{", "[]", '{"version": 9}', '{"version": 1, "boot": "x", "seen": {"a": 1}}'):
         kept.path.write_text(bad)
         fence4 = Fence()
         with pytest.raises(ValueError):
             third.read(fence4, OverrideLog())
-        assert not fence4.known and not fence4.take("bans", 99, 1).accepted
+        assert not fence4.is_restored and not fence4.check_effect("bans", 99, 1).is_accepted
     raw = {"version": 1, "boot": "another", "seen": {"bans": [6, 1]}, "words": {}, "wishes": {}, "lives": {}}
     raw["tickets"] = {}
     kept.path.write_text(json.dumps(raw))
-    assert not third.read(fence4, OverrideLog()) and not fence4.known, (
+    assert not third.read(fence4, OverrideLog()) and not fence4.is_restored, (
         "after a crash of the machine the store must say too"
     )
 
@@ -373,17 +389,16 @@
 def test_a_word_that_was_written_down_and_not_carried_out_is_carried_out_at_the_next_start() -> None:
     done = []
 
-    async def call(server: str, out: bool) -> str:
+    async def call(server: str, out: bool) -> None:
         done.append((server, out))
-        return ""
 
     tasks: list = []
-    held = SimpleNamespace(out={"back", "alone"})
-    override_sync = SimpleNamespace(held=held, set_override=call)
+    held = SimpleNamespace(suspended={"back", "alone"})
+    override_sync = SimpleNamespace(overrides=held, set_override=call)
     board = OverrideLog()
-    board.take("back", OverrideEntry(False, (1, 1)))
-    board.take("out", OverrideEntry(True, (1, 2)))
-    board.take("never", OverrideEntry(False, (1, 3)))
+    board.merge_entry("back", OverrideEntry(False, (1, 1)))
+    board.merge_entry("out", OverrideEntry(True, (1, 2)))
+    board.merge_entry("never", OverrideEntry(False, (1, 3)))
     context = context_with(board)
     context.tasks = SimpleNamespace(run=tasks.append)
     context.host = SimpleNamespace(operators=SimpleNamespace(override_sync=override_sync))
@@ -410,7 +425,7 @@
         task = asyncio.create_task(replication._post_proposals())
         while len(posts) < 4:  # a store that forgets them: posted once, nobody would ever number them
             await asyncio.sleep(0.05)
-        context.overrides.record_numbered("n/1", 2)
+        context.overrides.record_committed("n/1", 2)
         before = len(posts)
         await asyncio.sleep(0.7)
         assert posts[:4] == ["n/1#1", "n/1#2"] * 2 and len(posts) == before
--- a/tests/routing/test_simulator_adapter.py
+++ b/tests/routing/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter as a process, started as deploy/balancer.toml says."""
+"""The adapter as a process, started by the command of deploy/balancer.toml."""
 
 from __future__ import annotations
 
@@ -44,27 +44,27 @@
 }
 
 
-def script(who: int = 3) -> list[str]:
+def script(number: int = 3) -> list[str]:
     lines = [
         "begin_batch wallUs=1000000",
-        f"start balancer={who} seed=5 profileData={json.dumps(PROFILE)}",
+        f"start balancer={number} seed=5 profileData={json.dumps(PROFILE)}",
         "list bank=0 membersList=3",
     ]
     lines += [
         f"item server=10.0.0.{n}:9 area=z{1 + n % 2} flavor=k unitGroup=0 availability=Ready units=1" for n in range(3)
     ]
-    lines += [f"topology balancer={who} kind=Persisted seqNo=1 bank=0", "go"]
+    lines += [f"topology balancer={number} kind=Persisted seqNo=1 bank=0", "go"]
     for n in range(1, 80):
         now = 1000000 + n * 20000
         lines += [
             f"begin_batch wallUs={now}",
-            f"call balancer={who} msgId=m{who}-{n} service=c deadlineUs={now + 900000} item={n % 9}"
+            f"call balancer={number} msgId=m{number}-{n} service=c deadlineUs={now + 900000} item={n % 9}"
             f" channel={n % 4} sizeHintUs={5000 + n} odd_field=7",
-            f"message balancer={who} src=1 raw=68692037",
-            f"something_new balancer={who} x=1",
+            f"message balancer={number} src=1 raw=68692037",
+            f"something_new balancer={number} x=1",
         ]
         if n % 3 == 0:
-            lines.append(f"reminder balancer={who} ref={n // 3}")
+            lines.append(f"reminder balancer={number} ref={n // 3}")
         lines.append("go")
     return lines
 
@@ -83,7 +83,7 @@
     )
 
 
-def test_a_whole_run_replies_to_each_batch_and_exits_0() -> None:
+def test_adapter_replies_to_each_batch_and_exits_0() -> None:
     done = play(script())
     assert (done.returncode, done.stderr) == (0, "")
     out = done.stdout.splitlines()
@@ -92,13 +92,13 @@
     assert {x.split()[0] for x in out} <= {"issue", "timer", "inspect", "refuse", "error", "revoke", "notify", "ready"}
 
 
-def test_the_hash_seed_changes_nothing() -> None:
+def test_hash_seed_changes_nothing() -> None:
     assert play(script(), PYTHONHASHSEED="1").stdout == play(script(), PYTHONHASHSEED="77").stdout
 
 
-def test_instances_in_one_process_do_not_meet() -> None:
-    def of(text: str, who: int) -> list[str]:
-        return [x for x in text.splitlines() if f"balancer={who} " in x]
+def test_balancers_of_one_process_are_independent() -> None:
+    def of(text: str, number: int) -> list[str]:
+        return [x for x in text.splitlines() if f"balancer={number} " in x]
 
     three, four = script(3), script(4)
     both: list[str] = []
@@ -129,14 +129,14 @@
         ("list bank=0 membersList=2\ngo", "item lines were announced"),
     ],
 )
-def test_malformed_lines_stop_it_with_one_message(line: str, fault: str) -> None:
+def test_malformed_line_ends_the_adapter_with_one_message(line: str, fault: str) -> None:
     done = play([*script()[:8], "begin_batch wallUs=2000000", *line.split("\n"), "go"])
     assert done.returncode != 0
     assert len(done.stderr.splitlines()) == 1 and fault in done.stderr and "Traceback" not in done.stderr
     assert "line " in done.stderr
 
 
-def test_a_failure_in_the_decisions_is_told_on_the_wire(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_error_of_a_balancer_is_reported_on_the_wire(monkeypatch: pytest.MonkeyPatch) -> None:
     from glenrock.routing import simulator_adapter
 
     class Broken(simulator_adapter.Balancer):
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -11,7 +11,7 @@
 
 from glenrock.net import endpoint_watcher, peers
 from glenrock.routing import interface
-from glenrock.routing.gossip_codec import decode, encode, fault
+from glenrock.routing.gossip_codec import check_summary, decode, encode
 
 ALL = 9_000_000 + 5 * 25_000  # what the sound tier holds
 A, B, C = ("127.0.0.1", 1), ("127.0.0.1", 2), ("127.0.0.1", 3)
@@ -62,20 +62,22 @@
 
 
 def tier() -> Harness:
-    h = Harness(settings(tenants=(interface.Tenant("t", 600.0),)))
-    h.servers("a:1")
+    harness = Harness(settings(tenants=(interface.Tenant("t", 600.0),)))
+    harness.list_servers("a:1")
     for n in range(5):
-        h.give(interface.OpenConnection(interface.Request(f"o{n}", "read", h.now, n, load=25_000), "a:1"))
-    h.give(interface.GossipReceived(1, encode(1, 9_000_000, 300, [])))
-    assert h.b.gossip.tier_load() == ALL
-    return h
+        harness.deliver(
+            interface.OpenConnection(interface.Request(f"o{n}", "read", harness.now_us, n, load=25_000), "a:1")
+        )
+    harness.deliver(interface.GossipReceived(1, encode(1, 9_000_000, 300, [])))
+    assert harness.balancer.gossip.tier_load() == ALL
+    return harness
 
 
 def test_one_that_holds_little_does_not_measure_others_by_it() -> None:
-    h = Harness(settings(tenants=(interface.Tenant("t", 600.0),)))
-    h.b.connection_loads.mean_load = 1.0  # no connection has told its load yet
-    h.give(interface.GossipReceived(1, encode(1, 9_000_000, 300, [])))
-    assert h.b.gossip.tier_load() == 9_000_000 and not h.b.turn.warnings
+    harness = Harness(settings(tenants=(interface.Tenant("t", 600.0),)))
+    harness.balancer.connection_loads.mean_load = 1.0  # no connection has told its load yet
+    harness.deliver(interface.GossipReceived(1, encode(1, 9_000_000, 300, [])))
+    assert harness.balancer.gossip.tier_load() == 9_000_000 and not harness.balancer.batch.warnings
 
 
 @pytest.mark.parametrize(
@@ -90,12 +92,20 @@
     ],
 )
 def test_an_unsound_summary_is_told_and_the_one_before_stands(peer: int, data: bytes, told: str) -> None:
-    h = tier()
-    h.give(interface.GossipReceived(peer, data))
-    assert len(h.b.turn.warnings) == 1 and told in h.b.turn.warnings[0] and f"balancer {peer}" in h.b.turn.warnings[0]
-    assert h.b.gossip.tier_load() == ALL and not h.b.waiting_line.load_by_bucket() and set(h.b.gossip.peers) == {1}
-    h.give()
-    assert h.b.turn.warnings == []
+    harness = tier()
+    harness.deliver(interface.GossipReceived(peer, data))
+    assert (
+        len(harness.balancer.batch.warnings) == 1
+        and told in harness.balancer.batch.warnings[0]
+        and f"balancer {peer}" in harness.balancer.batch.warnings[0]
+    )
+    assert (
+        harness.balancer.gossip.tier_load() == ALL
+        and not harness.balancer.waiting_queue.load_by_bucket()
+        and set(harness.balancer.gossip.peers) == {1}
+    )
+    harness.deliver()
+    assert harness.balancer.batch.warnings == []
 
 
 @given(
@@ -106,11 +116,13 @@
 )
 def test_what_a_balancer_of_the_tier_says_is_believed(active, clients, line, peer) -> None:
     read = decode(encode(7, active, clients, line))
-    assert fault(peer, 40, read, 25_000.0 * 600) == "" == fault(peer, 40, read, 0.0)
+    assert read is not None
+    assert check_summary(peer, 40, read, 25_000.0 * 600) is read
+    assert check_summary(peer, 40, read, 0.0) is read
 
 
 @given(data=st.binary(max_size=256))
 def test_no_bytes_whatever_change_what_is_known_beyond_measure(data: bytes) -> None:
-    h = tier()
-    h.give(interface.GossipReceived(1, data))
-    assert h.b.gossip.tier_load() <= 100 * 600 * 25_000
+    harness = tier()
+    harness.deliver(interface.GossipReceived(1, data))
+    assert harness.balancer.gossip.tier_load() <= 100 * 600 * 25_000
--- a/tests/test_durable_file.py
+++ b/tests/test_durable_file.py
@@ -79,7 +79,7 @@
     fence, log = Fence(), OverrideLog()
     DurableState(folder, "n").read(fence, log)
     entry = log.entries.get("s")
-    return fence.mark_of("bans").term, entry.out if entry else None
+    return fence.position("bans").term, entry.is_suspended if entry else None
 
 
 def left_beside(folder: Path) -> list[str]:
@@ -87,9 +87,9 @@
 
 
 def write_state(folder: Path, term: int, out: bool) -> None:
-    fence, log = Fence(known=True), OverrideLog()
-    fence.take("bans", term, 1)
-    log.take("s", OverrideEntry(out, (term, 1)))
+    fence, log = Fence(is_restored=True), OverrideLog()
+    fence.check_effect("bans", term, 1)
+    log.merge_entry("s", OverrideEntry(out, (term, 1)))
     state = DurableState(folder, "n")
     state.write(state.snapshot(fence, log))
 
@@ -143,7 +143,7 @@
         fence, log = Fence(), OverrideLog()
         with pytest.raises(DurableStateError):
             DurableState(tmp_path, "n").read(fence, log)
-        assert not fence.known and fence.mark_of("bans").term == 3 and log.entries["s"].out
+        assert not fence.is_restored and fence.position("bans").term == 3 and log.entries["s"].is_suspended
     with pytest.raises(DurableStateError, match="digest"):
         DurableState(tmp_path, "n").read(Fence(), OverrideLog())
 
@@ -153,28 +153,28 @@
     call: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     folder, held = str(tmp_path), SharedOverrides()
-    override_file.exchange(folder, lambda shared: shared.out.add("s1"), held, [], 0.0)
+    override_file.exchange(folder, lambda shared: shared.suspended.add("s1"), held, [], 0.0)
     with monkeypatch.context() as patched:
         FailingCalls(patched, call, 0, errno.ENOSPC)
         with pytest.raises(OSError):
-            override_file.exchange(folder, lambda shared: shared.out.add("s2"), held, [], 0.0)
-    assert override_file.read(folder).out == {"s1"}
-    override_file.exchange(folder, lambda shared: shared.out.add("s2"), held, [], 0.0)
-    assert override_file.read(folder).out == {"s1", "s2"}
+            override_file.exchange(folder, lambda shared: shared.suspended.add("s2"), held, [], 0.0)
+    assert override_file.read(folder).suspended == {"s1"}
+    override_file.exchange(folder, lambda shared: shared.suspended.add("s2"), held, [], 0.0)
+    assert override_file.read(folder).suspended == {"s1", "s2"}
 
 
 def test_of_a_spoilt_file_of_operators_words_the_one_before_is_used(tmp_path: Path) -> None:
     folder = str(tmp_path)
     for name in ("s1", "s2"):
-        override_file.exchange(folder, lambda shared, name=name: shared.out.add(name), SharedOverrides(), [], 0.0)
+        override_file.exchange(folder, lambda shared, name=name: shared.suspended.add(name), SharedOverrides(), [], 0.0)
     path = tmp_path / override_file.FILE_NAME
     path.write_bytes(path.read_bytes().replace(b'"s2"', b'"s3"'))
     with pytest.raises(override_file.OverrideFileError, match="digest"):
         override_file.read(folder)
-    assert override_file.read_previous(folder).out == {"s1"}
+    assert override_file.read_previous(folder).suspended == {"s1"}
 
 
 def test_a_file_of_an_earlier_version_has_no_digest_and_is_read(tmp_path: Path) -> None:
     content = {"version": 1, "out": ["s1"], "back": {}, "seen": ["s1"]}
     (tmp_path / override_file.FILE_NAME).write_text(json.dumps(content))
-    assert override_file.read(str(tmp_path)).out == {"s1"}
+    assert override_file.read(str(tmp_path)).suspended == {"s1"}
