--- a/glenrock/testbed/request_invariants.py
+++ b/glenrock/testbed/request_invariants.py
@@ -20,7 +20,7 @@
 HALF_REQUEST_TIMEOUT_S = 3.0
 ANSWER_WORDS = ("UP", "BUSY", "ERR")
 SERVING = "SERVING"
-ERROR_LOG_TEXTS = ("Traceback", "module: failed", "execution: ", "connection: ", "an actor ended")
+ERROR_LOG_TEXTS = ("Traceback", "unexpected error", "an actor ended")
 
 
 def _answer_limit_s(request: RequestRecord, context: CheckContext) -> float:
