--- a/glenrock/net/routing_actor.py
+++ b/glenrock/net/routing_actor.py
@@ -135,8 +135,8 @@
             self.act(action)
 
     def _log_turn(self) -> None:
-        for warning in self.balancer.batch.warnings:
-            logger.warning("gossip summary ignored", reason=warning)
+        for ignored in self.balancer.batch.ignored_summaries:
+            logger.warning("gossip summary ignored", peer=ignored.peer, reason=ignored.reason)
         for zone, is_cut in self.balancer.domains.changes:
             if is_cut:
                 logger.warning("zone believed partitioned: no new connections to it", zone=zone)
--- a/glenrock/routing/balancer.py
+++ b/glenrock/routing/balancer.py
@@ -62,7 +62,7 @@
 
     Attributes:
         settings: as given.
-        batch: the batch of events that is being handled; `batch.warnings` is for the log.
+        batch: the batch of events that is being handled; `batch.ignored_summaries` is for the log.
         is_draining: the clients of this balancer migrate to the others.
         servers: known servers, by id.
         requests: requests under way and their connections, by id.
--- a/glenrock/routing/event_batch.py
+++ b/glenrock/routing/event_batch.py
@@ -14,6 +14,14 @@
 """A time before all others, for an event that has not happened yet."""
 
 
+@dataclass(frozen=True, slots=True)
+class IgnoredSummary:
+    """A gossip summary that was ignored, and the reason."""
+
+    peer: int
+    reason: str
+
+
 @dataclass(slots=True)
 class RoundTimer:
     """The next round is due."""
@@ -35,15 +43,15 @@
     Attributes:
         now_us: time of the batch; 0 before the first one.
         actions: actions for the caller, in order.
-        warnings: lines for the log, one for each input of the batch that was ignored.
+        ignored_summaries: gossip summaries of the batch that were ignored, for the log.
     """
 
-    __slots__ = ("_next_reference", "actions", "now_us", "timers", "warnings")
+    __slots__ = ("_next_reference", "actions", "ignored_summaries", "now_us", "timers")
 
     def __init__(self) -> None:
         self.now_us = 0
         self.actions: list[Action] = []
-        self.warnings: list[str] = []
+        self.ignored_summaries: list[IgnoredSummary] = []
         self.timers: dict[int, Timer] = {}
         self._next_reference = 1
 
@@ -51,7 +59,7 @@
         """Starts a batch at that time."""
         self.now_us = now_us
         self.actions = []
-        self.warnings = []
+        self.ignored_summaries = []
 
     def emit(self, action: Action) -> None:
         """Adds an action."""
--- a/glenrock/routing/gossip.py
+++ b/glenrock/routing/gossip.py
@@ -8,7 +8,7 @@
 from . import gossip_codec
 from .client_sessions import ClientSessions
 from .connection_load import ConnectionLoads
-from .event_batch import ROUND_US, SECOND_US, EventBatch
+from .event_batch import ROUND_US, SECOND_US, EventBatch, IgnoredSummary
 from .interface import GossipReceived, SendGossip, Settings
 from .load_estimation import ENOUGH_CONNECTIONS
 from .state import Peer, WaitingLoad
@@ -80,7 +80,7 @@
                 event.peer, self._settings.balancers, decoded, self._tenant_load()
             )
         except gossip_codec.InvalidSummaryError as error:
-            self._batch.warnings.append(str(error))
+            self._batch.ignored_summaries.append(IgnoredSummary(event.peer, str(error)))
             return None
         known = self.peers.get(event.peer)
         if known and not 0 < (summary.stamp - known.stamp & gossip_codec.MAX_STAMP) <= MAX_STAMP_ADVANCE:
--- a/glenrock/routing/gossip_codec.py
+++ b/glenrock/routing/gossip_codec.py
@@ -22,7 +22,7 @@
 
 
 class InvalidSummaryError(ValueError):
-    """A summary is malformed or implausible; the message is a line for the log."""
+    """A summary is malformed or implausible; the message is the reason."""
 
 
 class GossipSummary(NamedTuple):
@@ -104,12 +104,12 @@
         tenant_load: load of all connections that tenants may hold; 0 if it is not known.
     """
     if not 0 <= peer < balancers:
-        raise InvalidSummaryError(f"summary of balancer {peer} ignored: the settings name {balancers}")
+        raise InvalidSummaryError(f"the settings name {balancers} balancers")
     if summary is None:
-        raise InvalidSummaryError(f"summary of balancer {peer} ignored: it cannot be read")
+        raise InvalidSummaryError("the summary cannot be read")
     load = max(summary.active_load, sum(load for _, load in summary.waiting))
     is_load_excessive = tenant_load > 0 and load > MAX_TENANT_LOAD_MULTIPLE * tenant_load
     if summary.clients > MAX_CLIENTS or is_load_excessive:
         claim = f"{summary.clients} clients and a load of {load:.3g}"
-        raise InvalidSummaryError(f"summary of balancer {peer} ignored: {claim} are absurd")
+        raise InvalidSummaryError(f"{claim} are absurd")
     return summary
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -77,7 +77,7 @@
     harness = Harness(settings(tenants=(interface.Tenant("t", 600.0),)))
     harness.balancer.connection_loads.mean_load = 1.0  # no connection has told its load yet
     harness.deliver(interface.GossipReceived(1, encode(1, 9_000_000, 300, [])))
-    assert harness.balancer.gossip.tier_load() == 9_000_000 and not harness.balancer.batch.warnings
+    assert harness.balancer.gossip.tier_load() == 9_000_000 and not harness.balancer.batch.ignored_summaries
 
 
 @pytest.mark.parametrize(
@@ -94,18 +94,15 @@
 def test_an_unsound_summary_is_told_and_the_one_before_stands(peer: int, data: bytes, told: str) -> None:
     harness = tier()
     harness.deliver(interface.GossipReceived(peer, data))
-    assert (
-        len(harness.balancer.batch.warnings) == 1
-        and told in harness.balancer.batch.warnings[0]
-        and f"balancer {peer}" in harness.balancer.batch.warnings[0]
-    )
+    (ignored,) = harness.balancer.batch.ignored_summaries
+    assert ignored.peer == peer and told in ignored.reason
     assert (
         harness.balancer.gossip.tier_load() == ALL
         and not harness.balancer.waiting_queue.load_by_bucket()
         and set(harness.balancer.gossip.peers) == {1}
     )
     harness.deliver()
-    assert harness.balancer.batch.warnings == []
+    assert harness.balancer.batch.ignored_summaries == []
 
 
 @given(
