--- a/benchmarks/domains.py
+++ b/benchmarks/domains.py
@@ -6,6 +6,7 @@
 
 from __future__ import annotations
 
+import math
 import random
 
 from glenrock.routing import failure_domains as domains
@@ -36,7 +37,7 @@
     print("stated false alarms   checks/s   alarms an hour, healthy   detection, mean s   p95 s")
     for stated in (0.05, 0.005, 0.0005, 0.00005):
         domains.FALSE_ALARM_RATE = stated
-        domains.PARTITION_BOUND = domains.log((1 - domains.MISSED_RATE) / stated)
+        domains.PARTITION_BOUND = math.log((1 - domains.MISSED_RATE) / stated)
         for rate in (5.0, 20.0):
             hours, alarms = 0.0, 0
             for _ in range(HEALTHY_RUNS):
--- a/tests/routing/__init__.py
+++ b/tests/routing/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the routing decisions."""
--- a/tests/routing/test_hash_ring.py
+++ b/tests/routing/test_hash_ring.py
@@ -57,7 +57,7 @@
         expected_ring.change(ring_changes)
         assert len(ring) == len(expected_ring.points)
         # Only some positions are queried in between, so that sorted and unsorted buckets are changed.
-        for position in positions[: n + 1] + [0, MASK]:
+        for position in [*positions[: n + 1], 0, MASK]:
             want = expected_ring.around(position)
             if want:
                 assert ring.at(position) is want[0]
--- a/tests/routing/test_many_balancers.py
+++ b/tests/routing/test_many_balancers.py
@@ -272,7 +272,7 @@
     harness = full_fleet_with_warming_servers(seed)
     report_load(harness, 1.3, NAMES[4:])  # more loaded than the others, but with a budget
     budgets_total = sum(max(0.0, harness.balancer.slow_start.headroom(s)) for s in harness.balancer.slow_start.warming)
-    assert len(harness.balancer.slow_start.warming) == 5 and 0 < budgets_total
+    assert len(harness.balancer.slow_start.warming) == 5 and budgets_total > 0
     names = [harness.send_request(key=n, load=1000, group=n) for n in range(400)]
     harness.advance(50_000)
     to = [a.server for x in names for a in harness.actions_for(x) if isinstance(a, interface.StartAttempt)]
--- a/tests/routing/test_random_events.py
+++ b/tests/routing/test_random_events.py
@@ -3,144 +3,232 @@
 from __future__ import annotations
 
 import random
+from typing import NamedTuple
 
 import pytest
 from conftest import SECOND, Harness, settings
 
 from glenrock.routing import interface
+from glenrock.routing.interface import (
+    ATTEMPT_OUTCOMES,
+    NOT_EXECUTED_OUTCOMES,
+    AttemptOutcome,
+    Endpoint,
+    EndpointList,
+    EndpointListKind,
+    EndpointState,
+    Fail,
+    HealthCheckResult,
+    Idempotency,
+    IdempotencyScope,
+    Reject,
+    SendHealthCheck,
+    StartAttempt,
+)
 
-KINDS = [("safe", "all"), ("keyed", "all"), ("keyed", "zone"), ("keyed", "cell"), ("unsafe", "all")]
-
-
-def check_rules(
-    harness: Harness,
-    deadlines_us: dict[str, int],
-    idempotency: str,
-    scope: str,
-    not_ready_spans: dict[str, list[list[int]]],
-    ended: dict[str, dict[int, str]],
-    ended_at_us: dict[str, int],
-    endpoints: dict[str, interface.Endpoint],
-) -> None:
-    sent: dict[str, list[tuple[int, str]]] = {}
-    final: dict[str, int] = {}
-    for at, a in harness.action_log:
-        if isinstance(a, interface.StartAttempt):
-            assert a.id not in final, "sent after its final answer"
-            assert at < ended_at_us.get(a.id, 1 << 62), "sent after its end was reported"
-            assert not any(start < at < back for start, back in not_ready_spans[a.server]), "sent to a draining server"
-            attempts = sent.setdefault(a.id, [])
-            executed = [
-                (t, s)
-                for n, (t, s) in enumerate(attempts)
-                if ended.get(a.id, {}).get(n) not in interface.NOT_EXECUTED_OUTCOMES
-            ]
-            assert all(n in ended.get(a.id, {}) for n in range(len(attempts))), "two attempts in flight"
-            if executed and idempotency != "safe":
-                assert idempotency == "keyed", "an unsafe request was retried"
-                first = endpoints[executed[0][1]]
-                assert at <= executed[0][0] + 400_000, "outside the window"
-                if scope != "all":
-                    part = "zone" if scope == "zone" else "cell"
-                    assert getattr(first, part) == getattr(endpoints[a.server], part)
-            attempts.append((at, a.server))
-            assert len(attempts) <= harness.settings.max_attempts
-        elif isinstance(a, interface.Reject | interface.Fail):
-            assert a.id not in final, "two final answers"
-            final[a.id] = at
-            if isinstance(a, interface.Reject) and idempotency != "safe" and (idempotency, scope) != ("keyed", "all"):
-                assert all(
-                    ended.get(a.id, {}).get(n) in interface.NOT_EXECUTED_OUTCOMES
-                    for n in range(len(sent.get(a.id, [])))
-                )
-    for name, deadline in deadlines_us.items():
-        if name not in ended_at_us:
-            assert name in final and final[name] <= deadline, f"{name} was lost"
-
-
-@pytest.mark.parametrize("idempotency,scope", KINDS)
-@pytest.mark.parametrize("seed", range(12))
-def test_rules_hold_over_random_events(idempotency: str, scope: str, seed: int) -> None:
-    rng = random.Random(f"{idempotency}{scope}{seed}")
-    kind = interface.RequestClass("read", 300_000, 1_000_000, 60_000, 1.0, idempotency, scope, 400_000)
-    harness = Harness(
-        settings(
-            classes=(kind,),
-            may_health_check=seed % 2 == 0,
-            load_report_fields=("load_ratio",),
-            zone="z0",
-            must_poll_endpoints=seed % 3 == 0,
-            cross_zone_cost=0.03,
-            health_check_cost=0.002,
-        ),
-        seed,
-    )
-    endpoints = {
-        f"s{n}:1": interface.Endpoint(f"s{n}:1", interface.EndpointState.READY, f"z{n % 3}", n % 4) for n in range(12)
-    }
-    not_ready_spans: dict[str, list[list[int]]] = {name: [] for name in endpoints}
-    ended: dict[str, dict[int, str]] = {}
-    deadlines_us: dict[str, int] = {}
-    ended_at_us: dict[str, int] = {}
-    read = 0
-    harness.deliver(interface.EndpointList(interface.EndpointListKind.CACHED, tuple(endpoints.values())))
-    pending: list[tuple[int, str, int, str]] = []
-    for _ in range(400):
-        roll = rng.random()
+KINDS = [
+    (Idempotency.SAFE, IdempotencyScope.ALL),
+    (Idempotency.KEYED, IdempotencyScope.ALL),
+    (Idempotency.KEYED, IdempotencyScope.ZONE),
+    (Idempotency.KEYED, IdempotencyScope.CELL),
+    (Idempotency.UNSAFE, IdempotencyScope.ALL),
+]
+WINDOW_US = 400_000
+FOREVER_US = 1 << 62
+
+
+class PendingAttempt(NamedTuple):
+    """An attempt, or its connection, that ends at a time."""
+
+    ends_at_us: int
+    request_id: str
+    number: int
+    server: str
+
+
+class SentAttempt(NamedTuple):
+    """An attempt as the log has it."""
+
+    at_us: int
+    server: str
+
+
+class RandomRun:
+    """Delivers random events to one balancer, and records what the rules are checked against.
+
+    Attributes:
+        not_ready_spans: start and end of each time in which a server was not ready.
+        outcomes: by request and number of the attempt.
+        deadlines_us: deadline of each request.
+        established_at_us: when a request was established.
+    """
+
+    def __init__(self, idempotency: Idempotency, scope: IdempotencyScope, seed: int) -> None:
+        self.rng = random.Random(f"{idempotency}{scope}{seed}")
+        self.idempotency, self.scope = idempotency, scope
+        request_class = interface.RequestClass("read", 300_000, 1_000_000, 60_000, 1.0, idempotency, scope, WINDOW_US)
+        self.harness = Harness(
+            settings(
+                classes=(request_class,),
+                may_health_check=seed % 2 == 0,
+                load_report_fields=("load_ratio",),
+                zone="z0",
+                must_poll_endpoints=seed % 3 == 0,
+                cross_zone_cost=0.03,
+                health_check_cost=0.002,
+            ),
+            seed,
+        )
+        names = [f"s{n}:1" for n in range(12)]
+        self.endpoints = {name: Endpoint(name, EndpointState.READY, f"z{n % 3}", n % 4) for n, name in enumerate(names)}
+        self.not_ready_spans: dict[str, list[list[int]]] = {name: [] for name in names}
+        self.outcomes: dict[str, dict[int, AttemptOutcome]] = {}
+        self.deadlines_us: dict[str, int] = {}
+        self.established_at_us: dict[str, int] = {}
+        self._pending: list[PendingAttempt] = []
+        self._read_count = 0
+        self.harness.deliver(EndpointList(EndpointListKind.CACHED, tuple(self.endpoints.values())))
+
+    def run(self, steps: int) -> None:
+        """Runs that number of steps, and three seconds without events."""
+        for _ in range(steps):
+            self._deliver_event()
+            self.harness.advance(self.rng.choice([4_000, 8_000, 40_000, 150_000]))
+            self._answer_actions()
+            self._end_due_attempts()
+        self.harness.advance(3 * SECOND)
+
+    def _deliver_event(self) -> None:
+        roll = self.rng.random()
         if roll < 0.45:
-            life = rng.choice([3_000, 20_000, 300_000, SECOND])
-            name = harness.send_request(
-                key=rng.randrange(60),
-                group=rng.choice([None, rng.randrange(5)]),
-                life_us=life,
-                load=rng.choice([0, 500, 9000]),
-                is_midstream=rng.random() < 0.05,
-            )
-            deadlines_us[name] = harness.now_us + life
+            self._send_request()
         elif roll < 0.5:
-            name = rng.choice(sorted(endpoints))
-            state = rng.choice(["ready", "ready", "draining", "gone"])
-            e = interface.Endpoint(
-                name, state, endpoints[name].zone, endpoints[name].cell, 1.0, rng.choice([0, harness.now_us])
-            )
-            if not_ready_spans[name] and not_ready_spans[name][-1][1] > harness.now_us:
-                not_ready_spans[name][-1][1] = harness.now_us
-            if state != "ready":
-                not_ready_spans[name].append([harness.now_us, 1 << 62])
-            harness.deliver(interface.EndpointList(interface.EndpointListKind.CHANGES, (e,)))
+            self._change_endpoint()
         elif roll < 0.55:
-            harness.deliver(
-                interface.EndpointList(interface.EndpointListKind.FAILED),
+            self.harness.deliver(
+                EndpointList(EndpointListKind.FAILED),
                 interface.TimerFired(999_999),
-                interface.GossipReceived(1, rng.randbytes(9)),
+                interface.GossipReceived(1, self.rng.randbytes(9)),
             )
-        harness.advance(rng.choice([4_000, 8_000, 40_000, 150_000]))
-        for _, a in harness.action_log[read:]:
-            if isinstance(a, interface.StartAttempt):
-                n = len(ended.setdefault(a.id, {})) + sum(p[1] == a.id for p in pending)
-                pending.append((harness.now_us + rng.choice([1_000, 90_000, 2 * SECOND]), a.id, n, a.server))
-            elif isinstance(a, interface.SendHealthCheck) and rng.random() < 0.8:
-                harness.deliver(
-                    interface.HealthCheckResult(
-                        a.server,
-                        rng.choice(interface.ATTEMPT_OUTCOMES),
-                        1000,
-                        {"load_ratio": rng.choice([0.1, 0.5, 0.7, 1.4])},
-                    )
-                )
-        read = len(harness.action_log)
-        for p in [p for p in pending if p[0] <= harness.now_us]:
-            pending.remove(p)
-            _, name, n, server = p
-            answered = any(isinstance(a, interface.Reject | interface.Fail) for a in harness.actions_for(name))
-            if not answered and rng.random() < 0.6:
-                ended_at_us[name] = harness.now_us
-                harness.deliver(interface.ConnectionEstablished(name, n, server, 1000))
-                pending.append((harness.now_us + 3 * SECOND, name, n, server))
+
+    def _send_request(self) -> None:
+        rng = self.rng
+        life_us = rng.choice([3_000, 20_000, 300_000, SECOND])
+        request_id = self.harness.send_request(
+            key=rng.randrange(60),
+            group=rng.choice([None, rng.randrange(5)]),
+            life_us=life_us,
+            load=rng.choice([0, 500, 9000]),
+            is_midstream=rng.random() < 0.05,
+        )
+        self.deadlines_us[request_id] = self.harness.now_us + life_us
+
+    def _change_endpoint(self) -> None:
+        now_us = self.harness.now_us
+        before = self.endpoints[self.rng.choice(sorted(self.endpoints))]
+        state = self.rng.choice([EndpointState.READY, EndpointState.READY, EndpointState.DRAINING, EndpointState.GONE])
+        started_us = self.rng.choice([0, now_us])
+        endpoint = Endpoint(before.server, state, before.zone, before.cell, 1.0, started_us)
+        spans = self.not_ready_spans[before.server]
+        if spans and spans[-1][1] > now_us:
+            spans[-1][1] = now_us
+        if state != EndpointState.READY:
+            spans.append([now_us, FOREVER_US])
+        self.harness.deliver(EndpointList(EndpointListKind.CHANGES, (endpoint,)))
+
+    def _answer_actions(self) -> None:
+        """Plans the ends of new attempts, and answers most health checks."""
+        rng = self.rng
+        for _, action in self.harness.action_log[self._read_count :]:
+            if isinstance(action, StartAttempt):
+                ended_count = len(self.outcomes.setdefault(action.id, {}))
+                number = ended_count + sum(pending.request_id == action.id for pending in self._pending)
+                ends_at_us = self.harness.now_us + rng.choice([1_000, 90_000, 2 * SECOND])
+                self._pending.append(PendingAttempt(ends_at_us, action.id, number, action.server))
+            elif isinstance(action, SendHealthCheck) and rng.random() < 0.8:
+                outcome = rng.choice(ATTEMPT_OUTCOMES)
+                report = {"load_ratio": rng.choice([0.1, 0.5, 0.7, 1.4])}
+                self.harness.deliver(HealthCheckResult(action.server, outcome, 1000, report))
+        self._read_count = len(self.harness.action_log)
+
+    def _end_due_attempts(self) -> None:
+        """Establishes or ends the attempts whose time has come."""
+        harness = self.harness
+        for due in [pending for pending in self._pending if pending.ends_at_us <= harness.now_us]:
+            self._pending.remove(due)
+            _, request_id, number, server = due
+            is_answered = any(isinstance(action, Reject | Fail) for action in harness.actions_for(request_id))
+            if not is_answered and self.rng.random() < 0.6:
+                self.established_at_us[request_id] = harness.now_us
+                harness.deliver(interface.ConnectionEstablished(request_id, number, server, 1000))
+                self._pending.append(due._replace(ends_at_us=harness.now_us + 3 * SECOND))
                 continue
-            verdict = rng.choice(interface.ATTEMPT_OUTCOMES[1:])
-            ended.setdefault(name, {})[n] = verdict
-            harness.deliver(interface.AttemptEnded(name, n, server, verdict, answered or name in ended_at_us, 1000))
-    harness.advance(3 * SECOND)
-    check_rules(harness, deadlines_us, idempotency, scope, not_ready_spans, ended, ended_at_us, endpoints)
-    assert sum(isinstance(a, interface.StartAttempt) for _, a in harness.action_log) > 8
+            outcome = self.rng.choice(ATTEMPT_OUTCOMES[1:])
+            self.outcomes.setdefault(request_id, {})[number] = outcome
+            is_final = is_answered or request_id in self.established_at_us
+            harness.deliver(interface.AttemptEnded(request_id, number, server, outcome, is_final, 1000))
+
+
+class RuleChecker:
+    """Checks the action log of a run."""
+
+    def __init__(self, run: RandomRun) -> None:
+        self.run = run
+        self.sent: dict[str, list[SentAttempt]] = {}
+        self.answered_at_us: dict[str, int] = {}
+
+    def check(self) -> None:
+        """Checks each action, and that each request has its answer in time."""
+        for at_us, action in self.run.harness.action_log:
+            if isinstance(action, StartAttempt):
+                self._check_attempt(at_us, action)
+            elif isinstance(action, Reject | Fail):
+                self._check_answer(at_us, action)
+        for request_id, deadline_us in self.run.deadlines_us.items():
+            if request_id not in self.run.established_at_us:
+                is_in_time = self.answered_at_us.get(request_id, FOREVER_US) <= deadline_us
+                assert is_in_time, f"{request_id} was lost"
+
+    def _check_attempt(self, at_us: int, action: StartAttempt) -> None:
+        run = self.run
+        assert action.id not in self.answered_at_us, "sent after its final answer"
+        assert at_us < run.established_at_us.get(action.id, FOREVER_US), "sent after it was established"
+        spans = run.not_ready_spans[action.server]
+        assert not any(start < at_us < end for start, end in spans), "sent to a draining server"
+        attempts = self.sent.setdefault(action.id, [])
+        outcomes = run.outcomes.get(action.id, {})
+        assert all(number in outcomes for number in range(len(attempts))), "two attempts in flight"
+        executed = [sent for n, sent in enumerate(attempts) if outcomes.get(n) not in NOT_EXECUTED_OUTCOMES]
+        if executed and run.idempotency != Idempotency.SAFE:
+            self._check_retry(at_us, action, executed[0])
+        attempts.append(SentAttempt(at_us, action.server))
+        assert len(attempts) <= run.harness.settings.max_attempts
+
+    def _check_retry(self, at_us: int, action: StartAttempt, first: SentAttempt) -> None:
+        run = self.run
+        assert run.idempotency == Idempotency.KEYED, "an unsafe request was retried"
+        assert at_us <= first.at_us + WINDOW_US, "outside the window"
+        before, now = run.endpoints[first.server], run.endpoints[action.server]
+        if run.scope == IdempotencyScope.ZONE:
+            assert before.zone == now.zone
+        elif run.scope == IdempotencyScope.CELL:
+            assert before.cell == now.cell
+
+    def _check_answer(self, at_us: int, action: Reject | Fail) -> None:
+        run = self.run
+        assert action.id not in self.answered_at_us, "two final answers"
+        self.answered_at_us[action.id] = at_us
+        has_global_key = (run.idempotency, run.scope) == (Idempotency.KEYED, IdempotencyScope.ALL)
+        if isinstance(action, Reject) and run.idempotency != Idempotency.SAFE and not has_global_key:
+            outcomes = run.outcomes.get(action.id, {})
+            attempt_count = len(self.sent.get(action.id, []))
+            assert all(outcomes.get(number) in NOT_EXECUTED_OUTCOMES for number in range(attempt_count))
+
+
+@pytest.mark.parametrize(("idempotency", "scope"), KINDS)
+@pytest.mark.parametrize("seed", range(12))
+def test_rules_hold_over_random_events(idempotency: Idempotency, scope: IdempotencyScope, seed: int) -> None:
+    run = RandomRun(idempotency, scope, seed)
+    run.run(steps=400)
+    RuleChecker(run).check()
+    assert sum(isinstance(action, StartAttempt) for _, action in run.harness.action_log) > 8
