--- a/glenrock/coordination/drain_limiter.py
+++ b/glenrock/coordination/drain_limiter.py
@@ -1,7 +1,7 @@
-"""At most k balancers drained by hand at a time: a ticket is a lease of its own, held by the one that drains.
+"""Bounds how many balancers drain at a time by operators' calls. A drain permit is a lease of the draining process.
 
-Who can't prove its ticket drains no more, and takes clients again. A ticket outlives its process, so that a restart is
-covered; the next incarnation gives it back once it serves, and time does where there is none.
+A balancer whose drain permit has expired stops draining and accepts clients again. A permit is not released when its
+process ends, so that it covers a restart; the next incarnation releases it once it serves, and otherwise it expires.
 """
 
 from __future__ import annotations
@@ -9,77 +9,76 @@
 import asyncio
 import contextlib
 
-from ..log import say
+from ..log import get_logger
 from ..operation_errors import OperationRejectedError
 from .context import CoordinationContext
 from .durable_state import StoredPermit
-from .leases.candidate import LeaseAcquired, LeaseLost
+from .leases.candidate import LeaseAcquired, LeaseLost, LossReason
 from .leases.store import Lease, StoreUnavailableError
 from .membership import stable_hash
 
-RETRY_S = 0.5
-SERVES_POLL_S = 0.1
-ANSWER_TIMEOUT_S = 0.8  # for all that a call asks of the store: operators are owed an answer within 1 s
-WORK_ROUNDS_PER_LEASE = 4
+logger = get_logger(__name__)
 
+SECOND_US = 1_000_000
+STORE_RETRY_S = 0.5
+SERVING_POLL_S = 0.1
+ACQUIRE_TIMEOUT_S = 0.8  # of a whole call, since operators get an answer within 1 s
+WORK_RECORDS_PER_LEASE = 4
 
-def ticket_job(number: int) -> str:
-    """The job of a ticket, a word of the store."""
-    return f"turnstile/{number}"
+
+def permit_job(index: int) -> str:
+    """Returns the job of a drain permit, as the store names it."""
+    return f"turnstile/{index}"
 
 
 class DrainLimiter:
-    """This balancer's ticket. `permit`: its job; empty while there is none."""
+    """The drain permit of this balancer.
+
+    Attributes:
+        permit: the job of the permit that is held; empty if there is none.
+    """
 
-    def __init__(self, context: CoordinationContext, tickets: int) -> None:
+    def __init__(self, context: CoordinationContext, max_permits: int) -> None:
         self.permit = ""
         self._context = context
         self._leases = context.leases
-        start = stable_hash(context.name) % tickets  # so that all who ask at once do not ask for the same
-        self._jobs = [ticket_job((start + number) % tickets) for number in range(tickets)]
+        first = stable_hash(context.name) % max_permits  # differs, so that calls at several balancers do not collide
+        self._jobs = [permit_job((first + offset) % max_permits) for offset in range(max_permits)]
         self._answers: dict[str, asyncio.Future[bool]] = {}
-        self._one_call = asyncio.Lock()
+        self._call_lock = asyncio.Lock()
         context.leases.event_listeners.append(self._on_lease_event)
         context.leases.answer_listeners.append(self._on_answer)
 
     def start(self) -> None:
-        """Gives back tickets of earlier incarnations, and keeps this one's alive."""
-        self._context.tasks.run(self._give_back_old_tickets())
+        """Starts the tasks that release permits of earlier incarnations, and keep this one's held."""
+        self._context.tasks.run(self._release_old_permits())
         self._context.tasks.run(self._record_work())
 
+    # -- operators' calls ------------------------------------------------------------------------------
+
     async def acquire_permit(self) -> None:
         """Acquires a drain permit, unless one is held.
 
         Raises:
             OperationRejectedError: all permits are held by others, or the store does not answer in time.
         """
-        async with self._one_call:
+        async with self._call_lock:
             if self.permit:
                 return
             loop = asyncio.get_running_loop()
-            until_s = loop.time() + ANSWER_TIMEOUT_S
-            try:
-                leases = await asyncio.wait_for(self._leases.store.leases(self._jobs), ANSWER_TIMEOUT_S)
-            except (StoreUnavailableError, TimeoutError) as error:
-                self._leases.record_store_error(error)
-                raise OperationRejectedError(
-                    f"not done: the store of tickets does not answer: {error or 'no answer in time'}"
-                ) from error
+            deadline_s = loop.time() + ACQUIRE_TIMEOUT_S
+            leases = await self._read_leases()
             for job in self._jobs:
                 lease = leases.get(job)
-                if not (lease and lease.holder) and await self._acquire(job, until_s - loop.time()):
+                is_free = not (lease and lease.holder)
+                if is_free and await self._acquire(job, deadline_s - loop.time()):
                     return
             raise OperationRejectedError(self._rejection_reason(leases))
 
-    def _rejection_reason(self, leases: dict[str, Lease]) -> str:
-        names = {lease.holder.partition("/")[0] for lease in leases.values() if lease.holder}
-        holders = ", ".join(sorted(names)) or "just taken by others"
-        return f"not done: {len(self._jobs)} may be drained at a time, and are: {holders}"
-
     def drain_permit_is_valid(self) -> bool:
-        """Whether the ticket is held now; where it is not, the drain ends."""
+        """Returns whether a permit is held now. If its lease has expired, the drain ends."""
         if self.permit and self._leases.current_term(self.permit) is None:
-            self._lose("its term is over")
+            self._lose_permit(LossReason.EXPIRED)
         return bool(self.permit)
 
     def release_permit(self) -> None:
@@ -90,19 +89,32 @@
             self._context.tasks.run(self._write_state())
             self._leases.step_down(job)
 
-    async def _write_state(self) -> None:
-        await self._context.write_state()
+    async def _read_leases(self) -> dict[str, Lease]:
+        """Returns the leases of all permits. Raises OperationRejectedError."""
+        try:
+            return await asyncio.wait_for(self._leases.store.leases(self._jobs), ACQUIRE_TIMEOUT_S)
+        except (StoreUnavailableError, TimeoutError) as error:
+            self._leases.record_store_error(error)
+            raise OperationRejectedError(
+                f"not done: the store of tickets does not answer: {error or 'no answer in time'}"
+            ) from error
+
+    def _rejection_reason(self, leases: dict[str, Lease]) -> str:
+        names = {lease.holder.partition("/")[0] for lease in leases.values() if lease.holder}
+        holders = ", ".join(sorted(names)) or "just taken by others"
+        return f"not done: {len(self._jobs)} may be drained at a time, and are: {holders}"
 
-    async def _acquire(self, job: str, within_s: float) -> bool:
+    async def _acquire(self, job: str, timeout_s: float) -> bool:
+        """Acquires a permit and stores it. Returns whether it is held."""
         answer = self._answers[job] = asyncio.get_running_loop().create_future()
         self._leases.request_lease(job)
         try:
-            acquired = await asyncio.wait_for(answer, max(0.0, within_s))
+            is_acquired = await asyncio.wait_for(answer, max(0.0, timeout_s))
         except TimeoutError:
-            acquired = False
+            is_acquired = False
         self._answers.pop(job, None)
         term = self._leases.current_term(job)
-        if not acquired or term is None:
+        if not is_acquired or term is None:
             self._leases.step_down(job)
             return False
         self._context.state.permits[job] = StoredPermit(self._context.holder, term)
@@ -112,6 +124,11 @@
         self.release_permit()
         return False
 
+    async def _write_state(self) -> None:
+        await self._context.write_state()
+
+    # -- events of the lease ---------------------------------------------------------------------------
+
     def _on_answer(self, job: str) -> None:
         answer = self._answers.get(job)
         if answer and not answer.done():
@@ -119,48 +136,51 @@
 
     def _on_lease_event(self, job: str, event: LeaseAcquired | LeaseLost) -> None:
         if isinstance(event, LeaseLost) and job == self.permit:
-            self._lose(event.reason)
+            self._lose_permit(event.reason)
 
-    def _lose(self, reason: str) -> None:
-        """Without the ticket another may be drained now."""
-        say("ticket", f"{self.permit} is lost ({reason}): clients are taken again")
+    def _lose_permit(self, reason: LossReason) -> None:
+        """Ends the drain, since another balancer may drain now."""
+        logger.warning("drain permit lost, accepting clients again", job=self.permit, reason=reason)
         self._leases.manager.requested_jobs.discard(self.permit)
         self.permit = ""
         with contextlib.suppress(OperationRejectedError):  # a stopping process ends no drain
             self._context.host.shutdown.end_manual_drain()
 
+    # -- tasks -----------------------------------------------------------------------------------------
+
     async def _record_work(self) -> None:
-        """A drain that goes on is work that is being done."""
+        """Counts a drain as work, so that the lease manager does not step down from the permit."""
         while True:
             if self.permit:
                 self._leases.record_work(self.permit)
-            await asyncio.sleep(self._leases.timing.lease_us / 1e6 / WORK_ROUNDS_PER_LEASE)
+            await asyncio.sleep(self._leases.timing.lease_us / SECOND_US / WORK_RECORDS_PER_LEASE)
 
-    async def _give_back_old_tickets(self) -> None:
-        """Tickets of earlier incarnations, once clients are taken again."""
-        tickets = self._context.state.permits
-        old = dict(tickets)
-        if not old:
+    async def _release_old_permits(self) -> None:
+        """Releases permits of earlier incarnations once this one serves."""
+        permits = self._context.state.permits
+        old_permits = dict(permits)
+        if not old_permits:
             return
-        while not self._serves():  # noqa: ASYNC110 - the host tells it by a flag
-            await asyncio.sleep(SERVES_POLL_S)
-        for job, ticket in old.items():
-            await self._free(job, ticket)
-            if tickets.get(job) == ticket:
-                del tickets[job]
-            say("ticket", f"{job}, term {ticket.term} of an earlier life is given back")
+        while not self._is_serving():  # noqa: ASYNC110 - the host has a flag, not an event
+            await asyncio.sleep(SERVING_POLL_S)
+        for job, permit in old_permits.items():
+            await self._release_for(job, permit)
+            if permits.get(job) == permit:
+                del permits[job]
+            logger.info("drain permit of an earlier incarnation released", job=job, term=permit.term)
         await self._context.write_state()
 
-    def _serves(self) -> bool:
+    def _is_serving(self) -> bool:
         operators = self._context.host.operators
         return bool(operators and operators.operations.is_serving)
 
-    async def _free(self, job: str, ticket: StoredPermit) -> None:
+    async def _release_for(self, job: str, permit: StoredPermit) -> None:
+        """Releases a permit of an earlier incarnation; retries until the store answers."""
         while True:
             try:
-                await self._leases.store.release_for(job, ticket.holder, ticket.term)
+                await self._leases.store.release_for(job, permit.holder, permit.term)
             except StoreUnavailableError as error:
                 self._leases.record_store_error(error)
-                await asyncio.sleep(RETRY_S)
+                await asyncio.sleep(STORE_RETRY_S)
             else:
                 return
--- a/glenrock/coordination/override_applier.py
+++ b/glenrock/coordination/override_applier.py
@@ -1,4 +1,4 @@
-"""Overrides as they come, from the store or by datagrams: written down, then carried out, then answered."""
+"""Applies overrides from the store and from datagrams: stores them, puts them into effect, then sends the replies."""
 
 from __future__ import annotations
 
@@ -7,108 +7,109 @@
 
 from glenrock.routing import interface
 
-from ..log import say
+from ..log import get_logger
 from ..operation_errors import OperationRejectedError
 from .context import CoordinationContext
 from .datagrams import Message
 from .shared_work.override_log import OverrideEntry
 from .transport import Received
 
-RETRY_S = 0.5  # after the state could not be written
+logger = get_logger(__name__)
+
+STATE_RETRY_S = 0.5
 
 
 class OverrideApplier:
-    """The one place that changes what is out of rotation here.
+    """The only writer of the overrides that are in effect at this balancer.
 
     Attributes:
-        unsettled: something came that is to be written down, carried out or answered.
+        has_changes: set when there is something to store, put into effect or reply to.
     """
 
     def __init__(self, context: CoordinationContext) -> None:
-        self.unsettled = asyncio.Event()
+        self.has_changes = asyncio.Event()
         self._context = context
-        self._applied: dict[str, bool] = {}
-        self._dirty = False
+        self._applied: dict[str, bool] = {}  # by server, whether it is suspended at this balancer
+        self._is_dirty = False
         self._replies: list[Received] = []
-        context.transport.after_batch.append(self.unsettled.set)
+        context.transport.after_batch.append(self.has_changes.set)
 
     def start(self) -> None:
-        """Carries out what was written down before a death, and goes on from there.
+        """Puts the stored overrides into effect, and starts the task that applies changes.
 
-        A process that died between writing an override down and carrying it out left another state in the operators'
-        file; a server that was called back then would stay out here for ever.
+        A process that was killed after it stored an override, and before it put the override into effect, left a
+        different state in the file of operators' overrides. Without this step, the server would stay in that state.
         """
         overrides = self._context.overrides
         if operators := self._context.host.operators:
             self._applied = dict.fromkeys(operators.override_sync.overrides.suspended, True)
-        self._apply({server: overrides.is_suspended(server) for server in overrides.entries})
-        self._context.tasks.run(self._settle())
+        self._start_applying({server: overrides.is_suspended(server) for server in overrides.entries})
+        self._context.tasks.run(self._run())
 
-    def take(self, server: str, entry: OverrideEntry) -> None:
-        """Takes an entry in; it is carried out once it is written down."""
+    def merge_entry(self, server: str, entry: OverrideEntry) -> None:
+        """Merges an entry into the override log; it takes effect after it is stored."""
         overrides = self._context.overrides
         changed = overrides.merge_entry(server, entry)
         if changed is not None:
             self._context.merged_changes[server] = changed
-        self._dirty |= overrides.entries.get(server) == entry
+        self._is_dirty |= overrides.entries.get(server) == entry
 
     def record_committed(self, incarnation: str, count: int) -> None:
-        """The holder has answered an incarnation's proposals up to that one."""
+        """Records that an incarnation's pending overrides are committed up to `count`."""
         overrides = self._context.overrides
         before = overrides.committed_up_to.get(incarnation, 0)
         self._context.merged_changes.update(overrides.record_committed(incarnation, count))
-        self._dirty |= overrides.committed_up_to[incarnation] != before
+        self._is_dirty |= overrides.committed_up_to[incarnation] != before
 
     def mark_dirty(self) -> None:
-        """What is known has changed, and is to be written down."""
-        self._dirty = True
+        """Records that the state has changed and must be stored."""
+        self._is_dirty = True
 
     def reply(self, peer: int, message: Message) -> None:
-        """Answers once what is known is written down."""
+        """Sends a reply after the state is stored."""
         self._replies.append(Received(peer, message))
 
-    async def carry_out(self, server: str, out: bool) -> None:
-        """Takes the server out of rotation here, or back."""
+    async def apply(self, server: str, is_suspended: bool) -> None:
+        """Puts an override into effect at this balancer."""
         host = self._context.host
-        self._applied[server] = out
+        self._applied[server] = is_suspended
         if host.operators:
             try:
-                await host.operators.override_sync.set_override(server, out)
+                await host.operators.override_sync.set_override(server, is_suspended)
             except OperationRejectedError as error:
-                say("fleet", f"{server}: {error.reason}")
+                logger.warning("override not applied", server=server, suspended=is_suspended, error=error.reason)
         else:
-            host.servers.hold(server, out)
-            host.routing.order(interface.OperatorOverride(server, out, 0))
+            host.servers.hold(server, is_suspended)
+            host.routing.order(interface.OperatorOverride(server, is_suspended, 0))
 
-    def _apply(self, changes: Mapping[str, bool]) -> None:
-        async def carry_all_out() -> None:
-            for server, out in changes.items():
-                if self._applied.get(server, False) != out or out:
-                    await self.carry_out(server, out)
+    def _start_applying(self, changes: Mapping[str, bool]) -> None:
+        async def apply_all() -> None:
+            for server, is_suspended in changes.items():
+                if self._applied.get(server, False) != is_suspended or is_suspended:
+                    await self.apply(server, is_suspended)
 
-        self._context.tasks.run(carry_all_out())
+        self._context.tasks.run(apply_all())
 
-    async def _settle(self) -> None:
-        """What comes meanwhile waits for the next time."""
+    async def _run(self) -> None:
         while True:
-            await self.unsettled.wait()
-            self.unsettled.clear()
+            await self.has_changes.wait()
+            self.has_changes.clear()
             replies, self._replies = self._replies, []
-            dirty, self._dirty = self._dirty, False
-            if dirty and not await self._context.write_state():
-                self._dirty = True
+            is_dirty, self._is_dirty = self._is_dirty, False
+            if is_dirty and not await self._context.write_state():
+                self._is_dirty = True
                 self._replies = replies + self._replies
-                await asyncio.sleep(RETRY_S)
-                self.unsettled.set()
+                await asyncio.sleep(STATE_RETRY_S)
+                self.has_changes.set()
                 continue
-            self._carry_out_changes()
+            self._apply_changes()
             for peer, message in replies:
                 self._context.transport.send(peer, message)
 
-    def _carry_out_changes(self) -> None:
+    def _apply_changes(self) -> None:
         changes = dict(self._context.merged_changes)
         self._context.merged_changes.clear()
+        for server, is_suspended in changes.items():
+            logger.info("override from another balancer", server=server, suspended=is_suspended)
         if changes:
-            told = ", ".join(f"{server} {'out' if out else 'back'}" for server, out in changes.items())
-            say("fleet", told)
-            self._apply(changes)
+            self._start_applying(changes)
--- a/glenrock/coordination/override_holder.py
+++ b/glenrock/coordination/override_holder.py
@@ -1,11 +1,11 @@
-"""The lease holder's side of overrides: numbers what operators propose, stores it, and tells all peers."""
+"""The lease holder's side of overrides: commits proposals to the store, and sends committed overrides to all peers."""
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
 
-from ..log import say
+from ..log import get_logger
 from . import datagrams
 from .context import CoordinationContext
 from .leases.candidate import LeaseAcquired, LeaseLost
@@ -23,80 +23,84 @@
 from .shared_work.retransmissions import Retransmissions
 from .shared_work.revision import NO_REVISION, Revision
 
+logger = get_logger(__name__)
+
 HEARTBEAT_INTERVAL_S = 1.0
-HOLDER_INTERVAL_S, FOLLOWER_INTERVAL_S = 0.08, 0.5  # between two rounds
+HOLDER_INTERVAL_S = 0.08
+FOLLOWER_INTERVAL_S = 0.5
+MAX_LOGGED_CHARACTERS = 100
 
 
 class OverrideHolder:
-    """Acts only while the job's lease is proven, asked right before each effect leaves.
+    """Acts only while the job's lease is held; `current_term` is checked immediately before each effect.
 
     Attributes:
-        work_due: there may be proposals, or records to read.
+        has_work: set when there may be proposals to commit, or overrides to send.
     """
 
     def __init__(self, context: CoordinationContext, applier: OverrideApplier) -> None:
-        self.work_due = asyncio.Event()
+        self.has_work = asyncio.Event()
         self._context = context
         self._applier = applier
         self._leases = context.leases
         self._retransmissions = Retransmissions()
-        self._ready = False  # the lease is held, and all records are read
-        self._number = 0  # of records, in this term
-        self._datagrams_sent = 0
-        self._must_repair = False  # somebody knows overrides that the store has forgotten
+        self._is_ready = False  # all records of the store are read in this term
+        self._record_sequence = 0  # in this term
+        self._datagram_sequence = 0
+        self._must_repair_store = False  # a peer has an override that the store has lost
         context.leases.event_listeners.append(self._on_lease_event)
         context.transport.register(datagrams.SyncRequest, self._on_sync_request)
         context.transport.register(datagrams.Acknowledgement, self._on_acknowledgement)
         context.transport.register(datagrams.KnownOverride, self._on_known_override)
 
     def start(self) -> None:
-        """Begins to work whenever the lease is held."""
+        """Starts the task that works while the lease is held."""
         self._context.tasks.run(self._run())
 
     def is_holder(self) -> bool:
-        """Whether the lease is held now."""
+        """Returns whether the lease is held now."""
         return self._leases.current_term(OVERRIDES_JOB) is not None
 
     def _on_lease_event(self, job: str, event: LeaseAcquired | LeaseLost) -> None:
         if job == OVERRIDES_JOB:
-            self._ready = False
-            self._number = 0
+            self._is_ready = False
+            self._record_sequence = 0
             self._retransmissions.clear()
             if isinstance(event, LeaseAcquired):
-                self.work_due.set()
+                self.has_work.set()
 
     async def _run(self) -> None:
-        last_heartbeat = 0.0
+        last_heartbeat_s = 0.0
         loop = asyncio.get_running_loop()
         while True:
             term = self._leases.current_term(OVERRIDES_JOB)
             if term is not None:
                 self._leases.record_work(OVERRIDES_JOB)
-                await self._work_if_due(term)
-                if self._ready:
-                    if loop.time() - last_heartbeat >= HEARTBEAT_INTERVAL_S:
-                        last_heartbeat = loop.time()
+                await self._commit_if_due(term)
+                if self._is_ready:
+                    if loop.time() - last_heartbeat_s >= HEARTBEAT_INTERVAL_S:
+                        last_heartbeat_s = loop.time()
                         self._send_heartbeats()
-                    self._retransmit()
+                    self._send_due_updates()
             else:
-                self.work_due.clear()  # what a new holder finds to do it asks the store for
+                self.has_work.clear()  # a new holder reads the store instead
             interval_s = HOLDER_INTERVAL_S if term is not None else FOLLOWER_INTERVAL_S
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(self.work_due.wait(), interval_s)
+                await asyncio.wait_for(self.has_work.wait(), interval_s)
 
-    async def _work_if_due(self, term: int) -> None:
-        if not self.work_due.is_set():
+    async def _commit_if_due(self, term: int) -> None:
+        if not self.has_work.is_set():
             return
-        self.work_due.clear()
+        self.has_work.clear()
         try:
-            await self._number_proposals(term)
+            await self._commit_proposals(term)
         except StoreUnavailableError as error:
             self._leases.record_store_error(error)
 
-    # -- numbering -------------------------------------------------------------------------------------
+    # -- commits ---------------------------------------------------------------------------------------
 
-    async def _number_proposals(self, term: int) -> None:
-        """The record first, in the name of the term; only then is anybody told."""
+    async def _commit_proposals(self, term: int) -> None:
+        """Commits all proposals. Each record is in the store before any peer gets the override."""
         if not await self._prepare(term):
             return
         for proposal_id, value in (await self._leases.store.proposals(OVERRIDES_JOB)).items():
@@ -104,74 +108,74 @@
             if self._leases.current_term(OVERRIDES_JOB) != term:
                 return
             if proposal is None:
-                say("fleet", f"a wish that cannot be read is left aside: {value!r:.100}")
-            elif not await self._number_proposal(term, proposal_id, proposal):
+                logger.warning("malformed proposal ignored", value=value[:MAX_LOGGED_CHARACTERS])
+            elif not await self._commit(term, proposal_id, proposal):
                 return
-        self._retransmit()
+        self._send_due_updates()
 
     async def _prepare(self, term: int) -> bool:
-        """Reads all records, once a term and after a store has forgotten some. False where the lease was lost."""
-        if self._ready and not self._must_repair:
+        """Reads all records at the start of a term, and repairs the store. Returns False if the lease is lost."""
+        if self._is_ready and not self._must_repair_store:
             return True
         await read_records(self._leases.store, self._applier)
         self._fence_own_term(term)
-        self._must_repair = False
+        self._must_repair_store = False
         if not await self._repair_store(term):
             return False
-        self._ready = True
+        self._is_ready = True
         self._send_heartbeats()
         return True
 
-    async def _number_proposal(self, term: int, proposal_id: str, proposal: PendingOverride) -> bool:
-        """False where the store refused the record."""
-        self._number += 1
-        entry = OverrideEntry(proposal.is_suspended, Revision(term, self._number))
+    async def _commit(self, term: int, proposal_id: str, proposal: PendingOverride) -> bool:
+        """Commits a proposal; one that is committed already is only deleted. Returns False if the lease is lost."""
+        self._record_sequence += 1
+        entry = OverrideEntry(proposal.is_suspended, Revision(term, self._record_sequence))
         incarnation, count = decode_pending_id(proposal_id)
-        posted_again = count <= self._context.overrides.committed_up_to.get(incarnation, 0)  # though it had counted
-        records = {} if posted_again else {proposal.server: entry.encode(), incarnation_key(incarnation): str(count)}
-        if not await self._leases.store.put(OVERRIDES_JOB, term, self._number, records, proposal_id):
-            say("fleet", f"the store refused a record of term {term}")
+        is_committed = count <= self._context.overrides.committed_up_to.get(incarnation, 0)
+        records = {} if is_committed else {proposal.server: entry.encode(), incarnation_key(incarnation): str(count)}
+        if not await self._leases.store.put(OVERRIDES_JOB, term, self._record_sequence, records, proposal_id):
+            logger.warning("record rejected by the lease store", job=OVERRIDES_JOB, term=term)
             self._leases.watch_now()
             return False
-        if not posted_again:
-            self._applier.take(proposal.server, entry)
+        if not is_committed:
+            self._applier.merge_entry(proposal.server, entry)
             self._applier.record_committed(incarnation, count)
-            self._applier.unsettled.set()
-            self._tell_all(proposal.server, entry)
+            self._applier.has_changes.set()
+            self._send_to_all(proposal.server, entry)
         return True
 
     async def _repair_store(self, term: int) -> bool:
-        """A store that went back in time is told again what was said, under this term. False where the lease was lost.
+        """Commits again the overrides that the store has lost. Returns False if the lease is lost.
 
-        Without it, who has heard the overrides and who has not would each be right for ever.
+        Without this step, the balancers that know such an override and those that do not would differ forever.
         """
         stored = await self._leases.store.records(OVERRIDES_JOB)
         for server, entry in self._context.overrides.entries_after(NO_REVISION):
             record = stored.get(server)
             if record is not None and Revision(record.term, record.sequence) >= entry.revision:
                 continue
-            self._number += 1
-            renewed = OverrideEntry(entry.is_suspended, Revision(term, self._number))
+            self._record_sequence += 1
+            renewed = OverrideEntry(entry.is_suspended, Revision(term, self._record_sequence))
             if self._leases.current_term(OVERRIDES_JOB) != term:
                 return False
             values = {server: renewed.encode()}
-            if not await self._leases.store.put(OVERRIDES_JOB, term, self._number, values):
+            if not await self._leases.store.put(OVERRIDES_JOB, term, self._record_sequence, values):
                 return False
-            say("fleet", f"{server}: the store had forgotten that it is {'out' if entry.is_suspended else 'back'}")
-            self._applier.take(server, renewed)
-            self._tell_all(server, renewed)
-        self._applier.unsettled.set()
+            logger.warning("override lost by the lease store restored", server=server, suspended=entry.is_suspended)
+            self._applier.merge_entry(server, renewed)
+            self._send_to_all(server, renewed)
+        self._applier.has_changes.set()
         return True
 
     def _fence_own_term(self, term: int) -> None:
-        """A holder is a receiver too: it takes nothing of a lower term any more."""
+        """Rejects lower terms at this balancer too, since a holder is also a receiver."""
         self._context.fence.check_heartbeat(OVERRIDES_JOB, term)
         self._applier.mark_dirty()
-        self._applier.unsettled.set()
+        self._applier.has_changes.set()
 
-    # -- telling ---------------------------------------------------------------------------------------
+    # -- datagrams -------------------------------------------------------------------------------------
 
-    def _tell_all(self, server: str, entry: OverrideEntry) -> None:
+    def _send_to_all(self, server: str, entry: OverrideEntry) -> None:
         for peer in self._context.membership.heard_us:
             self._retransmissions.add(peer, server, entry.revision, boottime_us())
 
@@ -182,25 +186,25 @@
                 digest = self._context.overrides.digest
                 self._context.transport.send(peer, datagrams.LeaderHeartbeat(OVERRIDES_JOB, term, digest))
 
-    def _retransmit(self) -> None:
+    def _send_due_updates(self) -> None:
         for peer, server in self._retransmissions.start_due_sends(boottime_us()):
             entry = self._context.overrides.entries.get(server)
             term = self._leases.current_term(OVERRIDES_JOB)
             if entry is None or term is None:
                 return
-            self._datagrams_sent += 1
+            self._datagram_sequence += 1
             update = datagrams.OverrideUpdate(
-                OVERRIDES_JOB, term, self._datagrams_sent, entry.revision, entry.is_suspended, server
+                OVERRIDES_JOB, term, self._datagram_sequence, entry.revision, entry.is_suspended, server
             )
             self._context.transport.send(peer, update)
 
     def _on_sync_request(self, peer: int, message: datagrams.SyncRequest) -> None:
-        if not self.is_holder() or not self._ready:
+        if not self.is_holder() or not self._is_ready:
             return
         revision = NO_REVISION if message.wants_all else message.up_to
         for server, entry in self._context.overrides.entries_after(revision):
             self._retransmissions.add(peer, server, entry.revision, boottime_us())
-        self.work_due.set()
+        self.has_work.set()
 
     def _on_acknowledgement(self, peer: int, message: datagrams.Acknowledgement) -> None:
         if message.is_accepted:
@@ -209,10 +213,10 @@
             self._leases.handle_rejection(OVERRIDES_JOB, message.highest_term)
 
     def _on_known_override(self, peer: int, message: datagrams.KnownOverride) -> None:
-        """An override of a higher revision than the store's own is one that the store has forgotten."""
+        """Merges an override that a peer knows; one with a revision above this log's was lost by the store."""
         entry = self._context.overrides.entries.get(message.server)
-        known = entry.revision if entry else NO_REVISION
-        if self.is_holder() and self._ready and message.revision > known:
-            self._applier.take(message.server, OverrideEntry(message.is_suspended, message.revision))
-            self._must_repair = True
-            self.work_due.set()
+        revision = entry.revision if entry else NO_REVISION
+        if self.is_holder() and self._is_ready and message.revision > revision:
+            self._applier.merge_entry(message.server, OverrideEntry(message.is_suspended, message.revision))
+            self._must_repair_store = True
+            self.has_work.set()
--- a/glenrock/coordination/override_receiver.py
+++ b/glenrock/coordination/override_receiver.py
@@ -1,10 +1,10 @@
-"""A receiver's side of overrides: what it takes of whoever says that it holds the lease."""
+"""The receiver's side of overrides: checks the lease holder's datagrams against the fence, and answers them."""
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-from ..log import say
+from ..log import get_logger
 from . import datagrams
 from .context import CoordinationContext
 from .leases.fence import FenceVerdict
@@ -12,13 +12,15 @@
 from .shared_work.override_log import OverrideEntry
 from .shared_work.revision import NO_REVISION
 
-MAX_KNOWN_TOLD = 64  # overrides told to a holder that lacks some, each second
-MAX_REFUSALS = 50  # kept to be shown
-NO_SERVER = "-"  # in the answer to a heartbeat
+logger = get_logger(__name__)
+
+MAX_KNOWN_OVERRIDES = 64  # sent to a holder after each of its heartbeats
+MAX_REJECTIONS = 50  # in the operators' view
+NO_SERVER = "-"  # in the rejection of a heartbeat
 
 
 class Rejection(NamedTuple):
-    """An effect or heartbeat that was rejected."""
+    """An effect or heartbeat that was rejected. `highest_term` is the highest term seen."""
 
     at_ms: int
     peer: int
@@ -29,19 +31,25 @@
 
 
 class _Digests(NamedTuple):
-    theirs: int
-    ours: int
+    """The digests of the holder's override log and of this balancer's."""
+
+    holder: int
+    own: int
 
 
 class OverrideReceiver:
-    """Fences what comes. `rejections`: the last ones."""
+    """Receives the lease holder's datagrams.
+
+    Attributes:
+        rejections: the last effects and heartbeats that were rejected.
+    """
 
     def __init__(self, context: CoordinationContext, applier: OverrideApplier) -> None:
         self.rejections: list[Rejection] = []
         self._context = context
         self._applier = applier
-        self._judged = 0  # datagrams, by their order in this process
-        self._asked_for_all: _Digests | None = None  # when all was asked for last
+        self._verdict_count = 0
+        self._synced_digests: _Digests | None = None  # at the last sync request
         context.transport.register(datagrams.LeaderHeartbeat, self._on_heartbeat)
         context.transport.register(datagrams.OverrideUpdate, self._on_update)
 
@@ -50,55 +58,61 @@
         before = fence.positions.get(message.job)
         verdict = fence.check_heartbeat(message.job, message.term)
         if not verdict.is_accepted:
-            self._refuse(peer, message.job, message.term, verdict)
-            answer = datagrams.Acknowledgement(
-                message.job, False, verdict.highest_term, message.term, 0, NO_REVISION, self._next_order(), NO_SERVER
+            self._record_rejection(peer, message.job, message.term, verdict)
+            rejection = datagrams.Acknowledgement(
+                job=message.job,
+                is_accepted=False,
+                highest_term=verdict.highest_term,
+                term=message.term,
+                sequence=0,
+                revision=NO_REVISION,
+                verdict_sequence=self._next_verdict(),
+                server=NO_SERVER,
             )
-            self._applier.reply(peer, answer)
+            self._applier.reply(peer, rejection)
             return
         if fence.positions.get(message.job) != before:
             self._applier.mark_dirty()
         if message.digest != self._context.overrides.digest:
-            self._ask_for_missing(peer, message)
+            self._request_sync(peer, message)
 
-    def _ask_for_missing(self, peer: int, message: datagrams.LeaderHeartbeat) -> None:
-        """Up to the last that is known first; where that did not help, an override in between was missed."""
+    def _request_sync(self, peer: int, message: datagrams.LeaderHeartbeat) -> None:
+        """Requests the overrides after the last one known; all of them if that did not make the digests equal."""
         overrides = self._context.overrides
         digests = _Digests(message.digest, overrides.digest)
-        asked_before = self._asked_for_all == digests
-        request = datagrams.SyncRequest(message.job, message.term, overrides.last, asked_before)
-        self._applier.reply(peer, request)
-        if asked_before:
-            for server, entry in overrides.entries_after(NO_REVISION)[-MAX_KNOWN_TOLD:]:
+        wants_all = self._synced_digests == digests
+        self._applier.reply(peer, datagrams.SyncRequest(message.job, message.term, overrides.last, wants_all))
+        if wants_all:
+            for server, entry in overrides.entries_after(NO_REVISION)[-MAX_KNOWN_OVERRIDES:]:
                 known = datagrams.KnownOverride(message.job, entry.revision, entry.is_suspended, server)
                 self._applier.reply(peer, known)
-        self._asked_for_all = digests
+        self._synced_digests = digests
 
     def _on_update(self, peer: int, message: datagrams.OverrideUpdate) -> None:
         verdict = self._context.fence.check_effect(message.job, message.term, message.sequence)
         if verdict.is_accepted:
-            self._applier.take(message.server, OverrideEntry(message.is_suspended, message.revision))
+            self._applier.merge_entry(message.server, OverrideEntry(message.is_suspended, message.revision))
             self._applier.mark_dirty()
         else:
-            self._refuse(peer, message.job, message.term, verdict)
-        answer = datagrams.Acknowledgement(
-            message.job,
-            verdict.is_accepted,
-            verdict.highest_term,
-            message.term,
-            message.sequence,
-            message.revision,
-            self._next_order(),
-            message.server,
+            self._record_rejection(peer, message.job, message.term, verdict)
+        acknowledgement = datagrams.Acknowledgement(
+            job=message.job,
+            is_accepted=verdict.is_accepted,
+            highest_term=verdict.highest_term,
+            term=message.term,
+            sequence=message.sequence,
+            revision=message.revision,
+            verdict_sequence=self._next_verdict(),
+            server=message.server,
         )
-        self._applier.reply(peer, answer)
+        self._applier.reply(peer, acknowledgement)
 
-    def _refuse(self, peer: int, job: str, term: int, verdict: FenceVerdict) -> None:
+    def _record_rejection(self, peer: int, job: str, term: int, verdict: FenceVerdict) -> None:
         at_ms = round(self._context.host.clock.now())
         self.rejections.append(Rejection(at_ms, peer, job, term, verdict.highest_term, verdict.reason))
-        del self.rejections[:-MAX_REFUSALS]
-        say("refused", f"balancer {peer}, {job}, term {term}: {verdict.reason}")
+        del self.rejections[:-MAX_REJECTIONS]
+        logger.warning("datagram of a lease holder rejected", peer=peer, job=job, term=term, reason=verdict.reason)
 
-    def _next_order(self) -> int:
-        self._judged += 1
-        return self._judged
+    def _next_verdict(self) -> int:
+        self._verdict_count += 1
+        return self._verdict_count
--- a/glenrock/coordination/override_replication.py
+++ b/glenrock/coordination/override_replication.py
@@ -1,4 +1,4 @@
-"""Overrides for all: an operator's word at one balancer reaches every one, in one order, and is never lost."""
+"""Replicates operators' overrides: each takes effect at all balancers, in one order, and is never lost."""
 
 from __future__ import annotations
 
@@ -12,17 +12,24 @@
 from .override_holder import OverrideHolder
 from .override_receiver import OverrideReceiver
 from .override_records import OVERRIDES_JOB, read_records
+from .shared_work.override_log import PendingId
 
 WATCH_TIMEOUT_S = 10.0
 STORE_RETRY_S = 0.5
 PROPOSE_INTERVAL_S = 0.5
 REPOST_INTERVAL_S = 2.0
-CONFIRM_TIMEOUT_MS = 700.0  # an operator waits so long for the word to be numbered: answers are due within 1 s
+CONFIRM_TIMEOUT_MS = 700.0  # for the commit, since operators get an answer within 1 s
 CONFIRM_POLL_MS = 10.0
 
 
 class OverrideReplication:
-    """What operators say here, and what the store has."""
+    """The overrides submitted at this balancer, and those in the store.
+
+    Attributes:
+        applier: puts overrides into effect.
+        holder: the work of the lease holder.
+        receiver: the receiver of the lease holder's datagrams.
+    """
 
     def __init__(self, context: CoordinationContext) -> None:
         self.applier = OverrideApplier(context)
@@ -30,74 +37,78 @@
         self.receiver = OverrideReceiver(context, self.applier)
         self._context = context
         self._leases = context.leases
-        self._proposed = 0  # by this incarnation
-        self._posted_s: dict[str, float] = {}  # proposals, and when last, on the loop's clock
-        self._proposals_due = asyncio.Event()
+        self._submitted_count = 0  # by this incarnation
+        self._posted_s: dict[str, float] = {}  # by pending override, when it was last proposed to the store
+        self._has_proposals = asyncio.Event()
 
     def start(self) -> None:
-        """Begins to follow the store and to act."""
+        """Starts the tasks."""
         self.applier.start()
         self.holder.start()
         self._context.tasks.run(self._follow_store())
         self._context.tasks.run(self._post_proposals())
 
-    async def set_override(self, server: str, out: bool) -> None:
-        """Out, or back, for all.
+    async def set_override(self, server: str, is_suspended: bool) -> None:
+        """Takes a server out of rotation at all balancers, or back.
 
         Raises:
             OperationRejectedError: the override cannot be stored.
             OperationPendingError: the override is in effect and stored here, and not in the log yet.
         """
         overrides = self._context.overrides
-        clock = self._context.host.clock
-        self._proposed += 1
-        pending_id = f"{self._context.holder}#{self._proposed}"
-        overrides.add_pending(pending_id, server, out)
+        self._submitted_count += 1
+        pending_id = PendingId(self._context.holder, self._submitted_count).encode()
+        overrides.add_pending(pending_id, server, is_suspended)
         if not await self._context.write_state():
             overrides.pending.pop(pending_id, None)
             raise OperationRejectedError("not done: what must not be forgotten cannot be written")
-        await self.applier.carry_out(server, out)
-        self._proposals_due.set()
-        until_ms = clock.now() + CONFIRM_TIMEOUT_MS
-        while pending_id in overrides.pending and clock.now() < until_ms:
+        await self.applier.apply(server, is_suspended)
+        self._has_proposals.set()
+        if not await self._wait_for_commit(pending_id):
+            reason = self._leases.store_error or "no owner has numbered it yet"
+            raise OperationPendingError(
+                f"done here and kept; the other balancers hear of it once the store answers: {reason}"
+            )
+
+    async def _wait_for_commit(self, pending_id: str) -> bool:
+        """Returns whether the override is committed within CONFIRM_TIMEOUT_MS."""
+        pending = self._context.overrides.pending
+        clock = self._context.host.clock
+        deadline_ms = clock.now() + CONFIRM_TIMEOUT_MS
+        while pending_id in pending and clock.now() < deadline_ms:
             await clock.sleep(CONFIRM_POLL_MS)
-        if pending_id not in overrides.pending:
-            return
-        reason = self._leases.store_error or "no owner has numbered it yet"
-        raise OperationPendingError(
-            f"done here and kept; the other balancers hear of it once the store answers: {reason}"
-        )
+        return pending_id not in pending
 
     async def _follow_store(self) -> None:
-        """Records as the store has them, and what the holder is asked for, as they change."""
+        """Reads the store's records, and wakes the holder for proposals, whenever the store changes."""
         while True:
             try:
                 await read_records(self._leases.store, self.applier)
                 if self.holder.is_holder():
-                    self.holder.work_due.set()
+                    self.holder.has_work.set()
                 await self._leases.store.wait_for_change(WATCH_TIMEOUT_S)
             except StoreUnavailableError as error:
                 self._leases.record_store_error(error)
                 await asyncio.sleep(STORE_RETRY_S)
 
     async def _post_proposals(self) -> None:
-        """What operators said here goes to the store, however long that takes."""
+        """Proposes pending overrides to the store, and retries until they are committed."""
         while True:
-            self._proposals_due.clear()
+            self._has_proposals.clear()
             try:
                 await self._post_pending()
             except StoreUnavailableError as error:
                 self._leases.record_store_error(error)
             pending = self._context.overrides.pending
-            self._posted_s = {id_: at for id_, at in self._posted_s.items() if id_ in pending}
+            self._posted_s = {id_: posted_s for id_, posted_s in self._posted_s.items() if id_ in pending}
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(self._proposals_due.wait(), PROPOSE_INTERVAL_S)
+                await asyncio.wait_for(self._has_proposals.wait(), PROPOSE_INTERVAL_S)
 
     async def _post_pending(self) -> None:
-        """Raises StoreUnavailableError.
+        """Proposes each pending override that was not proposed lately. Raises StoreUnavailableError.
 
-        A store that goes back in time forgets a proposal too. One that is not numbered is posted again; one that was is
-        dropped by the holder, by its incarnation's count.
+        A store that is restored from an earlier state has lost proposals, so they are posted again. The holder drops
+        one that is committed already.
         """
         loop = asyncio.get_running_loop()
         for pending_id, pending in list(self._context.overrides.pending.items()):
@@ -105,4 +116,4 @@
                 continue
             await self._leases.store.propose(OVERRIDES_JOB, pending_id, pending.encode())
             self._posted_s[pending_id] = loop.time()
-            self.holder.work_due.set()  # a store does not tell us of our own change
+            self.holder.has_work.set()  # the store does not report this process's own change
--- a/glenrock/coordination/sharded_health_checks.py
+++ b/glenrock/coordination/sharded_health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks by shards: this balancer asks its share and tells the rest; routing sees no difference."""
+"""Sharded health checks: checks the servers of this balancer's shard, and shares their loads with the peers."""
 
 from __future__ import annotations
 
@@ -6,18 +6,22 @@
 
 from glenrock.routing import interface
 
-from ..log import say
+from ..log import get_logger
 from . import datagrams
 from .context import CoordinationContext
 from .leases.sqlite_store import boottime_us
 from .shared_work.health_check_shards import CHECK_INTERVAL_US, HealthCheckShards
 
-ROUNDS_PER_INTERVAL = 5  # in the time between two checks of one server
+logger = get_logger(__name__)
+
+SECOND_US = 1_000_000
+MS_US = 1000
+ROUNDS_PER_INTERVAL = 5  # in the time between two checks of a server
 LOAD_FIELDS = (interface.LOAD_RATIO, interface.UTILIZATION)
 
 
 class ShardedHealthChecks:
-    """Stands between the routing actor and the servers, where reports tell of load."""
+    """Stands between the routing actor and the servers, if load reports have a field of load."""
 
     def __init__(self, context: CoordinationContext) -> None:
         self._context = context
@@ -30,17 +34,17 @@
         context.transport.register(datagrams.SharedLoads, self._on_shared_loads)
         if self._load_fields:
             host.routing.probe = self._check
-            host.servers.post = self._tap
+            host.servers.post = self._post_and_record
         else:
-            say("fleet", "jobs.probe_shards: reports tell no load here, so each balancer probes as it would without")
+            logger.warning("health checks not sharded, load reports have no load")
 
     def start(self) -> None:
-        """Begins to ask this balancer's share."""
+        """Starts the task that checks this balancer's shard."""
         if self._load_fields:
             self._context.tasks.run(self._run())
 
     def _check(self, server: str) -> None:
-        """What the routing decisions ask for: another's answer where it is fresh, else a health check."""
+        """Answers routing's health check by a fresh shared load, or sends the health check."""
         load = self._shards.fresh_load(server, boottime_us())
         if load is None:
             self._send_health_check(server)
@@ -48,13 +52,12 @@
             self._post_load(server, load)
 
     def _post_load(self, server: str, load: float) -> None:
-        self._post(
-            interface.HealthCheckResult(server, interface.AttemptOutcome.SERVED, 0, {self._load_fields[0]: load})
-        )
+        report = {self._load_fields[0]: load}
+        self._post(interface.HealthCheckResult(server, interface.AttemptOutcome.SERVED, 0, report))
 
-    def _tap(self, event: interface.Event) -> bool:
-        """What servers tell the routing actor; answers to health checks are told to the others too."""
-        if isinstance(event, interface.HealthCheckResult) and event.outcome == "served":
+    def _post_and_record(self, event: interface.Event) -> bool:
+        """Posts a server's event to the routing actor, and records the load in the result of a health check."""
+        if isinstance(event, interface.HealthCheckResult) and event.outcome == interface.AttemptOutcome.SERVED:
             load = event.report.get(self._load_fields[0])
             self._shards.record_result(event.server, load, boottime_us())
         return self._post(event)
@@ -62,22 +65,23 @@
     def _on_shared_loads(self, peer: int, message: datagrams.SharedLoads) -> None:
         loads = self._shards.receive(message.data, boottime_us()) if self._load_fields else []
         if loads is None:
-            say("fleet", f"loads from balancer {peer} ignored: they cannot be read")
+            logger.warning("malformed shared loads ignored", peer=peer)
             return
         for server, load in loads:
             self._post_load(server, load)
 
     async def _run(self) -> None:
+        interval_s = CHECK_INTERVAL_US / ROUNDS_PER_INTERVAL / SECOND_US
         while True:
             self._shards.update_servers(self._warm_servers())
             for server in self._shards.start_due_checks(boottime_us()):
                 self._send_health_check(server)
             for data in self._shards.pop_datagrams():
                 self._context.transport.broadcast(datagrams.SharedLoads(data))
-            await asyncio.sleep(CHECK_INTERVAL_US / ROUNDS_PER_INTERVAL / 1e6)
+            await asyncio.sleep(interval_s)
 
     def _warm_servers(self) -> list[str]:
+        """Returns the listed servers that are no longer warming up."""
         host = self._context.host
-        warm_ms = host.clock.now() - host.config.settings.slow_start_us / 1000
-        instances = host.servers
-        return [row.name for row in instances.listed_rows() if row.since_ms <= warm_ms]
+        warm_since_ms = host.clock.now() - host.config.settings.slow_start_us / MS_US
+        return [row.name for row in host.servers.listed_rows() if row.since_ms <= warm_since_ms]
--- a/glenrock/coordination/shared_work/override_log.py
+++ b/glenrock/coordination/shared_work/override_log.py
@@ -86,9 +86,17 @@
     return PendingOverride(server, is_suspended) if is_server and isinstance(is_suspended, bool) else None
 
 
+INCARNATION_KEY_PREFIX = "\n"  # no server's name begins with it
+
+
 def incarnation_key(incarnation: str) -> str:
-    """Returns the key of the record with an incarnation's committed count; no server has such a name."""
-    return f"\n{incarnation}"
+    """Returns the key of the record with an incarnation's committed count."""
+    return f"{INCARNATION_KEY_PREFIX}{incarnation}"
+
+
+def decode_incarnation_key(key: str) -> str | None:
+    """Returns the incarnation of such a key; None if the key is a server's name."""
+    return key.removeprefix(INCARNATION_KEY_PREFIX) if key.startswith(INCARNATION_KEY_PREFIX) else None
 
 
 @dataclass(slots=True)
--- a/glenrock/coordination/warm_start/__init__.py
+++ b/glenrock/coordination/warm_start/__init__.py
@@ -1,1 +1,1 @@
-"""What a balancer knew before its start, kept where the operator's file says. Why: docs/notes/cold-start.md."""
+"""What a start uses from earlier incarnations, and the delay of a start after crashes. See docs/notes/cold-start.md."""
--- a/glenrock/coordination/warm_start/milestones.py
+++ b/glenrock/coordination/warm_start/milestones.py
@@ -1,4 +1,4 @@
-"""What this balancer's own start came to: when it was ready, heard the list and served, and what its calls came to."""
+"""The milestones of this balancer's start: ready, first endpoint list, first connection, and its calls' results."""
 
 from __future__ import annotations
 
@@ -24,92 +24,92 @@
 
 
 CHECK_INTERVAL_MS = 20.0
-FIRST_SERVICE_MS = 5000.0  # what is done in this time of service belongs to the start
-WATCH_LIMIT_MS = 600_000.0  # a start that is not over by then is looked at no more
+FIRST_SERVICE_MS = 5000.0  # connections in this time after `ready` count as the start's
+MAX_WATCH_MS = 600_000.0
 COUNTED_OUTCOMES: dict[str, ConnectionOutcome] = {"up": "fulfilled", "refused": "throttled", "failed": "faulted"}
 
 
 class CountingPollBackoff:
-    """A poll backoff that counts what calls for the list came to, and is otherwise the one it was given."""
+    """Counts the results of calls for the endpoint list, and delegates everything to another `PollBackoff`."""
 
     def __init__(self, backoff: PollBackoff) -> None:
         self.answered = self.refused = self.failed = 0
         self._backoff = backoff
 
     def __getattr__(self, name: str) -> Any:
-        """All else is the other's."""
+        """Delegates all other attributes."""
         return getattr(self._backoff, name)
 
     def heard(self) -> None:
-        """A call was answered."""
+        """Records that a call was answered."""
         self.answered += 1
         self._backoff.heard()
 
     def overbooked(self) -> float:
-        """A call was refused. Returns the pause before the next one."""
+        """Records that a call was rejected. Returns the pause before the next one, in milliseconds."""
         self.refused += 1
         return self._backoff.overbooked()
 
     def retry(self, failures: int) -> float:
-        """A call failed. Returns the pause before the next one."""
+        """Records that a call failed. Returns the pause before the next one, in milliseconds."""
         self.failed += 1
         return self._backoff.retry(failures)
 
 
 class StartMilestones:
-    """Times are Unix milliseconds of the balancer's own clock, 0 while something has not come."""
+    """Records the milestones. Times are Unix milliseconds, 0 until a milestone is reached."""
 
     def __init__(self, host: BalancerHost) -> None:
         self._host = host
         self._clock = host.clock
-        self._begun_ms = self._clock.now()
-        self._waited_ms = self._ready_ms = self._heard_ms = self._served_ms = 0.0
+        self._started_ms = self._clock.now()
+        self._delay_ms = self._ready_ms = self._list_ms = self._served_ms = 0.0
         self._list_source = ListSource.NONE
         self._first_service: dict[str, int] = {}
         self._calls: CountingPollBackoff | None = None
 
     def start(self, list_source: ListSource) -> None:
-        """Before the first call. `list_source`: what the start goes by: kept, given or none."""
+        """Starts the recording, before the first call for the endpoint list."""
         self._list_source = list_source
-        self._waited_ms = self._clock.now() - self._begun_ms
+        self._delay_ms = self._clock.now() - self._started_ms
         self._calls = CountingPollBackoff(self._host.endpoints.pace)
-        self._host.endpoints.pace = self._calls  # type: ignore[assignment] # it is one in all that is called
+        self._host.endpoints.pace = self._calls  # type: ignore[assignment] # it delegates what it does not define
 
-    def _done(self) -> dict[str, int]:
-        """Since the process began."""
+    def _connection_counts(self) -> dict[str, int]:
+        """Returns the connections since the process started, by result."""
         counts = self._host.connections.metrics
         outcomes = {name: sum(counts.outcomes[key].values()) for name, key in COUNTED_OUTCOMES.items()}
         return {"attempts": counts.relayed, **outcomes}
 
     async def watch(self) -> None:
-        """Until the start is over. Looked at, not told: nothing that serves knows of it."""
-        while self._clock.now() < self._begun_ms + WATCH_LIMIT_MS:
+        """Polls until all milestones are reached, so that the serving parts need no hooks."""
+        while self._clock.now() < self._started_ms + MAX_WATCH_MS:
             now_ms = self._clock.now()
             if not self._ready_ms and self._host.acceptor.listener is not None:
                 self._ready_ms = now_ms
-            if not self._heard_ms and self._host.endpoints.first.is_set():
-                self._heard_ms = now_ms
-            if not self._served_ms and self._done()["up"] > 0:
+            if not self._list_ms and self._host.endpoints.first.is_set():
+                self._list_ms = now_ms
+            if not self._served_ms and self._connection_counts()["up"] > 0:
                 self._served_ms = now_ms
             if self._ready_ms and not self._first_service and now_ms >= self._ready_ms + FIRST_SERVICE_MS:
-                self._first_service = self._done()
-            if self._first_service and self._heard_ms and self._served_ms:
+                self._first_service = self._connection_counts()
+            if self._first_service and self._list_ms and self._served_ms:
                 return
             await self._clock.sleep(CHECK_INTERVAL_MS)
 
     def view(self) -> dict[str, Any]:
-        """For operators; its keys are theirs."""
+        """Returns the milestones with the keys of the operators' view."""
         calls = self._calls
         counted = {}
         if calls:
             counted = {"answered": calls.answered, "refused": calls.refused, "failed": calls.failed}
         return {
-            "begun_ms": round(self._begun_ms),
-            "waited_ms": round(self._waited_ms),
+            "begun_ms": round(self._started_ms),
+            "waited_ms": round(self._delay_ms),
             "ready_ms": round(self._ready_ms),
-            "heard_ms": round(self._heard_ms),
+            "heard_ms": round(self._list_ms),
             "served_ms": round(self._served_ms),
             "list": self._list_source,
             "calls": counted,
-            "first": dict(self._first_service) or self._done(),
+            "first": dict(self._first_service) or self._connection_counts(),
         }
--- a/glenrock/coordination/warm_start/start_backoff.py
+++ b/glenrock/coordination/warm_start/start_backoff.py
@@ -1,7 +1,7 @@
-"""Starts of one balancer that follow each other too soon: a process that dies again and again comes back ever later.
+"""Start backoff: delays the start of a balancer whose incarnations end soon after their starts.
 
-The file is written before anything is served, and holds the times of the last starts in Unix milliseconds; an end by
-SIGTERM takes its own back, since that was no death.
+The file has the times of the last starts, in Unix milliseconds. A start is added before anything is served; an end by
+SIGTERM removes it, since that is no crash.
 """
 
 from __future__ import annotations
@@ -14,93 +14,102 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from ...log import say
+from ...log import get_logger
 
-MAX_STARTS = 16  # that are remembered: the wait has long reached its bound
-FIRST_WAIT_DIVISOR = 16  # of a sound life is the first wait: short beside it, and doubled until it is as long
+logger = get_logger(__name__)
+
+MAX_STARTS = 16  # in the file; the delay reaches its bound after fewer crashes
+FIRST_DELAY_DIVISOR = 16  # `min_lifetime_ms` over the first delay, which then doubles
+FREE_CRASHES = 1  # in a row, without a delay
 MAX_BYTES = 4096
+SECOND_MS = 1000
 
 
 @dataclass(frozen=True)
 class BackoffPolicy:
-    """A life of `sound_ms` was no death at the start; nobody waits longer than `most_ms`."""
+    """When a start is delayed.
+
+    Attributes:
+        min_lifetime_ms: an incarnation that ran for this long did not crash at its start.
+        max_delay_ms: bound on the delay.
+    """
 
-    sound_ms: float
-    most_ms: float
+    min_lifetime_ms: float
+    max_delay_ms: float
 
-    def early_deaths(self, starts: Sequence[float], now_ms: float) -> int:
-        """Lives before this start that ended too soon, in a row.
+    def recent_crashes(self, starts_ms: Sequence[float], now_ms: float) -> int:
+        """Returns how many incarnations in a row ended too soon before this start.
 
-        Times from now on are of a clock that went back, and count for nothing.
+        A start with a time in the future was written before the clock went back, and is ignored.
         """
-        count, later_ms = 0, now_ms
-        for at_ms in sorted((at_ms for at_ms in starts if at_ms <= now_ms), reverse=True):
-            if later_ms - at_ms >= self.sound_ms:
+        crashes, next_ms = 0, now_ms
+        for start_ms in sorted((start_ms for start_ms in starts_ms if start_ms <= now_ms), reverse=True):
+            if next_ms - start_ms >= self.min_lifetime_ms:
                 break
-            count += 1
-            later_ms = at_ms
-        return count
-
-    def wait_ms(self, starts: Sequence[float], now_ms: float) -> float:
-        """How long this start waits before it does anything."""
-        deaths = self.early_deaths(starts, now_ms)
-        if deaths <= 1:
+            crashes += 1
+            next_ms = start_ms
+        return crashes
+
+    def delay_ms(self, starts_ms: Sequence[float], now_ms: float) -> float:
+        """Returns the delay of this start."""
+        crashes = self.recent_crashes(starts_ms, now_ms)
+        if crashes <= FREE_CRASHES:
             return 0.0
-        return min(self.most_ms, self.sound_ms / FIRST_WAIT_DIVISOR * 2.0 ** (deaths - 2))
+        doublings = crashes - FREE_CRASHES - 1
+        return min(self.max_delay_ms, self.min_lifetime_ms / FIRST_DELAY_DIVISOR * 2.0**doublings)
 
 
 class StartBackoff:
-    """The file of one balancer's starts."""
+    """The file of one balancer's starts. `path` is that of the file."""
 
     def __init__(self, folder: Path, name: str, policy: BackoffPolicy, now: Callable[[], float]) -> None:
         self.path = folder / f"glenrock-{name}.starts"
         self._policy = policy
         self._now = now
-        self._own_start_ms = 0.0  # as written
+        self._own_start_ms = 0.0  # this incarnation's start in the file
 
     def read(self) -> list[float]:
-        """The last starts; none where they cannot be read, which is told."""
+        """Returns the times of the last starts; none if the file cannot be read."""
         try:
             with open(self.path, "rb") as file:
                 raw = json.loads(file.read(MAX_BYTES))
         except FileNotFoundError:
             return []
         except (OSError, ValueError) as error:
-            return self._unusable(error)
-        if not isinstance(raw, list) or not all(isinstance(at_ms, int | float) for at_ms in raw):
-            return self._unusable("no list of times")
-        return [float(at_ms) for at_ms in raw]
-
-    def _unusable(self, reason: object) -> list[float]:
-        say("start", f"{self.path} is left aside: {reason}")
-        return []
+            logger.warning("start times not readable", path=self.path, error=error)
+            return []
+        if not isinstance(raw, list) or not all(isinstance(start_ms, int | float) for start_ms in raw):
+            logger.warning("start times not readable", path=self.path, error="not a list of times")
+            return []
+        return [float(start_ms) for start_ms in raw]
 
-    def write(self, starts: Sequence[float]) -> None:
-        """Replaces the file; where it cannot be written, that is told."""
+    def write(self, starts_ms: Sequence[float]) -> None:
+        """Replaces the file. A failure is logged."""
         try:
-            beside = f"{self.path}.{os.getpid()}"
-            with open(beside, "wb") as file:
-                file.write(json.dumps(starts[-MAX_STARTS:]).encode())
-            os.replace(beside, self.path)
+            temporary_path = f"{self.path}.{os.getpid()}"
+            with open(temporary_path, "wb") as file:
+                file.write(json.dumps(starts_ms[-MAX_STARTS:]).encode())
+            os.replace(temporary_path, self.path)
         except OSError as error:
-            say("start", f"{self.path} cannot be written: {error}")
+            logger.warning("start times not written", path=self.path, error=error)
 
     async def wait(self, stop: asyncio.Event) -> None:
-        """Waits as long as this start has to, or until the process is told to end."""
-        starts, now_ms = self.read(), self._now()
-        wait_ms = self._policy.wait_ms(starts, now_ms)
-        self.write([*starts, now_ms])  # one that dies while it waits has died as well
-        if wait_ms:
-            deaths = self._policy.early_deaths(starts, now_ms)
-            sound = f"{self._policy.sound_ms / 1000:g} s"
-            say("start", f"{deaths} lives in a row ended within {sound}: the door opens in {wait_ms / 1000:.1f} s")
+        """Waits for the delay of this start, or until `stop` is set."""
+        starts_ms, now_ms = self.read(), self._now()
+        delay_ms = self._policy.delay_ms(starts_ms, now_ms)
+        self.write([*starts_ms, now_ms])  # counts a crash during the delay
+        if delay_ms:
+            crashes = self._policy.recent_crashes(starts_ms, now_ms)
+            min_lifetime_ms = self._policy.min_lifetime_ms
+            logger.warning(
+                "start delayed after repeated crashes", crashes=crashes, sound_ms=min_lifetime_ms, delay_ms=delay_ms
+            )
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(stop.wait(), wait_ms / 1000)
-        # The life begins now: what it waited is not part of it.
-        self._own_start_ms = self._now()
-        self.write([*starts, self._own_start_ms])
+                await asyncio.wait_for(stop.wait(), delay_ms / SECOND_MS)
+        self._own_start_ms = self._now()  # the delay is not part of the incarnation's run time
+        self.write([*starts_ms, self._own_start_ms])
 
     def record_orderly_end(self) -> None:
-        """By SIGTERM: this was no death, and ends the row."""
+        """Removes this incarnation's start, since it ended by SIGTERM and did not crash."""
         if self._own_start_ms:
-            self.write([at_ms for at_ms in self.read() if at_ms != self._own_start_ms])
+            self.write([start_ms for start_ms in self.read() if start_ms != self._own_start_ms])
--- a/glenrock/coordination/warm_start/start_cache.py
+++ b/glenrock/coordination/warm_start/start_cache.py
@@ -1,4 +1,4 @@
-"""The start record on disk: read once at a start, written beside the loop while the balancer serves."""
+"""The start cache: the start record on disk, read at a start and written in a thread while the balancer serves."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from ...log import say
+from ...log import get_logger
 from ..host import BalancerHost
 from ..leases.sqlite_store import current_boot
 from .start_record import (
@@ -22,18 +22,26 @@
     usable_knowledge,
 )
 
-CHECK_INTERVAL_MS = 500.0  # a change of the list is written this soon
-WRITE_INTERVAL_MS = 10_000.0  # and what was learned, so often
-DELETED = "DELETED"
+logger = get_logger(__name__)
 
+CHECK_INTERVAL_MS = 500.0  # between two checks whether the list has changed
+WRITE_INTERVAL_MS = 10_000.0  # between two writes while the list does not change
+
+
+class _LastWrite(NamedTuple):
+    """The version of the list that was written last, and when."""
 
-class _Written(NamedTuple):
     version: int
     at_ms: float
 
 
 class StartCache:
-    """One balancer's record. `status`: what came of reading it, for operators."""
+    """The cache of one balancer.
+
+    Attributes:
+        path: of the file.
+        status: what the start used of the cache, for operators.
+    """
 
     def __init__(self, host: BalancerHost, folder: Path, name: str, trust: RecordTrust) -> None:
         self.path = folder / f"glenrock-{name}.start"
@@ -42,39 +50,42 @@
         self._clock = host.clock
         self._trust = trust
         self._boot = current_boot()
-        self._written: _Written | None = None
+        self._last_write: _LastWrite | None = None
 
-    def read(self, known: EndpointTable) -> EndpointTable:
-        """The list to start with; what was learned of clients goes to the routing decisions.
+    def read(self, configured: EndpointTable) -> EndpointTable:
+        """Reads the cache, and restores the learned loads into routing. A file that cannot be used is renamed.
 
-        A file that cannot be used is put aside, and the start goes on as without one.
+        Returns:
+            The endpoint list to start with: the cached one, or `configured`.
         """
         try:
             with open(self.path, "rb") as file:
                 record = decode(file.read(MAX_BYTES + 1))
         except FileNotFoundError:
-            return known
+            return configured
         except (OSError, ValueError) as error:
             self.status = f"{self.path} is put aside: {error}"
+            logger.warning("start cache not usable", path=self.path, error=error)
             with contextlib.suppress(OSError):
                 os.replace(self.path, f"{self.path}.spoilt")
-        else:
-            knowledge = self._usable(record, known)
-            balancer = self._host.routing.balancer
-            balancer.connection_loads.restore(knowledge.means, [c.name for c in balancer.settings.classes])
-            known, self.status = knowledge.table, knowledge.why
-        say("start", self.status)
-        return known
-
-    def _usable(self, record: StartRecord, known: EndpointTable) -> StartKnowledge:
-        return usable_knowledge(record, known, self._clock.now(), self._boot, self._discovery(), self._trust)
+            return configured
+        knowledge = self._usable(record, configured)
+        balancer = self._host.routing.balancer
+        classes = [request_class.name for request_class in balancer.settings.classes]
+        balancer.connection_loads.restore(knowledge.means, classes)
+        self.status = knowledge.summary
+        logger.info("endpoint list and loads of the last run", result=self.status)
+        return knowledge.table
+
+    def _usable(self, record: StartRecord, configured: EndpointTable) -> StartKnowledge:
+        return usable_knowledge(record, configured, self._clock.now(), self._boot, self._discovery(), self._trust)
 
     def _discovery(self) -> str:
         host, port = self._host.endpoints.address
         return f"{host}:{port}"
 
     def current_record(self) -> StartRecord | None:
-        """What is known now; None before discovery was heard: what stands on disk is better."""
+        """Returns the record to write; None until discovery has answered, since the file is newer until then."""
         table = self._host.endpoints
         if table.newest < 0 or not table.first.is_set():
             return None
@@ -96,37 +107,36 @@
         return StartRecord(self._clock.now(), self._boot, self._discovery(), endpoints, means)
 
     def write(self, data: bytes) -> None:
-        """Replaces the file as a whole, on the disk before that. From a thread: a disk may take seconds.
-
-        A start reads the old one or the new one, also after a power cut.
+        """Replaces the file as a whole, after a sync. Call it in a thread, since a disk may take seconds.
 
         Raises:
-            OSError: it cannot be written.
+            OSError: the file cannot be written.
         """
-        beside = f"{self.path}.{os.getpid()}"
-        with open(beside, "wb") as file:
+        temporary_path = f"{self.path}.{os.getpid()}"
+        with open(temporary_path, "wb") as file:
             file.write(data)
             file.flush()
             os.fsync(file.fileno())
-        os.replace(beside, self.path)
+        os.replace(temporary_path, self.path)
 
     async def run(self) -> None:
-        """Keeps the file for as long as the balancer serves."""
+        """Writes the file when it is due, until cancelled."""
         while True:
             await self._clock.sleep(CHECK_INTERVAL_MS)
             await self.write_if_due()
 
     async def write_if_due(self) -> None:
-        """Writes where the list has changed, or long enough ago."""
+        """Writes the file if the list has changed, or WRITE_INTERVAL_MS after the last write."""
         now_ms = self._clock.now()
-        written = self._written
-        if written and written.version == self._host.endpoints.newest and now_ms - written.at_ms < WRITE_INTERVAL_MS:
+        last = self._last_write
+        is_same_list = last is not None and last.version == self._host.endpoints.newest
+        if last and is_same_list and now_ms - last.at_ms < WRITE_INTERVAL_MS:
             return
         record = self.current_record()
         if record is None:
             return
         try:
             await asyncio.to_thread(self.write, encode(record))
-            self._written = _Written(record.table["index"], now_ms)
+            self._last_write = _LastWrite(record.table["index"], now_ms)
         except (OSError, ValueError) as error:
-            say("start", f"{self.path} cannot be written: {error}")
+            logger.warning("start cache not written", path=self.path, error=error)
--- a/glenrock/coordination/warm_start/start_record.py
+++ b/glenrock/coordination/warm_start/start_record.py
@@ -1,7 +1,7 @@
-"""The last good endpoint list and what was learned of clients: their form on disk, and what a start may make of them.
+"""The start record: the last endpoint list and the learned loads, their form on disk, and what a start uses of them.
 
-Pure. A line with a name, a version and a digest, then JSON. Written by one process of a name, read by the next one.
-Times are Unix milliseconds.
+Pure. The file has a line with a name, a version and a digest, followed by JSON. Each incarnation reads what the one
+before it wrote. Times are Unix milliseconds.
 """
 
 from __future__ import annotations
@@ -13,58 +13,72 @@
 from math import isfinite
 from typing import Any
 
-MAGIC, VERSION = b"glenrock-start", 1
+MAGIC = b"glenrock-start"
+VERSION = 1
+HEADER_FIELDS = 3
+SECOND_MS = 1000
 MAX_BYTES = 4 << 20
 
-Means = Mapping[str, tuple[float, int]]
-"""By class, the mean load of a connection and how many loads stand behind it."""
+MeanLoads = Mapping[str, tuple[float, int]]
+"""By class of requests, the mean load of a connection, and the number of samples behind it."""
 
 EndpointTable = dict[str, Any]
-"""An endpoint list in service discovery's form."""
+"""An endpoint list in the form of service discovery."""
 
 
 class StartRecordError(ValueError):
-    """The file cannot be used, or not be written; the message says why."""
+    """The file cannot be used or written; the message is the reason."""
 
 
 @dataclass(frozen=True)
 class StartRecord:
-    """What is kept.
+    """The content of the file.
 
     Attributes:
         at_ms: time of writing.
-        boot: of the machine then.
-        discovery: who told the list, host and port.
-        table: the list.
-        means: mean loads.
+        boot: identifier of the machine's boot at that time.
+        discovery: host and port of the discovery that the list is from.
+        table: the endpoint list.
+        means: the learned loads.
     """
 
     at_ms: float
     boot: str
     discovery: str
     table: EndpointTable
-    means: Means
+    means: MeanLoads
 
 
 @dataclass(frozen=True)
 class RecordTrust:
-    """`list_ms`: a list older than this is not used. `half_ms`: what was learned counts half after this."""
+    """How long a record counts.
 
-    list_ms: float
-    half_ms: float
+    Attributes:
+        max_list_age_ms: an older list is not used.
+        half_life_ms: age at which the learned loads count half.
+    """
+
+    max_list_age_ms: float
+    half_life_ms: float
 
 
 @dataclass(frozen=True)
 class StartKnowledge:
-    """What a start goes by: an endpoint list, mean loads, and a sentence for the log."""
+    """What a start uses.
+
+    Attributes:
+        table: the endpoint list.
+        means: the learned loads.
+        summary: a sentence for operators.
+    """
 
     table: EndpointTable
-    means: Means
-    why: str
+    means: MeanLoads
+    summary: str
 
 
 def encode(record: StartRecord) -> bytes:
-    """The file. Raises StartRecordError where it is larger than a start would read."""
+    """Returns the content of the file. Raises StartRecordError if it is longer than a start reads."""
     body = json.dumps(
         {
             "at_ms": record.at_ms,
@@ -81,21 +95,22 @@
 
 
 def decode(data: bytes) -> StartRecord:
-    """Raises ValueError, which says what is wrong."""
+    """Decodes and checks a file. Raises ValueError."""
     if len(data) > MAX_BYTES:
         raise StartRecordError("too large")
-    head, _, body = data.partition(b"\n")
-    words = head.split(b" ")
-    if len(words) != 3 or words[0] != MAGIC:
+    header, _, body = data.partition(b"\n")
+    fields = header.split(b" ")
+    if len(fields) != HEADER_FIELDS or fields[0] != MAGIC:
         raise StartRecordError("not a file of this kind")
-    if words[1] != b"%d" % VERSION:
-        raise StartRecordError(f"version {words[1].decode('ascii', 'replace')[:20]}, {VERSION} is known")
-    if hashlib.sha256(body).hexdigest().encode() != words[2]:
+    if fields[1] != b"%d" % VERSION:
+        raise StartRecordError(f"version {fields[1].decode('ascii', 'replace')[:20]}, {VERSION} is known")
+    if hashlib.sha256(body).hexdigest().encode() != fields[2]:
         raise StartRecordError("the digest is wrong: it is cut short or spoilt")
     return _record_of(json.loads(body))
 
 
 def _record_of(raw: Any) -> StartRecord:
+    """Checks the types of the JSON. Raises StartRecordError."""
     try:
         table = raw["table"]
         means = {str(name): (float(mean), int(samples)) for name, (mean, samples) in raw["means"].items()}
@@ -111,52 +126,52 @@
 
 
 def usable_knowledge(
-    record: StartRecord, known: EndpointTable, now_ms: float, boot: str, discovery: str, trust: RecordTrust
+    record: StartRecord, configured: EndpointTable, now_ms: float, boot: str, discovery: str, trust: RecordTrust
 ) -> StartKnowledge:
-    """What of a record a start uses.
+    """Returns what a start uses of a record.
 
-    Versions of one service discovery compare; of two they do not, and then the platform's list goes first. An age below
-    zero says that the clock went back: it is not known then, and nothing counts.
+    Versions of lists compare only if they are from the same discovery; otherwise the configured list is used. A record
+    with a time in the future was written before the clock went back, so its age is unknown and it is not used.
 
     Args:
-        record: as read.
-        known: the list that the platform gave, perhaps empty.
+        record: the record read.
+        configured: the endpoint list of the configuration; may be empty.
         now_ms: time of the start.
-        boot: of the machine now.
-        discovery: who will tell the list, host and port.
-        trust: how long what is kept counts.
+        boot: identifier of the machine's current boot.
+        discovery: host and port of the discovery that this start uses.
+        trust: how long a record counts.
     """
     age_ms = now_ms - record.at_ms
     if age_ms < 0:
-        return StartKnowledge(known, {}, f"written {-age_ms / 1000:.0f} s from now: left aside")
-    means = _faded(record.means, 0.5 ** (age_ms / trust.half_ms))
-    if age_ms > trust.list_ms:
-        why = f"{age_ms / 1000:.0f} s old: its list is not used, loads of {len(means)} classes are"
-        return StartKnowledge(known, means, why)
-    if _given_list_is_as_new(record, known, discovery):
-        why = f"{age_ms / 1000:.1f} s old: the list that was given is as new; loads of {len(means)} classes are used"
-        return StartKnowledge(known, means, why)
+        return StartKnowledge(configured, {}, f"written {-age_ms / SECOND_MS:.0f} s from now: left aside")
+    means = _faded(record.means, 0.5 ** (age_ms / trust.half_life_ms))
+    if age_ms > trust.max_list_age_ms:
+        summary = f"{age_ms / SECOND_MS:.0f} s old: its list is not used, loads of {len(means)} classes are"
+        return StartKnowledge(configured, means, summary)
+    age = f"{age_ms / SECOND_MS:.1f} s old"
+    if _is_configured_list_as_new(record, configured, discovery):
+        summary = f"{age}: the list that was given is as new; loads of {len(means)} classes are used"
+        return StartKnowledge(configured, means, summary)
     table = record.table
-    rebooted = record.boot != boot
-    if rebooted:
-        # What took this machine's power may have taken the servers', and they are back cold. They get no more than a
-        # server in slow start bears until they have had the time to warm up.
+    is_after_boot = record.boot != boot
+    if is_after_boot:
+        # The power failure that this machine had may have hit the servers too: all count as warming up from now.
         table = {**table, "endpoints": [{**row, "since_ms": now_ms} for row in table["endpoints"]]}
-    cold = ", its servers held for cold after a boot" if rebooted else ""
-    why = f"{age_ms / 1000:.1f} s old: its list of {len(table['endpoints'])} servers is used{cold}"
-    return StartKnowledge(table, means, why)
+    note = ", its servers held for cold after a boot" if is_after_boot else ""
+    summary = f"{age}: its list of {len(table['endpoints'])} servers is used{note}"
+    return StartKnowledge(table, means, summary)
 
 
-def _faded(means: Means, share: float) -> dict[str, tuple[float, int]]:
-    """Means with fewer samples behind them; those with none left go."""
-    faded = {name: (mean, round(samples * share)) for name, (mean, samples) in means.items()}
+def _faded(means: MeanLoads, fraction: float) -> dict[str, tuple[float, int]]:
+    """Returns the means with a fraction of their samples, without those that have none left."""
+    faded = {name: (mean, round(samples * fraction)) for name, (mean, samples) in means.items()}
     return {name: (mean, samples) for name, (mean, samples) in faded.items() if samples > 0}
 
 
-def _given_list_is_as_new(record: StartRecord, known: EndpointTable, discovery: str) -> bool:
-    if not known.get("endpoints"):
+def _is_configured_list_as_new(record: StartRecord, configured: EndpointTable, discovery: str) -> bool:
+    if not configured.get("endpoints"):
         return False
-    version = known.get("index", -1)
+    version = configured.get("index", -1)
     if record.discovery != discovery or not isinstance(version, int):
         return True
     return bool(version >= record.table["index"])
--- a/glenrock/coordination/warm_start/start_report.py
+++ b/glenrock/coordination/warm_start/start_report.py
@@ -1,17 +1,18 @@
-"""What a start of several balancers came to, side by side. Pure: from the views that they give of themselves."""
+"""The report of a start of several balancers, side by side, from their operators' views. Pure."""
 
 from __future__ import annotations
 
 from typing import Any, NamedTuple
 
-DONE_COLUMNS = ("attempts", "up", "refused", "failed")
-HEADER = ("balancer", "began", "waited", "list", "ready", "heard", "served", "calls", *DONE_COLUMNS)
+COUNT_COLUMNS = ("attempts", "up", "refused", "failed")
+HEADER = ("balancer", "began", "waited", "list", "ready", "heard", "served", "calls", *COUNT_COLUMNS)
 CALL_OUTCOMES = ("answered", "refused", "failed")
-MAX_NAMED = 5  # balancers of which something is missing
+MAX_NAMED = 5  # balancers that have not reached a milestone
+SECOND_MS = 1000
 
 
 class Milestone(NamedTuple):
-    """A key of the views, and what it means once all have reached it."""
+    """A milestone's key in the views, and the text for when all balancers have reached it."""
 
     key: str
     meaning: str
@@ -25,32 +26,37 @@
 
 
 class _Start(NamedTuple):
-    begun_ms: float
+    """The start of one balancer: when its process started, its name, and its view."""
+
+    started_ms: float
     name: str
     view: dict[str, Any]
 
 
 def _seconds_after(at_ms: float, since_ms: float) -> str:
-    """In seconds; `-` where it has not come."""
-    return f"{(at_ms - since_ms) / 1000:.2f} s" if at_ms else "-"
+    """Returns the time between, in seconds; `-` if the milestone is not reached."""
+    return f"{(at_ms - since_ms) / SECOND_MS:.2f} s" if at_ms else "-"
 
 
 def _calls_cell(view: dict[str, Any]) -> str:
-    """Answered, and how many were not."""
+    """Returns the number of calls that were answered, and of those that were not."""
     calls = view["calls"]
     lost = calls.get("refused", 0) + calls.get("failed", 0)
     return f"{calls.get('answered', 0)}" + (f" and {lost} not" if lost else "")
 
 
 def format_report(views: list[dict[str, Any]]) -> list[str]:
-    """Lines: a row a balancer, then what it came to for all.
+    """Returns the lines of the report: a row for each balancer, then a summary of all.
+
+    Times count from the start of the balancer's own process; those in column `began` from the first process's.
 
-    Times are since a balancer's own process began, but for `began`, which is since the first one did. KeyError or
-    TypeError where a view is not one.
+    Raises:
+        KeyError: a view lacks a key.
+        TypeError: a view's value has the wrong type.
     """
     starts = [_Start(view["start"]["begun_ms"], view["name"], view["start"]) for view in views]
     starts.sort(key=lambda start: start[:2])
-    first_ms = starts[0].begun_ms
+    first_ms = starts[0].started_ms
     lines = _table([HEADER, *(_row(start, first_ms) for start in starts)])
     lines += [_milestone_line(starts, milestone, first_ms) for milestone in MILESTONES]
     lines.append(_calls_line(starts))
@@ -59,15 +65,15 @@
 
 def _row(start: _Start, first_ms: float) -> tuple[str, ...]:
     view = start.view
-    done = view["first"]
+    counts = view["first"]
     return (
         start.name,
-        f"{(start.begun_ms - first_ms) / 1000:.2f} s",
+        f"{(start.started_ms - first_ms) / SECOND_MS:.2f} s",
         _seconds_after(view["waited_ms"], 0),
         view["list"],
-        *(_seconds_after(view[f"{milestone.key}_ms"], start.begun_ms) for milestone in MILESTONES),
+        *(_seconds_after(view[f"{milestone.key}_ms"], start.started_ms) for milestone in MILESTONES),
         _calls_cell(view),
-        *(str(done.get(column, 0)) for column in DONE_COLUMNS),
+        *(str(counts.get(column, 0)) for column in COUNT_COLUMNS),
     )
 
 
@@ -83,7 +89,7 @@
         more = " and more" if len(missing) > MAX_NAMED else ""
         return f"{milestone.meaning}: not yet: {', '.join(missing[:MAX_NAMED])}{more}"
     last_ms = max(start.view[key] for start in starts)
-    return f"{milestone.meaning}: {(last_ms - first_ms) / 1000:.2f} s after the first process began"
+    return f"{milestone.meaning}: {(last_ms - first_ms) / SECOND_MS:.2f} s after the first process began"
 
 
 def _calls_line(starts: list[_Start]) -> str:
--- a/tests/coordination/test_drain_permit_loss.py
+++ b/tests/coordination/test_drain_limiter.py
@@ -1,11 +1,11 @@
-"""A drain permit that is lost while the process stops."""
+"""Drain permits."""
 
 from __future__ import annotations
 
 from types import SimpleNamespace
 
 from glenrock.coordination.drain_limiter import DrainLimiter
-from glenrock.coordination.leases.candidate import LeaseLost
+from glenrock.coordination.leases.candidate import LeaseLost, LossReason
 from glenrock.operation_errors import OperationRejectedError
 
 
@@ -21,5 +21,5 @@
     host = SimpleNamespace(shutdown=SimpleNamespace(end_manual_drain=end_manual_drain))
     limiter = DrainLimiter(SimpleNamespace(name="a", leases=leases, host=host), 1)
     limiter.permit = "turnstile/0"
-    leases.event_listeners[0]("turnstile/0", LeaseLost(1, "expired"))
+    leases.event_listeners[0]("turnstile/0", LeaseLost(1, LossReason.EXPIRED))
     assert (limiter.permit, manager.requested_jobs, calls) == ("", set(), ["end_manual_drain"])
--- /dev/null
+++ b/tests/coordination/warm_start/test_start_backoff.py
@@ -0,0 +1,106 @@
+"""The delay of a start after crashes."""
+
+from __future__ import annotations
+
+import asyncio
+
+import pytest
+from hypothesis import given
+from hypothesis import strategies as st
+
+from glenrock.coordination.warm_start.start_backoff import MAX_STARTS, BackoffPolicy, StartBackoff
+from glenrock.net.clock import SetClock
+
+from .records import NOW
+
+POLICY = BackoffPolicy(min_lifetime_ms=8000.0, max_delay_ms=5000.0)
+
+
+@pytest.mark.parametrize(
+    "starts_ms,now,wait",
+    [
+        ([], 0, 0.0),
+        ([0], 100, 0.0),
+        ([0], 9000, 0.0),  # the first crash is free
+        ([0, 100], 200, 500.0),
+        ([0, 100, 200], 300, 1000.0),
+        ([0, 1, 2, 3], 4, 2000.0),
+        ([0, 1, 2, 3, 4], 5, 4000.0),
+        ([0, 1, 2, 3, 4, 5], 6, 5000.0),  # bounded
+        ([0, 100, 8200], 8300, 0.0),  # a long run ends the row
+        ([0, 7000, 14_000], 21_000, 1000.0),
+        ([0, 100], 8200, 0.0),  # the last run was long
+        ([300, 100, 200], 400, 1000.0),  # in any order
+        ([10_000, 20_000, 30_000], 100, 0.0),  # the clock went back
+    ],
+)
+def test_start_delay_after_crashes(starts_ms, now, wait) -> None:
+    assert POLICY.delay_ms([NOW + at for at in starts_ms], NOW + now) == wait
+
+
+whole = st.integers(0, 1_000_000)
+
+
+@given(st.lists(whole, max_size=MAX_STARTS), whole, st.integers(1, 100_000), st.integers(1, 100_000))
+def test_delay_is_bounded_and_one_crash_is_free(starts_ms, now, min_lifetime, max_delay) -> None:
+    policy = BackoffPolicy(min_lifetime, max_delay)
+    assert 0 <= policy.delay_ms(starts_ms, now) <= max_delay
+    assert policy.delay_ms(starts_ms[:1], now) == 0.0
+    oldest = min([at for at in starts_ms if at <= now] + [now])
+    crashes = policy.recent_crashes(starts_ms, now)
+    assert policy.recent_crashes([oldest - min_lifetime, *starts_ms], now) == crashes, "a long run ends the row"
+    assert policy.recent_crashes([oldest - min_lifetime + 1, *starts_ms], now) >= crashes
+
+
+def test_restart_backoff_grows_and_an_orderly_end_is_no_crash(tmp_path, caplog) -> None:
+    async def scenario() -> None:
+        clock, waited = SetClock(NOW), []
+        stop = asyncio.Event()
+        stop.set()  # no start of this test waits
+        for n in range(5):
+            starts = StartBackoff(tmp_path, "n0", POLICY, clock.now)
+            waited.append(POLICY.delay_ms(starts.read(), clock.now()))
+            await starts.wait(stop)
+            clock.time += 100
+            if n == 3:
+                starts.record_orderly_end()
+        assert waited == [0.0, 0.0, 500.0, 1000.0, 1000.0]
+        prefix = "start delayed after repeated crashes crashes="
+        assert [line.partition(" sound_ms")[0] for line in caplog.messages] == [prefix + n for n in "233"]
+        crashing = StartBackoff(tmp_path, "n0", POLICY, clock.now)
+        waiting = asyncio.create_task(crashing.wait(asyncio.Event()))
+        await asyncio.sleep(0)
+        waiting.cancel()
+        assert len(starts.read()) == 5, "a crash during the delay counts"
+        for _ in range(30):
+            starts.write([*starts.read(), clock.now()])
+        assert len(starts.read()) == MAX_STARTS
+
+    asyncio.run(scenario())
+
+
+def test_delay_lasts_its_time_and_ends_when_the_process_stops(tmp_path) -> None:
+    async def scenario() -> None:
+        clock, stop = SetClock(NOW), asyncio.Event()
+        starts = StartBackoff(tmp_path, "n0", BackoffPolicy(1600.0, 60_000.0), clock.now)
+        starts.write([NOW - n for n in range(1, 3)])
+        loop = asyncio.get_running_loop()
+        began = loop.time()
+        await starts.wait(stop)
+        assert loop.time() - began >= 0.099
+        starts.write([NOW - n for n in range(1, 12)])  # 51 s
+        waiting = asyncio.create_task(starts.wait(stop))
+        await asyncio.sleep(0)
+        assert not waiting.done()
+        stop.set()
+        await asyncio.wait_for(waiting, 5)
+
+    asyncio.run(scenario())
+
+
+@pytest.mark.parametrize("data", [b"", b"{}", b'["x"]', b"[1, ", b"\xff"])
+def test_unreadable_start_times_count_as_none_and_are_logged(tmp_path, caplog, data: bytes) -> None:
+    starts = StartBackoff(tmp_path, "n0", POLICY, lambda: NOW)
+    starts.path.write_bytes(data)
+    assert starts.read() == [] and len(caplog.messages) == 1
+    assert "start times not readable" in caplog.messages[0] and str(starts.path) in caplog.messages[0]
