--- a/tests/routing/test_connection_concurrency.py
+++ b/tests/routing/test_connection_concurrency.py
@@ -1,4 +1,4 @@
-"""Set-ups out at a time, on a model of a store that holds a line and works for callers who have left."""
+"""The concurrency limit, on a model of a store with a queue that also works for abandoned set-ups."""
 
 from __future__ import annotations
 
@@ -12,13 +12,15 @@
 from glenrock.routing.event_batch import EventBatch
 
 ROUND, TICK = SECOND // 2, 10_000
-GIVE_UP = 600_000
+CLIENT_TIMEOUT_US = 600_000
 
 
 def storm(rate: float, seconds: int) -> list[int]:
-    """How many came up in each second at a store that does `rate` a second. Three seconds' work comes back at once,
-    and then as much as the store can do."""
-    batch, up, line = EventBatch(), [0] * seconds, []
+    """Returns the set-ups established in each second, at a store of that rate.
+
+    Three seconds' work arrives at once, and then as much as the store can do.
+    """
+    batch, established, queue = EventBatch(), [0] * seconds, []
     limit = ConcurrencyLimit(batch, 300_000)
     done, waiting = 0.0, 3.0 * rate
     for now in range(TICK, seconds * SECOND, TICK):
@@ -27,65 +29,70 @@
         while waiting >= 1 and limit.may_start():
             limit.record_sent()
             waiting -= 1
-            line.append((now, f"s{round(waiting) % 5}", True))
+            queue.append((now, f"s{round(waiting) % 5}", True))
         done += rate * TICK / SECOND
-        while done >= 1 and line:
+        while done >= 1 and queue:
             done -= 1
-            since, server, cares = line.pop(0)
-            if cares:
+            since, server, is_awaited = queue.pop(0)
+            if is_awaited:
                 limit.record_established(server, now - since)
-                up[now // SECOND] += 1
+                established[now // SECOND] += 1
         done = min(done, 1.0)
-        for n, (since, server, cares) in enumerate(line):
-            if cares and now - since > GIVE_UP:
-                line[n] = (since, server, False)  # the store goes on with it
-                limit.record_ended(server, "timeout")
+        for n, (since, server, is_awaited) in enumerate(queue):
+            if is_awaited and now - since > CLIENT_TIMEOUT_US:
+                queue[n] = (since, server, False)  # the store works on for it
+                limit.record_ended(server, interface.AttemptOutcome.TIMEOUT)
                 waiting += 1
         if now % ROUND == 0:
             limit.finish_round()
-    return up
+    return established
 
 
 @pytest.mark.parametrize("rate", [5, 20, 50, 200])
-def test_a_storm_of_set_ups_keeps_the_store_busy(rate) -> None:
-    # Seen on the simulator: after all had been slow at once, 400 came back to a store of 55 a second; nothing came up,
-    # the rate fell to the usual 6 a second, and took ten seconds to rise.
-    up = storm(rate, seconds=25)
+def test_storm_of_set_ups_keeps_the_store_busy(rate) -> None:
+    established = storm(rate, seconds=25)
     for n in range(8, 25):
-        assert up[n] + up[n - 1] >= 2 * 0.6 * rate, f"seconds {n - 1} and {n}: {up}"
+        assert established[n] + established[n - 1] >= 2 * 0.6 * rate, f"seconds {n - 1} and {n}: {established}"
 
 
-def test_one_slow_server_limits_nobody() -> None:
+def test_single_slow_server_causes_no_limit() -> None:
     batch = EventBatch()
     limit = ConcurrencyLimit(batch, 300_000)
     for n in range(40):
         batch.now_us += TICK
         limit.record_sent()
-        limit.record_ended("slow", "timeout")
+        limit.record_ended("slow", interface.AttemptOutcome.TIMEOUT)
         limit.record_sent()
         limit.record_established(f"s{n % 7}", 20_000)
     limit.finish_round()
-    assert limit.window == connection_concurrency.UNLIMITED
+    assert limit.limit == connection_concurrency.UNLIMITED
 
 
-def test_the_window_is_lifted_when_it_no_longer_binds() -> None:
+def test_limit_is_lifted_after_idle_rounds() -> None:
     batch = EventBatch()
     limit = ConcurrencyLimit(batch, 300_000)
-    limit.window = 4.0
+    limit.limit = 4.0
     for _ in range(connection_concurrency.IDLE_ROUNDS):
         batch.now_us += ROUND
-        assert limit.window == 4.0
+        assert limit.limit == 4.0
         limit.finish_round()
-    assert limit.window == connection_concurrency.UNLIMITED
+    assert limit.limit == connection_concurrency.UNLIMITED
 
 
 ENDS = ("up", "up", "full", "timeout", "error", "no_connection", "left")
 
 
 @given(st.lists(st.sampled_from(ENDS), max_size=60), st.integers(0, 9))
-def test_set_ups_out_are_those_that_nobody_has_ended(ends, seed) -> None:
+def test_pending_count_equals_set_ups_without_outcome(ends, seed) -> None:
     b = Balancer(settings(balancers=1, max_attempts=2), seed)
-    b.handle(SECOND, [interface.EndpointList("full", tuple(interface.Endpoint(f"s{n}:1") for n in range(4)))])
+    b.handle(
+        SECOND,
+        [
+            interface.EndpointList(
+                interface.EndpointListKind.FULL, tuple(interface.Endpoint(f"s{n}:1") for n in range(4))
+            )
+        ],
+    )
     now = SECOND
     tries: dict[str, int] = {}
     for n, end in enumerate([*ends, *["full"] * 200]):
@@ -102,6 +109,9 @@
             for x in again:
                 if isinstance(x, interface.StartAttempt):
                     tries[x.id] = tries.get(x.id, -1) + 1
-                    b.handle(now, [interface.AttemptEnded(x.id, tries[x.id], x.server, "error", False)])
+                    b.handle(
+                        now,
+                        [interface.AttemptEnded(x.id, tries[x.id], x.server, interface.AttemptOutcome.ERROR, False)],
+                    )
         standing = sum(1 for f in b.requests.values() if not f.server and f.attempts and not f.attempts[-1].outcome)
         assert b.concurrency.pending == standing
