--- a/glenrock/routing/balancer.py
+++ b/glenrock/routing/balancer.py
@@ -62,7 +62,7 @@
 
     Attributes:
         settings: as given.
-        batch: the batch of events that is being handled; `batch.warnings` is for the log.
+        batch: the batch of events that is being handled; `batch.ignored_summaries` is for the log.
         is_draining: the clients of this balancer migrate to the others.
         servers: known servers, by id.
         requests: requests under way and their connections, by id.
@@ -259,7 +259,7 @@
     def count_avoided(self, server_ids: Iterable[str]) -> int:
         """Returns how many of these servers are suspended, ejected, not ready or not known."""
         found = (self.servers.get(server_id) for server_id in server_ids)
-        return sum(s is None or not s.ready or not self.ejection.is_usable(s) for s in found)
+        return sum(s is None or not s.is_ready or not self.ejection.is_usable(s) for s in found)
 
     # -- events --------------------------------------------------------------------------------------
 
--- a/tests/routing/test_failure_domains.py
+++ b/tests/routing/test_failure_domains.py
@@ -187,7 +187,8 @@
     assert not harness.balancer.domains.states.get(zone)
 
 
-def test_partition_is_logged_once_at_its_start_and_once_at_its_end(capsys) -> None:
+def test_partition_is_logged_once_at_its_start_and_once_at_its_end(caplog) -> None:
+    caplog.set_level("INFO", logger="glenrock")
     from conftest import settings as usual
 
     from glenrock.net.routing_actor import RoutingActor
@@ -212,5 +213,8 @@
     ):
         clock.ms += 10
         d.turn(events)
-    said = [line for line in capsys.readouterr().err.splitlines() if line.startswith("link: ")]
-    assert len(said) == 2 and "believed cut off" in said[0] and "answers again" in said[1]
+    said = [line for line in caplog.messages if line.startswith("zone ")]
+    assert said == [
+        "zone believed partitioned: no new connections to it zone=b",
+        "zone no longer believed partitioned: recovery ramp begins zone=b",
+    ]
