--- a/glenrock/admin/operations.py
+++ b/glenrock/admin/operations.py
@@ -42,7 +42,7 @@
     def metrics(self) -> MetricsSnapshot:
         """Returns the metrics at this moment."""
         metrics = self._connections.metrics
-        listed_servers = self._servers.listed()
+        listed_servers = self._servers.listed_names()
         return MetricsSnapshot(
             outcomes=metrics.outcomes,
             relayed=metrics.relayed,
--- a/glenrock/coordination/override_applier.py
+++ b/glenrock/coordination/override_applier.py
@@ -77,8 +77,8 @@
             except OperationRejectedError as error:
                 say("fleet", f"{server}: {error.reason}")
         else:
-            host.servers.hold(server, out)
-            host.routing.order(interface.OperatorOverride(server, out, 0))
+            host.servers.set_suspended(server, out)
+            host.routing.post_first(interface.OperatorOverride(server, out, 0))
 
     def _apply(self, changes: Mapping[str, bool]) -> None:
         async def carry_all_out() -> None:
--- a/glenrock/coordination/sharded_health_checks.py
+++ b/glenrock/coordination/sharded_health_checks.py
@@ -25,11 +25,11 @@
         host = context.host
         reported = host.config.settings.load_report_fields
         self._load_fields = [name for name in LOAD_FIELDS if name in reported]
-        self._send_health_check = host.routing.probe
+        self._send_health_check = host.routing.send_health_check
         self._post = host.servers.post
         context.transport.register(datagrams.SharedLoads, self._on_shared_loads)
         if self._load_fields:
-            host.routing.probe = self._check
+            host.routing.send_health_check = self._check
             host.servers.post = self._tap
         else:
             say("fleet", "jobs.probe_shards: reports tell no load here, so each balancer probes as it would without")
--- a/glenrock/coordination/transport.py
+++ b/glenrock/coordination/transport.py
@@ -44,7 +44,7 @@
         self._handlers: dict[type, Handler] = {}
         self._inbox: list[Received] = []
         if peers:
-            peers.others = self.receive
+            peers.on_datagram = self.receive
 
     def register(self, message_type: type, handler: Handler) -> None:
         """Registers the handler of a message type."""
@@ -75,7 +75,7 @@
         """Sends a message to a peer. One that is too long for a datagram is dropped; the store replicates it."""
         data = datagrams.encode(message)
         if data is not None and self._peers:
-            self._peers.tell_one(peer, data)
+            self._peers.send_to(peer, data)
 
     def broadcast(self, message: datagrams.Message) -> None:
         """Sends a message to all peers."""
--- a/glenrock/coordination/warm_start/milestones.py
+++ b/glenrock/coordination/warm_start/milestones.py
@@ -26,7 +26,11 @@
 CHECK_INTERVAL_MS = 20.0
 FIRST_SERVICE_MS = 5000.0  # what is done in this time of service belongs to the start
 WATCH_LIMIT_MS = 600_000.0  # a start that is not over by then is looked at no more
-COUNTED_OUTCOMES: dict[str, ConnectionOutcome] = {"up": "fulfilled", "refused": "throttled", "failed": "faulted"}
+COUNTED_OUTCOMES: dict[str, ConnectionOutcome] = {
+    "up": ConnectionOutcome.FULFILLED,
+    "refused": ConnectionOutcome.THROTTLED,
+    "failed": ConnectionOutcome.FAULTED,
+}
 
 
 class CountingPollBackoff:
@@ -40,20 +44,20 @@
         """All else is the other's."""
         return getattr(self._backoff, name)
 
-    def heard(self) -> None:
+    def record_answer(self) -> None:
         """A call was answered."""
         self.answered += 1
-        self._backoff.heard()
+        self._backoff.record_answer()
 
-    def overbooked(self) -> float:
+    def overload_delay_ms(self) -> float:
         """A call was refused. Returns the pause before the next one."""
         self.refused += 1
-        return self._backoff.overbooked()
+        return self._backoff.overload_delay_ms()
 
-    def retry(self, failures: int) -> float:
+    def retry_delay_ms(self, failures: int) -> float:
         """A call failed. Returns the pause before the next one."""
         self.failed += 1
-        return self._backoff.retry(failures)
+        return self._backoff.retry_delay_ms(failures)
 
 
 class StartMilestones:
@@ -72,8 +76,8 @@
         """Before the first call. `list_source`: what the start goes by: kept, given or none."""
         self._list_source = list_source
         self._waited_ms = self._clock.now() - self._begun_ms
-        self._calls = CountingPollBackoff(self._host.endpoints.pace)
-        self._host.endpoints.pace = self._calls  # type: ignore[assignment] # it is one in all that is called
+        self._calls = CountingPollBackoff(self._host.endpoints.backoff)
+        self._host.endpoints.backoff = self._calls  # type: ignore[assignment] # it is one in all that is called
 
     def _done(self) -> dict[str, int]:
         """Since the process began."""
@@ -87,7 +91,7 @@
             now_ms = self._clock.now()
             if not self._ready_ms and self._host.acceptor.listener is not None:
                 self._ready_ms = now_ms
-            if not self._heard_ms and self._host.endpoints.first.is_set():
+            if not self._heard_ms and self._host.endpoints.has_answered.is_set():
                 self._heard_ms = now_ms
             if not self._served_ms and self._done()["up"] > 0:
                 self._served_ms = now_ms
--- a/glenrock/coordination/warm_start/start_cache.py
+++ b/glenrock/coordination/warm_start/start_cache.py
@@ -76,7 +76,7 @@
     def current_record(self) -> StartRecord | None:
         """What is known now; None before discovery was heard: what stands on disk is better."""
         table = self._host.endpoints
-        if table.newest < 0 or not table.first.is_set():
+        if table.newest_version < 0 or not table.has_answered.is_set():
             return None
         entries = list(self._host.servers.listed_rows())
         rows = [
@@ -91,7 +91,7 @@
             }
             for entry in entries
         ]
-        endpoints = {"index": table.newest, "snapshot": True, "endpoints": rows}
+        endpoints = {"index": table.newest_version, "snapshot": True, "endpoints": rows}
         means = self._host.routing.balancer.connection_loads.snapshot()
         return StartRecord(self._clock.now(), self._boot, self._discovery(), endpoints, means)
 
@@ -120,7 +120,11 @@
         """Writes where the list has changed, or long enough ago."""
         now_ms = self._clock.now()
         written = self._written
-        if written and written.version == self._host.endpoints.newest and now_ms - written.at_ms < WRITE_INTERVAL_MS:
+        if (
+            written
+            and written.version == self._host.endpoints.newest_version
+            and now_ms - written.at_ms < WRITE_INTERVAL_MS
+        ):
             return
         record = self.current_record()
         if record is None:
--- a/glenrock/net/acceptor.py
+++ b/glenrock/net/acceptor.py
@@ -1,4 +1,4 @@
-"""Clients before their connection is routed: accepted, first lines read, whoever can't be read rejected."""
+"""Clients' connections until their request: accepted, their first line read, and answered if it is no request."""
 
 from __future__ import annotations
 
@@ -9,281 +9,174 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from ..config import Address
 from ..log import get_logger
 from . import protocol
-from .clock import Clock, Limit
+from .clock import Clock
+from .idle_connections import IdleConnections
+from .listening_socket import BACKLOG, ListeningSocket
 from .metrics import ConnectionMetrics, ConnectionOutcome, RejectReason
 from .socket_io import close_drained, configure_socket, recv_into
-from .system_errors import is_gone_before_accept, is_shortage
-
-FIRST_LINE_MS = 2000.0  # the whole first line is due by then: whoever can't be read is owed a word within 3 s
-IDLE_MS = 10_000.0  # one that was answered PONG may stay this long
-LINGER_MS = 1000.0  # one that was rejected has this long to end
-LINGER_BYTES = 65536  # and may send this much more; past that it is cut off
-SHORTAGE_MS = 100.0  # a shortage of descriptors that lasts this long is ended by shedding
-RESUME_MS = 20.0  # no connection is taken this long after one could not be
-MAX_ACCEPTS = 8  # connections accepted in one turn: a flood must not keep the loop from its relays
-BACKLOG = 4096  # connections that the system accepts before this program does
-LAST_MS = 100.0  # once no more are taken, whoever has said nothing yet has this long
-LOGGED_BYTES = 120  # of a first line
-
-logger = get_logger(__name__)
 
+FIRST_LINE_TIMEOUT_MS = 2000.0  # a client is owed an answer within 3 s
+IDLE_TIMEOUT_MS = 10_000.0  # after an answer to PING
+LINGER_MS = 1000.0  # the client's end is awaited this long after its final answer
+LINGER_BYTES = 65536  # read from a client after its final answer
+LAST_LINE_TIMEOUT_MS = 100.0  # for a connection that was accepted as the process ends
+MIN_RETRY_AFTER_FRACTION = 0.5  # the jitter of a rejection's Retry-After
+LOGGED_BYTES = 120  # of a request line
 
-def _is_complete(data: bytes) -> bool:
-    """A first line, or more of it than a line may have."""
-    return b"\n" in data or len(data) >= protocol.MAX_LINE
+logger = get_logger(__name__)
 
 
 class Connections(Protocol):
-    """What a first line needs of the table of connections, whatever becomes of them.
+    """The table of connections, as the acceptor uses it.
 
     Attributes:
-        known: what an OPEN may name.
-        retry_after_ms: whoever is rejected comes again after this; 0: nobody may be told when.
+        known_names: the names that a request may use.
+        retry_after_ms: the Retry-After of rejections that routing does not decide; 0 if clients take none.
+        metrics: counts answers.
     """
 
-    known: protocol.KnownNames
+    known_names: protocol.KnownNames
     retry_after_ms: float
     metrics: ConnectionMetrics
 
-    def knows(self, request_id: str) -> bool:
-        """Whether a connection of that id is open."""
+    def is_open(self, request_id: str) -> bool:
+        """Returns whether a connection with that id is open."""
         ...
 
-    def full(self) -> bool:
-        """Whether there is no room for another."""
+    def is_full(self) -> bool:
+        """Returns whether the descriptor limit allows no further connection."""
         ...
 
-    def room(self) -> int:
-        """Connections that may be open without a request."""
+    def max_idle_connections(self) -> int:
+        """Returns how many connections without a request may be open."""
         ...
 
-    def record_answered(self, outcome: ConnectionOutcome, class_name: str) -> None:
-        """A connection with a sound first line has had its answer."""
+    def record_outcome(self, outcome: ConnectionOutcome, class_name: str) -> None:
+        """Counts the outcome of a connection that the acceptor has answered."""
         ...
 
-    async def serve(self, sock: socket.socket, opened: protocol.OpenLine) -> None:
+    async def serve(self, sock: socket.socket, request_line: protocol.RequestLine) -> None:
         """Routes the connection, until its end."""
         ...
 
 
 class Acceptor:
-    """Connections that have no request yet.
+    """Accepts connections and reads their requests.
 
     Attributes:
-        tasks: one a connection, those that are routed too.
-        unheard: tasks of those that have said nothing yet that could be answered, oldest first.
-        listener: the listening socket, while clients are taken.
-        away: clients are sent away: PING is told so. `refuses`: and new requests are rejected.
-        drain_permit_check: whether the drain permit is still held; None for a drain that needs none.
+        tasks: one for each connection, those with a request too.
+        idle: connections without a request.
+        is_draining: whether this balancer drains; PING is answered with ERR.
+        rejects_requests: whether new requests are rejected.
+        drain_permit_check: returns whether the drain permit is valid, and ends the drain if it is not.
     """
 
     def __init__(self, connections: Connections, clock: Clock) -> None:
         self.tasks: set[asyncio.Task[None]] = set()
-        self.unheard: dict[asyncio.Task[None], None] = {}
-        self.listener: socket.socket | None = None
-        self.away = False
-        self.refuses = False
+        self.idle = IdleConnections()
+        self.is_draining = False
+        self.rejects_requests = False
         self.drain_permit_check: Callable[[], bool] | None = None
         self._connections = connections
         self._clock = clock
-        self._answered: dict[asyncio.Task[None], None] = {}  # have had an answer and are owed no other
-        self._waits: dict[asyncio.Task[None], Limit] = {}  # for a line of theirs
-        self._short_since_ms: float | None = None  # not one connection could be taken since then
-        self._is_last = False  # no more are taken, and nobody is waited for
-        self._hurried: set[asyncio.Task[None]] = set()  # are told to come again, unless a request is there already
-        self._lingering: dict[asyncio.Task[None], None] = {}  # of those answered, who have had their last word
+        self._socket = ListeningSocket(clock, connections.metrics, self._add_connection, self.idle.shed_oldest)
+        self._is_closing = False  # no more connections are accepted, and no line is awaited
 
     def drain_permit_is_valid(self) -> bool:
-        """Whether clients may be sent away.
+        """Returns whether this balancer may drain now.
 
-        Who slept since it was allowed to has the right no more, and would act on it before its clock has told it so.
+        The process may have been suspended past the end of its lease, so the permit is checked before each use.
         """
-        return not (self.away and self.drain_permit_check) or self.drain_permit_check()
+        return not (self.is_draining and self.drain_permit_check) or self.drain_permit_check()
 
     # -- the listening socket --------------------------------------------------------------------------
 
-    def listen(self, address: Address) -> socket.socket:
-        """A listening socket."""
-        sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        sock.setblocking(False)
-        sock.bind(address)
-        sock.listen(BACKLOG)
-        return sock
+    @property
+    def listener(self) -> socket.socket | None:
+        """The listening socket; None while no connections are accepted."""
+        return self._socket.sock
 
     def open(self, listener: socket.socket) -> None:
-        """Takes connections from now on.
-
-        Read when the loop says so, not by sock_accept: a connection that it has taken just as it is cancelled would be
-        lost, and a successor's socket must stay whole.
-        """
-        self.listener = listener
-        asyncio.get_running_loop().add_reader(listener, self._accept, MAX_ACCEPTS)
+        """Starts to accept connections."""
+        self._socket.open(listener)
 
     def close(self) -> None:
-        """Takes no more.
+        """Stops accepting. Queued connections stay with another process that has the socket; else they are reset."""
+        self._socket.close()
 
-        What is in the queue stays there, for whoever holds the socket too; where nobody does, it is reset.
-        """
-        if self.listener:
-            asyncio.get_running_loop().remove_reader(self.listener)
-            self.listener.close()
-            self.listener = None
-
-    def leave_none(self) -> None:
-        """The last of it: nobody is taken, and whoever is here is told.
+    def close_idle(self) -> None:
+        """Rejects all connections without a request, and those that are queued.
 
-        The machine has accepted what is in the queue, and a request in it would be lost with the reset.
+        The system has accepted the queued connections, and their requests would be lost with a reset.
         """
-        self.refuses = self._is_last = True
-        if self.listener:
-            self._accept(BACKLOG)
+        self.rejects_requests = self._is_closing = True
+        self._socket.accept(BACKLOG)
         self.close()
-        for limit in list(self._waits.values()):
-            limit.stop()
-
-    def _accept(self, most: int) -> None:
-        for _ in range(most):
-            if self.listener is None:
-                return
-            try:
-                sock, _ = self.listener.accept()
-            except (BlockingIOError, InterruptedError):
-                return
-            except OSError as error:
-                self._connections.metrics.add_system_error(error)
-                if is_gone_before_accept(error):
-                    continue
-                self._pause_accepting(self.listener, error)
-                return
-            self._short_since_ms = None
-            self._take(sock)
-
-    def _pause_accepting(self, listener: socket.socket, error: OSError) -> None:
-        """Out of descriptors or memory: the listener must outlive that, and spin meanwhile it must not.
-
-        A shortage of a moment costs nobody a place; one that lasts is ours to end.
-        """
-        logger.warning("accepting paused after a resource error", error=error, pause_ms=RESUME_MS)
-        now_ms = self._clock.now()
-        if is_shortage(error):
-            self._short_since_ms = now_ms if self._short_since_ms is None else self._short_since_ms
-            if now_ms - self._short_since_ms >= SHORTAGE_MS:
-                self._shed()
-        asyncio.get_running_loop().remove_reader(listener)
-        self._clock.call_at(self._clock.now() + RESUME_MS, self._resume)
-
-    def _resume(self) -> None:
-        if self.listener:
-            asyncio.get_running_loop().add_reader(self.listener, self._accept, MAX_ACCEPTS)
+        self.idle.stop_all_reading()
 
     # -- connections -----------------------------------------------------------------------------------
 
-    def _take(self, sock: socket.socket) -> None:
+    def _add_connection(self, sock: socket.socket) -> None:
         task = asyncio.get_running_loop().create_task(self._serve(sock))
         self.tasks.add(task)
-        self.unheard[task] = None
-        task.add_done_callback(lambda task: self._ended(task, sock))
-        # Silent connections by the hundred would take all descriptors, and with them the requests, the health checks
-        # and discovery. Past their room the oldest go at once; sound ones have spoken by then.
-        while len(self.unheard) + len(self._answered) > self._connections.room():
-            if not self._shed():
+        self.idle.add(task)
+        task.add_done_callback(lambda task: self._remove_connection(task, sock))
+        # Hundreds of silent connections would take the descriptors of requests, health checks and discovery.
+        while len(self.idle) > self._connections.max_idle_connections():
+            if not self.idle.shed_oldest():
                 break
 
-    def _ended(self, task: asyncio.Task[None], sock: socket.socket) -> None:
+    def _remove_connection(self, task: asyncio.Task[None], sock: socket.socket) -> None:
         self.tasks.discard(task)
-        self.unheard.pop(task, None)
-        self._answered.pop(task, None)
-        self._lingering.pop(task, None)
-        self._hurried.discard(task)
+        self.idle.forget(task)
         close_drained(sock)
 
-    def _shed(self) -> bool:
-        """Makes room: the oldest that has had its last word is closed, else the oldest without a request is told.
-
-        A request of that one may lie in the socket's buffer, or be on its way: what is there is read and gets its
-        answer, and whoever has said nothing is told to come again before the close. False where nobody is left.
-        """
-        if self._lingering:
-            self._end_lingering(next(iter(self._lingering)))
-            return True
-        for pool in (self._answered, self.unheard):
-            for task in pool:
-                logger.warning("idle connection closed to free a descriptor", idle_connections=len(self.unheard))
-                del pool[task]
-                self._hurried.add(task)
-                if limit := self._waits.get(task):
-                    limit.stop()
-                return True
-        return False
-
-    def _end_lingering(self, task: asyncio.Task[None]) -> None:
-        del self._lingering[task]
-        self._answered.pop(task, None)
-        task.cancel()
-
-    def _record_answer(self) -> None:
-        task = _current_task()
-        self.unheard.pop(task, None)
-        self._answered[task] = None
-
     async def _serve(self, sock: socket.socket) -> None:
         try:
             configure_socket(sock)
-            opened = await self._first_line(sock)
-            if opened is None:
+            request_line = await self._read_request(sock)
+            if request_line is None:
                 return
-            task = _current_task()
-            self.unheard.pop(task, None)
-            self._answered.pop(task, None)
-            await self._connections.serve(sock, opened)
+            self.idle.remove(_current_task())
+            await self._connections.serve(sock, request_line)
         except OSError:
             pass
         except Exception:  # the edge of the connection's task
             logger.exception("unexpected error in an idle connection")
 
-    async def _first_line(self, sock: socket.socket) -> protocol.OpenLine | None:
-        """The request that the client opens with; None if it has left or was rejected."""
+    async def _read_request(self, sock: socket.socket) -> protocol.RequestLine | None:
+        """Returns the client's request; None if the client has left or was rejected."""
         loop = asyncio.get_running_loop()
-        data, pinged = b"", False
+        data = b""
+        has_pinged = False
         while True:
-            read = await self._read_line(sock, data, pinged)
-            if read is None:
+            received = await self._read_line(sock, data, has_pinged)
+            if received is None:
                 return None
-            data = read
+            data = received
             if not _is_complete(data):
-                await self._give_up(sock, rests=pinged and not data)
+                await self._reject_without_request(sock, is_idle=has_pinged and not data)
                 return None
             line, end, rest = data.partition(b"\n")
             if line + end != protocol.PING:
-                return await self._open(sock, data)
-            self.drain_permit_is_valid()
-            await loop.sock_sendall(sock, protocol.FAILED if self.away else protocol.PONG)
-            self._record_answer()
-            data, pinged = rest, True
-
-    async def _give_up(self, sock: socket.socket, rests: bool) -> None:
-        """No whole line is there, and none is waited for any more."""
-        is_hurried = _current_task() in self._hurried
-        line = protocol.FAILED
-        if is_hurried:
-            line = self._spread_busy_line()
-        elif rests:
-            line = protocol.busy_line(self._connections.retry_after_ms)
-        await self._reject(sock, line, "shed" if is_hurried else "draining" if self._is_last else "silent")
-
-    async def _read_line(self, sock: socket.socket, data: bytes, pinged: bool) -> bytes | None:
-        """What there is once a line is complete or time is up; None where the client has left."""
+                return await self._parse_request(sock, data)
+            self.drain_permit_is_valid()  # ends the drain of an expired permit before the answer
+            await loop.sock_sendall(sock, protocol.FAILED if self.is_draining else protocol.PONG)
+            self.idle.mark_answered(_current_task())
+            data = rest
+            has_pinged = True
+
+    async def _read_line(self, sock: socket.socket, data: bytes, has_pinged: bool) -> bytes | None:
+        """Returns all bytes once a line is complete or its time is up; None if the client has left."""
         loop = asyncio.get_running_loop()
         buffer = bytearray(protocol.MAX_LINE)
         task = _current_task()
-        if task in self._hurried:
+        if self.idle.is_shed(task):
             return data + _received(sock)
-        async with self._clock.limit(self._line_limit_ms(pinged)) as limit:
-            self._waits[task] = limit
+        async with self._clock.limit(self._line_timeout_ms(has_pinged)) as limit:
+            self.idle.start_reading(task, limit)
             try:
                 while not _is_complete(data):
                     count = await recv_into(loop, sock, buffer)
@@ -291,58 +184,68 @@
                         return None
                     data += buffer[:count]
             finally:
-                del self._waits[task]
+                self.idle.stop_reading(task)
         if limit.over:
-            # A request may have come in the instant in which its connection is given up.
+            # A request may have arrived as the limit was reached.
             data += _received(sock)
         return data
 
-    def _line_limit_ms(self, pinged: bool) -> float:
-        if self._is_last:
-            return LAST_MS
-        return IDLE_MS if pinged else FIRST_LINE_MS
+    def _line_timeout_ms(self, has_pinged: bool) -> float:
+        if self._is_closing:
+            return LAST_LINE_TIMEOUT_MS
+        return IDLE_TIMEOUT_MS if has_pinged else FIRST_LINE_TIMEOUT_MS
 
-    async def _open(self, sock: socket.socket, data: bytes) -> protocol.OpenLine | None:
-        """The request; None if it was rejected."""
+    # -- answers ---------------------------------------------------------------------------------------
+
+    async def _reject_without_request(self, sock: socket.socket, is_idle: bool) -> None:
+        """Rejects a connection that has sent no whole line. `is_idle`: nothing since its last answer."""
+        if self.idle.is_shed(_current_task()):
+            await self._reject(sock, self._busy_line_with_jitter(), RejectReason.SHED)
+            return
+        line = protocol.busy_line(self._connections.retry_after_ms) if is_idle else protocol.FAILED
+        await self._reject(sock, line, RejectReason.DRAINING if self._is_closing else RejectReason.SILENT)
+
+    async def _parse_request(self, sock: socket.socket, data: bytes) -> protocol.RequestLine | None:
+        """Returns the request in a line; None if it was rejected."""
         try:
-            opened = protocol.parse_open(data, self._connections.known)
-            if self._connections.knows(opened.id):
-                raise protocol.OpenLineError("the id of a command that is open")  # noqa: TRY301 - answered alike
-        except protocol.OpenLineError as error:
-            self._count_unsound(data)
+            request_line = protocol.parse_request_line(data, self._connections.known_names)
+            if self._connections.is_open(request_line.request_id):
+                raise protocol.RequestLineError("the id of a command that is open")  # noqa: TRY301 - answered alike
+        except protocol.RequestLineError as error:
+            self._count_malformed(data)
             logger.info("request line rejected", reason=str(error), data=data[:LOGGED_BYTES])
-            await self._reject(sock, protocol.FAILED, "unsound")
+            await self._reject(sock, protocol.FAILED, RejectReason.UNSOUND)
             return None
-        if not (self.drain_permit_is_valid() and self.refuses) and not self._connections.full():
-            return opened
-        if not self.refuses:
-            logger.warning("request rejected: descriptor limit reached", request_id=opened.id)
-        self._connections.record_answered("throttled", opened.class_name)
-        await self._reject(sock, self._spread_busy_line(), "draining" if self.refuses else "descriptors")
+        if not (self.drain_permit_is_valid() and self.rejects_requests) and not self._connections.is_full():
+            return request_line
+        if not self.rejects_requests:
+            logger.warning("request rejected: descriptor limit reached", request_id=request_line.request_id)
+        self._connections.record_outcome(ConnectionOutcome.THROTTLED, request_line.class_name)
+        reason = RejectReason.DRAINING if self.rejects_requests else RejectReason.DESCRIPTORS
+        await self._reject(sock, self._busy_line_with_jitter(), reason)
         return None
 
-    def _spread_busy_line(self) -> bytes:
-        """Whoever is rejected together is not to come again together."""
-        return protocol.busy_line(self._connections.retry_after_ms * (0.5 + random.random() / 2))  # noqa: S311 - jitter
+    def _busy_line_with_jitter(self) -> bytes:
+        """Returns a rejection with jitter, so that clients rejected together do not retry together."""
+        fraction = MIN_RETRY_AFTER_FRACTION + random.random() / 2  # noqa: S311 - jitter
+        return protocol.busy_line(self._connections.retry_after_ms * fraction)
 
-    def _count_unsound(self, data: bytes) -> None:
-        """What is wrong may have come behind a sound line: it has a class, and counts there."""
-        with contextlib.suppress(protocol.OpenLineError):
-            first = protocol.parse_open(data.partition(b"\n")[0] + b"\n", self._connections.known)
-            self._connections.record_answered("faulted", first.class_name)
+    def _count_malformed(self, data: bytes) -> None:
+        """Counts a rejected line under its class, if its first line is a request."""
+        with contextlib.suppress(protocol.RequestLineError):
+            first = protocol.parse_request_line(data.partition(b"\n")[0] + b"\n", self._connections.known_names)
+            self._connections.record_outcome(ConnectionOutcome.FAULTED, first.class_name)
 
     async def _reject(self, sock: socket.socket, line: bytes, reason: RejectReason) -> None:
-        """The answer, then the client's end is awaited.
+        """Sends the final answer, and awaits the client's end.
 
-        A close with its bytes unread resets the connection, and some lose the answer with it. Whoever sends on and on
-        has no such care taken.
+        A close with unread bytes resets the connection, and the client may lose the answer.
         """
         loop = asyncio.get_running_loop()
         buffer = bytearray(protocol.MAX_LINE)
         left = LINGER_BYTES
-        self._record_answer()
         self._connections.metrics.rejected[reason] += 1
-        self._lingering[_current_task()] = None
+        self.idle.mark_rejected(_current_task())
         async with self._clock.limit(LINGER_MS):
             await loop.sock_sendall(sock, line)
             sock.shutdown(socket.SHUT_WR)
@@ -350,8 +253,13 @@
                 left -= count
 
 
+def _is_complete(data: bytes) -> bool:
+    """Returns whether the bytes hold a whole line, or more than a line may have."""
+    return b"\n" in data or len(data) >= protocol.MAX_LINE
+
+
 def _received(sock: socket.socket) -> bytes:
-    """What has come and was not read yet."""
+    """Returns the bytes that have arrived and were not read."""
     try:
         return sock.recv(protocol.MAX_LINE, socket.MSG_DONTWAIT)
     except (BlockingIOError, InterruptedError):
--- a/glenrock/net/attempt_outcomes.py
+++ b/glenrock/net/attempt_outcomes.py
@@ -1,4 +1,4 @@
-"""Ends of an attempt, as values: what ended it and how far it had come. Together they pick the routing outcome."""
+"""Results of an attempt: what ended it and how far it had come. Both together give the outcome for routing."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Reach(IntEnum):
-    """How far an attempt has come. PARTLY_WRITTEN: connected, the last byte of the line not out."""
+    """How far an attempt has come. PARTLY_WRITTEN: connected, but the request line is not written whole."""
 
     NOT_CONNECTED = 0
     PARTLY_WRITTEN = 1
@@ -20,8 +20,16 @@
 class AttemptEnd(Enum):
     """What ended an attempt.
 
-    BROKEN: refused, reset or ended without a word. SILENT: nothing came in time. WITHDRAWN: by the routing decisions,
-        or the client left. NOT_SENT: the server drains or is gone.
+    Attributes:
+        UP: the server accepted the request.
+        BYE: the server has served the request already.
+        MOVED: the server asked to connect elsewhere.
+        ERROR: the server failed the request.
+        BUSY: the server rejected the request.
+        BROKEN: the connection was refused, reset or closed without an answer.
+        SILENT: no answer came in time.
+        WITHDRAWN: routing cancelled the attempt, or the client left.
+        NOT_SENT: the server is draining or gone, or this machine could not connect.
     """
 
     UP = "up"
@@ -35,7 +43,7 @@
     NOT_SENT = "not sent"
 
 
-OUTCOMES: dict[AttemptEnd, AttemptOutcome] = {
+OUTCOMES = {
     AttemptEnd.BYE: AttemptOutcome.SERVED,
     AttemptEnd.MOVED: AttemptOutcome.CANCELLED,
     AttemptEnd.ERROR: AttemptOutcome.ERROR,
@@ -43,11 +51,12 @@
     AttemptEnd.WITHDRAWN: AttemptOutcome.CANCELLED,
     AttemptEnd.NOT_SENT: AttemptOutcome.UNSENT,
 }
+"""Outcomes that do not depend on how far the attempt had come."""
 
 
 @dataclass(frozen=True)
 class AttemptResult:
-    """How an attempt ended, with the load report that came with it."""
+    """How an attempt ended, with the load report that came with the answer."""
 
     end: AttemptEnd
     reach: Reach
@@ -55,11 +64,11 @@
 
     @property
     def outcome(self) -> AttemptOutcome:
-        """What the routing decisions are told."""
+        """The outcome for routing."""
         if self.end in OUTCOMES:
             return OUTCOMES[self.end]
         if self.reach < Reach.WRITTEN:
-            return AttemptOutcome.NO_CONNECTION  # never ran: the server counts a line from its last byte
-        return (
-            AttemptOutcome.TIMEOUT if self.end is AttemptEnd.SILENT and self.reach < Reach.UP else AttemptOutcome.BROKEN
-        )
+            return AttemptOutcome.NO_CONNECTION  # never executed: a server needs the line's last byte
+        if self.end is AttemptEnd.SILENT and self.reach < Reach.UP:
+            return AttemptOutcome.TIMEOUT
+        return AttemptOutcome.BROKEN
--- a/glenrock/net/clock.py
+++ b/glenrock/net/clock.py
@@ -1,7 +1,7 @@
-"""The one clock: Unix time in milliseconds, as a float. It only advances.
+"""The clock of the process: Unix time in milliseconds, as a float, that never goes back.
 
-The routing decisions count whole microseconds. `micros` and `millis` are the only conversions; Unix milliseconds of the
-endpoint list go through `micros` too, since this clock shows Unix time.
+Routing uses whole microseconds. `micros` and `millis` are the only conversions, for the Unix times of the endpoint list
+too.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 
 
 def micros(ms: float) -> int:
-    """Whole microseconds."""
+    """Returns milliseconds as whole microseconds."""
     return int(ms * 1000)
 
 
 def millis(us: int) -> float:
-    """Milliseconds."""
+    """Returns microseconds as milliseconds."""
     return us / 1000
 
 
@@ -29,22 +29,22 @@
 
 
 class Clock:
-    """Anchored to Unix time once, so that a step of the machine's clock moves no deadline."""
+    """A monotonic clock that starts at Unix time, so that a step of the machine's clock changes no deadline."""
 
     def __init__(self) -> None:
         self._offset_ms = (time.time() - time.monotonic()) * 1000
 
     def now(self) -> float:
-        """Unix time in milliseconds."""
+        """Returns the time in Unix milliseconds."""
         return time.monotonic() * 1000 + self._offset_ms
 
     def call_at(self, when_ms: float, call: Callable[..., object], *args: object) -> asyncio.Handle:
-        """Calls at that time, or as soon as it can be if that is over."""
+        """Calls `call` at that time, or at once if the time is past."""
         delay_s = max(0.0, when_ms - self.now()) / 1000
         return asyncio.get_running_loop().call_later(delay_s, call, *args)
 
     async def sleep(self, ms: float) -> None:
-        """Waits so long by this clock."""
+        """Waits for that time by this clock."""
         done: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         handle = self.call_at(self.now() + ms, _finish, done)
         try:
@@ -53,12 +53,12 @@
             handle.cancel()
 
     def limit(self, ms: float) -> Limit:
-        """A context that stops its block after that time."""
+        """Returns a context manager that ends its block after that time."""
         return Limit(self, ms)
 
 
 class SetClock(Clock):
-    """A clock that stands still until a test advances it."""
+    """A clock for tests, which advances only by `advance`."""
 
     def __init__(self, now: float = 1_000_000.0) -> None:
         self.time = now
@@ -66,18 +66,18 @@
         self._count = 0
 
     def now(self) -> float:
-        """The time that was set."""
+        """Returns the time that was set."""
         return self.time
 
     def call_at(self, when_ms: float, call: Callable[..., object], *args: object) -> asyncio.Handle:
-        """Calls once `advance` has come that far."""
+        """Calls `call` once `advance` has reached that time."""
         handle = asyncio.Handle(call, args, asyncio.get_running_loop())
         self._count += 1
         heapq.heappush(self._due, (when_ms, self._count, handle))
         return handle
 
     def advance(self, ms: float) -> None:
-        """Lets time pass; what is due is called, in order."""
+        """Advances the clock, and makes the calls that are due, in order."""
         self.time += ms
         while self._due and self._due[0][0] <= self.time:
             handle = heapq.heappop(self._due)[2]
@@ -86,7 +86,7 @@
 
 
 class Limit:
-    """`async with clock.limit(ms) as limit:` stops the block after that time; `limit.over` tells."""
+    """`async with clock.limit(ms) as limit:` ends the block after that time; then `limit.over` is true."""
 
     def __init__(self, clock: Clock, ms: float) -> None:
         self.over = False
@@ -101,8 +101,8 @@
         return self
 
     def stop(self) -> None:
-        """Stops the block now."""
-        if not self.over and self._task:  # a second cancellation would get through
+        """Ends the block now."""
+        if not self.over and self._task:  # a second cancellation would not be suppressed
             self.over = True
             self._task.cancel()
 
@@ -111,5 +111,5 @@
     ) -> bool:
         assert self._task is not None and self._handle is not None
         self._handle.cancel()
-        # Someone else's cancellation must get through: only our own is swallowed.
+        # Only the cancellation by `stop` is suppressed, no other one.
         return self.over and self._task.uncancel() == 0 and kind is asyncio.CancelledError
--- a/glenrock/net/connection_attempt.py
+++ b/glenrock/net/connection_attempt.py
@@ -1,4 +1,4 @@
-"""One attempt to set a client's connection up at a server."""
+"""One attempt to establish a client's connection at a server."""
 
 from __future__ import annotations
 
@@ -16,33 +16,41 @@
 
 @dataclass
 class ConnectionAttempt:
-    """One attempt at one server. Once it is up, `sock` is the relay's.
+    """One attempt at one server. The relay owns `sock` once the connection is established.
 
     Attributes:
-        line: the client's first line.
-        done: called once, with the result.
-        insist: for a connection that stood there before this balancer did, whatever the endpoint list says.
+        line: the client's request line.
+        timeout_ms: the time for the whole attempt.
+        on_result: called once, with the result.
+        ignores_endpoint_state: whether the attempt is made at a server that is draining or not listed, as to resume a
+            connection that is already there.
+        sock: the connection to the server.
+        received: bytes that came with the server's answer, that line included.
+        reach: how far the attempt has come.
+        started_ms: when the server's actor began it; 0 before.
+        latency_ms: the time from its start to its result.
+        is_withdrawn: whether it was cancelled.
+        client_waits: called before the line is written; False cancels the attempt.
+        task: runs the attempt.
         request_id: for the log.
-        first: what came with UP, that line included.
-        wanted: asked right before the line is written.
     """
 
     line: bytes
     timeout_ms: float
-    done: Callable[[ConnectionAttempt, AttemptResult], None]
-    insist: bool = False
+    on_result: Callable[[ConnectionAttempt, AttemptResult], None]
+    ignores_endpoint_state: bool = False
     sock: socket.socket | None = None
-    first: bytes = b""
+    received: bytes = b""
     reach: Reach = Reach.NOT_CONNECTED
-    sent_at: float = 0.0
+    started_ms: float = 0.0
     latency_ms: float = 0.0
-    withdrawn: bool = False
-    wanted: Callable[[], bool] = _always
+    is_withdrawn: bool = False
+    client_waits: Callable[[], bool] = _always
     task: asyncio.Task[None] | None = field(default=None, repr=False)
     request_id: str = ""
 
     def withdraw(self) -> None:
-        """Ends the attempt, one that still lies with its server's actor too."""
-        self.withdrawn = True
-        if self.task and self.sent_at:  # a task cancelled before its first step would never report
+        """Cancels the attempt, whether or not the server's actor has started it."""
+        self.is_withdrawn = True
+        if self.task and self.started_ms:  # a task cancelled before its first step would never report
             self.task.cancel()
--- a/glenrock/net/connection_messages.py
+++ b/glenrock/net/connection_messages.py
@@ -1,4 +1,4 @@
-"""Messages to the actor of a client's connection, and the ends that its pumps meet."""
+"""Messages to the actor of a client's connection."""
 
 from __future__ import annotations
 
@@ -14,14 +14,24 @@
 
 
 class RelayEnd(Enum):
-    """What a pump met, or a timer. TOO_EARLY: the client sent bytes before its answer."""
+    """What a relay pump or a timer has met.
+
+    Attributes:
+        CLIENT_FIN: the client has closed its side.
+        CLIENT_RST: the client has reset the connection.
+        SERVER_FIN: the server has closed its side.
+        SERVER_RST: the server has reset the connection.
+        TOO_EARLY: the client has sent bytes before its answer.
+        BETWEEN_LINES: the client can be migrated now.
+        OVERDUE: a timer has expired.
+    """
 
     CLIENT_FIN = "client fin"
     CLIENT_RST = "client rst"
-    SERVER_FIN = "instance fin"
-    SERVER_RST = "instance rst"
+    SERVER_FIN = "server fin"
+    SERVER_RST = "server rst"
     TOO_EARLY = "bytes before the answer"
-    BETWEEN_LINES = "ready to move"
+    BETWEEN_LINES = "between lines"
     OVERDUE = "overdue"
 
 
@@ -31,7 +41,7 @@
 
 @dataclass(frozen=True)
 class AttemptAnswered:
-    """An attempt has its result."""
+    """An attempt has ended, or its connection is established."""
 
     attempt: ConnectionAttempt
     result: AttemptResult
@@ -39,7 +49,7 @@
 
 @dataclass(frozen=True)
 class FinalAnswer:
-    """The routing decisions have answered: this line is the client's last. `reason`: for the metrics."""
+    """Routing has rejected or failed the request: `line` is the client's last line."""
 
     line: bytes
     reason: RejectReason
@@ -47,23 +57,23 @@
 
 @dataclass(frozen=True)
 class MigrateClient:
-    """Ask the client to connect elsewhere. `outcome`: how its connection counts as ended."""
+    """Ask the client to connect elsewhere. `outcome`: how routing counts the end of its connection."""
 
     outcome: AttemptOutcome
 
 
 @dataclass(frozen=True)
 class AnswerNow:
-    """It is to have its answer now: the process ends, or sends its clients away."""
+    """Answer a waiting client now, since this balancer drains or stops."""
 
     retry_after_ms: float
 
 
 @dataclass(frozen=True)
 class HandOverRelay:
-    """Offer the relay to a successor. `give`: true once another process has taken it."""
+    """Offer the relay to the successor. `hand_over` returns whether the successor has accepted."""
 
-    give: Callable[[], Awaitable[bool]]
+    hand_over: Callable[[], Awaitable[bool]]
 
 
 ConnectionMessage = AttemptAnswered | FinalAnswer | MigrateClient | AnswerNow | HandOverRelay | RelayEnd
--- /dev/null
+++ b/glenrock/net/connection_reports.py
@@ -0,0 +1,95 @@
+"""What routing and the metrics are told about one client's connection, each fact once."""
+
+from __future__ import annotations
+
+from glenrock.routing import interface
+
+from .clock import micros
+from .metrics import ConnectionMetrics, ConnectionOutcome
+from .protocol import RequestLine
+from .routing_actor import RoutingActor
+
+
+class ConnectionReports:
+    """Posts events of one connection to routing, and counts its outcome.
+
+    Attributes:
+        load: the load of the connection as last known.
+        is_counted: whether the metrics have the outcome.
+        is_forgotten: whether routing has been told the connection's end.
+    """
+
+    def __init__(
+        self, routing: RoutingActor, metrics: ConnectionMetrics, request_line: RequestLine, deadline_ms: float
+    ) -> None:
+        self.load = request_line.load
+        self.is_counted = False
+        self.is_forgotten = False
+        self._routing = routing
+        self._metrics = metrics
+        self._request_line = request_line
+        self._deadline_ms = deadline_ms
+
+    def _request(self) -> interface.Request:
+        request_line = self._request_line
+        return interface.Request(
+            id=request_line.request_id,
+            service=request_line.class_name,
+            deadline_us=micros(self._deadline_ms),
+            key=request_line.key,
+            group=request_line.group,
+            tenant=request_line.tenant,
+            load=self.load,
+            is_returning=request_line.is_returning,
+        )
+
+    def post_request(self) -> bool:
+        """Asks routing for a decision. Returns False if its mailbox is full."""
+        return self._routing.post(self._request())
+
+    def post_open(self, server: str) -> None:
+        """Reports a connection that was established without a decision of routing."""
+        self._routing.post(interface.OpenConnection(self._request(), server))
+
+    def post_established(self, attempt_number: int, server: str, latency_ms: float) -> None:
+        """Reports that the connection is established."""
+        request_id = self._request_line.request_id
+        self._routing.post(interface.ConnectionEstablished(request_id, attempt_number, server, micros(latency_ms)))
+
+    def post_load(self, server: str, load: float) -> None:
+        """Reports the load that the server states for the connection."""
+        self._routing.post(interface.ConnectionFeedback(self._request_line.request_id, server, load=load))
+
+    def post_attempt_end(
+        self,
+        attempt_number: int,
+        server: str,
+        outcome: interface.AttemptOutcome,
+        latency_ms: float,
+        report: dict[str, float],
+        was_established: bool = False,
+    ) -> None:
+        """Reports the end of an attempt, or of the connection that it established."""
+        self._routing.post(
+            interface.AttemptEnded(
+                self._request_line.request_id,
+                attempt_number,
+                server,
+                outcome,
+                was_established,
+                micros(latency_ms),
+                report,
+            )
+        )
+
+    def post_disconnected(self) -> None:
+        """Reports that the client has gone, unless routing knows already."""
+        if not self.is_forgotten:
+            self.is_forgotten = True
+            self._routing.post(interface.ClientDisconnected(self._request_line.request_id))
+
+    def count(self, outcome: ConnectionOutcome) -> None:
+        """Counts the connection; only its first outcome counts."""
+        if not self.is_counted:
+            self.is_counted = True
+            self._metrics.add(outcome, self._request_line.class_name)
--- a/glenrock/net/connection_table.py
+++ b/glenrock/net/connection_table.py
@@ -19,25 +19,25 @@
 from .routing_actor import RoutingActor
 from .server_connections import ServerRegistry
 
-SILENT_MS = 4500.0  # a client line unanswered this long: its server is out of reach (7 s is the rule)
-SWEEP_MS = 250.0
-DELAY_NOTICE_MS = 1000.0  # word of slow messages at a server, at most this often
-SLOW_SHARE = 3  # a message is slow past this part of the shortest objective
-RETRY_AFTER_MS = 1000.0  # whoever is rejected beside the decisions comes again after this, where clients may wait so
-LONGEST_WAIT = 10.0  # a client that wants to wait this many times its class's deadline sent no sound number
+UNANSWERED_TIMEOUT_MS = 4500.0  # for a client's line; the protocol allows 7 s until its client migrates
+SWEEP_INTERVAL_MS = 250.0
+DELAY_REPORT_INTERVAL_MS = 1000.0  # between two reports on slow messages of one server
+SLOW_MESSAGE_DIVISOR = 3  # of the shortest message objective
+DEFAULT_RETRY_AFTER_MS = 1000.0
+MAX_WAIT_DEADLINES = 10.0  # a request that wants to wait more deadlines of its class is invalid
 
 logger = get_logger(__name__)
 
 
 class ConnectionTable:
-    """Keeps the table, and watches for silent servers.
+    """Holds all connections, and migrates those whose server does not answer.
 
     Attributes:
-        by_id: connections by request, shared with the routing actor.
+        by_id: connections by request id, shared with the routing actor.
         budget: of descriptors.
-        elsewhere: counts the descriptors of another process under the same limit.
-        known: what an OPEN may name.
-        retry_after_ms: whoever is rejected beside the decisions comes again after this; 0: nobody may be told when.
+        count_other_descriptors: counts the descriptors of another process under the same limit.
+        known_names: the names that a request may use.
+        retry_after_ms: the Retry-After of rejections that routing does not decide; 0 if clients take none.
     """
 
     def __init__(
@@ -55,107 +55,119 @@
         self.metrics = metrics
         self.budget = budget
         self.by_id: dict[str, ClientConnection] = {}
-        self.elsewhere: Callable[[], int] = _none_elsewhere
+        self.count_other_descriptors: Callable[[], int] = _no_other_descriptors
         routing.connection_of = self.by_id.get
         settings = routing.balancer.settings
-        self.known = protocol.KnownNames(
-            {one.name: LONGEST_WAIT * one.deadline_us / 1000 for one in settings.classes},
+        self.known_names = protocol.KnownNames(
+            {
+                request_class.name: MAX_WAIT_DEADLINES * request_class.deadline_us / 1000
+                for request_class in settings.classes
+            },
             frozenset(tenant.name for tenant in settings.tenants),
         )
         self.retry_after_ms = 0.0
         if settings.may_send_retry_after:
-            self.retry_after_ms = min(RETRY_AFTER_MS, settings.max_retry_after_us / 1000)
-        objectives = [one.message_objective_us for one in settings.classes if one.message_objective_us]
-        self._slow_ms = min(objectives) / (SLOW_SHARE * 1000) if objectives and measures_delay else 0.0
-        self._noticed_ms: dict[str, float] = {}  # servers whose messages were slow, and when that was told
-        self._adopted: set[asyncio.Task[None]] = set()  # the loop itself keeps no hold on a task
-
-    def knows(self, request_id: str) -> bool:
-        """Whether a connection of that id is open."""
+            self.retry_after_ms = min(DEFAULT_RETRY_AFTER_MS, settings.max_retry_after_us / 1000)
+        self._slow_message_ms = _slow_message_ms(settings) if measures_delay else 0.0
+        self._delay_reported_ms: dict[str, float] = {}  # by server, while its messages are slow
+        self._taken_over: set[asyncio.Task[None]] = set()  # the loop keeps no reference to a task
+
+    def is_open(self, request_id: str) -> bool:
+        """Returns whether a connection with that id is open."""
         return request_id in self.by_id
 
     def count_open(self) -> int:
-        """Connections taken that have not had their last word."""
-        return sum(not connection.ended for connection in self.by_id.values())
+        """Returns the number of connections that have not had their final answer."""
+        return sum(not connection.has_ended for connection in self.by_id.values())
 
     def descriptors_by_purpose(self) -> dict[str, int]:
-        """Descriptors in use for clients and health checks, and those set aside for the rest."""
+        """Returns descriptors in use for clients and health checks, and those reserved for the rest."""
         return {
-            "program": descriptor_budget.PROGRAM,
+            "program": descriptor_budget.PROGRAM_DESCRIPTORS,
             "operators": self.budget.operators,
-            "other_process": self.budget.elsewhere,
+            "other_process": self.budget.other_process,
             "health_checks": self.servers.count_health_connections(),
-            "relays": descriptor_budget.PER_RELAY * len(self.by_id),
+            "relays": descriptor_budget.DESCRIPTORS_PER_RELAY * len(self.by_id),
         }
 
-    def record_answered(self, outcome: ConnectionOutcome, class_name: str) -> None:
-        """A connection with a sound first line has had its answer from the acceptor."""
+    def record_outcome(self, outcome: ConnectionOutcome, class_name: str) -> None:
+        """Counts the outcome of a connection that the acceptor has answered."""
         self.metrics.add(outcome, class_name)
 
-    def full(self) -> bool:
-        """Whether there is no room for another."""
-        return not self.budget.has_room(len(self.by_id))
+    def is_full(self) -> bool:
+        """Returns whether the descriptor limit allows no further connection."""
+        return not self.budget.allows_relay(len(self.by_id))
 
-    def room(self) -> int:
-        """Connections that may be open without a request."""
-        return self.budget.unrouted(len(self.by_id))
+    def max_idle_connections(self) -> int:
+        """Returns how many connections without a request may be open."""
+        return self.budget.max_idle_connections(len(self.by_id))
 
-    async def serve(self, sock: socket.socket, opened: protocol.OpenLine) -> None:
+    async def serve(self, sock: socket.socket, request_line: protocol.RequestLine) -> None:
         """Routes a connection, until its end."""
-        connection = self.by_id[opened.id] = ClientConnection(self, sock, opened)
-        await self._host(connection, connection.run())
-
-    def adopt(self, connection: ClientConnection) -> None:
-        """One whose relay has been taken over."""
-        self.by_id[connection.opened.id] = connection
-        task = asyncio.get_running_loop().create_task(self._host(connection, connection.carry_on()))
-        self._adopted.add(task)
-        task.add_done_callback(self._adopted.discard)
-
-    async def _host(self, connection: ClientConnection, work: Coroutine[None, None, None]) -> None:
+        connection = self.by_id[request_line.request_id] = ClientConnection(self, sock, request_line)
+        await self._run(connection, connection.run())
+
+    def add_taken_over(self, connection: ClientConnection) -> None:
+        """Adds a connection whose relay was taken over from the predecessor."""
+        self.by_id[connection.request_line.request_id] = connection
+        task = asyncio.get_running_loop().create_task(self._run(connection, connection.run_taken_over()))
+        self._taken_over.add(task)
+        task.add_done_callback(self._taken_over.discard)
+
+    async def _run(self, connection: ClientConnection, work: Coroutine[None, None, None]) -> None:
+        request_id = connection.request_line.request_id
         try:
             with contextlib.suppress(OSError):
                 await work
         except Exception:  # the edge of the connection's actor
-            logger.exception("unexpected error in a connection", request_id=connection.opened.id)
+            logger.exception("unexpected error in a connection", request_id=request_id)
         finally:
-            connection.forget()
-            connection.count("faulted")  # an exception ended it
-            del self.by_id[connection.opened.id]
+            connection.reports.post_disconnected()
+            connection.reports.count(ConnectionOutcome.FAULTED)  # ended by an exception: counted nowhere else
+            del self.by_id[request_id]
 
-    def record_delay(self, connection: ClientConnection, delay_ms: float) -> None:
-        """A message's time at a server: told while it is slow, and once when it no longer is."""
-        if not self._slow_ms:
+    def record_message_delay(self, connection: ClientConnection, delay_ms: float) -> None:
+        """Reports slow messages of a server to routing, and once when they are no longer slow."""
+        if not self._slow_message_ms:
             return
-        server, now_ms = connection.server, self.clock.now()
-        noticed_ms = self._noticed_ms.get(server)
-        if delay_ms > self._slow_ms:
-            if noticed_ms is not None and now_ms - noticed_ms < DELAY_NOTICE_MS:
+        server = connection.server
+        now_ms = self.clock.now()
+        reported_ms = self._delay_reported_ms.get(server)
+        if delay_ms > self._slow_message_ms:
+            if reported_ms is not None and now_ms - reported_ms < DELAY_REPORT_INTERVAL_MS:
                 return
-            self._noticed_ms[server] = now_ms
-        elif self._noticed_ms.pop(server, None) is None:
+            self._delay_reported_ms[server] = now_ms
+        elif self._delay_reported_ms.pop(server, None) is None:
             return
-        feedback = interface.ConnectionFeedback(connection.opened.id, server, message_us=delay_ms * 1000)
-        self.routing.post(feedback)
+        request_id = connection.request_line.request_id
+        self.routing.post(interface.ConnectionFeedback(request_id, server, message_us=delay_ms * 1000))
 
     async def sweep(self) -> None:
-        """Looks for silent servers for as long as the program runs."""
+        """Migrates clients of servers that do not answer, for as long as the program runs."""
         while True:
-            await self.clock.sleep(SWEEP_MS)
-            self.budget.elsewhere = self.elsewhere()
-            oldest_ms = self.clock.now() - SILENT_MS
+            await self.clock.sleep(SWEEP_INTERVAL_MS)
+            self.budget.other_process = self.count_other_descriptors()
+            oldest_ms = self.clock.now() - UNANSWERED_TIMEOUT_MS
             for connection in self.by_id.values():
-                asked_at = connection.asked_at
-                if asked_at is not None and asked_at < oldest_ms and not connection.migrating:
+                since_ms = connection.unanswered_since_ms
+                if since_ms is not None and since_ms < oldest_ms and not connection.migration:
                     logger.warning(
                         "server does not answer: client migrated",
                         server=connection.server,
-                        request_id=connection.opened.id,
+                        request_id=connection.request_line.request_id,
                     )
                     connection.mailbox.put(MigrateClient(interface.AttemptOutcome.BROKEN))
-            self.servers.tidy()
+            self.servers.close_unused()
+
+
+def _slow_message_ms(settings: interface.Settings) -> float:
+    """Returns the time past which a message is slow; 0 without a message objective."""
+    objectives_us = [
+        request_class.message_objective_us for request_class in settings.classes if request_class.message_objective_us
+    ]
+    return min(objectives_us) / (SLOW_MESSAGE_DIVISOR * 1000) if objectives_us else 0.0
 
 
-def _none_elsewhere() -> int:
-    """No other process holds descriptors under the same limit."""
+def _no_other_descriptors() -> int:
+    """Returns 0: no other process is under the same limit."""
     return 0
--- a/glenrock/net/descriptor_budget.py
+++ b/glenrock/net/descriptor_budget.py
@@ -1,64 +1,75 @@
-"""Where the descriptors of a process go: every limit that keeps them from running out, with its arithmetic.
+"""How the descriptors of a process are divided among purposes, so that none runs out.
 
-    limit = program + operators + health checks + connections without a request + relays, two each
+    limit = program + operators + other process + health checks + idle connections + relays, two each
 
-Nothing here grows with the endpoint list: the connections for health checks are a bounded pool, and a relay's
-descriptors are taken when its client comes.
+No term grows with the endpoint list: connections for health checks are a bounded pool, and a relay's descriptors are
+used from its client's request on.
 """
 
 from __future__ import annotations
 
-PROGRAM = 24  # standard streams, the loop's own, listening sockets, discovery, gossip, a file that is read again
-PER_RELAY = 2
-MIN_UNROUTED = 16  # connections without a request that there is always room for
-UNROUTED_DIVISOR = 4  # and at most this part of the limit
-MIN_HEALTH_CHECKS = 8
-HEALTH_CHECK_DIVISOR = 8  # the pool of connections for health checks is this part of the limit
+PROGRAM_DESCRIPTORS = 24  # standard streams, the loop, listening sockets, discovery, gossip, the configuration file
+DESCRIPTORS_PER_RELAY = 2
+MIN_IDLE_CONNECTIONS = 16
+IDLE_CONNECTIONS_DIVISOR = 4  # of the limit
+MIN_HEALTH_CONNECTIONS = 8
+HEALTH_CONNECTIONS_DIVISOR = 8  # of the limit
+
+
+class DescriptorBudgetError(ValueError):
+    """The limit is too low to serve a single client."""
 
 
 class DescriptorBudget:
     """The descriptors of one process.
 
     Attributes:
-        limit: open at a time, at most.
-        operators: set aside for operators' calls.
-        elsewhere: held by another process under the same limit, as last counted.
-        servers: in the endpoint list; fewer than the pool holds need no more than one connection each.
+        limit: the number of descriptors that may be open.
+        operators: reserved for operators' calls.
+        other_process: held by another process under the same limit, as last counted.
+        servers: in the endpoint list; with fewer servers than connections in the pool, one connection each is enough.
     """
 
     def __init__(self, limit: int) -> None:
         self.limit = limit
         self.operators = 0
-        self.elsewhere = 0
+        self.other_process = 0
         self.servers = 0
 
     @property
-    def health_checks(self) -> int:
-        """Connections for health checks that may be open at a time."""
-        return min(self.servers, _health_check_pool(self.limit))
+    def health_connections(self) -> int:
+        """The number of connections for health checks that may be open."""
+        return min(self.servers, _health_connection_pool(self.limit))
 
     def free(self, relays: int) -> int:
-        """What so many relays leave to others."""
-        set_aside = PROGRAM + self.operators + self.elsewhere + self.health_checks
-        return self.limit - set_aside - PER_RELAY * relays
-
-    def has_room(self, relays: int) -> bool:
-        """Whether one more relay fits in, beside the connections that have no request yet."""
-        return self.free(relays) >= PER_RELAY + MIN_UNROUTED
-
-    def unrouted(self, relays: int) -> int:
-        """Connections without a request that may be open beside so many relays."""
-        return max(MIN_UNROUTED, min(self.free(relays), self.limit // UNROUTED_DIVISOR))
-
-    def shortfall(self) -> str:
-        """Why not a single client could be served, whatever the list says; empty where one can."""
-        return self.shortfall_at(self.limit)
-
-    def shortfall_at(self, limit: int) -> str:
-        """The same for another limit."""
-        needed = PROGRAM + self.operators + _health_check_pool(limit) + MIN_UNROUTED + PER_RELAY
-        return "" if limit >= needed else f"{limit} leave no room for one client, {needed} are needed"
-
-
-def _health_check_pool(limit: int) -> int:
-    return max(MIN_HEALTH_CHECKS, limit // HEALTH_CHECK_DIVISOR)
+        """Returns the descriptors that are neither reserved nor used by so many relays."""
+        reserved = PROGRAM_DESCRIPTORS + self.operators + self.other_process + self.health_connections
+        return self.limit - reserved - DESCRIPTORS_PER_RELAY * relays
+
+    def allows_relay(self, relays: int) -> bool:
+        """Returns whether one more relay is allowed beside so many."""
+        return self.free(relays) >= DESCRIPTORS_PER_RELAY + MIN_IDLE_CONNECTIONS
+
+    def max_idle_connections(self, relays: int) -> int:
+        """Returns how many connections without a request may be open beside so many relays."""
+        return max(MIN_IDLE_CONNECTIONS, min(self.free(relays), self.limit // IDLE_CONNECTIONS_DIVISOR))
+
+    def check_limit(self, limit: int) -> None:
+        """Checks that a limit is enough to serve a client, whatever the endpoint list has.
+
+        Raises:
+            DescriptorBudgetError: the limit is too low.
+        """
+        needed = (
+            PROGRAM_DESCRIPTORS
+            + self.operators
+            + _health_connection_pool(limit)
+            + MIN_IDLE_CONNECTIONS
+            + DESCRIPTORS_PER_RELAY
+        )
+        if limit < needed:
+            raise DescriptorBudgetError(f"{limit} leave no room for one client, {needed} are needed")
+
+
+def _health_connection_pool(limit: int) -> int:
+    return max(MIN_HEALTH_CONNECTIONS, limit // HEALTH_CONNECTIONS_DIVISOR)
--- /dev/null
+++ b/glenrock/net/discovery_client.py
@@ -0,0 +1,161 @@
+"""One HTTP connection to service discovery, and the answers on it."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import socket
+from collections.abc import Coroutine
+from typing import Any
+
+import httptools
+
+from ..config import Address
+from .clock import Clock, Limit
+from .socket_io import close_socket, configure_socket
+
+OVERLOAD_STATUSES = (429, 503)
+HTTP_OK = 200
+MAX_ANSWER_BYTES = 4 << 20
+MAX_SILENCE_MS = 400.0  # between two parts of an answer
+MAX_ANSWER_MS = 30_000.0  # for a whole answer
+READ_BYTES = 16384
+
+
+class DiscoveryError(OSError):
+    """A call to discovery failed."""
+
+
+class DiscoveryOverloadedError(DiscoveryError):
+    """Discovery rejected the call because of its load. The last list stays valid."""
+
+
+class DiscoveryStatusError(DiscoveryError):
+    """Discovery answered with another status than 200."""
+
+
+class NoAnswerError(DiscoveryError):
+    """Discovery did not answer in time."""
+
+
+class HttpAnswer:
+    """Collects one HTTP answer from the callbacks of httptools.
+
+    Attributes:
+        body: the bytes of the body so far.
+        is_complete: whether the whole answer has come.
+        keeps_alive: whether the connection stays open.
+        parser: is fed the bytes of the connection.
+    """
+
+    def __init__(self) -> None:
+        self.body = bytearray()
+        self.is_complete = False
+        self.keeps_alive = False
+        self.parser = httptools.HttpResponseParser(self)
+
+    def on_body(self, data: bytes) -> None:
+        """Adds a part of the body."""
+        self.body += data
+
+    def on_message_complete(self) -> None:
+        """Records the end of the answer."""
+        # The parser forgets this after the callback.
+        self.is_complete = True
+        self.keeps_alive = self.parser.should_keep_alive()
+
+
+class DiscoveryClient:
+    """Calls discovery on a connection that is kept between calls.
+
+    Attributes:
+        address: the address of discovery.
+    """
+
+    def __init__(self, address: Address, clock: Clock) -> None:
+        self.address = address
+        self._clock = clock
+        self._sock: socket.socket | None = None
+        self._limit: Limit | None = None  # of the present wait
+
+    async def get(self, path: str, timeout_ms: float) -> Any:
+        """Returns the JSON of an answer, whose first bytes are awaited for `timeout_ms`.
+
+        Raises:
+            DiscoveryOverloadedError, DiscoveryStatusError: discovery rejected the call.
+            NoAnswerError: no answer came in time.
+            DiscoveryError: the answer is too large, or the connection was closed.
+            OSError: discovery cannot be reached.
+            ValueError: the answer is no JSON.
+        """
+        answer = await self._exchange(path, timeout_ms)
+        if not answer.keeps_alive:
+            self.disconnect()
+        status = answer.parser.get_status_code()
+        if status in OVERLOAD_STATUSES:
+            raise DiscoveryOverloadedError(f"status {status}: overbooked")
+        if status != HTTP_OK:
+            raise DiscoveryStatusError(f"status {status}")
+        return json.loads(bytes(answer.body))
+
+    async def run_within(self, timeout_ms: float, work: Coroutine[None, None, Any]) -> Any:
+        """Returns the result of some work.
+
+        Raises:
+            NoAnswerError: the work took longer, or `interrupt` was called.
+        """
+        async with self._clock.limit(timeout_ms) as self._limit:
+            try:
+                return await work
+            finally:
+                self._limit = None
+        raise NoAnswerError("no answer in time")
+
+    def interrupt(self) -> None:
+        """Ends the present wait."""
+        if self._limit:
+            self._limit.stop()
+
+    def disconnect(self) -> None:
+        """Closes the connection."""
+        if self._sock:
+            close_socket(self._sock)
+            self._sock = None
+
+    async def _connect(self) -> socket.socket:
+        if self._sock is None:
+            self._sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+            configure_socket(self._sock)
+            await asyncio.get_running_loop().sock_connect(self._sock, self.address)
+        return self._sock
+
+    async def _exchange(self, path: str, timeout_ms: float) -> HttpAnswer:
+        """Sends a request and reads the answer.
+
+        A list of thousands of servers takes long to send. After its first bytes only a silence ends the call, since a
+        retry would transfer all of it again.
+        """
+        answer = HttpAnswer()
+        buffer = bytearray(READ_BYTES)
+        deadline_ms = self._clock.now() + MAX_ANSWER_MS
+        await self.run_within(timeout_ms, self._send(path, answer, buffer))
+        while not answer.is_complete:
+            left_ms = min(MAX_SILENCE_MS, deadline_ms - self._clock.now())
+            await self.run_within(left_ms, self._read(answer, buffer))
+        return answer
+
+    async def _send(self, path: str, answer: HttpAnswer, buffer: bytearray) -> None:
+        sock = await self._connect()
+        host = f"{self.address[0]}:{self.address[1]}"
+        request = f"GET {path} HTTP/1.1\r\nHost: {host}\r\n\r\n".encode()
+        await asyncio.get_running_loop().sock_sendall(sock, request)
+        await self._read(answer, buffer)
+
+    async def _read(self, answer: HttpAnswer, buffer: bytearray) -> None:
+        assert self._sock is not None, "the call has a connection"
+        count = await asyncio.get_running_loop().sock_recv_into(self._sock, buffer)
+        if not count:
+            raise DiscoveryError("discovery closed the connection")
+        answer.parser.feed_data(bytes(buffer[:count]))
+        if len(answer.body) > MAX_ANSWER_BYTES:
+            raise DiscoveryError("the answer is too large")
--- a/glenrock/net/endpoint_rows.py
+++ b/glenrock/net/endpoint_rows.py
@@ -1,4 +1,4 @@
-"""Rows of the endpoint list, as discovery tells them."""
+"""Rows of the endpoint list, parsed from discovery's answers."""
 
 from __future__ import annotations
 
@@ -10,44 +10,57 @@
 
 from ..config import Address, ConfigError, address_of
 
-STATES: dict[str, EndpointState] = {
+STATES_BY_STATUS = {
     "SERVING": EndpointState.READY,
     "DRAINING": EndpointState.DRAINING,
     "DELETED": EndpointState.GONE,
 }
-MAX_NAME = 256  # characters
+STATUS_BY_STATE = {state: status for status, state in STATES_BY_STATUS.items()}
+MAX_NAME_LENGTH = 256  # characters
 
 
 @dataclass
 class EndpointRow:
-    """A server as discovery lists it. `status`: SERVING, DRAINING or DELETED. `since_ms`: Unix time of its start."""
+    """A server as discovery lists it. `since_ms`: Unix time of its start."""
 
     name: str
     address: Address
-    status: str
+    state: EndpointState
     zone: str = ""
     group: int = 0
     weight: float = 1.0
     since_ms: float = 0.0
 
+    @property
+    def status(self) -> str:
+        """The state in discovery's words, as stored files have it."""
+        return STATUS_BY_STATE[self.state]
 
-def row_of(raw: dict[str, Any]) -> EndpointRow:
-    """Raises ValueError, TypeError, KeyError or OverflowError where the row is not one."""
+
+def parse_row(raw: dict[str, Any]) -> EndpointRow:
+    """Returns the row.
+
+    Raises:
+        KeyError: the row has no name, address or status.
+        ValueError, TypeError, OverflowError: a value is invalid.
+    """
     try:
         address = address_of(raw["address"], "address")
     except ConfigError as error:
         raise ValueError(str(error)) from error
+    name = str(raw["name"])
+    status = str(raw["status"])
+    if not 0 < len(name) <= MAX_NAME_LENGTH or status not in STATES_BY_STATUS or not address[1]:
+        raise ValueError("no name, state or port that can be used")
     row = EndpointRow(
-        name=str(raw["name"]),
+        name=name,
         address=address,
-        status=str(raw["status"]),
+        state=STATES_BY_STATUS[status],
         zone=str(raw.get("zone", "")),
         group=int(raw.get("group", 0)),
         weight=float(raw.get("weight", 1.0)),
         since_ms=float(raw.get("since_ms", 0)),
     )
-    if not 0 < len(row.name) <= MAX_NAME or row.status not in STATES or not address[1]:
-        raise ValueError("no name, state or port that can be used")
     numbers = (row.weight, row.since_ms)
     if not all(isfinite(number) and number >= 0 for number in numbers):
         raise ValueError("a number out of range")
--- a/glenrock/net/graceful_shutdown.py
+++ b/glenrock/net/graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""Sending clients away: at SIGTERM, and when operators say so."""
+"""Migrates all clients of this balancer: at SIGTERM, and on an operator's call."""
 
 from __future__ import annotations
 
@@ -17,43 +17,43 @@
 from .connection_messages import AnswerNow, HandOverRelay, MigrateClient
 from .connection_table import ConnectionTable
 
-QUIET_MS = 450.0  # told to go, new connections still come this long; one moved now would come back here
-KILL_MS = 700.0  # SIGKILL comes this long after the longest deadline, or later
-END_MARGIN_MS = 500.0  # all is done so long before it
-MAX_DEADLINE_MS = 3000.0  # a deadline longer than this counts as this
-STEP_MS = 50.0
-MOVED_BEFORE_MS = 200.0  # all clients are told to move so long before the end
-ANSWERED_AFTER_MS = 250.0  # past the end, for those who rest here and have not been told yet
-HAND_OVER_STEP_MS = 10.0  # between two looks for relays that can be handed over
-MAX_OFFERED = 16  # relays that may wait for their turn, their pumps stopped
-MOVES_MS = 700.0  # kept for moving what could not be handed over
-ALONE_MS = 400.0  # a lone balancer starts to move its clients so long before it has to be done
-LATE_MS = 1000.0  # sent away by hand: whoever comes later than this is rejected, the front has long heard
-AWAY_MS = 3000.0  # and all have been told to move by then; 4 s are allowed, and a line under way takes its time
-ROUND_UP = 0.49  # of a part of a connection
+STEP_MS = 50.0  # between two steps of a drain
+FRONT_END_NOTICE_MS = 450.0  # until the front end sends no new connections here; a client that migrates earlier returns
+MANUAL_REJECT_AFTER_MS = 1000.0  # from the start of a manual drain to the first rejection
+MANUAL_DRAIN_MS = 3000.0  # from the start of a manual drain until all clients are asked to migrate
+SIGKILL_AFTER_DEADLINE_MS = 700.0  # from the longest deadline after SIGTERM to SIGKILL
+SHUTDOWN_MARGIN_MS = 500.0  # from the end of the shutdown to SIGKILL
+MAX_DEADLINE_MS = 3000.0  # a longer deadline of a class does not delay the end
+MIGRATED_BEFORE_END_MS = 200.0  # from the last client's migration to the end
+LAST_ANSWERS_MS = 250.0  # after the end, for idle connections
+HAND_OVER_STEP_MS = 10.0
+MAX_OFFERED_RELAYS = 16  # relays that wait for the successor with their pumps stopped
+HAND_OVER_MARGIN_MS = 700.0  # from the end of handing over to the end, to migrate the remaining clients
+LONE_BALANCER_MIGRATION_MS = 400.0  # to migrate all clients, if no other balancer can serve them
+STEP_ROUNDING = 0.49  # rounds the connections of a step up
 
 logger = get_logger(__name__)
 
 
 class Successor(Protocol):
-    """The process that came after this one."""
+    """The process after this one in an upgrade."""
 
     @property
     def is_connected(self) -> bool:
-        """False once it is gone."""
+        """Whether the successor still accepts relays."""
         ...
 
     @property
     def handed_over_count(self) -> int:
-        """Relays that it took."""
+        """The number of relays that the successor has accepted."""
         ...
 
     def connect(self) -> bool:
-        """Whether there is one."""
+        """Returns whether there is a successor."""
         ...
 
     async def hand_over(self, connection: ClientConnection) -> bool:
-        """Offers a relay. True once it is the successor's."""
+        """Offers a relay. Returns whether it belongs to the successor now."""
         ...
 
 
@@ -64,16 +64,16 @@
         self._table = table
         self._acceptor = acceptor
         self._clock = clock
-        self._drain: asyncio.Task[None] | None = None  # by an operator
-        self._stopping = False
+        self._manual_drain: asyncio.Task[None] | None = None
+        self._is_stopping = False
 
     def unready_reason(self) -> str | None:
-        """Why the balancer accepts no clients; None while it accepts them."""
-        if self._stopping:
+        """Returns why the balancer accepts no clients; None while it accepts them."""
+        if self._is_stopping:
             return "not ready: the process is stopping"
-        return "not ready: clients are sent away" if self._drain else None
+        return "not ready: clients are sent away" if self._manual_drain else None
 
-    # -- by an operator --------------------------------------------------------------------------------
+    # -- on an operator's call -------------------------------------------------------------------------
 
     def start_manual_drain(self, drain_permit_is_valid: Callable[[], bool] | None = None) -> None:
         """Starts to migrate all clients, until `end_manual_drain`.
@@ -85,12 +85,12 @@
             OperationRejectedError: the process is stopping.
         """
         self._reject_while_stopping()
-        if not self._drain:
+        if not self._manual_drain:
             logger.info("drain started", clients=len(self._table.by_id))
-            self._acceptor.away = True
+            self._acceptor.is_draining = True
             self._acceptor.drain_permit_check = drain_permit_is_valid
-            self._table.routing.order(interface.DrainMode(True))
-            self._drain = asyncio.get_running_loop().create_task(self._send_away())
+            self._table.routing.post_first(interface.DrainMode(True))
+            self._manual_drain = asyncio.get_running_loop().create_task(self._drain())
 
     def end_manual_drain(self) -> None:
         """Accepts clients again.
@@ -99,105 +99,114 @@
             OperationRejectedError: the process is stopping.
         """
         self._reject_while_stopping()
-        if self._drain:
+        if self._manual_drain:
             logger.info("drain ended: clients are accepted again")
-            self._end_drain()
+            self._cancel_manual_drain()
 
     def _reject_while_stopping(self) -> None:
-        if self._stopping:
+        if self._is_stopping:
             raise OperationRejectedError("not done: the process is stopping")
 
-    def _end_drain(self) -> None:
-        if self._drain:
-            self._drain.cancel()
-            self._table.routing.order(interface.DrainMode(False))
-        self._drain = None
-        self._acceptor.away = False
-        self._acceptor.refuses = False
-
-    async def _send_away(self) -> None:
-        """Until the drain ends: whoever is here is moved, evenly over the time, and whoever comes up later at once."""
-        began_ms = self._clock.now()
-        until_ms = began_ms + AWAY_MS
-        await self._clock.sleep(QUIET_MS)
+    def _cancel_manual_drain(self) -> None:
+        if self._manual_drain:
+            self._manual_drain.cancel()
+            self._table.routing.post_first(interface.DrainMode(False))
+        self._manual_drain = None
+        self._acceptor.is_draining = False
+        self._acceptor.rejects_requests = False
+
+    async def _drain(self) -> None:
+        """Migrates clients evenly over the drain, and those that connect later at once, until it is cancelled."""
+        started_ms = self._clock.now()
+        end_ms = started_ms + MANUAL_DRAIN_MS
+        await self._clock.sleep(FRONT_END_NOTICE_MS)
         while True:
             if not self._acceptor.drain_permit_is_valid():
                 return
             now_ms = self._clock.now()
-            self._acceptor.refuses = now_ms >= began_ms + LATE_MS
-            self._move_some(until_ms - now_ms)
-            if now_ms >= until_ms:
-                self._answer_waiting()
+            self._acceptor.rejects_requests = now_ms >= started_ms + MANUAL_REJECT_AFTER_MS
+            self._migrate_step(end_ms - now_ms)
+            if now_ms >= end_ms:
+                self._answer_waiting_clients()
             await self._clock.sleep(STEP_MS)
 
-    def _move_some(self, left_ms: float) -> None:
-        """The part of a step, where all are to be told within that time."""
-        still = [one for one in self._table.by_id.values() if one.up.is_set() and not one.migrating]
+    def _migrate_step(self, left_ms: float) -> None:
+        """Migrates this step's part of the clients, so that all migrate within `left_ms`."""
+        connections = [
+            connection
+            for connection in self._table.by_id.values()
+            if connection.established.is_set() and not connection.migration
+        ]
         steps = max(1.0, left_ms / STEP_MS)
-        for connection in still[: max(1, round(len(still) / steps + ROUND_UP))]:
+        for connection in connections[: max(1, round(len(connections) / steps + STEP_ROUNDING))]:
             connection.mailbox.put(MigrateClient(interface.AttemptOutcome.CANCELLED))
 
-    def _answer_waiting(self) -> None:
+    def _answer_waiting_clients(self) -> None:
         for connection in list(self._table.by_id.values()):
-            if not connection.up.is_set() and not connection.ended:
+            if not connection.established.is_set() and not connection.has_ended:
                 connection.mailbox.deliver(AnswerNow(self._table.retry_after_ms))
 
-    # -- SIGTERM ---------------------------------------------------------------------------------------
+    # -- at SIGTERM ------------------------------------------------------------------------------------
 
-    async def stop(self, inherited: bool, successor: Successor | None) -> None:
-        """Ends this process's service, and holds nothing when SIGKILL comes.
+    async def stop(self, has_inherited_listener: bool, successor: Successor | None) -> None:
+        """Ends the service of this process before SIGKILL.
 
-        Relays go to a successor where there is one; the other clients are moved over the time there is. An inherited
-        listening socket is the successor's at once. Else new connections come here a while longer.
+        Relays are handed over to a successor, and other clients migrate over the time left. The successor accepts from
+        an inherited listening socket at once; without one new connections come here until the end.
         """
-        self._stopping = True
-        self._end_drain()
+        self._is_stopping = True
+        self._cancel_manual_drain()
         routing = self._table.routing
-        routing.order(interface.DrainMode(True))
-        until_ms = self._end_ms()
-        if inherited:
+        routing.post_first(interface.DrainMode(True))
+        end_ms = self._end_ms()
+        if has_inherited_listener:
             self._acceptor.close()
         else:
-            await self._clock.sleep(QUIET_MS)
+            await self._clock.sleep(FRONT_END_NOTICE_MS)
         if successor and successor.connect():
-            # It speaks for this balancer now. Two that did would be heard in turn.
-            routing.silence()
-            await self._hand_over(successor, until_ms - MOVES_MS)
+            # The successor has the same number among the balancers, so only one of both may send gossip.
+            routing.stop_gossip()
+            await self._hand_over(successor, end_ms - HAND_OVER_MARGIN_MS)
         elif routing.balancer.settings.balancers == 1:
-            # Nobody else takes whom it moves. Moved over the time there is, they would wait outside for it.
-            await self._clock.sleep(max(0.0, until_ms - ALONE_MS - self._clock.now()))
-        await self._move_all(until_ms, inherited)
-        self._acceptor.leave_none()
+            # No other balancer can serve the clients, so they stay here as long as possible.
+            await self._clock.sleep(max(0.0, end_ms - LONE_BALANCER_MIGRATION_MS - self._clock.now()))
+        await self._migrate_all(end_ms, has_inherited_listener)
+        self._acceptor.close_idle()
         for connection in list(self._table.by_id.values()):
             connection.mailbox.deliver(AnswerNow(self._table.retry_after_ms))
-        # With the process goes whoever rests here and has not been told yet, and a request of that instant.
-        end_ms = until_ms + ANSWERED_AFTER_MS
-        while self._clock.now() < end_ms and (self._table.by_id or self._acceptor.tasks or not inherited):
+        # Idle connections, and requests that have just arrived, get their answer before the process ends.
+        last_answer_ms = end_ms + LAST_ANSWERS_MS
+        while self._clock.now() < last_answer_ms and (
+            self._table.by_id or self._acceptor.tasks or not has_inherited_listener
+        ):
             await self._clock.sleep(STEP_MS)
 
     def _end_ms(self) -> float:
         classes = self._table.routing.balancer.settings.classes
-        longest_ms = min(MAX_DEADLINE_MS, max(one.deadline_us for one in classes) / 1000)
-        return self._clock.now() + longest_ms + KILL_MS - END_MARGIN_MS
-
-    async def _move_all(self, until_ms: float, inherited: bool) -> None:
-        """Moves clients while this process listens.
-
-        One that ended its moves when the last client was gone would hold whoever came later until its end, and cut them
-        off (3 of 41 connections of a run).
-        """
-        while (now_ms := self._clock.now()) < until_ms and (
-            self._table.by_id or self._acceptor.unheard or not inherited
-        ):
-            self._move_some(until_ms - MOVED_BEFORE_MS - now_ms)
+        longest_deadline_us = max(request_class.deadline_us for request_class in classes)
+        longest_ms = min(MAX_DEADLINE_MS, longest_deadline_us / 1000)
+        return self._clock.now() + longest_ms + SIGKILL_AFTER_DEADLINE_MS - SHUTDOWN_MARGIN_MS
+
+    def _has_clients(self) -> bool:
+        """Returns whether a client is connected that may have sent a request."""
+        return bool(self._table.by_id or self._acceptor.idle.unanswered)
+
+    async def _migrate_all(self, end_ms: float, has_inherited_listener: bool) -> None:
+        """Migrates clients until the end, since clients can connect as long as the listening socket is open."""
+        while (now_ms := self._clock.now()) < end_ms and (self._has_clients() or not has_inherited_listener):
+            self._migrate_step(end_ms - MIGRATED_BEFORE_END_MS - now_ms)
             await self._clock.sleep(STEP_MS)
 
-    async def _hand_over(self, successor: Successor, until_ms: float) -> None:
-        """Relays as they stand, and those that come up meanwhile."""
-        while successor.is_connected and self._clock.now() < until_ms and (self._table.by_id or self._acceptor.unheard):
-            ready = [one for one in self._table.by_id.values() if not one.offered and one.still()]
-            for connection in ready[:MAX_OFFERED]:
-                give = functools.partial(successor.hand_over, connection)
-                connection.offered = connection.mailbox.put(HandOverRelay(give))
+    async def _hand_over(self, successor: Successor, end_ms: float) -> None:
+        """Hands relays over, those that are established meanwhile too."""
+        while successor.is_connected and self._clock.now() < end_ms and self._has_clients():
+            ready = [
+                connection
+                for connection in self._table.by_id.values()
+                if not connection.is_offered and connection.may_hand_over()
+            ]
+            for connection in ready[:MAX_OFFERED_RELAYS]:
+                offer = functools.partial(successor.hand_over, connection)
+                connection.is_offered = connection.mailbox.put(HandOverRelay(offer))
             await self._clock.sleep(HAND_OVER_STEP_MS)
         logger.info("relays handed over", relays=successor.handed_over_count, connections_left=len(self._table.by_id))
--- a/glenrock/net/health_connections.py
+++ b/glenrock/net/health_connections.py
@@ -7,45 +7,45 @@
 
 
 class PooledConnection(Protocol):
-    """A connection that the pool may close while no check is out on it."""
+    """A connection that the pool may close while no health check is in flight on it."""
 
-    def hang_up(self) -> None:
-        """Closes it."""
+    def disconnect(self) -> None:
+        """Closes the connection."""
         ...
 
 
 class HealthConnections:
-    """Who holds a place in the pool, the one used longest ago first."""
+    """The connections in the pool, the least recently used first. `limit`: returns the size of the pool."""
 
     def __init__(self, limit: Callable[[], int]) -> None:
         self._limit = limit
-        self._busy_by_holder: dict[PooledConnection, bool] = {}
+        self._is_busy: dict[PooledConnection, bool] = {}
 
     def __len__(self) -> int:
-        """Connections that are open, or about to be."""
-        return len(self._busy_by_holder)
+        """Returns the number of connections that are open, or about to be."""
+        return len(self._is_busy)
 
-    def claim(self, holder: PooledConnection) -> bool:
-        """Takes a place for a check; the idle connection used longest ago makes room.
+    def acquire(self, connection: PooledConnection) -> bool:
+        """Reserves a place for a health check, and closes the least recently used connection if the pool is full.
 
         Returns:
-            False where a check is out on each connection of the pool.
+            False if a health check is in flight on each connection of the pool.
         """
-        self._busy_by_holder.pop(holder, None)
-        while len(self._busy_by_holder) >= max(1, self._limit()):
-            idle = next((one for one, busy in self._busy_by_holder.items() if not busy), None)
-            if idle is None:
+        self._is_busy.pop(connection, None)
+        while len(self._is_busy) >= max(1, self._limit()):
+            unused = next((pooled for pooled, is_busy in self._is_busy.items() if not is_busy), None)
+            if unused is None:
                 return False
-            self.leave(idle)
-            idle.hang_up()
-        self._busy_by_holder[holder] = True
+            self.remove(unused)
+            unused.disconnect()
+        self._is_busy[connection] = True
         return True
 
-    def rest(self, holder: PooledConnection) -> None:
-        """Its check is over, and its connection stays open."""
-        if holder in self._busy_by_holder:
-            self._busy_by_holder[holder] = False
+    def release(self, connection: PooledConnection) -> None:
+        """Records that the health check has ended, and the connection stays open."""
+        if connection in self._is_busy:
+            self._is_busy[connection] = False
 
-    def leave(self, holder: PooledConnection) -> None:
-        """Its connection is closed."""
-        self._busy_by_holder.pop(holder, None)
+    def remove(self, connection: PooledConnection) -> None:
+        """Records that the connection is closed."""
+        self._is_busy.pop(connection, None)
--- a/glenrock/net/health_probe.py
+++ b/glenrock/net/health_probe.py
@@ -1,4 +1,4 @@
-"""Health checks of one server, on a connection that is kept while it is used."""
+"""Health checks of one server, on a connection that is kept between checks."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 from .socket_io import close_socket, configure_socket
 from .system_errors import is_local
 
-TIMEOUT_MS = 250.0  # a server that leaves a health check unanswered this long has not answered
-IDLE_MS = 8000.0  # a connection unused this long is closed
+TIMEOUT_MS = 250.0  # for the answer to a health check
+UNUSED_TIMEOUT_MS = 8000.0  # an unused connection is closed after this time
 
 
 class HealthAnswer(NamedTuple):
-    """What came of a question."""
+    """The result of a health check, with the load report of the server."""
 
     outcome: interface.AttemptOutcome
     report: dict[str, float]
@@ -30,11 +30,11 @@
 
 NO_CONNECTION = HealthAnswer(interface.AttemptOutcome.NO_CONNECTION, {})
 NO_ANSWER = HealthAnswer(interface.AttemptOutcome.TIMEOUT, {})
-NOT_ASKED = HealthAnswer(interface.AttemptOutcome.UNSENT, {})  # this machine had no way to ask: no word on the server
+NOT_SENT = HealthAnswer(interface.AttemptOutcome.UNSENT, {})  # because of this machine: says nothing about the server
 
 
 class HealthProbe:
-    """The owner of the connection."""
+    """Owns the connection for health checks of one server."""
 
     def __init__(self, clock: Clock, post: Callable[[interface.Event], bool], pool: HealthConnections) -> None:
         self._clock = clock
@@ -45,42 +45,43 @@
         self._used_ms = 0.0
 
     async def check(self, row: EndpointRow) -> None:
-        """Asks the server, and posts what came of it: nothing, where this process has no connection to ask on."""
+        """Sends a health check, and posts its result; UNSENT if the pool has no connection for it."""
         sent_ms = self._clock.now()
         answer = NO_ANSWER
-        if not self._pool.claim(self):
+        if not self._pool.acquire(self):
             self._post(interface.HealthCheckResult(row.name, interface.AttemptOutcome.UNSENT))
             return
         try:
             async with self._clock.limit(TIMEOUT_MS):
                 answer = await self._ask(row)
         except OSError as error:
-            answer = NOT_ASKED if is_local(error) and not self._is_connected else NO_CONNECTION
+            answer = NOT_SENT if is_local(error) and not self._is_connected else NO_CONNECTION
         finally:
-            if answer.outcome != interface.AttemptOutcome.SERVED:
-                self.hang_up()
-            self._pool.rest(self)
+            if answer.outcome is not interface.AttemptOutcome.SERVED:
+                self.disconnect()
+            self._pool.release(self)
         self._used_ms = self._clock.now()
         latency_us = micros(self._used_ms - sent_ms)
         self._post(interface.HealthCheckResult(row.name, answer.outcome, latency_us, answer.report))
 
     async def _ask(self, row: EndpointRow) -> HealthAnswer:
         if self._sock:
-            # A server closes a connection that has been idle, perhaps just now. That is no word on its reach: held for
-            # one, a sound server would be out of use after two such ends. Asked anew, on another.
+            # A server may just have closed an unused connection, which says nothing about its health: two such ends
+            # would eject a healthy server. The check is repeated on a new connection.
             with contextlib.suppress(OSError):
-                answer = await self._question(self._sock)
-                if answer.outcome != interface.AttemptOutcome.NO_CONNECTION:
+                answer = await self._exchange(self._sock)
+                if answer.outcome is not interface.AttemptOutcome.NO_CONNECTION:
                     return answer
-            self.hang_up()
+            self.disconnect()
         self._is_connected = False
         self._sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         configure_socket(self._sock)
         await asyncio.get_running_loop().sock_connect(self._sock, row.address)
         self._is_connected = True
-        return await self._question(self._sock)
+        return await self._exchange(self._sock)
 
-    async def _question(self, sock: socket.socket) -> HealthAnswer:
+    async def _exchange(self, sock: socket.socket) -> HealthAnswer:
+        """Sends the health check and reads its answer. Raises OSError."""
         loop = asyncio.get_running_loop()
         await loop.sock_sendall(sock, protocol.STATS)
         buffer = bytearray(protocol.MAX_LINE)
@@ -97,19 +98,19 @@
                 if "=" in text:
                     return HealthAnswer(interface.AttemptOutcome.SERVED, protocol.report_of(text))
 
-    def hang_up(self) -> None:
+    def disconnect(self) -> None:
         """Closes the connection."""
-        self._pool.leave(self)
+        self._pool.remove(self)
         if self._sock:
             close_socket(self._sock)
             self._sock = None
 
     @property
     def is_open(self) -> bool:
-        """Whether a connection is kept."""
+        """Whether there is a connection."""
         return self._sock is not None
 
-    def close_if_idle(self) -> None:
-        """Closes a connection that has been idle; for when no check is out."""
-        if self._sock and self._clock.now() - self._used_ms > IDLE_MS:
-            self.hang_up()
+    def close_if_unused(self) -> None:
+        """Closes a connection that has been unused for a while. No health check may be in flight."""
+        if self._sock and self._clock.now() - self._used_ms > UNUSED_TIMEOUT_MS:
+            self.disconnect()
--- /dev/null
+++ b/glenrock/net/idle_connections.py
@@ -0,0 +1,103 @@
+"""Connections without a request, in the order in which they are closed when descriptors run short. No I/O."""
+
+from __future__ import annotations
+
+import asyncio
+
+from ..log import get_logger
+from .clock import Limit
+
+ConnectionTask = asyncio.Task[None]
+
+logger = get_logger(__name__)
+
+
+class IdleConnections:
+    """The tasks of connections that have sent no request yet, oldest first.
+
+    Attributes:
+        unanswered: connections that have had no answer.
+        answered: connections that have had an answer to `PING`, or a rejection.
+    """
+
+    def __init__(self) -> None:
+        self.unanswered: dict[ConnectionTask, None] = {}
+        self.answered: dict[ConnectionTask, None] = {}
+        self._rejected: dict[ConnectionTask, None] = {}  # of those answered: the client's end is awaited
+        self._shed: set[ConnectionTask] = set()  # rejected next, unless a request has already arrived
+        self._read_limits: dict[ConnectionTask, Limit] = {}
+
+    def __len__(self) -> int:
+        """Returns the number of connections that are not being shed."""
+        return len(self.unanswered) + len(self.answered)
+
+    def add(self, task: ConnectionTask) -> None:
+        """Adds a connection that was accepted."""
+        self.unanswered[task] = None
+
+    def remove(self, task: ConnectionTask) -> None:
+        """Removes a connection that has sent its request."""
+        self.unanswered.pop(task, None)
+        self.answered.pop(task, None)
+
+    def forget(self, task: ConnectionTask) -> None:
+        """Removes a connection that has ended."""
+        self.remove(task)
+        self._rejected.pop(task, None)
+        self._shed.discard(task)
+
+    def mark_answered(self, task: ConnectionTask) -> None:
+        """Records that the connection has had an answer."""
+        self.unanswered.pop(task, None)
+        self.answered[task] = None
+
+    def mark_rejected(self, task: ConnectionTask) -> None:
+        """Records that the connection has had its final answer."""
+        self.mark_answered(task)
+        self._rejected[task] = None
+
+    def is_shed(self, task: ConnectionTask) -> bool:
+        """Returns whether the connection is to be closed to free its descriptor."""
+        return task in self._shed
+
+    def start_reading(self, task: ConnectionTask, limit: Limit) -> None:
+        """Records that the connection waits for a line within that limit."""
+        self._read_limits[task] = limit
+
+    def stop_reading(self, task: ConnectionTask) -> None:
+        """Records that the connection no longer waits for a line."""
+        del self._read_limits[task]
+
+    def stop_all_reading(self) -> None:
+        """Ends the wait of all connections for a line."""
+        for limit in list(self._read_limits.values()):
+            limit.stop()
+
+    def shed_oldest(self) -> bool:
+        """Frees a descriptor.
+
+        The oldest connection that was rejected is closed. Without one the oldest idle connection gets its answer now: a
+        request that has already arrived is read, and other connections are rejected.
+
+        Returns:
+            False if there is no connection to close.
+        """
+        if self._rejected:
+            task = next(iter(self._rejected))
+            del self._rejected[task]
+            self.answered.pop(task, None)
+            task.cancel()
+            return True
+        for connections in (self.answered, self.unanswered):
+            if connections:
+                self._shed_first(connections)
+                return True
+        return False
+
+    def _shed_first(self, connections: dict[ConnectionTask, None]) -> None:
+        logger.warning("idle connection closed to free a descriptor", idle_connections=len(self.unanswered))
+        task = next(iter(connections))
+        del connections[task]
+        self._shed.add(task)
+        if limit := self._read_limits.get(task):
+            limit.stop()
--- a/glenrock/net/line_gate.py
+++ b/glenrock/net/line_gate.py
@@ -1,4 +1,4 @@
-"""Passes on whole lines only, so that a client stands between two of them at any time. Pure."""
+"""Passes whole lines only from a server to its client. No I/O."""
 
 from __future__ import annotations
 
@@ -8,50 +8,50 @@
 
 
 class Passed(NamedTuple):
-    """Bytes that may be passed on now, and the lines that ended in what came."""
+    """Bytes that may be sent to the client now, and the lines that ended in the bytes fed."""
 
     data: bytes
     lines: list[bytes]
 
 
 class LineGate:
-    """The way from a server to its client.
+    """Holds back the bytes of a line until its end.
 
-    Whoever passed on a part of a line could not move the client while its server hangs in the middle of it: MOVE would
-    be read as the rest of that line.
+    A client that has received a part of a line cannot be migrated while its server hangs: it would read MOVE as the
+    rest of that line.
 
     Attributes:
-        splitter: knows the line that has not ended yet.
-        mid_line: a part of a line has been passed on, and its end has not.
+        splitter: the line that has not ended yet.
+        is_within_line: whether the client has received a part of a line without its end.
     """
 
     def __init__(self) -> None:
         self.splitter = LineSplitter()
-        self.mid_line = False
+        self.is_within_line = False
 
     def feed(self, chunk: bytes) -> Passed:
-        """What of these bytes and those held may be passed on now: whole lines, and all there is of one too long."""
-        data = self.held() + chunk
+        """Returns whole lines; of an overlong line all bytes."""
+        data = self.pending() + chunk
         lines = self.splitter.feed(chunk)
         end = data.rfind(b"\n") + 1
-        if self.splitter.overlong or (self.mid_line and not end):
+        if self.splitter.is_overlong or (self.is_within_line and not end):
             end = len(data)
         if end:
-            self.mid_line = data[end - 1 : end] != b"\n"
+            self.is_within_line = data[end - 1 : end] != b"\n"
         return Passed(data[:end], lines)
 
-    def held(self) -> bytes:
-        """The part of a line that the client has nothing of."""
-        return b"" if self.mid_line else self.splitter.part
+    def pending(self) -> bytes:
+        """Returns the part of a line that is held back."""
+        return b"" if self.is_within_line else self.splitter.part
 
     def release(self) -> bytes:
-        """What is held, where the server has ended within a line: an end comes in kind."""
-        data = self.held()
-        self.mid_line = True
+        """Returns the part that is held back, as its server has closed the connection within a line."""
+        data = self.pending()
+        self.is_within_line = True
         return data
 
-    def restore(self, part: bytes, overlong: bool) -> None:
-        """As it stood in another process. A relay that holds part of a line back is never handed over."""
+    def restore(self, part: bytes, is_overlong: bool) -> None:
+        """Sets the state of a relay that is taken over. Such a relay holds no part of a line back."""
         self.splitter.part = part
-        self.splitter.overlong = overlong
-        self.mid_line = not self.splitter.between
+        self.splitter.is_overlong = is_overlong
+        self.is_within_line = not self.splitter.is_between_lines
--- /dev/null
+++ b/glenrock/net/listening_socket.py
@@ -0,0 +1,112 @@
+"""The clients' listening socket: accepting, and pausing while the machine has no resources for a connection."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+from collections.abc import Callable
+
+from ..config import Address
+from ..log import get_logger
+from .clock import Clock
+from .metrics import ConnectionMetrics
+from .system_errors import is_gone_before_accept, is_shortage
+
+SHORTAGE_MS = 100.0  # an idle connection is closed once a shortage of resources has lasted this long
+ACCEPT_PAUSE_MS = 20.0
+MAX_ACCEPTS_PER_WAKEUP = 8  # bounds the time that a flood of connections takes from established ones
+BACKLOG = 4096  # connections that wait in the system's queue
+
+logger = get_logger(__name__)
+
+
+def listen(address: Address) -> socket.socket:
+    """Returns a socket that listens at that address.
+
+    Raises:
+        OSError: the address cannot be bound.
+    """
+    sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    sock.setblocking(False)
+    sock.bind(address)
+    sock.listen(BACKLOG)
+    return sock
+
+
+class ListeningSocket:
+    """Accepts connections from a listening socket.
+
+    Args:
+        clock: the clock of the process.
+        metrics: counts failed system calls.
+        on_connection: called with each accepted socket.
+        on_shortage: called to free a descriptor while a shortage lasts.
+
+    Attributes:
+        sock: the listening socket; None while it is closed.
+    """
+
+    def __init__(
+        self,
+        clock: Clock,
+        metrics: ConnectionMetrics,
+        on_connection: Callable[[socket.socket], None],
+        on_shortage: Callable[[], object],
+    ) -> None:
+        self.sock: socket.socket | None = None
+        self._clock = clock
+        self._metrics = metrics
+        self._on_connection = on_connection
+        self._on_shortage = on_shortage
+        self._shortage_since_ms: float | None = None
+
+    def open(self, sock: socket.socket) -> None:
+        """Starts to accept connections.
+
+        `sock_accept` of the loop is not used: a connection that is accepted just as it is cancelled would be lost, and
+        the socket is shared with the successor.
+        """
+        self.sock = sock
+        asyncio.get_running_loop().add_reader(sock, self.accept, MAX_ACCEPTS_PER_WAKEUP)
+
+    def close(self) -> None:
+        """Stops accepting. Queued connections stay with another process that has the socket; else they are reset."""
+        if self.sock:
+            asyncio.get_running_loop().remove_reader(self.sock)
+            self.sock.close()
+            self.sock = None
+
+    def accept(self, max_connections: int) -> None:
+        """Accepts queued connections, up to that number."""
+        for _ in range(max_connections):
+            if self.sock is None:
+                return
+            try:
+                sock, _ = self.sock.accept()
+            except (BlockingIOError, InterruptedError):
+                return
+            except OSError as error:
+                self._metrics.add_system_error(error)
+                if is_gone_before_accept(error):
+                    continue
+                self._pause(self.sock, error)
+                return
+            self._shortage_since_ms = None
+            self._on_connection(sock)
+
+    def _pause(self, listener: socket.socket, error: OSError) -> None:
+        """Pauses accepting: the listening socket stays readable, and the loop would spin."""
+        logger.warning("accepting paused after a resource error", error=error, pause_ms=ACCEPT_PAUSE_MS)
+        now_ms = self._clock.now()
+        if is_shortage(error):
+            if self._shortage_since_ms is None:
+                self._shortage_since_ms = now_ms
+            if now_ms - self._shortage_since_ms >= SHORTAGE_MS:
+                self._on_shortage()
+        asyncio.get_running_loop().remove_reader(listener)
+        self._clock.call_at(self._clock.now() + ACCEPT_PAUSE_MS, self._resume)
+
+    def _resume(self) -> None:
+        if self.sock:
+            asyncio.get_running_loop().add_reader(self.sock, self.accept, MAX_ACCEPTS_PER_WAKEUP)
--- a/glenrock/net/mailbox.py
+++ b/glenrock/net/mailbox.py
@@ -1,4 +1,4 @@
-"""The mailbox of an actor: bounded; emptied whole, or read one by one."""
+"""The bounded mailbox of an actor, read as a whole or message by message."""
 
 from __future__ import annotations
 
@@ -10,49 +10,54 @@
 
 
 class Mailbox(Generic[Message]):
-    """Messages for one actor, oldest first. `limit`: how many may wait."""
+    """Messages for one actor, oldest first.
+
+    Attributes:
+        limit: the number of messages that may wait.
+        messages: the messages that wait.
+    """
 
     def __init__(self, limit: int) -> None:
         self.limit = limit
-        self.mail: deque[Message] = deque()
+        self.messages: deque[Message] = deque()
         self._waiter: asyncio.Future[None] | None = None
 
     def put(self, message: Message) -> bool:
-        """False if it is full: the sender must do without."""
-        if len(self.mail) >= self.limit:
+        """Adds a message. Returns False if the mailbox is full."""
+        if len(self.messages) >= self.limit:
             return False
         self.deliver(message)
         return True
 
     def deliver(self, message: Message) -> None:
-        """However full it is: for what comes a few times in an actor's life, and must not be lost."""
-        self.mail.append(message)
+        """Adds a message beyond the limit too, for messages that are rare and must not be lost."""
+        self.messages.append(message)
         self.wake()
 
     def wake(self) -> None:
-        """Whoever waits goes on, whether or not there is something."""
+        """Wakes the actor, whether or not there is a message."""
         if self._waiter and not self._waiter.done():
             self._waiter.set_result(None)
 
     async def _wait(self) -> None:
-        """Until there is something (or `wake` was called)."""
-        if not self.mail:
+        """Waits for a message or a call of `wake`."""
+        if not self.messages:
             self._waiter = asyncio.get_running_loop().create_future()
             await self._waiter
 
     async def take(self) -> list[Message]:
-        """All there is, as soon as there is something (or `wake` was called)."""
+        """Returns all messages, once there is a message or `wake` was called."""
         await self._wait()
-        messages = list(self.mail)
-        self.mail.clear()
+        messages = list(self.messages)
+        self.messages.clear()
         return messages
 
     async def next(self) -> Message:
-        """The oldest.
+        """Returns the oldest message.
 
-        For an actor whose states read on where the one before stopped: one that took all and acted on a part would
-        lose what came in the same turn.
+        For an actor that reads messages in several places: with `take` it would lose those that it has not handled when
+        it leaves the first place.
         """
-        while not self.mail:
+        while not self.messages:
             await self._wait()
-        return self.mail.popleft()
+        return self.messages.popleft()
--- a/glenrock/net/metrics.py
+++ b/glenrock/net/metrics.py
@@ -1,49 +1,80 @@
-"""Counters of what this process has done, kept where it happens. Whoever shows them only reads."""
+"""Counters of this process. Each is counted where its event happens; admin only reads them."""
 
 from __future__ import annotations
 
 import errno
 from collections import Counter
 from collections.abc import Iterable
-from typing import Literal
+from enum import StrEnum
 
-ConnectionOutcome = Literal["fulfilled", "throttled", "faulted", "left"]
-OUTCOMES: tuple[ConnectionOutcome, ...] = ("fulfilled", "throttled", "faulted", "left")
 
-RejectReason = Literal[
-    "admission", "descriptors", "events", "draining", "shed", "unsound", "silent", "failed", "overdue"
-]
-"""Why a connection had another answer than UP.
+class ConnectionOutcome(StrEnum):
+    """The answer to a request. The values are names of metrics.
 
-admission: the routing decisions refused it. descriptors: no room for a relay. events: the routing actor's mailbox was
-full. draining: clients are sent away, or the process ends. shed: it had no request, and others needed its place.
-unsound: its first line. silent: no whole first line in time. failed: the decisions failed it. overdue: they did not
-answer in time.
-"""
+    Attributes:
+        FULFILLED: the connection was established.
+        THROTTLED: the request was rejected.
+        FAULTED: the request failed.
+        LEFT: the client left before an answer.
+    """
+
+    FULFILLED = "fulfilled"
+    THROTTLED = "throttled"
+    FAULTED = "faulted"
+    LEFT = "left"
+
+    __hash__ = str.__hash__
+
+
+class RejectReason(StrEnum):
+    """Why a connection had another answer than UP. The values are labels of a metric.
+
+    Attributes:
+        ADMISSION: routing rejected the request.
+        DESCRIPTORS: the descriptor limit allowed no further connection.
+        EVENTS: the mailbox of the routing actor was full.
+        DRAINING: this balancer drains or stops.
+        SHED: an idle connection was closed to free its descriptor.
+        UNSOUND: the first line was no valid request.
+        SILENT: no whole first line came in time.
+        FAILED: routing failed the request.
+        OVERDUE: routing made no decision in time.
+    """
+
+    ADMISSION = "admission"
+    DESCRIPTORS = "descriptors"
+    EVENTS = "events"
+    DRAINING = "draining"
+    SHED = "shed"
+    UNSOUND = "unsound"
+    SILENT = "silent"
+    FAILED = "failed"
+    OVERDUE = "overdue"
+
+    __hash__ = str.__hash__
 
 
 class ConnectionMetrics:
-    """All from 0 at the start of the process.
+    """Counters that start from 0 with the process.
 
     Attributes:
-        outcomes: connections by outcome and class, each counted once: brought up, rejected, failed, or gone before an
-            answer.
-        relayed: attempts written whole to servers.
+        outcomes: connections by outcome and class; each connection is counted once.
+        relayed: attempts whose request line was written whole to a server.
         rejected: connections with another answer than UP, by reason.
-        system_errors: failed calls of this machine, by the name of their errno.
+        system_errors: system calls that failed because of this machine, by the name of their errno.
     """
 
     def __init__(self, classes: Iterable[str]) -> None:
         names = tuple(classes)
-        self.outcomes = {outcome: dict.fromkeys(names, 0) for outcome in OUTCOMES}
+        self.outcomes = {outcome: dict.fromkeys(names, 0) for outcome in ConnectionOutcome}
         self.relayed = 0
         self.rejected: Counter[RejectReason] = Counter()
         self.system_errors: Counter[str] = Counter()
 
     def add(self, outcome: ConnectionOutcome, class_name: str) -> None:
-        """Counts a connection."""
+        """Counts the outcome of a connection."""
         self.outcomes[outcome][class_name] += 1
 
     def add_system_error(self, error: OSError) -> None:
-        """Counts a call that failed for this machine's own reasons."""
+        """Counts a system call that failed because of this machine."""
         self.system_errors[errno.errorcode.get(error.errno or 0, "unknown")] += 1
--- a/glenrock/net/peers.py
+++ b/glenrock/net/peers.py
@@ -1,6 +1,6 @@
-"""Other balancers: datagrams of at most 256 bytes.
+"""Datagrams between balancers: gossip summaries, and messages of the coordination.
 
-uvloop has no sock_recvfrom or sock_sendto, so the socket is read when the loop says it is readable.
+uvloop has no `sock_recvfrom` and `sock_sendto`, so the socket is read when the loop reports it readable.
 """
 
 from __future__ import annotations
@@ -15,98 +15,105 @@
 from ..config import Address
 from ..log import get_logger
 
-MAX_DATAGRAM = 256
-COORDINATION_KINDS = b"\xf1"  # and above; a gossip summary begins with its version
-MAX_READS = 64  # datagrams read in one turn: a flood must not keep the loop from its connections
+MAX_DATAGRAM_BYTES = 256
+FIRST_COORDINATION_KIND = b"\xf1"  # of the first byte; a gossip summary begins with its version, a lower number
+MAX_READS_PER_WAKEUP = 64  # bounds the time that a flood of datagrams takes from connections
 
 logger = get_logger(__name__)
 
 
 class Peers:
-    """The socket, and who the peers are.
+    """The socket, and the addresses of the other balancers.
 
     Attributes:
-        others: takes what is no gossip summary, where the coordination is on.
-        index: balancers' numbers by their addresses.
+        sock: the bound socket.
+        addresses: where summaries are sent.
+        number_by_address: the numbers of balancers by their addresses.
+        on_datagram: takes all datagrams of peers; None without coordination.
     """
 
     def __init__(
         self,
         listen: Address,
         peers: tuple[Address, ...],
-        everyone: Address | None,
+        broadcast: Address | None,
         post: Callable[[interface.Event], bool],
         balancers: int,
-        shared: bool = False,
+        shares_address: bool = False,
     ) -> None:
-        self.others: Callable[[int, bytes], None] | None = None
-        self.index: dict[Address, int] = {}
-        self.peers: tuple[Address, ...] = ()
-        self._everyone: Address | None = None
-        self._by_number: dict[int, Address] = {}
+        self.on_datagram: Callable[[int, bytes], None] | None = None
+        self.number_by_address: dict[Address, int] = {}
+        self.addresses: tuple[Address, ...] = ()
+        self._broadcast: Address | None = None
+        self._address_by_number: dict[int, Address] = {}
         self._post = post
         self._balancers = balancers
-        self.move(peers, everyone)
+        self.change_addresses(peers, broadcast)
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.sock.setblocking(False)
-        if shared:
-            # Two processes of an upgrade hold the address, and the one that bound it last gets what comes.
+        if shares_address:
+            # Both processes of an upgrade bind the address, and the later one gets the datagrams.
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.sock.bind(listen)
         asyncio.get_running_loop().add_reader(self.sock, self._receive)
 
-    def move(self, peers: tuple[Address, ...], everyone: Address | None) -> None:
-        """The other balancers' addresses, in the order of their numbers.
+    def change_addresses(self, peers: tuple[Address, ...], broadcast: Address | None) -> None:
+        """Sets the addresses of the other balancers, in the order of their numbers.
 
-        What can't be is told, and those held before stay; at the start the first of each address that the settings have
-        a number for counts.
+        Invalid addresses are logged, and the previous ones stay. At the start there are none, so the first balancer of
+        each address counts.
+
+        Args:
+            peers: one address for each balancer.
+            broadcast: an address that reaches all of them; None without one.
         """
-        index: dict[Address, int] = {}
+        number_by_address: dict[Address, int] = {}
         fault = ""
         if len(peers) > self._balancers:
             fault = f"{len(peers)} addresses for {self._balancers} balancers"
         for number, address in enumerate(peers[: self._balancers]):
-            if index.setdefault(address, number) != number:
-                fault = f"{address[0]}:{address[1]} stands for balancers {index[address]} and {number}"
+            first = number_by_address.setdefault(address, number)
+            if first != number:
+                fault = f"{address[0]}:{address[1]} stands for balancers {first} and {number}"
         if fault:
-            if self.index:
+            if self.number_by_address:
                 logger.error("peer addresses invalid: previous addresses stay", fault=fault)
                 return
             logger.error("peer addresses invalid: the first balancer of each address counts", fault=fault)
-        self.index = index
-        self.peers = tuple(index)
-        self._everyone = everyone
-        self._by_number = {number: address for address, number in index.items()}
+        self.number_by_address = number_by_address
+        self.addresses = tuple(number_by_address)
+        self._broadcast = broadcast
+        self._address_by_number = {number: address for address, number in number_by_address.items()}
 
     def _receive(self) -> None:
-        for _ in range(MAX_READS):
+        for _ in range(MAX_READS_PER_WAKEUP):
             try:
-                data, sender = self.sock.recvfrom(MAX_DATAGRAM + 1)
+                data, sender = self.sock.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except BlockingIOError:
                 return
             except OSError:
                 continue  # an ICMP error of an earlier send
-            peer = self.index.get(sender)
-            if peer is None or len(data) > MAX_DATAGRAM:
+            peer = self.number_by_address.get(sender)
+            if peer is None or len(data) > MAX_DATAGRAM_BYTES:
                 logger.warning("datagram ignored", sender=sender, size_bytes=len(data))
                 continue
-            if self.others:
-                self.others(peer, data)
-            if not self.others or data[:1] < COORDINATION_KINDS:
+            if self.on_datagram:
+                self.on_datagram(peer, data)
+            if not self.on_datagram or data[:1] < FIRST_COORDINATION_KIND:
                 self._post(interface.GossipReceived(peer, data))
 
-    def tell_one(self, peer: int, data: bytes) -> None:
-        """For the coordination. Lost without a word, as datagrams are: who needs an answer asks again."""
-        if address := self._by_number.get(peer):
+    def send_to(self, peer: int, data: bytes) -> None:
+        """Sends a message of the coordination. Losses are not logged, since its senders repeat messages."""
+        if address := self._address_by_number.get(peer):
             with contextlib.suppress(OSError):
                 self.sock.sendto(data, address)
 
-    def tell(self, data: bytes) -> None:
-        """A gossip summary, to every other balancer."""
-        if len(data) > MAX_DATAGRAM:
+    def send_gossip(self, data: bytes) -> None:
+        """Sends a gossip summary to all other balancers."""
+        if len(data) > MAX_DATAGRAM_BYTES:
             logger.error("gossip summary too long to send", size_bytes=len(data))
             return
-        for address in (self._everyone,) if self._everyone else self.peers:
+        for address in (self._broadcast,) if self._broadcast else self.addresses:
             try:
                 self.sock.sendto(data, address)
             except OSError as error:
--- a/glenrock/net/protocol.py
+++ b/glenrock/net/protocol.py
@@ -1,4 +1,4 @@
-"""Lines of the protocol, parsed and built. No I/O."""
+"""Parses and builds lines of the protocol. No I/O."""
 
 from __future__ import annotations
 
@@ -9,63 +9,74 @@
 from glenrock.routing.settings_codec import report_field
 
 MAX_LINE = 4096  # bytes of a line with its end
-PING, STATS, PONG, MOVE, FAILED = b"PING\r\n", b"STATS\r\n", b"PONG\r\n", b"MOVE\r\n", b"ERR\r\n"
+PING = b"PING\r\n"
+STATS = b"STATS\r\n"
+PONG = b"PONG\r\n"
+MOVE = b"MOVE\r\n"
+FAILED = b"ERR\r\n"
 
 
 @dataclass(frozen=True)
 class KnownNames:
-    """What a sound OPEN may name. `classes`: each with the longest time that its clients may wait, in milliseconds."""
+    """Names that a request may use. `classes`: each with the longest wait of its requests in milliseconds."""
 
     classes: dict[str, float]
     tenants: frozenset[str] = frozenset()
 
 
 @dataclass(frozen=True)
-class OpenLine:
-    """What a client opens with. `line` is as it came."""
+class RequestLine:
+    """A client's request.
 
-    id: str
+    Attributes:
+        request_id: the id that the client has chosen.
+        key: the key for affinity.
+        fields: the fields by their names on the wire.
+        raw: the line as it came.
+    """
+
+    request_id: str
     key: int
     fields: dict[str, str] = field(default_factory=dict)
-    line: bytes = b""
+    raw: bytes = b""
 
     @property
     def wait_ms(self) -> float:
-        """How long the client waits for its answer."""
+        """How long the client waits for its answer, in milliseconds."""
         return float(self.fields.get("d", "0"))
 
     @property
     def group(self) -> int | None:
-        """Its group, where it names one."""
+        """The group; None without one."""
         return int(self.fields["g"], 16) if "g" in self.fields else None
 
     @property
     def load(self) -> int:
-        """Hint of its load; 0 where it gives none."""
+        """The client's hint of its load; 0 without one."""
         return int(float(self.fields.get("h", "0")))
 
     @property
     def class_name(self) -> str:
-        """Its class."""
+        """The request class."""
         return self.fields["c"]
 
     @property
     def tenant(self) -> str:
-        """Its tenant; empty where it names none."""
+        """The tenant; empty without one."""
         return self.fields.get("t", "")
 
     @property
-    def returns(self) -> bool:
-        """Whether it comes back after a break or a migration."""
+    def is_returning(self) -> bool:
+        """Whether the client had a connection that broke or migrated."""
         return self.fields.get("again") == "1"
 
     @property
-    def standing_at(self) -> str | None:
-        """The server that it stands at since before this balancer did."""
+    def resumes_at(self) -> str | None:
+        """The server of a connection that was open before this process; None for a new connection."""
         return self.fields.get("at")
 
 
-# Python's own int() and float() would also take signs, underscores, blanks, NaN and infinity.
+# int() and float() would also accept signs, underscores, blanks, NaN and infinity.
 OPEN = re.compile(rb"OPEN ([0-9A-Za-z._-]{1,64}) ([0-9A-Fa-f]{1,16}) ([!-~]+)\r\n")
 FIELD = re.compile(r"([A-Za-z][A-Za-z0-9_]*)=([^=]+)")
 HEX = re.compile(r"[0-9A-Fa-f]{1,16}")
@@ -74,40 +85,38 @@
 FORMS = {"g": HEX, "d": NUMBER, "h": NUMBER, "r": FLAG, "again": FLAG}
 
 
-class OpenLineError(ValueError):
-    """The line is no sound OPEN; the message says why."""
+class RequestLineError(ValueError):
+    """The line is no valid request; the message says why."""
 
 
-def parse_open(data: bytes, known: KnownNames) -> OpenLine:
-    """What the client opens with.
+def parse_request_line(data: bytes, known: KnownNames) -> RequestLine:
+    """Returns the request in a line.
 
-    Nothing unsound may reach a server: it closes on what it can't read, and what it makes of the rest would be passed
-    on as if it had run.
+    Validated here, since a server closes the connection on an invalid line, and that would count as an execution.
 
     Raises:
-        OpenLineError: the line is not sound.
+        RequestLineError: the line is no valid request.
     """
     found = OPEN.fullmatch(data)
     if found is None:
         line, _, more = data.partition(b"\r\n")
         if more and OPEN.fullmatch(line + b"\r\n"):
-            raise OpenLineError("bytes before the answer")
-        raise OpenLineError("not an OPEN line")
+            raise RequestLineError("bytes before the answer")
+        raise RequestLineError("not an OPEN line")
     if len(data) > MAX_LINE:
-        raise OpenLineError("too long")
+        raise RequestLineError("too long")
     fields = _fields_of(found[3].decode("ascii"))
     if fields.get("c") not in known.classes:
-        raise OpenLineError("no class that is known")
+        raise RequestLineError("no class that is known")
     if known.tenants and fields.get("t") not in known.tenants:
-        raise OpenLineError("no tenant that is known")
-    opened = OpenLine(found[1].decode(), int(found[2], 16), fields, data)
-    # A connection that stood before this balancer did waits as long as it takes.
-    if opened.standing_at is None:
+        raise RequestLineError("no tenant that is known")
+    request_line = RequestLine(found[1].decode(), int(found[2], 16), fields, data)
+    if request_line.resumes_at is None:  # a resumed connection has no deadline of its client
         if "d" not in fields:
-            raise OpenLineError("no d")
-        if opened.wait_ms > known.classes[opened.class_name]:
-            raise OpenLineError("d too long")
-    return opened
+            raise RequestLineError("no d")
+        if request_line.wait_ms > known.classes[request_line.class_name]:
+            raise RequestLineError("d too long")
+    return request_line
 
 
 def _fields_of(text: str) -> dict[str, str]:
@@ -116,19 +125,19 @@
     for part in text.split(","):
         pair = FIELD.fullmatch(part)
         if pair is None:
-            raise OpenLineError("a field that is not NAME=VALUE")
+            raise RequestLineError("a field that is not NAME=VALUE")
         repeated |= pair[1] in fields
         fields[pair[1]] = pair[2]
     if repeated:
-        raise OpenLineError("a field twice")
+        raise RequestLineError("a field twice")
     for name, form in FORMS.items():
         if name in fields and not form.fullmatch(fields[name]):
-            raise OpenLineError(f"{name} out of form")
+            raise RequestLineError(f"{name} out of form")
     return fields
 
 
 def with_wait(line: bytes, ms: float) -> bytes:
-    """The client's line with another `d`, and otherwise as it was."""
+    """Returns the client's line with that time in its field `d`."""
     head, space, rest = line.rstrip(b"\r\n").rpartition(b" ")
     wait = b"d=%d" % max(1, int(ms))
     parts = [wait if part.startswith(b"d=") else part for part in rest.split(b",")]
@@ -136,12 +145,12 @@
 
 
 def busy_line(retry_after_ms: float) -> bytes:
-    """A rejection, with the time to come back after; without where that is under a millisecond."""
+    """Returns a rejection with its Retry-After; without one if that is under a millisecond."""
     return b"BUSY %d\r\n" % retry_after_ms if retry_after_ms >= 1 else b"BUSY\r\n"
 
 
 def finite_number(text: str) -> float | None:
-    """None for anything that is not one."""
+    """Returns the number; None if the text is no finite number."""
     try:
         value = float(text)
     except ValueError:
@@ -150,13 +159,13 @@
 
 
 def split_word(line: bytes) -> tuple[str, str]:
-    """The first word and the rest; junk bytes become replacement characters."""
+    """Returns the first word and the rest; bytes that are not ASCII become replacement characters."""
     word, _, rest = line.rstrip(b"\r\n").decode("ascii", "replace").partition(" ")
     return word, rest
 
 
 def report_of(text: str) -> dict[str, float]:
-    """A load report under the names of the routing interface. What cannot be read is left out."""
+    """Returns a load report under the names of the routing interface, without unreadable fields."""
     report: dict[str, float] = {}
     for part in text.strip().split(","):
         name, equals, value_text = part.partition("=")
@@ -167,36 +176,34 @@
 
 
 class LineSplitter:
-    """Cuts a stream into lines and tells whether it stands between two of them.
-
-    Memory is bounded: of a line that is too long only the fact remains.
+    """Splits a stream into lines. Memory is bounded: the bytes of an overlong line are dropped.
 
     Attributes:
-        part: of the line that has not ended yet.
-        overlong: it is too long.
+        part: the bytes of the line that has not ended yet.
+        is_overlong: whether that line is too long.
     """
 
     def __init__(self) -> None:
         self.part = b""
-        self.overlong = False
+        self.is_overlong = False
 
     @property
-    def between(self) -> bool:
-        """Whether the stream stands between two lines."""
-        return not self.part and not self.overlong
+    def is_between_lines(self) -> bool:
+        """Whether the stream is at the end of a line."""
+        return not self.part and not self.is_overlong
 
     def feed(self, chunk: bytes) -> list[bytes]:
-        """Lines that end in this chunk, each with its end."""
+        """Returns the lines that end in this chunk, with their line ends."""
         *ended, rest = chunk.split(b"\n")
         lines = []
         for piece in ended:
             line = self.part + piece
-            if not self.overlong and len(line) < MAX_LINE:
+            if not self.is_overlong and len(line) < MAX_LINE:
                 lines.append(line + b"\n")
             self.part = b""
-            self.overlong = False
+            self.is_overlong = False
         self.part += rest
         if len(self.part) >= MAX_LINE:
             self.part = b""
-            self.overlong = True
+            self.is_overlong = True
         return lines
--- a/glenrock/net/relay_pumps.py
+++ b/glenrock/net/relay_pumps.py
@@ -1,4 +1,4 @@
-"""Both ways of a client's connection: bytes copied, ends met, and the sockets closed."""
+"""The two byte pumps of a client's connection, and its sockets."""
 
 from __future__ import annotations
 
@@ -15,116 +15,121 @@
 from .socket_io import close_socket, recv_into
 
 BUFFER_BYTES = 8192
-MAX_MAIL = 32  # messages that may wait for one connection
+MAX_MESSAGES = 32  # that may wait for one connection
 
 
 class RelayPumps:
-    """Owns the client's socket, and the server's once the connection is up. Ends go to the mailbox.
+    """Owns the client's socket, and the server's once the connection is established.
+
+    Ends that the pumps meet go to the mailbox.
 
     Attributes:
-        attempt: the last one; its socket is the relay's.
-        up: the client has its first answer.
-        gate: passes on whole lines only.
-        asked_at: the oldest client line that nothing has answered.
-        migrating: how the connection counts as ended, while a move of its client is under way.
-        idle: the down pump waits for the server. `idle_up`: the other one for the client.
+        sock: the client's socket.
+        mailbox: messages to the connection's actor.
+        attempt: the last attempt; its socket is the server's side of the relay.
+        established: set once the client has its first answer.
+        gate: passes whole lines only.
+        unanswered_since_ms: when the oldest client line without an answer was read; None without one.
+        migration: how routing counts the end of the connection, while its client migrates.
+        awaits_server: whether the downward pump waits for bytes of the server.
+        awaits_client: whether the upward pump waits for bytes of the client.
+        tasks: the pumps, the upward one first.
     """
 
     def __init__(self, sock: socket.socket, clock: Clock) -> None:
         self.sock = sock
         self.clock = clock
-        self.mailbox: Mailbox[ConnectionMessage] = Mailbox(MAX_MAIL)
+        self.mailbox: Mailbox[ConnectionMessage] = Mailbox(MAX_MESSAGES)
         self.attempt: ConnectionAttempt | None = None
-        self.up = asyncio.Event()
+        self.established = asyncio.Event()
         self.gate = LineGate()
-        self.asked_at: float | None = None
-        self.migrating: AttemptOutcome | None = None
-        self.idle = False
-        self.idle_up = False
+        self.unanswered_since_ms: float | None = None
+        self.migration: AttemptOutcome | None = None
+        self.awaits_server = False
+        self.awaits_client = False
         self.tasks: list[asyncio.Task[None]] = []
 
     def on_lines(self, lines: list[bytes]) -> None:
-        """Lines of the server have come."""
+        """Handles lines of the server."""
         raise NotImplementedError
 
     @property
     def server_sock(self) -> socket.socket | None:
-        """The server's side; None while there is none, and once it is closed."""
+        """The server's socket; None before it is connected and after it is closed."""
         return self.attempt.sock if self.attempt else None
 
     # -- the pumps -------------------------------------------------------------------------------------
 
-    def start_pump_up(self) -> None:
-        """The client's side is read from now on."""
-        self.tasks.append(asyncio.get_running_loop().create_task(self._pump_up()))
+    def start_upward_pump(self) -> None:
+        """Starts to read from the client."""
+        self.tasks.append(asyncio.get_running_loop().create_task(self._pump_upward()))
 
-    def start_pump_down(self) -> None:
-        """The server's side is read from now on."""
-        self.tasks.append(asyncio.get_running_loop().create_task(self._pump_down()))
+    def start_downward_pump(self) -> None:
+        """Starts to read from the server."""
+        self.tasks.append(asyncio.get_running_loop().create_task(self._pump_downward()))
 
     def start_pumps(self) -> None:
-        """Both sides are read from now on."""
+        """Starts to read from both sides."""
         self.tasks = []
-        self.start_pump_up()
-        self.start_pump_down()
+        self.start_upward_pump()
+        self.start_downward_pump()
 
     async def stop_pumps(self, first: int = 0) -> None:
-        """Ends the pumps from that one on: uvloop wants nobody waiting on a socket that is closed."""
+        """Ends the pumps from that index on. uvloop allows no task to wait on a closed socket."""
         for task in self.tasks[first:]:
             task.cancel()
         await asyncio.gather(*self.tasks[first:], return_exceptions=True)
 
-    async def _pump_up(self) -> None:
-        """Client to server; before UP it only notices the client's end."""
+    async def _pump_upward(self) -> None:
+        """Copies from client to server. Before the first answer it only notices the client's end."""
         end: RelayEnd | None = None
         try:
-            end = await self._copy_up()
+            end = await self._copy_upward()
         except OSError:
             end = RelayEnd.CLIENT_RST
         finally:
-            if end:  # none where it was stopped: the client is still there
+            if end:  # None for a pump that was stopped: the client is still connected
                 self.mailbox.deliver(end)
 
-    async def _copy_up(self) -> RelayEnd | None:
-        """Until an end. None where the server's side failed: that is told by the other pump."""
+    async def _copy_upward(self) -> RelayEnd | None:
+        """Copies until an end. Returns None if the server's side failed: the downward pump reports that end."""
         loop = asyncio.get_running_loop()
         buffer = bytearray(BUFFER_BYTES)
         while True:
-            self.idle_up = True
+            self.awaits_client = True
             count = await recv_into(loop, self.sock, buffer)
-            self.idle_up = False
+            self.awaits_client = False
             if not count:
                 return RelayEnd.CLIENT_FIN
-            if not self.up.is_set():
-                # A client waits for its answer. What it sends before must never reach a server: it would be read there
-                # as a first line, or as one of another connection.
+            if not self.established.is_set():
+                # A server would read these bytes as a request line, or as part of another connection.
                 return RelayEnd.TOO_EARLY
             server_sock = self.server_sock
             if server_sock is None:  # closed: only the client's end counts
                 continue
-            if self.asked_at is None and b"\n" in buffer[:count]:
-                self.asked_at = self.clock.now()
+            if self.unanswered_since_ms is None and b"\n" in buffer[:count]:
+                self.unanswered_since_ms = self.clock.now()
             try:
                 await loop.sock_sendall(server_sock, memoryview(buffer)[:count])
             except OSError:
                 return None
 
-    async def _pump_down(self) -> None:
-        """Server to client, and what the lines tell."""
+    async def _pump_downward(self) -> None:
+        """Copies from server to client, and handles the server's lines."""
         try:
-            end = await self._copy_down()
+            end = await self._copy_downward()
         except OSError:
             end = RelayEnd.SERVER_RST
         if end:
             self.mailbox.deliver(end)
 
-    async def _copy_down(self) -> RelayEnd | None:
-        """Until an end. None where the client's side failed: that is told by the other pump."""
+    async def _copy_downward(self) -> RelayEnd | None:
+        """Copies until an end. Returns None if the client's side failed: the upward pump reports that end."""
         attempt, server_sock = self.attempt, self.server_sock
-        assert attempt is not None and server_sock is not None, "the connection is up"
+        assert attempt is not None and server_sock is not None, "the connection is established"
         loop = asyncio.get_running_loop()
-        chunk = self.cut(attempt.first)
-        attempt.first = b""
+        chunk = self.pass_gate(attempt.received)
+        attempt.received = b""
         buffer = bytearray(BUFFER_BYTES)
         while True:
             if chunk:
@@ -132,21 +137,21 @@
                     await loop.sock_sendall(self.sock, chunk)
                 except OSError:
                     return None
-                self.up.set()
-            if self.migrating and not self.gate.mid_line:
+                self.established.set()
+            if self.migration and not self.gate.is_within_line:
                 return RelayEnd.BETWEEN_LINES
-            self.idle = True
+            self.awaits_server = True
             count = await recv_into(loop, server_sock, buffer)
-            self.idle = False
+            self.awaits_server = False
             if count:
-                chunk = self.cut(bytes(buffer[:count]))
+                chunk = self.pass_gate(bytes(buffer[:count]))
                 continue
             chunk = self.gate.release()
             if not chunk:
                 return RelayEnd.SERVER_FIN
 
-    def cut(self, chunk: bytes) -> bytes:
-        """What may be passed on to the client now; what the lines tell is taken in."""
+    def pass_gate(self, chunk: bytes) -> bytes:
+        """Handles the lines in bytes of the server. Returns the bytes that may be sent to the client now."""
         passed = self.gate.feed(chunk)
         self.on_lines(passed.lines)
         return passed.data
@@ -154,30 +159,30 @@
     # -- the sockets -----------------------------------------------------------------------------------
 
     def close_server_side(self, reset: bool = False) -> None:
-        """Closes the server's side; nobody may wait on it."""
+        """Closes the server's socket. No task may wait on it."""
         if self.attempt and self.attempt.sock:
             sock, self.attempt.sock = self.attempt.sock, None
             close_socket(sock, reset)
 
-    async def leave_server(self) -> None:
-        """Closes the server's side, while the client's end is still looked out for.
+    async def detach_server(self) -> None:
+        """Closes the server's socket, and keeps reading from the client until its end.
 
-        The up pump may wait for room at a server that hangs, or have ended with it. Nobody would read what the client
-        sends then, and a close over it takes the client's last line along.
+        The upward pump may be blocked by a server that hangs, or have ended with it. It is started anew, since a close
+        with unread bytes would reset the connection and the client would lose its last line.
         """
-        if self.idle_up:
+        if self.awaits_client:
             self.close_server_side()
             return
         await self.stop_pumps()
         self.close_server_side()
         self.tasks = []
-        self.start_pump_up()
+        self.start_upward_pump()
 
-    def may_move(self) -> bool:
-        """The client stands between two lines, and nothing that was read is on its way to it."""
-        return self.idle and not self.gate.mid_line
+    def may_migrate(self) -> bool:
+        """Returns whether the client has received whole lines only, and no bytes for it are being sent."""
+        return self.awaits_server and not self.gate.is_within_line
 
-    def still(self) -> bool:
-        """Up, and both pumps wait with nothing read that is not written."""
-        waits = self.idle and self.idle_up and not self.gate.held()
-        return self.up.is_set() and waits and not any(task.done() for task in self.tasks)
+    def may_hand_over(self) -> bool:
+        """Returns whether both pumps wait, and all bytes that were read have been sent."""
+        is_waiting = self.awaits_server and self.awaits_client and not self.gate.pending()
+        return self.established.is_set() and is_waiting and not any(task.done() for task in self.tasks)
--- a/glenrock/net/routing_actor.py
+++ b/glenrock/net/routing_actor.py
@@ -1,7 +1,7 @@
-"""The routing actor: the only caller of Balancer.handle.
+"""The routing actor: the only caller of `Balancer.handle`.
 
-Whatever comes in between two turns is one batch. Actions leave through the ports below, so another protocol or another
-source of endpoints joins without touching this file.
+All events that arrive between two calls are one batch. Actions leave through ports, so that the actor knows neither the
+clients' protocol nor the source of endpoints.
 """
 
 from __future__ import annotations
@@ -18,29 +18,29 @@
 from .clock import Clock, micros, millis
 from .mailbox import Mailbox
 
-MAX_EVENTS = 65536  # that wait; past that new requests are rejected, and nothing grows
-ALARM_DELAY_MS = 0.5  # late rather than early: a turn too early would find nothing due
+MAX_EVENTS = 65536  # in the mailbox; with more, new requests are rejected
+TIMER_MARGIN_MS = 0.5  # a wake-up before its time would find no timer due
 
 logger = get_logger(__name__)
 
 
 class RoutedConnection(Protocol):
-    """What actions need of a client's connection, whatever protocol it came by."""
+    """A client's connection, as actions use it."""
 
     def start_attempt(self, server: str, timeout_ms: float) -> None:
         """Sends the request to that server."""
         ...
 
     def cancel_attempt(self, attempt: int) -> None:
-        """Nobody waits for that attempt any more."""
+        """Cancels the attempt of that number."""
         ...
 
     def reject(self, retry_after_ms: float) -> None:
-        """Final answer: the client may come again after that time."""
+        """Rejects the request: the client may retry after that time."""
         ...
 
     def fail(self) -> None:
-        """Final answer: it could not be served."""
+        """Fails the request."""
         ...
 
     def migrate(self) -> None:
@@ -49,96 +49,100 @@
 
 
 class RoutingActor:
-    """Owns the balancer's decisions, its timers and its events.
+    """Owns routing's decisions, timers and events.
 
     Attributes:
-        connection_of: finds the connection of a request; the table of connections gives it.
-        probe: asks a server. `tell`: sends gossip. `watch`: subscribes to the endpoint list.
+        balancer: the decisions.
+        mailbox: events that wait for the next batch.
+        connection_of: finds the connection of a request; set by the table of connections.
+        send_health_check: sends a health check to a server.
+        send_gossip: sends a gossip summary to the peers.
+        watch_endpoints: subscribes to the endpoint list.
     """
 
     def __init__(self, settings: interface.Settings, seed: int, clock: Clock) -> None:
         self.balancer = Balancer(settings, seed)
         self.mailbox: Mailbox[interface.Event] = Mailbox(MAX_EVENTS)
         self.connection_of: Callable[[str], RoutedConnection | None] = _no_connection
-        self.probe: Callable[[str], None] = _ignore_server
-        self.tell: Callable[[bytes], None] = _ignore_data
-        self.watch: Callable[[], None] = _ignore
+        self.send_health_check: Callable[[str], None] = _ignore_server
+        self.send_gossip: Callable[[bytes], None] = _ignore_data
+        self.watch_endpoints: Callable[[], None] = _ignore
         self._clock = clock
-        self._timers: list[tuple[int, int]] = []  # when, and its reference
+        self._timers: list[tuple[int, int]] = []  # a heap of times in microseconds and references
         self._last_us = 0
-        self._orders: list[interface.Event] = []  # first in the next turn, however full the mailbox is
-        self._turned: list[asyncio.Future[None]] = []  # who waits for it
+        self._first_events: list[interface.Event] = []  # of the next batch, however full the mailbox is
+        self._batch_waiters: list[asyncio.Future[None]] = []
 
     def post(self, event: interface.Event) -> bool:
-        """Takes an event; False where there are too many."""
+        """Adds an event to the next batch. Returns False if the mailbox is full."""
         return self.mailbox.put(event)
 
     def load_of(self, request_id: str) -> int:
-        """The load of a connection as last known; 0 where it is not."""
+        """Returns the load of a connection as last known; 0 for an unknown connection."""
         return self.balancer.load_of(request_id)
 
     def may_reject(self, request_id: str) -> bool:
-        """Whether a client may be told to come again."""
+        """Returns whether a request may be rejected, as no attempt of it may have executed."""
         return self.balancer.may_reject(request_id)
 
-    def order(self, event: interface.Event) -> None:
-        """Takes an operator's event, first in the next turn."""
-        self._orders.append(event)
+    def post_first(self, event: interface.Event) -> None:
+        """Puts an operator's event at the start of the next batch."""
+        self._first_events.append(event)
         self.mailbox.wake()
 
-    def silence(self) -> None:
-        """Sends no more gossip: another process speaks for this balancer."""
-        self.tell = _ignore_data
+    def stop_gossip(self) -> None:
+        """Sends no more gossip, as another process does so for this balancer."""
+        self.send_gossip = _ignore_data
 
-    async def settled(self) -> None:
-        """Until what was ordered has been decided on."""
+    async def wait_for_batch(self) -> None:
+        """Waits until the events posted before this call have been handled."""
         done: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        self._turned.append(done)
+        self._batch_waiters.append(done)
         self.mailbox.wake()
         await done
 
     async def run(self) -> None:
-        """Takes turns for as long as the program runs."""
+        """Handles batches for as long as the program runs."""
         while True:
             batch = await self._next_batch()
-            orders, self._orders = self._orders, []
-            turned, self._turned = self._turned, []
-            self.turn(orders + batch)
-            for done in turned:
+            first_events, self._first_events = self._first_events, []
+            waiters, self._batch_waiters = self._batch_waiters, []
+            self.handle_batch(first_events + batch)
+            for done in waiters:
                 if not done.done():
                     done.set_result(None)
 
     async def _next_batch(self) -> list[interface.Event]:
-        alarm = None
+        wake_up = None
         if self._timers:
-            at_ms = millis(self._timers[0][0]) + ALARM_DELAY_MS
-            alarm = self._clock.call_at(at_ms, self.mailbox.wake)
-        batch = [] if self._orders or self._turned else await self.mailbox.take()
-        if alarm:
-            alarm.cancel()
+            at_ms = millis(self._timers[0][0]) + TIMER_MARGIN_MS
+            wake_up = self._clock.call_at(at_ms, self.mailbox.wake)
+        batch = [] if self._first_events or self._batch_waiters else await self.mailbox.take()
+        if wake_up:
+            wake_up.cancel()
         return batch
 
-    def turn(self, batch: list[interface.Event]) -> None:
-        """Hands over a batch with the timers that are due, and carries out the actions."""
+    def handle_batch(self, batch: list[interface.Event]) -> None:
+        """Passes a batch and the timers that are due to routing, and carries out the actions."""
         now_us = self._last_us = max(self._last_us, micros(self._clock.now()))
         while self._timers and self._timers[0][0] <= now_us:
             batch.append(interface.TimerFired(heapq.heappop(self._timers)[1]))
         try:
             actions = self.balancer.handle(now_us, batch)
-        except Exception:  # the edge of the actor: connections are answered by their own deadline
+        except Exception:  # the edge of the actor: connections are answered at their own deadline
             logger.exception("unexpected error in routing", events=len(batch))
             actions = self.balancer.batch.actions
-            if not self._timers:  # its round must go on
+            if not self._timers:  # without a timer there would be no further round
                 self.balancer.schedule_round(now_us + ROUND_US)
-        self._log_turn()
+        self._log_changes()
         for action in actions:
             self.act(action)
 
-    def _log_turn(self) -> None:
+    def _log_changes(self) -> None:
         for warning in self.balancer.batch.warnings:
             logger.warning("gossip summary ignored", reason=warning)
-        for zone, is_cut in self.balancer.domains.changes:
-            if is_cut:
+        for zone, is_partitioned in self.balancer.domains.changes:
+            if is_partitioned:
                 logger.warning("zone believed partitioned: no new connections to it", zone=zone)
             else:
                 logger.info("zone no longer believed partitioned: recovery ramp begins", zone=zone)
@@ -149,11 +153,11 @@
             case interface.SetTimer(at_us, ref):
                 heapq.heappush(self._timers, (at_us, ref))
             case interface.SendHealthCheck(server):
-                self.probe(server)
+                self.send_health_check(server)
             case interface.SendGossip(data):
-                self.tell(data)
+                self.send_gossip(data)
             case interface.WatchEndpoints():
-                self.watch()
+                self.watch_endpoints()
             case _:
                 if connection := self.connection_of(action.id):
                     _act_on(connection, action)
@@ -179,17 +183,17 @@
 
 
 def _no_connection(request_id: str) -> RoutedConnection | None:
-    """No table is connected."""
+    """Finds no connection: no table is set."""
     return None
 
 
 def _ignore() -> None:
-    """A port that nothing is connected to."""
+    """Does nothing: the port is not set."""
 
 
 def _ignore_server(server: str) -> None:
-    """A port that nothing is connected to."""
+    """Does nothing: the port is not set."""
 
 
 def _ignore_data(data: bytes) -> None:
-    """A port that nothing is connected to."""
+    """Does nothing: the port is not set."""
--- a/glenrock/net/server_actor.py
+++ b/glenrock/net/server_actor.py
@@ -22,8 +22,8 @@
 from .socket_io import close_socket, configure_socket
 from .system_errors import is_local
 
-MAX_MAIL = 1024  # health checks and attempts that may wait for one actor
-LOCAL_RETRY_MS = 20.0  # between two tries where this machine could not even begin to connect
+MAX_MESSAGES = 1024  # health checks and attempts that wait for one actor
+LOCAL_RETRY_MS = 20.0  # after this machine could not begin a connection
 ENDS_BY_WORD = {"BUSY": AttemptEnd.BUSY, "BYE": AttemptEnd.BYE, "MOVE": AttemptEnd.MOVED}
 
 Post = Callable[[interface.Event], bool]
@@ -32,7 +32,7 @@
 
 
 class ServerJob(Enum):
-    """What a server's actor may be asked beside attempts."""
+    """Jobs of a server's actor beside attempts."""
 
     HEALTH_CHECK = "health check"
 
@@ -41,27 +41,30 @@
     """One server.
 
     Attributes:
-        entry: its row of the endpoint list.
-        held: out of rotation by an operator, whatever the list says.
-        dial_ms: a connection is awaited this long.
-        prober: the health check that is out, or was last.
+        row: the server's row of the endpoint list.
+        is_suspended: whether an operator has taken the server out of rotation.
+        connect_timeout_ms: the time for a connection to be established.
+        post: takes events for routing.
+        mailbox: attempts and jobs that wait.
+        health_check_task: the health check in flight, or the last one.
+        tasks: attempts and health checks in flight.
     """
 
     def __init__(
         self,
-        entry: EndpointRow,
+        row: EndpointRow,
         clock: Clock,
-        dial_ms: float,
+        connect_timeout_ms: float,
         post: Post,
         metrics: ConnectionMetrics,
         pool: HealthConnections,
     ) -> None:
-        self.entry = entry
-        self.dial_ms = dial_ms
-        self.held = False
+        self.row = row
+        self.connect_timeout_ms = connect_timeout_ms
+        self.is_suspended = False
         self.post = post
-        self.mailbox: Mailbox[ConnectionAttempt | ServerJob] = Mailbox(MAX_MAIL)
-        self.prober: asyncio.Task[None] | None = None
+        self.mailbox: Mailbox[ConnectionAttempt | ServerJob] = Mailbox(MAX_MESSAGES)
+        self.health_check_task: asyncio.Task[None] | None = None
         self.tasks: set[asyncio.Task[None]] = set()
         self._clock = clock
         self._metrics = metrics
@@ -69,44 +72,44 @@
         self._actor = asyncio.get_running_loop().create_task(self._run())
 
     @property
-    def serving(self) -> bool:
-        """Whether something new may start there."""
-        return self.entry.status == "SERVING" and not self.held
+    def accepts_connections(self) -> bool:
+        """Whether new connections may be sent to the server."""
+        return self.row.state is interface.EndpointState.READY and not self.is_suspended
 
     @property
-    def _is_probing(self) -> bool:
-        return self.prober is not None and not self.prober.done()
+    def is_idle(self) -> bool:
+        """Whether the actor has no work and no connection, so that it can be retired."""
+        return not (self.tasks or self.mailbox.messages or self._probe.is_open)
+
+    @property
+    def _checks_health(self) -> bool:
+        return self.health_check_task is not None and not self.health_check_task.done()
 
     def stop(self) -> None:
         """Ends the actor."""
         self._actor.cancel()
-        if self.prober:
-            self.prober.cancel()
+        if self.health_check_task:
+            self.health_check_task.cancel()
 
     def update(self, row: EndpointRow) -> None:
-        """Its row has changed."""
-        restarted = row.since_ms != self.entry.since_ms or row.address != self.entry.address
-        if restarted and not self._is_probing:
-            self._probe.hang_up()  # the process at its other end is gone
-        self.entry = row
+        """Replaces the server's row."""
+        has_restarted = row.since_ms != self.row.since_ms or row.address != self.row.address
+        if has_restarted and not self._checks_health:
+            self._probe.disconnect()  # the connection belongs to the earlier process
+        self.row = row
 
-    def tidy(self) -> None:
-        """Closes a health check's connection that has been idle."""
-        if not self._is_probing:
-            self._probe.close_if_idle()
-
-    @property
-    def is_idle(self) -> bool:
-        """Whether it has nothing to do and holds nothing, so that another may be made when there is."""
-        return not (self.tasks or self.mailbox.mail or self._probe.is_open)
+    def close_unused_connection(self) -> None:
+        """Closes the connection for health checks if it has been unused for a while."""
+        if not self._checks_health:
+            self._probe.close_if_unused()
 
     async def _run(self) -> None:
         while True:
             for job in await self.mailbox.take():
                 if isinstance(job, ConnectionAttempt):
-                    job.task = self._start(self._execute(job))
-                elif not self._is_probing:
-                    self.prober = self._start(self._probe.check(self.entry))
+                    job.task = self._start(self._run_attempt(job))
+                elif not self._checks_health:
+                    self.health_check_task = self._start(self._probe.check(self.row))
 
     def _start(self, work: Coroutine[None, None, None]) -> asyncio.Task[None]:
         task = asyncio.get_running_loop().create_task(work)
@@ -116,32 +119,36 @@
 
     # -- attempts --------------------------------------------------------------------------------------
 
-    async def _execute(self, attempt: ConnectionAttempt) -> None:
-        attempt.sent_at = self._clock.now()
+    async def _run_attempt(self, attempt: ConnectionAttempt) -> None:
+        attempt.started_ms = self._clock.now()
         try:
             result = await self.attempt(attempt)
         except asyncio.CancelledError:
             result = AttemptResult(AttemptEnd.WITHDRAWN, attempt.reach)
         except OSError:
             result = AttemptResult(AttemptEnd.BROKEN, attempt.reach)
-        except Exception:  # the client must hear of an end, whatever went wrong
-            logger.exception("unexpected error in an attempt", server=self.entry.name, request_id=attempt.request_id)
+        except Exception:  # the client needs an answer whatever has failed
+            logger.exception("unexpected error in an attempt", server=self.row.name, request_id=attempt.request_id)
             result = AttemptResult(AttemptEnd.BROKEN, attempt.reach)
         if result.end is not AttemptEnd.UP and attempt.sock:
-            # Guards against a second copy: the socket is closed before routing hears of the end.
+            # Closed before routing learns of the end, so that two attempts are never in flight.
             close_socket(attempt.sock)
             attempt.sock = None
-        attempt.latency_ms = self._clock.now() - attempt.sent_at
-        attempt.done(attempt, result)
+        attempt.latency_ms = self._clock.now() - attempt.started_ms
+        attempt.on_result(attempt, result)
 
     def _left_ms(self, attempt: ConnectionAttempt) -> float:
-        return attempt.sent_at + attempt.timeout_ms - self._clock.now()
+        return attempt.started_ms + attempt.timeout_ms - self._clock.now()
 
     async def attempt(self, attempt: ConnectionAttempt) -> AttemptResult:
-        """Connects, writes the line and awaits the answer. Raises OSError."""
-        if attempt.withdrawn:
+        """Connects, writes the request line and awaits the answer.
+
+        Raises:
+            OSError: the connection to the server failed.
+        """
+        if attempt.is_withdrawn:
             return AttemptResult(AttemptEnd.WITHDRAWN, attempt.reach)
-        if not (self.serving or attempt.insist):
+        if not self._may_send(attempt):
             return AttemptResult(AttemptEnd.NOT_SENT, attempt.reach)
         try:
             sock = await self._connect(attempt)
@@ -151,38 +158,40 @@
             logger.warning(
                 "attempt could not start on this machine",
                 request_id=attempt.request_id,
-                server=self.entry.name,
+                server=self.row.name,
                 error=error,
             )
             self._metrics.add_system_error(error)
             return AttemptResult(AttemptEnd.NOT_SENT, attempt.reach)
         if sock is None:
             return AttemptResult(AttemptEnd.SILENT, attempt.reach)
-        # The list may have changed while the connection came up.
-        if not (self.serving or attempt.insist):
+        if not self._may_send(attempt):  # the endpoint list may have changed during the connect
             return AttemptResult(AttemptEnd.NOT_SENT, attempt.reach)
-        if not attempt.wanted():
+        if not attempt.client_waits():
             return AttemptResult(AttemptEnd.WITHDRAWN, attempt.reach)
-        return await self._ask(attempt, sock)
+        return await self._send_request(attempt, sock)
+
+    def _may_send(self, attempt: ConnectionAttempt) -> bool:
+        return self.accepts_connections or attempt.ignores_endpoint_state
 
     async def _connect(self, attempt: ConnectionAttempt) -> socket.socket | None:
-        """A connection; None where none came up in time.
+        """Returns a connection; None if none was established in time.
 
-        What this machine lacks for a moment is asked for again: it says nothing of the server, and each other server
-        would meet it too.
+        A connect that fails because of this machine is retried: it says nothing about the server, and another server
+        would not help.
 
         Raises:
-            OSError: the connection failed, or this machine could not begin it for as long as one may take.
+            OSError: the connect failed, or this machine could not begin it within the connect timeout.
         """
-        until_ms = self._clock.now() + min(self.dial_ms, self._left_ms(attempt))
+        deadline_ms = self._clock.now() + min(self.connect_timeout_ms, self._left_ms(attempt))
         while True:
             try:
                 sock = attempt.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
                 configure_socket(sock)
-                async with self._clock.limit(until_ms - self._clock.now()) as limit:
-                    await asyncio.get_running_loop().sock_connect(sock, self.entry.address)
+                async with self._clock.limit(deadline_ms - self._clock.now()) as limit:
+                    await asyncio.get_running_loop().sock_connect(sock, self.row.address)
             except OSError as error:
-                if not is_local(error) or self._clock.now() + LOCAL_RETRY_MS >= until_ms:
+                if not is_local(error) or self._clock.now() + LOCAL_RETRY_MS >= deadline_ms:
                     raise
                 if attempt.sock:
                     attempt.sock.close()
@@ -191,18 +200,18 @@
                 return None if limit.over else sock
             await self._clock.sleep(LOCAL_RETRY_MS)
 
-    async def _ask(self, attempt: ConnectionAttempt, sock: socket.socket) -> AttemptResult:
+    async def _send_request(self, attempt: ConnectionAttempt, sock: socket.socket) -> AttemptResult:
         loop = asyncio.get_running_loop()
         async with self._clock.limit(self._left_ms(attempt)):
             attempt.reach = Reach.PARTLY_WRITTEN
             await loop.sock_sendall(sock, protocol.with_wait(attempt.line, self._left_ms(attempt)))
             attempt.reach = Reach.WRITTEN
             self._metrics.relayed += 1
-            return await self._answer(attempt, sock)
-        attempt.reach = Reach.WRITTEN  # a write that was stopped does not tell how much is out
+            return await self._read_answer(attempt, sock)
+        attempt.reach = Reach.WRITTEN  # a write that was stopped may have sent the whole line
         return AttemptResult(AttemptEnd.SILENT, attempt.reach)
 
-    async def _answer(self, attempt: ConnectionAttempt, sock: socket.socket) -> AttemptResult:
+    async def _read_answer(self, attempt: ConnectionAttempt, sock: socket.socket) -> AttemptResult:
         loop = asyncio.get_running_loop()
         buffer = bytearray(protocol.MAX_LINE)
         splitter = protocol.LineSplitter()
@@ -211,15 +220,15 @@
             count = await loop.sock_recv_into(sock, buffer)
             if not count:
                 return AttemptResult(AttemptEnd.BROKEN, attempt.reach)
-            attempt.first += buffer[:count]
+            attempt.received += buffer[:count]
             lines = splitter.feed(bytes(buffer[:count]))
-            if splitter.overlong:
+            if splitter.is_overlong:
                 return AttemptResult(AttemptEnd.ERROR, attempt.reach)
         word, rest = protocol.split_word(lines[0])
         if word == "UP":
             attempt.reach = Reach.UP
             return AttemptResult(AttemptEnd.UP, attempt.reach)
         if word == "SYNTAX":
-            logger.error("server rejected the form of a request line", server=self.entry.name, line=attempt.line)
+            logger.error("server rejected the form of a request line", server=self.row.name, line=attempt.line)
         end = ENDS_BY_WORD.get(word, AttemptEnd.ERROR)
         return AttemptResult(end, attempt.reach, protocol.report_of(rest))
--- a/glenrock/net/server_connections.py
+++ b/glenrock/net/server_connections.py
@@ -1,44 +1,46 @@
-"""All servers by name, and an actor for each that has something to do."""
+"""All servers by name, and an actor for each server that has work."""
 
 from __future__ import annotations
 
 from collections.abc import Iterator
 
 from glenrock.routing import interface
+from glenrock.routing.interface import EndpointListKind, EndpointState
 
 from ..log import get_logger
 from .clock import Clock, micros
 from .descriptor_budget import DescriptorBudget
-from .endpoint_rows import STATES, EndpointRow
+from .endpoint_rows import EndpointRow
 from .health_connections import HealthConnections
 from .metrics import ConnectionMetrics
 from .server_actor import Post, ServerActor, ServerJob
 from .start_times import StartTimes
 
-MAX_SERVERS = 8192  # rows kept; a row is some hundred bytes, and a list past that is not this deployment's
-RETIRE_AFTER_MS = 10_000.0  # an actor without work is ended between one and two of these later
+MAX_SERVERS = 8192  # bounds the memory for rows
+RETIRE_AFTER_MS = 10_000.0  # an actor is retired after one to two of these without work
 
 logger = get_logger(__name__)
 
 
 class ServerRegistry:
-    """All servers by name. A name is an identity: its address may change, its process may restart.
+    """All servers by name. The name is the identity: an address may change, and a process may restart.
 
-    Actors are made at first use and retired when idle, so that what this process holds goes by its traffic and not by
-    the length of the list.
+    Actors are created at first use and retired when idle, so that memory depends on traffic and not on the length of
+    the endpoint list.
 
     Attributes:
-        rows: of the endpoint list by name; those that are gone too, while there is room.
-        actors: by name, of the servers that have work or had some lately.
-        has_list: discovery has told a list, so that a name that is not in it is no server's.
-        out: out of rotation by operators, listed or not.
-        post: takes events for the routing actor.
+        rows: rows of the endpoint list by name; rows of servers that are gone stay while there is room.
+        actors: actors by server name.
+        has_list: whether discovery has reported an endpoint list.
+        suspended: names of servers that operators have taken out of rotation, listed or not.
+        post: takes events for routing.
+        connect_timeout_ms: the time for a connection to be established.
     """
 
     def __init__(
         self,
         clock: Clock,
-        dial_ms: float,
+        connect_timeout_ms: float,
         post: Post,
         metrics: ConnectionMetrics,
         budget: DescriptorBudget,
@@ -47,78 +49,78 @@
         self.rows: dict[str, EndpointRow] = {}
         self.actors: dict[str, ServerActor] = {}
         self.has_list = False
-        self.out: set[str] = set()
+        self.suspended: set[str] = set()
         self.post = post
-        self.dial_ms = dial_ms
+        self.connect_timeout_ms = connect_timeout_ms
         self._clock = clock
         self._metrics = metrics
         self._budget = budget
         self._start_times = start_times
-        self._pool = HealthConnections(lambda: budget.health_checks)
-        self._idle: set[str] = set()  # actors that were idle when last looked at
-        self._looked_ms = clock.now()
-
-    def hold(self, name: str, out: bool) -> None:
-        """Nothing that is queued or being connected starts there any more, or all may again."""
-        if out:
-            self.out.add(name)
+        self._pool = HealthConnections(lambda: budget.health_connections)
+        self._idle_names: set[str] = set()  # servers whose actors were idle at the last check
+        self._idle_checked_ms = clock.now()
+
+    def set_suspended(self, name: str, is_suspended: bool) -> None:
+        """Takes a server out of rotation, for attempts that wait too, or back into rotation."""
+        if is_suspended:
+            self.suspended.add(name)
         else:
-            self.out.discard(name)
+            self.suspended.discard(name)
         if actor := self.actors.get(name):
-            actor.held = out
+            actor.is_suspended = is_suspended
 
-    def listed(self) -> list[str]:
-        """Names of the servers that discovery lists."""
+    def listed_names(self) -> list[str]:
+        """Returns the names of the servers that discovery lists."""
         return [row.name for row in self.listed_rows()]
 
     def listed_rows(self) -> Iterator[EndpointRow]:
-        """Rows of the servers that discovery lists."""
-        return (row for row in self.rows.values() if row.status != "DELETED")
+        """Returns the rows of the servers that discovery lists."""
+        return (row for row in self.rows.values() if row.state is not EndpointState.GONE)
 
     def knows(self, name: str) -> bool:
-        """Whether the server is listed, or was."""
+        """Returns whether the server is listed, or was."""
         return name in self.rows
 
     def count_health_connections(self) -> int:
-        """Connections for health checks that are open."""
+        """Returns the number of open connections for health checks."""
         return len(self._pool)
 
     def get(self, name: str) -> ServerActor | None:
-        """The actor of that server, made where there is none yet; None where no such server is known."""
+        """Returns the actor of a server, created if necessary; None for an unknown server."""
         if actor := self.actors.get(name):
             return actor
         row = self.rows.get(name)
         if row is None:
             return None
-        actor = ServerActor(row, self._clock, self.dial_ms, self._post, self._metrics, self._pool)
-        actor.held = name in self.out
+        actor = ServerActor(row, self._clock, self.connect_timeout_ms, self._post, self._metrics, self._pool)
+        actor.is_suspended = name in self.suspended
         self.actors[name] = actor
         return actor
 
     def _post(self, event: interface.Event) -> bool:
         return self.post(event)
 
-    def update(self, kind: interface.EndpointListKind, rows: list[EndpointRow]) -> None:
-        """Takes a list or changes of it, and hands them to the routing actor."""
-        if kind != interface.EndpointListKind.CHANGES:
-            self._mark_others_deleted({row.name for row in rows})
+    def update(self, kind: EndpointListKind, rows: list[EndpointRow]) -> None:
+        """Takes an endpoint list or changes to it, and passes them to routing."""
+        if kind is not EndpointListKind.CHANGES:
+            self._mark_others_gone({row.name for row in rows})
         for row in rows:
-            self._update_one(row)
+            self._update_row(row)
         self._budget.servers = len(self.rows)
-        self.has_list = self.has_list or kind == interface.EndpointListKind.FULL
-        kept = [row for row in rows if row.name in self.rows]
-        started_ms = self._start_times.take(kept)
-        endpoints = tuple(_endpoint_of(row, at_ms) for row, at_ms in zip(kept, started_ms, strict=True))
+        self.has_list = self.has_list or kind is EndpointListKind.FULL
+        accepted = [row for row in rows if row.name in self.rows]
+        started_ms = self._start_times.started_ms(accepted)
+        endpoints = tuple(_endpoint_of(row, at_ms) for row, at_ms in zip(accepted, started_ms, strict=True))
         self.post(interface.EndpointList(kind, endpoints))
 
-    def _mark_others_deleted(self, named: set[str]) -> None:
+    def _mark_others_gone(self, listed: set[str]) -> None:
         for name, row in self.rows.items():
-            if name not in named:
-                row.status = "DELETED"
+            if name not in listed:
+                row.state = EndpointState.GONE
 
-    def _update_one(self, row: EndpointRow) -> None:
+    def _update_row(self, row: EndpointRow) -> None:
         if row.name not in self.rows and len(self.rows) >= MAX_SERVERS:
-            self._forget_deleted()
+            self._forget_gone()
             if len(self.rows) >= MAX_SERVERS:
                 logger.error("endpoint row ignored: too many servers", server=row.name, max_servers=MAX_SERVERS)
                 return
@@ -126,34 +128,36 @@
         if actor := self.actors.get(row.name):
             actor.update(row)
 
-    def _forget_deleted(self) -> None:
-        deleted = [row.name for row in self.rows.values() if row.status == "DELETED" and not self._is_at_work(row.name)]
-        for name in deleted:
+    def _forget_gone(self) -> None:
+        gone = [
+            row.name for row in self.rows.values() if row.state is EndpointState.GONE and not self._has_tasks(row.name)
+        ]
+        for name in gone:
             del self.rows[name]
             self._start_times.forget(name)
             self._retire(name)
 
-    def _is_at_work(self, name: str) -> bool:
+    def _has_tasks(self, name: str) -> bool:
         actor = self.actors.get(name)
         return actor is not None and bool(actor.tasks)
 
-    def probe(self, name: str) -> None:
-        """Sends a health check; one that cannot be sent is told."""
+    def send_health_check(self, name: str) -> None:
+        """Sends a health check. Routing gets the result, also if the check cannot be sent."""
         actor = self.get(name)
         if actor is None or not actor.mailbox.put(ServerJob.HEALTH_CHECK):
             self.post(interface.HealthCheckResult(name, interface.AttemptOutcome.UNSENT))
 
-    def tidy(self) -> None:
-        """Closes health checks' connections that have been idle, and retires actors without work."""
+    def close_unused(self) -> None:
+        """Closes unused connections for health checks, and retires actors without work."""
         for actor in self.actors.values():
-            actor.tidy()
-        if self._clock.now() - self._looked_ms < RETIRE_AFTER_MS:
+            actor.close_unused_connection()
+        if self._clock.now() - self._idle_checked_ms < RETIRE_AFTER_MS:
             return
-        self._looked_ms = self._clock.now()
-        idle = {name for name, actor in self.actors.items() if actor.is_idle}
-        for name in idle & self._idle:
+        self._idle_checked_ms = self._clock.now()
+        idle_names = {name for name, actor in self.actors.items() if actor.is_idle}
+        for name in idle_names & self._idle_names:
             self._retire(name)
-        self._idle = idle
+        self._idle_names = idle_names
 
     def _retire(self, name: str) -> None:
         if actor := self.actors.pop(name, None):
@@ -161,4 +165,4 @@
 
 
 def _endpoint_of(row: EndpointRow, started_ms: float) -> interface.Endpoint:
-    return interface.Endpoint(row.name, STATES[row.status], row.zone, row.group, row.weight, micros(started_ms))
+    return interface.Endpoint(row.name, row.state, row.zone, row.group, row.weight, micros(started_ms))
--- a/glenrock/net/socket_io.py
+++ b/glenrock/net/socket_io.py
@@ -1,8 +1,7 @@
-"""Sockets: set up, read without a chance to lose bytes when the wait is cancelled, and closed.
+"""Configures, reads and closes sockets; a cancelled read loses no bytes.
 
-uvloop's `sock_recv_into` reads in a callback; a task cancelled between that and its own next step has lost what was
-read. A relay that is handed over to another process is cancelled in mid-wait as a rule, so it waits for readability
-alone and reads by itself.
+uvloop's `sock_recv_into` reads in a callback, and a task that is cancelled between the callback and its own next step
+loses the bytes. A relay that is handed over is cancelled within a read, so it waits for readability and reads itself.
 """
 
 from __future__ import annotations
@@ -11,29 +10,30 @@
 import contextlib
 import socket
 
-DRAIN_BYTES, MAX_DRAINED_READS = 16384, 4
+DRAIN_BYTES = 16384
+MAX_DRAINED_READS = 4
 LINGER_ON_FOR_ZERO_S = b"\1\0\0\0\0\0\0\0"  # struct linger: a close resets the connection
 
 
 def configure_socket(sock: socket.socket) -> None:
-    """For the loop, and without waiting for more to send."""
+    """Makes the socket non-blocking, and sends small writes at once."""
     sock.setblocking(False)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
 
 def close_socket(sock: socket.socket, reset: bool = False) -> None:
-    """Closes a socket that nobody waits on: with FIN, or with RST."""
+    """Closes a socket with FIN, or with RST. No task may wait on it."""
     with contextlib.suppress(OSError):
         if reset:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_ON_FOR_ZERO_S)
         else:
-            # close() alone would send RST if something lies unread.
+            # close() alone sends RST if there are unread bytes.
             sock.shutdown(socket.SHUT_WR)
     sock.close()
 
 
 def close_drained(sock: socket.socket) -> None:
-    """Closes a socket whose last word is written: what still came is read first, so that no reset takes that along."""
+    """Closes a socket after its last write. Unread bytes are read first: they would make the close a reset."""
     with contextlib.suppress(OSError):
         for _ in range(MAX_DRAINED_READS):
             if not sock.recv(DRAIN_BYTES, socket.MSG_DONTWAIT):
@@ -42,7 +42,7 @@
 
 
 async def readable(loop: asyncio.AbstractEventLoop, sock: socket.socket) -> None:
-    """Until there is something to read, or an end."""
+    """Waits until the socket has bytes or an end."""
     ready = loop.create_future()
     loop.add_reader(sock, _wake, ready)
     try:
@@ -57,9 +57,9 @@
 
 
 async def recv_into(loop: asyncio.AbstractEventLoop, sock: socket.socket, buffer: bytearray) -> int:
-    """The number of bytes read, 0 at the end. A cancellation comes only while nothing has been read.
+    """Returns the number of bytes read, 0 at the end. A cancellation loses no bytes.
 
-    Without a turn of the loop before each read, one who sends on and on would keep it from all others.
+    The wait before each read gives other tasks their turn, whatever one client sends.
     """
     while True:
         await readable(loop, sock)
--- a/glenrock/net/system_errors.py
+++ b/glenrock/net/system_errors.py
@@ -1,16 +1,16 @@
-"""What a failed system call says: of this machine, of one connection, or of the other end.
+"""Tells errors of this machine from those of one connection and of the other end.
 
-| errno | where | meaning | what is done |
+| errno | call | meaning | reaction |
 | --- | --- | --- | --- |
-| EMFILE, ENFILE, ENOBUFS, ENOMEM | accept | this machine is short | room is made, accepting rests 20 ms |
+| EMFILE, ENFILE, ENOBUFS, ENOMEM | accept | no resources here | accepting pauses, an idle connection is closed |
 | ECONNABORTED, EPROTO, ENETDOWN, EHOSTUNREACH, ... | accept | the connection is gone | the next one is accepted |
-| EMFILE, ENFILE, ENOBUFS, ENOMEM | socket, connect | this machine is short | tried again within the attempt |
-| EADDRNOTAVAIL, EAGAIN | connect | no local port is free | tried again within the attempt |
-| ENETUNREACH, ENETDOWN, EPERM, EACCES | connect | no way there from here | tried again within the attempt |
-| EINTR | all | a signal came | the call is made again |
+| EMFILE, ENFILE, ENOBUFS, ENOMEM | socket, connect | no resources on this machine | retried within the attempt |
+| EADDRNOTAVAIL, EAGAIN | connect | no local port is free | retried within the attempt |
+| ENETUNREACH, ENETDOWN, EPERM, EACCES | connect | no route from this machine | retried within the attempt |
+| EINTR | all | interrupted by a signal | the call is repeated |
 | ECONNREFUSED, ECONNRESET, ETIMEDOUT, EHOSTUNREACH | connect | the other end | counts as no connection |
-| ECONNRESET, EPIPE, ETIMEDOUT, EHOSTUNREACH | read, write | the connection is gone | ends it, and only it |
-| ENOBUFS, EPERM, ECONNREFUSED, ... | sendto | a datagram is lost | told in the log, nothing else |
+| ECONNRESET, EPIPE, ETIMEDOUT, EHOSTUNREACH | read, write | the connection is gone | that connection ends |
+| ENOBUFS, EPERM, ECONNREFUSED, ... | sendto | a datagram is lost | logged |
 
 Source: accept(2), socket(2), connect(2), tcp(7), ip(7) of Linux.
 """
@@ -20,7 +20,7 @@
 import errno
 
 SHORTAGE = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
-"""This process or machine has no more of something."""
+"""A resource of this process or machine is exhausted."""
 
 GONE_BEFORE_ACCEPT = frozenset(
     (
@@ -39,7 +39,7 @@
         errno.ECONNRESET,
     )
 )
-"""Errors of a connection that was never taken; accept(2) says to treat them like EAGAIN and go on."""
+"""Errors of a connection that ended in the queue; accept(2) says to treat them like EAGAIN."""
 
 LOCAL = SHORTAGE | {
     errno.EADDRNOTAVAIL,
@@ -50,19 +50,19 @@
     errno.EACCES,
     errno.EINTR,
 }
-"""What keeps a connection from being tried at all: it says nothing of the server."""
+"""Errors that prevent a connect on this machine, and say nothing about the server."""
 
 
 def is_shortage(error: OSError) -> bool:
-    """Whether this process or machine has run out of something."""
+    """Returns whether a resource of this process or machine is exhausted."""
     return error.errno in SHORTAGE
 
 
 def is_gone_before_accept(error: OSError) -> bool:
-    """Whether the connection at the head of the queue was gone already."""
+    """Returns whether the connection at the head of the queue has ended already."""
     return error.errno in GONE_BEFORE_ACCEPT
 
 
 def is_local(error: OSError) -> bool:
-    """Whether a failed attempt to connect is this machine's own fault."""
+    """Returns whether a connect failed because of this machine."""
     return error.errno in LOCAL
--- a/glenrock/program.py
+++ b/glenrock/program.py
@@ -17,9 +17,10 @@
 from .net.acceptor import Acceptor
 from .net.clock import Clock
 from .net.connection_table import ConnectionTable
-from .net.descriptor_budget import DescriptorBudget
+from .net.descriptor_budget import DescriptorBudget, DescriptorBudgetError
 from .net.endpoint_watcher import EndpointWatcher
 from .net.graceful_shutdown import GracefulShutdown
+from .net.listening_socket import listen
 from .net.metrics import ConnectionMetrics
 from .net.peers import Peers
 from .net.poll_backoff import PollBackoff
@@ -101,8 +102,8 @@
         except OSError as error:
             logger.warning("process mark not written: the descriptor limit may be exceeded", error=error)
         connections = self._program.connections
-        connections.elsewhere = self._processes.count_other_descriptors
-        connections.budget.elsewhere = self._processes.count_other_descriptors()
+        connections.count_other_descriptors = self._processes.count_other_descriptors
+        connections.budget.other_process = self._processes.count_other_descriptors()
 
     def take_relays(self) -> None:
         """From now on relays of the process before can be taken over."""
@@ -169,7 +170,7 @@
         self.acceptor = Acceptor(self.connections, clock)
         self.shutdown = GracefulShutdown(self.connections, self.acceptor, clock)
         self.operators = Operators(self) if config.admin else None
-        self.routing.probe = self.servers.probe
+        self.routing.send_health_check = self.servers.send_health_check
         self.peers = self._peers_of(config)
         self._check_budget()
         self.coordination = _coordination_of(self) if config.fleet else None
@@ -179,8 +180,10 @@
 
     def _check_budget(self) -> None:
         """Raises ConfigError where not a single client could be served."""
-        if shortfall := self.budget.shortfall():
-            raise ConfigError(f"limits.sockets: {shortfall}")
+        try:
+            self.budget.check_limit(self.budget.limit)
+        except DescriptorBudgetError as error:
+            raise ConfigError(f"limits.sockets: {error}") from error
 
     def _report_poll_failure(self) -> None:
         self.routing.post(interface.EndpointList(interface.EndpointListKind.FAILED))
@@ -197,7 +200,7 @@
             config.settings.balancers,
             shared_listener,
         )
-        self.routing.tell = peers.tell
+        self.routing.send_gossip = peers.send_gossip
         return peers
 
     def run(self, work: Coroutine[None, None, None]) -> None:
@@ -216,19 +219,19 @@
             self.operators.start(self)
         if self.coordination:
             self.coordination.start()
-        self.endpoints.remember(self.config.known)
+        self.endpoints.use_cached_list(self.config.known)
         self.run(self.routing.run())
         self.run(self.endpoints.run())
         # Nothing is accepted, and so no PING answered, before there is a list to serve with.
         async with self.clock.limit(FIRST_LIST_MS):
-            await self.endpoints.first.wait()
+            await self.endpoints.has_answered.wait()
         self._accept_clients()
         host, port = self.config.listen
         logger.info("ready", balancer=self.config.name, address=f"{host}:{port}")
 
     def _accept_clients(self) -> None:
         inherited = self._upgrade.listener if self._upgrade else None
-        self.acceptor.open(inherited or self.acceptor.listen(self.config.listen))
+        self.acceptor.open(inherited or listen(self.config.listen))
         self.run(self.connections.sweep())
         if self._upgrade:
             self._upgrade.take_relays()
@@ -246,15 +249,17 @@
         except ConfigError as error:
             logger.warning("configuration not reloaded: the previous one stays", error=str(error))
             return
-        if shortfall := self.budget.shortfall_at(new.sockets):
-            logger.warning("configuration not reloaded: descriptor limit too low", shortfall=shortfall)
+        try:
+            self.budget.check_limit(new.sockets)
+        except DescriptorBudgetError as error:
+            logger.warning("configuration not reloaded: descriptor limit too low", error=str(error))
             return
         waiting = [key for key in TAKEN_AT_START if getattr(new, key) != getattr(self.config, key)]
         if waiting:
             logger.warning("configuration changes that need a restart", keys=",".join(waiting))
-        self.endpoints.move(new.discovery)
+        self.endpoints.change_address(new.discovery)
         if self.peers:
-            self.peers.move(new.peers, new.peers_all)
+            self.peers.change_addresses(new.peers, new.peers_all)
         raise_descriptor_limit(new.sockets)
         self.budget.limit = effective_descriptor_limit(new.sockets)
         self.config = replace(
--- a/glenrock/upgrade/override_sync.py
+++ b/glenrock/upgrade/override_sync.py
@@ -143,7 +143,7 @@
             _log_override(server_id, is_suspended)
         resumed_at_ms = self.overrides.resumed_at_ms.get(server_id, 0.0) if has_changed else 0.0
         self._apply(server_id, is_suspended, resumed_at_ms)
-        await self._routing.settled()
+        await self._routing.wait_for_batch()
 
     async def _change_with_retries(self, server_id: str, change: Callable[[SharedOverrides], None]) -> bool:
         """Applies a change, and retries while the other process holds the lock.
@@ -170,8 +170,8 @@
 
     def _apply(self, server_id: str, is_suspended: bool, resumed_at_ms: float) -> None:
         """Passes an override on to the server's connections and to routing. `resumed_at_ms`: 0 means now."""
-        self._servers.hold(server_id, is_suspended)
-        self._routing.order(interface.OperatorOverride(server_id, is_suspended, micros(resumed_at_ms)))
+        self._servers.set_suspended(server_id, is_suspended)
+        self._routing.post_first(interface.OperatorOverride(server_id, is_suspended, micros(resumed_at_ms)))
 
 
 def _change_nothing(shared: SharedOverrides) -> None:
--- a/glenrock/upgrade/relay_message.py
+++ b/glenrock/upgrade/relay_message.py
@@ -109,13 +109,13 @@
     """Returns the message for a relay whose pumps have stopped, with the load that its server reported last."""
     splitter = connection.gate.splitter
     message = RelayMessage(
-        open_line=connection.opened.line,
+        open_line=connection.request_line.raw,
         server_id=connection.server,
         load=load,
         partial_line=splitter.part,
-        is_overlong=splitter.overlong,
+        is_overlong=splitter.is_overlong,
         last_word=connection.last_word,
-        unanswered_since_ms=connection.asked_at,
+        unanswered_since_ms=connection.unanswered_since_ms,
     )
     return message.encode()
 
@@ -129,18 +129,18 @@
         OSError: a socket cannot be configured.
     """
     message = parse(data)
-    opened = protocol.parse_open(message.open_line, table.known)
-    if table.knows(opened.id):
+    request_line = protocol.parse_request_line(message.open_line, table.known_names)
+    if table.is_open(request_line.request_id):
         raise RelayMessageError("request id in use")
-    if table.full():
+    if table.is_full():
         raise RelayMessageError("descriptor limit reached")
     configure_socket(client)
     configure_socket(server)
-    connection = ClientConnection(table, client, opened)
+    connection = ClientConnection(table, client, request_line)
     connection.gate.restore(message.partial_line, message.is_overlong)
-    connection.asked_at = message.unanswered_since_ms
+    connection.unanswered_since_ms = message.unanswered_since_ms
     connection.last_word = message.last_word
-    connection.load = message.load
+    connection.reports.load = message.load
     connection.take_over(message.server_id, server)
     return connection
 
@@ -150,7 +150,7 @@
     """Yields the socket's path; a path by way of the folder's descriptor if it is too long for an address.
 
     Raises:
-        OSError: the folder cannot be opened.
+        OSError: the folder cannot be request_line.
     """
     path = os.path.join(folder, SOCKET_NAME)
     if len(path.encode()) <= MAX_SOCKET_PATH_BYTES:
--- a/glenrock/upgrade/relay_receiver.py
+++ b/glenrock/upgrade/relay_receiver.py
@@ -96,7 +96,7 @@
             for sock in sockets:
                 sock.close()
             return REJECTED
-        self._table.adopt(connection)
+        self._table.add_taken_over(connection)
         self._accepted_count += 1
         return ACCEPTED
 
--- a/glenrock/upgrade/relay_sender.py
+++ b/glenrock/upgrade/relay_sender.py
@@ -96,7 +96,7 @@
         """
         if connection.server_sock is None:
             return False
-        data = encode_relay(connection, self._load_of(connection.opened.id))
+        data = encode_relay(connection, self._load_of(connection.request_line.request_id))
         answer = bytearray(MAX_ANSWER_BYTES)
         count = 0
         loop = asyncio.get_running_loop()
