--- a/tests/coordination/test_coldstart.py
+++ b/tests/coordination/test_coldstart.py
@@ -184,7 +184,7 @@
     program = SimpleNamespace(
         clock=SetClock(NOW),
         routing=SimpleNamespace(balancer=Balancer(SETTINGS, 1)),
-        endpoints=SimpleNamespace(address=("d", 1), newest=version, first=heard),
+        endpoints=SimpleNamespace(address=("d", 1), newest_version=version, has_answered=heard),
         servers=servers,
     )
     return StartCache(program, folder, "n0", TRUST)
@@ -383,10 +383,18 @@
 def test_calls_for_the_list_are_counted_and_the_pace_is_the_one_that_was() -> None:
     one, other = (PollBackoff(200, True, random.Random(1)) for _ in range(2))
     counted = CountingPollBackoff(one)
-    assert (counted.must_poll, counted.watch_ms, counted.grace_ms) == (other.must_poll, other.watch_ms, other.grace_ms)
+    assert (counted.must_poll, counted.watch_timeout_ms, counted.answer_grace_ms) == (
+        other.must_poll,
+        other.watch_timeout_ms,
+        other.answer_grace_ms,
+    )
     for _ in range(3):
-        assert counted.overbooked() == other.overbooked() and counted.retry(2) == other.retry(2)
-    counted.heard()
-    other.heard()
-    assert counted.overbooked() == other.overbooked() and counted.first(False) == other.first(False)
+        assert counted.overload_delay_ms() == other.overload_delay_ms() and counted.retry_delay_ms(
+            2
+        ) == other.retry_delay_ms(2)
+    counted.record_answer()
+    other.record_answer()
+    assert counted.overload_delay_ms() == other.overload_delay_ms() and counted.first_call_delay_ms(
+        False
+    ) == other.first_call_delay_ms(False)
     assert (counted.answered, counted.refused, counted.failed) == (1, 4, 3)
--- a/tests/routing/test_failure_domains.py
+++ b/tests/routing/test_failure_domains.py
@@ -202,7 +202,7 @@
     clock = At()
     d = RoutingActor(usual(zone="a", may_health_check=True, load_report_fields=("load_ratio",)), 1, clock)
     entries = tuple(interface.Endpoint(f"{z}{n}:1", interface.EndpointState.READY, z) for z in "ab" for n in range(4))
-    d.turn([interface.EndpointList(interface.EndpointListKind.FULL, entries)])
+    d.handle_batch([interface.EndpointList(interface.EndpointListKind.FULL, entries)])
     for events in (
         [interface.HealthCheckResult(f"b{n}:1", interface.AttemptOutcome.TIMEOUT) for n in range(3)],
         [],
@@ -212,7 +212,7 @@
         [],
     ):
         clock.ms += 10
-        d.turn(events)
+        d.handle_batch(events)
     said = [line for line in caplog.messages if line.startswith("zone ")]
     assert said == [
         "zone believed partitioned: no new connections to it zone=b",
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -21,7 +21,7 @@
     async def inside() -> peers.Peers:
         p = peers.Peers(("127.0.0.1", 0), moves[0], None, lambda e: True, balancers)
         for more in moves[1:]:
-            p.move(more, None)
+            p.change_addresses(more, None)
         p.close()
         return p
 
@@ -29,26 +29,26 @@
 
 
 def test_peers_that_repeat_an_address_or_are_too_many_leave_the_old_ones(caplog) -> None:
-    assert moved((A, B, C)).index == {A: 0, B: 1, C: 2} and caplog.messages == []
-    assert moved((A, B), (B, A, B)).index == {A: 0, B: 1}
+    assert moved((A, B, C)).number_by_address == {A: 0, B: 1, C: 2} and caplog.messages == []
+    assert moved((A, B), (B, A, B)).number_by_address == {A: 0, B: 1}
     assert caplog.messages == [
         'peer addresses invalid: previous addresses stay fault="127.0.0.1:2 stands for balancers 0 and 2"'
     ]
     caplog.clear()
-    assert moved((A, B), (A, B, C, ("127.0.0.1", 4))).index == {A: 0, B: 1}
+    assert moved((A, B), (A, B, C, ("127.0.0.1", 4))).number_by_address == {A: 0, B: 1}
     assert caplog.messages == ['peer addresses invalid: previous addresses stay fault="4 addresses for 3 balancers"']
     caplog.clear()
     p = moved((A, A, B, C))  # at the start there are no old ones
     assert (
-        p.index == {A: 0, B: 2}
-        and p.peers == (A, B)
+        p.number_by_address == {A: 0, B: 2}
+        and p.addresses == (A, B)
         and "the first balancer of each address counts" in caplog.messages[-1]
     )
 
 
 def test_an_instance_that_stands_twice_is_told(caplog) -> None:
     row = {"name": "s1", "status": "SERVING"}
-    _, _, rows = endpoint_watcher.news_of(
+    _, _, rows = endpoint_watcher.parse_answer(
         {
             "index": 1,
             "snapshot": True,
--- a/tests/test_client_leaves.py
+++ b/tests/test_client_leaves.py
@@ -19,7 +19,7 @@
     loop, door = asyncio.get_running_loop(), socket.create_server(("127.0.0.1", 0))
     door.setblocking(False)
     instance = site.program.servers.get("s1")
-    instance.entry.address = door.getsockname()
+    instance.row.address = door.getsockname()
     client = socket.create_connection(("127.0.0.1", site.port))
     client.sendall(b"OPEN wait-1 1 c=look,d=1000\r\n")
     while not (site.commands and site.commands["wait-1"].attempt and site.commands["wait-1"].attempt.sock):
@@ -63,8 +63,8 @@
         sock.connect_ex(full.getsockname())
         waiting.append(sock)
     await asyncio.sleep(0.05)
-    site.program.servers.get("s1").entry.address = full.getsockname()
-    site.program.servers.dial_ms = site.program.servers.get("s1").dial_ms = 9000.0
+    site.program.servers.get("s1").row.address = full.getsockname()
+    site.program.servers.connect_timeout_ms = site.program.servers.get("s1").connect_timeout_ms = 9000.0
     descriptors = len(os.listdir("/proc/self/fd"))
     client = socket.create_connection(("127.0.0.1", site.port))
     client.sendall(b"OPEN wait-1 1 c=look,d=5000\r\n")
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -20,7 +20,7 @@
 
 from glenrock.config import check
 from glenrock.net import server_actor as instance_part
-from glenrock.net.acceptor import IDLE_MS, LAST_MS, LINGER_MS
+from glenrock.net.acceptor import IDLE_TIMEOUT_MS, LAST_LINE_TIMEOUT_MS, LINGER_MS
 from glenrock.net.attempt_outcomes import Reach
 from glenrock.net.client_connection import AnswerNow, ClientConnection, MigrateClient, RelayEnd
 from glenrock.net.clock import SetClock
@@ -49,8 +49,8 @@
 def refused(rig: Rig, command) -> None:
     """What the module's refusal does, at any instant: it forgets the request, and the answer is on its way."""
     balancer = rig.program.routing.balancer
-    if command.opened.id in balancer.requests:
-        balancer.lifecycle.client_disconnected(command.opened.id)
+    if command.request_line.request_id in balancer.requests:
+        balancer.lifecycle.client_disconnected(command.request_line.request_id)
         command.reject(500.0)
 
 
@@ -219,7 +219,7 @@
         start_attempt = command.start_attempt
         command.start_attempt = lambda name, ms: (
             start_attempt(name, ms),
-            command.mailbox.mail.appendleft(RelayEnd.CLIENT_FIN),
+            command.mailbox.messages.appendleft(RelayEnd.CLIENT_FIN),
             command.mailbox.wake(),
         )
 
@@ -237,7 +237,7 @@
         plugs[-1].setblocking(False)
         plugs[-1].connect_ex(full.getsockname())
     await rig.turns()
-    rig.program.servers.get("s1").entry.address = full.getsockname()
+    rig.program.servers.get("s1").row.address = full.getsockname()
     client = rig.client(LINE)
     await rig.until(lambda: rig.commands and rig.commands["x1"].attempt and rig.commands["x1"].attempt.sock)
     leave(client)
@@ -306,14 +306,14 @@
     await rig.turns()
     client = rig.client(LINE)
     await rig.until(lambda: rig.program.routing.balancer.requests)
-    command, gone = rig.commands["x1"], rig.commands["x1"].forget
+    command, gone = rig.commands["x1"], rig.commands["x1"].reports.post_disconnected
 
     def crossed() -> None:
         gone()
-        rig.program.servers.get("s1").entry.status = "SERVING"
+        rig.program.servers.get("s1").row.state = interface.EndpointState.READY
         rig.program.routing.act(interface.StartAttempt("x1", "s1", 900_000))
 
-    command.forget = crossed
+    command.reports.post_disconnected = crossed
     leave(client)
 
 
@@ -359,7 +359,7 @@
     async def story(rig: Rig) -> None:
         await rig.open()
         client = rig.client(LINE)  # no turn of the loop until it closes its door
-        rig.entrance.leave_none()
+        rig.entrance.close_idle()
         data, end = await rig.rest(client)
         assert data.startswith(b"BUSY ") and end == "fin"
         client.close()
@@ -376,7 +376,7 @@
         assert await rig.until(lambda: rig.read(client)) == b"PONG\r\n"
         if late:
             client.sendall(late)
-        rig.entrance.leave_none()
+        rig.entrance.close_idle()
         data, end = await rig.rest(client)
         assert (data == b"ERR\r\n" if late == LINE[:9] else data.startswith(b"BUSY ")) and end == "fin"
         client.close()
@@ -434,10 +434,10 @@
     async def story(rig: Rig) -> None:
         await rig.open()
         client = rig.client()
-        rig.entrance.leave_none()
+        rig.entrance.close_idle()
         await rig.turns()
         assert rig.read(client) == b""
-        await rig.run(LAST_MS + 20)
+        await rig.run(LAST_LINE_TIMEOUT_MS + 20)
         assert await rig.rest(client) == (b"ERR\r\n", "fin")
 
     played(story)
@@ -452,7 +452,7 @@
         await rig.turns()
         if late:
             client.sendall(late)
-        rig.clock.advance(IDLE_MS)  # without a turn of the loop between
+        rig.clock.advance(IDLE_TIMEOUT_MS)  # without a turn of the loop between
         if late:
             at = await rig.at("s1")
             at.sendall(b"UP r\r\n")
@@ -506,13 +506,13 @@
 def test_one_that_came_up_as_it_was_refused_stands_and_the_module_knows_it() -> None:
     async def story(rig: Rig) -> None:
         client, at, command = await rig.asked()
-        answered = command.attempt_done
+        answered = command.on_attempt_result
 
         def crossed(x, outcome) -> None:  # the answer, and right behind it the module's last word
             answered(x, outcome)
             refused(rig, command)
 
-        command.attempt.done = crossed
+        command.attempt.on_result = crossed
         at.sendall(b"UP r\r\n")
         assert await rig.until(lambda: rig.read(client)) == b"UP r\r\n"
         await rig.until(lambda: rig.program.routing.balancer.requests)
@@ -526,8 +526,8 @@
 def test_one_that_comes_up_after_it_was_refused_is_closed_before_its_client_hears() -> None:
     async def story(rig: Rig) -> None:
         client, at, command = await rig.asked()
-        answered = command.attempt_done
-        command.attempt.done = lambda x, outcome: (refused(rig, command), answered(x, outcome))
+        answered = command.on_attempt_result
+        command.attempt.on_result = lambda x, outcome: (refused(rig, command), answered(x, outcome))
         at.sendall(b"UP r\r\n")
         assert await rig.rest(at) == (b"", "fin")
         data, end = await rig.rest(client)
@@ -567,8 +567,8 @@
                 except BlockingIOError:
                     idle += 1
                     await asyncio.sleep(0.0002)
-            assert not rig.commands["x1"].idle_up
-        rig.commands["x1"].mailbox.put(MigrateClient("cancelled"))
+            assert not rig.commands["x1"].awaits_client
+        rig.commands["x1"].mailbox.put(MigrateClient(interface.AttemptOutcome.CANCELLED))
         got = b""
         async with asyncio.timeout(5):
             while not got.endswith(b"MOVE\r\n"):
@@ -585,14 +585,14 @@
 def test_one_that_came_up_as_the_process_ends_is_moved_and_one_dismissed_first_is_closed(first: str) -> None:
     async def story(rig: Rig) -> None:
         client, at, command = await rig.asked()
-        answered = command.attempt_done
+        answered = command.on_attempt_result
 
         def crossed(x, outcome) -> None:
             order = [lambda: answered(x, outcome), lambda: command.mailbox.deliver(AnswerNow(700))]
             for act in order if first == "answer" else reversed(order):
                 act()
 
-        command.attempt.done = crossed
+        command.attempt.on_result = crossed
         at.sendall(b"UP r\r\n")
         assert await rig.rest(at) == (b"", "fin")
         assert await rig.rest(client) == (b"UP r\r\nMOVE\r\n" if first == "answer" else b"BUSY 700\r\n", "fin")
@@ -646,7 +646,7 @@
         await rig.open()
         client, at = await rig.up()
         command, elsewhere = rig.commands["x1"], []
-        await rig.until(command.still)
+        await rig.until(command.may_hand_over)
 
         async def give() -> bool:
             elsewhere.append(rig.keep(command.sock.dup()))
@@ -714,11 +714,11 @@
         instance = rig.program.servers.get("s1")
         instance.post = results.append
         for _ in range(2):
-            rig.program.servers.probe("s1")
+            rig.program.servers.send_health_check("s1")
             at = await rig.accepted(rig.doors["s1"])
             assert await rig.until(lambda at=at: rig.read(at)) == b"STATS\r\n"
             at.sendall(b"PONG x0=0.5\r\n")
-            await rig.until(lambda: instance.prober.done())
+            await rig.until(lambda: instance.health_check_task.done())
             at.close()  # idle: the program does not look at it now
         assert [r.outcome for r in results] == ["served", "served"]
 
@@ -761,7 +761,7 @@
         if answered:
             rig.say(s1="DRAINING")  # no turn of the loop between
         rig.discovery, rig.index = door(), 0
-        rig.program.endpoints.move(rig.discovery.getsockname())
+        rig.program.endpoints.change_address(rig.discovery.getsockname())
         rig.list = await rig.accepted(rig.discovery)
         assert (await rig.until(lambda: rig.read(rig.list))).startswith(b"GET /discovery/hosts HTTP")
         rig.say()
@@ -820,10 +820,10 @@
                 if data and not ended:
                     at.sendall(data)
                     sent += data
-                elif what == "client" and not left and command.up.is_set():
+                elif what == "client" and not left and command.established.is_set():
                     client.sendall(b"hello\r\n")
-                elif what == "move" and command.up.is_set():
-                    command.mailbox.put(MigrateClient("cancelled"))
+                elif what == "move" and command.established.is_set():
+                    command.mailbox.put(MigrateClient(interface.AttemptOutcome.CANCELLED))
                 elif what == "dismiss":
                     command.mailbox.deliver(AnswerNow(700))
                 elif what == "nack":
@@ -841,7 +841,9 @@
         await rig.turns()
         got = b""
         if not left:
-            command.mailbox.deliver(MigrateClient("cancelled") if command.up.is_set() else AnswerNow(1000))
+            command.mailbox.deliver(
+                MigrateClient(interface.AttemptOutcome.CANCELLED) if command.established.is_set() else AnswerNow(1000)
+            )
             got, _ = await rig.rest(client)
             closed(client, False)
         if not ended:
--- a/tests/test_descriptor_budget.py
+++ b/tests/test_descriptor_budget.py
@@ -20,7 +20,7 @@
     def __init__(self) -> None:
         self.closed = 0
 
-    def hang_up(self) -> None:
+    def disconnect(self) -> None:
         self.closed += 1
 
 
@@ -29,20 +29,21 @@
 def test_what_is_set_aside_does_not_grow_with_the_list(limit: int, servers: int) -> None:
     budget = DescriptorBudget(limit)
     budget.servers = servers
-    assert not budget.shortfall() and budget.has_room(0)
+    budget.check_limit(limit)
+    assert budget.allows_relay(0)
     assert budget.free(0) >= limit * 3 // 4 - 24 - 8
 
 
 def test_the_pool_closes_the_idle_connection_used_longest_ago_and_never_one_with_a_check_out() -> None:
     pool, held = HealthConnections(lambda: 2), [Held() for _ in range(4)]
-    assert pool.claim(held[0]) and pool.claim(held[1]) and not pool.claim(held[2])
-    pool.rest(held[1])
-    pool.rest(held[0])
-    assert pool.claim(held[2]) and [one.closed for one in held] == [1, 0, 0, 0]
-    assert pool.claim(held[1]) and not pool.claim(held[3]) and len(pool) == 2
-    pool.rest(held[2])
-    pool.leave(held[2])
-    assert pool.claim(held[3]) and [one.closed for one in held] == [1, 0, 0, 0]
+    assert pool.acquire(held[0]) and pool.acquire(held[1]) and not pool.acquire(held[2])
+    pool.release(held[1])
+    pool.release(held[0])
+    assert pool.acquire(held[2]) and [one.closed for one in held] == [1, 0, 0, 0]
+    assert pool.acquire(held[1]) and not pool.acquire(held[3]) and len(pool) == 2
+    pool.release(held[2])
+    pool.remove(held[2])
+    assert pool.acquire(held[3]) and [one.closed for one in held] == [1, 0, 0, 0]
 
 
 def test_a_limit_without_room_for_one_client_is_told_at_the_start() -> None:
@@ -63,10 +64,10 @@
         await rig.open()
         acceptor = rig.program.acceptor
         asyncio.get_running_loop().remove_reader(acceptor.listener)
-        room = rig.program.connections.room()
+        room = rig.program.connections.max_idle_connections()
         first = rig.client(LINE)
         crowd = [rig.client() for _ in range(room + 3)]
-        acceptor._accept(room + 4)  # in one turn: no task has run yet
+        acceptor._socket.accept(room + 4)  # in one turn: no task has run yet
         async with asyncio.timeout(5):  # a request that was lost reaches no server
             at = await rig.at("s1")
         at.sendall(b"UP r\r\n")
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -21,13 +21,14 @@
 from glenrock.net.clock import Clock
 from glenrock.net.connection_attempt import ConnectionAttempt
 from glenrock.net.descriptor_budget import DescriptorBudget
+from glenrock.net.discovery_client import HttpAnswer as DiscoveryAnswer
 from glenrock.net.endpoint_rows import EndpointRow
-from glenrock.net.endpoint_watcher import HttpAnswer as DiscoveryAnswer
 from glenrock.net.metrics import ConnectionMetrics
 from glenrock.net.protocol import LineSplitter
 from glenrock.net.server_connections import ServerRegistry
 from glenrock.net.start_times import StartTimes
 from glenrock.program import Program
+from glenrock.routing.interface import EndpointListKind, EndpointState
 
 
 class Ends:
@@ -195,7 +196,7 @@
         n = data.draw(st.integers(1, len(stream) - at))
         got += splitter.feed(stream[at : at + n])
         at += n
-    assert got == [line + b"\n" for line in whole] and splitter.between == (not rest)
+    assert got == [line + b"\n" for line in whole] and splitter.is_between_lines == (not rest)
 
 
 def test_an_answer_of_discovery_cut_anywhere_is_the_same_answer() -> None:
@@ -204,9 +205,9 @@
     for cut in range(1, len(text)):
         answer = DiscoveryAnswer()
         answer.parser.feed_data(text[:cut])
-        assert not answer.whole
+        assert not answer.is_complete
         answer.parser.feed_data(text[cut:])
-        assert answer.whole and answer.keep and bytes(answer.body) == body
+        assert answer.is_complete and answer.keeps_alive and bytes(answer.body) == body
 
 
 async def held(turns: int) -> tuple[AttemptEnd, bytes]:
@@ -221,14 +222,16 @@
     instances = ServerRegistry(
         Clock(), 250, lambda e: True, ConnectionMetrics(["look"]), DescriptorBudget(1024), StartTimes(Clock(), 5000)
     )
-    instances.update("full", [EndpointRow("s1", server.sockets[0].getsockname(), "SERVING")])
+    instances.update(EndpointListKind.FULL, [EndpointRow("s1", server.sockets[0].getsockname(), EndpointState.READY)])
     done = asyncio.get_running_loop().create_future()
     attempt = ConnectionAttempt(b"OPEN 1 1 c=look,d=900\r\n", 900, lambda x, end: done.set_result(end))
     instances.get("s1").mailbox.put(attempt)
     for _ in range(turns):
         await asyncio.sleep(0)
-    instances.hold("s1", True)
-    instances.update("changes", [EndpointRow("s1", server.sockets[0].getsockname(), "SERVING")])
+    instances.set_suspended("s1", True)
+    instances.update(
+        EndpointListKind.CHANGES, [EndpointRow("s1", server.sockets[0].getsockname(), EndpointState.READY)]
+    )
     outcome = await asyncio.wait_for(done, 2)
     await asyncio.sleep(0.02)
     server.close()
--- a/tests/test_recorded.py
+++ b/tests/test_recorded.py
@@ -107,7 +107,9 @@
 
     known = relay_message.protocol.KnownNames({"look": 1000.0})
     clock = SimpleNamespace(now=lambda: 0.0)
-    server = SimpleNamespace(known=known, knows=lambda id_: False, full=lambda: False, routing=None, clock=clock)
+    server = SimpleNamespace(
+        known_names=known, is_open=lambda id_: False, is_full=lambda: False, routing=None, metrics=None, clock=clock
+    )
     with pytest.MonkeyPatch.context() as patch, socket.create_server(("127.0.0.1", 0)) as listener:
         patch.setattr(relay_message, "ClientConnection", Takes)
         client = socket.create_connection(listener.getsockname())
@@ -115,8 +117,8 @@
         with client, backend:
             found = relay_message.decode_relay(data, server, client, backend)
     assert taken == [("127.0.0.1:9001", backend)]
-    assert (found.opened.id, found.opened.group, found.load) == ("50", 255, 52000)
-    assert (found.gate.splitter.part, found.last_word, found.asked_at) == (b"HALF A", "ACTIVE", None)
+    assert (found.request_line.request_id, found.request_line.group, found.reports.load) == ("50", 255, 52000)
+    assert (found.gate.splitter.part, found.last_word, found.unanswered_since_ms) == (b"HALF A", "ACTIVE", None)
 
 
 def test_datagrams_are_read_and_written_in_the_same_form() -> None:
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -10,7 +10,8 @@
 
 from glenrock.net.clock import SetClock
 from glenrock.net.endpoint_rows import EndpointRow
-from glenrock.net.start_times import NEWS_DELAY_MS, StartTimes
+from glenrock.net.start_times import REPORT_DELAY_MS, StartTimes
+from glenrock.routing.interface import EndpointState
 from glenrock.testbed.bed import BedShape, Testbed
 
 NOW, SLOW, HOUR = 1_700_000_000_000.0, 5000.0, 3_600_000.0
@@ -30,10 +31,12 @@
         self.clock.advance(ms)
 
     def ages(self, **since_ms: float) -> dict[str, float]:
-        rows = [EndpointRow(name, ("127.0.0.1", 9), "SERVING", since_ms=at_ms) for name, at_ms in since_ms.items()]
+        rows = [
+            EndpointRow(name, ("127.0.0.1", 9), EndpointState.READY, since_ms=at_ms) for name, at_ms in since_ms.items()
+        ]
         return {
             row.name: self.clock.now() - started_ms if started_ms else float("inf")
-            for row, started_ms in zip(rows, self.times.take(rows), strict=True)
+            for row, started_ms in zip(rows, self.times.started_ms(rows), strict=True)
         }
 
 
@@ -62,7 +65,7 @@
     machine.run(2000)  # it started right after the last answer
     since_ms = machine.true_ms - 2000 + (step_ms if everywhere else 0)
     age = machine.ages(n=since_ms)["n"]
-    assert 0 <= age <= 2000 + NEWS_DELAY_MS
+    assert 0 <= age <= 2000 + REPORT_DELAY_MS
     if not ahead_ms:
         assert age <= 2000
     machine.run(SLOW)
