--- a/glenrock/routing/capacity_estimation.py
+++ b/glenrock/routing/capacity_estimation.py
@@ -96,7 +96,7 @@
         present = {server.id for server in warm}
         added = [self._loads.load(server) for server in warm if server.id not in self._in_reach]
         missing = [self._servers[id_] for id_ in self._in_reach - present if id_ in self._servers]
-        lost = sum(server.ready for server in missing)
+        lost = sum(server.is_ready for server in missing)
         if self._in_reach and warm and (added or lost):
             self._guess_fleet_load(len(warm), added, lost)
         self._in_reach = present or self._in_reach
@@ -149,7 +149,7 @@
         """
         if all(server.usual_capacity or load <= 1 for server, load in observed):
             return [server.capacity_ratio for server, _ in observed]
-        known = [s.reported_load for s in self._servers.values() if s.ready and s.reported_load >= 0]
+        known = [s.reported_load for s in self._servers.values() if s.is_ready and s.reported_load >= 0]
         loads = sorted(known) or [1.0]
         median = loads[(len(loads) - 1) // 2]
         return [
@@ -187,8 +187,7 @@
         """Returns whether this balancer's fraction of the tier was about constant in `STEADY_WINDOW_US`.
 
         The estimate assumes the same fraction at each server as of the tier. While clients arrive from
-        another balancer, they stand where they were just sent, and a slow server would seem to bear a
-        multiple.
+        another balancer, the assumption fails: a slow server that just received them would seem to bear much.
         """
         now_us = self._batch.now_us
         history = [past for past in self._own_load_history if now_us - past.at_us <= STEADY_WINDOW_US]
@@ -205,11 +204,8 @@
         late reports still describe the time before.
         """
         now_us = self._batch.now_us
-        if (
-            not STEADY_FRACTION * self._tier_fraction
-            <= tier_fraction
-            <= self._tier_fraction / STEADY_FRACTION
-        ):
+        least, most = STEADY_FRACTION * self._tier_fraction, self._tier_fraction / STEADY_FRACTION
+        if not least <= tier_fraction <= most:
             self._tier_fraction = tier_fraction
             self._tier_fraction_since_us = now_us
             for server in self._servers.values():
--- a/tests/coordination/test_coldstart.py
+++ b/tests/coordination/test_coldstart.py
@@ -4,6 +4,7 @@
 
 import asyncio
 import random
+from dataclasses import replace
 from pathlib import Path
 from types import SimpleNamespace
 
@@ -26,6 +27,7 @@
 )
 from glenrock.coordination.warm_start.start_report import HEADER, format_report
 from glenrock.net.clock import SetClock
+from glenrock.net.endpoint_rows import EndpointRow
 from glenrock.net.poll_backoff import PollBackoff
 from glenrock.net.server_connections import ServerRegistry
 from glenrock.routing import Balancer, interface
@@ -173,10 +175,8 @@
 
 
 def keeper(folder: Path, version: int = 3) -> StartCache:
-    entry = SimpleNamespace(
-        name="s1", address=("127.0.0.1", 9), zone="a", group=0, status="SERVING", weight=1.0, since_ms=5.0
-    )
-    gone = SimpleNamespace(**{**vars(entry), "name": "s2", "status": "DELETED"})
+    entry = EndpointRow("s1", ("127.0.0.1", 9), interface.EndpointState.READY, zone="a", since_ms=5.0)
+    gone = replace(entry, name="s2", state=interface.EndpointState.GONE)
     heard = asyncio.Event()
     heard.set()
     servers = ServerRegistry.__new__(ServerRegistry)
