--- a/tests/coordination/test_coldstart.py
+++ b/tests/coordination/test_coldstart.py
@@ -195,11 +195,11 @@
         k, written = keeper(tmp_path), []
         write = k.write
         k.write = lambda data: (write(data), written.append(decode(data).table["index"]))
-        k._host.endpoints.newest = -1
+        k._host.endpoints.newest_version = -1
         await k.write_if_due()
         assert not written and not k.path.exists()
         for version, later in ((3, 0), (3, 500), (4, 500), (4, 9000), (4, 1000)):
-            k._host.endpoints.newest = version
+            k._host.endpoints.newest_version = version
             k._clock.time += later
             await k.write_if_due()
         assert written == [3, 4, 4]
@@ -241,7 +241,7 @@
         k = keeper(tmp_path)
         await k.write_if_due()
         before = k.path.read_bytes()
-        k._host.endpoints.newest = 9
+        k._host.endpoints.newest_version = 9
         with monkeypatch.context() as m:
 
             def full(*_, **__) -> None:
