--- a/glenrock/log.py
+++ b/glenrock/log.py
@@ -13,7 +13,6 @@
 import json
 import logging
 import re
-import sys
 import time
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, replace
@@ -138,27 +137,3 @@
     handler.addFilter(RateLimitFilter())
     logging.getLogger().addHandler(handler)
     logging.getLogger(PROGRAM_LOGGER).setLevel(config.level)
-
-
-class RateLimitedLog:
-    """Prints `kind: text`, for packages that do not use a `Logger` yet. `now` is in seconds."""
-
-    def __init__(self, now: Callable[[], float] = time.monotonic) -> None:
-        self._now = now
-        self._windows: dict[str, _Window] = {}
-
-    def __call__(self, kind: str, text: str) -> None:
-        """Prints a line, unless there were enough of that kind in this second."""
-        now_s = self._now()
-        window = self._windows.get(kind, _Window(now_s, 0))
-        if now_s - window.start_s >= WINDOW_S:
-            if window.lines > MAX_LINES_PER_SECOND:
-                left_out = window.lines - MAX_LINES_PER_SECOND
-                print(f"{kind}: {left_out} more lines like this left out", file=sys.stderr)
-            window = _Window(now_s, 0)
-        self._windows[kind] = _Window(window.start_s, window.lines + 1)
-        if window.lines < MAX_LINES_PER_SECOND:
-            print(f"{kind}: {text}", file=sys.stderr, flush=True)
-
-
-say = RateLimitedLog()
--- a/glenrock/net/acceptor.py
+++ b/glenrock/net/acceptor.py
@@ -19,8 +19,8 @@
 
 FIRST_LINE_TIMEOUT_MS = 2000.0  # a client is owed an answer within 3 s
 IDLE_TIMEOUT_MS = 10_000.0  # after an answer to PING
-LINGER_MS = 1000.0  # the client's end is awaited this long after its final answer
-LINGER_BYTES = 65536  # read from a client after its final answer
+LINGER_TIMEOUT_MS = 1000.0  # the client's end is awaited this long after its final answer
+MAX_LINGER_BYTES = 65536  # read from a client after its final answer
 LAST_LINE_TIMEOUT_MS = 100.0  # for a connection that was accepted as the process ends
 MIN_RETRY_AFTER_FRACTION = 0.5  # the jitter of a rejection's Retry-After
 LOGGED_BYTES = 120  # of a request line
@@ -171,7 +171,7 @@
     async def _read_line(self, sock: socket.socket, data: bytes, has_pinged: bool) -> bytes | None:
         """Returns all bytes once a line is complete or its time is up; None if the client has left."""
         loop = asyncio.get_running_loop()
-        buffer = bytearray(protocol.MAX_LINE)
+        buffer = bytearray(protocol.MAX_LINE_BYTES)
         task = _current_task()
         if self.idle.is_shed(task):
             return data + _received(sock)
@@ -242,11 +242,11 @@
         A close with unread bytes resets the connection, and the client may lose the answer.
         """
         loop = asyncio.get_running_loop()
-        buffer = bytearray(protocol.MAX_LINE)
-        left = LINGER_BYTES
+        buffer = bytearray(protocol.MAX_LINE_BYTES)
+        left = MAX_LINGER_BYTES
         self._connections.metrics.rejected[reason] += 1
         self.idle.mark_rejected(_current_task())
-        async with self._clock.limit(LINGER_MS):
+        async with self._clock.limit(LINGER_TIMEOUT_MS):
             await loop.sock_sendall(sock, line)
             sock.shutdown(socket.SHUT_WR)
             while left > 0 and (count := await loop.sock_recv_into(sock, buffer)):
@@ -255,13 +255,13 @@
 
 def _is_complete(data: bytes) -> bool:
     """Returns whether the bytes hold a whole line, or more than a line may have."""
-    return b"\n" in data or len(data) >= protocol.MAX_LINE
+    return b"\n" in data or len(data) >= protocol.MAX_LINE_BYTES
 
 
 def _received(sock: socket.socket) -> bytes:
     """Returns the bytes that have arrived and were not read."""
     try:
-        return sock.recv(protocol.MAX_LINE, socket.MSG_DONTWAIT)
+        return sock.recv(protocol.MAX_LINE_BYTES, socket.MSG_DONTWAIT)
     except (BlockingIOError, InterruptedError):
         return b""
 
--- a/glenrock/net/client_connection.py
+++ b/glenrock/net/client_connection.py
@@ -12,7 +12,7 @@
 
 from ..log import get_logger
 from . import protocol
-from .acceptor import LINGER_MS
+from .acceptor import LINGER_TIMEOUT_MS
 from .attempt_outcomes import AttemptEnd, AttemptResult, Reach
 from .clock import Clock
 from .connection_attempt import ConnectionAttempt
@@ -38,7 +38,7 @@
 RESUME_UNLISTED_TIMEOUT_MS = 2000.0  # at a server that is not listed: the client is owed an answer within 3 s
 RESUME_RETRY_MS = 250.0
 DECISION_MARGIN_MS = 20.0  # from the deadline to the answer without a decision; the protocol allows 58 ms
-MIGRATION_TIMEOUT_MS = LINGER_MS / 2  # for the end of a line that is being sent
+MIGRATION_TIMEOUT_MS = LINGER_TIMEOUT_MS / 2  # for the end of a line that is being sent
 LAST_WORDS = {
     "BYE": AttemptOutcome.SERVED,
     "MOVE": AttemptOutcome.CANCELLED,
@@ -290,7 +290,7 @@
         is_rejection = line.startswith(b"BUSY")
         self.reports.count(ConnectionOutcome.THROTTLED if is_rejection else ConnectionOutcome.FAULTED)
         with contextlib.suppress(OSError):
-            async with self.clock.limit(LINGER_MS):
+            async with self.clock.limit(LINGER_TIMEOUT_MS):
                 await loop.sock_sendall(self.sock, line)
                 self.sock.shutdown(socket.SHUT_WR)
                 await self._await_end(CLIENT_ENDS)
@@ -439,7 +439,7 @@
         with contextlib.suppress(OSError):
             if self.server_sock:
                 self.server_sock.shutdown(socket.SHUT_WR)
-            async with self.clock.limit(LINGER_MS):
+            async with self.clock.limit(LINGER_TIMEOUT_MS):
                 await self._await_end(SERVER_ENDS)
 
     def _report_relay_end(self, outcome: AttemptOutcome) -> None:
--- a/glenrock/net/health_probe.py
+++ b/glenrock/net/health_probe.py
@@ -17,7 +17,7 @@
 from .socket_io import close_socket, configure_socket
 from .system_errors import is_local
 
-TIMEOUT_MS = 250.0  # for the answer to a health check
+HEALTH_CHECK_TIMEOUT_MS = 250.0  # for the answer to a health check
 UNUSED_TIMEOUT_MS = 8000.0  # an unused connection is closed after this time
 
 
@@ -52,7 +52,7 @@
             self._post(interface.HealthCheckResult(row.name, interface.AttemptOutcome.UNSENT))
             return
         try:
-            async with self._clock.limit(TIMEOUT_MS):
+            async with self._clock.limit(HEALTH_CHECK_TIMEOUT_MS):
                 answer = await self._ask(row)
         except OSError as error:
             answer = NOT_SENT if is_local(error) and not self._is_connected else NO_CONNECTION
@@ -84,7 +84,7 @@
         """Sends the health check and reads its answer. Raises OSError."""
         loop = asyncio.get_running_loop()
         await loop.sock_sendall(sock, protocol.STATS)
-        buffer = bytearray(protocol.MAX_LINE)
+        buffer = bytearray(protocol.MAX_LINE_BYTES)
         splitter = protocol.LineSplitter()
         while True:
             count = await loop.sock_recv_into(sock, buffer)
--- a/glenrock/net/protocol.py
+++ b/glenrock/net/protocol.py
@@ -8,7 +8,7 @@
 
 from glenrock.routing.settings_codec import report_field
 
-MAX_LINE = 4096  # bytes of a line with its end
+MAX_LINE_BYTES = 4096  # bytes of a line with its end
 PING = b"PING\r\n"
 STATS = b"STATS\r\n"
 PONG = b"PONG\r\n"
@@ -103,7 +103,7 @@
         if more and OPEN.fullmatch(line + b"\r\n"):
             raise RequestLineError("bytes before the answer")
         raise RequestLineError("not an OPEN line")
-    if len(data) > MAX_LINE:
+    if len(data) > MAX_LINE_BYTES:
         raise RequestLineError("too long")
     fields = _fields_of(found[3].decode("ascii"))
     if fields.get("c") not in known.classes:
@@ -198,12 +198,12 @@
         lines = []
         for piece in ended:
             line = self.part + piece
-            if not self.is_overlong and len(line) < MAX_LINE:
+            if not self.is_overlong and len(line) < MAX_LINE_BYTES:
                 lines.append(line + b"\n")
             self.part = b""
             self.is_overlong = False
         self.part += rest
-        if len(self.part) >= MAX_LINE:
+        if len(self.part) >= MAX_LINE_BYTES:
             self.part = b""
             self.is_overlong = True
         return lines
--- a/glenrock/net/server_actor.py
+++ b/glenrock/net/server_actor.py
@@ -213,7 +213,7 @@
 
     async def _read_answer(self, attempt: ConnectionAttempt, sock: socket.socket) -> AttemptResult:
         loop = asyncio.get_running_loop()
-        buffer = bytearray(protocol.MAX_LINE)
+        buffer = bytearray(protocol.MAX_LINE_BYTES)
         splitter = protocol.LineSplitter()
         lines: list[bytes] = []
         while not lines:
--- a/glenrock/simulation/policies/module.py
+++ b/glenrock/simulation/policies/module.py
@@ -59,7 +59,7 @@
     "PROBE_BUDGET": ("HEALTH_CHECK_BUDGET", (token_budget,)),
     "MOST_PROBES": ("MAX_HEALTH_CHECKS", (token_budget, health_checks)),
     "PEER_BUDGET": ("GOSSIP_BUDGET", (token_budget,)),
-    "MAX_LINE": ("MAX_WAITING", (waiting_queue, admission)),
+    "MAX_LINE_BYTES": ("MAX_WAITING", (waiting_queue, admission)),
     "FEEDBACK_US": ("FEEDBACK_DELAY_US", FEEDBACK_MODULES),
     "FRESH_US": ("FRESH_REPORT_US", (health_checks, migration)),
     "LATE": ("MIN_LATE_LOAD", (health_checks, migration)),
@@ -72,7 +72,7 @@
     name, modules = CONSTANTS[key]
     for module in modules:
         setattr(module, name, value)
-    if key == "MAX_LINE":  # one bound for both, as experiment files have it
+    if key == "MAX_LINE_BYTES":  # one bound for both, as experiment files have it
         group_affinity.MAX_GROUPS = int(value)
     if key == "CALM_US":
         gossip.MAX_PEER_SILENCE_US = 3 * int(value)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -20,7 +20,7 @@
 
 from glenrock.config import check
 from glenrock.net import server_actor as instance_part
-from glenrock.net.acceptor import IDLE_TIMEOUT_MS, LAST_LINE_TIMEOUT_MS, LINGER_MS
+from glenrock.net.acceptor import IDLE_TIMEOUT_MS, LAST_LINE_TIMEOUT_MS, LINGER_TIMEOUT_MS
 from glenrock.net.attempt_outcomes import Reach
 from glenrock.net.client_connection import AnswerNow, ClientConnection, MigrateClient, RelayEnd
 from glenrock.net.clock import SetClock
@@ -679,7 +679,7 @@
         assert rig.read(flood) == b"ERR\r\n"
         for sock in (flood, client, at):
             sock.close()
-        await rig.run(LINGER_MS + 20)
+        await rig.run(LINGER_TIMEOUT_MS + 20)
         assert not rig.commands
 
     played(story)
--- a/tests/test_oncall.py
+++ b/tests/test_oncall.py
@@ -32,17 +32,6 @@
                 yield path, node
 
 
-def kinds() -> set[str]:
-    """Kinds of lines that are not logged with a level yet."""
-    found = set()
-    for path, node in calls():
-        if isinstance(node.func, ast.Name) and node.func.id == "say":
-            kind = node.args[0]
-            assert isinstance(kind, ast.Constant), f"{path}:{node.lineno}: a kind is a plain word"
-            found.add(kind.value)
-    return found
-
-
 def messages() -> set[tuple[str, str]]:
     """Levels and messages of all calls of a logger, whatever the logger's name."""
     found = set()
@@ -70,6 +59,5 @@
     assert len(rows) == len(set(rows))
 
 
-def test_each_kind_of_line_has_a_row() -> None:
-    missing = sorted(kind for kind in kinds() if f"`{kind}: " not in PAGE)
-    assert len(kinds()) + len(messages()) > 20 and not missing
+def test_messages_of_all_packages_are_found() -> None:
+    assert len(messages()) > 50
