--- a/glenrock/coordination/warm_start/milestones.py
+++ b/glenrock/coordination/warm_start/milestones.py
@@ -26,7 +26,11 @@
 CHECK_INTERVAL_MS = 20.0
 FIRST_SERVICE_MS = 5000.0  # connections in this time after `ready` count as the start's
 MAX_WATCH_MS = 600_000.0
-COUNTED_OUTCOMES: dict[str, ConnectionOutcome] = {"up": "fulfilled", "refused": "throttled", "failed": "faulted"}
+COUNTED_OUTCOMES: dict[str, ConnectionOutcome] = {
+    "up": ConnectionOutcome.FULFILLED,
+    "refused": ConnectionOutcome.THROTTLED,
+    "failed": ConnectionOutcome.FAULTED,
+}
 
 
 class CountingPollBackoff:
@@ -40,20 +44,20 @@
         """Delegates all other attributes."""
         return getattr(self._backoff, name)
 
-    def heard(self) -> None:
+    def record_answer(self) -> None:
         """Records that a call was answered."""
         self.answered += 1
-        self._backoff.heard()
+        self._backoff.record_answer()
 
-    def overbooked(self) -> float:
+    def overload_delay_ms(self) -> float:
         """Records that a call was rejected. Returns the pause before the next one, in milliseconds."""
         self.refused += 1
-        return self._backoff.overbooked()
+        return self._backoff.overload_delay_ms()
 
-    def retry(self, failures: int) -> float:
+    def retry_delay_ms(self, failures: int) -> float:
         """Records that a call failed. Returns the pause before the next one, in milliseconds."""
         self.failed += 1
-        return self._backoff.retry(failures)
+        return self._backoff.retry_delay_ms(failures)
 
 
 class StartMilestones:
@@ -72,8 +76,8 @@
         """Starts the recording, before the first call for the endpoint list."""
         self._list_source = list_source
         self._delay_ms = self._clock.now() - self._started_ms
-        self._calls = CountingPollBackoff(self._host.endpoints.pace)
-        self._host.endpoints.pace = self._calls  # type: ignore[assignment] # it delegates what it does not define
+        self._calls = CountingPollBackoff(self._host.endpoints.backoff)
+        self._host.endpoints.backoff = self._calls  # type: ignore[assignment] # it delegates what it does not define
 
     def _connection_counts(self) -> dict[str, int]:
         """Returns the connections since the process started, by result."""
@@ -87,7 +91,7 @@
             now_ms = self._clock.now()
             if not self._ready_ms and self._host.acceptor.listener is not None:
                 self._ready_ms = now_ms
-            if not self._list_ms and self._host.endpoints.first.is_set():
+            if not self._list_ms and self._host.endpoints.has_answered.is_set():
                 self._list_ms = now_ms
             if not self._served_ms and self._connection_counts()["up"] > 0:
                 self._served_ms = now_ms
