--- a/glenrock/coordination/warm_start/start_cache.py
+++ b/glenrock/coordination/warm_start/start_cache.py
@@ -87,7 +87,7 @@
     def current_record(self) -> StartRecord | None:
         """Returns the record to write; None until discovery has answered, since the file is newer until then."""
         table = self._host.endpoints
-        if table.newest < 0 or not table.first.is_set():
+        if table.newest_version < 0 or not table.has_answered.is_set():
             return None
         entries = list(self._host.servers.listed_rows())
         rows = [
@@ -102,7 +102,7 @@
             }
             for entry in entries
         ]
-        endpoints = {"index": table.newest, "snapshot": True, "endpoints": rows}
+        endpoints = {"index": table.newest_version, "snapshot": True, "endpoints": rows}
         means = self._host.routing.balancer.connection_loads.snapshot()
         return StartRecord(self._clock.now(), self._boot, self._discovery(), endpoints, means)
 
@@ -129,7 +129,7 @@
         """Writes the file if the list has changed, or WRITE_INTERVAL_MS after the last write."""
         now_ms = self._clock.now()
         last = self._last_write
-        is_same_list = last is not None and last.version == self._host.endpoints.newest
+        is_same_list = last is not None and last.version == self._host.endpoints.newest_version
         if last and is_same_list and now_ms - last.at_ms < WRITE_INTERVAL_MS:
             return
         record = self.current_record()
--- a/tests/coordination/warm_start/test_start_cache.py
+++ b/tests/coordination/warm_start/test_start_cache.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+from dataclasses import replace
 from pathlib import Path
 from types import SimpleNamespace
 
@@ -11,17 +12,17 @@
 from glenrock.coordination.warm_start.start_cache import StartCache
 from glenrock.coordination.warm_start.start_record import decode
 from glenrock.net.clock import SetClock
+from glenrock.net.endpoint_rows import EndpointRow
 from glenrock.net.server_connections import ServerRegistry
 from glenrock.routing import Balancer
+from glenrock.routing.interface import EndpointState
 
 from .records import NOW, SETTINGS, TRUST
 
 
 def build_cache(folder: Path, version: int = 3) -> StartCache:
-    entry = SimpleNamespace(
-        name="s1", address=("127.0.0.1", 9), zone="a", group=0, status="SERVING", weight=1.0, since_ms=5.0
-    )
-    gone = SimpleNamespace(**{**vars(entry), "name": "s2", "status": "DELETED"})
+    entry = EndpointRow("s1", ("127.0.0.1", 9), EndpointState.READY, zone="a", since_ms=5.0)
+    gone = replace(entry, name="s2", state=EndpointState.GONE)
     heard = asyncio.Event()
     heard.set()
     servers = ServerRegistry.__new__(ServerRegistry)
@@ -29,7 +30,7 @@
     program = SimpleNamespace(
         clock=SetClock(NOW),
         routing=SimpleNamespace(balancer=Balancer(SETTINGS, 1)),
-        endpoints=SimpleNamespace(address=("d", 1), newest=version, first=heard),
+        endpoints=SimpleNamespace(address=("d", 1), newest_version=version, has_answered=heard),
         servers=servers,
     )
     return StartCache(program, folder, "n0", TRUST)
@@ -40,11 +41,11 @@
         cache, written = build_cache(tmp_path), []
         write = cache.write
         cache.write = lambda data: (write(data), written.append(decode(data).table["index"]))
-        cache._host.endpoints.newest = -1
+        cache._host.endpoints.newest_version = -1
         await cache.write_if_due()
         assert not written and not cache.path.exists()
         for version, later in ((3, 0), (3, 500), (4, 500), (4, 9000), (4, 1000)):
-            cache._host.endpoints.newest = version
+            cache._host.endpoints.newest_version = version
             cache._clock.time += later
             await cache.write_if_due()
         assert written == [3, 4, 4]
@@ -89,7 +90,7 @@
         cache = build_cache(tmp_path)
         await cache.write_if_due()
         before = cache.path.read_bytes()
-        cache._host.endpoints.newest = 9
+        cache._host.endpoints.newest_version = 9
         with monkeypatch.context() as m:
 
             def full(*_, **__) -> None:
