--- a/benchmarks/lab_scale.py
+++ b/benchmarks/lab_scale.py
@@ -17,7 +17,7 @@
 
 def one(balancers: int, instances: int, policy: str, seconds: float) -> None:
     from glenrock.simulation import spec
-    from glenrock.simulation.day import Day
+    from glenrock.simulation.fleet_simulation import FleetSimulation
 
     e = spec.load(
         ROOT / "experiments" / "crash-quarter.toml",
@@ -30,7 +30,7 @@
             "faults[0].down_s": seconds / 3,
         },
     )
-    s = Day(e, 1, policy).run()
+    s = FleetSimulation(e, 1, policy).run()
     peak = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss * 1024
     print(json.dumps({"s": {k: s[k] for k in ("events", "events_per_s", "clock", "counts", "worth")}, "peak": peak}))
 
--- a/glenrock/cli/simulation_run.py
+++ b/glenrock/cli/simulation_run.py
@@ -28,17 +28,17 @@
     """
     options.check_policy(policy)
     from ..simulation import record, report, spec
-    from ..simulation.day import Day
+    from ..simulation.fleet_simulation import FleetSimulation
 
     experiment = spec.load(file, options.parse_overrides(overrides))
     folder = out or Path("out") / "lab" / f"{experiment.name}-{policy}-{seed}"
-    day = Day(experiment, seed, policy)
+    simulation = FleetSimulation(experiment, seed, policy)
     if folder.exists():
         _check_replaceable(folder)
-    summary = day.run()
+    summary = simulation.run()
 
     def write_results(temporary: Path) -> None:
-        record.write_run(temporary, day, summary)
+        record.write_run(temporary, simulation, summary)
         (temporary / "report.html").write_text(report.of_run(temporary), encoding="utf-8")
 
     record.folder(folder, write_results)
--- a/glenrock/simulation/__init__.py
+++ b/glenrock/simulation/__init__.py
@@ -1,9 +1,12 @@
-"""The laboratory: the fleet emulated in simulated time, round the same decisions that serve.
+"""The fleet in simulated time, round the routing decisions that serve.
 
-`spec` reads experiment files, `engine` keeps time, `streams` gives random numbers, `model/` holds what is
-balanced, `faults` what goes wrong, `policies/` what the module is compared with, `rules` and `measure` what
-is seen, `day` one run of all this, `runner` many of them, `report` and `plots` what is told of it.
+`engine` keeps time and `streams` draws random numbers. `model` holds balancers, instances, clients, links, the front
+and service discovery. `fleet_state` holds the state of one run; `connection_accounting`, `client_requests`,
+`server_attempts` and `process_control` each add a layer of what happens, and `fleet_simulation` runs the whole.
+`faults` injects faults, `policies` holds what the routing decisions are compared with, `invariants` and `measure`
+record the run, `run_summary` sums it up. `spec` reads experiment files, `runner` makes many runs, `record`, `report`
+and `plots` write results.
 
-May import `glenrock.routing` and the libraries of the extra `lab`. Nothing of `glenrock.net` is used here, and
-the program that serves imports nothing of the laboratory. Page for users: docs/simulation.md.
+Imports `glenrock.routing`, parts of `glenrock.coordination`, and the libraries of the extra `lab`; nothing that serves
+imports this package. User page: docs/simulation.md.
 """
--- /dev/null
+++ b/glenrock/simulation/client_requests.py
@@ -0,0 +1,214 @@
+"""The clients of the workload: their requests, their changes of load, and the answers that they receive."""
+
+from __future__ import annotations
+
+from glenrock.routing import interface
+from glenrock.routing.interface import AttemptOutcome
+
+from .connection_accounting import ConnectionAccounting
+from .model.balancer import BalancerProcess
+from .model.requests import Client, ClientRequest
+from .spec_types import drawn_count
+
+LATE_REJECTION_FRACTION = 0.5  # of a request's time; a rejection without an attempt after it counts as held back
+
+
+class ClientRequests(ConnectionAccounting):
+    """The part of a simulation that plays the clients."""
+
+    def schedule_workload(self, client: Client) -> None:
+        """Schedules the first change of a client's load, and the end of its connection."""
+        row = client.row
+        if row.changes:
+            self.engine.at(self.start_us + row.changes[0][0], self._change_load, client)
+        if row.end > row.arrival:
+            self.engine.at(self.start_us + row.end, self._finish, client)
+
+    def load_of(self, client: Client) -> float:
+        """Returns the load of a client's connection now, in microseconds of work a second."""
+        return client.row.changes[max(0, client.next_change - 1)][1]
+
+    def _change_load(self, client: Client) -> None:
+        if client.is_done:
+            return
+        client.next_change += 1
+        changes = client.row.changes
+        if client.next_change < len(changes):
+            self.engine.at(self.start_us + changes[client.next_change][0], self._change_load, client)
+        connection = client.connection
+        if connection:
+            load = changes[client.next_change - 1][1]
+            instance, request = connection.attempt.instance, connection.attempt.request
+            instance.load(self.engine.now, connection, load)
+            if self.experiment.reports.load_told and not connection.muted:
+                request.balancer.post(interface.ConnectionFeedback(request.id, instance.name, load=load))
+
+    def _finish(self, client: Client) -> None:
+        client.is_done = True
+        connection, request = client.connection, client.request
+        if connection:
+            self.close(connection)
+            attempt = connection.attempt
+            attempt.request.balancer.report_attempt_ended(attempt, AttemptOutcome.SERVED)
+        elif request:
+            client.request = None
+            self._send_disconnect(request)
+
+    def send_request(self, client: Client) -> None:
+        """Sends a new request of a client through the front to a balancer."""
+        now, row = self.engine.now, client.row
+        client.request_count += 1
+        self.measure.counts["tries"] += 1
+        balancer = self.front.pick(row.zone)
+        deadline_us = now + self.request_timeouts_us[row.kind]
+        due_us = now + self.links.client_one_way_us()
+        self.engine.at(due_us, self._request_arrives, client, balancer, deadline_us, client.request_count)
+
+    def _request_arrives(self, client: Client, balancer: BalancerProcess | None, deadline_us: int, number: int) -> None:
+        if client.is_done or client.request_count != number:
+            return
+        if balancer is None or not balancer.is_up:
+            self.measure.counts["unreachable"] += 1
+            self._schedule_retry(client, retry_after_us=None)
+            return
+        request = ClientRequest(f"{client.row.number}.{number}", client, balancer, self.engine.now, deadline_us)
+        client.request = request
+        self.invariants.record_event(self.engine.now, f"arrives at balancer {balancer.index}", request.id, "")
+        balancer.receive_request(request, self.request_event(request))
+        gives_up_after_us = self.habits.gives_up_after(self.request_timeouts_us[client.row.kind])
+        if gives_up_after_us is not None:
+            self.engine.at(self.engine.now + gives_up_after_us, self._give_up_early, request)
+
+    def request_event(self, request: ClientRequest) -> interface.Request:
+        """Returns the event that a balancer's policy receives for a request."""
+        row = request.client.row
+        return interface.Request(
+            request.id,
+            self.experiment.classes[row.kind].name,
+            request.deadline_us,
+            row.number,
+            row.group,
+            self.experiment.tenants[row.tenant].name,
+            round(row.usual) if self.experiment.traffic.hints else 0,
+            request.client.has_connected,
+        )
+
+    def _give_up_early(self, request: ClientRequest) -> None:
+        client = request.client
+        if client.request is request and not client.connection and not request.is_over:
+            client.request = None
+            self.measure.counts["left"] += 1
+            self._send_disconnect(request)
+            self._schedule_retry(client, retry_after_us=None)
+
+    def _send_disconnect(self, request: ClientRequest) -> None:
+        due_us = self.engine.now + self.links.client_one_way_us()
+        self.engine.at(due_us, self._disconnect_arrives, request, request.balancer.incarnation)
+
+    def _disconnect_arrives(self, request: ClientRequest, incarnation: int) -> None:
+        if request.balancer.incarnation != incarnation:
+            return
+        if request.established:  # the answer crossed the disconnect
+            self.close_unwanted(request)
+        elif request.outcome is None:
+            request.balancer.receive_disconnect(request)
+
+    def close_unwanted(self, request: ClientRequest) -> None:
+        """Closes a connection that was set up for a client that had disconnected."""
+        attempt = request.established
+        if attempt and attempt.connection:
+            self.close(attempt.connection)
+            request.balancer.report_attempt_ended(attempt, AttemptOutcome.SERVED)
+
+    def _schedule_retry(self, client: Client, retry_after_us: int | None) -> None:
+        """Schedules a client's next request after a failure, or after a rejection if `retry_after_us` is set."""
+        client.failures += 1
+        client.request = None
+        wants_no_time = client.row.end <= client.row.arrival
+        if wants_no_time and client.failures > drawn_count(self.experiment.clients.retries):
+            client.is_done = True
+        if retry_after_us is None:
+            delay_us = self.habits.after_failure(client)
+        else:
+            delay_us = self.habits.after_refusal(client, retry_after_us)
+        self.engine.at(self.engine.now + max(1, delay_us), self._retry, client, client.request_count)
+
+    def _retry(self, client: Client, number: int) -> None:
+        is_free = not client.request and not client.connection
+        if not client.is_done and client.request_count == number and is_free:
+            self.send_request(client)
+
+    def reconnect_after(self, client: Client, delay_us: int) -> None:
+        """Schedules the next request of a client that has lost its connection."""
+        client.request = client.connection = None
+        client.has_connected, client.waiting_since_us = True, self.engine.now
+        if not client.is_done:
+            self.engine.at(self.engine.now + max(1, delay_us), self._retry, client, client.request_count)
+
+    # -- answers of balancers ------------------------------------------------------------------------
+
+    def _record_answer(self, request: ClientRequest, answer: str) -> bool:
+        """Counts an answer. Returns whether the client still waits for it."""
+        self.measure.counts[answer] += 1
+        self.invariants.record_event(self.engine.now, answer, request.id, "")
+        return request.client.request is request
+
+    def deliver_rejection(self, request: ClientRequest, retry_after_us: int) -> None:
+        """Delivers a rejection; the client retries later."""
+        took_us = self.engine.now - request.arrived_us
+        self.measure.refusals.record_value(max(1, took_us))
+        allowed_us = request.deadline_us - request.arrived_us
+        if not request.attempts and took_us > LATE_REJECTION_FRACTION * allowed_us:
+            self.measure.counts["held_back"] = self.measure.counts.get("held_back", 0) + 1
+        if self._record_answer(request, "refused"):
+            self._deliver_retryable(request, retry_after_us)
+
+    def deliver_failure(self, request: ClientRequest) -> None:
+        """Delivers a failure; the client retries later."""
+        if self._record_answer(request, "failed"):
+            self._deliver_retryable(request, None)
+
+    def report_overdue(self, request: ClientRequest) -> None:
+        """Lets a client retry whose request had no answer in time."""
+        if self._record_answer(request, "overdue"):
+            request.client.request = None
+            self._retry_if_free(request.client, request.client.request_count, None)
+
+    def report_killed(self, request: ClientRequest) -> None:
+        """Lets a client retry whose balancer ended before its answer."""
+        self._deliver_retryable(request, None)
+
+    def _deliver_retryable(self, request: ClientRequest, retry_after_us: int | None) -> None:
+        client = request.client
+        client.request = None
+        due_us = self.engine.now + self.links.client_one_way_us()
+        self.engine.at(due_us, self._retry_if_free, client, client.request_count, retry_after_us)
+
+    def _retry_if_free(self, client: Client, number: int, retry_after_us: int | None) -> None:
+        if not client.is_done and client.request_count == number and not client.request:
+            self._schedule_retry(client, retry_after_us)
+
+    def migrate(self, request: ClientRequest) -> None:
+        """Closes an open connection with a migration notice; its client reconnects."""
+        attempt = request.established
+        connection = attempt.connection if attempt else None
+        if attempt and connection and attempt.is_active:
+            self.measure.counts["moved"] += 1
+            self.invariants.record_event(self.engine.now, "moved", request.id, attempt.instance.name)
+            self.close(connection)
+            request.balancer.report_attempt_ended(attempt, AttemptOutcome.CANCELLED)
+            self.reconnect_after(connection.attempt.request.client, self.habits.after_move())
+
+    def cut_off(self, request: ClientRequest) -> None:
+        """Closes an open connection without a notice; its client reconnects as after a break."""
+        attempt = request.established
+        if attempt and attempt.connection:
+            connection = attempt.connection
+            self.close(connection)
+            request.balancer.report_attempt_ended(attempt, AttemptOutcome.CANCELLED)
+            self.reconnect_after(connection.attempt.request.client, self.habits.after_break())
+
+    def record_violation(self, rule: str, text: str, request: ClientRequest | None, server: str) -> None:
+        """Records a violation of an invariant by the balancer of a request."""
+        index, id_ = (request.balancer.index, request.id) if request else (-1, "")
+        self.invariants.record_violation(self.engine.now, rule, text, index, id_, server)
--- /dev/null
+++ b/glenrock/simulation/connection_accounting.py
@@ -0,0 +1,39 @@
+"""The accounting of connections: their ends, and their seconds by tenant and by zone."""
+
+from __future__ import annotations
+
+from .engine import SECOND_US
+from .fleet_state import FleetState
+from .model.instance import Connection
+from .model.requests import Attempt
+
+
+class ConnectionAccounting(FleetState):
+    """The part of a simulation that ends connections and counts their seconds."""
+
+    def credit(self, connection: Connection[Attempt]) -> None:
+        """Credits a tenant with the seconds that its connection was served in time since the last credit."""
+        if self.is_over:
+            return
+        self.measure.credit(connection.attempt.request.client.row, connection.earned)
+        connection.earned = 0.0
+
+    def close(self, connection: Connection[Attempt]) -> None:
+        """Closes a connection at its instance, and counts its seconds."""
+        connection.attempt.instance.close(self.engine.now, connection)
+        self.credit(connection)
+        self.count_open_time(connection)
+        client = connection.attempt.request.client
+        if client.connection is connection:
+            client.connection = client.request = None
+            self.connected_clients.pop(client, None)
+
+    def count_open_time(self, connection: Connection[Attempt]) -> None:
+        """Counts how long a connection was open, and whether it crossed zones."""
+        end_us = min(self.engine.now, self.start_us + self.length_us)
+        open_s = (end_us - connection.opened) / SECOND_US
+        if open_s > 0:
+            self.measure.standing_s += open_s
+            attempt = connection.attempt
+            if attempt.request.balancer.zone != attempt.instance.shape.zone:
+                self.measure.crossing_s += open_s
--- a/glenrock/simulation/engine.py
+++ b/glenrock/simulation/engine.py
@@ -1,7 +1,6 @@
-"""Simulated time: a heap of what is due, in whole microseconds.
+"""Simulated time: a heap of scheduled calls, in whole microseconds.
 
-Order at one instant: what was scheduled first runs first. That order depends on nothing but the run itself,
-so a run is repeated to the letter. docs/notes/lab.md says what was measured against SimPy.
+Calls due at one time run in the order in which they were scheduled, so that a run repeats exactly.
 """
 
 from __future__ import annotations
@@ -10,35 +9,45 @@
 from heapq import heappop, heappush
 from typing import Any, Protocol
 
+SECOND_US = 1_000_000
+
 
 class Engine(Protocol):
-    """What the model needs of a clock. Times are microseconds; a time that has passed means now."""
+    """The clock and scheduler of a model.
+
+    Attributes:
+        now: the time, in microseconds.
+        events: number of calls made.
+    """
 
     now: int
     events: int
 
-    def at(self, time_us: int, call: Callable[..., None], *given: Any) -> None: ...
+    def at(self, time_us: int, call: Callable[..., None], *arguments: Any) -> None:
+        """Schedules a call; a time that has passed means now."""
 
-    def run(self, until_us: int) -> None: ...
+    def run(self, until_us: int) -> None:
+        """Makes all calls that are due up to and at that time."""
 
 
 class HeapEngine:
-    """The engine in use: tuples of time, number and call in a binary heap."""
+    """An engine that runs as fast as its calls do."""
 
     def __init__(self, start_us: int = 0) -> None:
         self.now, self.events = start_us, 0
         self.due: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
         self.count = 0
 
-    def at(self, time_us: int, call: Callable[..., None], *given: Any) -> None:
+    def at(self, time_us: int, call: Callable[..., None], *arguments: Any) -> None:
+        """Schedules a call; a time that has passed means now."""
         self.count += 1
-        heappush(self.due, (time_us if time_us > self.now else self.now, self.count, call, given))
+        heappush(self.due, (time_us if time_us > self.now else self.now, self.count, call, arguments))
 
     def run(self, until_us: int) -> None:
-        """Runs all that is due up to that time, included; the clock stands there afterwards."""
+        """Makes all calls that are due up to and at that time, and sets the clock to it."""
         due = self.due
         while due and due[0][0] <= until_us:
-            self.now, _, call, given = heappop(due)
+            self.now, _, call, arguments = heappop(due)
             self.events += 1
-            call(*given)
+            call(*arguments)
         self.now = max(self.now, until_us)
--- a/glenrock/simulation/faults.py
+++ b/glenrock/simulation/faults.py
@@ -1,154 +1,196 @@
-"""What goes wrong, played against a day. Each kind of fault in an experiment file has one function here.
+"""Faults of an experiment, injected into a simulation: a function for each kind.
 
-What a fault strikes is drawn from a stream of its own, so that every policy meets the same.
+The targets of a fault are drawn from a stream of its own, so that every policy meets the same fault.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Any
+from typing import Any, TypeVar
 
 import numpy as np
 
 from . import spec
-from .day_processes import Processes
-from .model.balancer import Host
+from .engine import SECOND_US
+from .model.balancer import BalancerProcess
 from .model.instance import Instance
 from .model.requests import Attempt
+from .process_control import ProcessControl
+from .spec_types import drawn_number
 
-SECOND = 1_000_000
+Target = TypeVar("Target")
 
 
-def us(seconds: float) -> int:
-    return round(float(seconds) * SECOND)
+def to_us(seconds: float | tuple[float, ...]) -> int:
+    """Converts a drawn figure in seconds to microseconds."""
+    return round(drawn_number(seconds) * SECOND_US)
 
 
-def some(draw: np.random.Generator, what: list[Any], part: float, least: int = 1) -> list[Any]:
-    """A part of them, drawn, at least so many, in the order drawn."""
-    count = min(len(what), max(least, round(part * len(what)))) if part > 0 else 0
-    return [what[n] for n in draw.permutation(len(what))[:count]]
+def draw_targets(
+    draw: np.random.Generator, candidates: list[Target], fraction: float | tuple[float, ...], minimum: int = 1
+) -> list[Target]:
+    """Draws a fraction of the candidates, at least `minimum` of them unless the fraction is 0, in random order."""
+    fraction = drawn_number(fraction)
+    count = min(len(candidates), max(minimum, round(fraction * len(candidates)))) if fraction > 0 else 0
+    return [candidates[number] for number in draw.permutation(len(candidates))[:count]]
 
 
-def crash(day: Processes, f: spec.Crash, draw: np.random.Generator) -> None:
-    there = [i for i in day.instances.values() if i.up and f.zone in ("", day.zones[i.shape.zone])]
-    for instance in some(draw, there, float(f.part)):
-        day.stop(instance)
-        if f.down_s:
-            day.engine.at(day.engine.now + us(f.down_s), day.begin, instance)
+def _running_instances(simulation: ProcessControl) -> list[Instance[Attempt]]:
+    return [instance for instance in simulation.instances.values() if instance.up]
 
 
-def zone_cut(day: Processes, f: spec.ZoneCut, draw: np.random.Generator) -> None:
-    zone = day.zones.index(f.zone) if f.zone else 0
-    day.cut_zone(zone)
-    day.engine.at(day.engine.now + us(f.for_s), day.heal, zone)
+def crash(simulation: ProcessControl, fault: spec.Crash, draw: np.random.Generator) -> None:
+    """Ends drawn instances, and starts them again."""
+    candidates = [
+        instance
+        for instance in _running_instances(simulation)
+        if fault.zone in ("", simulation.zones[instance.shape.zone])
+    ]
+    engine = simulation.engine
+    for instance in draw_targets(draw, candidates, fault.part):
+        simulation.stop_instance(instance)
+        if fault.down_s:
+            engine.at(engine.now + to_us(fault.down_s), simulation.start_instance, instance)
 
 
-def balancer_roll(day: Processes, f: spec.BalancerRoll, draw: np.random.Generator) -> None:
-    order = some(draw, day.hosts, float(f.part))
-    batch = max(1, round(float(f.batch) * len(day.hosts)))
-    batches = [order[n : n + batch] for n in range(0, len(order), batch)]
-    for n, some_ in enumerate(batches):
-        at = day.engine.now + us(f.for_s) * n // len(batches)
-        for host in some_:
-            day.engine.at(at, restart, day, host, us(f.down_s), us(f.hand_back_s))
+def zone_cut(simulation: ProcessControl, fault: spec.ZoneCut, draw: np.random.Generator) -> None:
+    """Partitions a zone, and heals it."""
+    zone = simulation.zones.index(fault.zone) if fault.zone else 0
+    simulation.partition_zone(zone)
+    simulation.engine.at(simulation.engine.now + to_us(fault.for_s), simulation.heal_zone, zone)
 
 
-def restart(day: Processes, host: Host, down: int, hand_back: int) -> None:
-    if not host.up:
+def balancer_roll(simulation: ProcessControl, fault: spec.BalancerRoll, draw: np.random.Generator) -> None:
+    """Restarts drawn balancers in batches."""
+    order = draw_targets(draw, simulation.balancers, fault.part)
+    batch_size = max(1, round(drawn_number(fault.batch) * len(simulation.balancers)))
+    batches = [order[start : start + batch_size] for start in range(0, len(order), batch_size)]
+    for number, batch in enumerate(batches):
+        at_us = simulation.engine.now + to_us(fault.for_s) * number // len(batches)
+        for balancer in batch:
+            simulation.engine.at(at_us, _restart, simulation, balancer, to_us(fault.down_s), to_us(fault.hand_back_s))
+
+
+def _restart(simulation: ProcessControl, balancer: BalancerProcess, down_us: int, shutdown_us: int) -> None:
+    """Restarts a balancer after a graceful shutdown of `shutdown_us` (0: killed)."""
+    if not balancer.is_up:
         return
-    if hand_back:
-        day.hand_back(host, hand_back)
-    now = day.engine.now
-    day.engine.at(now + hand_back, day.kill, host, host.life, hand_back > 0)
-    day.engine.at(now + hand_back + down, day.start, host)
+    is_planned = shutdown_us > 0
+    if is_planned:
+        simulation.shut_down_gracefully(balancer, shutdown_us)
+    engine = simulation.engine
+    engine.at(engine.now + shutdown_us, simulation.kill_balancer, balancer, balancer.incarnation, is_planned)
+    engine.at(engine.now + shutdown_us + down_us, simulation.start_balancer, balancer)
 
 
-def reconnect(day: Processes, f: spec.Reconnect, draw: np.random.Generator) -> None:
-    standing = [c for i in day.instances.values() for c in i.held.values()]
-    for c in some(draw, standing, float(f.part), 0):
-        day.drop(c, round(float(draw.random()) * us(f.within_s)))
+def reconnect(simulation: ProcessControl, fault: spec.Reconnect, draw: np.random.Generator) -> None:
+    """Drops drawn connections from the side of their clients."""
+    connections = [connection for instance in simulation.instances.values() for connection in instance.held.values()]
+    for connection in draw_targets(draw, connections, fault.part, 0):
+        simulation.drop_client_side(connection, round(float(draw.random()) * to_us(fault.within_s)))
 
 
-def slow(day: Processes, f: spec.Slow, draw: np.random.Generator) -> None:
-    struck = some(draw, [i for i in day.instances.values() if i.up], float(f.part))
-    for instance in struck:
-        instance.set_slow(day.engine.now, float(f.speed))
-    day.engine.at(day.engine.now + us(f.for_s), unslow, day, [(i, i.life) for i in struck])
+def slow(simulation: ProcessControl, fault: spec.Slow, draw: np.random.Generator) -> None:
+    """Slows drawn instances down."""
+    targets = draw_targets(draw, _running_instances(simulation), fault.part)
+    engine = simulation.engine
+    for instance in targets:
+        instance.set_slow(engine.now, drawn_number(fault.speed))
+    incarnations = [(instance, instance.incarnation) for instance in targets]
+    engine.at(engine.now + to_us(fault.for_s), _restore_speed, simulation, incarnations)
 
 
-def errs(day: Processes, f: spec.Errs, draw: np.random.Generator) -> None:
-    struck = some(draw, [i for i in day.instances.values() if i.up], float(f.part))
-    for instance in struck:
-        day.errs[instance.name] = float(f.chance)
-    day.engine.at(day.engine.now + us(f.for_s), well_again, day, [i.name for i in struck])
+def _restore_speed(simulation: ProcessControl, incarnations: list[tuple[Instance[Attempt], int]]) -> None:
+    for instance, incarnation in incarnations:
+        if instance.incarnation == incarnation:
+            instance.set_slow(simulation.engine.now, 1.0)
 
 
-def well_again(day: Processes, struck: list[str]) -> None:
-    for name in struck:
-        day.errs.pop(name, None)
+def errs(simulation: ProcessControl, fault: spec.Errs, draw: np.random.Generator) -> None:
+    """Makes drawn instances answer ERR."""
+    targets = draw_targets(draw, _running_instances(simulation), fault.part)
+    for instance in targets:
+        simulation.error_chances[instance.name] = drawn_number(fault.chance)
+    engine = simulation.engine
+    engine.at(engine.now + to_us(fault.for_s), _end_errors, simulation, [instance.name for instance in targets])
 
 
-def unslow(day: Processes, struck: list[tuple[Instance[Attempt], int]]) -> None:
-    for instance, life in struck:
-        if instance.life == life:
-            instance.set_slow(day.engine.now, 1.0)
+def _end_errors(simulation: ProcessControl, names: list[str]) -> None:
+    for name in names:
+        simulation.error_chances.pop(name, None)
 
 
-def discovery_silence(day: Processes, f: spec.DiscoverySilence, draw: np.random.Generator) -> None:
-    day.feed.silent_until = max(day.feed.silent_until, day.engine.now + us(f.for_s))
+def discovery_silence(simulation: ProcessControl, fault: spec.DiscoverySilence, draw: np.random.Generator) -> None:
+    """Silences service discovery."""
+    end_us = simulation.engine.now + to_us(fault.for_s)
+    simulation.feed.silent_until_us = max(simulation.feed.silent_until_us, end_us)
 
 
-def stale_list(day: Processes, f: spec.StaleList, draw: np.random.Generator) -> None:
-    day.feed.age_us = us(f.age_s)
-    day.engine.at(day.engine.now + us(f.for_s), fresh_list, day)
+def stale_list(simulation: ProcessControl, fault: spec.StaleList, draw: np.random.Generator) -> None:
+    """Gives an old endpoint list to balancers that start."""
+    simulation.feed.cached_list_age_us = to_us(fault.age_s)
+    simulation.engine.at(simulation.engine.now + to_us(fault.for_s), _end_stale_list, simulation)
 
 
-def fresh_list(day: Processes) -> None:
-    day.feed.age_us = 0
+def _end_stale_list(simulation: ProcessControl) -> None:
+    simulation.feed.cached_list_age_us = 0
 
 
-def arrivals(day: Processes, f: spec.FlashCrowd | spec.TenantFlood, draw: np.random.Generator) -> None:
-    """In the plan already: `model/plan.py` draws the clients that it brings."""
+def arrivals(simulation: ProcessControl, fault: spec.FlashCrowd | spec.TenantFlood, draw: np.random.Generator) -> None:
+    """Does nothing: the additional clients are part of the workload (`model.plan`)."""
 
 
-def drains(day: Processes, f: spec.Drains, draw: np.random.Generator) -> None:
-    order = some(draw, [i for i in day.instances.values() if i.up], float(f.part))
-    batch = max(1, round(float(f.batch) * len(day.instances)))
-    for n in range(0, len(order), batch):
-        at = day.engine.now + us(f.every_s) * (n // batch)
-        for instance in order[n : n + batch]:
-            day.engine.at(at, day.drain, instance)
-            day.engine.at(at + us(f.drain_s), day.stop_if_draining, instance)
-            day.engine.at(at + us(f.drain_s) + us(f.down_s), day.begin, instance)
+def drains(simulation: ProcessControl, fault: spec.Drains, draw: np.random.Generator) -> None:
+    """Drains, stops and starts drawn instances in batches, as a deployment does."""
+    order = draw_targets(draw, _running_instances(simulation), fault.part)
+    batch_size = max(1, round(drawn_number(fault.batch) * len(simulation.instances)))
+    engine = simulation.engine
+    for start in range(0, len(order), batch_size):
+        drain_us = engine.now + to_us(fault.every_s) * (start // batch_size)
+        stop_us = drain_us + to_us(fault.drain_s)
+        for instance in order[start : start + batch_size]:
+            engine.at(drain_us, simulation.drain_instance, instance)
+            engine.at(stop_us, simulation.stop_if_draining, instance)
+            engine.at(stop_us + to_us(fault.down_s), simulation.start_instance, instance)
 
 
-def by_hand(day: Processes, f: spec.ByHand, draw: np.random.Generator) -> None:
-    instance = max((i for i in day.instances.values() if i.up), key=lambda i: (len(i.held), i.name), default=None)
+def by_hand(simulation: ProcessControl, fault: spec.ByHand, draw: np.random.Generator) -> None:
+    """Suspends the instance with the most connections at each balancer, restarts it, and ends the suspension."""
+    instance = max(
+        _running_instances(simulation),
+        key=lambda candidate: (len(candidate.held), candidate.name),
+        default=None,
+    )
     if instance is None:
         return
-    now = day.engine.now
-    for n, host in enumerate(day.hosts):
-        later = us(f.spread_s) * n
-        day.engine.at(now + later, host.by_hand, instance.name, True)
-        day.engine.at(now + us(f.for_s) + later, host.by_hand, instance.name, False)
-    day.engine.at(now + us(f.restart_s), day.stop, instance)
-    day.engine.at(now + us(f.restart_s) + us(f.down_s), day.begin, instance)
+    engine = simulation.engine
+    for number, balancer in enumerate(simulation.balancers):
+        call_us = engine.now + to_us(fault.spread_s) * number
+        engine.at(call_us, balancer.override_server, instance.name, True)
+        engine.at(call_us + to_us(fault.for_s), balancer.override_server, instance.name, False)
+    stop_us = engine.now + to_us(fault.restart_s)
+    engine.at(stop_us, simulation.stop_instance, instance)
+    engine.at(stop_us + to_us(fault.down_s), simulation.start_instance, instance)
 
 
-def send_away(day: Processes, f: spec.SendAway, draw: np.random.Generator) -> None:
-    host = day.hosts[f.balancer]
-    if host.up:
-        day.send_away(host)
-        day.engine.at(day.engine.now + us(f.for_s), day.take_again, host, host.life)
+def send_away(simulation: ProcessControl, fault: spec.SendAway, draw: np.random.Generator) -> None:
+    """Drains a balancer on an operator's call, and ends the drain."""
+    balancer = simulation.balancers[fault.balancer]
+    engine = simulation.engine
+    if balancer.is_up:
+        simulation.start_manual_drain(balancer)
+        end_us = engine.now + to_us(fault.for_s)
+        engine.at(end_us, simulation.end_manual_drain, balancer, balancer.incarnation)
 
 
-def peer_loss(day: Processes, f: spec.PeerLoss, draw: np.random.Generator) -> None:
-    day.links.more = 1 - float(f.loss)
-    day.engine.at(day.engine.now + us(f.for_s), heard, day)
+def peer_loss(simulation: ProcessControl, fault: spec.PeerLoss, draw: np.random.Generator) -> None:
+    """Loses messages between balancers."""
+    simulation.links.peer_delivery_fraction = 1 - drawn_number(fault.loss)
+    simulation.engine.at(simulation.engine.now + to_us(fault.for_s), _end_peer_loss, simulation)
 
 
-def heard(day: Processes) -> None:
-    day.links.more = 1.0
+def _end_peer_loss(simulation: ProcessControl) -> None:
+    simulation.links.peer_delivery_fraction = 1.0
 
 
 FAULTS: dict[type[spec.Fault], Callable[[Any, Any, np.random.Generator], None]] = {
@@ -169,13 +211,13 @@
 }
 
 
-def lasts_s(f: spec.Fault) -> float:
-    """How long its cause lasts, for reports to shade."""
-    if isinstance(f, spec.Crash):
-        return float(f.down_s)
-    if isinstance(f, spec.Reconnect):
-        return float(f.within_s)
-    if isinstance(f, spec.Drains):
-        batches = max(1, round(float(f.part) / max(1e-9, float(f.batch))))
-        return float(f.every_s) * (batches - 1) + float(f.drain_s) + float(f.down_s)
-    return float(getattr(f, "for_s", 0.0))
+def duration_s(fault: spec.Fault) -> float:
+    """Returns how long the cause of a fault lasts, in seconds, for reports to shade."""
+    if isinstance(fault, spec.Crash):
+        return drawn_number(fault.down_s)
+    if isinstance(fault, spec.Reconnect):
+        return drawn_number(fault.within_s)
+    if isinstance(fault, spec.Drains):
+        batches = max(1, round(drawn_number(fault.part) / max(1e-9, drawn_number(fault.batch))))
+        return drawn_number(fault.every_s) * (batches - 1) + drawn_number(fault.drain_s) + drawn_number(fault.down_s)
+    return drawn_number(getattr(fault, "for_s", 0.0))
--- /dev/null
+++ b/glenrock/simulation/fleet_simulation.py
@@ -0,0 +1,285 @@
+"""One run: an experiment under one seed and one policy, from its workload to its summary."""
+
+from __future__ import annotations
+
+import gc
+import time
+from bisect import bisect_right
+from collections.abc import Callable
+from typing import Any
+
+import numpy as np
+
+from glenrock.routing import interface
+
+from . import faults, policies
+from .engine import SECOND_US, Engine
+from .measure import rounded
+from .model import plan as plans
+from .model.balancer import BalancerProcess, Policy, PolicyFailedError
+from .model.feed import EndpointFeed
+from .model.front import Front
+from .model.instance import Connection, Instance
+from .model.requests import Attempt, Client, ClientRequest, RequestOutcome
+from .policies import module
+from .policies.oracle import Oracle
+from .process_control import ProcessControl
+from .run_summary import summarize
+from .shared_health_checks import SharedHealthChecks
+from .spec import Experiment, settings_of
+from .spec_types import drawn_count, drawn_number
+
+INSTANCES_PER_CELL = 6
+OTHER_ZONE_WEIGHT = 0.3  # of an instance of another zone, for connections that are open when the run starts
+SLOW_MESSAGE_DIVISOR = 3  # messages slower than this part of the shortest objective are reported to balancers
+MAX_REPORTED_US = 1e9
+MAX_RECORDED_US = 3e9
+
+
+class FleetSimulation(ProcessControl):
+    """A run, from its start to its summary; the layers below it play what happens."""
+
+    def __init__(
+        self,
+        experiment: Experiment,
+        seed: int,
+        policy: str = "glenrock",
+        *,
+        make_policy: Callable[[interface.Settings, int], Policy] | None = None,
+        engine: Engine | None = None,
+    ) -> None:
+        super().__init__(experiment, seed, policy, engine)
+        self._make_policy = make_policy or policies.make(policy)
+        for number, shape in enumerate(self.shapes):
+            name = f"10.{number >> 16 & 255}.{number >> 8 & 255}.{number & 255}:7000"
+            instance = self.instances[name] = Instance(
+                name,
+                number,
+                shape,
+                self.figures,
+                self.receive_setup_answer,
+                self.engine,
+                self.measure.earn,
+                number // INSTANCES_PER_CELL,
+            )
+            instance.last = self.start_us
+        self._build_balancers()
+        self.front = Front(self.experiment.front, self.balancers, len(self.zones), self.engine, self.streams)
+        self.feed = EndpointFeed(self.experiment.discovery, self.balancers, self.engine, self.streams)
+        if self.experiment.platform.probe_shards:
+            slow_start_s = self.experiment.rules.cold_s
+            self.shared_health_checks = SharedHealthChecks(
+                self.engine, self.balancers, slow_start_s, self.send_own_health_check, self.send_gossip
+            )
+
+    def _build_balancers(self) -> None:
+        count = drawn_count(self.experiment.fleet.balancers)
+        draw = self.streams.of("balancer seeds")
+        seeds = draw.integers(1, 1 << 62, size=count).tolist()
+        tick_us = max(1, round(self.experiment.platform.tick_ms * 1000))
+
+        def build(index: int, incarnation: int) -> Policy:
+            zone = self.zones[index % len(self.zones)]
+            settings = settings_of(self.experiment, index, zone, self.plan.quotas)
+            policy = self._make_policy(settings, seeds[index] + incarnation)
+            if isinstance(policy, Oracle):
+                policy.observe(self, self.balancers[index])
+            return policy
+
+        self.balancers = [
+            BalancerProcess(index, index % len(self.zones), self.engine, self, tick_us, build) for index in range(count)
+        ]
+
+    # -- the whole run -------------------------------------------------------------------------------
+
+    def run(self) -> dict[str, Any]:
+        """Runs the simulation. Returns its summary; a policy that raises ends the run, and the summary says so."""
+        started_wall_s, started_cpu_s = time.perf_counter(), time.process_time()
+        # The objects of a run live until its end: the garbage collector would find nothing, at a cost.
+        collects_garbage = gc.isenabled()
+        gc.disable()
+        try:
+            with module.constants(self.experiment.constants):
+                self.prepare()
+                drain_us = round(self.experiment.drain_s * SECOND_US)
+                self.engine.run(self.start_us + self.length_us + drain_us)
+        except PolicyFailedError as error:
+            self.failure = str(error)
+            self._end_measuring()
+        finally:
+            if collects_garbage:
+                gc.enable()
+        for client in self.connected_clients:
+            if client.connection:
+                self.count_open_time(client.connection)
+        return summarize(self, time.perf_counter() - started_wall_s, time.process_time() - started_cpu_s)
+
+    def prepare(self) -> None:
+        """Starts all processes, places the connections that are open already, and schedules the rest of the run."""
+        self.feed.start(
+            [
+                interface.Endpoint(
+                    instance.name, interface.EndpointState.READY, self.zones[instance.shape.zone], instance.cell
+                )
+                for instance in self.instances.values()
+            ]
+        )
+        endpoints = tuple(self.feed.endpoints.values())
+        for balancer in self.balancers:
+            balancer.start(interface.EndpointList(interface.EndpointListKind.CACHED, endpoints))
+            self.feed.balancer_started(balancer)
+        self._rows = iter(self.plan.rows)
+        self._schedule_arrival(self._place_open_connections())
+        self._schedule_faults()
+        if self.shared_health_checks:
+            self.shared_health_checks.start()
+        self.engine.at(self.start_us, self._sample, 0)
+        self.engine.at(self.start_us + self.length_us, self._end_measuring)
+
+    def _schedule_faults(self) -> None:
+        for number, fault in enumerate(self.experiment.faults):
+            at_s = drawn_number(fault.at_s)
+            end_s = min(drawn_number(self.experiment.length_s), at_s + faults.duration_s(fault))
+            kind = type(fault).__struct_config__.tag
+            self.faults.append({"kind": kind, "from_s": rounded(at_s), "to_s": rounded(end_s)})
+            due_us = self.start_us + round(at_s * SECOND_US)
+            inject = faults.FAULTS[type(fault)]
+            self.engine.at(due_us, inject, self, fault, self.streams.of(f"fault {number}"))
+
+    def _place_open_connections(self) -> plans.Row | None:
+        """Opens the connections of clients that arrived before the run, alike under every policy.
+
+        Returns:
+            The first row that arrives during the run, if there is one.
+        """
+        draw = self.streams.uniforms("standing")
+        instances = list(self.instances.values())
+        cumulative_weights = [self._cumulative_weights(instances, zone) for zone in range(len(self.zones))]
+        for row in self._rows:
+            if row.arrival >= 0:
+                return row
+            self.measure.counts["clients"] += 1
+            weights = cumulative_weights[row.zone]
+            chosen = min(len(instances) - 1, bisect_right(weights, draw() * weights[-1]))
+            balancer = self.front.pick(row.zone)
+            if balancer:
+                self._place_open_connection(row, balancer, instances[chosen])
+        return None
+
+    @staticmethod
+    def _cumulative_weights(instances: list[Instance[Attempt]], zone: int) -> list[float]:
+        weights = [
+            instance.shape.cores * instance.shape.speed * (1.0 if instance.shape.zone == zone else OTHER_ZONE_WEIGHT)
+            for instance in instances
+        ]
+        sums: list[float] = np.cumsum(weights).tolist()
+        return sums
+
+    def _place_open_connection(self, row: plans.Row, balancer: BalancerProcess, instance: Instance[Attempt]) -> None:
+        now = self.engine.now
+        client = Client(row, request_count=1, has_connected=True)
+        request = client.request = ClientRequest(f"{row.number}.1", client, balancer, now, now)
+        request.is_answered, request.outcome = True, RequestOutcome.ESTABLISHED
+        attempt = Attempt(request, 0, instance, now, is_established=True)
+        request.attempts.append(attempt)
+        request.established = attempt
+        balancer.requests[request.id] = request
+        balancer.post(interface.OpenConnection(self.request_event(request), instance.name))
+        instance.opening[attempt] = True
+        self.schedule_workload(client)
+        self.open_connection(attempt)
+
+    def _schedule_arrival(self, row: plans.Row | None) -> None:
+        """Schedules one arrival; each schedules the next, so that the heap holds one at a time."""
+        if row:
+            self.engine.at(self.start_us + row.arrival, self._arrive, row)
+
+    def _arrive(self, row: plans.Row) -> None:
+        self._schedule_arrival(next(self._rows, None))
+        self.measure.counts["clients"] += 1
+        client = Client(row, waiting_since_us=self.engine.now)
+        self.schedule_workload(client)
+        self.send_request(client)
+
+    # -- each second ---------------------------------------------------------------------------------
+
+    def _sample(self, second: int) -> None:
+        """Updates all instances, and records the time series of one second."""
+        load = 0.0
+        for instance in self.instances.values():
+            for connection in instance.tick(self.engine.now):
+                self.measure.counts["shed"] += 1
+                self.break_connection(connection, interface.AttemptOutcome.BROKEN)
+            load += self._sample_instance(instance, second)
+        if second < self.measure.seconds:
+            self._record_series(second, load)
+            if second + 1 < self.measure.seconds:
+                self.engine.at(self.engine.now + SECOND_US, self._sample, second + 1)
+
+    def _sample_instance(self, instance: Instance[Attempt], second: int) -> float:
+        """Records the load of an instance. Returns it, in microseconds of work a second."""
+        measure = self.measure
+        is_recorded = second < measure.seconds
+        if not instance.up:
+            if is_recorded:
+                measure.heat[instance.number, second] = -1
+            return 0.0
+        if is_recorded:
+            capacity = instance.capacity(self.engine.now)
+            measure.heat[instance.number, second] = instance.demand / capacity if capacity > 0 else 0.0
+        if instance.held:
+            message_us = int(min(MAX_RECORDED_US, max(1, instance.message_us)))
+            measure.messages.record_value(message_us, len(instance.held))
+            self._report_slow_messages(instance)
+        return instance.demand
+
+    def _record_series(self, second: int, load: float) -> None:
+        measure, capacity = self.measure, self.plan.capacity
+        gauges = [gauge for balancer in self.balancers if balancer.is_up and (gauge := module.gauges(balancer.policy))]
+        caps = [cap for cap, _ in gauges if cap != float("inf")]
+        measure.put(
+            second,
+            load=load / capacity,
+            standing=float(len(self.connected_clients)),
+            cap=sum(caps) / len(caps) / capacity if caps else float("nan"),
+            line=sum(waiting for _, waiting in gauges),
+            refused=float(measure.counts["refused"]),
+            attempts=float(measure.counts["attempts"]),
+            broken=float(measure.counts["broken"]),
+            up=float(sum(instance.up for instance in self.instances.values())),
+            balancers=float(sum(balancer.is_up for balancer in self.balancers)),
+        )
+
+    def _report_slow_messages(self, instance: Instance[Attempt]) -> None:
+        """Reports slow messages over one connection of each balancer, and once that they are fast again."""
+        if not self.experiment.reports.delay_told:
+            return
+        is_slow = instance.message_us > self.figures.shortest_us / SLOW_MESSAGE_DIVISOR
+        if not is_slow and not any((instance.name, b.index) in self.slow_reported for b in self.balancers):
+            return
+        by_balancer: dict[int, Connection[Attempt]] = {}
+        for connection in instance.held.values():
+            if not connection.muted:
+                by_balancer.setdefault(connection.host, connection)
+        for index, connection in by_balancer.items():
+            key = (instance.name, index)
+            if is_slow or key in self.slow_reported:
+                (self.slow_reported.add if is_slow else self.slow_reported.discard)(key)
+                request = connection.attempt.request
+                message_us = min(instance.message_us, MAX_REPORTED_US)
+                request.balancer.post(interface.ConnectionFeedback(request.id, instance.name, message_us=message_us))
+
+    def _end_measuring(self) -> None:
+        """Ends the measured time: what is served from now on does not count."""
+        now = self.engine.now
+        for instance in self.instances.values():
+            instance.advance(now)
+            for connection in instance.held.values():
+                if not connection.muted:
+                    connection.earned += instance.integrals[connection.kind] - connection.since
+                    connection.since = instance.integrals[connection.kind]
+                self.credit(connection)
+                connection.value = 0.0
+            instance.values = [0.0] * len(instance.values)
+        self.measure.ask(self.plan.rows, self.length_us)
+        self.is_over = True
--- a/glenrock/simulation/fleet_state.py
+++ b/glenrock/simulation/fleet_state.py
@@ -1,69 +1,87 @@
-"""The state of one run: the fleet, its links and clients, and what is counted. `Day` adds what happens to it."""
+"""The state of one run: the fleet, its links, its workload and the measures."""
 
 from __future__ import annotations
 
 from typing import Any
 
-from .engine import Engine, HeapEngine
+from .engine import SECOND_US, Engine, HeapEngine
+from .invariants import InvariantChecker
 from .measure import Measure
 from .model import plan as plans
-from .model import shapes as model_shapes
-from .model.balancer import Host
+from .model import shapes
+from .model.balancer import BalancerProcess
 from .model.client import Habits
-from .model.feed import Feed
+from .model.feed import EndpointFeed
 from .model.front import Front
 from .model.instance import Instance
 from .model.links import Links
 from .model.requests import Attempt, Client
 from .model.store import Store
-from .rules import Judge
-from .shards import Shared
+from .shared_health_checks import SharedHealthChecks
 from .spec import Experiment, drawn
+from .spec_types import drawn_number
 from .streams import Streams
 
-S = 1_000_000
-
 
 class FleetState:
-    """What every part of a day reads. `hosts`, `front` and `feed` are set by `Day`."""
+    """What every part of a simulation reads.
+
+    Attributes:
+        experiment: the experiment as drawn for the seed.
+        balancers, front, feed: set by `FleetSimulation`, since they call it.
+        error_chances: instances that answer ERR to attempts, by name, and the chance of it.
+        slow_reported: instance and balancer, where the balancer was told of slow messages.
+        shared_health_checks: None unless the experiment has shards of health checks.
+        faults: kind, beginning and end of each fault, as `summary.json` has them.
+        connected_clients: clients with an open connection, in the order of their connections.
+        is_over: whether the measured time has ended.
+        failure: why the policy's run ended early, or empty.
+    """
 
-    hosts: list[Host]
+    balancers: list[BalancerProcess]
     front: Front
-    feed: Feed
+    feed: EndpointFeed
 
-    def __init__(self, e: Experiment, seed: int, policy: str, engine: Engine | None) -> None:
-        self.e = e = drawn(e, seed)
+    def __init__(self, experiment: Experiment, seed: int, policy: str, engine: Engine | None) -> None:
+        self.experiment = experiment = drawn(experiment, seed)
         self.seed, self.policy = seed, policy
         self.streams = streams = Streams(seed)
-        self.begin_us = round(e.clock_start_s * S)
-        self.engine = engine or HeapEngine(self.begin_us)
-        self.length = round(float(e.length_s) * S)
-        self.zones = list(e.fleet.zones)
-        self.shapes = shapes = model_shapes.shapes(e, streams)
-        capacity = sum(s.cores * s.speed for s in shapes) * S
-        self.plan = plans.plan(e, streams, capacity)
-        self.judge = Judge(self.begin_us)
-        self.measure = Measure(e, self.plan.asked, self.begin_us, len(shapes))
-        self.links = Links(e.network, streams)
-        self.habits = Habits(e.clients, streams)
-        self.store = Store(float(e.store.headroom) * self.plan.per_s, float(e.store.call_ms) * 1000)
-        self.setup_draw = streams.exponentials("set-up work")
-        self.noise = streams.normals("report noise")
-        self.errs: dict[str, float] = {}  # instances that answer ERR to set-ups, and the chance of it
-        self.err_draw = streams.uniforms("errors")
-        self.answer_grace_us = round(e.rules.answer_grace_ms * 1000)
-        self.drain_grace_us = round(e.rules.drain_grace_ms * 1000)
-        self.max_attempts = e.platform.max_attempts
-        self.dial_us = round(e.platform.dial_timeout_ms * 1000)
-        self.silence_us = round(float(e.network.silence_s) * S)
-        self.give_up_us = [round(float(c.give_up_ms) * 1000) for c in e.classes]
-        self.setup_us = [float(c.setup_ms) * 1000 for c in e.classes]
-        self.figures = model_shapes.figures(e)
-        self.aim_us = self.figures.shortest_us
+        self.start_us = round(experiment.clock_start_s * SECOND_US)
+        self.engine = engine or HeapEngine(self.start_us)
+        self.length_us = round(drawn_number(experiment.length_s) * SECOND_US)
+        self.zones = list(experiment.fleet.zones)
+        self.shapes = shapes.shapes(experiment, streams)
+        capacity = sum(shape.cores * shape.speed for shape in self.shapes) * SECOND_US
+        self.plan = plans.plan(experiment, streams, capacity)
+        self.invariants = InvariantChecker(self.start_us)
+        self.measure = Measure(experiment, self.plan.asked, self.start_us, len(self.shapes))
+        self.links = Links(experiment.network, streams)
+        self.habits = Habits(experiment.clients, streams)
+        self.store = Store(
+            drawn_number(experiment.store.headroom) * self.plan.per_s, drawn_number(experiment.store.call_ms) * 1000
+        )
+        self.figures = shapes.figures(experiment)
+        self._read_limits(experiment)
+        self._open_streams(streams)
         self.instances: dict[str, Instance[Attempt]] = {}
-        self.slow_told: set[tuple[str, int]] = set()
-        self.shards: Shared | None = None
+        self.error_chances: dict[str, float] = {}
+        self.slow_reported: set[tuple[str, int]] = set()
+        self.shared_health_checks: SharedHealthChecks | None = None
         self.faults: list[dict[str, Any]] = []
-        self.standing: dict[Client, None] = {}
-        self.over = False
+        self.connected_clients: dict[Client, None] = {}
+        self.is_over = False
         self.failure = ""
+
+    def _read_limits(self, experiment: Experiment) -> None:
+        self.answer_grace_us = round(experiment.rules.answer_grace_ms * 1000)
+        self.drain_grace_us = round(experiment.rules.drain_grace_ms * 1000)
+        self.max_attempts = experiment.platform.max_attempts
+        self.connect_timeout_us = round(experiment.platform.dial_timeout_ms * 1000)
+        self.silence_timeout_us = round(drawn_number(experiment.network.silence_s) * SECOND_US)
+        self.request_timeouts_us = [round(drawn_number(c.give_up_ms) * 1000) for c in experiment.classes]
+        self.setup_work_us = [drawn_number(c.setup_ms) * 1000 for c in experiment.classes]
+
+    def _open_streams(self, streams: Streams) -> None:
+        self.draw_setup_work = streams.exponentials("set-up work")
+        self.draw_report_noise = streams.normals("report noise")
+        self.draw_error = streams.uniforms("errors")
--- /dev/null
+++ b/glenrock/simulation/invariants.py
@@ -0,0 +1,91 @@
+"""The invariants of a run: the four rules of WIRE, section 13, and the rule of PROTOCOL on lost connections.
+
+The parts of a simulation report a violation where they see it; here violations are counted and recorded, each with
+the events that led to it.
+"""
+
+from __future__ import annotations
+
+from collections import deque
+from dataclasses import dataclass
+
+RULES = {
+    "answered": "one final answer for each request, in time, and nothing sent after it",
+    "repeated": "never two attempts of a request at once",
+    "drained": "nothing new to an instance that drains or is gone, after the grace",
+    "cold": "no cold instance pushed over",
+    "cut off": "no standing connection ended without MOVE while its instance answers",
+}
+MAX_TRAIL_EVENTS = 4000
+MAX_EVENTS_OF_VIOLATION = 12
+MAX_RECORDED_VIOLATIONS = 50
+
+
+@dataclass(slots=True)
+class Violation:
+    """A recorded violation; its fields are keys of `summary.json`.
+
+    Attributes:
+        led: the events that led to the violation, as text.
+    """
+
+    rule: str
+    at_s: float
+    text: str
+    balancer: int
+    request: str
+    instance: str
+    led: list[str]
+
+
+@dataclass(slots=True)
+class TrailEvent:
+    """An event that may lead to a violation."""
+
+    at_us: int
+    text: str
+    request: str
+    instance: str
+
+
+class InvariantChecker:
+    """Counts the violations of a run by rule, and records the first of them in full."""
+
+    def __init__(self, start_us: int) -> None:
+        self.start_us = start_us
+        self.counts = dict.fromkeys(RULES, 0)
+        self.violations: list[Violation] = []
+        self.trail: deque[TrailEvent] = deque(maxlen=MAX_TRAIL_EVENTS)
+
+    def record_event(self, now_us: int, text: str, request: str, instance: str) -> None:
+        """Records an event that may lead to a violation."""
+        self.trail.append(TrailEvent(now_us, text, request, instance))
+
+    def record_violation(self, now_us: int, rule: str, text: str, balancer: int, request: str, instance: str) -> None:
+        """Counts a violation, and records it in full unless enough are recorded."""
+        self.counts[rule] += 1
+        if len(self.violations) >= MAX_RECORDED_VIOLATIONS:
+            return
+        led = [self._line(event) for event in self.trail if self._concerns(event, request, instance)]
+        self.violations.append(
+            Violation(
+                rule,
+                (now_us - self.start_us) / 1e6,
+                text,
+                balancer,
+                request,
+                instance,
+                led[-MAX_EVENTS_OF_VIOLATION:],
+            )
+        )
+
+    def _line(self, event: TrailEvent) -> str:
+        seconds = (event.at_us - self.start_us) / 1e6
+        return f"{seconds:.6f} {event.text} {event.request} {event.instance}".rstrip()
+
+    @staticmethod
+    def _concerns(event: TrailEvent, request: str, instance: str) -> bool:
+        if not request:
+            return event.instance == instance
+        is_of_instance = bool(instance) and event.instance == instance and not event.request
+        return event.request == request or is_of_instance
--- a/glenrock/simulation/model/__init__.py
+++ b/glenrock/simulation/model/__init__.py
@@ -1,5 +1,5 @@
-"""What is balanced: instances, clients, the front, the name-table feed, links, and balancers as processes.
+"""The modelled fleet: instances, balancers' processes, clients, the front, service discovery, and links.
 
-Models, not measurements of real machines: each module says what it leaves out. Times are whole microseconds
-unless a name says otherwise; work is microseconds on a standard core; load is work a second.
+Each module says what its model leaves out. Times are whole microseconds unless a name has another unit; work is
+microseconds on a standard core; load is work a second.
 """
--- a/glenrock/simulation/model/balancer.py
+++ b/glenrock/simulation/model/balancer.py
@@ -1,7 +1,6 @@
-"""A balancer as a process: batches for its decisions, their actions carried out, attempts and their ends.
+"""The process of a balancer: hands events to its policy in batches, and carries out the actions.
 
-It does what `glenrock/net` does on sockets, without sockets: nothing here chooses a server, retries or turns
-anybody away.
+It does without sockets what `glenrock.net` does on them. It selects no server, and neither retries nor rejects.
 """
 
 from __future__ import annotations
@@ -12,301 +11,367 @@
 from typing import Any, Protocol
 
 from glenrock.routing import interface
+from glenrock.routing.interface import AttemptOutcome, EndpointListKind, EndpointState
 
 from ..engine import Engine
 from .instance import Instance
-from .requests import Attempt, Flow
+from .requests import Attempt, ClientRequest, RequestOutcome
 
+MAX_GOSSIP_BYTES = 256
 
-class Decisions(Protocol):
-    """What is driven: the decision module, or anything else with its events and actions."""
 
-    def handle(self, now_us: int, events: list[interface.Event]) -> list[interface.Action]: ...
+class Policy(Protocol):
+    """What decides: the routing decisions, or anything else with their events and actions."""
 
+    def handle(self, now_us: int, events: list[interface.Event]) -> list[interface.Action]:
+        """Returns the actions for a batch of events."""
 
-class PolicyFailed(Exception):
-    """What is driven raised, or asked for something that does not exist. The run ends with it."""
 
+class PolicyFailedError(Exception):
+    """The policy raised, or named something that does not exist. The run ends."""
 
-class World(Protocol):
-    """What a balancer's process touches outside of itself."""
+
+class BalancerEnvironment(Protocol):
+    """What a balancer's process calls outside itself.
+
+    Attributes:
+        answer_grace_us: time after a request's deadline in which its answer still counts.
+        drain_grace_us: time after a server was reported as draining in which a new attempt is still allowed.
+    """
 
     instances: dict[str, Instance[Attempt]]
     answer_grace_us: int
     drain_grace_us: int
     max_attempts: int
 
-    def send(self, a: Attempt, timeout_us: int) -> None: ...
-    def give_up(self, a: Attempt) -> None: ...
-    def refused(self, f: Flow, retry_after_us: int) -> None: ...
-    def failed(self, f: Flow) -> None: ...
-    def moved(self, f: Flow) -> None: ...
-    def cut(self, f: Flow) -> None: ...
-    def probe(self, host: Host, server: str) -> None: ...
-    def tell(self, host: Host, data: bytes) -> None: ...
-    def watch(self, host: Host) -> None: ...
-    def overdue(self, f: Flow) -> None: ...
-    def breach(self, rule: str, text: str, f: Flow | None, server: str) -> None: ...
+    def start_attempt(self, attempt: Attempt, timeout_us: int) -> None:
+        """Sends an attempt to its instance."""
+
+    def abandon_attempt(self, attempt: Attempt) -> None:
+        """Closes the balancer's side of an attempt."""
+
+    def deliver_rejection(self, request: ClientRequest, retry_after_us: int) -> None:
+        """Answers a client with a rejection."""
+
+    def deliver_failure(self, request: ClientRequest) -> None:
+        """Answers a client with a failure."""
+
+    def migrate(self, request: ClientRequest) -> None:
+        """Asks the client of an open connection to reconnect elsewhere."""
+
+    def cut_off(self, request: ClientRequest) -> None:
+        """Closes an open connection without a notice to its client."""
+
+    def send_health_check(self, balancer: BalancerProcess, server: str) -> None:
+        """Asks a server for its load."""
+
+    def send_gossip(self, balancer: BalancerProcess, data: bytes) -> None:
+        """Sends a gossip summary to all peers."""
 
+    def watch_endpoints(self, balancer: BalancerProcess) -> None:
+        """Asks service discovery for the endpoint list and its changes."""
 
-class Host:
-    """The process. It is started anew by `begin`; what belongs to an earlier life is void."""
+    def report_overdue(self, request: ClientRequest) -> None:
+        """Handles a request that had no final answer in time."""
+
+    def record_violation(self, rule: str, text: str, request: ClientRequest | None, server: str) -> None:
+        """Records a violation of an invariant."""
+
+
+class BalancerProcess:
+    """One balancer, over all of its incarnations.
+
+    Attributes:
+        make_policy: builds the policy from the balancer's index and incarnation.
+        incarnation: number of starts and kills; a callback of an earlier incarnation has no effect.
+        last_delivery_us: when the latest endpoint list arrives; lists arrive in order.
+        requests: by identifier; those that are over stay until the policy has read of their end.
+        endpoints: the endpoint list as it was last delivered; survives a restart.
+        known_servers: servers that a list has named in this incarnation.
+        draining_since_us: servers that a list has reported as draining or gone, and since when.
+        suspended_since_us: servers that an operator has suspended, and since when.
+        is_draining: whether its clients migrate, on an operator's call.
+        outcomes: count of requests by outcome.
+    """
 
     def __init__(
-        self, index: int, zone: int, engine: Engine, world: World, tick_us: int, make: Callable[[int, int], Decisions]
+        self,
+        index: int,
+        zone: int,
+        engine: Engine,
+        environment: BalancerEnvironment,
+        tick_us: int,
+        make_policy: Callable[[int, int], Policy],
     ) -> None:
-        self.index, self.zone, self.engine, self.world, self.tick = index, zone, engine, world, tick_us
-        self.make = make  # index and life -> decisions
-        self.up, self.life, self.told_at = False, 0, 0
-        self.decisions: Decisions | None = None
+        self.index, self.zone, self.engine, self.environment = index, zone, engine, environment
+        self.tick_us, self.make_policy = tick_us, make_policy
+        self.is_up, self.incarnation, self.last_delivery_us = False, 0, 0
+        self.policy: Policy | None = None
         self.inbox: list[interface.Event] = []
-        self.flows: dict[str, Flow] = {}
-        self.last: dict[str, interface.Endpoint] = {}  # the list as it was last told, kept over restarts
-        self.known: set[str] = set()
-        self.leaving: dict[str, int] = {}  # told that these drain or are gone, and when
-        self.out: dict[str, int] = {}  # by hand, and since when
-        self.going = False  # its clients are sent away
-        self.waiting = False  # a turn is due
-        self.closed: deque[Flow] = deque()  # over, and forgotten once their end was told
-        self.turns = self.handled = self.cpu_ns = self.actions = self.arrived = 0
-        self.ends: dict[str, int] = {}
+        self.requests: dict[str, ClientRequest] = {}
+        self.endpoints: dict[str, interface.Endpoint] = {}
+        self.known_servers: set[str] = set()
+        self.draining_since_us: dict[str, int] = {}
+        self.suspended_since_us: dict[str, int] = {}
+        self.is_draining = False
+        self.batch_is_due = False
+        self.closed_requests: deque[ClientRequest] = deque()
+        self.batches = self.handled_events = self.cpu_ns = self.arrived_requests = 0
+        self.outcomes: dict[RequestOutcome, int] = {}
 
     # -- the process ---------------------------------------------------------------------------------
 
-    def begin(self, remembered: interface.EndpointList) -> None:
-        self.life += 1
-        self.up, self.decisions = True, self.make(self.index, self.life)
-        self.inbox, self.flows, self.waiting = [], {}, False
-        self.closed.clear()
-        self.known.clear()
-        self.leaving.clear()
-        self.out.clear()
-        self.going = False
-        self.told_at = self.engine.now
-        self.listed(remembered)
-
-    def end(self) -> list[Flow]:
-        """Killed. Returns what it held; all of that is void here."""
-        held = list(self.flows.values())
-        self.up, self.life, self.decisions = False, self.life + 1, None
-        self.inbox, self.flows, self.waiting = [], {}, False
+    def start(self, cached: interface.EndpointList) -> None:
+        """Starts a new incarnation with the cached endpoint list."""
+        self.incarnation += 1
+        self.is_up, self.policy = True, self.make_policy(self.index, self.incarnation)
+        self.inbox, self.requests, self.batch_is_due = [], {}, False
+        self.closed_requests.clear()
+        self.known_servers.clear()
+        self.draining_since_us.clear()
+        self.suspended_since_us.clear()
+        self.is_draining = False
+        self.last_delivery_us = self.engine.now
+        self.receive_endpoints(cached)
+
+    def kill(self) -> list[ClientRequest]:
+        """Ends the process. Returns the requests that it held."""
+        held = list(self.requests.values())
+        self.is_up, self.incarnation, self.policy = False, self.incarnation + 1, None
+        self.inbox, self.requests, self.batch_is_due = [], {}, False
         return held
 
     # -- events --------------------------------------------------------------------------------------
 
     def post(self, event: interface.Event) -> None:
+        """Queues an event for the batch at the next tick."""
         self.inbox.append(event)
-        if not self.waiting:
-            self.waiting = True
-            due = -(-self.engine.now // self.tick) * self.tick
-            self.engine.at(due, self.turn, self.life)
+        if not self.batch_is_due:
+            self.batch_is_due = True
+            due_us = -(-self.engine.now // self.tick_us) * self.tick_us
+            self.engine.at(due_us, self._handle_batch, self.incarnation)
 
-    def timer(self, life: int, ref: int) -> None:
-        if life == self.life and self.up:
+    def _fire_timer(self, incarnation: int, ref: int) -> None:
+        if incarnation == self.incarnation and self.is_up:
             self.post(interface.TimerFired(ref))
 
-    def turn(self, life: int) -> None:
-        """One batch, and what comes of it."""
-        if life != self.life or not self.up:
+    def _handle_batch(self, incarnation: int) -> None:
+        if incarnation != self.incarnation or not self.is_up:
             return
-        events, self.inbox, self.waiting = self.inbox, [], False
-        self.turns += 1
-        while self.closed and self.closed[0].over_told < self.turns - 1:
-            old = self.closed.popleft()
-            if not any(a.out for a in old.attempts):
-                self.flows.pop(old.id, None)
-        self.handled += len(events)
-        begun = perf_counter_ns()
-        try:
-            actions = self.decisions.handle(self.engine.now, events)
-        except Exception as bad:
-            raise PolicyFailed(f"{type(bad).__name__}: {bad}") from bad
-        self.cpu_ns += perf_counter_ns() - begun
-        self.actions += len(actions)
-        for action in actions:
-            if act := ACTIONS.get(type(action)):
-                act(self, action)
+        events, self.inbox, self.batch_is_due = self.inbox, [], False
+        self.batches += 1
+        self._forget_closed_requests()
+        self.handled_events += len(events)
+        for action in self._decide(events):
+            if perform := ACTIONS.get(type(action)):
+                perform(self, action)
             else:
-                raise PolicyFailed(f"not an action: {action!r}")
+                raise PolicyFailedError(f"not an action: {action!r}")
 
-    def listed(self, told: interface.EndpointList) -> None:
+    def _forget_closed_requests(self) -> None:
+        while self.closed_requests and self.closed_requests[0].over_in_batch < self.batches - 1:
+            request = self.closed_requests.popleft()
+            if not any(attempt.is_active for attempt in request.attempts):
+                self.requests.pop(request.id, None)
+
+    def _decide(self, events: list[interface.Event]) -> list[interface.Action]:
+        begun_ns = perf_counter_ns()
+        try:
+            actions = self.policy.handle(self.engine.now, events)  # type: ignore[union-attr]
+        except Exception as error:
+            raise PolicyFailedError(f"{type(error).__name__}: {error}") from error
+        self.cpu_ns += perf_counter_ns() - begun_ns
+        return actions
+
+    def receive_endpoints(self, endpoint_list: interface.EndpointList) -> None:
+        """Receives an endpoint list, or a change of it."""
         now = self.engine.now
-        if told.kind in ("full", "remembered"):
-            named = {e.server for e in told.entries}
-            for server in [s for s in self.last if s not in named]:
-                del self.last[server]
-            for server in self.known - named:
-                self.leaving.setdefault(server, now)
-        for e in told.entries:
-            self.last[e.server] = e
-            self.known.add(e.server)
-            if e.state == "ready":
-                self.leaving.pop(e.server, None)
+        if endpoint_list.kind in (EndpointListKind.FULL, EndpointListKind.CACHED):
+            listed = {entry.server for entry in endpoint_list.entries}
+            for server in [server for server in self.endpoints if server not in listed]:
+                del self.endpoints[server]
+            for server in self.known_servers - listed:
+                self.draining_since_us.setdefault(server, now)
+        for entry in endpoint_list.entries:
+            self.endpoints[entry.server] = entry
+            self.known_servers.add(entry.server)
+            if entry.state == EndpointState.READY:
+                self.draining_since_us.pop(entry.server, None)
             else:
-                self.leaving.setdefault(e.server, now)
-        self.post(told)
+                self.draining_since_us.setdefault(entry.server, now)
+        self.post(endpoint_list)
 
-    def by_hand(self, server: str, out: bool) -> None:
-        """An operator's call."""
-        if not self.up:
+    def override_server(self, server: str, is_suspended: bool) -> None:
+        """Handles an operator's call that suspends a server, or ends its suspension."""
+        if not self.is_up:
             return
-        if out:
-            self.out.setdefault(server, self.engine.now)
-        elif self.out.pop(server, None) is None:
-            return  # it knows of no ban: it has been restarted
-        self.post(interface.OperatorOverride(server, out))
-
-    def take(self, f: Flow, request: interface.Request) -> None:
-        """A client's first line has come."""
-        self.flows[f.id] = f
-        self.arrived += 1
-        self.post(request)
-        grace = self.world.answer_grace_us
-        self.engine.at(f.deadline + grace + 1, self.past, f, self.life)
-
-    def conclude(self, f: Flow, how: str) -> None:
-        """Each try is concluded once; a second time is a fault of the emulator."""
-        if f.end:
-            raise AssertionError(f"{f.id}: {how} after {f.end}")
-        f.end = how
-        self.ends[how] = self.ends.get(how, 0) + 1
-
-    def past(self, f: Flow, life: int) -> None:
-        if life == self.life and not f.answered and not f.over:
-            self.world.breach("answered", "no final answer in time", f, "")
-            self.leave(f, "overdue")
-            self.world.overdue(f)
-
-    def leave(self, f: Flow, how: str = "left") -> None:
-        """The client is gone, or given up for gone."""
-        self.conclude(f, how)
-        self.finish(f)
-        for a in f.attempts:
-            if a.out and not a.up:
-                self.world.give_up(a)
-        self.post(interface.ClientDisconnected(f.id))
-
-    def finish(self, f: Flow) -> None:
-        """The request is over for this process. It stays known until its end, and its attempts', were told."""
-        f.over, f.over_told = True, self.turns
-        self.closed.append(f)
+        if is_suspended:
+            self.suspended_since_us.setdefault(server, self.engine.now)
+        elif self.suspended_since_us.pop(server, None) is None:
+            return  # restarted since the suspension, which does not survive a restart
+        self.post(interface.OperatorOverride(server, is_suspended))
+
+    def receive_request(self, request: ClientRequest, event: interface.Request) -> None:
+        """Receives a client's request, and watches that it is answered in time."""
+        self.requests[request.id] = request
+        self.arrived_requests += 1
+        self.post(event)
+        grace_us = self.environment.answer_grace_us
+        self.engine.at(request.deadline_us + grace_us + 1, self._check_answered, request, self.incarnation)
+
+    def record_outcome(self, request: ClientRequest, outcome: RequestOutcome) -> None:
+        """Concludes a request. Raises AssertionError, a fault of the simulation, if it was concluded before."""
+        if request.outcome is not None:
+            raise AssertionError(f"{request.id}: {outcome} after {request.outcome}")
+        request.outcome = outcome
+        self.outcomes[outcome] = self.outcomes.get(outcome, 0) + 1
+
+    def _check_answered(self, request: ClientRequest, incarnation: int) -> None:
+        if incarnation == self.incarnation and not request.is_answered and not request.is_over:
+            self.environment.record_violation("answered", "no final answer in time", request, "")
+            self.receive_disconnect(request, RequestOutcome.OVERDUE)
+            self.environment.report_overdue(request)
+
+    def receive_disconnect(self, request: ClientRequest, outcome: RequestOutcome = RequestOutcome.DISCONNECTED) -> None:
+        """Ends a request whose client has disconnected, and its pending attempts."""
+        self.record_outcome(request, outcome)
+        self._close_request(request)
+        for attempt in request.attempts:
+            if attempt.is_active and not attempt.is_established:
+                self.environment.abandon_attempt(attempt)
+        self.post(interface.ClientDisconnected(request.id))
+
+    def _close_request(self, request: ClientRequest) -> None:
+        request.is_over, request.over_in_batch = True, self.batches
+        self.closed_requests.append(request)
 
     # -- ends of attempts ----------------------------------------------------------------------------
 
-    def started(self, a: Attempt) -> None:
-        f = a.flow
-        f.answered, f.standing, a.up = True, a, True
-        self.conclude(f, "up")
-        self.post(interface.ConnectionEstablished(f.id, a.number, a.instance.name, self.engine.now - a.sent))
-
-    def ended(self, a: Attempt, verdict: str, report: dict[str, float] | None = None) -> None:
-        """The one place where the decisions hear that an attempt is over; each attempt ends once."""
-        if not a.out:
+    def report_established(self, attempt: Attempt) -> None:
+        """Tells the policy that the connection of an attempt is open."""
+        request = attempt.request
+        request.is_answered, request.established, attempt.is_established = True, attempt, True
+        self.record_outcome(request, RequestOutcome.ESTABLISHED)
+        took_us = self.engine.now - attempt.sent_us
+        self.post(interface.ConnectionEstablished(request.id, attempt.number, attempt.instance.name, took_us))
+
+    def report_attempt_ended(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
+        """Tells the policy that an attempt is over; a second call for the attempt has no effect."""
+        if not attempt.is_active:
             return
-        a.out = False
-        f = a.flow
-        if a.up or verdict == "served":
-            f.answered = f.over = True
-        done = f.answered or f.over
+        attempt.is_active = False
+        request = attempt.request
+        if attempt.is_established or outcome == AttemptOutcome.SERVED:
+            request.is_answered = request.is_over = True
+        is_final = request.is_answered or request.is_over
+        took_us = self.engine.now - attempt.sent_us
         self.post(
-            interface.AttemptEnded(
-                f.id, a.number, a.instance.name, verdict, done, self.engine.now - a.sent, report or {}
-            )
+            interface.AttemptEnded(request.id, attempt.number, attempt.instance.name, outcome, is_final, took_us, {})
         )
-        if done:
-            self.finish(f)
+        if is_final:
+            self._close_request(request)
 
     # -- actions -------------------------------------------------------------------------------------
 
-    def flow_of(self, id_: str) -> Flow:
-        found = self.flows.get(id_)
-        if found is None:
-            raise PolicyFailed(f"acts on {id_!r}, which it does not hold")
-        return found
-
-    def on_send(self, x: interface.StartAttempt) -> None:
-        f = self.flows.get(x.id)
-        if f is None or f.over:
-            # An end told in an earlier batch binds, and so does one's own; one just told does not.
-            if f is None or f.mine or f.over_told < self.turns - 1:
-                self.world.breach("answered", "sent after its end", f, x.server)
+    def _on_start_attempt(self, action: interface.StartAttempt) -> None:
+        request = self.requests.get(action.id)
+        if request is None or request.is_over:
+            # An end that the policy has read, or decided itself, binds it; one that it has yet to read does not.
+            if request is None or request.was_ended_by_policy or request.over_in_batch < self.batches - 1:
+                self.environment.record_violation("answered", "sent after its end", request, action.server)
             return
-        instance = self.world.instances.get(x.server)
-        if instance is None or x.server not in self.known:
-            raise PolicyFailed(f"sends to {x.server!r}, which no list has named")
-        a = Attempt(f, len(f.attempts), instance, self.engine.now)
-        if f.answered:
-            self.world.breach("answered", "sent after its final answer", f, x.server)
-        if any(b.out for b in f.attempts):
-            self.world.breach("repeated", "two attempts at once", f, x.server)
-        told = min((at for at in (self.leaving.get(x.server), self.out.get(x.server)) if at is not None), default=None)
-        if told is not None and self.engine.now > told + self.world.drain_grace_us:
-            self.world.breach("drained", f"sent {(self.engine.now - told) / 1e6:.3f} s after it was told", f, x.server)
-        f.attempts.append(a)
-        if f.answered or a.number >= self.world.max_attempts or self.engine.now >= f.deadline:
-            self.ended(a, "unsent")
+        instance = self.environment.instances.get(action.server)
+        if instance is None or action.server not in self.known_servers:
+            raise PolicyFailedError(f"sends to {action.server!r}, which no list has named")
+        self._check_attempt_allowed(request, action.server)
+        attempt = Attempt(request, len(request.attempts), instance, self.engine.now)
+        request.attempts.append(attempt)
+        is_unsendable = (
+            request.is_answered
+            or attempt.number >= self.environment.max_attempts
+            or self.engine.now >= request.deadline_us
+        )
+        if is_unsendable:
+            self.report_attempt_ended(attempt, AttemptOutcome.UNSENT)
         else:
-            self.world.send(a, x.timeout_us)
-
-    def on_cancel(self, x: interface.CancelAttempt) -> None:
-        f = self.flow_of(x.id)
-        if not 0 <= x.attempt < len(f.attempts):
-            raise PolicyFailed(f"cancels attempt {x.attempt} of {x.id!r}, which was never made")
-        a = f.attempts[x.attempt]
-        if a.up and a.out:
-            self.world.breach("cut off", "a standing connection ended without MOVE", f, a.instance.name)
-            self.world.cut(f)
-        elif a.out:
-            self.world.give_up(a)
-            self.ended(a, "cancelled")
-
-    def on_refuse(self, x: interface.Reject) -> None:
-        f = self.flows.get(x.id)
-        if f and not f.answered and not f.over:
-            f.answered = f.mine = True
-            self.finish(f)
-            self.conclude(f, "refused")
-            self.world.refused(f, x.retry_after_us)
-
-    def on_fail(self, x: interface.Fail) -> None:
-        f = self.flows.get(x.id)
-        if f and not f.answered and not f.over:
-            f.answered = f.mine = True
-            self.finish(f)
-            self.conclude(f, "failed")
-            self.world.failed(f)
-
-    def on_move(self, x: interface.Migrate) -> None:
-        f = self.flows.get(x.id)
-        if f and f.standing and f.standing.out:
-            self.world.moved(f)
-
-    def on_timer(self, x: interface.SetTimer) -> None:
-        # Never in the batch that is being answered.
-        self.engine.at(max(x.at_us, self.engine.now + 1), self.timer, self.life, x.ref)
-
-    def on_probe(self, x: interface.SendHealthCheck) -> None:
-        if x.server not in self.known:
-            raise PolicyFailed(f"probes {x.server!r}, which no list has named")
-        self.world.probe(self, x.server)
-
-    def on_tell(self, x: interface.SendGossip) -> None:
-        if len(x.data) > 256:
-            raise PolicyFailed(f"tells {len(x.data)} bytes; 256 at most")
-        self.world.tell(self, x.data)
-
-    def on_watch(self, x: interface.WatchEndpoints) -> None:
-        self.world.watch(self)
-
-
-ACTIONS: dict[type, Callable[[Host, Any], None]] = {
-    interface.StartAttempt: Host.on_send,
-    interface.CancelAttempt: Host.on_cancel,
-    interface.Reject: Host.on_refuse,
-    interface.Fail: Host.on_fail,
-    interface.Migrate: Host.on_move,
-    interface.SetTimer: Host.on_timer,
-    interface.SendHealthCheck: Host.on_probe,
-    interface.SendGossip: Host.on_tell,
-    interface.WatchEndpoints: Host.on_watch,
+            self.environment.start_attempt(attempt, action.timeout_us)
+
+    def _check_attempt_allowed(self, request: ClientRequest, server: str) -> None:
+        if request.is_answered:
+            self.environment.record_violation("answered", "sent after its final answer", request, server)
+        if any(attempt.is_active for attempt in request.attempts):
+            self.environment.record_violation("repeated", "two attempts at once", request, server)
+        times_us = (self.draining_since_us.get(server), self.suspended_since_us.get(server))
+        told_us = min((at_us for at_us in times_us if at_us is not None), default=None)
+        if told_us is not None and self.engine.now > told_us + self.environment.drain_grace_us:
+            late_s = (self.engine.now - told_us) / 1e6
+            self.environment.record_violation("drained", f"sent {late_s:.3f} s after it was told", request, server)
+
+    def _on_cancel_attempt(self, action: interface.CancelAttempt) -> None:
+        request = self.requests.get(action.id)
+        if request is None:
+            raise PolicyFailedError(f"acts on {action.id!r}, which it does not hold")
+        if not 0 <= action.attempt < len(request.attempts):
+            raise PolicyFailedError(f"cancels attempt {action.attempt} of {action.id!r}, which was never made")
+        attempt = request.attempts[action.attempt]
+        if attempt.is_established and attempt.is_active:
+            text = "a standing connection ended without MOVE"
+            self.environment.record_violation("cut off", text, request, attempt.instance.name)
+            self.environment.cut_off(request)
+        elif attempt.is_active:
+            self.environment.abandon_attempt(attempt)
+            self.report_attempt_ended(attempt, AttemptOutcome.CANCELLED)
+
+    def _answer(self, id_: str, outcome: RequestOutcome) -> ClientRequest | None:
+        """Concludes a request with the policy's answer. Returns None if it needs no answer any more."""
+        request = self.requests.get(id_)
+        if request is None or request.is_answered or request.is_over:
+            return None
+        request.is_answered = request.was_ended_by_policy = True
+        self._close_request(request)
+        self.record_outcome(request, outcome)
+        return request
+
+    def _on_reject(self, action: interface.Reject) -> None:
+        if request := self._answer(action.id, RequestOutcome.REJECTED):
+            self.environment.deliver_rejection(request, action.retry_after_us)
+
+    def _on_fail(self, action: interface.Fail) -> None:
+        if request := self._answer(action.id, RequestOutcome.FAILED):
+            self.environment.deliver_failure(request)
+
+    def _on_migrate(self, action: interface.Migrate) -> None:
+        request = self.requests.get(action.id)
+        if request and request.open_attempt():
+            self.environment.migrate(request)
+
+    def _on_set_timer(self, action: interface.SetTimer) -> None:
+        # At least 1 us ahead, so that a timer never fires in the batch that sets it.
+        due_us = max(action.at_us, self.engine.now + 1)
+        self.engine.at(due_us, self._fire_timer, self.incarnation, action.ref)
+
+    def _on_send_health_check(self, action: interface.SendHealthCheck) -> None:
+        if action.server not in self.known_servers:
+            raise PolicyFailedError(f"probes {action.server!r}, which no list has named")
+        self.environment.send_health_check(self, action.server)
+
+    def _on_send_gossip(self, action: interface.SendGossip) -> None:
+        if len(action.data) > MAX_GOSSIP_BYTES:
+            raise PolicyFailedError(f"tells {len(action.data)} bytes; {MAX_GOSSIP_BYTES} at most")
+        self.environment.send_gossip(self, action.data)
+
+    def _on_watch_endpoints(self, action: interface.WatchEndpoints) -> None:
+        self.environment.watch_endpoints(self)
+
+
+ACTIONS: dict[type, Callable[[BalancerProcess, Any], None]] = {
+    interface.StartAttempt: BalancerProcess._on_start_attempt,
+    interface.CancelAttempt: BalancerProcess._on_cancel_attempt,
+    interface.Reject: BalancerProcess._on_reject,
+    interface.Fail: BalancerProcess._on_fail,
+    interface.Migrate: BalancerProcess._on_migrate,
+    interface.SetTimer: BalancerProcess._on_set_timer,
+    interface.SendHealthCheck: BalancerProcess._on_send_health_check,
+    interface.SendGossip: BalancerProcess._on_send_gossip,
+    interface.WatchEndpoints: BalancerProcess._on_watch_endpoints,
 }
--- a/glenrock/simulation/model/client.py
+++ b/glenrock/simulation/model/client.py
@@ -1,43 +1,52 @@
-"""A client: what it wants is in the plan; here is how it tries, waits, comes again and gives up."""
+"""The behaviour of clients between their requests: retries, reconnects and impatience."""
 
 from __future__ import annotations
 
-from collections.abc import Callable
-
-from ..spec import Clients as Spec
+from ..spec import Clients as ClientsSpec
+from ..spec_types import drawn_count, drawn_number
 from ..streams import Streams
 from .requests import Client
 
 
 class Habits:
-    """The times that clients take, drawn from a stream of their own."""
+    """Draws the delays of clients, in microseconds.
+
+    Attributes:
+        honour: part of the clients that wait as long as a rejection says.
+        impatient: part of the requests that are given up early.
+    """
 
-    def __init__(self, spec: Spec, streams: Streams) -> None:
+    def __init__(self, spec: ClientsSpec, streams: Streams) -> None:
         self.spec = spec
-        self.draw, self.wait = streams.uniforms("habits"), streams.exponentials("habit waits")
-        self.backoff, self.pause = float(spec.backoff_ms) * 1000, float(spec.pause_ms) * 1000
-        self.rejoin, self.move = float(spec.rejoin_ms) * 1000, float(spec.move_ms) * 1000
-        self.honour, self.impatient = float(spec.honour), float(spec.impatient)
-        self.quick: Callable[[int], bool] = lambda failures: failures <= int(spec.retries)
+        self.draw, self.draw_exponential = streams.uniforms("habits"), streams.exponentials("habit waits")
+        self.backoff_us = drawn_number(spec.backoff_ms) * 1000
+        self.pause_us = drawn_number(spec.pause_ms) * 1000
+        self.rejoin_us = drawn_number(spec.rejoin_ms) * 1000
+        self.move_us = drawn_number(spec.move_ms) * 1000
+        self.honour, self.impatient = drawn_number(spec.honour), drawn_number(spec.impatient)
+        self.fast_retries = drawn_count(spec.retries)
 
     def after_failure(self, client: Client) -> int:
-        """How long until it tries again by itself."""
-        if self.quick(client.failures):
-            times = {"double": 2.0 ** (client.failures - 1), "fixed": 1.0, "none": 0.0}[self.spec.backoff]
-            return round(self.backoff * times * (0.5 + self.draw()))
-        return round(self.pause * (0.5 + self.draw()))
-
-    def after_refusal(self, client: Client, told_us: int) -> int:
-        if told_us > 0 and self.draw() < self.honour:
-            return told_us
+        """Draws the delay until a client retries after a failure: a backoff first, later a longer pause."""
+        if client.failures <= self.fast_retries:
+            factor = {"double": 2.0 ** (client.failures - 1), "fixed": 1.0, "none": 0.0}[self.spec.backoff]
+            return round(self.backoff_us * factor * (0.5 + self.draw()))
+        return round(self.pause_us * (0.5 + self.draw()))
+
+    def after_refusal(self, client: Client, retry_after_us: int) -> int:
+        """Draws the delay until a client retries after a rejection that asked for `retry_after_us`."""
+        if retry_after_us > 0 and self.draw() < self.honour:
+            return retry_after_us
         return self.after_failure(client)
 
     def after_break(self) -> int:
-        return round(self.rejoin * self.wait())
+        """Draws the delay until a client reconnects after its connection broke."""
+        return round(self.rejoin_us * self.draw_exponential())
 
     def after_move(self) -> int:
-        return round(self.move * (0.5 + self.draw()))
+        """Draws the delay until a client reconnects after a migration notice."""
+        return round(self.move_us * (0.5 + self.draw()))
 
-    def leaves_after(self, give_up_us: int) -> int | None:
-        """When it leaves this try early; None for the patient."""
-        return round(give_up_us * self.draw()) if self.draw() < self.impatient else None
+    def gives_up_after(self, timeout_us: int) -> int | None:
+        """Draws when an impatient client gives a request up; None if the client is patient."""
+        return round(timeout_us * self.draw()) if self.draw() < self.impatient else None
--- a/glenrock/simulation/model/feed.py
+++ b/glenrock/simulation/model/feed.py
@@ -1,4 +1,4 @@
-"""The name-table feed: what balancers are told of instances, late, and not at all while it is silent."""
+"""Service discovery: the endpoint list and its watch events, which reach each balancer late or after a silence."""
 
 from __future__ import annotations
 
@@ -6,108 +6,137 @@
 from dataclasses import replace
 
 from glenrock.routing import interface
+from glenrock.routing.interface import EndpointListKind, EndpointState
 
-from ..engine import Engine
+from ..engine import SECOND_US, Engine
 from ..spec import Discovery
+from ..spec_types import drawn_number
 from ..streams import Streams
-from .balancer import Host
+from .balancer import BalancerProcess
 
-KEPT_US = 120_000_000  # old lists are kept so long, for balancers that are given one
 
+class EndpointFeed:
+    """Publishes whether each instance is ready, draining or gone.
 
-class Feed:
-    """Knows only whether a process runs, drains or is gone. Each balancer hears of it at a time of its own."""
+    Attributes:
+        endpoints: the list as it is published.
+        silent_until_us: end of a silence, in which nothing is published.
+        cached_list_age_us: age of the list that a starting balancer is given; 0: its own last list.
+        changes_reported: by server, number of changes reported by its process.
+        changes_published: by server, number of the latest change that was published.
+        history: published changes and their times, for old lists.
+        watchers: balancers that watch, where they must ask for it.
+    """
 
-    def __init__(self, spec: Discovery, hosts: list[Host], engine: Engine, streams: Streams) -> None:
-        self.spec, self.hosts, self.engine = spec, hosts, engine
-        self.spread = round(float(spec.spread_ms) * 1000)
+    def __init__(self, spec: Discovery, balancers: list[BalancerProcess], engine: Engine, streams: Streams) -> None:
+        self.spec, self.balancers, self.engine = spec, balancers, engine
+        self.spread_us = round(drawn_number(spec.spread_ms) * 1000)
         self.draw = streams.uniforms("feed")
-        self.rows: dict[str, interface.Endpoint] = {}
-        self.silent_until = 0
-        self.age_us = 0  # balancers that start are given a list so old
-        self.told: dict[str, int] = {}  # changes of each process, and the last of them that was published
-        self.published: dict[str, int] = {}
-        self.changes: list[tuple[int, interface.Endpoint]] = []  # as published, for old lists
-        self.first: dict[str, interface.Endpoint] = {}
-        self.listening: set[int] = set()  # balancers that have asked, where they must
-
-    def begin(self, rows: list[interface.Endpoint]) -> None:
-        self.rows = {r.server: r for r in rows}
-        self.first = dict(self.rows)
-
-    def tell(self, after_s: float, server: str, state: str, started_us: int | None = None) -> None:
-        """A process has changed; the list says so after that time."""
-        due = self.engine.now + round(after_s * 1e6)
-        self.told[server] = number = self.told.get(server, 0) + 1
-        self.engine.at(due, self.publish, server, state, started_us, number)
-
-    def publish(self, server: str, state: str, started_us: int | None, number: int) -> None:
+        self.endpoints: dict[str, interface.Endpoint] = {}
+        self.silent_until_us = 0
+        self.cached_list_age_us = 0
+        self.changes_reported: dict[str, int] = {}
+        self.changes_published: dict[str, int] = {}
+        self.history: list[tuple[int, interface.Endpoint]] = []
+        self.initial_endpoints: dict[str, interface.Endpoint] = {}
+        self.watchers: set[int] = set()
+
+    def start(self, endpoints: list[interface.Endpoint]) -> None:
+        """Sets the list as of the start of the run."""
+        self.endpoints = {endpoint.server: endpoint for endpoint in endpoints}
+        self.initial_endpoints = dict(self.endpoints)
+
+    def report_change(self, delay_s: float, server: str, state: EndpointState, started_us: int | None = None) -> None:
+        """Reports a change of a process, published after `delay_s` seconds.
+
+        Args:
+            delay_s: seconds until the change is published.
+            server: the process.
+            state: its state from now on.
+            started_us: when the process started, if it is a new one.
+        """
+        due_us = self.engine.now + round(delay_s * SECOND_US)
+        self.changes_reported[server] = number = self.changes_reported.get(server, 0) + 1
+        self.engine.at(due_us, self._publish, server, state, started_us, number)
+
+    def _publish(self, server: str, state: EndpointState, started_us: int | None, number: int) -> None:
         now = self.engine.now
-        if now < self.silent_until:
-            self.engine.at(self.silent_until, self.publish, server, state, started_us, number)
+        if now < self.silent_until_us:
+            self.engine.at(self.silent_until_us, self._publish, server, state, started_us, number)
             return
-        # An end is noticed later than a start is: told after it, it would leave one out that runs.
-        if number < self.published.get(server, 0):
+        # The end of a process is noticed later than a start: published after the start of the next process, it would
+        # report a running server as gone.
+        if number < self.changes_published.get(server, 0):
             return
-        self.published[server] = number
-        old = self.rows[server]
-        row = replace(old, state=state, started_us=old.started_us if started_us is None else started_us)
-        if row == old:
+        self.changes_published[server] = number
+        before = self.endpoints[server]
+        endpoint = replace(before, state=state, started_us=before.started_us if started_us is None else started_us)
+        if endpoint == before:
             return
-        self.rows[server] = row
-        self.changes.append((now, row))
-        for host in self.hosts:
-            if host.up and (self.spec.mode == "push" or host.index in self.listening):
-                self.deliver(host, interface.EndpointList("changes", (row,)))
-
-    def deliver(self, host: Host, told: interface.EndpointList) -> None:
-        """In order, each a little later than it was published."""
-        due = max(self.engine.now + round(self.draw() * self.spread), host.told_at)
-        host.told_at = due
-        self.engine.at(due, self.arrive, host, host.life, told)
-
-    def arrive(self, host: Host, life: int, told: interface.EndpointList) -> None:
-        if host.life == life and host.up:
-            host.listed(told)
-
-    def whole(self) -> interface.EndpointList:
-        return interface.EndpointList("full", tuple(r for r in self.rows.values() if r.state != "gone"))
-
-    def at_start(self, host: Host) -> interface.EndpointList:
-        """What a balancer that starts holds: its last list, or an older one where a fault says so."""
-        if self.age_us:
-            then = self.engine.now - self.age_us
-            rows = dict(self.first)
-            for at, row in self.changes:
-                if at <= then:
-                    rows[row.server] = row
-            return interface.EndpointList("remembered", tuple(r for r in rows.values() if r.state != "gone"))
-        return interface.EndpointList("remembered", tuple(r for r in host.last.values() if r.state != "gone"))
-
-    def joined(self, host: Host) -> None:
-        """It has started: where lists are pushed it gets the whole one."""
-        self.listening.discard(host.index)
+        self.endpoints[server] = endpoint
+        self.history.append((now, endpoint))
+        for balancer in self.balancers:
+            if balancer.is_up and (self.spec.mode == "push" or balancer.index in self.watchers):
+                self._deliver(balancer, interface.EndpointList(EndpointListKind.CHANGES, (endpoint,)))
+
+    def _deliver(self, balancer: BalancerProcess, endpoint_list: interface.EndpointList) -> None:
+        """Delivers a list after a drawn delay, in order."""
+        due_us = max(self.engine.now + round(self.draw() * self.spread_us), balancer.last_delivery_us)
+        balancer.last_delivery_us = due_us
+        self.engine.at(due_us, self._arrive, balancer, balancer.incarnation, endpoint_list)
+
+    def _arrive(self, balancer: BalancerProcess, incarnation: int, endpoint_list: interface.EndpointList) -> None:
+        if balancer.incarnation == incarnation and balancer.is_up:
+            balancer.receive_endpoints(endpoint_list)
+
+    def _full_list(self) -> interface.EndpointList:
+        return interface.EndpointList(EndpointListKind.FULL, _present(self.endpoints))
+
+    def cached_list(self, balancer: BalancerProcess) -> interface.EndpointList:
+        """Returns the cached list of a balancer that starts: its last one, or an older one during a fault."""
+        if not self.cached_list_age_us:
+            return interface.EndpointList(EndpointListKind.CACHED, _present(balancer.endpoints))
+        as_of_us = self.engine.now - self.cached_list_age_us
+        endpoints = dict(self.initial_endpoints)
+        for at_us, endpoint in self.history:
+            if at_us <= as_of_us:
+                endpoints[endpoint.server] = endpoint
+        return interface.EndpointList(EndpointListKind.CACHED, _present(endpoints))
+
+    def balancer_started(self, balancer: BalancerProcess) -> None:
+        """Sends the whole list to a balancer that has started, where lists are pushed."""
+        self.watchers.discard(balancer.index)
         if self.spec.mode == "push":
-            self.once_heard(lambda: self.deliver(host, self.whole()), host)
+            self._after_silence(lambda: self._deliver(balancer, self._full_list()), balancer)
 
-    def once_heard(self, call: Callable[[], None], host: Host) -> None:
-        if self.engine.now >= self.silent_until:
+    def _after_silence(self, call: Callable[[], None], balancer: BalancerProcess) -> None:
+        if self.engine.now >= self.silent_until_us:
             call()
-        else:
-            life = host.life
-            self.engine.at(self.silent_until, lambda: call() if host.life == life and host.up else None)
+            return
+        incarnation = balancer.incarnation
+
+        def call_if_up() -> None:
+            if balancer.incarnation == incarnation and balancer.is_up:
+                call()
 
-    def asked(self, host: Host) -> None:
-        """A `Watch`. It takes its time, and may fail."""
-        fails = self.engine.now < self.silent_until or self.draw() < float(self.spec.ask_failures)
-        due = self.engine.now + round(float(self.spec.ask_ms) * 1000)
-        self.engine.at(due, self.answer, host, host.life, fails)
+        self.engine.at(self.silent_until_us, call_if_up)
 
-    def answer(self, host: Host, life: int, fails: bool) -> None:
-        if host.life != life or not host.up:
+    def watch(self, balancer: BalancerProcess) -> None:
+        """Handles a balancer's call to watch the list, which may fail."""
+        is_silent = self.engine.now < self.silent_until_us
+        has_failed = is_silent or self.draw() < drawn_number(self.spec.ask_failures)
+        due_us = self.engine.now + round(drawn_number(self.spec.ask_ms) * 1000)
+        self.engine.at(due_us, self._answer_watch, balancer, balancer.incarnation, has_failed)
+
+    def _answer_watch(self, balancer: BalancerProcess, incarnation: int, has_failed: bool) -> None:
+        if balancer.incarnation != incarnation or not balancer.is_up:
             return
-        if fails:
-            host.listed(interface.EndpointList("failed"))
+        if has_failed:
+            balancer.receive_endpoints(interface.EndpointList(EndpointListKind.FAILED))
         else:
-            self.listening.add(host.index)
-            self.deliver(host, self.whole())
+            self.watchers.add(balancer.index)
+            self._deliver(balancer, self._full_list())
+
+
+def _present(endpoints: dict[str, interface.Endpoint]) -> tuple[interface.Endpoint, ...]:
+    return tuple(endpoint for endpoint in endpoints.values() if endpoint.state != EndpointState.GONE)
--- a/glenrock/simulation/model/front.py
+++ b/glenrock/simulation/model/front.py
@@ -1,42 +1,58 @@
-"""The front: spreads clients evenly over the balancers of their zone, and finds a dead one late."""
+"""The front: spreads clients evenly over the balancers of their zone, and notices late that a balancer has ended."""
 
 from __future__ import annotations
 
-from ..engine import Engine
-from ..spec import Front as Spec
+from ..engine import SECOND_US, Engine
+from ..spec import Front as FrontSpec
+from ..spec_types import drawn_number
 from ..streams import Streams
-from .balancer import Host
+from .balancer import BalancerProcess
 
 
 class Front:
-    def __init__(self, spec: Spec, hosts: list[Host], zones: int, engine: Engine, streams: Streams) -> None:
-        self.notice, self.admit = round(float(spec.notice_s) * 1e6), round(float(spec.admit_s) * 1e6)
+    """The load balancer before the balancers.
+
+    Attributes:
+        notice_us: time until a balancer that has ended gets no more clients.
+        admit_us: time until a balancer that has started gets clients.
+        in_rotation: by zone, the balancers that get clients, by index.
+    """
+
+    def __init__(
+        self, spec: FrontSpec, balancers: list[BalancerProcess], zones: int, engine: Engine, streams: Streams
+    ) -> None:
+        self.notice_us = round(drawn_number(spec.notice_s) * SECOND_US)
+        self.admit_us = round(drawn_number(spec.admit_s) * SECOND_US)
         self.engine, self.draw = engine, streams.uniforms("front")
-        self.all = hosts
-        self.known: list[list[Host]] = [[h for h in hosts if h.zone == z] for z in range(zones)]
-
-    def pick(self, zone: int) -> Host | None:
-        """A balancer that the front takes to be alive; of another zone where it knows none; or None."""
-        there = self.known[zone] or [h for hosts in self.known for h in hosts]
-        return there[int(self.draw() * len(there))] if there else None
-
-    def stopped(self, host: Host) -> None:
-        """Its process has ended just now."""
-        self.engine.at(self.engine.now + self.notice, self.drop, host, host.life)
-
-    def drop(self, host: Host, life: int) -> None:
-        if host.life == life and not host.up:
-            self.leave(host)
-
-    def leave(self, host: Host) -> None:
-        """It has said that it takes no clients, or is found to be dead."""
-        if host in self.known[host.zone]:
-            self.known[host.zone].remove(host)
-
-    def started(self, host: Host) -> None:
-        self.engine.at(self.engine.now + self.admit, self.take, host, host.life)
-
-    def take(self, host: Host, life: int) -> None:
-        if host.life == life and host.up and host not in self.known[host.zone]:
-            self.known[host.zone].append(host)
-            self.known[host.zone].sort(key=lambda h: h.index)
+        self.in_rotation: list[list[BalancerProcess]] = [
+            [balancer for balancer in balancers if balancer.zone == zone] for zone in range(zones)
+        ]
+
+    def pick(self, zone: int) -> BalancerProcess | None:
+        """Returns a balancer of the zone, of any zone if it has none, or None if there is none at all."""
+        candidates = self.in_rotation[zone] or [balancer for balancers in self.in_rotation for balancer in balancers]
+        return candidates[int(self.draw() * len(candidates))] if candidates else None
+
+    def balancer_ended(self, balancer: BalancerProcess) -> None:
+        """Takes a balancer whose process has ended out of rotation, after the time to notice it."""
+        self.engine.at(self.engine.now + self.notice_us, self._remove_if_down, balancer, balancer.incarnation)
+
+    def _remove_if_down(self, balancer: BalancerProcess, incarnation: int) -> None:
+        if balancer.incarnation == incarnation and not balancer.is_up:
+            self.remove(balancer)
+
+    def remove(self, balancer: BalancerProcess) -> None:
+        """Takes a balancer out of rotation."""
+        if balancer in self.in_rotation[balancer.zone]:
+            self.in_rotation[balancer.zone].remove(balancer)
+
+    def balancer_started(self, balancer: BalancerProcess) -> None:
+        """Puts a balancer that has started into rotation, after the time to admit it."""
+        self.engine.at(self.engine.now + self.admit_us, self.add, balancer, balancer.incarnation)
+
+    def add(self, balancer: BalancerProcess, incarnation: int) -> None:
+        """Puts a balancer into rotation, unless that incarnation has ended."""
+        in_rotation = self.in_rotation[balancer.zone]
+        if balancer.incarnation == incarnation and balancer.is_up and balancer not in in_rotation:
+            in_rotation.append(balancer)
+            in_rotation.sort(key=lambda other: other.index)
--- a/glenrock/simulation/model/links.py
+++ b/glenrock/simulation/model/links.py
@@ -1,38 +1,50 @@
-"""Links between zones: how long a message takes, and whether it arrives at all."""
+"""Links between zones: how long a message takes, and whether it arrives."""
 
 from __future__ import annotations
 
 from ..spec import Network
+from ..spec_types import drawn_number
 from ..streams import Streams
 
 
 class Links:
-    """`network` is drawn. A cut zone reaches itself, and no other."""
+    """The links of a fleet. A partitioned zone reaches itself and no other.
+
+    Attributes:
+        peer_delivery_fraction: part of the messages between balancers that a fault lets through.
+        partitioned_zones: zones whose links to the others carry nothing.
+    """
 
     def __init__(self, network: Network, streams: Streams) -> None:
-        self.same, self.cross = float(network.same_ms) * 1000, float(network.cross_ms) * 1000
-        self.outside, self.jitter = float(network.client_ms) * 1000, float(network.jitter)
-        self.peer, self.loss = float(network.peer_ms) * 1000, float(network.peer_loss)
-        self.more = 1.0  # part of the peer messages lost, beside the usual: a fault's
-        self.cut: set[int] = set()
-        self.chance = streams.exponentials("links")
-        self.losing = streams.uniforms("peer loss")
-
-    def open(self, a: int, b: int) -> bool:
-        return a == b or not self.cut or (a not in self.cut and b not in self.cut)
-
-    def way(self, a: int, b: int) -> int:
-        """Microseconds one way between those zones, at least 1."""
-        return self.after(self.same if a == b else self.cross)
-
-    def to_client(self) -> int:
-        return self.after(self.outside)
-
-    def after(self, mean: float) -> int:
-        return max(1, round(mean * (1 + self.jitter * self.chance())))
-
-    def to_peer(self, a: int, b: int) -> int | None:
-        """The same for a message between balancers; None if it is lost."""
-        if not self.open(a, b) or self.losing() >= (1 - self.loss) * self.more:
+        self.same_zone_us = drawn_number(network.same_ms) * 1000
+        self.cross_zone_us = drawn_number(network.cross_ms) * 1000
+        self.client_us, self.jitter = drawn_number(network.client_ms) * 1000, drawn_number(network.jitter)
+        self.peer_us, self.peer_loss = drawn_number(network.peer_ms) * 1000, drawn_number(network.peer_loss)
+        self.peer_delivery_fraction = 1.0
+        self.partitioned_zones: set[int] = set()
+        self.draw_exponential = streams.exponentials("links")
+        self.draw_loss = streams.uniforms("peer loss")
+
+    def is_open(self, zone: int, other_zone: int) -> bool:
+        """Returns whether messages pass between two zones."""
+        partitioned = self.partitioned_zones
+        return zone == other_zone or not partitioned or (zone not in partitioned and other_zone not in partitioned)
+
+    def one_way_us(self, zone: int, other_zone: int) -> int:
+        """Draws the time of a message between two zones, in microseconds, at least 1."""
+        return self._jittered(self.same_zone_us if zone == other_zone else self.cross_zone_us)
+
+    def client_one_way_us(self) -> int:
+        """Draws the time of a message between a client and a balancer, in microseconds, at least 1."""
+        return self._jittered(self.client_us)
+
+    def _jittered(self, mean_us: float) -> int:
+        return max(1, round(mean_us * (1 + self.jitter * self.draw_exponential())))
+
+    def peer_one_way_us(self, zone: int, other_zone: int) -> int | None:
+        """Draws the time of a message between two balancers, in microseconds; None if the message is lost."""
+        if not self.is_open(zone, other_zone):
+            return None
+        if self.draw_loss() >= (1 - self.peer_loss) * self.peer_delivery_fraction:
             return None
-        return self.way(a, b) + round(self.peer * self.chance())
+        return self.one_way_us(zone, other_zone) + round(self.peer_us * self.draw_exponential())
--- a/glenrock/simulation/model/requests.py
+++ b/glenrock/simulation/model/requests.py
@@ -1,8 +1,9 @@
-"""What clients, balancers and instances pass between them: a client, its tries and their attempts."""
+"""What clients, balancers and instances share: a client, its requests, and their attempts at instances."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
+from enum import StrEnum
 from typing import Protocol
 
 from glenrock.routing import interface
@@ -11,64 +12,111 @@
 from .plan import Row
 
 
-class BalancerProcess(Protocol):
-    """What the owner of a try sees of the balancer's process that serves it."""
+class RequestOutcome(StrEnum):
+    """How a request was concluded; each request is concluded once."""
+
+    ESTABLISHED = "up"
+    REJECTED = "refused"
+    FAILED = "failed"
+    OVERDUE = "overdue"
+    """No final answer in time: a violation by the balancer."""
+    DISCONNECTED = "left"
+    """The client disconnected before its answer."""
+    KILLED = "killed"
+    """The balancer's process ended before its answer."""
+
+    __hash__ = str.__hash__
+
+
+class RequestOwner(Protocol):
+    """The balancer's process, as the parts of a simulation that hold one of its requests use it."""
 
     index: int
     zone: int
-    life: int
-    last: dict[str, interface.Endpoint]
+    incarnation: int
+    is_up: bool
+    endpoints: dict[str, interface.Endpoint]
 
     def post(self, event: interface.Event) -> None:
-        """Queues an event for the decisions."""
+        """Queues an event for the policy."""
 
-    def started(self, a: Attempt) -> None:
-        """Records that the connection of an attempt is open."""
+    def report_established(self, attempt: Attempt) -> None:
+        """Tells the policy that the connection of an attempt is open."""
 
-    def ended(self, a: Attempt, verdict: str) -> None:
-        """Records the end of an attempt."""
+    def report_attempt_ended(self, attempt: Attempt, outcome: interface.AttemptOutcome) -> None:
+        """Tells the policy that an attempt is over."""
 
-    def leave(self, f: Flow) -> None:
-        """Records that the client of a try has disconnected."""
+    def receive_disconnect(self, request: ClientRequest) -> None:
+        """Ends a request whose client has disconnected."""
 
 
 @dataclass(slots=True, eq=False)
 class Client:
+    """A client of the workload, over all of its requests.
+
+    Attributes:
+        row: what the client wants.
+        request_count: requests made so far; the number of a request is part of its identifier.
+        failures: requests that failed since the last established connection.
+        waiting_since_us: since when the client has no connection, or -1.
+        request: the request that is pending or established.
+        has_connected: whether it had a connection before; a request is then a reconnect.
+        next_change: index of the next change of load in the row.
+    """
+
     row: Row
-    tries: int = 0  # all of them: names each one
-    failures: int = 0  # in a row, since it last stood
-    since: int = -1  # it has waited to be set up since then
-    flow: Flow | None = None  # the try that is out, or the one that stands
+    request_count: int = 0
+    failures: int = 0
+    waiting_since_us: int = -1
+    request: ClientRequest | None = None
     connection: Connection[Attempt] | None = None
-    again: bool = False  # it has stood before
-    done: bool = False
-    change: int = 0  # of its changes of load, the next
+    has_connected: bool = False
+    is_done: bool = False
+    next_change: int = 0
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    flow: Flow
+    """An attempt of a balancer to set up a connection at an instance.
+
+    Attributes:
+        is_active: whether the policy has not been told of the attempt's end.
+        is_established: whether the connection was set up; it stays true after its end.
+    """
+
+    request: ClientRequest
     number: int
     instance: Instance[Attempt]
-    sent: int
-    out: bool = True  # the decisions have not been told of its end
-    up: bool = False
+    sent_us: int
+    is_active: bool = True
+    is_established: bool = False
     connection: Connection[Attempt] | None = None
 
 
 @dataclass(slots=True, eq=False)
-class Flow:
-    """One try of a client at one balancer, from its first line to the end of its connection."""
+class ClientRequest:
+    """A client's request at one balancer, from its arrival to the end of its connection.
+
+    Attributes:
+        established: the attempt whose connection was set up.
+        was_ended_by_policy: whether the policy itself answered with a rejection or a failure.
+        outcome: None until the request is concluded.
+        over_in_batch: number of batches handled when the end was posted; the policy reads it in the next one.
+    """
 
     id: str
     client: Client
-    host: BalancerProcess
-    arrived: int
-    deadline: int
+    balancer: RequestOwner
+    arrived_us: int
+    deadline_us: int
     attempts: list[Attempt] = field(default_factory=list)
-    answered: bool = False
-    standing: Attempt | None = None
-    over: bool = False
-    mine: bool = False  # ended by the decisions themselves
-    end: str = ""  # how the try was concluded: up, refused, failed, overdue, left or killed; once
-    over_told: int = 0  # turns taken when its end was posted: it is told in the next one
+    is_answered: bool = False
+    established: Attempt | None = None
+    is_over: bool = False
+    was_ended_by_policy: bool = False
+    outcome: RequestOutcome | None = None
+    over_in_batch: int = 0
+
+    def open_attempt(self) -> Attempt | None:
+        """Returns the attempt whose connection is open now, if there is one."""
+        return self.established if self.established and self.established.is_active else None
--- a/glenrock/simulation/policies/__init__.py
+++ b/glenrock/simulation/policies/__init__.py
@@ -9,10 +9,10 @@
 
 from glenrock.routing import interface
 
-from ..model.balancer import Decisions
+from ..model.balancer import Policy
 from . import choices, module, oracle, prequal
 
-Maker = Callable[[interface.Settings, int], Decisions]
+Maker = Callable[[interface.Settings, int], Policy]
 
 POLICIES: dict[str, tuple[Maker, str]] = {
     "glenrock": (module.Balancer, "the decision module as it serves"),
--- a/glenrock/simulation/policies/choices.py
+++ b/glenrock/simulation/policies/choices.py
@@ -1,85 +1,106 @@
-"""The textbook's choices of a server, each a few lines over what they share."""
+"""The selections of the textbook, each on the common base."""
 
 from __future__ import annotations
 
 from glenrock.routing import interface
 
-from .simple import Asked, Known, Simple
+from .simple import KnownServer, PendingRequest, SimplePolicy
 
-PROBES_A_ROUND = 4  # of the reporting ones: each half second, the longest unheard
-FRESH_US = 5_000_000
-IDLE = 0.2  # load below which a server counts as idle where it reports one
+HEALTH_CHECKS_PER_ROUND = 4
+FRESH_REPORT_US = 5_000_000
+IDLE_LOAD = 0.2  # a server that reports less counts as idle
+ASSUMED_LOAD = 0.5  # of a server without a report
+MIN_FREE_CAPACITY = 0.02
 
 
-class Random(Simple):
-    def pick(self, f: Asked, among: list[Known]) -> Known:
-        return self.some(among)
+class Random(SimplePolicy):
+    """Draws any ready server, evenly."""
 
+    def pick(self, request: PendingRequest, candidates: list[KnownServer]) -> KnownServer:
+        """Draws one of the candidates."""
+        return self.draw_server(candidates)
+
+
+class RoundRobin(SimplePolicy):
+    """Selects the servers in turn, from a drawn start."""
 
-class RoundRobin(Simple):
     def __init__(self, settings: interface.Settings, seed: int) -> None:
         super().__init__(settings, seed)
-        self.turn = self.rng.randrange(1 << 30)
+        self.selections = self.random.randrange(1 << 30)
 
-    def pick(self, f: Asked, among: list[Known]) -> Known:
-        self.turn += 1
-        return among[self.turn % len(among)]
+    def pick(self, request: PendingRequest, candidates: list[KnownServer]) -> KnownServer:
+        """Selects the next candidate."""
+        self.selections += 1
+        return candidates[self.selections % len(candidates)]
 
 
-class Least(Simple):
-    def pick(self, f: Asked, among: list[Known]) -> Known:
-        fewest = min(s.mine for s in among)
-        return self.some([s for s in among if s.mine == fewest])
+class Least(SimplePolicy):
+    """Selects a server with the fewest connections of this balancer."""
 
+    def pick(self, request: PendingRequest, candidates: list[KnownServer]) -> KnownServer:
+        """Draws one of the candidates with the fewest connections."""
+        fewest = min(server.active for server in candidates)
+        return self.draw_server([server for server in candidates if server.active == fewest])
 
-class TwoChoices(Simple):
+
+class TwoChoices(SimplePolicy):
     """Mitzenmacher, The Power of Two Choices in Randomized Load Balancing, 2001."""
 
-    def pick(self, f: Asked, among: list[Known]) -> Known:
-        a, b = self.some(among), self.some(among)
-        return b if b.mine < a.mine else a
+    def pick(self, request: PendingRequest, candidates: list[KnownServer]) -> KnownServer:
+        """Draws two candidates, and selects the one with fewer connections of this balancer."""
+        first, second = self.draw_server(candidates), self.draw_server(candidates)
+        return second if second.active < first.active else first
 
 
-def load_of(s: Known) -> float:
-    return s.report.get(interface.LOAD_RATIO, s.report.get(interface.UTILIZATION, 0.5))
+def reported_load(server: KnownServer) -> float:
+    """Returns the load that a server has reported, 0 to 1."""
+    return server.report.get(interface.LOAD_RATIO, server.report.get(interface.UTILIZATION, ASSUMED_LOAD))
 
 
-class Reporting(Simple):
-    """Asks a few servers each half second, the longest unheard first."""
+class ReportingPolicy(SimplePolicy):
+    """Checks a few servers in each round, those with the oldest report first."""
 
     def on_round(self) -> None:
-        for s in sorted(self.ready, key=lambda s: s.report_at)[:PROBES_A_ROUND]:
-            self.probe(s)
+        """Sends the health checks of a round."""
+        for server in sorted(self.ready, key=lambda server: server.report_at_us)[:HEALTH_CHECKS_PER_ROUND]:
+            self.send_health_check(server)
+
 
+class Weighted(ReportingPolicy):
+    """Draws in proportion to the free capacity of the last report; a server without a fresh one counts as half full."""
 
-class Weighted(Reporting):
-    """Drawn in proportion to the room that the last report showed; one that is silent counts as half full."""
+    def pick(self, request: PendingRequest, candidates: list[KnownServer]) -> KnownServer:
+        """Draws one of the candidates by its free capacity."""
+        return self.random.choices(candidates, [self._free_capacity(server) for server in candidates])[0]
 
-    def pick(self, f: Asked, among: list[Known]) -> Known:
-        rooms = [max(0.02, 1 - load_of(s)) if self.now - s.report_at < FRESH_US else 0.5 for s in among]
-        return self.rng.choices(among, rooms)[0]
+    def _free_capacity(self, server: KnownServer) -> float:
+        if self.now_us - server.report_at_us >= FRESH_REPORT_US:
+            return 1 - ASSUMED_LOAD
+        return max(MIN_FREE_CAPACITY, 1 - reported_load(server))
 
 
-class JoinIdle(Reporting):
-    """Lu et al., Join-Idle-Queue, 2011: idle servers wait in a queue at the balancer that heard of it."""
+class JoinIdle(ReportingPolicy):
+    """Lu et al., Join-Idle-Queue, 2011: idle servers wait in a queue at the balancer that checked them."""
 
     def __init__(self, settings: interface.Settings, seed: int) -> None:
         super().__init__(settings, seed)
         self.idle: dict[str, None] = {}
 
-    def on_report(self, s: Known, latency_us: int) -> None:
-        if load_of(s) < IDLE and s.ready:
-            self.idle[s.id] = None
+    def on_report(self, server: KnownServer, latency_us: int) -> None:
+        """Adds a server to the queue, or removes it."""
+        if reported_load(server) < IDLE_LOAD and server.is_ready:
+            self.idle[server.id] = None
         else:
-            self.idle.pop(s.id, None)
+            self.idle.pop(server.id, None)
 
-    def pick(self, f: Asked, among: list[Known]) -> Known:
-        if not self.set.may_health_check:
-            empty = [s for s in among if not s.mine]
-            return self.some(empty or among)
+    def pick(self, request: PendingRequest, candidates: list[KnownServer]) -> KnownServer:
+        """Selects the first idle candidate, or draws one if there is none."""
+        if not self.settings.may_health_check:
+            unused = [server for server in candidates if not server.active]
+            return self.draw_server(unused or candidates)
         for id_ in list(self.idle):
-            s = self.servers[id_]
+            server = self.servers[id_]
             del self.idle[id_]
-            if s in among:
-                return s
-        return self.some(among)
+            if server in candidates:
+                return server
+        return self.draw_server(candidates)
--- a/glenrock/simulation/policies/oracle.py
+++ b/glenrock/simulation/policies/oracle.py
@@ -1,46 +1,49 @@
-"""A yardstick, not a way to serve: it sees the true state of every instance and link.
+"""An upper reference, not a policy to serve with: it reads the true state of all instances and links.
 
-Each request goes to the instance with the least load over what it can do now, among those that its balancer
-reaches, with what is being set up counted; a cold one only as far as half of its budget. Nobody is refused and
-nobody is moved for load. No balancer can know this; what it reaches says how much is left to gain, and
-is not the most that is possible.
+Each request goes to the reachable instance with the least load in relation to its capacity, with attempts in flight
+counted, and to a cold instance only up to half of its slow-start budget. It neither rejects a request nor migrates a
+connection for load. A real balancer cannot have this information; the result is a reference, not an upper bound.
 """
 
 from __future__ import annotations
 
 from ..fleet_state import FleetState
-from ..model.balancer import Host
-from .simple import Asked, Known, Simple
-
-CROSSING = 0.03  # load that a crossing must gain
-GROUP = 8.0  # times the load that a group costs where it is new: the whole fleet pays for it
-COLD_PART = 0.5  # of the cold rule's budget
-
-
-class Oracle(Simple):
-    world: FleetState
-    host: Host
-
-    def see(self, world: FleetState, host: Host) -> None:
-        """Called by the day that it is played in."""
-        self.world, self.host = world, host
-
-    def pick(self, f: Asked, among: list[Known]) -> Known:
-        w = self.world
-        usual = w.plan.usual_load
-
-        def cost(s: Known) -> float:
-            i = w.instances[s.id]
-            if not i.up or i.draining or not i.slow or not w.links.open(self.host.zone, i.shape.zone):
-                return 1e9
-            whole = i.capacity(self.now)
-            if i.warmth(self.now) < 1:
-                rate = i.capacity(self.now) / (i.shape.warm_us / 1e6)
-                budget = COLD_PART * i.figures.cold_multiple * rate * i.figures.cold_window_us / 1e6
-                if i.sent_load + usual > budget:
-                    return 1e6
-            load = (i.demand + i.piled + len(i.opening) * usual) / whole
-            load += GROUP * i.figures.group_load / whole if f.event.group not in i.groups else 0.0
-            return load + (CROSSING if i.shape.zone != self.host.zone else 0.0)
-
-        return min(among, key=cost)
+from ..model.balancer import BalancerProcess
+from .simple import KnownServer, PendingRequest, SimplePolicy
+
+ZONE_CROSSING_COST = 0.03  # load that a crossing must save
+NEW_GROUP_FACTOR = 8.0  # times the load of a group, since a group at many instances costs the whole fleet
+BUDGET_FRACTION = 0.5  # of the slow-start budget
+UNREACHABLE_COST, OVER_BUDGET_COST = 1e9, 1e6
+
+
+class Oracle(SimplePolicy):
+    """Selects by the true state of the fleet."""
+
+    fleet: FleetState
+    balancer: BalancerProcess
+
+    def observe(self, fleet: FleetState, balancer: BalancerProcess) -> None:
+        """Sets the fleet that the oracle reads, and its own balancer."""
+        self.fleet, self.balancer = fleet, balancer
+
+    def pick(self, request: PendingRequest, candidates: list[KnownServer]) -> KnownServer:
+        """Selects the server of the least cost."""
+        return min(candidates, key=lambda server: self._cost(request, server))
+
+    def _cost(self, request: PendingRequest, server: KnownServer) -> float:
+        instance = self.fleet.instances[server.id]
+        figures, zone = instance.figures, self.balancer.zone
+        is_reachable = self.fleet.links.is_open(zone, instance.shape.zone)
+        if not instance.up or instance.draining or not instance.slow or not is_reachable:
+            return UNREACHABLE_COST
+        usual_load = self.fleet.plan.usual_load
+        capacity = instance.capacity(self.now_us)
+        if instance.warmth(self.now_us) < 1:
+            rate = capacity / (instance.shape.warm_us / 1e6)
+            budget = BUDGET_FRACTION * figures.cold_multiple * rate * figures.cold_window_us / 1e6
+            if instance.sent_load + usual_load > budget:
+                return OVER_BUDGET_COST
+        load = (instance.demand + instance.piled + len(instance.opening) * usual_load) / capacity
+        load += NEW_GROUP_FACTOR * figures.group_load / capacity if request.event.group not in instance.groups else 0.0
+        return load + (ZONE_CROSSING_COST if instance.shape.zone != zone else 0.0)
--- a/glenrock/simulation/policies/prequal.py
+++ b/glenrock/simulation/policies/prequal.py
@@ -1,9 +1,8 @@
-"""Prequal: a small pool of probe answers, used once or a few times, judged hot or cold by requests in flight.
+"""Prequal: a small pool of health-check answers, judged hot or cold by requests in flight.
 
 Wydrowski, Kleinberg, Rumble and Archer, Load is not what you should balance: Introducing Prequal, NSDI 2024.
-What the paper takes from the server's own counters is taken from reports here: requests in flight are
-`inflight` where reports hold it, else the load ratio; latency is the probe's own, since the servers of this
-platform report none. Both stand in for what the paper measured, and the note says what that costs it.
+The paper's counters of the server are taken from load reports here: requests in flight are `inflight` where reports
+hold it, else the load ratio; the latency is that of the health check itself.
 """
 
 from __future__ import annotations
@@ -12,78 +11,103 @@
 
 from glenrock.routing import interface
 
-from .simple import Asked, Known, Simple
+from .simple import KnownServer, PendingRequest, SimplePolicy
 
-POOL = 16  # answers kept
-RATE = 3.0  # probes a request
-REMOVE = 1.0  # answers taken out a request, beside those used up
-AGE_US = 1_000_000  # answers older than this are dropped
-QUANTILE = 0.84  # of what is in flight, over the answers seen lately: above it a server is hot
-SEEN = 128
+POOL_SIZE = 16
+HEALTH_CHECKS_PER_REQUEST = 3.0
+REMOVED_PER_REQUEST = 1.0  # answers, beside those used up
+MAX_ANSWER_AGE_US = 1_000_000
+HOT_QUANTILE = 0.84  # of the requests in flight that recent answers hold
+RECENT_ANSWERS = 128
+MIN_POOL = 2  # answers of candidates; with fewer, a server is drawn
 
 
 @dataclass(slots=True)
-class Answer:
-    server: Known
-    at: int
-    flight: float
-    latency: float
+class PoolEntry:
+    """An answer in the pool, and how often it may still be used."""
+
+    server: KnownServer
+    at_us: int
+    inflight: float
+    latency_us: float
     uses: int
 
 
-class Prequal(Simple):
+class Prequal(SimplePolicy):
+    """Selects by the answers in the pool.
+
+    Attributes:
+        pool: answers, oldest first.
+        recent: requests in flight of the latest answers.
+        checks_due: health checks that the request rate has earned.
+        removes_worst_next: whether the next removal takes the worst answer, and not the oldest.
+    """
+
     def __init__(self, settings: interface.Settings, seed: int) -> None:
         super().__init__(settings, seed)
-        self.pool: list[Answer] = []
-        self.seen: list[float] = []
-        self.due = 0.0
-        self.worst_next = False
+        self.pool: list[PoolEntry] = []
+        self.recent: list[float] = []
+        self.checks_due = 0.0
+        self.removes_worst_next = False
 
     def on_arrival(self) -> None:
-        self.due += RATE
-        while self.due >= 1 and self.ready:
-            self.due -= 1
-            self.probe(self.some(self.ready))
-
-    def on_report(self, s: Known, latency_us: int) -> None:
-        flight = s.report.get("inflight", s.report.get(interface.LOAD_RATIO, s.report.get(interface.UTILIZATION, 0.0)))
-        self.seen = (self.seen + [flight])[-SEEN:]
-        # Uses of an answer, as the paper's reuse budget: pool size, rates and servers set it.
-        n, m = max(1, len(self.ready)), POOL
-        spare = (1 - m / n) * RATE - REMOVE if n > m else 0.0
-        uses = max(1, round(2 / spare)) if spare > 0 else 2
-        self.pool.append(Answer(s, self.now, flight, float(latency_us), uses))
-        if len(self.pool) > POOL:
+        """Sends the health checks that a request earns."""
+        self.checks_due += HEALTH_CHECKS_PER_REQUEST
+        while self.checks_due >= 1 and self.ready:
+            self.checks_due -= 1
+            self.send_health_check(self.draw_server(self.ready))
+
+    def on_report(self, server: KnownServer, latency_us: int) -> None:
+        """Adds an answer to the pool."""
+        utilization = server.report.get(interface.UTILIZATION, 0.0)
+        inflight = server.report.get("inflight", server.report.get(interface.LOAD_RATIO, utilization))
+        self.recent = [*self.recent, inflight][-RECENT_ANSWERS:]
+        self.pool.append(PoolEntry(server, self.now_us, inflight, float(latency_us), self._uses()))
+        if len(self.pool) > POOL_SIZE:
             self.pool.pop(0)
 
-    def limit(self) -> float:
-        order = sorted(self.seen)
-        return order[min(len(order) - 1, int(QUANTILE * len(order)))] if order else float("inf")
-
-    def pick(self, f: Asked, among: list[Known]) -> Known:
-        usable = set(map(id, among))
-        self.pool = [a for a in self.pool if self.now - a.at <= AGE_US and a.server.ready]
-        there = [a for a in self.pool if id(a.server) in usable]
-        if len(there) < 2:
-            return self.some(among)
-        limit = self.limit()
-        cold = [a for a in there if a.flight <= limit]
-        best = min(cold, key=lambda a: a.latency) if cold else min(there, key=lambda a: a.flight)
+    def _uses(self) -> int:
+        """Returns how often an answer may be used: the paper's reuse budget."""
+        servers = max(1, len(self.ready))
+        spare = 0.0
+        if servers > POOL_SIZE:
+            spare = (1 - POOL_SIZE / servers) * HEALTH_CHECKS_PER_REQUEST - REMOVED_PER_REQUEST
+        return max(1, round(2 / spare)) if spare > 0 else 2
+
+    def _hot_limit(self) -> float:
+        ordered = sorted(self.recent)
+        return ordered[min(len(ordered) - 1, int(HOT_QUANTILE * len(ordered)))] if ordered else float("inf")
+
+    def pick(self, request: PendingRequest, candidates: list[KnownServer]) -> KnownServer:
+        """Selects the cold answer of the lowest latency, or the hot one with the fewest requests in flight."""
+        candidate_ids = set(map(id, candidates))
+        self.pool = [
+            entry for entry in self.pool if self.now_us - entry.at_us <= MAX_ANSWER_AGE_US and entry.server.is_ready
+        ]
+        usable = [entry for entry in self.pool if id(entry.server) in candidate_ids]
+        if len(usable) < MIN_POOL:
+            return self.draw_server(candidates)
+        limit = self._hot_limit()
+        cold = [entry for entry in usable if entry.inflight <= limit]
+        best = min(cold, key=lambda entry: entry.latency_us) if cold else min(usable, key=lambda entry: entry.inflight)
         best.uses -= 1
-        best.flight += 1 if "inflight" in best.server.report else 0.0
+        best.inflight += 1 if "inflight" in best.server.report else 0.0
         if best.uses <= 0:
             self.pool.remove(best)
-        self.remove(limit)
+        self._remove_one(limit)
         return best.server
 
-    def remove(self, limit: float) -> None:
-        """One answer a request goes: by turns the oldest, and the worst."""
-        if len(self.pool) < 2:
+    def _remove_one(self, limit: float) -> None:
+        """Removes the oldest and the worst answer by turns, one a request."""
+        if len(self.pool) < MIN_POOL:
             return
-        self.worst_next = not self.worst_next
-        if not self.worst_next:
+        self.removes_worst_next = not self.removes_worst_next
+        if not self.removes_worst_next:
             self.pool.pop(0)
             return
-        hot = [a for a in self.pool if a.flight > limit]
-        worst = max(hot, key=lambda a: a.flight) if hot else max(self.pool, key=lambda a: a.latency)
+        hot = [entry for entry in self.pool if entry.inflight > limit]
+        if hot:
+            worst = max(hot, key=lambda entry: entry.inflight)
+        else:
+            worst = max(self.pool, key=lambda entry: entry.latency_us)
         self.pool.remove(worst)
--- a/glenrock/simulation/policies/simple.py
+++ b/glenrock/simulation/policies/simple.py
@@ -1,245 +1,303 @@
-"""What all baselines share: the rules kept in the plainest way. Only the choice of a server differs.
+"""The base of the reference policies, which differ only in their selection of a server.
 
-A request goes to the chosen server at once; where that fails, to another, until the attempts or the time are
-used up; then it is refused, with the longest time to come back spread over its half. Nobody is refused before.
-Standing connections stay where they are; clients of a server that drains are moved off it evenly over two
-seconds, as the rule on lost connections wants.
+A request goes to the selected server at once; after a failure to another, until its attempts or its time are used
+up, and is rejected then. Open connections stay where they are; the clients of a draining server migrate evenly over
+two seconds, as the rule on lost connections requires.
 """
 
 from __future__ import annotations
 
 import random
+from collections.abc import Callable
 from dataclasses import dataclass, field
+from typing import Any
 
 from glenrock.routing import interface
+from glenrock.routing.interface import AttemptOutcome, EndpointListKind, EndpointState
 
-MARGIN_TICKS = 2
-MOVE_OVER_US = 2_000_000
+MARGIN_TICKS = 2  # before a request's deadline, so that the answer is in time
+MIGRATION_US = 2_000_000
 ROUND_US = 500_000
+UNREACHABLE_FOR_US = 1_000_000  # a server without a connection is not selected for so long
+MIN_ATTEMPT_US = 200_000
+NEVER_US = -1 << 60
 
 
 @dataclass(slots=True, eq=False)
-class Known:
-    """A server, as one balancer knows it."""
+class KnownServer:
+    """A server, as one balancer knows it.
+
+    Attributes:
+        is_ready: whether it may be selected.
+        is_listed: whether the endpoint list has it as ready.
+        active: attempts and open connections of this balancer.
+        connections: identifiers of its open connections, in order.
+        report: the latest load report.
+        report_at_us: when the report arrived.
+        migrate_by_us: when its clients must have migrated; 0: they need not.
+    """
 
     id: str
     zone: str
-    ready: bool = True
-    listed: bool = True
-    mine: int = 0  # attempts out, and connections that stand, of this balancer's own
-    held: dict[str, None] = field(default_factory=dict)
+    is_ready: bool = True
+    is_listed: bool = True
+    active: int = 0
+    connections: dict[str, None] = field(default_factory=dict)
     report: dict[str, float] = field(default_factory=dict)
-    report_at: int = -1 << 60
-    leaves_by: int = 0
+    report_at_us: int = NEVER_US
+    migrate_by_us: int = 0
 
 
 @dataclass(slots=True, eq=False)
-class Asked:
+class PendingRequest:
+    """A request, until its answer or the end of its connection.
+
+    Attributes:
+        tried: servers of its attempts, in order.
+        server: server of its active attempt.
+        is_established: whether its connection is open.
+    """
+
     event: interface.Request
-    tried: list[Known] = field(default_factory=list)
-    out: Known | None = None
-    stands: bool = False
+    tried: list[KnownServer] = field(default_factory=list)
+    server: KnownServer | None = None
+    is_established: bool = False
+
 
+class SimplePolicy:
+    """A policy without its selection: subclasses define `pick`.
 
-class Simple:
-    """Subclasses give `pick`. Source of events and actions: glenrock/routing/interface.py."""
+    Attributes:
+        timers: by reference, the request of a timer, or None for the timer of the round.
+        suspended: servers that an operator has suspended.
+        unreachable_until_us: servers without a connection, and until when they are not selected.
+    """
 
     def __init__(self, settings: interface.Settings, seed: int) -> None:
-        self.set, self.rng = settings, random.Random(seed)
-        self.now = 0
-        self.servers: dict[str, Known] = {}
-        self.ready: list[Known] = []
-        self.asked: dict[str, Asked] = {}
-        self.timers: dict[int, str] = {}
-        self.refs = 0
-        self.out: list[interface.Action] = []
-        self.by_hand: set[str] = set()  # out
-        self.watched = False
-        self.down: dict[str, int] = {}  # out of reach when last tried: not used again before then
+        self.settings = settings
+        self.random = random.Random(seed)  # noqa: S311 - draws need be repeatable, not secret
+        self.now_us = 0
+        self.servers: dict[str, KnownServer] = {}
+        self.ready: list[KnownServer] = []
+        self.requests: dict[str, PendingRequest] = {}
+        self.timers: dict[int, str | None] = {}
+        self.timer_count = 0
+        self.actions: list[interface.Action] = []
+        self.suspended: set[str] = set()
+        self.is_watching = False
+        self.unreachable_until_us: dict[str, int] = {}
 
     def handle(self, now_us: int, events: list[interface.Event]) -> list[interface.Action]:
-        first, self.now, self.out = not self.now, now_us, []
-        if first:
-            self.timer(now_us + 1 + self.rng.randrange(ROUND_US), "")
+        """Returns the actions for a batch of events."""
+        is_first, self.now_us, self.actions = not self.now_us, now_us, []
+        if is_first:
+            self._set_timer(now_us + 1 + self.random.randrange(ROUND_US), None)
         for event in events:
-            handler = HANDLERS.get(type(event))
-            if handler:
+            if handler := HANDLERS.get(type(event)):
                 handler(self, event)
-        return self.out
+        return self.actions
 
-    # -- for subclasses ----------------------------------------------------------------------------
+    # -- for subclasses ------------------------------------------------------------------------------
 
-    def pick(self, f: Asked, among: list[Known]) -> Known:
-        """One of `among`, which is not empty."""
+    def pick(self, request: PendingRequest, candidates: list[KnownServer]) -> KnownServer:
+        """Selects one of the candidates, of which there is at least one."""
         raise NotImplementedError
 
     def on_round(self) -> None:
-        """Each half second."""
+        """Does the periodic work of a subclass."""
 
     def on_arrival(self) -> None:
-        """A request has come and is about to be placed."""
+        """Prepares for a request that is about to be placed."""
 
-    def on_report(self, s: Known, latency_us: int) -> None:
-        """A probe was answered; the report is in `s`."""
+    def on_report(self, server: KnownServer, latency_us: int) -> None:
+        """Handles the load report that a server has answered a health check with."""
 
-    # -- events --------------------------------------------------------------------------------------
+    def send_health_check(self, server: KnownServer) -> None:
+        """Checks a server, where the settings allow it."""
+        if self.settings.may_health_check:
+            self.actions.append(interface.SendHealthCheck(server.id))
 
-    def timer(self, at: int, what: str) -> None:
-        self.refs += 1
-        self.timers[self.refs] = what
-        self.out.append(interface.SetTimer(at, self.refs))
+    def draw_server(self, candidates: list[KnownServer]) -> KnownServer:
+        """Draws one of the candidates, evenly."""
+        return candidates[self.random.randrange(len(candidates))]
 
-    def on_list(self, e: interface.EndpointList) -> None:
-        if e.kind == "failed":
-            self.watched = False
+    # -- the endpoint list ---------------------------------------------------------------------------
+
+    def _on_endpoints(self, event: interface.EndpointList) -> None:
+        if event.kind == EndpointListKind.FAILED:
+            self.is_watching = False
             return
-        if e.kind != "changes":
-            named = {x.server for x in e.entries}
-            for s in self.servers.values():
-                if s.id not in named:
-                    s.listed = False
-                    self.leaves(s)
-        for x in e.entries:
-            s = self.servers.setdefault(x.server, Known(x.server, x.zone))
-            s.zone, s.listed = x.zone, x.state == "ready"
-            if s.listed and s.id not in self.by_hand:
-                s.ready, s.leaves_by = True, 0
+        if event.kind != EndpointListKind.CHANGES:
+            listed = {entry.server for entry in event.entries}
+            for server in self.servers.values():
+                if server.id not in listed:
+                    server.is_listed = False
+                    self._start_draining(server)
+        for entry in event.entries:
+            server = self.servers.setdefault(entry.server, KnownServer(entry.server, entry.zone))
+            server.zone, server.is_listed = entry.zone, entry.state == EndpointState.READY
+            if server.is_listed and server.id not in self.suspended:
+                server.is_ready, server.migrate_by_us = True, 0
             else:
-                self.leaves(s)
-        self.ready = [s for s in self.servers.values() if s.ready]
-
-    def on_hand(self, e: interface.OperatorOverride) -> None:
-        """A ban holds whatever the list says."""
-        (self.by_hand.add if e.is_suspended else self.by_hand.discard)(e.server)
-        if s := self.servers.get(e.server):
-            if e.is_suspended:
-                self.leaves(s)
-            elif s.listed:
-                s.ready, s.leaves_by = True, 0
-            self.ready = [s for s in self.servers.values() if s.ready]
-
-    def leaves(self, s: Known) -> None:
-        if s.ready:
-            s.ready, s.leaves_by = False, self.now + MOVE_OVER_US
-
-    def on_request(self, e: interface.Request) -> None:
-        f = self.asked[e.id] = Asked(e)
-        self.timer(e.deadline_us - MARGIN_TICKS * self.set.tick_us, e.id)
+                self._start_draining(server)
+        self._update_ready()
+
+    def _on_override(self, event: interface.OperatorOverride) -> None:
+        """Suspends a server, whatever the endpoint list says, or ends its suspension."""
+        (self.suspended.add if event.is_suspended else self.suspended.discard)(event.server)
+        if server := self.servers.get(event.server):
+            if event.is_suspended:
+                self._start_draining(server)
+            elif server.is_listed:
+                server.is_ready, server.migrate_by_us = True, 0
+            self._update_ready()
+
+    def _start_draining(self, server: KnownServer) -> None:
+        if server.is_ready:
+            server.is_ready, server.migrate_by_us = False, self.now_us + MIGRATION_US
+
+    def _update_ready(self) -> None:
+        self.ready = [server for server in self.servers.values() if server.is_ready]
+
+    # -- requests ------------------------------------------------------------------------------------
+
+    def _answer_by_us(self, event: interface.Request) -> int:
+        return event.deadline_us - MARGIN_TICKS * self.settings.tick_us
+
+    def _on_request(self, event: interface.Request) -> None:
+        request = self.requests[event.id] = PendingRequest(event)
+        self._set_timer(self._answer_by_us(event), event.id)
         self.on_arrival()
-        self.place(f)
-
-    def on_open(self, e: interface.OpenConnection) -> None:
-        s = self.servers.get(e.server)
-        if s:
-            f = self.asked[e.request.id] = Asked(e.request, [s], s, True)
-            s.mine += 1
-            s.held[f.event.id] = None
-
-    def place(self, f: Asked) -> None:
-        if not f.event.is_midstream and len(f.tried) >= self.set.max_attempts:
-            self.refuse(f)
+        self._place(request)
+
+    def _on_open_connection(self, event: interface.OpenConnection) -> None:
+        server = self.servers.get(event.server)
+        if server:
+            self.requests[event.request.id] = PendingRequest(event.request, [server], server, True)
+            server.active += 1
+            server.connections[event.request.id] = None
+
+    def _place(self, request: PendingRequest) -> None:
+        """Starts an attempt, or rejects the request if its attempts or its time are used up."""
+        max_attempts = self.settings.max_attempts
+        if not request.event.is_midstream and len(request.tried) >= max_attempts:
+            self._reject(request)
             return
-        among = self.ready
-        if self.down and min(self.down.values()) <= self.now:
-            self.down = {k: until for k, until in self.down.items() if until > self.now}
-        if f.tried or self.down:  # else all are usable, and no list of thousands is made for each request
-            usable = [s for s in self.ready if s.id not in self.down] or self.ready
-            among = [s for s in usable if s not in f.tried] or usable
-        if not among or self.now >= f.event.deadline_us - MARGIN_TICKS * self.set.tick_us:
-            self.refuse(f)
+        candidates = self._candidates(request)
+        left_us = self._answer_by_us(request.event) - self.now_us
+        if not candidates or left_us <= 0:
+            self._reject(request)
             return
-        s = self.pick(f, among)
-        f.tried.append(s)
-        f.out = s
-        s.mine += 1
-        left = f.event.deadline_us - MARGIN_TICKS * self.set.tick_us - self.now
-        last = len(f.tried) >= self.set.max_attempts
-        limit = left if last else max(left * 6 // 10, min(left, 200_000))
-        self.out.append(interface.StartAttempt(f.event.id, s.id, limit))
-
-    def refuse(self, f: Asked) -> None:
-        longest = self.set.max_retry_after_us if self.set.may_send_retry_after else 0
-        self.out.append(interface.Reject(f.event.id, int(longest * (0.5 + self.rng.random() / 2))))
-        self.asked.pop(f.event.id, None)
-
-    def on_started(self, e: interface.ConnectionEstablished) -> None:
-        f = self.asked.get(e.id)
-        if f and f.out:
-            f.stands = True
-            f.out.held[e.id] = None
-            self.down.pop(f.out.id, None)
-
-    def on_ended(self, e: interface.AttemptEnded) -> None:
-        s = self.servers.get(e.server)
-        f = self.asked.get(e.id)
-        if s and e.outcome == "no_connection":
-            self.down[s.id] = self.now + 1_000_000
-        if f is None or f.out is None or s is not f.out:
+        server = self.pick(request, candidates)
+        request.tried.append(server)
+        request.server = server
+        server.active += 1
+        is_last = len(request.tried) >= max_attempts
+        timeout_us = left_us if is_last else max(left_us * 6 // 10, min(left_us, MIN_ATTEMPT_US))
+        self.actions.append(interface.StartAttempt(request.event.id, server.id, timeout_us))
+
+    def _candidates(self, request: PendingRequest) -> list[KnownServer]:
+        unreachable = self.unreachable_until_us
+        if unreachable and min(unreachable.values()) <= self.now_us:
+            unreachable = {id_: until_us for id_, until_us in unreachable.items() if until_us > self.now_us}
+            self.unreachable_until_us = unreachable
+        if not request.tried and not unreachable:  # no copy of a long list for each request
+            return self.ready
+        reachable = [server for server in self.ready if server.id not in unreachable] or self.ready
+        return [server for server in reachable if server not in request.tried] or reachable
+
+    def _reject(self, request: PendingRequest) -> None:
+        longest_us = self.settings.max_retry_after_us if self.settings.may_send_retry_after else 0
+        retry_after_us = int(longest_us * (0.5 + self.random.random() / 2))
+        self.actions.append(interface.Reject(request.event.id, retry_after_us))
+        self.requests.pop(request.event.id, None)
+
+    def _on_established(self, event: interface.ConnectionEstablished) -> None:
+        request = self.requests.get(event.id)
+        if request and request.server:
+            request.is_established = True
+            request.server.connections[event.id] = None
+            self.unreachable_until_us.pop(request.server.id, None)
+
+    def _on_attempt_ended(self, event: interface.AttemptEnded) -> None:
+        server = self.servers.get(event.server)
+        request = self.requests.get(event.id)
+        if server and event.outcome == AttemptOutcome.NO_CONNECTION:
+            self.unreachable_until_us[server.id] = self.now_us + UNREACHABLE_FOR_US
+        if request is None or request.server is None or server is not request.server:
             return
-        f.out.mine -= 1
-        f.out.held.pop(e.id, None)
-        f.out = None
-        if e.is_final or f.stands:
-            self.asked.pop(e.id, None)
+        request.server.active -= 1
+        request.server.connections.pop(event.id, None)
+        request.server = None
+        if event.is_final or request.is_established:
+            self.requests.pop(event.id, None)
         else:
-            self.place(f)
-
-    def on_gone(self, e: interface.ClientDisconnected) -> None:
-        f = self.asked.pop(e.id, None)
-        if f and f.out:
-            f.out.mine -= 1
-            f.out.held.pop(e.id, None)
-
-    def on_timer(self, e: interface.TimerFired) -> None:
-        what = self.timers.pop(e.ref, None)
-        if what == "":
-            self.round()
-        f = self.asked.get(what or "")
-        if f and not f.stands:
-            if f.out:
-                if self.set.may_cancel:
-                    self.out.append(interface.CancelAttempt(f.event.id, len(f.tried) - 1))
-                f.out.mine -= 1
-            self.refuse(f)
-
-    def round(self) -> None:
-        self.timer(self.now + ROUND_US, "")
-        if self.set.must_poll_endpoints and not self.watched:
-            self.watched = True
-            self.out.append(interface.WatchEndpoints())
-        for s in self.servers.values():
-            if s.leaves_by and s.held:
-                rounds = max(1, (s.leaves_by - self.now) // ROUND_US)
-                for id_ in list(s.held)[: -(-len(s.held) // rounds)]:
-                    self.out.append(interface.Migrate(id_))
-        self.on_round()
+            self._place(request)
+
+    def _on_disconnected(self, event: interface.ClientDisconnected) -> None:
+        request = self.requests.pop(event.id, None)
+        if request and request.server:
+            request.server.active -= 1
+            request.server.connections.pop(event.id, None)
 
-    def probe(self, s: Known) -> None:
-        if self.set.may_health_check:
-            self.out.append(interface.SendHealthCheck(s.id))
+    # -- timers --------------------------------------------------------------------------------------
+
+    def _set_timer(self, at_us: int, request_id: str | None) -> None:
+        self.timer_count += 1
+        self.timers[self.timer_count] = request_id
+        self.actions.append(interface.SetTimer(at_us, self.timer_count))
+
+    def _on_timer(self, event: interface.TimerFired) -> None:
+        if event.ref not in self.timers:
+            return
+        request_id = self.timers.pop(event.ref)
+        if request_id is None:
+            self._round()
+        elif request := self.requests.get(request_id):
+            self._time_out(request)
+
+    def _time_out(self, request: PendingRequest) -> None:
+        """Rejects a request whose time is used up."""
+        if request.is_established:
+            return
+        if request.server:
+            if self.settings.may_cancel:
+                self.actions.append(interface.CancelAttempt(request.event.id, len(request.tried) - 1))
+            request.server.active -= 1
+        self._reject(request)
+
+    def _round(self) -> None:
+        self._set_timer(self.now_us + ROUND_US, None)
+        if self.settings.must_poll_endpoints and not self.is_watching:
+            self.is_watching = True
+            self.actions.append(interface.WatchEndpoints())
+        for server in self.servers.values():
+            if server.migrate_by_us and server.connections:
+                rounds = max(1, (server.migrate_by_us - self.now_us) // ROUND_US)
+                count = -(-len(server.connections) // rounds)
+                for id_ in list(server.connections)[:count]:
+                    self.actions.append(interface.Migrate(id_))
+        self.on_round()
 
-    def on_probe(self, e: interface.HealthCheckResult) -> None:
-        s = self.servers.get(e.server)
-        if s is None:
+    def _on_health_check_result(self, event: interface.HealthCheckResult) -> None:
+        server = self.servers.get(event.server)
+        if server is None:
             return
-        if e.outcome == "served":
-            s.report, s.report_at = e.report, self.now
-            self.on_report(s, e.latency_us)
+        if event.outcome == AttemptOutcome.SERVED:
+            server.report, server.report_at_us = event.report, self.now_us
+            self.on_report(server, event.latency_us)
         else:
-            s.report_at = -1 << 60
-
-    def some(self, among: list[Known]) -> Known:
-        return among[self.rng.randrange(len(among))]
-
-
-HANDLERS = {
-    interface.EndpointList: Simple.on_list,
-    interface.Request: Simple.on_request,
-    interface.OpenConnection: Simple.on_open,
-    interface.ConnectionEstablished: Simple.on_started,
-    interface.AttemptEnded: Simple.on_ended,
-    interface.ClientDisconnected: Simple.on_gone,
-    interface.TimerFired: Simple.on_timer,
-    interface.HealthCheckResult: Simple.on_probe,
-    interface.OperatorOverride: Simple.on_hand,
+            server.report_at_us = NEVER_US
+
+
+HANDLERS: dict[type, Callable[[SimplePolicy, Any], None]] = {
+    interface.EndpointList: SimplePolicy._on_endpoints,
+    interface.Request: SimplePolicy._on_request,
+    interface.OpenConnection: SimplePolicy._on_open_connection,
+    interface.ConnectionEstablished: SimplePolicy._on_established,
+    interface.AttemptEnded: SimplePolicy._on_attempt_ended,
+    interface.ClientDisconnected: SimplePolicy._on_disconnected,
+    interface.TimerFired: SimplePolicy._on_timer,
+    interface.HealthCheckResult: SimplePolicy._on_health_check_result,
+    interface.OperatorOverride: SimplePolicy._on_override,
 }
--- /dev/null
+++ b/glenrock/simulation/process_control.py
@@ -0,0 +1,161 @@
+"""Starts, drains and ends of processes, and partitions between zones: what faults call."""
+
+from __future__ import annotations
+
+from glenrock.routing import interface
+from glenrock.routing.interface import AttemptOutcome, EndpointState
+
+from .engine import SECOND_US
+from .model.balancer import BalancerProcess
+from .model.instance import Connection, Instance
+from .model.requests import Attempt, ClientRequest, RequestOutcome
+from .server_attempts import ServerAttempts
+from .spec_types import drawn_number
+
+# A manual drain, as `glenrock.upgrade` does it: the front notices, then clients migrate in steps.
+FRONT_NOTICES_DRAIN_US = 250_000
+MIGRATION_STARTS_AFTER_US = 450_000
+MIGRATION_US = 3_000_000
+MIGRATION_STEP_US = 50_000
+# Parts of the time of a planned restart: clients migrate evenly until the first, and the rest at the second.
+EVEN_MIGRATION_PERCENT, LAST_MIGRATION_PERCENT = 90, 95
+HEARTBEAT_S = 2  # between lines of a client, which reveal a partition
+
+
+class ProcessControl(ServerAttempts):
+    """The part of a simulation that starts and ends processes, and cuts links."""
+
+    def start_instance(self, instance: Instance[Attempt]) -> None:
+        """Starts the process of an instance, unless it runs or was overloaded while cold."""
+        if instance.up or instance.fallen:
+            return
+        self.invariants.record_event(self.engine.now, "starts", "", instance.name)
+        instance.begin(self.engine.now)
+        add_s = drawn_number(self.experiment.discovery.add_s)
+        self.feed.report_change(add_s, instance.name, EndpointState.READY, instance.started)
+
+    def drain_instance(self, instance: Instance[Attempt]) -> None:
+        """Reports an instance as draining."""
+        if instance.up and not instance.draining:
+            self.invariants.record_event(self.engine.now, "drains", "", instance.name)
+            instance.draining = True
+            self.feed.report_change(0.0, instance.name, EndpointState.DRAINING)
+
+    def stop_if_draining(self, instance: Instance[Attempt]) -> None:
+        """Ends the process of an instance that is still draining."""
+        if instance.draining:
+            self.stop_instance(instance)
+
+    # -- partitions ----------------------------------------------------------------------------------
+
+    def partition_zone(self, zone: int) -> None:
+        """Cuts the links between a zone and the others; connections over them break after a silence."""
+        self.invariants.record_event(self.engine.now, f"zone {self.zones[zone]} is cut", "", "")
+        self.links.partitioned_zones.add(zone)
+        for connection in self._partitioned_connections():
+            connection.attempt.instance.mute(self.engine.now, connection, True, 0.0)
+            delay_us = self.silence_timeout_us + round(HEARTBEAT_S * SECOND_US * self.habits.draw())
+            self.engine.at(self.engine.now + delay_us, self._break_partitioned, connection)
+
+    def _break_partitioned(self, connection: Connection[Attempt]) -> None:
+        if connection.muted and connection.attempt.request.client.connection is connection:
+            self.break_connection(connection, AttemptOutcome.BROKEN)
+
+    def heal_zone(self, zone: int) -> None:
+        """Restores the links of a zone, and the connections over them that are still open."""
+        self.links.partitioned_zones.discard(zone)
+        for connection in self._partitioned_connections():
+            if connection.muted and self._path_is_open(connection.attempt):
+                load = self.load_of(connection.attempt.request.client)
+                connection.attempt.instance.mute(self.engine.now, connection, False, load)
+
+    def _partitioned_connections(self) -> list[Connection[Attempt]]:
+        return [
+            connection
+            for instance in self.instances.values()
+            for connection in instance.held.values()
+            if not self._path_is_open(connection.attempt) or connection.muted
+        ]
+
+    # -- balancers -----------------------------------------------------------------------------------
+
+    @staticmethod
+    def _open_requests(balancer: BalancerProcess) -> list[ClientRequest]:
+        return [request for request in balancer.requests.values() if request.open_attempt()]
+
+    def shut_down_gracefully(self, balancer: BalancerProcess, duration_us: int) -> None:
+        """Migrates the clients of a balancer evenly over most of `duration_us`, before a planned end."""
+        now, requests = self.engine.now, self._open_requests(balancer)
+        for number, request in enumerate(requests):
+            offset_us = duration_us * EVEN_MIGRATION_PERCENT // 100 * number // len(requests)
+            self.engine.at(now + offset_us, self.migrate, request)
+        last_us = now + duration_us * LAST_MIGRATION_PERCENT // 100
+        self.engine.at(last_us, self._migrate_all, balancer, balancer.incarnation)
+        self.front.remove(balancer)
+
+    def _migrate_all(self, balancer: BalancerProcess, incarnation: int) -> None:
+        if balancer.incarnation == incarnation:
+            for request in self._open_requests(balancer):
+                self.migrate(request)
+
+    def start_manual_drain(self, balancer: BalancerProcess) -> None:
+        """Starts to migrate all clients of a balancer, on an operator's call."""
+        now = self.engine.now
+        self.invariants.record_event(now, f"balancer {balancer.index} sends its clients away", "", "")
+        balancer.post(interface.DrainMode(True))
+        self.engine.at(now + FRONT_NOTICES_DRAIN_US, self.front.remove, balancer)
+        start_us = now + MIGRATION_STARTS_AFTER_US
+        self.engine.at(start_us, self._migrate_some, balancer, balancer.incarnation, now + MIGRATION_US)
+        balancer.is_draining = True
+
+    def _migrate_some(self, balancer: BalancerProcess, incarnation: int, end_us: int) -> None:
+        """Migrates the clients of one step, and schedules the next; steps continue until the drain ends."""
+        if balancer.incarnation != incarnation or not balancer.is_draining:
+            return
+        requests = self._open_requests(balancer)
+        steps = max(1.0, (end_us - self.engine.now) / MIGRATION_STEP_US)
+        for request in requests[: max(1, round(len(requests) / steps + 0.49))]:
+            self.migrate(request)
+        self.engine.at(self.engine.now + MIGRATION_STEP_US, self._migrate_some, balancer, incarnation, end_us)
+
+    def end_manual_drain(self, balancer: BalancerProcess, incarnation: int) -> None:
+        """Ends a manual drain; the balancer accepts clients again."""
+        if balancer.incarnation == incarnation and balancer.is_draining:
+            balancer.is_draining = False
+            balancer.post(interface.DrainMode(False))
+            self.front.add(balancer, incarnation)
+
+    def kill_balancer(self, balancer: BalancerProcess, incarnation: int, is_planned: bool) -> None:
+        """Ends the process of a balancer; an open connection at a planned end is a violation."""
+        if balancer.incarnation != incarnation or not balancer.is_up:
+            return
+        self.invariants.record_event(self.engine.now, f"balancer {balancer.index} ends", "", "")
+        for request in balancer.kill():
+            attempt = request.open_attempt()
+            if attempt and attempt.connection:
+                if is_planned:
+                    text = "still held at the end of a planned restart"
+                    self.record_violation("cut off", text, request, attempt.instance.name)
+                attempt.is_active = False
+                self.break_connection(attempt.connection, AttemptOutcome.BROKEN, balancer_is_up=False)
+            else:
+                self._end_killed_request(balancer, request)
+        self.front.balancer_ended(balancer)
+
+    def _end_killed_request(self, balancer: BalancerProcess, request: ClientRequest) -> None:
+        for attempt in request.attempts:
+            if attempt.is_active:
+                attempt.is_active = False
+                self.abandon_attempt(attempt)
+        if request.outcome is None:
+            balancer.record_outcome(request, RequestOutcome.KILLED)
+            if request.client.request is request:
+                self.report_killed(request)
+        request.is_over = True
+
+    def start_balancer(self, balancer: BalancerProcess) -> None:
+        """Starts the process of a balancer with its cached endpoint list."""
+        if not balancer.is_up:
+            balancer.start(self.feed.cached_list(balancer))
+            self.feed.balancer_started(balancer)
+            self.front.balancer_started(balancer)
--- a/glenrock/simulation/record.py
+++ b/glenrock/simulation/record.py
@@ -20,7 +20,7 @@
 import numpy as np
 
 from ..toml_file import InputFileError
-from .day import Day
+from .fleet_simulation import FleetSimulation
 from .measure import Measure
 from .spec import Experiment
 
@@ -71,8 +71,8 @@
         beside.unlink(missing_ok=True)
 
 
-def write_run(into: Path, day: Day, summary: dict[str, Any]) -> None:
-    write_tables(into, day.measure, day.e, list(day.instances), summary)
+def write_run(into: Path, simulation: FleetSimulation, summary: dict[str, Any]) -> None:
+    write_tables(into, simulation.measure, simulation.experiment, list(simulation.instances), summary)
 
 
 def write_tables(into: Path, m: Measure, e: Experiment, instances: list[str], summary: dict[str, Any]) -> None:
--- /dev/null
+++ b/glenrock/simulation/run_summary.py
@@ -0,0 +1,94 @@
+"""The summary of a run: the keys of `summary.json`, described in docs/simulation.md."""
+
+from __future__ import annotations
+
+import gc
+import sys
+from dataclasses import asdict
+from typing import Any
+
+from .engine import SECOND_US
+from .fleet_state import FleetState
+from .measure import ratio, rounded, told
+
+SUMMARY_FORMAT = 1
+MIN_CPU_S = 1e-9  # below it a rate would divide by zero
+COUNTS_PER_CLIENT = ("tries", "attempts", "refused", "failed", "broken", "moved", "probes", "peer_bytes")
+
+
+def summarize(state: FleetState, wall_s: float, cpu_s: float) -> dict[str, Any]:
+    """Returns the summary of a run that has ended.
+
+    All but `clock` and `events_per_s` depends on the experiment, the seed and the policy alone.
+
+    Args:
+        state: the run.
+        wall_s: seconds that the run took.
+        cpu_s: seconds of CPU that it took.
+    """
+    measure, counts = state.measure, state.measure.counts
+    clients = max(1, counts["clients"])
+    events = state.engine.events
+    decision_cpu_s = sum(balancer.cpu_ns for balancer in state.balancers) / 1e9
+    return {
+        "format": SUMMARY_FORMAT,
+        "experiment": state.experiment.name,
+        "seed": state.seed,
+        "policy": state.policy,
+        "failure": state.failure,
+        "worth": measure.worth() if not state.failure else None,
+        "rules": dict(state.invariants.counts),
+        "breaches": [asdict(violation) for violation in state.invariants.violations],
+        "recovery_s": measure.recovery(state.faults),
+        "counts": dict(counts),
+        "events": events,
+        "per_client": {name: rounded(counts[name] / clients) for name in COUNTS_PER_CLIENT},
+        "crossing_part": rounded(ratio(measure.crossing_s, measure.standing_s) if measure.standing_s else 0.0),
+        "fairness": measure.fairness(),
+        "setup": {
+            class_.name: told(histogram)
+            for class_, histogram in zip(state.experiment.classes, measure.waits, strict=True)
+        },
+        "messages": told(measure.messages),
+        "refusals": told(measure.refusals),
+        "fleet": {
+            "balancers": len(state.balancers),
+            "instances": len(state.instances),
+            "capacity_cores": rounded(state.plan.capacity / SECOND_US),
+            "clients_per_s": rounded(state.plan.per_s),
+        },
+        "events_per_s": round(events / max(MIN_CPU_S, cpu_s - decision_cpu_s)),
+        "clock": _clock(state, wall_s, cpu_s, decision_cpu_s),
+    }
+
+
+def _clock(state: FleetState, wall_s: float, cpu_s: float, decision_cpu_s: float) -> dict[str, Any]:
+    counts = state.measure.counts
+    handled = sum(balancer.handled_events for balancer in state.balancers)
+    policy = state.balancers[0].policy
+    return {
+        "wall_s": round(wall_s, 3),
+        "cpu_s": round(cpu_s, 3),
+        "handle_s": round(decision_cpu_s, 3),
+        "handle_part": round(decision_cpu_s / max(MIN_CPU_S, cpu_s), 4),
+        "decided_events": handled,
+        "cpu_us_per_event": round(decision_cpu_s * 1e6 / max(1, handled), 2),
+        "cpu_us_per_client": round(decision_cpu_s * 1e6 / max(1, counts["clients"]), 2),
+        "requests_per_core_hour": round(counts["tries"] / max(MIN_CPU_S, cpu_s - decision_cpu_s) * 3600),
+        "balancer_bytes": deep_size(policy) if policy else 0,
+    }
+
+
+def deep_size(root: object) -> int:
+    """Returns the bytes of an object and of the data that it refers to, without modules, classes and functions."""
+    seen: set[int] = set()
+    todo, total = [root], 0
+    skipped = (type, type(sys), type(deep_size), type(gc.collect))
+    while todo:
+        found = todo.pop()
+        if id(found) in seen or isinstance(found, skipped):
+            continue
+        seen.add(id(found))
+        total += sys.getsizeof(found)
+        todo.extend(gc.get_referents(found))
+    return total
--- a/glenrock/simulation/runner.py
+++ b/glenrock/simulation/runner.py
@@ -24,7 +24,7 @@
 import glenrock.routing
 
 from . import record
-from .day import Day
+from .fleet_simulation import FleetSimulation
 from .spec import Experiment
 
 WAIT_S = 0.1  # Ctrl-C is seen within this
@@ -55,7 +55,7 @@
 
 
 def play(task: Task) -> dict[str, Any]:
-    summary = Day(task.experiment, task.seed, task.policy).run()
+    summary = FleetSimulation(task.experiment, task.seed, task.policy).run()
     return {**summary, "where": task.where, "key": task.key}
 
 
--- a/glenrock/simulation/spec_types.py
+++ b/glenrock/simulation/spec_types.py
@@ -23,3 +23,17 @@
 
 class Strict(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
     """A table: keys that are not known are faults."""
+
+
+def drawn_number(value: float | tuple[float, ...]) -> float:
+    """Returns a figure of a drawn experiment as a float. Raises TypeError for a range that is not drawn."""
+    if isinstance(value, tuple):
+        raise TypeError(f"a range that is not drawn: {value}")
+    return float(value)
+
+
+def drawn_count(value: int | tuple[int, ...]) -> int:
+    """Returns a count of a drawn experiment as an int. Raises TypeError for a range that is not drawn."""
+    if isinstance(value, tuple):
+        raise TypeError(f"a range that is not drawn: {value}")
+    return int(value)
--- a/glenrock/simulation/stats.py
+++ b/glenrock/simulation/stats.py
@@ -29,4 +29,4 @@
     if n == 0:
         return 1.0
     tail = sum(comb(n, k) for k in range(max(wins, n - wins), n + 1)) / 2**n
-    return min(1.0, 2 * tail)
+    return float(min(1.0, 2 * tail))
--- a/glenrock/simulation/streams.py
+++ b/glenrock/simulation/streams.py
@@ -1,7 +1,7 @@
-"""Random numbers: one stream for each purpose, all from the run's seed (numpy `SeedSequence`, PCG64).
+"""Random numbers: a stream for each purpose, all from the seed of the run (numpy `SeedSequence`, PCG64).
 
-Two policies that meet the same seed meet the same arrivals, lives and faults (common random numbers), since
-what one of them draws more often for itself comes from a stream of its own.
+Runs of two policies with one seed meet the same arrivals, lifetimes and faults (common random numbers), since draws
+that depend on the policy come from streams of their own.
 """
 
 from __future__ import annotations
@@ -9,40 +9,46 @@
 from collections.abc import Callable
 
 import numpy as np
+import numpy.typing as npt
 from xxhash import xxh64_intdigest
 
-BLOCK = 4096  # single draws from numpy cost a microsecond each; blocks cost a hundredth of that
+BLOCK_SIZE = 4096  # a draw of a block costs far less than as many single draws
 
 
 class Streams:
+    """The random streams of a run, by purpose."""
+
     def __init__(self, seed: int) -> None:
         self.seed = seed
 
     def of(self, purpose: str) -> np.random.Generator:
-        """The generator of that purpose; asked twice, it starts again."""
+        """Returns a new generator for a purpose; a second call for the purpose starts the stream again."""
         return np.random.Generator(
             np.random.PCG64(np.random.SeedSequence([self.seed, xxh64_intdigest(purpose.encode())]))
         )
 
     def uniforms(self, purpose: str) -> Callable[[], float]:
-        """A function that gives the next number in [0, 1)."""
-        return blocks(self.of(purpose).random)
+        """Returns a function that draws numbers in [0, 1)."""
+        return draw_in_blocks(self.of(purpose).random)
 
     def normals(self, purpose: str) -> Callable[[], float]:
-        return blocks(self.of(purpose).standard_normal)
+        """Returns a function that draws standard normal numbers."""
+        return draw_in_blocks(self.of(purpose).standard_normal)
 
     def exponentials(self, purpose: str) -> Callable[[], float]:
-        return blocks(self.of(purpose).standard_exponential)
+        """Returns a function that draws exponential numbers of mean 1."""
+        return draw_in_blocks(self.of(purpose).standard_exponential)
 
 
-def blocks(draw: Callable[[int], np.ndarray]) -> Callable[[], float]:
-    held: list[float] = []
+def draw_in_blocks(draw_block: Callable[[int], npt.NDArray[np.float64]]) -> Callable[[], float]:
+    """Returns a function that draws single numbers out of blocks."""
+    block: list[float] = []
 
-    def one() -> float:
-        nonlocal held
-        if not held:
-            held = draw(BLOCK).tolist()
-            held.reverse()
-        return held.pop()
+    def draw() -> float:
+        nonlocal block
+        if not block:
+            block = draw_block(BLOCK_SIZE).tolist()
+            block.reverse()
+        return block.pop()
 
-    return one
+    return draw
--- a/tests/simulation/days.py
+++ b/tests/simulation/days.py
@@ -8,8 +8,8 @@
 from glenrock import toml_file
 from glenrock.routing import interface
 from glenrock.simulation import spec
-from glenrock.simulation.day import Day
-from glenrock.simulation.model.balancer import PolicyFailed
+from glenrock.simulation.fleet_simulation import FleetSimulation
+from glenrock.simulation.model.balancer import PolicyFailedError
 from glenrock.toml_file import InputFileError
 
 SMALL: dict[str, Any] = {
@@ -30,8 +30,8 @@
     return found
 
 
-def day(seed: int = 1, policy: str = "random", make=None, **over: Any) -> Day:
-    return Day(experiment(**over), seed, policy, make=make)
+def day(seed: int = 1, policy: str = "random", make=None, **over: Any) -> FleetSimulation:
+    return FleetSimulation(experiment(**over), seed, policy, make_policy=make)
 
 
 class Scripted:
@@ -68,4 +68,4 @@
         return [interface.StartAttempt(e.id, self.first(), e.deadline_us - self.now - 10_000)]
 
 
-__all__ = ["InputFileError", "Day", "PATH", "PolicyFailed", "Scripted", "SMALL", "day", "experiment"]
+__all__ = ["InputFileError", "FleetSimulation", "PATH", "PolicyFailedError", "Scripted", "SMALL", "day", "experiment"]
--- a/tests/simulation/test_by_hand.py
+++ b/tests/simulation/test_by_hand.py
@@ -14,17 +14,19 @@
 def test_the_instance_that_carries_most_is_out_restarted_and_back() -> None:
     d = day(policy="glenrock", faults=[OUT], discovery={"notice_s": 4.0, "add_s": 0.2})
     d.prepare()
-    d.engine.run(d.begin_us + 2_500_000)
-    (name,) = d.hosts[0].out
+    d.engine.run(d.start_us + 2_500_000)
+    (name,) = d.balancers[0].suspended_since_us
     most = d.instances[name]
-    assert len(d.hosts[1].out) == 1 and most.up
-    d.engine.run(d.begin_us + 5_500_000)
+    assert len(d.balancers[1].suspended_since_us) == 1 and most.up
+    d.engine.run(d.start_us + 5_500_000)
     assert not most.up or not most.held
-    d.engine.run(d.begin_us + 7_900_000)
+    d.engine.run(d.start_us + 7_900_000)
     assert most.up and most.started and not most.held, "it runs again, and stays out"
-    d.engine.run(d.begin_us + 11_900_000)
-    assert most.held and not any(h.out for h in d.hosts), "its end, noticed after its start, keeps nobody away"
-    assert not any(d.judge.counts.values())
+    d.engine.run(d.start_us + 11_900_000)
+    assert most.held and not any(h.suspended_since_us for h in d.balancers), (
+        "its end, noticed after its start, keeps nobody away"
+    )
+    assert not any(d.invariants.counts.values())
 
 
 def test_a_send_to_one_that_is_out_is_a_breach() -> None:
@@ -44,14 +46,14 @@
         fleet={"balancers": 2, "zones": ["a"]},
     )
     d.prepare()
-    d.engine.run(d.begin_us + 2_000_001)
-    before = len(d.standing)
-    assert any(f.standing for f in d.hosts[1].flows.values())
-    d.engine.run(d.begin_us + 5_300_000)
-    assert not any(f.standing and f.standing.out for f in d.hosts[1].flows.values())
-    assert len(d.standing) > before / 2 and d.hosts[1].up, "its clients are at the other one"
-    d.engine.run(d.begin_us + 11_900_000)
-    assert any(f.standing for f in d.hosts[1].flows.values()) and not any(d.judge.counts.values())
+    d.engine.run(d.start_us + 2_000_001)
+    before = len(d.connected_clients)
+    assert any(f.established for f in d.balancers[1].requests.values())
+    d.engine.run(d.start_us + 5_300_000)
+    assert not any(f.open_attempt() for f in d.balancers[1].requests.values())
+    assert len(d.connected_clients) > before / 2 and d.balancers[1].is_up, "its clients are at the other one"
+    d.engine.run(d.start_us + 11_900_000)
+    assert any(f.established for f in d.balancers[1].requests.values()) and not any(d.invariants.counts.values())
 
 
 def test_the_module_is_told_of_both() -> None:
@@ -71,8 +73,8 @@
     def errors(chance: float) -> tuple[int, int]:
         d = day(make=Scripted, faults=[{"kind": "errs", "at_s": 2.0, "for_s": 4.0, "part": 1.0, "chance": chance}])
         d.run()
-        failed = sum(h.ends.get("failed", 0) for h in d.hosts)
-        return failed, sum(h.ends.get("up", 0) for h in d.hosts)
+        failed = sum(h.outcomes.get("failed", 0) for h in d.balancers)
+        return failed, sum(h.outcomes.get("up", 0) for h in d.balancers)
 
     never, half, always = errors(0.0), errors(0.5), errors(1.0)
     assert never[0] < half[0] < always[0] and always[1] > 0, "outside of these four seconds they stand"
--- a/tests/simulation/test_conservation.py
+++ b/tests/simulation/test_conservation.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from glenrock.simulation import record
-from glenrock.simulation.day import Day
+from glenrock.simulation.fleet_simulation import FleetSimulation
 
 from .days import experiment
 
@@ -82,17 +82,17 @@
     return over, draw(st.integers(0, 10_000)), draw(st.sampled_from(["glenrock", "random", "least", "prequal"]))
 
 
-def check(d: Day, summary: dict) -> None:
+def check(d: FleetSimulation, summary: dict) -> None:
     assert not summary["failure"]
     assert not any(summary["rules"][r] for r in ("repeated", "drained")), summary["breaches"][0]
-    for host in d.hosts:
+    for host in d.balancers:
         # Every try that arrived has one end; those still without one are known to their balancer. (That a
         # second end raises is checked in the emulator itself.)
-        open_ = sum(not f.end for f in host.flows.values())
-        assert host.arrived == sum(host.ends.values()) + open_
-        for f in host.flows.values():
-            if host.up:
-                assert sum(a.out for a in f.attempts) <= 1
+        open_ = sum(f.outcome is None for f in host.requests.values())
+        assert host.arrived_requests == sum(host.outcomes.values()) + open_
+        for f in host.requests.values():
+            if host.is_up:
+                assert sum(a.is_active for a in f.attempts) <= 1
     for i in d.instances.values():
         i.advance(d.engine.now)
         work = i.ledger
@@ -101,12 +101,17 @@
         assert work.jobs == work.jobs_done + work.jobs_lost + work.jobs_left + waiting
         # It holds what its clients hold, and nothing that a client has left.
         for a, c in i.held.items():
-            assert c.attempt.flow.client.connection is c and not c.attempt.flow.client.done and a.out and a.flow.host.up
+            assert (
+                c.attempt.request.client.connection is c
+                and not c.attempt.request.client.is_done
+                and a.is_active
+                and a.request.balancer.is_up
+            )
         want = sum(c.load for c in i.held.values()) + len(i.groups) * i.figures.group_load
         assert abs(i.demand - want) < 1e-3 * max(1.0, want)
         assert not i.held or i.up
     held = sum(len(i.held) for i in d.instances.values())
-    assert held == sum(c.connection is not None for c in d.standing)
+    assert held == sum(c.connection is not None for c in d.connected_clients)
     asked, earned = d.measure.asked.sum(), sum(map(sum, d.measure.earned))
     assert -1e-6 <= earned <= asked * (1 + 1e-9) + 1e-6
 
@@ -115,7 +120,7 @@
 @given(days())
 def test_requests_work_and_connections_are_conserved(case) -> None:
     over, seed, policy = case
-    d = Day(experiment(**over), seed, policy)
+    d = FleetSimulation(experiment(**over), seed, policy)
     ends = d.run()
     check(d, ends)
 
@@ -126,7 +131,7 @@
     over, seed, policy = case
     texts = []
     for _ in range(2):
-        s = Day(experiment(**over), seed, policy).run()
+        s = FleetSimulation(experiment(**over), seed, policy).run()
         texts.append(record.text_of({k: v for k, v in s.items() if k not in ("clock", "events_per_s")}))
     assert texts[0] == texts[1]
     json.loads(texts[0])
@@ -134,20 +139,22 @@
 
 def test_policies_meet_the_same_arrivals_and_faults() -> None:
     over = {"faults": [{"kind": "crash", "at_s": 3.0, "part": 0.5}]}
-    one, two = (Day(experiment(**over), 5, p) for p in ("random", "glenrock"))
+    one, two = (FleetSimulation(experiment(**over), 5, p) for p in ("random", "glenrock"))
     assert [(r.arrival, r.end, r.kind, r.usual, r.changes) for r in one.plan.rows] == [
         (r.arrival, r.end, r.kind, r.usual, r.changes) for r in two.plan.rows
     ]
     struck = []
     for d in (one, two):
         d.prepare()
-        d.engine.run(d.begin_us + 3_100_000)
+        d.engine.run(d.start_us + 3_100_000)
         struck.append([i.name for i in d.instances.values() if not i.up])
     assert struck[0] == struck[1] and len(struck[0]) == 2
 
 
 def test_a_fault_that_brings_clients_leaves_the_usual_ones_as_they_are() -> None:
-    plain = Day(experiment(), 3, "random").plan
-    more = Day(experiment(faults=[{"kind": "flash_crowd", "at_s": 2.0, "times": 4.0, "for_s": 2.0}]), 3, "random").plan
+    plain = FleetSimulation(experiment(), 3, "random").plan
+    more = FleetSimulation(
+        experiment(faults=[{"kind": "flash_crowd", "at_s": 2.0, "times": 4.0, "for_s": 2.0}]), 3, "random"
+    ).plan
     assert len(more.rows) > len(plain.rows)
     assert {r.arrival for r in plain.rows if r.arrival >= 0} <= {r.arrival for r in more.rows}
--- a/tests/simulation/test_faults.py
+++ b/tests/simulation/test_faults.py
@@ -8,15 +8,15 @@
 
 from glenrock.routing import interface
 from glenrock.simulation import spec
-from glenrock.simulation.day import Day
 from glenrock.simulation.faults import FAULTS
+from glenrock.simulation.fleet_simulation import FleetSimulation
 from glenrock.toml_file import InputFileError
 
 from .days import Scripted, day
 
 
 def at(d, second: float):
-    d.engine.run(d.begin_us + round(second * 1e6))
+    d.engine.run(d.start_us + round(second * 1e6))
     return d
 
 
@@ -43,7 +43,7 @@
 @pytest.mark.parametrize("name", ["large-herd", "large-zone", "large-join"])
 def test_the_module_keeps_the_rules_on_a_large_day(name: str) -> None:
     e = spec.load(Path("experiments") / f"{name}.toml", {"length_s": 14.0, "fleet.instances": 9})
-    found = Day(e, 3, "glenrock").run()
+    found = FleetSimulation(e, 3, "glenrock").run()
     assert found["failure"] == "" and sum(found["rules"].values()) == 0
     assert found["counts"]["attempts"] > 100
 
@@ -53,35 +53,35 @@
     at(d, 3.01)
     down = [i for i in d.instances.values() if not i.up]
     assert len(down) == 2 and not any(i.held for i in down)
-    assert all(d.feed.rows[i.name].state == "ready" for i in down)
+    assert all(d.feed.endpoints[i.name].state == "ready" for i in down)
     at(d, 4.2)
-    assert all(d.hosts[0].last[i.name].state == "gone" for i in down)
+    assert all(d.balancers[0].endpoints[i.name].state == "gone" for i in down)
     at(d, 7.1)
-    assert all(i.up and i.started == d.begin_us + 7_000_000 and i.warmth(d.engine.now) < 0.5 for i in down)
+    assert all(i.up and i.started == d.start_us + 7_000_000 and i.warmth(d.engine.now) < 0.5 for i in down)
     at(d, 8.0)
-    row = d.hosts[0].last[down[0].name]
+    row = d.balancers[0].endpoints[down[0].name]
     assert row.state == "ready" and row.started_us == down[0].started
 
 
 def test_a_crash_without_return_stays_down() -> None:
     d = at(with_fault(kind="crash", at_s=3.0, part=1.0, down_s=0.0), 12.0)
     assert not any(i.up for i in d.instances.values())
-    assert not d.standing
+    assert not d.connected_clients
 
 
 def test_a_cut_zone_is_reached_by_nobody_else_and_its_links_carry_nothing() -> None:
     d = with_fault(kind="zone_cut", at_s=3.0, for_s=4.0, zone="b")
     at(d, 3.0)
-    crossing = [c for i in d.instances.values() for c in i.held.values() if d.hosts[c.host].zone != i.shape.zone]
+    crossing = [c for i in d.instances.values() for c in i.held.values() if d.balancers[c.host].zone != i.shape.zone]
     assert crossing and all(c.muted and c.load == 0 for c in crossing)
-    assert not d.links.open(0, 1) and d.links.open(1, 1)
+    assert not d.links.is_open(0, 1) and d.links.is_open(1, 1)
     seen = {c: c.earned for c in crossing}
     at(d, 6.9)
     for i in d.instances.values():
         i.advance(d.engine.now)
     assert all(c.earned == e for c, e in seen.items() if c.attempt in c.attempt.instance.held)
     at(d, 7.1)
-    assert d.links.open(0, 1)
+    assert d.links.is_open(0, 1)
     assert not any(c.muted for i in d.instances.values() for c in i.held.values())
 
 
@@ -93,7 +93,9 @@
     d = with_fault(make=Across, kind="zone_cut", at_s=1.0, for_s=10.0)
     at(d, 5.0)
     ends = [
-        e for e in d.hosts[0].decisions.events if isinstance(e, interface.AttemptEnded) and e.outcome == "no_connection"
+        e
+        for e in d.balancers[0].policy.events
+        if isinstance(e, interface.AttemptEnded) and e.outcome == "no_connection"
     ]
     assert ends and all(e.latency_us == 200_000 for e in ends)
 
@@ -105,27 +107,27 @@
     down = []
     for n in range(24):
         at(d, 2.05 + n * 0.25)
-        down.append(sum(not h.up for h in d.hosts))
+        down.append(sum(not h.is_up for h in d.balancers))
     assert max(down) == 1 and sum(n > 0 for n in down) >= 6
-    assert all(h.up and h.life == 3 for h in d.hosts)
-    assert not d.judge.counts["cut off"]
+    assert all(h.is_up and h.incarnation == 3 for h in d.balancers)
+    assert not d.invariants.counts["cut off"]
 
 
 def test_a_roll_that_hands_back_moves_its_clients_first() -> None:
     d = with_fault(kind="balancer_roll", at_s=2.0, for_s=3.0, part=1.0, batch=0.5, down_s=0.5, hand_back_s=1.0)
     at(d, 10.0)
     assert d.measure.counts["moved"] > 10
-    assert not d.judge.counts["cut off"]
+    assert not d.invariants.counts["cut off"]
 
 
 def test_a_reconnect_drops_a_part_which_comes_again_within_the_time() -> None:
     d = with_fault(kind="reconnect", at_s=4.0, part=0.5, within_s=1.0)
     at(d, 3.99)
-    before = len(d.standing)
+    before = len(d.connected_clients)
     at(d, 4.0)
-    assert len(d.standing) == pytest.approx(before / 2, abs=2)
+    assert len(d.connected_clients) == pytest.approx(before / 2, abs=2)
     at(d, 5.5)
-    assert len(d.standing) > 0.8 * before
+    assert len(d.connected_clients) > 0.8 * before
 
 
 def test_a_slow_part_has_its_speed_for_a_while_and_a_frozen_one_answers_nothing() -> None:
@@ -140,7 +142,7 @@
 
     d = with_fault(make=Scripted, kind="slow", at_s=2.0, part=1.0, speed=0.0, for_s=20.0)
     at(d, 10.0)
-    ends = [e for e in d.hosts[0].decisions.events if isinstance(e, interface.AttemptEnded)]
+    ends = [e for e in d.balancers[0].policy.events if isinstance(e, interface.AttemptEnded)]
     late = [e for e in ends if e.outcome == "timeout"]
     assert late and all(e.latency_us > 1_000_000 for e in late)
 
@@ -155,9 +157,9 @@
     )
     d.prepare()
     at(d, 6.9)
-    assert all(r.state == "ready" for r in d.hosts[0].last.values())
+    assert all(r.state == "ready" for r in d.balancers[0].endpoints.values())
     at(d, 7.2)
-    assert sum(r.state == "gone" for r in d.hosts[0].last.values()) == 2
+    assert sum(r.state == "gone" for r in d.balancers[0].endpoints.values()) == 2
 
 
 def test_a_stale_list_is_what_balancers_start_with() -> None:
@@ -172,9 +174,9 @@
     )
     d.prepare()
     at(d, 4.9)
-    assert sum(r.state == "gone" for r in d.hosts[0].last.values()) == 2
+    assert sum(r.state == "gone" for r in d.balancers[0].endpoints.values()) == 2
     at(d, 6.0)
-    assert [r.state for r in d.hosts[0].last.values()] == ["ready"] * 4
+    assert [r.state for r in d.balancers[0].endpoints.values()] == ["ready"] * 4
 
 
 def test_a_flash_crowd_and_a_flood_bring_what_they_say() -> None:
@@ -207,7 +209,7 @@
     )
     at(d, 1.5)
     (first,) = [i for i in d.instances.values() if i.draining]
-    assert first.up and d.hosts[0].last[first.name].state == "draining"
+    assert first.up and d.balancers[0].endpoints[first.name].state == "draining"
     at(d, 3.1)
     assert not first.up
     at(d, 4.5)
