--- a/tests/simulation/test_hard_cases.py
+++ b/tests/simulation/test_hard_cases.py
@@ -11,7 +11,7 @@
 
 
 def at(d, second: float):
-    d.engine.run(d.begin_us + round(second * 1e6))
+    d.engine.run(d.start_us + round(second * 1e6))
     return d
 
 
@@ -33,9 +33,9 @@
     setting = [a for i in d.instances.values() for a, ready in i.opening.items() if not ready]
     assert setting
     at(d, 2.05)
-    events = [e for h in d.hosts for e in h.decisions.events]
+    events = [e for h in d.balancers for e in h.policy.events]
     ends = [e for e in events if isinstance(e, interface.AttemptEnded) and e.outcome == "broken"]
-    assert {e.id for e in ends} >= {a.flow.id for a in setting}
+    assert {e.id for e in ends} >= {a.request.id for a in setting}
     assert not any(i.opening or i.queue or i.running for i in d.instances.values() if not i.up)
     at(d, 9.0)  # jobs of the old process do not end in the new one
     assert all(i.running >= 0 and i.busy >= 0 for i in d.instances.values())
@@ -67,14 +67,14 @@
     )
     d.prepare()
     at(d, 9.9)
-    (host,) = d.hosts
-    assert host.decisions.waiting_queue
+    (host,) = d.balancers
+    assert host.policy.waiting_queue
     at(d, 10.2)
-    assert not host.up
+    assert not host.is_up
     at(d, 10.6)
-    assert host.up and not host.decisions.waiting_queue and host.decisions.servers
-    d.engine.run(d.begin_us + 24_000_000)
-    assert not any(d.judge.counts.values()), d.judge.breaches
+    assert host.is_up and not host.policy.waiting_queue and host.policy.servers
+    d.engine.run(d.start_us + 24_000_000)
+    assert not any(d.invariants.counts.values()), d.invariants.violations
 
 
 def test_a_report_may_be_older_than_the_restart_that_it_describes() -> None:
@@ -106,8 +106,8 @@
     s = d.run()
     assert s["counts"]["left"] > 20
     held = [c for i in d.instances.values() for c in i.held.values()]
-    assert len({c.attempt.flow.client for c in held}) == len(held), "a client stands twice"
-    assert all(c.attempt.flow.client.connection is c for c in held)
+    assert len({c.attempt.request.client for c in held}) == len(held), "a client stands twice"
+    assert all(c.attempt.request.client.connection is c for c in held)
     assert not any(s["rules"].values())
 
 
@@ -128,7 +128,7 @@
     d = day(make=Mover, clients={"move_ms": 5.0})
     s = d.run()
     assert s["counts"]["moved"] > 50
-    ends = [(e.id, e.attempt) for h in d.hosts for e in h.decisions.events if isinstance(e, interface.AttemptEnded)]
+    ends = [(e.id, e.attempt) for h in d.balancers for e in h.policy.events if isinstance(e, interface.AttemptEnded)]
     assert len(ends) == len(set(ends)), "an attempt ended twice"
     assert not any(s["rules"].values())
 
@@ -146,10 +146,10 @@
     )
     d.prepare()
     at(d, 5.0)
-    (dead,), (alive,) = [h for h in d.hosts if not h.up], [h for h in d.hosts if h.up]
+    (dead,), (alive,) = [h for h in d.balancers if not h.is_up], [h for h in d.balancers if h.is_up]
     at(d, 5.39)
-    gossip = [e for e in alive.decisions.events if isinstance(e, interface.GossipReceived)]
-    late = [e for e in gossip if int(e.data) > d.begin_us + 4_620_000]
+    gossip = [e for e in alive.policy.events if isinstance(e, interface.GossipReceived)]
+    late = [e for e in gossip if int(e.data) > d.start_us + 4_620_000]
     assert late and all(e.peer == dead.index for e in late)
 
 
--- a/tests/simulation/test_rules.py
+++ b/tests/simulation/test_rules.py
@@ -113,7 +113,7 @@
         make=Scripted,
         faults=[{"kind": "balancer_roll", "at_s": 2.0, "for_s": 1.0, "part": 1.0, "batch": 1.0, "hand_back_s": 1.0}],
     )
-    d.moved = lambda f: None  # a program that moves nobody
+    d.migrate = lambda f: None  # a program that moves nobody
     s = d.run()
     assert s["rules"]["cut off"] > 0
 
--- a/tests/simulation/test_store.py
+++ b/tests/simulation/test_store.py
@@ -10,7 +10,7 @@
 
 from glenrock.routing import interface
 from glenrock.simulation import spec
-from glenrock.simulation.day import Day
+from glenrock.simulation.fleet_simulation import FleetSimulation
 from glenrock.simulation.model.store import S, Store
 
 from .days import Scripted, day
@@ -50,12 +50,12 @@
     for waits, verdict in ((True, "timeout"), (False, "served")):
         d = day(make=Scripted, reports={"probe_waits": waits})
         d.prepare()
-        host, i = d.hosts[0], next(iter(d.instances.values()))
+        host, i = d.balancers[0], next(iter(d.instances.values()))
         i.piled = 5 * i.capacity(d.engine.now)
         i.advance(d.engine.now)
-        d.probe(host, i.name)
+        d.send_health_check(host, i.name)
         d.engine.run(d.engine.now + S)
-        ends = [e for e in host.decisions.events if isinstance(e, interface.HealthCheckResult)]
+        ends = [e for e in host.policy.events if isinstance(e, interface.HealthCheckResult)]
         assert [e.outcome for e in ends] == [verdict]
 
 
@@ -64,8 +64,8 @@
     found = []
     for seed in (4, 5, 7):
         over = {"faults[0].at_s": 8.0, "faults[0].for_s": 8.0, "length_s": 30.0}
-        d = Day(spec.load(ROOM / "one-room-slow.toml", over), seed)
+        d = FleetSimulation(spec.load(ROOM / "one-room-slow.toml", over), seed)
         d.prepare()
-        d.engine.run(d.begin_us + 24 * S)
-        found.append(len(d.standing) / sum(1 for r in d.plan.rows if r.arrival <= 24 * S < r.end))
+        d.engine.run(d.start_us + 24 * S)
+        found.append(len(d.connected_clients) / sum(1 for r in d.plan.rows if r.arrival <= 24 * S < r.end))
     assert sum(found) / 3 > 0.6, found
--- a/tests/simulation/test_theory.py
+++ b/tests/simulation/test_theory.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from glenrock.simulation.day import Day
+from glenrock.simulation.fleet_simulation import FleetSimulation
 from glenrock.simulation.model.waits import erlang_c, in_time
 
 from .days import experiment
@@ -22,7 +22,7 @@
 @pytest.mark.parametrize("cores,load", [(1, 0.7), (4, 0.85)])
 def test_waits_of_one_instance_are_those_of_mmc(cores: int, load: float) -> None:
     """Mean wait of M/M/c: C(c, load) times the mean work, over c (1 - load). Within 6%."""
-    d = Day(
+    d = FleetSimulation(
         experiment(
             **PLAIN,
             length_s=6000.0 / cores,
@@ -48,7 +48,7 @@
     """
     load, tails = 0.8, {}
     for policy in ("two_choices", "random"):
-        d = Day(
+        d = FleetSimulation(
             experiment(
                 **PLAIN,
                 length_s=60.0,
@@ -63,7 +63,7 @@
         seen = [0] * 6
         looks = 200
         for n in range(looks):
-            d.engine.run(d.begin_us + 10_000_000 + n * 250_000)
+            d.engine.run(d.start_us + 10_000_000 + n * 250_000)
             jobs = [len(i.opening) for i in d.instances.values()]
             for k in range(6):
                 seen[k] += sum(j >= k for j in jobs)
