--- a/tests/test_exchanges.py
+++ b/tests/net/test_exchanges.py
@@ -15,28 +15,9 @@
 from glenrock.net.clock import SetClock
 from glenrock.program import Program
 
-HERE = Path(__file__).resolve().parent / "exchanges"
-SETTINGS = {
-    "balancers": 2,
-    "slotNo": 0,
-    "tickUs": 2000,
-    "caps": {
-        "maxAttempts": 3,
-        "cancel": True,
-        "mayTell": True,
-        "retryAfter": True,
-        "maxRetryAfterUs": 1000000,
-        "dialTimeoutUs": 200000,
-    },
-    "classes": [{"name": "look", "targetUs": 300000, "deadlineUs": 1800000}],
-    "obligations": {
-        "drainGraceUs": 6000000,
-        "coldShare": 0.3,
-        "coldUs": 9000000,
-        "fallMultiple": 3,
-        "overloadForUs": 3000000,
-    },
-}
+from .settings import SETTINGS
+
+EXCHANGES = Path(__file__).resolve().parents[1] / "exchanges"
 
 
 class Ends:
@@ -251,7 +232,7 @@
 
 class Exchanges(unittest.TestCase):
     def test_each_is_answered_as_recorded(self) -> None:
-        paths = sorted(HERE.glob("*.txt"))
+        paths = sorted(EXCHANGES.glob("*.txt"))
         self.assertTrue(paths)
         for path in paths:
             with self.subTest(path.stem):
--- a/tests/test_descriptor_budget.py
+++ b/tests/test_descriptor_budget.py
@@ -5,7 +5,7 @@
 import asyncio
 
 import pytest
-from test_crossings import LINE, Rig, played
+from net.rig import REQUEST_LINE, LoopbackRig, run_on_rig
 
 from glenrock.config import ConfigError, check
 from glenrock.net.clock import Clock
@@ -47,33 +47,33 @@
 
 
 def test_a_limit_without_room_for_one_client_is_told_at_the_start() -> None:
-    async def story(rig: Rig) -> None:
+    async def scenario(rig: LoopbackRig) -> None:
         raw = {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "admin": "127.0.0.1:0", "limits": {"sockets": 64}}
         with pytest.raises(ConfigError, match=r"limits\.sockets: 64 leave no room for one client, 84 are needed"):
             Program(check(raw | {"settings": SETTINGS}), Clock())
 
-    from test_exchanges import SETTINGS
+    from net.settings import SETTINGS
 
-    played(story)
+    run_on_rig(scenario)
 
 
 def test_whoever_is_shed_with_a_request_in_the_buffer_has_its_answer() -> None:
     """Connections past their room: the oldest has sent a request that nobody has read yet."""
 
-    async def story(rig: Rig) -> None:
+    async def scenario(rig: LoopbackRig) -> None:
         await rig.open()
         acceptor = rig.program.acceptor
         asyncio.get_running_loop().remove_reader(acceptor.listener)
         room = rig.program.connections.max_idle_connections()
-        first = rig.client(LINE)
-        crowd = [rig.client() for _ in range(room + 3)]
+        first = rig.connect_client(REQUEST_LINE)
+        crowd = [rig.connect_client() for _ in range(room + 3)]
         acceptor._socket.accept(room + 4)  # in one turn: no task has run yet
         async with asyncio.timeout(5):  # a request that was lost reaches no server
-            at = await rig.at("s1")
+            at = await rig.accept_request("s1")
         at.sendall(b"UP r\r\n")
-        assert await rig.until(lambda: rig.read(first)) == b"UP r\r\n"
+        assert await rig.wait_until(lambda: rig.read(first)) == b"UP r\r\n"
         for sock in crowd[:3]:
-            assert (await rig.until(lambda sock=sock: rig.read(sock))).startswith(b"BUSY ")
+            assert (await rig.wait_until(lambda sock=sock: rig.read(sock))).startswith(b"BUSY ")
         assert rig.program.connections.metrics.rejected["shed"] == 3
 
-    played(story)
+    run_on_rig(scenario)
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -13,7 +13,7 @@
 import uvloop
 from hypothesis import given
 from hypothesis import strategies as st
-from test_exchanges import SETTINGS
+from net.settings import SETTINGS
 
 from glenrock.admin.listener import MAX_CALLERS, Listener
 from glenrock.config import check
