--- a/tests/net/rig.py
+++ b/tests/net/rig.py
@@ -38,7 +38,7 @@
 
 
 def reject_request(rig: LoopbackRig, connection) -> None:
-    """What the module's refusal does, at any instant: it forgets the request, and the answer is on its way."""
+    """Rejects a request as routing does: it forgets the request, and the answer is in the connection's mailbox."""
     balancer = rig.program.routing.balancer
     if connection.request_line.request_id in balancer.requests:
         balancer.lifecycle.client_disconnected(connection.request_line.request_id)
@@ -46,7 +46,7 @@
 
 
 class LoopbackRig:
-    """A program whose clock the test sets, raw sockets round it, and a discovery that says what the test says."""
+    """A program whose clock the test advances, with raw sockets for clients, servers and discovery."""
 
     def __init__(self) -> None:
         self.clock, self.listeners, self.open_sockets = SetClock(), {}, []
@@ -115,10 +115,10 @@
         return self.keep(sock)
 
     async def accept_request(self, name: str) -> socket.socket:
-        """The next connection at an instance, with its first line read."""
+        """Accepts the next connection at a server, and reads its request line."""
         sock = await self.accept_connection(self.listeners[name])
-        got = await self.wait_until(lambda: self.read(sock))
-        assert got.startswith(b"OPEN "), got
+        received = await self.wait_until(lambda: self.read(sock))
+        assert received.startswith(b"OPEN "), received
         return sock
 
     def read(self, sock: socket.socket) -> bytes:
@@ -129,25 +129,25 @@
 
     async def wait_until(self, what: Callable[[], object]) -> object:
         async with asyncio.timeout(5):
-            while not (got := what()):
+            while not (received := what()):
                 await asyncio.sleep(0)
-        return got
+        return received
 
     async def read_to_end(self, sock: socket.socket) -> tuple[bytes, str]:
-        """All that comes to the end, and the end."""
+        """Returns all bytes until the end, and whether the end is a fin or a reset."""
         data = b""
         async with asyncio.timeout(5):
             while True:
                 await asyncio.sleep(0)
                 try:
-                    got = sock.recv(1 << 16)
+                    received = sock.recv(1 << 16)
                 except BlockingIOError:
                     continue
                 except ConnectionError:
                     return data, "reset"
-                if not got:
+                if not received:
                     return data, "fin"
-                data += got
+                data += received
 
     async def advance(self, ms: float) -> None:
         for _ in range(int(ms // 10)):
@@ -160,20 +160,20 @@
             await asyncio.sleep(0.0002)
 
     async def start_request(self) -> tuple[socket.socket, socket.socket, ClientConnection]:
-        """A program, and a request that has been sent on and waits for its answer."""
+        """Starts a program with a request that waits for the answer of its server."""
         await self.open()
         client = self.connect_client(REQUEST_LINE)
         return client, await self.accept_request("s1"), self.connections["x1"]
 
     async def establish(self, data: bytes = REQUEST_LINE) -> tuple[socket.socket, socket.socket]:
         client = self.connect_client(data)
-        at = await self.accept_request("s1")
-        at.sendall(b"UP r\r\n")
+        server_side = await self.accept_request("s1")
+        server_side.sendall(b"UP r\r\n")
         assert await self.wait_until(lambda: self.read(client)) == b"UP r\r\n"
-        return client, at
+        return client, server_side
 
     async def check_nothing_was_sent(self) -> None:
-        """Whoever connected to an instance wrote no line there, and nothing of the client is left."""
+        """Checks that no request line was sent to a server, and that the client's connection has ended."""
         await self.wait_until(lambda: not self.connections and not self.acceptor.tasks)
         await self.advance(700)
         for listener in self.listeners.values():
--- a/tests/net/test_answers_and_decisions.py
+++ b/tests/net/test_answers_and_decisions.py
@@ -18,15 +18,15 @@
 
 def test_connection_established_before_its_rejection_stays_and_is_known_to_routing() -> None:
     async def scenario(rig: LoopbackRig) -> None:
-        client, at, connection = await rig.start_request()
+        client, server_side, connection = await rig.start_request()
         answered = connection.on_attempt_result
 
-        def crossed(x, outcome) -> None:  # the answer, and right behind it the module's last word
+        def crossed(x, outcome) -> None:  # the answer, and directly after it the rejection
             answered(x, outcome)
             reject_request(rig, connection)
 
         connection.attempt.on_result = crossed
-        at.sendall(b"UP r\r\n")
+        server_side.sendall(b"UP r\r\n")
         assert await rig.wait_until(lambda: rig.read(client)) == b"UP r\r\n"
         await rig.wait_until(lambda: rig.program.routing.balancer.requests)
         rig.report_endpoints(s1="DRAINING")
@@ -38,11 +38,11 @@
 
 def test_connection_established_after_its_rejection_is_closed() -> None:
     async def scenario(rig: LoopbackRig) -> None:
-        client, at, connection = await rig.start_request()
+        client, server_side, connection = await rig.start_request()
         answered = connection.on_attempt_result
         connection.attempt.on_result = lambda x, outcome: (reject_request(rig, connection), answered(x, outcome))
-        at.sendall(b"UP r\r\n")
-        assert await rig.read_to_end(at) == (b"", "fin")
+        server_side.sendall(b"UP r\r\n")
+        assert await rig.read_to_end(server_side) == (b"", "fin")
         data, end = await rig.read_to_end(client)
         assert data == b"BUSY 500\r\n" and end == "fin"
 
@@ -52,11 +52,11 @@
 def test_full_mailbox_loses_no_end_of_a_connection() -> None:
     async def scenario(rig: LoopbackRig) -> None:
         await rig.open()
-        client, at = await rig.establish()
-        rig.connections["x1"].mailbox.limit = 0  # full, and nobody has read it yet
+        client, server_side = await rig.establish()
+        rig.connections["x1"].mailbox.limit = 0  # full before its first message
         client.close()
-        assert await rig.read_to_end(at) == (b"", "fin")
-        at.close()
+        assert await rig.read_to_end(server_side) == (b"", "fin")
+        server_side.close()
         await rig.wait_until(lambda: not rig.connections)
 
     run_on_rig(scenario)
@@ -64,12 +64,12 @@
 
 @pytest.mark.parametrize("reads", [True, False])
 def test_client_migrates_while_its_server_hangs_within_a_line(reads: bool) -> None:
-    """And while what the client sends fills the way to an instance that does not read."""
+    """Also while the client's bytes fill the buffers to a server that does not read."""
 
     async def scenario(rig: LoopbackRig) -> None:
         await rig.open()
-        client, at = await rig.establish()
-        at.sendall(b"whole\r\nhal")
+        client, server_side = await rig.establish()
+        server_side.sendall(b"whole\r\nhal")
         assert await rig.wait_until(lambda: rig.read(client)) == b"whole\r\n"
         if not reads:
             idle = 0
@@ -82,12 +82,12 @@
                     await asyncio.sleep(0.0002)
             assert not rig.connections["x1"].awaits_client
         rig.connections["x1"].mailbox.put(MigrateClient(interface.AttemptOutcome.CANCELLED))
-        got = b""
+        received = b""
         async with asyncio.timeout(5):
-            while not got.endswith(b"MOVE\r\n"):
-                got += rig.read(client)
+            while not received.endswith(b"MOVE\r\n"):
+                received += rig.read(client)
                 await asyncio.sleep(0)
-        assert got == b"MOVE\r\n"
+        assert received == b"MOVE\r\n"
         client.close()
         await rig.wait_until(lambda: not rig.connections)
 
@@ -97,7 +97,7 @@
 @pytest.mark.parametrize("first", ["answer", "dismissal"])
 def test_connection_established_at_the_end_migrates_or_is_rejected_by_order_of_messages(first: str) -> None:
     async def scenario(rig: LoopbackRig) -> None:
-        client, at, connection = await rig.start_request()
+        client, server_side, connection = await rig.start_request()
         answered = connection.on_attempt_result
 
         def crossed(x, outcome) -> None:
@@ -106,8 +106,8 @@
                 act()
 
         connection.attempt.on_result = crossed
-        at.sendall(b"UP r\r\n")
-        assert await rig.read_to_end(at) == (b"", "fin")
+        server_side.sendall(b"UP r\r\n")
+        assert await rig.read_to_end(server_side) == (b"", "fin")
         assert await rig.read_to_end(client) == (b"UP r\r\nMOVE\r\n" if first == "answer" else b"BUSY 700\r\n", "fin")
 
     run_on_rig(scenario)
@@ -117,10 +117,10 @@
     async def scenario(rig: LoopbackRig) -> None:
         await rig.open("s1", caps={**SETTINGS["caps"], "maxAttempts": 1})
         client = rig.connect_client(REQUEST_LINE)
-        at = await rig.accept_request("s1")
-        at.sendall(b"UP r\r\n")
-        rig.clock.advance(1500)  # no turn of the loop between
-        assert await rig.read_to_end(at) == (b"", "fin")
+        server_side = await rig.accept_request("s1")
+        server_side.sendall(b"UP r\r\n")
+        rig.clock.advance(1500)  # no iteration of the loop between
+        assert await rig.read_to_end(server_side) == (b"", "fin")
         data, end = await rig.read_to_end(client)
         assert data.split()[0] in (b"BUSY", b"ERR") and data.count(b"\n") == 1 and end == "fin"
 
@@ -128,7 +128,7 @@
 
 
 def test_partly_written_request_counts_as_possibly_executed(monkeypatch) -> None:
-    """Its last byte may be out: whoever may not be asked twice is failed, and no other instance gets it."""
+    """Its last byte may have been sent: a request that is not idempotent fails, and no other server gets it."""
     monkeypatch.setattr(server_actor.protocol, "with_wait", lambda line, ms: line + b"z" * (16 << 20))
 
     async def scenario(rig: LoopbackRig) -> None:
--- a/tests/net/test_any_order.py
+++ b/tests/net/test_any_order.py
@@ -52,18 +52,18 @@
 def test_any_order_of_events_gives_one_answer_or_end_and_leaves_nothing_open(before, steps) -> None:
     async def scenario(rig: LoopbackRig) -> None:
         await rig.open()
-        rig.program.servers.get("s1")  # its actor is made at first use, and outlives the work
+        rig.program.servers.get("s1")  # creates its actor, which stays after the test
         await rig.run_loop()
         fds, tasks = len(os.listdir("/proc/self/fd")), len(asyncio.all_tasks())
         client, sent = rig.connect_client(REQUEST_LINE), b""
-        at = await rig.accept_request("s1")
+        server_side = await rig.accept_request("s1")
         connection, left, ended = rig.connections["x1"], False, False
         script = [(what, b"") for what in before] + [("instance", b"UP r\r\n")] + steps
         for what, data in script:
             data = {"half": b"U", "busy": b"BUSY\r\n", "up": b"UP r\r\n"}.get(what, data)
             with contextlib.suppress(OSError):
                 if data and not ended:
-                    at.sendall(data)
+                    server_side.sendall(data)
                     sent += data
                 elif what == "client" and not left and connection.established.is_set():
                     client.sendall(b"hello\r\n")
@@ -82,35 +82,35 @@
                     close_socket(client, what.endswith("rst"))
                 elif what.startswith("instance ") and not ended:
                     ended = True
-                    close_socket(at, what.endswith("rst"))
+                    close_socket(server_side, what.endswith("rst"))
         await rig.run_loop()
-        got = b""
+        received = b""
         if not left:
             connection.mailbox.deliver(
                 MigrateClient(interface.AttemptOutcome.CANCELLED)
                 if connection.established.is_set()
                 else AnswerNow(1000)
             )
-            got, _ = await rig.read_to_end(client)
+            received, _ = await rig.read_to_end(client)
             close_socket(client, False)
         if not ended:
             await rig.advance(20)
-            close_socket(at, False)
+            close_socket(server_side, False)
         async with asyncio.timeout(5):
             while rig.connections or rig.acceptor.tasks:
                 await rig.advance(10)
-        if got.startswith(b"UP "):
-            body, _, rest = got.rpartition(b"MOVE\r\n")
+        if received.startswith(b"UP "):
+            body, _, rest = received.rpartition(b"MOVE\r\n")
             assert not rest or not body, "nothing comes after MOVE"
-            passed = body if got.endswith(b"MOVE\r\n") else got
-            assert sent.startswith(passed) and got.count(b"MOVE") <= 1
-            assert not got.endswith(b"MOVE\r\n") or passed.endswith(b"\r\n"), "between two lines"
-        elif not left and got:
-            assert got.count(b"\n") == 1 and got.split(b" ")[0].strip() in (b"BUSY", b"ERR"), got
+            passed = body if received.endswith(b"MOVE\r\n") else received
+            assert sent.startswith(passed) and received.count(b"MOVE") <= 1
+            assert not received.endswith(b"MOVE\r\n") or passed.endswith(b"\r\n"), "between two lines"
+        elif not left and received:
+            assert received.count(b"\n") == 1 and received.split(b" ")[0].strip() in (b"BUSY", b"ERR"), received
         await rig.run_loop()
         assert not rig.program.routing.balancer.requests
         gc.collect()
-        for sock in (client, at):
+        for sock in (client, server_side):
             sock.close()
         await rig.wait_until(lambda: len(os.listdir("/proc/self/fd")) <= fds and len(asyncio.all_tasks()) <= tasks)
 
@@ -130,9 +130,9 @@
 def test_any_order_of_events_gives_one_attempt_at_a_time_and_one_answer_in_time(script, leaves, when) -> None:
     async def scenario(rig: LoopbackRig) -> None:
         await rig.open("s1", "s2")
-        out: list[socket.socket] = []  # attempts, the last of them perhaps not over
+        out: list[socket.socket] = []  # attempts; all but the last have ended
         over: set[int] = set()
-        got, stops, stood, told = b"", None, False, 0.0
+        received, stops, stood, told = b"", None, False, 0.0
         client, began = rig.connect_client(REQUEST_LINE), rig.clock.now()
 
         def given_up() -> None:
@@ -146,7 +146,7 @@
                     over.add(n)
 
         def look() -> None:
-            nonlocal got, told
+            nonlocal received, told
             for listener in rig.listeners.values():
                 with contextlib.suppress(BlockingIOError):
                     while True:
@@ -154,25 +154,25 @@
                         try:
                             data = sock.recv(1 << 16)
                         except OSError:
-                            continue  # it came up and was given up
+                            continue  # connected and cancelled
                         if data.startswith(b"OPEN "):
                             assert not left, "sent on for a client that has left"
-                            given_up()  # one that is over was closed before this one was opened
+                            given_up()  # an attempt is closed before the next one connects
                             assert len(over) == len(out), "two attempts at once"
                             out.append(sock)
             given_up()
             if not left:
-                before = got
+                before = received
                 with contextlib.suppress(OSError):
-                    got += client.recv(1 << 16)
-                told = told or (rig.clock.now() if got != before else 0.0)
+                    received += client.recv(1 << 16)
+                told = told or (rig.clock.now() if received != before else 0.0)
 
         left = False
         for n, what in enumerate(script):
-            if leaves and n == when and not got:
+            if leaves and n == when and not received:
                 close_socket(client, leaves == "rst")
                 await rig.run_loop()
-                look()  # a line that was on its way in that instant
+                look()  # a line that was being sent at that moment
                 left = True
             if what == "turns":
                 await rig.run_loop()
@@ -201,9 +201,9 @@
             await rig.advance(10)
             look()
         if not left:
-            assert got and (told <= began + 1550 or got.startswith(b"UP")), (got, told - began)
-            assert got.split()[0] in (b"UP", b"BUSY", b"ERR")
-            assert got.count(b"\n") == 1 or got == b"UP r\r\nMOVE\r\n"
+            assert received and (told <= began + 1550 or received.startswith(b"UP")), (received, told - began)
+            assert received.split()[0] in (b"UP", b"BUSY", b"ERR")
+            assert received.count(b"\n") == 1 or received == b"UP r\r\nMOVE\r\n"
         for sock in [client, *out]:
             sock.close()
         async with asyncio.timeout(10):
--- a/tests/net/test_clients_that_leave.py
+++ b/tests/net/test_clients_that_leave.py
@@ -16,12 +16,12 @@
 
 
 async def leave_while_attempt_is_queued(rig: LoopbackRig, leave: Callable[[socket.socket], None]) -> None:
-    """The attempt lies with the instance's actor; the client's end is told before its first step."""
+    """The attempt is in the mailbox of the server's actor; the client's end is handled before its first step."""
     await rig.open()
     client = rig.connect_client(REQUEST_LINE)
     start_attempt = None
 
-    async def caught() -> None:
+    async def intercept_start() -> None:
         await rig.wait_until(lambda: rig.connections)
         connection = rig.connections["x1"]
         nonlocal start_attempt
@@ -32,19 +32,19 @@
             connection.mailbox.wake(),
         )
 
-    await caught()
+    await intercept_start()
     leave(client)
 
 
 async def leave_while_connecting(rig: LoopbackRig, leave: Callable[[socket.socket], None]) -> None:
-    """Its connection does not come up until it has left."""
+    """The connection to the server is established after the client has left."""
     await rig.open()
     full = create_listener(0)
-    plugs = []
+    queue_fillers = []
     for _ in range(4):
-        plugs.append(socket.socket())
-        plugs[-1].setblocking(False)
-        plugs[-1].connect_ex(full.getsockname())
+        queue_fillers.append(socket.socket())
+        queue_fillers[-1].setblocking(False)
+        queue_fillers[-1].connect_ex(full.getsockname())
     await rig.run_loop()
     rig.program.servers.get("s1").row.address = full.getsockname()
     client = rig.connect_client(REQUEST_LINE)
@@ -53,30 +53,30 @@
     )
     leave(client)
     await rig.run_loop()
-    for sock in plugs:
+    for sock in queue_fillers:
         sock.close()
     rig.listeners["s1"] = full
 
 
 async def leave_between_attempts(rig: LoopbackRig, leave: Callable[[socket.socket], None]) -> None:
-    """It is turned away at one instance, and its end lies in the kernel with that answer."""
+    """One server rejects the request, and the client's end is in the kernel together with that answer."""
     await rig.open("s1", "s2")
     client = rig.connect_client(REQUEST_LINE)
-    at, first = None, ""
+    server_side, first = None, ""
     async with asyncio.timeout(5):
-        while at is None:
+        while server_side is None:
             await asyncio.sleep(0)
             for name, listener in rig.listeners.items():
                 with contextlib.suppress(BlockingIOError):
-                    at, first = rig.keep(listener.accept()[0]), name
-    await rig.wait_until(lambda: rig.read(at))
-    at.sendall(b"BUSY\r\n")
+                    server_side, first = rig.keep(listener.accept()[0]), name
+    await rig.wait_until(lambda: rig.read(server_side))
+    server_side.sendall(b"BUSY\r\n")
     leave(client)
     del rig.listeners[first]
 
 
 async def leave_while_no_server_is_ready(rig: LoopbackRig, leave: Callable[[socket.socket], None]) -> None:
-    """No instance may take it; one may once it has left."""
+    """No server is ready; one becomes ready after the client has left."""
     await rig.open()
     rig.report_endpoints(s1="DRAINING")
     await rig.run_loop()
@@ -89,7 +89,7 @@
 
 
 async def leave_while_resuming(rig: LoopbackRig, leave: Callable[[socket.socket], None]) -> None:
-    """It stood at an instance that is not there yet; it is tried again by a timer."""
+    """The connection is resumed at a server that does not listen yet; a timer retries it."""
     await rig.open()
     listener = rig.listeners["s1"]
     address = listener.getsockname()
@@ -111,7 +111,7 @@
 
 
 async def leave_as_routing_decides(rig: LoopbackRig, leave: Callable[[socket.socket], None]) -> None:
-    """The module decides on it in the turn in which it is closed."""
+    """Routing starts an attempt in the iteration of the loop in which the connection is closed."""
     await rig.open()
     rig.report_endpoints(s1="DRAINING")
     await rig.run_loop()
@@ -129,21 +129,21 @@
 
 
 async def leave_before_accept(rig: LoopbackRig, leave: Callable[[socket.socket], None]) -> None:
-    """Its line and its end are both there before the program has looked once."""
+    """The request line and the client's end are both in the kernel before the program accepts."""
     await rig.open()
     leave(rig.connect_client(REQUEST_LINE))
     await rig.wait_until(lambda: rig.acceptor.tasks)
 
 
 async def leave_as_the_server_connects(rig: LoopbackRig, leave: Callable[[socket.socket], None]) -> None:
-    """Its end and the instance's connection come in one turn, and the instance's actor has it first."""
+    """The client's end and the server's connection are ready in one iteration; the server's actor runs first."""
     await rig.open()
     actor = rig.program.servers.get("s1")
     attempt = actor.attempt
 
     async def first(x) -> object:
         pump = rig.connections["x1"].tasks[0]
-        pump.cancel()  # it has no turn before the line is written
+        pump.cancel()  # the pump does not run before the line is written
         await asyncio.wait([pump])
         leave(client)
         return await attempt(x)
--- a/tests/net/test_health_checks_and_discovery.py
+++ b/tests/net/test_health_checks_and_discovery.py
@@ -20,18 +20,18 @@
         actor.post = results.append
         for _ in range(2):
             rig.program.servers.send_health_check("s1")
-            at = await rig.accept_connection(rig.listeners["s1"])
-            assert await rig.wait_until(lambda at=at: rig.read(at)) == b"STATS\r\n"
-            at.sendall(b"PONG x0=0.5\r\n")
+            server_side = await rig.accept_connection(rig.listeners["s1"])
+            assert await rig.wait_until(lambda server_side=server_side: rig.read(server_side)) == b"STATS\r\n"
+            server_side.sendall(b"PONG x0=0.5\r\n")
             await rig.wait_until(lambda: actor.health_check_task.done())
-            at.close()  # idle: the program does not look at it now
+            server_side.close()  # unused: the program does not read from it
         assert [r.outcome for r in results] == ["served", "served"]
 
     run_on_rig(scenario)
 
 
 def test_silent_watch_ends_before_a_missed_change_counts_as_reported() -> None:
-    """The agent has a drain from the moment the watch fell silent; nothing new goes there after the grace."""
+    """The agent lists a draining server from the moment the watch is silent; after the grace it gets no connection."""
 
     async def scenario(rig: LoopbackRig) -> None:
         grace = 2000.0
@@ -60,13 +60,13 @@
 
 @pytest.mark.parametrize("answered", [True, False])
 def test_change_of_discovery_address_discards_versions_of_the_earlier_discovery(answered: bool) -> None:
-    """The new one knows nothing of the old one's versions: it is asked for the whole list, and its list counts."""
+    """The new discovery does not know earlier versions: it is polled for the whole list, and its list counts."""
 
     async def scenario(rig: LoopbackRig) -> None:
         await rig.open()
         await rig.wait_until(lambda: b"index=2" in rig.read(rig.discovery_connection))
         if answered:
-            rig.report_endpoints(s1="DRAINING")  # no turn of the loop between
+            rig.report_endpoints(s1="DRAINING")  # no iteration of the loop between
         rig.discovery, rig.version = create_listener(), 0
         rig.program.endpoints.change_address(rig.discovery.getsockname())
         rig.discovery_connection = await rig.accept_connection(rig.discovery)
--- a/tests/net/test_idle_connections.py
+++ b/tests/net/test_idle_connections.py
@@ -16,7 +16,7 @@
 def test_queued_request_is_answered_when_accepting_ends() -> None:
     async def scenario(rig: LoopbackRig) -> None:
         await rig.open()
-        client = rig.connect_client(REQUEST_LINE)  # no turn of the loop until it closes its door
+        client = rig.connect_client(REQUEST_LINE)  # no iteration of the loop before accepting ends
         rig.acceptor.close_idle()
         data, end = await rig.read_to_end(client)
         assert data.startswith(b"BUSY ") and end == "fin"
@@ -73,7 +73,7 @@
         client = rig.connect_client(b"PING\r\n")
         assert await rig.wait_until(lambda: rig.read(client)) == b"PONG\r\n"
         if late:
-            client.sendall(late)  # no turn of the loop before the signal
+            client.sendall(late)  # no iteration of the loop before the signal
 
         async def told_at_the_end() -> bytes:
             await rig.program.shutdown.stop(True, None)
@@ -110,10 +110,10 @@
         await rig.run_loop()
         if late:
             client.sendall(late)
-        rig.clock.advance(IDLE_TIMEOUT_MS)  # without a turn of the loop between
+        rig.clock.advance(IDLE_TIMEOUT_MS)  # without an iteration of the loop between
         if late:
-            at = await rig.accept_request("s1")
-            at.sendall(b"UP r\r\n")
+            server_side = await rig.accept_request("s1")
+            server_side.sendall(b"UP r\r\n")
             assert await rig.wait_until(lambda: rig.read(client)) == b"UP r\r\n"
         else:
             assert (await rig.read_to_end(client))[0].startswith(b"BUSY ")
@@ -125,12 +125,12 @@
     async def scenario(rig: LoopbackRig) -> None:
         await rig.open()
         client = rig.connect_client(b"PING\r\nPING\r\n" + REQUEST_LINE)
-        at = await rig.accept_request("s1")
-        at.sendall(b"UP r\r\n")
-        got = b""
+        server_side = await rig.accept_request("s1")
+        server_side.sendall(b"UP r\r\n")
+        received = b""
         async with asyncio.timeout(5):
-            while got != b"PONG\r\nPONG\r\nUP r\r\n":
-                got += rig.read(client)
+            while received != b"PONG\r\nPONG\r\nUP r\r\n":
+                received += rig.read(client)
                 await asyncio.sleep(0)
 
     run_on_rig(scenario)
@@ -147,12 +147,12 @@
             rig.report_endpoints(s1="DRAINING")
             await rig.run_loop()
         client = rig.connect_client(REQUEST_LINE)
-        at = await rig.accept_request("s1") if sent else None
+        server_side = await rig.accept_request("s1") if sent else None
         await rig.wait_until(lambda: rig.program.routing.balancer.requests)
         rig.connections["x1"].mailbox.deliver(AnswerNow(1000))
         data, end = await rig.read_to_end(client)
         assert data.startswith(word) and data.count(b"\n") == 1 and end == "fin"
-        if at:
-            assert (await rig.read_to_end(at))[0] == b""  # the attempt has ended too
+        if server_side:
+            assert (await rig.read_to_end(server_side))[0] == b""  # the attempt has ended too
 
     run_on_rig(scenario)
--- a/tests/net/test_relays.py
+++ b/tests/net/test_relays.py
@@ -17,7 +17,7 @@
 def test_bytes_that_arrive_during_a_handover_are_read_by_the_owner_of_the_relay(taken: bool, late: bytes) -> None:
     async def scenario(rig: LoopbackRig) -> None:
         await rig.open()
-        client, at = await rig.establish()
+        client, server_side = await rig.establish()
         connection, elsewhere = rig.connections["x1"], []
         await rig.wait_until(connection.may_hand_over)
 
@@ -26,16 +26,16 @@
             await rig.run_loop()
             return taken
 
-        client.sendall(late) if late else client.shutdown(socket.SHUT_WR)  # no turn of the loop before the offer
+        client.sendall(late) if late else client.shutdown(socket.SHUT_WR)  # no iteration of the loop before the offer
         handed = await connection.hand_over(give)
         assert handed is taken
         if taken:
             assert await rig.wait_until(lambda: rig.read(elsewhere[0]) or not late) == (late or True)
         elif late:
-            assert await rig.wait_until(lambda: rig.read(at)) == late
+            assert await rig.wait_until(lambda: rig.read(server_side)) == late
         else:
-            assert await rig.read_to_end(at) == (b"", "fin")
-        at.close()
+            assert await rig.read_to_end(server_side) == (b"", "fin")
+        server_side.close()
 
     run_on_rig(scenario)
 
@@ -48,9 +48,9 @@
         if not at_once:
             await rig.accept_request("s1")
             flood.send(b"z" * 200_000)
-        client, at = await rig.establish()
+        client, server_side = await rig.establish()
         assert rig.read(flood) == b"ERR\r\n"
-        for sock in (flood, client, at):
+        for sock in (flood, client, server_side):
             sock.close()
         await rig.advance(LINGER_TIMEOUT_MS + 20)
         assert not rig.connections
@@ -64,8 +64,8 @@
         stop, client = asyncio.Event(), rig.connect_client(REQUEST_LINE)
         stop.set()
         end = asyncio.create_task(rig.program.run_until(stop))
-        at = await rig.accept_request("s1")
-        at.sendall(b"UP r\r\n")
+        server_side = await rig.accept_request("s1")
+        server_side.sendall(b"UP r\r\n")
         async with asyncio.timeout(10):
             while not end.done():
                 await rig.advance(10)
