--- a/glenrock/net/acceptor.py
+++ b/glenrock/net/acceptor.py
@@ -18,7 +18,7 @@
 from .socket_io import close_drained, configure_socket, recv_into
 
 FIRST_LINE_TIMEOUT_MS = 2000.0  # a client is owed an answer within 3 s
-IDLE_TIMEOUT_MS = 10_000.0  # after an answer to PING
+IDLE_TIMEOUT_MS = 10_000.0  # after a ping
 LINGER_TIMEOUT_MS = 1000.0  # the client's end is awaited this long after its final answer
 MAX_LINGER_BYTES = 65536  # read from a client after its final answer
 LAST_LINE_TIMEOUT_MS = 100.0  # for a connection that was accepted as the process ends
@@ -68,7 +68,7 @@
     Attributes:
         tasks: one for each connection, those with a request too.
         idle: connections without a request.
-        is_draining: whether this balancer drains; PING is answered with ERR.
+        is_draining: whether this balancer drains; pings are answered with a failure.
         rejects_requests: whether new requests are rejected.
         drain_permit_check: returns whether the drain permit is valid, and ends the drain if it is not.
     """
--- a/glenrock/net/attempt_outcomes.py
+++ b/glenrock/net/attempt_outcomes.py
@@ -14,29 +14,29 @@
     NOT_CONNECTED = 0
     PARTLY_WRITTEN = 1
     WRITTEN = 2
-    UP = 3
+    ESTABLISHED = 3
 
 
 class AttemptEnd(Enum):
     """What ended an attempt.
 
     Attributes:
-        UP: the server accepted the request.
-        BYE: the server has served the request already.
-        MOVED: the server asked to connect elsewhere.
+        ESTABLISHED: the server accepted the request.
+        SERVED: the server has served the request already.
+        MIGRATED: the server asked to connect elsewhere.
         ERROR: the server failed the request.
-        BUSY: the server rejected the request.
+        REJECTED: the server rejected the request.
         BROKEN: the connection was refused, reset or closed without an answer.
         SILENT: no answer came in time.
         WITHDRAWN: routing cancelled the attempt, or the client left.
         NOT_SENT: the server is draining or gone, or this machine could not connect.
     """
 
-    UP = "up"
-    BYE = "bye"
-    MOVED = "moved"
+    ESTABLISHED = "established"
+    SERVED = "served"
+    MIGRATED = "migrated"
     ERROR = "error"
-    BUSY = "busy"
+    REJECTED = "rejected"
     BROKEN = "broken"
     SILENT = "silent"
     WITHDRAWN = "withdrawn"
@@ -44,10 +44,10 @@
 
 
 OUTCOMES = {
-    AttemptEnd.BYE: AttemptOutcome.SERVED,
-    AttemptEnd.MOVED: AttemptOutcome.CANCELLED,
+    AttemptEnd.SERVED: AttemptOutcome.SERVED,
+    AttemptEnd.MIGRATED: AttemptOutcome.CANCELLED,
     AttemptEnd.ERROR: AttemptOutcome.ERROR,
-    AttemptEnd.BUSY: AttemptOutcome.FULL,
+    AttemptEnd.REJECTED: AttemptOutcome.FULL,
     AttemptEnd.WITHDRAWN: AttemptOutcome.CANCELLED,
     AttemptEnd.NOT_SENT: AttemptOutcome.UNSENT,
 }
@@ -69,6 +69,6 @@
             return OUTCOMES[self.end]
         if self.reach < Reach.WRITTEN:
             return AttemptOutcome.NO_CONNECTION  # never executed: a server needs the line's last byte
-        if self.end is AttemptEnd.SILENT and self.reach < Reach.UP:
+        if self.end is AttemptEnd.SILENT and self.reach < Reach.ESTABLISHED:
             return AttemptOutcome.TIMEOUT
         return AttemptOutcome.BROKEN
--- a/glenrock/net/client_connection.py
+++ b/glenrock/net/client_connection.py
@@ -29,6 +29,7 @@
 )
 from .connection_reports import ConnectionReports
 from .metrics import ConnectionMetrics, ConnectionOutcome, RejectReason
+from .protocol import ServerWord
 from .relay_pumps import BUFFER_BYTES, RelayPumps
 from .routing_actor import RoutingActor
 from .server_connections import ServerRegistry
@@ -39,10 +40,10 @@
 RESUME_RETRY_MS = 250.0
 DECISION_MARGIN_MS = 20.0  # from the deadline to the answer without a decision; the protocol allows 58 ms
 MIGRATION_TIMEOUT_MS = LINGER_TIMEOUT_MS / 2  # for the end of a line that is being sent
-LAST_WORDS = {
-    "BYE": AttemptOutcome.SERVED,
-    "MOVE": AttemptOutcome.CANCELLED,
-    "ERR": AttemptOutcome.ERROR,
+LAST_WORDS: dict[str, AttemptOutcome] = {
+    ServerWord.SERVED: AttemptOutcome.SERVED,
+    ServerWord.MIGRATE: AttemptOutcome.CANCELLED,
+    ServerWord.FAILED: AttemptOutcome.ERROR,
 }
 """The first word of a server's last line, and how routing counts the end of the connection."""
 
@@ -217,7 +218,7 @@
                     await self._handle_client_end(message, resumes_at)
                     return False
                 case AttemptAnswered(attempt, result) if attempt is self.attempt:
-                    if result.end is AttemptEnd.UP:
+                    if result.end is AttemptEnd.ESTABLISHED:
                         self._record_established(attempt, resumes_at)
                         return True
                     if resumes_at is None:
@@ -228,7 +229,7 @@
     async def _answer_now(self, retry_after_ms: float, resumes_at: str | None) -> None:
         """Answers a waiting client.
 
-        BUSY invites a retry, so it is sent only if no attempt may have executed; otherwise the answer is ERR.
+        A rejection invites a retry, so it is sent only if no attempt may have executed; otherwise the request fails.
         """
         may_retry = resumes_at is None and self._routing.may_reject(self.request_line.request_id)
         self.reports.post_disconnected()
@@ -287,7 +288,7 @@
         """
         loop = asyncio.get_running_loop()
         self.has_ended = True
-        is_rejection = line.startswith(b"BUSY")
+        is_rejection = protocol.is_rejection(line)
         self.reports.count(ConnectionOutcome.THROTTLED if is_rejection else ConnectionOutcome.FAULTED)
         with contextlib.suppress(OSError):
             async with self.clock.limit(LINGER_TIMEOUT_MS):
@@ -307,7 +308,7 @@
         now_ms = self.clock.now()
         for line in lines:
             self.last_word, rest = protocol.split_word(line)
-            if self.last_word == "LOAD":
+            if self.last_word == ServerWord.LOAD:
                 load = protocol.finite_number(rest)
                 if load is not None and load >= 0:
                     self.reports.post_load(self.server, load)
@@ -339,7 +340,7 @@
                 self.reports.post_open(self.server)
                 return None
             case RelayEnd.OVERDUE if self.migration:
-                # The client would read MOVE as the rest of the line that has not ended, so the connection is reset.
+                # The client would read a further line as the rest of the unfinished one, so the connection is reset.
                 return RelayEnd.BETWEEN_LINES if self.may_migrate() else RelayEnd.SERVER_RST
             case RelayEnd() if message is not RelayEnd.OVERDUE:
                 return message
@@ -386,7 +387,9 @@
         self.server = server
         self.attempt_number = 0
         self.reports.is_counted = True
-        self.attempt = ConnectionAttempt(self.request_line.raw, 0, self.on_attempt_result, True, sock, reach=Reach.UP)
+        self.attempt = ConnectionAttempt(
+            self.request_line.raw, 0, self.on_attempt_result, True, sock, reach=Reach.ESTABLISHED
+        )
         self.established.set()
         self.reports.post_open(server)
         self.start_pumps()
@@ -400,18 +403,18 @@
         await self._finish(line)
 
     def _last_bytes(self) -> bytes:
-        """Returns the server's lines that have just arrived, and MOVE behind them.
+        """Returns the server's lines that have just arrived, and the call to migrate behind them.
 
-        The last line of a server that has ended the connection itself is sent without MOVE.
+        The last line of a server that has ended the connection itself is sent without that call.
         """
         server_sock = self.server_sock
         try:
             data = self.pass_gate(server_sock.recv(BUFFER_BYTES)) if server_sock else b""
         except OSError:
-            return protocol.MOVE
+            return protocol.MIGRATE
         if self.gate.is_within_line:  # the client has received no part of that line
-            return protocol.MOVE
-        return data if data and self.last_word in LAST_WORDS else data + protocol.MOVE
+            return protocol.MIGRATE
+        return data if data and self.last_word in LAST_WORDS else data + protocol.MIGRATE
 
     async def _end_relay(self, end: RelayEnd) -> None:
         """Passes an end on to the other side in the same form, within a second."""
--- a/glenrock/net/health_probe.py
+++ b/glenrock/net/health_probe.py
@@ -14,6 +14,7 @@
 from .clock import Clock, micros
 from .endpoint_rows import EndpointRow
 from .health_connections import HealthConnections
+from .protocol import ServerWord
 from .socket_io import close_socket, configure_socket
 from .system_errors import is_local
 
@@ -83,7 +84,7 @@
     async def _exchange(self, sock: socket.socket) -> HealthAnswer:
         """Sends the health check and reads its answer. Raises OSError."""
         loop = asyncio.get_running_loop()
-        await loop.sock_sendall(sock, protocol.STATS)
+        await loop.sock_sendall(sock, protocol.HEALTH_CHECK)
         buffer = bytearray(protocol.MAX_LINE_BYTES)
         splitter = protocol.LineSplitter()
         while True:
@@ -92,9 +93,9 @@
                 return NO_CONNECTION
             for line in splitter.feed(bytes(buffer[:count])):
                 word, rest = protocol.split_word(line)
-                if word != "PONG" and "=" not in word:
+                if word != ServerWord.HEALTHY and "=" not in word:
                     return HealthAnswer(interface.AttemptOutcome.ERROR, {})
-                text = rest if word == "PONG" else word
+                text = rest if word == ServerWord.HEALTHY else word
                 if "=" in text:
                     return HealthAnswer(interface.AttemptOutcome.SERVED, protocol.report_of(text))
 
--- a/glenrock/net/idle_connections.py
+++ b/glenrock/net/idle_connections.py
@@ -17,7 +17,7 @@
 
     Attributes:
         unanswered: connections that have had no answer.
-        answered: connections that have had an answer to `PING`, or a rejection.
+        answered: connections that have had an answer to a ping, or a rejection.
     """
 
     def __init__(self) -> None:
--- a/glenrock/net/line_gate.py
+++ b/glenrock/net/line_gate.py
@@ -17,8 +17,8 @@
 class LineGate:
     """Holds back the bytes of a line until its end.
 
-    A client that has received a part of a line cannot be migrated while its server hangs: it would read MOVE as the
-    rest of that line.
+    A client that has received a part of a line cannot be migrated while its server hangs: it would read the
+    call to migrate as the rest of that line.
 
     Attributes:
         splitter: the line that has not ended yet.
--- a/glenrock/net/metrics.py
+++ b/glenrock/net/metrics.py
@@ -27,7 +27,7 @@
 
 
 class RejectReason(StrEnum):
-    """Why a connection had another answer than UP. The values are labels of a metric.
+    """Why a request was not established. The values are labels of a metric.
 
     Attributes:
         ADMISSION: routing rejected the request.
@@ -60,7 +60,7 @@
     Attributes:
         outcomes: connections by outcome and class; each connection is counted once.
         relayed: attempts whose request line was written whole to a server.
-        rejected: connections with another answer than UP, by reason.
+        rejected: connections whose request was not established, by reason.
         system_errors: system calls that failed because of this machine, by the name of their errno.
     """
 
--- a/glenrock/net/protocol.py
+++ b/glenrock/net/protocol.py
@@ -4,16 +4,44 @@
 
 import re
 from dataclasses import dataclass, field
+from enum import StrEnum
 from math import isfinite
 
 from glenrock.routing.settings_codec import report_field
 
 MAX_LINE_BYTES = 4096  # bytes of a line with its end
 PING = b"PING\r\n"
-STATS = b"STATS\r\n"
 PONG = b"PONG\r\n"
-MOVE = b"MOVE\r\n"
+HEALTH_CHECK = b"STATS\r\n"
+MIGRATE = b"MOVE\r\n"
 FAILED = b"ERR\r\n"
+REJECTED_PREFIX = b"BUSY"
+
+
+class ServerWord(StrEnum):
+    """The first words of servers' lines that have a meaning here.
+
+    Attributes:
+        ESTABLISHED: the connection is established.
+        REJECTED: the server rejects the request.
+        FAILED: the server fails the request, or ends the connection with an error.
+        MALFORMED: the server cannot parse the request line.
+        SERVED: the server has served the connection.
+        MIGRATE: the client is to connect elsewhere.
+        LOAD: the load of the connection follows.
+        HEALTHY: the answer to a health check.
+    """
+
+    ESTABLISHED = "UP"
+    REJECTED = "BUSY"
+    FAILED = "ERR"
+    MALFORMED = "SYNTAX"
+    SERVED = "BYE"
+    MIGRATE = "MOVE"
+    LOAD = "LOAD"
+    HEALTHY = "PONG"
+
+    __hash__ = str.__hash__
 
 
 @dataclass(frozen=True)
@@ -136,7 +164,7 @@
     return fields
 
 
-def with_wait(line: bytes, ms: float) -> bytes:
+def with_time_left(line: bytes, ms: float) -> bytes:
     """Returns the client's line with that time in its field `d`."""
     head, space, rest = line.rstrip(b"\r\n").rpartition(b" ")
     wait = b"d=%d" % max(1, int(ms))
@@ -149,6 +177,11 @@
     return b"BUSY %d\r\n" % retry_after_ms if retry_after_ms >= 1 else b"BUSY\r\n"
 
 
+def is_rejection(line: bytes) -> bool:
+    """Returns whether the line to a client is a rejection."""
+    return line.startswith(REJECTED_PREFIX)
+
+
 def finite_number(text: str) -> float | None:
     """Returns the number; None if the text is no finite number."""
     try:
--- a/glenrock/net/server_actor.py
+++ b/glenrock/net/server_actor.py
@@ -19,12 +19,17 @@
 from .health_probe import HealthProbe
 from .mailbox import Mailbox
 from .metrics import ConnectionMetrics
+from .protocol import ServerWord
 from .socket_io import close_socket, configure_socket
 from .system_errors import is_local
 
 MAX_MESSAGES = 1024  # health checks and attempts that wait for one actor
 LOCAL_RETRY_MS = 20.0  # after this machine could not begin a connection
-ENDS_BY_WORD = {"BUSY": AttemptEnd.BUSY, "BYE": AttemptEnd.BYE, "MOVE": AttemptEnd.MOVED}
+ENDS_BY_WORD: dict[str, AttemptEnd] = {
+    ServerWord.REJECTED: AttemptEnd.REJECTED,
+    ServerWord.SERVED: AttemptEnd.SERVED,
+    ServerWord.MIGRATE: AttemptEnd.MIGRATED,
+}
 
 Post = Callable[[interface.Event], bool]
 
@@ -130,7 +135,7 @@
         except Exception:  # the client needs an answer whatever has failed
             logger.exception("unexpected error in an attempt", server=self.row.name, request_id=attempt.request_id)
             result = AttemptResult(AttemptEnd.BROKEN, attempt.reach)
-        if result.end is not AttemptEnd.UP and attempt.sock:
+        if result.end is not AttemptEnd.ESTABLISHED and attempt.sock:
             # Closed before routing learns of the end, so that two attempts are never in flight.
             close_socket(attempt.sock)
             attempt.sock = None
@@ -204,7 +209,7 @@
         loop = asyncio.get_running_loop()
         async with self._clock.limit(self._left_ms(attempt)):
             attempt.reach = Reach.PARTLY_WRITTEN
-            await loop.sock_sendall(sock, protocol.with_wait(attempt.line, self._left_ms(attempt)))
+            await loop.sock_sendall(sock, protocol.with_time_left(attempt.line, self._left_ms(attempt)))
             attempt.reach = Reach.WRITTEN
             self._metrics.relayed += 1
             return await self._read_answer(attempt, sock)
@@ -225,10 +230,10 @@
             if splitter.is_overlong:
                 return AttemptResult(AttemptEnd.ERROR, attempt.reach)
         word, rest = protocol.split_word(lines[0])
-        if word == "UP":
-            attempt.reach = Reach.UP
-            return AttemptResult(AttemptEnd.UP, attempt.reach)
-        if word == "SYNTAX":
+        if word == ServerWord.ESTABLISHED:
+            attempt.reach = Reach.ESTABLISHED
+            return AttemptResult(AttemptEnd.ESTABLISHED, attempt.reach)
+        if word == ServerWord.MALFORMED:
             logger.error("server rejected the form of a request line", server=self.row.name, line=attempt.line)
         end = ENDS_BY_WORD.get(word, AttemptEnd.ERROR)
         return AttemptResult(end, attempt.reach, protocol.report_of(rest))
--- a/tests/net/test_answers_and_decisions.py
+++ b/tests/net/test_answers_and_decisions.py
@@ -129,7 +129,7 @@
 
 def test_partly_written_request_counts_as_possibly_executed(monkeypatch) -> None:
     """Its last byte may have been sent: a request that is not idempotent fails, and no other server gets it."""
-    monkeypatch.setattr(server_actor.protocol, "with_wait", lambda line, ms: line + b"z" * (16 << 20))
+    monkeypatch.setattr(server_actor.protocol, "with_time_left", lambda line, ms: line + b"z" * (16 << 20))
 
     async def scenario(rig: LoopbackRig) -> None:
         await rig.open("s1", "s2", effect="unsafe")
