--- a/glenrock/coordination/config.py
+++ b/glenrock/coordination/config.py
@@ -9,7 +9,7 @@
 from msgspec import Meta, Struct
 
 from .. import toml_file
-from ..toml_file import fault
+from ..toml_file import input_error
 
 CONSUL_MIN_TTL_MS = 10_000  # Consul's bound on a session's TTL, unless its own configuration lowers it
 DAY_MS = 86_400_000
@@ -120,7 +120,7 @@
     file: CoordinationFile = toml_file.convert(path, text, raw, CoordinationFile)
     for requirement in _requirements(file):
         if not requirement.is_met:
-            raise fault(path, text, requirement.key, requirement.message)
+            raise input_error(path, text, requirement.key, requirement.message)
     return file
 
 
--- a/glenrock/coordination/durable_state.py
+++ b/glenrock/coordination/durable_state.py
@@ -134,7 +134,7 @@
         """Merges the previous version of the file, if it can be read."""
         with contextlib.suppress(OSError, DurableStateError):
             was_restored = fence.is_restored
-            content = _decode(durable_file.previous_of(self.path).read_bytes()[: MAX_BYTES + 1])
+            content = _decode(durable_file.previous_path(self.path).read_bytes()[: MAX_BYTES + 1])
             self._merge_content(content, fence, overrides)
             fence.is_restored = was_restored
 
@@ -190,7 +190,7 @@
         """
         with self._locked():
             is_merged = self._merge_file(snapshot)
-            durable_file.replace(self.path, durable_file.sealed(snapshot.to_json()), sync=True)
+            durable_file.replace(self.path, durable_file.encode_with_digest(snapshot.to_json()), sync=True)
             self._stamp = _stamp_of(os.stat(self.path))
             return is_merged
 
@@ -221,7 +221,7 @@
     if not isinstance(raw, dict) or raw.get("version") != VERSION:
         raise DurableStateError(f"not of version {VERSION}")
     try:
-        durable_file.check_seal(raw)
+        durable_file.check_digest(raw)
         return StateSnapshot(
             boot=raw.get("boot"),
             positions=_decode_positions(raw),
--- a/glenrock/durable_file.py
+++ b/glenrock/durable_file.py
@@ -1,8 +1,8 @@
-"""Small files that are replaced as a whole: read back whole, or as they were before, whatever a write met.
+"""Atomic replacement of small files, with a digest and a copy of the previous content.
 
-A file is written beside its place, and takes that place by a rename, so a process that dies leaves the old one. The one
-before stays as a second copy, for a file that was cut or spoilt later. A digest tells what was spoilt; files of earlier
-versions have none and are read as they are.
+The new content is written to a temporary file, which is renamed over the old one: a process that ends in between leaves
+the old file. The previous file is kept under a second name, for the case that the current one is damaged later. The
+digest reveals damage. Files of earlier versions have no digest and are read without this check.
 """
 
 from __future__ import annotations
@@ -18,71 +18,71 @@
 PREVIOUS_SUFFIX = ".previous"
 
 
-class SpoiltFileError(ValueError):
-    """The content is not what was written."""
+class CorruptFileError(ValueError):
+    """The content of a file is not what was written."""
 
 
 def _digest_of(content: dict[str, Any]) -> str:
-    rest = {key: value for key, value in content.items() if key != DIGEST_KEY}
-    return hashlib.sha256(json.dumps(rest, sort_keys=True).encode()).hexdigest()
+    without_digest = {key: value for key, value in content.items() if key != DIGEST_KEY}
+    return hashlib.sha256(json.dumps(without_digest, sort_keys=True).encode()).hexdigest()
 
 
-def sealed(content: dict[str, Any]) -> bytes:
-    """The content as JSON, with its digest."""
-    # Through JSON first: keys and numbers are digested as a reader will see them.
-    plain: dict[str, Any] = json.loads(json.dumps(content))
-    return json.dumps({**content, DIGEST_KEY: _digest_of(plain)}).encode()
+def encode_with_digest(content: dict[str, Any]) -> bytes:
+    """Returns the content as JSON, with its digest."""
+    # JSON turns keys into strings. The digest is of the content that a reader decodes.
+    decoded: dict[str, Any] = json.loads(json.dumps(content))
+    return json.dumps({**content, DIGEST_KEY: _digest_of(decoded)}).encode()
 
 
-def check_seal(content: dict[str, Any]) -> None:
-    """Compares the content with its digest, where it has one.
+def check_digest(content: dict[str, Any]) -> None:
+    """Compares the content with its digest, if it has one.
 
     Raises:
-        SpoiltFileError: they differ.
+        CorruptFileError: the digest is of another content.
     """
     if DIGEST_KEY in content and content[DIGEST_KEY] != _digest_of(content):
-        raise SpoiltFileError("the digest is wrong: it is cut short or spoilt")
+        raise CorruptFileError("the digest does not match: the file is truncated or damaged")
 
 
-def previous_of(path: Path) -> Path:
-    """Where the file stands that was replaced last."""
+def previous_path(path: Path) -> Path:
+    """Returns the path of the copy of the previous content."""
     return path.with_name(path.name + PREVIOUS_SUFFIX)
 
 
 def replace(path: Path, data: bytes, sync: bool) -> None:
-    """Replaces the file, or leaves it as it was.
+    """Replaces a file atomically, and keeps its previous content at `previous_path`.
 
     Args:
-        path: of the file.
-        data: all of its content.
-        sync: wait for the disk, so that it outlasts the machine's power too. A disk may take seconds.
+        path: the file.
+        data: the new content.
+        sync: whether to wait until the content is on the disk, which may take seconds.
 
     Raises:
-        OSError: it could not be written; the file is as it was.
+        OSError: writing failed. The file is unchanged, unless only the sync of its folder failed.
     """
-    beside = path.with_name(f"{path.name}.{os.getpid()}")
+    temporary = path.with_name(f"{path.name}.{os.getpid()}")
     try:
-        with open(beside, "wb") as file:
+        with open(temporary, "wb") as file:
             file.write(data)
             file.flush()
             if sync:
                 os.fsync(file.fileno())
-        _keep_previous(path, beside.with_name(beside.name + PREVIOUS_SUFFIX))
-        os.replace(beside, path)
+        _keep_previous(path, temporary.with_name(temporary.name + PREVIOUS_SUFFIX))
+        os.replace(temporary, path)
     except OSError:
-        _remove(beside)
+        _remove(temporary)
         raise
     if sync:
         _sync_folder(path.parent)
 
 
-def _keep_previous(path: Path, beside: Path) -> None:
-    """A second name for the file that stands there; without one the replacement still holds."""
-    _remove(beside)  # left by a try that got no further: the link would fail for ever
+def _keep_previous(path: Path, temporary: Path) -> None:
+    """Links the present file to `previous_path`. A failure is ignored, since the replacement does not depend on it."""
+    _remove(temporary)  # a link that an interrupted call left would make `os.link` fail
     with contextlib.suppress(OSError):
-        os.link(path, beside)
-        os.replace(beside, previous_of(path))
-    _remove(beside)  # a rename onto another name of the same file does nothing (rename(2))
+        os.link(path, temporary)
+        os.replace(temporary, previous_path(path))
+    _remove(temporary)  # rename(2) does nothing if both names are of one file
 
 
 def _remove(path: Path) -> None:
@@ -91,7 +91,7 @@
 
 
 def _sync_folder(folder: Path) -> None:
-    """A rename that is not on disk may be undone by a power cut: the old file counts then, which was whole."""
+    """Waits until the renames in the folder are on the disk."""
     descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
     try:
         os.fsync(descriptor)
--- a/glenrock/simulation/spec.py
+++ b/glenrock/simulation/spec.py
@@ -16,7 +16,7 @@
 from glenrock.routing import interface
 
 from .. import toml_file
-from ..toml_file import InputFileError, fault
+from ..toml_file import InputFileError, input_error
 from .spec_faults import (
     FAULTS,
     AnyFault,
@@ -272,10 +272,10 @@
     if base is None:
         return raw, text
     if not isinstance(base, str):
-        raise fault(path, text, "base", "expected the name of a file")
+        raise input_error(path, text, "base", "expected the name of a file")
     under = (path.parent / base).resolve()
     if under in seen or under == path.resolve():
-        raise fault(path, text, "base", f"{base} leads back to this file")
+        raise input_error(path, text, "base", f"{base} leads back to this file")
     below, _ = raw_of(under, (*seen, path.resolve()))
     below.pop("sweep", None)  # an experiment's axes are its own
     return merge(below, raw), text
@@ -314,7 +314,7 @@
     except InputFileError as bad:
         if not key:
             raise
-        raise fault(path, text, "sweep", f"{key} = {value!r}: {str(bad).split(': ', 1)[1]}") from None
+        raise input_error(path, text, "sweep", f"{key} = {value!r}: {str(bad).split(': ', 1)[1]}") from None
     return changed
 
 
@@ -344,7 +344,7 @@
 
     def need(ok: bool, key: str, what: str) -> None:
         if not ok:
-            raise fault(path, text, key, what)
+            raise input_error(path, text, key, what)
 
     for key, pair in pairs(e):
         need(pair[0] <= pair[1], key, f"the range [{pair[0]:g}, {pair[1]:g}] runs backwards")
--- a/glenrock/testbed/scenario.py
+++ b/glenrock/testbed/scenario.py
@@ -12,7 +12,7 @@
 from ..simulation import spec as lab
 from ..simulation.spec_faults import Fault
 from ..simulation.spec_types import Above0R, Least0R, PartR, Strict
-from ..toml_file import InputFileError, fault
+from ..toml_file import InputFileError, input_error
 
 Party = Annotated[str, Meta(pattern=r"^(clients|list|store|(balancer|instance):(\*|[0-9]{1,4}))$")]
 Number = Annotated[int, Meta(ge=-1)]  # -1: drawn anew for each seed
@@ -199,7 +199,7 @@
 
     def need(ok: bool, key: str, what: str) -> None:
         if not ok:
-            raise fault(path, text, key, what)
+            raise input_error(path, text, key, what)
 
     counts = {"balancer": lab.low(e.fleet.balancers), "instance": lab.low(e.fleet.instances)}
     need(lab.high(e.fleet.balancers) <= MOST_BALANCERS, "fleet.balancers", f"at most {MOST_BALANCERS}")
--- a/glenrock/toml_file.py
+++ b/glenrock/toml_file.py
@@ -1,6 +1,6 @@
-"""TOML files with faults told by file, line and key. The one way in which the project reads TOML.
+"""Reads TOML files, with errors that name the file, the line and the key.
 
-May import the standard library and msgspec.
+Imports the standard library and msgspec only.
 """
 
 from __future__ import annotations
@@ -8,61 +8,69 @@
 import re
 import tomllib
 from pathlib import Path
-from typing import Any, TypeVar
+from typing import Any, NamedTuple, TypeVar
 
 import msgspec
 
 T = TypeVar("T")
-# Of msgspec's messages: what is wrong, and the path of the value.
-MESSAGE = re.compile(r"(.*?)(?: - at `(\$[^`]*)`)?$", re.S)
-UNKNOWN_FIELD = re.compile(r"Object contains unknown field `(.*)`")
-# A step of a path such as `faults[1].part`: a name, or an index.
+
+# A message of msgspec: the problem, and the path of the value.
+VALIDATION_MESSAGE = re.compile(r"(.*?)(?: - at `(\$[^`]*)`)?$", re.S)
+UNKNOWN_FIELD_MESSAGE = re.compile(r"Object contains unknown field `(.*)`")
+# A step of a path such as `faults[1].part`: a name or an index.
 PATH_STEP = re.compile(r"\.?([A-Za-z0-9_-]+)|\[(\d+)\]|\[\.\.\.\]")
-# Of TOML lines.
-HEADER = re.compile(r"\s*(\[\[?)\s*([^\]]+?)\s*\]\]?\s*(#.*)?$")
+# Lines of a TOML file.
+TABLE_HEADER = re.compile(r"\s*(\[\[?)\s*([^\]]+?)\s*\]\]?\s*(#.*)?$")
 KEY = re.compile(r"""\s*((?:[A-Za-z0-9_.-]|"[^"]*"|'[^']*')+)\s*=""")
 
 
 class InputFileError(Exception):
-    """Bad input, told in one line: file, line where it is known, key, and what is wrong."""
+    """An input file is invalid. The message has one line: file, line number if known, key, and the problem."""
+
+
+class _Problem(NamedTuple):
+    """A problem, and the path of the key that has it."""
+
+    message: str
+    key: str
 
 
-def _plain(key: str) -> str:
-    """A dotted key without quotes and blanks."""
+def _unquoted(key: str) -> str:
+    """Returns a dotted key without quotes and blanks."""
     return ".".join(part.strip().strip("\"'") for part in key.split("."))
 
 
-def places(text: str) -> dict[str, int]:
-    """The line, from 1 on, of each table and key, by its path such as `faults[1].part`."""
-    lines: dict[str, int] = {}
-    last_entries: dict[str, int] = {}  # of arrays of tables, by name: the index of the latest entry
+def line_numbers(text: str) -> dict[str, int]:
+    """Returns the line number, from 1, of each table and key by its path, such as `faults[1].part`."""
+    numbers: dict[str, int] = {}
+    last_indexes: dict[str, int] = {}  # by name of an array of tables
     table = ""
     for number, line in enumerate(text.splitlines(), 1):
-        if header := HEADER.match(line):
-            table = _inside_arrays(_plain(header[2]), last_entries)
+        if header := TABLE_HEADER.match(line):
+            table = _path_within_arrays(_unquoted(header[2]), last_indexes)
             if header[1] == "[[":
-                last_entries[table] = last_entries.get(table, -1) + 1
-                table = f"{table}[{last_entries[table]}]"
-            lines.setdefault(table, number)
+                last_indexes[table] = last_indexes.get(table, -1) + 1
+                table = f"{table}[{last_indexes[table]}]"
+            numbers.setdefault(table, number)
         elif key := KEY.match(line):
-            lines.setdefault(f"{table}.{_plain(key[1])}".lstrip("."), number)
-    return lines
+            numbers.setdefault(f"{table}.{_unquoted(key[1])}".lstrip("."), number)
+    return numbers
 
 
-def _inside_arrays(table: str, last_entries: dict[str, int]) -> str:
-    """After `[[a]]`, a table `[a.b]` is one of the latest entry of `a`."""
-    for name, last in sorted(last_entries.items()):
+def _path_within_arrays(table: str, last_indexes: dict[str, int]) -> str:
+    """Returns the path of a table: `[a.b]` after `[[a]]` belongs to the last entry of `a`."""
+    for name, last in sorted(last_indexes.items()):
         if table.startswith(name + "."):
             table = f"{name}[{last}]" + table[len(name) :]
     return table
 
 
 def line_of(text: str, path: str) -> int:
-    """The line of that path, or of the nearest table round it; 0 where there is none."""
-    lines = places(text)
+    """Returns the line number of the path, or of the nearest table that contains it; 0 if there is none."""
+    numbers = line_numbers(text)
     while path:
-        if path in lines:
-            return lines[path]
+        if path in numbers:
+            return numbers[path]
         path = _parent(path)
     return 0
 
@@ -74,10 +82,10 @@
 
 
 def read(path: Path) -> tuple[dict[str, Any], str]:
-    """The file's content, and its text.
+    """Returns the parsed content of a file, and its text.
 
     Raises:
-        InputFileError: it cannot be read, or is no TOML.
+        InputFileError: the file cannot be read, or its content is not TOML.
     """
     try:
         text = path.read_text(encoding="utf-8")
@@ -90,31 +98,30 @@
         raise InputFileError(f"{path}: {error}") from error
 
 
-def fault(path: Path, text: str, key: str, what: str) -> InputFileError:
-    """The error for a faulty key, with the line where it stands."""
+def input_error(path: Path, text: str, key: str, problem: str) -> InputFileError:
+    """Returns the error for a key of a file, with the line number of the key."""
     line = line_of(text, key)
-    where = f"{path}:{line}" if line else f"{path}"
-    return InputFileError(f"{where}: {key}: {what}" if key else f"{where}: {what}")
+    place = f"{path}:{line}" if line else f"{path}"
+    return InputFileError(f"{place}: {key}: {problem}" if key else f"{place}: {problem}")
 
 
 def convert(path: Path, text: str, raw: Any, kind: type[T]) -> T:
-    """`raw` as that type.
+    """Returns the parsed content as a value of that type.
 
     Raises:
-        InputFileError: with the path of the faulty key.
+        InputFileError: a value is invalid, or a key is unknown.
     """
     try:
         return msgspec.convert(raw, kind)
     except msgspec.ValidationError as error:
-        what, key = _parts_of(str(error))
-        raise fault(path, text, key, what) from error
+        problem = _problem_of(str(error))
+        raise input_error(path, text, problem.key, problem.message) from error
 
 
-def _parts_of(message: str) -> tuple[str, str]:
-    """What is wrong, and the key at fault, from msgspec's message."""
-    found = MESSAGE.match(message)
-    what = found[1] if found else message
+def _problem_of(validation_message: str) -> _Problem:
+    found = VALIDATION_MESSAGE.match(validation_message)
+    message = found[1] if found else validation_message
     key = (found[2] or "$" if found else "$").lstrip("$").lstrip(".")
-    if unknown := UNKNOWN_FIELD.match(what):
-        return "not a key that is known here", f"{key}.{unknown[1]}".lstrip(".")
-    return what, key
+    if unknown := UNKNOWN_FIELD_MESSAGE.match(message):
+        return _Problem("not a key that is known here", f"{key}.{unknown[1]}".lstrip("."))
+    return _Problem(message, key)
--- a/glenrock/upgrade/override_file.py
+++ b/glenrock/upgrade/override_file.py
@@ -84,8 +84,8 @@
     if not isinstance(content, dict) or content.get("version") != VERSION:
         raise OverrideFileError(f"not of version {VERSION}")
     try:
-        durable_file.check_seal(content)
-    except durable_file.SpoiltFileError as error:
+        durable_file.check_digest(content)
+    except durable_file.CorruptFileError as error:
         raise OverrideFileError(str(error)) from error
     out = content.get("out")
     back = content.get("back")
@@ -150,7 +150,7 @@
 def read_previous(folder: str) -> SharedOverrides | None:
     """Returns the content of the file that was replaced last; None if there is no valid one."""
     try:
-        return parse(durable_file.previous_of(Path(folder, FILE_NAME)).read_bytes()[: MAX_FILE_BYTES + 1])
+        return parse(durable_file.previous_path(Path(folder, FILE_NAME)).read_bytes()[: MAX_FILE_BYTES + 1])
     except (OSError, OverrideFileError):
         return None
 
@@ -165,7 +165,7 @@
         OSError: the file cannot be written.
     """
     content = json.loads(encode(shared))
-    durable_file.replace(Path(folder, FILE_NAME), durable_file.sealed(content), sync=False)
+    durable_file.replace(Path(folder, FILE_NAME), durable_file.encode_with_digest(content), sync=False)
 
 
 def exchange(
--- a/tests/simulation/test_spec.py
+++ b/tests/simulation/test_spec.py
@@ -7,7 +7,7 @@
 import pytest
 
 from glenrock.simulation import spec
-from glenrock.toml_file import InputFileError, places
+from glenrock.toml_file import InputFileError, line_numbers
 
 ROOT = Path(__file__).resolve().parents[2]
 GOOD = """name = "x"
@@ -67,7 +67,7 @@
 
 def test_lines_are_found_in_nested_tables() -> None:
     text = "[a]\nb = 1\n[[c]]\nd = 2\n[c.e]\nf = 3\n[[c]]\n'g.h' = 4\n"
-    assert places(text) == {
+    assert line_numbers(text) == {
         "a": 1,
         "a.b": 2,
         "c[0]": 3,
