--- a/glenrock/__main__.py
+++ b/glenrock/__main__.py
@@ -1,6 +1,6 @@
-"""`python -m glenrock`: reads the configuration, and runs a balancer until a signal ends it.
+"""`python -m glenrock`: reads the configuration and runs a balancer until a signal ends it.
 
-Exit codes: 0 after SIGTERM or SIGINT, 1 where the system refuses what is needed, 2 for a fault in the configuration.
+Exit codes: 0 after SIGTERM or SIGINT, 1 after an error of the operating system, 2 for an invalid configuration.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 import uvloop
 
 from . import log
-from .config import Config, ConfigError, read
+from .config import Config, ConfigError, read_config
 from .net.clock import Clock
 from .program import Program, raise_descriptor_limit
 
@@ -23,21 +23,25 @@
 
 
 async def serve(config: Config, clock: Clock, early_reloads: list[int]) -> None:
-    """Serves until SIGTERM or SIGINT. SIGHUP reads the configuration again.
+    """Serves until SIGTERM or SIGINT. SIGHUP reloads the configuration.
 
     Args:
-        config: as read at the start.
+        config: the configuration at the start.
         clock: the one clock of the process.
-        early_reloads: SIGHUPs that came before the loop ran.
+        early_reloads: the signal numbers of each SIGHUP received before the event loop ran.
+
+    Raises:
+        ConfigError: the configuration names something that cannot be used.
+        OSError: an address cannot be bound.
     """
     loop = asyncio.get_running_loop()
     stop = asyncio.Event()
     for signal_number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(signal_number, stop.set)
     program = Program(config, clock)
-    reload = functools.partial(program.reload, functools.partial(read, os.environ))
+    reload = functools.partial(program.reload, functools.partial(read_config, os.environ))
     loop.add_signal_handler(signal.SIGHUP, reload)
-    if early_reloads:  # the file may have changed after it was read
+    if early_reloads:
         reload()
     if program.coordination:
         await program.coordination.wait_before_start(stop)
@@ -46,27 +50,27 @@
 
 
 def main() -> int:
-    """Runs a balancer. Returns the exit code."""
-    # Without a handler SIGHUP ends the program, and its clients with it. So there is one from the first moment on, and
-    # what comes before the loop runs is made up for.
+    """Runs a balancer, and returns the exit code."""
+    # The default action of SIGHUP ends the process. The handler is set before the configuration is read, and `serve`
+    # reloads if the signal arrived before the event loop could handle it.
     early_reloads: list[int] = []
     signal.signal(signal.SIGHUP, lambda number, _: early_reloads.append(number))
     try:
-        config = read(os.environ)
+        config = read_config(os.environ)
     except ConfigError as error:
-        return _fail(error, EXIT_BAD_CONFIG)
+        return _report_failure(error, EXIT_BAD_CONFIG)
     log.configure(config.log)
-    raise_descriptor_limit(config.sockets)
+    raise_descriptor_limit(config.descriptor_limit)
     try:
         uvloop.run(serve(config, Clock(), early_reloads))
     except ConfigError as error:
-        return _fail(error, EXIT_BAD_CONFIG)
+        return _report_failure(error, EXIT_BAD_CONFIG)
     except OSError as error:
-        return _fail(error, EXIT_SYSTEM_ERROR)
+        return _report_failure(error, EXIT_SYSTEM_ERROR)
     return 0
 
 
-def _fail(error: Exception, exit_code: int) -> int:
+def _report_failure(error: Exception, exit_code: int) -> int:
     print(f"glenrock: {error}", file=sys.stderr)
     return exit_code
 
--- a/glenrock/cli/check.py
+++ b/glenrock/cli/check.py
@@ -31,10 +31,10 @@
         points = spec.points(file)
         click.echo(f"{file}: sound ({points[0][1].name}, {len(points)} point{'s' * (len(points) != 1)})")
     elif file.suffix == ".json":
-        from ..config import ConfigError, read
+        from ..config import ConfigError, read_config
 
         try:
-            config = read({"LB_CONFIG": str(file)})
+            config = read_config({"LB_CONFIG": str(file)})
         except ConfigError as error:
             raise InputFileError(f"{file}: {error}") from error
         click.echo(f"{file}: sound ({config.name or 'no name'}, listens on {config.listen[0]}:{config.listen[1]})")
--- a/glenrock/config.py
+++ b/glenrock/config.py
@@ -1,8 +1,7 @@
-"""The one place where configuration is read, checked and given defaults.
+"""Reads and checks the configuration, and sets its defaults.
 
-LB_CONFIG names a JSON file with everything; LB_NAME, LB_LISTEN, LB_DISCOVERY, LB_ADMIN, LB_FLEET, LB_LOG_LEVEL and
-LB_LOG_FORMAT win over it. The file may be read again while the program runs: then a key that it has changed wins over
-the variable.
+LB_CONFIG names a JSON file. LB_NAME, LB_LISTEN, LB_DISCOVERY, LB_ADMIN, LB_FLEET, LB_LOG_LEVEL and LB_LOG_FORMAT
+override its keys. After a reload, a key that has changed in the file overrides the environment variable.
 """
 
 from __future__ import annotations
@@ -18,13 +17,16 @@
 
 from .log import DEFAULT_FORMAT, DEFAULT_LEVEL, LEVELS, LogConfig
 
-Address = tuple[str, int]  # host and port
+Address = tuple[str, int]
+"""Host and port, as `socket` takes them."""
 
-DEFAULT_DESCRIPTORS = 1024  # where no limit is configured
-MIN_DESCRIPTORS = 64
+DEFAULT_DESCRIPTOR_LIMIT = 1024
+MIN_DESCRIPTOR_LIMIT = 64
 MAX_PORT = 65_535
-FIRST_FREE_DESCRIPTOR = 3  # after the standard streams
-MAX_DESCRIPTOR = (1 << 20) - 1
+MIN_INHERITED_DESCRIPTOR = 3  # after the standard streams
+MAX_INHERITED_DESCRIPTOR = (1 << 20) - 1
+MAX_DESCRIPTOR_DIGITS = 9  # enough to recognize a number that is too large, however long the text is
+REQUIRED_KEYS = ("listen", "discovery", "settings")
 VARIABLES = {
     "name": "LB_NAME",
     "listen": "LB_LISTEN",
@@ -33,12 +35,12 @@
     "fleet": "LB_FLEET",
 }
 LOG_VARIABLES = {"level": "LB_LOG_LEVEL", "format": "LB_LOG_FORMAT"}
-# A running program does not take these over.
-TAKEN_AT_START = ("name", "listen", "admin", "fleet", "peer_listen", "settings", "measures_delay", "log")
+RESTART_KEYS = ("name", "listen", "admin", "fleet", "peer_listen", "settings", "measures_delay", "log")
+"""Fields of `Config` that a running process does not change."""
 
 
 class ConfigError(Exception):
-    """The configuration cannot be used. The message names the key at fault."""
+    """The configuration cannot be used. The message names the key."""
 
 
 @dataclass(frozen=True)
@@ -46,69 +48,68 @@
     """A balancer's configuration.
 
     Attributes:
-        name: in log lines.
-        listen: where clients connect.
-        discovery: where the endpoint list is polled.
-        seed: of random numbers.
-        sockets: the limit on open descriptors.
-        settings: of the routing.
-        measures_delay: slow messages seen on relays are told to the routing.
-        known: the endpoint list that serves until one is polled.
-        peer_listen: where gossip arrives; None without peers.
-        peers: where gossip is sent.
-        peers_all: where one datagram reaches all peers.
-        admin: where operators call; None where nobody listens.
-        accept_fd: the clients' listening socket, where the platform holds it.
-        fleet: path of the operator's file on what balancers do together; empty where nothing of it is loaded.
-        log: level and format of log lines.
-        folder: `$TMPDIR`, where both processes of an upgrade keep what they share.
-        filed: of the keys in `VARIABLES`, what the file itself says.
+        name: the balancer's name in log lines.
+        listen: the address that accepts clients.
+        discovery: the address of service discovery.
+        seed: the seed of all random numbers.
+        descriptor_limit: the number of descriptors that may be open.
+        settings: the settings of routing.
+        measures_delay: whether slow messages on relays are reported to routing.
+        cached_endpoints: an endpoint list from an earlier run, used until the first poll succeeds.
+        peer_listen: the address that receives gossip; None without peers.
+        peers: the addresses that gossip is sent to, by balancer number.
+        peer_broadcast: an address that forwards a datagram to all peers; None to send to each peer.
+        admin: the address that accepts operators' calls; None to accept none.
+        accept_fd: the descriptor of an inherited listening socket; None to open a new one.
+        fleet: the path of the coordination's configuration file; empty without coordination.
+        log: the level and format of log lines.
+        folder: `$TMPDIR`, which both processes of an upgrade share; empty if it is not set.
+        file_values: the values in the file of the keys in `VARIABLES`.
     """
 
     name: str
     listen: Address
     discovery: Address
     seed: int
-    sockets: int
+    descriptor_limit: int
     settings: Settings
     measures_delay: bool
-    known: dict[str, Any]
+    cached_endpoints: dict[str, Any]
     peer_listen: Address | None
     peers: tuple[Address, ...]
-    peers_all: Address | None
+    peer_broadcast: Address | None
     admin: Address | None = None
     accept_fd: int | None = None
     fleet: str = ""
     log: LogConfig = field(default_factory=LogConfig)
     folder: str = ""
-    filed: Mapping[str, Any] = field(default_factory=dict)
+    file_values: Mapping[str, Any] = field(default_factory=dict)
 
 
-def read(environment: Mapping[str, str], at_start: Config | None = None) -> Config:
-    """The configuration as it is now.
+def read_config(environment: Mapping[str, str], at_start: Config | None = None) -> Config:
+    """Reads the configuration file and the environment variables that override it.
 
     Args:
-        environment: the process's variables.
-        at_start: the configuration that a running program started with.
+        environment: the environment variables of the process.
+        at_start: the configuration that this process started with; None at the start.
 
     Raises:
-        ConfigError: it cannot be read, or a key is at fault.
+        ConfigError: the file cannot be read, or a key is missing or invalid.
     """
     raw = _read_file(environment.get("LB_CONFIG", ""))
-    filed = {key: raw[key] for key in VARIABLES if key in raw}
-    from_variables = {}
+    file_values = {key: raw[key] for key in VARIABLES if key in raw}
+    overrides = {}
     for key, variable in VARIABLES.items():
-        # A variable is as old as the start. One that always won would pin a running program to the address that it
-        # started with, whatever the new file says.
-        unchanged = at_start is None or key not in filed or filed[key] == at_start.filed.get(key)
-        if unchanged and (value := environment.get(variable)):
-            from_variables[key] = value
-    log_from_variables = {key: value for key, name in LOG_VARIABLES.items() if (value := environment.get(name))}
-    log = {**_typed(raw, "log", dict, {}), **log_from_variables}
+        # Variables keep their values from the start of the process, so a later change of the file overrides them.
+        is_unchanged = at_start is None or key not in file_values or file_values[key] == at_start.file_values.get(key)
+        if is_unchanged and (value := environment.get(variable)):
+            overrides[key] = value
+    log_overrides = {key: value for key, variable in LOG_VARIABLES.items() if (value := environment.get(variable))}
+    log = {**_value_of_type(raw, "log", dict, {}), **log_overrides}
     return replace(
-        check({**raw, **from_variables, "log": log}),
-        filed=filed,
-        accept_fd=_accept_descriptor(environment),
+        parse_config({**raw, **overrides, "log": log}),
+        file_values=file_values,
+        accept_fd=_inherited_descriptor(environment),
         folder=environment.get("TMPDIR", ""),
     )
 
@@ -126,55 +127,56 @@
     return raw
 
 
-def _accept_descriptor(environment: Mapping[str, str]) -> int | None:
+def _inherited_descriptor(environment: Mapping[str, str]) -> int | None:
     value = environment.get("LB_ACCEPT_FD", "")
     if not value:
         return None
-    # Nine digits are enough to tell that a number is too large, however long the text is.
     is_number = value.isascii() and value.isdecimal()
-    if not is_number or not FIRST_FREE_DESCRIPTOR <= int(value[:9]) <= MAX_DESCRIPTOR:
+    if not is_number or not (
+        MIN_INHERITED_DESCRIPTOR <= int(value[:MAX_DESCRIPTOR_DIGITS]) <= MAX_INHERITED_DESCRIPTOR
+    ):
         raise ConfigError(f"LB_ACCEPT_FD: expected the number of a descriptor, got {value!r}")
     return int(value)
 
 
-def check(raw: dict[str, Any]) -> Config:
-    """The configuration that the file's content stands for.
+def parse_config(raw: dict[str, Any]) -> Config:
+    """Returns the configuration that the content of the file describes.
 
     Raises:
-        ConfigError: a key is missing or at fault.
+        ConfigError: a key is missing or invalid.
     """
-    for key in ("listen", "discovery", "settings"):
+    for key in REQUIRED_KEYS:
         if key not in raw:
             raise ConfigError(f"{key}: missing")
     try:
-        settings = settings_of(_typed(raw, "settings", dict, {}))
+        settings = settings_of(_value_of_type(raw, "settings", dict, {}))
     except ValueError as error:
         raise ConfigError(f"settings: {error}") from error
     return Config(
         name=str(raw.get("name", "")),
-        listen=address_of(raw["listen"], "listen"),
-        discovery=address_of(raw["discovery"], "discovery"),
-        seed=_seed_of(raw.get("seed", "0")),
-        sockets=_descriptor_limit(raw),
-        # No line on sockets tells of slow messages, and servers beyond their capacity were seen to return lines at
-        # once: so silence must not count as word that all is well.
+        listen=parse_address(raw["listen"], "listen"),
+        discovery=parse_address(raw["discovery"], "discovery"),
+        seed=_parse_seed(raw.get("seed", "0")),
+        descriptor_limit=_descriptor_limit(raw),
+        # The protocol has no line that reports the delay of messages, and overloaded servers may still answer some
+        # lines at once. The absence of reports must not count as a report of no delay.
         settings=replace(settings, has_message_delay_reports=False),
         measures_delay=settings.has_message_delay_reports,
-        known=_typed(raw, "known", dict, {}),
+        cached_endpoints=_value_of_type(raw, "known", dict, {}),
         peer_listen=_optional_address(raw, "peer_listen"),
-        peers=tuple(address_of(peer, "peers") for peer in _typed(raw, "peers", list, [])),
-        peers_all=_optional_address(raw, "peers_all"),
+        peers=tuple(parse_address(peer, "peers") for peer in _value_of_type(raw, "peers", list, [])),
+        peer_broadcast=_optional_address(raw, "peers_all"),
         admin=_optional_address(raw, "admin"),
-        fleet=_typed(raw, "fleet", str, ""),
-        log=_log_config(_typed(raw, "log", dict, {})),
+        fleet=_value_of_type(raw, "fleet", str, ""),
+        log=_parse_log_config(_value_of_type(raw, "log", dict, {})),
     )
 
 
-def _log_config(raw: dict[str, Any]) -> LogConfig:
-    level = _typed(raw, "level", str, DEFAULT_LEVEL, "log.").upper()
+def _parse_log_config(raw: dict[str, Any]) -> LogConfig:
+    level = _value_of_type(raw, "level", str, DEFAULT_LEVEL, "log.").upper()
     if level not in LEVELS:
         raise ConfigError(f"log.level: expected one of {', '.join(LEVELS)}, got {level!r}")
-    line_format = _typed(raw, "format", str, DEFAULT_FORMAT, "log.")
+    line_format = _value_of_type(raw, "format", str, DEFAULT_FORMAT, "log.")
     try:
         logging.Formatter(line_format).format(logging.makeLogRecord({}))
     except (ValueError, TypeError) as error:
@@ -183,18 +185,18 @@
 
 
 def _descriptor_limit(raw: dict[str, Any]) -> int:
-    limits = _typed(raw, "limits", dict, {})
-    descriptors: int = _typed(limits, "sockets", int, DEFAULT_DESCRIPTORS, "limits.")
-    if descriptors < MIN_DESCRIPTORS:
-        raise ConfigError(f"limits.sockets: at least {MIN_DESCRIPTORS} are needed, got {descriptors}")
+    limits = _value_of_type(raw, "limits", dict, {})
+    descriptors: int = _value_of_type(limits, "sockets", int, DEFAULT_DESCRIPTOR_LIMIT, "limits.")
+    if descriptors < MIN_DESCRIPTOR_LIMIT:
+        raise ConfigError(f"limits.sockets: at least {MIN_DESCRIPTOR_LIMIT} are needed, got {descriptors}")
     return descriptors
 
 
-def address_of(value: Any, key: str) -> Address:
-    """The address written as `host:port`.
+def parse_address(value: Any, key: str) -> Address:
+    """Returns the address of the form `host:port`.
 
     Raises:
-        ConfigError: it is none; the message names `key`.
+        ConfigError: the value has another form; the message names `key`.
     """
     host, colon, port = str(value).rpartition(":")
     if not colon or not host or not port.isdecimal() or not 0 <= int(port) <= MAX_PORT:
@@ -204,17 +206,18 @@
 
 def _optional_address(raw: dict[str, Any], key: str) -> Address | None:
     value = raw.get(key)
-    return address_of(value, key) if value else None
+    return parse_address(value, key) if value else None
 
 
-def _typed(raw: dict[str, Any], key: str, kind: type, default: Any, prefix: str = "") -> Any:
+def _value_of_type(raw: dict[str, Any], key: str, kind: type, default: Any, prefix: str = "") -> Any:
+    """Returns the value of a key. Raises ConfigError if it has another type; the message names `prefix` and key."""
     value = raw.get(key, default)
     if not isinstance(value, kind) or isinstance(value, bool):
         raise ConfigError(f"{prefix}{key}: expected {kind.__name__}, got {value!r}")
     return value
 
 
-def _seed_of(value: Any) -> int:
+def _parse_seed(value: Any) -> int:
     try:
         return int(str(value), 16)
     except ValueError as error:
--- a/glenrock/net/endpoint_rows.py
+++ b/glenrock/net/endpoint_rows.py
@@ -8,7 +8,7 @@
 
 from glenrock.routing.interface import EndpointState
 
-from ..config import Address, ConfigError, address_of
+from ..config import Address, ConfigError, parse_address
 
 STATES_BY_STATUS = {
     "SERVING": EndpointState.READY,
@@ -45,7 +45,7 @@
         ValueError, TypeError, OverflowError: a value is invalid.
     """
     try:
-        address = address_of(raw["address"], "address")
+        address = parse_address(raw["address"], "address")
     except ConfigError as error:
         raise ValueError(str(error)) from error
     name = str(raw["name"])
--- a/glenrock/program.py
+++ b/glenrock/program.py
@@ -1,4 +1,4 @@
-"""The composition root: all parts of a balancer, built and wired. No part imports this module."""
+"""The composition root: builds and connects all parts of a balancer. No part imports this module."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 from glenrock.routing import interface
 
-from .config import TAKEN_AT_START, Config, ConfigError
+from .config import RESTART_KEYS, Config, ConfigError
 from .log import get_logger
 from .net.acceptor import Acceptor
 from .net.clock import Clock
@@ -32,14 +32,14 @@
     from .coordination.agent import CoordinationAgent
     from .upgrade.relay_sender import RelaySender
 
-FIRST_LIST_MS = 300.0  # the whole list is awaited this long before clients are; then the known one must do
-POLL_SEED_MASK = 1  # keeps the random numbers of polls apart from those of the routing
+FIRST_LIST_TIMEOUT_MS = 300.0
+POLL_SEED_MASK = 1  # keeps the random numbers of polls independent of routing's
 
 logger = get_logger(__name__)
 
 
 def raise_descriptor_limit(descriptors: int) -> None:
-    """Raises this process's limit on open descriptors to that number, or as far as the hard limit lets it."""
+    """Raises this process's soft limit on open descriptors to that number, at most to the hard limit."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     wanted = descriptors if hard == resource.RLIM_INFINITY else min(descriptors, hard)
     if soft < wanted:
@@ -47,13 +47,19 @@
 
 
 def effective_descriptor_limit(descriptors: int) -> int:
-    """The limit that binds: the configured one, or the process's own where that is lower."""
+    """Returns the configured limit on open descriptors, or the process's soft limit if that is lower."""
     soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     return descriptors if soft == resource.RLIM_INFINITY else min(descriptors, soft)
 
 
-class Operators:
-    """The parts that serve operators. Imported only where they are wanted: memory is short."""
+class OperatorInterface:
+    """The parts that answer operators' calls. Their modules are imported on demand, to save memory.
+
+    Attributes:
+        override_sync: the overrides, shared with the other process of an upgrade.
+        operations: what operators' calls do.
+        listener: the HTTP listener.
+    """
 
     def __init__(self, program: Program) -> None:
         from .admin.listener import RESERVED_DESCRIPTORS, Listener
@@ -68,17 +74,31 @@
         program.budget.operators = RESERVED_DESCRIPTORS
 
     def start(self, program: Program) -> None:
-        """Before the first list: what operators took out of rotation must be known when it comes."""
+        """Reads the stored overrides and starts listening.
+
+        Call it before the first endpoint list is read, so that no suspended server receives a connection.
+
+        Raises:
+            OSError: the address cannot be bound.
+        """
         self.override_sync.start()
         if program.config.admin:
             self.listener.listen(program.config.admin)
-            program.run(self.listener.accept())
+            program.run_task(self.listener.accept())
         if self.override_sync.folder:
-            program.run(self.override_sync.watch())
+            program.run_task(self.override_sync.watch())
 
 
 class Upgrade:
-    """The parts that share a listening socket with a process before or after this one, and what it leaves to it."""
+    """The parts that share a listening socket and relays with the predecessor and the successor of this process.
+
+    Attributes:
+        listener: the inherited listening socket.
+
+    Args:
+        program: the program that serves.
+        descriptor: the number of the inherited listening socket's descriptor.
+    """
 
     def __init__(self, program: Program, descriptor: int) -> None:
         from .upgrade.inherited_listener import open_inherited
@@ -93,8 +113,8 @@
             self._relay_receiver = RelayReceiver(self._folder, program.connections)
             self._processes = ProcessRegistry(self._folder, os.getpid())
 
-    def arrive(self) -> None:
-        """Makes this process known to the other one, and counts what that one holds."""
+    def register_process(self) -> None:
+        """Registers this process, and sets aside the descriptors that the other processes hold."""
         if not self._folder:
             return
         try:
@@ -105,13 +125,13 @@
         connections.count_other_descriptors = self._processes.count_other_descriptors
         connections.budget.other_process = self._processes.count_other_descriptors()
 
-    def take_relays(self) -> None:
-        """From now on relays of the process before can be taken over."""
+    def receive_relays(self) -> None:
+        """Starts to accept relays that the predecessor hands over."""
         if self._folder:
             self._relay_receiver.listen()
 
-    def successor(self) -> RelaySender | None:
-        """Whoever may take this process's relays over; None without a shared folder."""
+    def create_relay_sender(self) -> RelaySender | None:
+        """Returns the sender of this process's relays to its successor; None without a shared folder."""
         if not self._folder:
             return None
         from .upgrade.relay_sender import RelaySender
@@ -119,14 +139,18 @@
         program = self._program
         return RelaySender(self._folder, program.clock, self._relay_receiver.socket_inode, program.routing.load_of)
 
-    def leave(self) -> None:
-        """This process holds no descriptors from now on."""
+    def unregister_process(self) -> None:
+        """Removes this process's registration, since its descriptors no longer count."""
         if self._folder:
             self._processes.unregister()
 
 
-def _coordination_of(program: Program) -> CoordinationAgent:
-    """What balancers do together, from the operator's file. Imported only where that is named."""
+def _create_coordination_agent(program: Program) -> CoordinationAgent:
+    """Returns the coordination with other balancers. Its modules are imported only if it is configured.
+
+    Raises:
+        ConfigError: its configuration is invalid, or a package that it needs is missing.
+    """
     try:
         from .coordination.agent import CoordinationAgent
 
@@ -138,11 +162,22 @@
     return agent
 
 
+def _create_poll_backoff(config: Config) -> PollBackoff:
+    settings = config.settings
+    rng = random.Random(config.seed ^ POLL_SEED_MASK)  # noqa: S311 - jitter, not a secret
+    return PollBackoff(settings.balancers, settings.must_poll_endpoints, rng, settings.drain_grace_us / 1000)
+
+
 class Program:
-    """A balancer. Tests start it too, with a clock of their own.
+    """A balancer, with all of its parts.
+
+    Args:
+        config: the configuration at the start.
+        clock: the one clock of the process; tests pass a clock that they advance.
 
     Raises:
-        ConfigError: on building it, what the configuration names cannot be used.
+        ConfigError: the configuration names something that cannot be used.
+        OSError: the address of the peers' socket cannot be bound.
     """
 
     def __init__(self, config: Config, clock: Clock) -> None:
@@ -150,8 +185,8 @@
         self.config = config
         self.clock = clock
         self.routing = RoutingActor(settings, config.seed, clock)
-        metrics = ConnectionMetrics(one.name for one in settings.classes)
-        self.budget = DescriptorBudget(effective_descriptor_limit(config.sockets))
+        metrics = ConnectionMetrics(request_class.name for request_class in settings.classes)
+        self.budget = DescriptorBudget(effective_descriptor_limit(config.descriptor_limit))
         start_times = StartTimes(clock, settings.slow_start_us / 1000)
         self.servers = ServerRegistry(
             clock, settings.connect_timeout_us / 1000, self.routing.post, metrics, self.budget, start_times
@@ -161,7 +196,7 @@
             clock,
             self.servers.update,
             self._report_poll_failure,
-            _poll_backoff_of(config),
+            _create_poll_backoff(config),
             start_times.record_answer,
         )
         self.connections = ConnectionTable(
@@ -169,17 +204,17 @@
         )
         self.acceptor = Acceptor(self.connections, clock)
         self.shutdown = GracefulShutdown(self.connections, self.acceptor, clock)
-        self.operators = Operators(self) if config.admin else None
+        self.operators = OperatorInterface(self) if config.admin else None
         self.routing.send_health_check = self.servers.send_health_check
-        self.peers = self._peers_of(config)
+        self.peers = self._create_peers(config)
         self._check_budget()
-        self.coordination = _coordination_of(self) if config.fleet else None
+        self.coordination = _create_coordination_agent(self) if config.fleet else None
         self._config_at_start = config
         self._tasks: set[asyncio.Task[None]] = set()
         self._upgrade = Upgrade(self, config.accept_fd) if config.accept_fd is not None else None
 
     def _check_budget(self) -> None:
-        """Raises ConfigError where not a single client could be served."""
+        """Raises ConfigError if the descriptor limit leaves no room for a single client."""
         try:
             self.budget.check_limit(self.budget.limit)
         except DescriptorBudgetError as error:
@@ -188,42 +223,41 @@
     def _report_poll_failure(self) -> None:
         self.routing.post(interface.EndpointList(interface.EndpointListKind.FAILED))
 
-    def _peers_of(self, config: Config) -> Peers | None:
+    def _create_peers(self, config: Config) -> Peers | None:
         if not config.peer_listen:
             return None
-        shared_listener = config.accept_fd is not None
         peers = Peers(
             config.peer_listen,
             config.peers,
-            config.peers_all,
+            config.peer_broadcast,
             self.routing.post,
             config.settings.balancers,
-            shared_listener,
+            shares_address=config.accept_fd is not None,
         )
         self.routing.send_gossip = peers.send_gossip
         return peers
 
-    def run(self, work: Coroutine[None, None, None]) -> None:
-        """Runs an actor for as long as the process runs. The loop itself keeps no reference to a task."""
+    def run_task(self, work: Coroutine[None, None, None]) -> None:
+        """Runs an actor until the process ends. Keeps the only strong reference to its task."""
         self._tasks.add(asyncio.get_running_loop().create_task(work))
 
     async def start(self) -> None:
-        """Starts all parts, and accepts clients once there is a list to serve with.
+        """Starts all parts, and accepts clients after the first endpoint list or `FIRST_LIST_TIMEOUT_MS`.
 
         Raises:
             OSError: an address cannot be bound.
         """
         if self._upgrade:
-            self._upgrade.arrive()
+            self._upgrade.register_process()
         if self.operators:
             self.operators.start(self)
         if self.coordination:
             self.coordination.start()
-        self.endpoints.use_cached_list(self.config.known)
-        self.run(self.routing.run())
-        self.run(self.endpoints.run())
-        # Nothing is accepted, and so no PING answered, before there is a list to serve with.
-        async with self.clock.limit(FIRST_LIST_MS):
+        self.endpoints.use_cached_list(self.config.cached_endpoints)
+        self.run_task(self.routing.run())
+        self.run_task(self.endpoints.run())
+        # An accepted client may send PING, and PONG says that this balancer can serve.
+        async with self.clock.limit(FIRST_LIST_TIMEOUT_MS):
             await self.endpoints.has_answered.wait()
         self._accept_clients()
         host, port = self.config.listen
@@ -232,17 +266,17 @@
     def _accept_clients(self) -> None:
         inherited = self._upgrade.listener if self._upgrade else None
         self.acceptor.open(inherited or listen(self.config.listen))
-        self.run(self.connections.sweep())
+        self.run_task(self.connections.sweep())
         if self._upgrade:
-            self._upgrade.take_relays()
+            self._upgrade.receive_relays()
         if self.operators:
             self.operators.operations.is_serving = True
 
     def reload(self, read_again: Callable[[Config], Config]) -> None:
-        """Takes over what can change while clients are connected. A faulty file leaves all as it is.
+        """Applies the changed configuration keys that need no restart. An invalid configuration changes nothing.
 
         Args:
-            read_again: reads the configuration, given the one that this process started with.
+            read_again: reads the configuration, given the configuration that this process started with.
         """
         try:
             new = read_again(self._config_at_start)
@@ -250,49 +284,53 @@
             logger.warning("configuration not reloaded: the previous one stays", error=str(error))
             return
         try:
-            self.budget.check_limit(new.sockets)
+            self.budget.check_limit(new.descriptor_limit)
         except DescriptorBudgetError as error:
             logger.warning("configuration not reloaded: descriptor limit too low", error=str(error))
             return
-        waiting = [key for key in TAKEN_AT_START if getattr(new, key) != getattr(self.config, key)]
-        if waiting:
-            logger.warning("configuration changes that need a restart", keys=",".join(waiting))
+        deferred_keys = [key for key in RESTART_KEYS if getattr(new, key) != getattr(self.config, key)]
+        if deferred_keys:
+            logger.warning("configuration changes that need a restart", keys=",".join(deferred_keys))
+        self._apply(new)
+        host, port = new.discovery
+        logger.info("configuration reloaded", discovery=f"{host}:{port}")
+
+    def _apply(self, new: Config) -> None:
         self.endpoints.change_address(new.discovery)
         if self.peers:
-            self.peers.change_addresses(new.peers, new.peers_all)
-        raise_descriptor_limit(new.sockets)
-        self.budget.limit = effective_descriptor_limit(new.sockets)
+            self.peers.change_addresses(new.peers, new.peer_broadcast)
+        raise_descriptor_limit(new.descriptor_limit)
+        self.budget.limit = effective_descriptor_limit(new.descriptor_limit)
         self.config = replace(
-            self.config, discovery=new.discovery, peers=new.peers, peers_all=new.peers_all, sockets=new.sockets
+            self.config,
+            discovery=new.discovery,
+            peers=new.peers,
+            peer_broadcast=new.peer_broadcast,
+            descriptor_limit=new.descriptor_limit,
         )
-        host, port = new.discovery
-        logger.info("configuration reloaded", discovery=f"{host}:{port}")
 
     async def run_until(self, stop: asyncio.Event) -> None:
-        """Serves until that event, then hands all clients back.
+        """Serves until the event is set, then shuts down gracefully.
 
         Raises:
-            RuntimeError: an actor ended, which none may while clients are served.
+            RuntimeError: an actor ended while clients were served.
         """
-        stopped = asyncio.get_running_loop().create_task(stop.wait())
-        await asyncio.wait([stopped, *self._tasks], return_when=asyncio.FIRST_COMPLETED)
-        for task in self._tasks:
-            if task.done():
-                raise RuntimeError("an actor ended") from task.exception()
+        await self._serve_until(stop)
         logger.info("stopping", clients=len(self.connections.by_id))
-        successor = self._upgrade.successor() if self._upgrade else None
+        relay_sender = self._upgrade.create_relay_sender() if self._upgrade else None
         if self.coordination:
-            self.run(self.coordination.stop())
-        await self.shutdown.stop(self._upgrade is not None, successor)
+            self.run_task(self.coordination.stop())
+        await self.shutdown.stop(self._upgrade is not None, relay_sender)
         if self._upgrade:
-            self._upgrade.leave()
+            self._upgrade.unregister_process()
         if self.connections.by_id:
             logger.warning("stopped with clients still connected", clients=len(self.connections.by_id))
         else:
             logger.info("stopped")
 
-
-def _poll_backoff_of(config: Config) -> PollBackoff:
-    settings = config.settings
-    numbers = random.Random(config.seed ^ POLL_SEED_MASK)  # noqa: S311 - spread of polls, no secret
-    return PollBackoff(settings.balancers, settings.must_poll_endpoints, numbers, settings.drain_grace_us / 1000)
+    async def _serve_until(self, stop: asyncio.Event) -> None:
+        stopped = asyncio.get_running_loop().create_task(stop.wait())
+        await asyncio.wait([stopped, *self._tasks], return_when=asyncio.FIRST_COMPLETED)
+        for task in self._tasks:
+            if task.done():
+                raise RuntimeError("an actor ended") from task.exception()
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -11,7 +11,7 @@
 import unittest
 from pathlib import Path
 
-from glenrock.config import ConfigError, check, read
+from glenrock.config import ConfigError, parse_config, read_config
 from glenrock.routing import interface
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -43,10 +43,10 @@
             ("known", []),
         ):
             with self.subTest(key=key, value=value), self.assertRaisesRegex(ConfigError, key):
-                check({**GOOD, key: value})
+                parse_config({**GOOD, key: value})
 
     def test_reports_go_by_the_modules_names_and_silence_is_no_good_news(self) -> None:
-        config = check(GOOD)
+        config = parse_config(GOOD)
         self.assertEqual(config.settings.load_report_fields, (interface.UTILIZATION, "backlog", interface.LOAD_RATIO))
         self.assertEqual((config.settings.has_message_delay_reports, config.measures_delay), (False, True))
 
@@ -55,10 +55,10 @@
             path = Path(folder) / "config.json"
             env = {"LB_CONFIG": str(path), "LB_DISCOVERY": "127.0.0.1:2"}
             path.write_text(json.dumps(GOOD))
-            begun = read(env)
-            self.assertEqual(read(env, begun).discovery, ("127.0.0.1", 2))
+            begun = read_config(env)
+            self.assertEqual(read_config(env, begun).discovery, ("127.0.0.1", 2))
             path.write_text(json.dumps({**GOOD, "discovery": "127.0.0.1:3"}))
-            self.assertEqual(read(env, begun).discovery, ("127.0.0.1", 3))
+            self.assertEqual(read_config(env, begun).discovery, ("127.0.0.1", 3))
 
     def test_sighup_at_any_time_ends_nothing(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -18,7 +18,7 @@
 from hypothesis import strategies as st
 from test_exchanges import SETTINGS
 
-from glenrock.config import check
+from glenrock.config import parse_config
 from glenrock.net import server_actor as instance_part
 from glenrock.net.acceptor import IDLE_TIMEOUT_MS, LAST_LINE_TIMEOUT_MS, LINGER_MS
 from glenrock.net.attempt_outcomes import Reach
@@ -65,7 +65,7 @@
         self.discovery, self.index = door(), 1
         classes = [{**SETTINGS["classes"][0], "effect": effect}]
         self.program = Program(
-            check(
+            parse_config(
                 {
                     "name": "n0",
                     "listen": "127.0.0.1:0",
--- a/tests/test_descriptor_budget.py
+++ b/tests/test_descriptor_budget.py
@@ -7,7 +7,7 @@
 import pytest
 from test_crossings import LINE, Rig, played
 
-from glenrock.config import ConfigError, check
+from glenrock.config import ConfigError, parse_config
 from glenrock.net.clock import Clock
 from glenrock.net.descriptor_budget import DescriptorBudget
 from glenrock.net.health_connections import HealthConnections
@@ -50,7 +50,7 @@
     async def story(rig: Rig) -> None:
         raw = {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "admin": "127.0.0.1:0", "limits": {"sockets": 64}}
         with pytest.raises(ConfigError, match=r"limits\.sockets: 64 leave no room for one client, 84 are needed"):
-            Program(check(raw | {"settings": SETTINGS}), Clock())
+            Program(parse_config(raw | {"settings": SETTINGS}), Clock())
 
     from test_exchanges import SETTINGS
 
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -16,7 +16,7 @@
 from test_exchanges import SETTINGS
 
 from glenrock.admin.listener import MAX_CALLERS, Listener
-from glenrock.config import check
+from glenrock.config import parse_config
 from glenrock.net.attempt_outcomes import AttemptEnd
 from glenrock.net.clock import Clock
 from glenrock.net.connection_attempt import ConnectionAttempt
@@ -50,7 +50,7 @@
         }
         settings = {**SETTINGS, "balancers": 1, "caps": {**SETTINGS["caps"], "maxAttempts": 1}}
         self.program = Program(
-            check(
+            parse_config(
                 {
                     "listen": "127.0.0.1:0",
                     "admin": "127.0.0.1:0",
--- a/tests/test_exchanges.py
+++ b/tests/test_exchanges.py
@@ -11,7 +11,7 @@
 
 import uvloop
 
-from glenrock.config import check
+from glenrock.config import parse_config
 from glenrock.net.clock import SetClock
 from glenrock.program import Program
 
@@ -112,7 +112,7 @@
         self.peer.bind(("127.0.0.1", 0))
         peer = f"127.0.0.1:{self.peer.getsockname()[1]}"
         self.program = Program(
-            check(
+            parse_config(
                 {
                     "name": "n0",
                     "listen": "127.0.0.1:0",
@@ -185,7 +185,7 @@
                 **json.loads(text),
                 "discovery": f"127.0.0.1:{self.ports['elsewhere']}",
             }
-            self.program.reload(lambda begun: check(new))
+            self.program.reload(lambda begun: parse_config(new))
         elif what == "lists":
             rows = [self.row(*part.split("=")) for part in text.split()]
             self.answer({"index": 2, "snapshot": True, "endpoints": rows}, who)
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from glenrock.config import ConfigError, check
+from glenrock.config import ConfigError, parse_config
 from glenrock.log import MAX_LINES_PER_SECOND, LogMessage, RateLimitFilter, get_logger
 
 
@@ -39,6 +39,6 @@
         "discovery": "h:2",
         "settings": {"classes": [{"name": "c", "targetUs": 1, "deadlineUs": 2}]},
     }
-    assert check({**good, "log": {"level": "debug"}}).log.level == "DEBUG"
+    assert parse_config({**good, "log": {"level": "debug"}}).log.level == "DEBUG"
     with pytest.raises(ConfigError, match=rf"log\.{key}"):
-        check({**good, "log": {key: value}})
+        parse_config({**good, "log": {key: value}})
