--- a/tests/net/rig.py
+++ b/tests/net/rig.py
@@ -11,7 +11,7 @@
 
 import uvloop
 
-from glenrock.config import check
+from glenrock.config import parse_config
 from glenrock.net.client_connection import ClientConnection
 from glenrock.net.clock import SetClock
 from glenrock.program import Program
@@ -56,7 +56,7 @@
         self.discovery, self.version = create_listener(), 1
         classes = [{**SETTINGS["classes"][0], "effect": effect}]
         self.program = Program(
-            check(
+            parse_config(
                 {
                     "name": "n0",
                     "listen": "127.0.0.1:0",
