--- a/glenrock/net/connection_table.py
+++ b/glenrock/net/connection_table.py
@@ -15,6 +15,7 @@
 from .clock import Clock
 from .connection_messages import MigrateClient
 from .descriptor_budget import DescriptorBudget
+from .established_relay import EstablishedRelay
 from .metrics import ConnectionMetrics, ConnectionOutcome
 from .routing_actor import RoutingActor
 from .server_connections import ServerRegistry
@@ -126,7 +127,7 @@
             connection.reports.count(ConnectionOutcome.FAULTED)  # ended by an exception: counted nowhere else
             del self.by_id[request_id]
 
-    def record_message_delay(self, connection: ClientConnection, delay_ms: float) -> None:
+    def record_message_delay(self, connection: EstablishedRelay, delay_ms: float) -> None:
         """Reports slow messages of a server to routing, and once when they are no longer slow."""
         if not self._slow_message_ms:
             return
