--- a/benchmarks/ownership.py
+++ b/benchmarks/ownership.py
@@ -1,9 +1,9 @@
-"""Costs of one owner at a time: calls at the store by balancers and jobs, and time without an owner.
+"""Costs of leases: calls to the store by balancers and jobs, and the time that a job is without a holder.
 
     .venv/bin/python benchmarks/ownership.py
 
-In simulated time, on the real `LeaseManager` and the stand-in for Consul's state; a store of 3 ms a call. Every figure
-is a count or a ratio of the term's length, so the machine's speed plays no part.
+In simulated time, with the program's `LeaseManager` and a model of Consul that takes 3 ms for a call. Every figure is a
+count or a multiple of the lease, so the machine's speed has no influence.
 """
 
 from __future__ import annotations
@@ -11,157 +11,196 @@
 import random
 from collections import Counter
 
-from glenrock.coordination.leases.candidate import LeaseAcquired, LeaseTiming
-from glenrock.coordination.leases.lease_manager import JobRequest, LeaseManager
-from glenrock.coordination.leases.store import Lease
+from glenrock.coordination.leases.candidate import LeaseAcquired, LeaseRequest, LeaseTiming, RequestKind
+from glenrock.coordination.leases.lease_manager import LeaseManager
+from glenrock.coordination.leases.store import TIME_UNKNOWN, JobRequest, Lease
 from glenrock.coordination.membership import PeerLiveness
 
-S = 1_000_000
-RULES = LeaseTiming(
-    lease_us=10 * S,
+SECOND_US = 1_000_000
+TIMING = LeaseTiming(
+    lease_us=10 * SECOND_US,
     max_drift_fraction=0.01,
-    request_timeout_us=2 * S,
-    retry_interval_us=S,
-    unreachable_backoff_us=2 * S,
+    request_timeout_us=2 * SECOND_US,
+    retry_interval_us=SECOND_US,
+    unreachable_backoff_us=2 * SECOND_US,
 )
-TURN, LOOK, ALL_EACH = 50_000, 2 * S, 5  # as the program has them
-WAY = 3000
+TICK_US, WATCH_US, FULL_WATCH_INTERVAL = 50_000, 2 * SECOND_US, 5  # of the program with such a lease
+ANSWER_US = 3000
+CHECKS_PER_CALL, ACQUISITIONS_PER_CALL, SINGLE_READS = 64, 32, 5
+FOREVER_S = 1e6
+SEEDS = 6
 
 
 class Fleet:
-    """Balancers that look, ask and are answered a way later. `late`: how long past its end a lease is still held."""
+    """Balancers that watch, request, and are answered `ANSWER_US` later.
 
-    def __init__(self, balancers: int, jobs: int, seed: int, late: float = 0.0) -> None:
-        self.draw, self.now, self.late = random.Random(seed), 0, round(late * RULES.lease_us)
+    `late_fraction`: of a lease, by which the store honours a lease for longer.
+    """
+
+    def __init__(self, balancers: int, jobs: int, seed: int, late_fraction: float = 0.0) -> None:
+        self.random_source = random.Random(seed)
+        self.now_us = 0
+        self.late_us = round(late_fraction * TIMING.lease_us)
         self.jobs = [f"job-{n}" for n in range(jobs)]
-        self.rosters = [PeerLiveness(n, range(balancers), 0) for n in range(balancers)]
-        self.members = [LeaseManager(r, RULES, self.jobs, LOOK) for r in self.rosters]
-        self.turn_at = [self.draw.randrange(TURN) for _ in self.members]
-        self.look_at = [self.draw.randrange(LOOK) for _ in self.members]
-        self.looks = [0] * balancers
-        self.leases: dict[str, tuple[int, int, int]] = {}
-        self.asleep: dict[int, int] = {}  # until when
-        self.down_until = 0
+        self.liveness = [PeerLiveness(index, range(balancers), 0) for index in range(balancers)]
+        self.managers = [LeaseManager(liveness, TIMING, self.jobs, WATCH_US) for liveness in self.liveness]
+        self.next_tick_us = [self.random_source.randrange(TICK_US) for _ in self.managers]
+        self.next_watch_us = [self.random_source.randrange(WATCH_US) for _ in self.managers]
+        self.watches = [0] * balancers
+        self.leases: dict[str, tuple[int, int, int]] = {}  # holder, term, when it ends
+        self.suspended_until_us: dict[int, int] = {}
+        self.store_down_until_us = 0
         self.calls: Counter[str] = Counter()
-        self.free_since: dict[str, int] = dict.fromkeys(self.jobs, 0)
-        self.gaps: list[float] = []
+        self.free_since_us: dict[str, int] = dict.fromkeys(self.jobs, 0)
+        self.gaps: list[float] = []  # leases without a holder, after a fault
 
     def run(self, seconds: float) -> None:
-        until = self.now + round(seconds * S)
-        while self.now < until:
-            self.now += TURN // 5
-            if self.now % S == 0:
-                for n in range(len(self.rosters)):
-                    if n not in self.asleep:
-                        for other in self.rosters:
-                            other.record_heard(n, self.now)
-            for n, h in enumerate(self.members):
-                if self.asleep.get(n, 0) > self.now:
+        end_us = self.now_us + round(seconds * SECOND_US)
+        while self.now_us < end_us:
+            self.now_us += TICK_US // 5
+            if self.now_us % SECOND_US == 0:
+                self.send_heartbeats()
+            for index, manager in enumerate(self.managers):
+                if self.suspended_until_us.get(index, 0) > self.now_us:
                     continue
-                self.asleep.pop(n, None)
-                if self.look_at[n] <= self.now:
-                    self.look_at[n] = self.now + LOOK
-                    self.looks[n] += 1
-                    asked = h.jobs_to_watch(self.now, self.looks[n] % ALL_EACH == 0)
-                    self.calls["looks"] += bool(asked)
-                    if self.now >= self.down_until:
-                        h.record_leases(asked, {j: self.lease(j) for j in asked if j in self.leases}, self.now)
-                if self.turn_at[n] <= self.now:
-                    self.turn_at[n] = self.now + TURN
-                    self.answer(n, h, h.tick(self.now).requests)
-                    for j in h.held_jobs(self.now):
-                        h.record_work(j, self.now)
-
-    def answer(self, n: int, h: LeaseManager, asks: list[JobRequest]) -> None:
-        if not asks:
+                self.suspended_until_us.pop(index, None)
+                if self.next_watch_us[index] <= self.now_us:
+                    self.watch(index, manager)
+                if self.next_tick_us[index] <= self.now_us:
+                    self.next_tick_us[index] = self.now_us + TICK_US
+                    self.submit(index, manager, manager.tick(self.now_us).requests)
+                    for job in manager.held_jobs(self.now_us):
+                        manager.record_work(job, self.now_us)
+
+    def send_heartbeats(self) -> None:
+        for index in range(len(self.liveness)):
+            if index not in self.suspended_until_us:
+                for other in self.liveness:
+                    other.record_heard(index, self.now_us)
+
+    def watch(self, index: int, manager: LeaseManager) -> None:
+        self.next_watch_us[index] = self.now_us + WATCH_US
+        self.watches[index] += 1
+        jobs = manager.jobs_to_watch(self.now_us, self.watches[index] % FULL_WATCH_INTERVAL == 0)
+        self.calls["watches"] += bool(jobs)
+        if self.now_us >= self.store_down_until_us:
+            leases = {job: self.lease(job) for job in jobs if job in self.leases}
+            manager.record_leases(jobs, leases, self.now_us)
+
+    def submit(self, index: int, manager: LeaseManager, requests: list[JobRequest]) -> None:
+        if not requests:
             return
-        kinds = Counter(a.kind for _, a in asks)
-        self.calls["renewals"] += (1 + -(-kinds["renew"] // 64)) if kinds["renew"] else 0
-        self.calls["acquires"] += (1 + min(kinds["acquire"], 5) + -(-kinds["acquire"] // 32)) if kinds["acquire"] else 0
-        self.calls["releases"] += kinds["release"]
-        if self.now < self.down_until:
-            h.handle_timeouts(asks, self.now + RULES.request_timeout_us)
+        self.count_calls(Counter(request.kind for _, request in requests))
+        if self.now_us < self.store_down_until_us:
+            manager.handle_timeouts(requests, self.now_us + TIMING.request_timeout_us)
             return
-        granted = {j: self.ask(n, j, a.kind, a.term) for j, a in asks}
-        outcome = h.handle_answers(asks, granted, self.now + WAY)
-        for job, e in outcome.events:
-            if isinstance(e, LeaseAcquired) and job in self.free_since:
-                self.gaps.append((self.now - self.free_since.pop(job)) / RULES.lease_us)
-        self.answer(n, h, outcome.requests)
-
-    def lease(self, j: str) -> Lease:
-        holder, term, until = self.leases[j]
-        return Lease(str(holder) if until > self.now else "", term, -1)
-
-    def ask(self, n: int, j: str, kind: str, term: int) -> int:
-        holder, at, until = self.leases.get(j, (-1, 0, 0))
-        if kind == "acquire" and until <= self.now:
-            self.leases[j] = n, at + 1, self.now + RULES.lease_us + self.late
-            return at + 1
-        if (holder, at) == (n, term) and until > self.now and kind != "acquire":
-            self.leases[j] = n, at, self.now + RULES.lease_us + self.late if kind == "renew" else 0
-            return at if kind == "renew" else 0
+        granted_terms = {job: self.answer(index, job, request) for job, request in requests}
+        actions = manager.handle_answers(requests, granted_terms, self.now_us + ANSWER_US)
+        for job, event in actions.events:
+            if isinstance(event, LeaseAcquired) and job in self.free_since_us:
+                self.gaps.append((self.now_us - self.free_since_us.pop(job)) / TIMING.lease_us)
+        self.submit(index, manager, actions.requests)
+
+    def count_calls(self, kinds: Counter[RequestKind]) -> None:
+        if renewals := kinds[RequestKind.RENEW]:
+            self.calls["renewals"] += 1 + -(-renewals // CHECKS_PER_CALL)
+        if acquisitions := kinds[RequestKind.ACQUIRE]:
+            self.calls["acquisitions"] += (
+                1 + min(acquisitions, SINGLE_READS) + -(-acquisitions // ACQUISITIONS_PER_CALL)
+            )
+        self.calls["releases"] += kinds[RequestKind.RELEASE]
+
+    def lease(self, job: str) -> Lease:
+        holder, term, until_us = self.leases[job]
+        return Lease(str(holder) if until_us > self.now_us else "", term, TIME_UNKNOWN)
+
+    def answer(self, index: int, job: str, request: LeaseRequest) -> int:
+        holder, term, until_us = self.leases.get(job, (-1, 0, 0))
+        lease_end_us = self.now_us + TIMING.lease_us + self.late_us
+        if request.kind is RequestKind.ACQUIRE and until_us <= self.now_us:
+            self.leases[job] = index, term + 1, lease_end_us
+            return term + 1
+        is_held = (holder, term) == (index, request.term) and until_us > self.now_us
+        if is_held and request.kind is RequestKind.RENEW:
+            self.leases[job] = index, term, lease_end_us
+            return term
+        if is_held and request.kind is RequestKind.RELEASE:
+            self.leases[job] = index, term, 0
         return 0
 
-    def strike(self, n: int, for_s: float) -> None:
-        for job in self.members[n].held_jobs(self.now):
-            self.free_since[job] = self.now
-        self.asleep[n] = self.now + round(for_s * S)
+    def suspend(self, index: int, duration_s: float) -> None:
+        for job in self.managers[index].held_jobs(self.now_us):
+            self.free_since_us[job] = self.now_us
+        self.suspended_until_us[index] = self.now_us + round(duration_s * SECOND_US)
 
 
-def part(found: list[float], p: float) -> float:
-    return sorted(found)[min(len(found) - 1, int(p * len(found)))] if found else float("nan")
+def percentile(values: list[float], fraction: float) -> float:
+    return sorted(values)[min(len(values) - 1, int(fraction * len(values)))] if values else float("nan")
 
 
-def main() -> None:
-    print("calls at the store a second, a term of 10 s, nothing wrong: looks, renewals, others; all")
+def report_calls() -> None:
+    print("calls at the store a second, a lease of 10 s, no faults: watches, renewals, others; all")
     for balancers in (3, 20, 200):
         for jobs in (1, 30, 1000):
-            f = Fleet(balancers, jobs, 1)
-            f.run(40)
-            f.calls.clear()
-            f.run(20)
-            c = {k: v / 20 for k, v in f.calls.items()}
-            others = c.get("acquires", 0) + c.get("releases", 0)
+            fleet = Fleet(balancers, jobs, 1)
+            fleet.run(40)
+            fleet.calls.clear()
+            fleet.run(20)
+            calls = {kind: count / 20 for kind, count in fleet.calls.items()}
+            others = calls.get("acquisitions", 0) + calls.get("releases", 0)
             print(
-                f"{balancers:4} balancers, {jobs:4} jobs: {c.get('looks', 0):6.1f} {c.get('renewals', 0):6.1f} "
-                f"{others:5.1f}; {sum(c.values()):6.1f}",
+                f"{balancers:4} balancers, {jobs:4} jobs: {calls.get('watches', 0):6.1f} "
+                f"{calls.get('renewals', 0):6.1f} {others:5.1f}; {sum(calls.values()):6.1f}",
                 flush=True,
             )
-    print("time without an owner, in terms, from the strike on: p50, p99 (20 balancers, 40 jobs)")
-    for what, for_s, late in (
-        ("kill", 1e6, 0.0),
-        ("kill, TTL honoured at 1.5 of it", 1e6, 0.5),
-        ("pause of 1.2 terms", 12, 0.0),
-        ("store away for 0.5 terms, and a kill", 1e6, 0.0),
+
+
+def started_fleet(seed: int, late_fraction: float = 0.0) -> Fleet:
+    fleet = Fleet(20, 40, seed, late_fraction)
+    fleet.run(40)
+    fleet.gaps.clear()
+    return fleet
+
+
+def report_gaps() -> None:
+    print("time without a holder, in leases, from the fault on: p50, p99 (20 balancers, 40 jobs)")
+    for name, duration_s, late_fraction, has_store_fault in (
+        ("kill", FOREVER_S, 0.0, False),
+        ("kill, TTL honoured at 1.5 of it", FOREVER_S, 0.5, False),
+        ("pause of 1.2 leases", 12, 0.0, False),
+        ("store away for 0.5 leases, and a kill", FOREVER_S, 0.0, True),
     ):
         gaps: list[float] = []
-        for seed in range(6):
-            f = Fleet(20, 40, seed, late)
-            f.run(40)
-            f.gaps.clear()
-            struck = f.draw.sample(range(20), 4)
-            for n in struck:
-                f.strike(n, for_s)
-            if what.startswith("store"):
-                f.down_until = f.now + RULES.lease_us // 2
-            f.run(40)
-            gaps += f.gaps
-        print(f"{what}: {part(gaps, 0.5):.2f} {part(gaps, 0.99):.2f} ({len(gaps)} jobs)")
+        for seed in range(SEEDS):
+            fleet = started_fleet(seed, late_fraction)
+            for index in fleet.random_source.sample(range(20), 4):
+                fleet.suspend(index, duration_s)
+            if has_store_fault:
+                fleet.store_down_until_us = fleet.now_us + TIMING.lease_us // 2
+            fleet.run(40)
+            gaps += fleet.gaps
+        print(f"{name}: {percentile(gaps, 0.5):.2f} {percentile(gaps, 0.99):.2f} ({len(gaps)} jobs)")
+
+
+def report_releases() -> None:
     gaps = []
-    for seed in range(6):
-        f = Fleet(20, 40, seed)
-        f.run(40)
-        f.gaps.clear()
-        for n in f.draw.sample(range(20), 4):
-            for job in f.members[n].held_jobs(f.now):
-                f.free_since[job] = f.now
-            f.answer(n, f.members[n], f.members[n].step_down_from_all(f.now).requests)
-            f.asleep[n] = 1 << 60
-            f.look_at = [f.now + WAY] * 20  # told that they are free
-        f.run(40)
-        gaps += f.gaps
-    print(f"given back: {part(gaps, 0.5):.2f} {part(gaps, 0.99):.2f} ({len(gaps)} jobs)")
+    for seed in range(SEEDS):
+        fleet = started_fleet(seed)
+        for index in fleet.random_source.sample(range(20), 4):
+            for job in fleet.managers[index].held_jobs(fleet.now_us):
+                fleet.free_since_us[job] = fleet.now_us
+            fleet.submit(index, fleet.managers[index], fleet.managers[index].step_down_from_all(fleet.now_us).requests)
+            fleet.suspended_until_us[index] = 1 << 60
+            fleet.next_watch_us = [fleet.now_us + ANSWER_US] * 20  # the releases are broadcast
+        fleet.run(40)
+        gaps += fleet.gaps
+    print(f"released: {percentile(gaps, 0.5):.2f} {percentile(gaps, 0.99):.2f} ({len(gaps)} jobs)")
+
+
+def main() -> None:
+    report_calls()
+    report_gaps()
+    report_releases()
 
 
 if __name__ == "__main__":
--- a/glenrock/coordination/__init__.py
+++ b/glenrock/coordination/__init__.py
@@ -1,5 +1,4 @@
-"""What balancers do together: leases, fences, overrides for all, drain limits, sharded health checks, warm starts.
+"""The work that balancers share: leases, replicated overrides, drain permits, sharded health checks, and warm starts.
 
-Nothing here is loaded unless the operator's file is named (`fleet` in the configuration, or LB_FLEET).
-Page: docs/fleet.md.
+Imported only if the configuration names the coordination file (`fleet`, or LB_FLEET). Operators' page: docs/fleet.md.
 """
--- a/glenrock/coordination/agent.py
+++ b/glenrock/coordination/agent.py
@@ -42,8 +42,8 @@
 
 MS_US = 1000
 SECOND_MS = 1000
-RETRY_LEASE_DIVISOR = 10  # a lease over the time before the next request after a rejected one
-BACKOFF_LEASE_DIVISOR = 5  # a lease over the time before the next request after one without an answer
+RETRY_LEASE_DIVISOR = 10  # a lease over the time from a rejected request until the next
+BACKOFF_LEASE_DIVISOR = 5  # a lease over the time from a request without an answer until the next
 STEP_LEASE_FRACTION = WATCH_LEASE_FRACTION  # a shorter step would end before the next member reads the lease
 
 
--- a/glenrock/coordination/background_tasks.py
+++ b/glenrock/coordination/background_tasks.py
@@ -1,4 +1,4 @@
-"""The tasks of the coordination. An exception in one is logged and ends no client's connection."""
+"""The tasks of the coordination. An exception in a task is logged, and ends no client's connection."""
 
 from __future__ import annotations
 
--- a/glenrock/coordination/config.py
+++ b/glenrock/coordination/config.py
@@ -1,4 +1,4 @@
-"""The operators' coordination file (`fleet.toml`). Its keys are operators' words and stay. Times are milliseconds."""
+"""The operators' coordination file (`fleet.toml`). Times are milliseconds. Operators' files have these keys."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     """The lease store.
 
     Attributes:
-        kind: which one.
+        kind: which store.
         path: of the SQLite file.
         addresses: `host:port` of Consul's servers or agents.
         prefix: of Consul's keys.
--- a/glenrock/coordination/datagrams.py
+++ b/glenrock/coordination/datagrams.py
@@ -47,8 +47,8 @@
     Attributes:
         job: the job.
         term: of the heartbeat.
-        up_to: the highest revision known; later overrides are asked for.
-        wants_all: whether all overrides are asked for, since those after `up_to` did not suffice.
+        up_to: the highest revision known; the holder sends later overrides.
+        wants_all: whether the holder must send all overrides, since those after `up_to` did not suffice.
     """
 
     job: str
--- a/glenrock/coordination/durable_state.py
+++ b/glenrock/coordination/durable_state.py
@@ -1,6 +1,6 @@
 """What a balancer must know after its own restart: fence positions, overrides, pending overrides and drain permits.
 
-Each balancer has one file, which is replaced as a whole before what it says is carried out. The two processes of an
+Each balancer has one file, which is replaced as a whole before the new state is acted on. The two processes of an
 upgrade have one name and share the file: under a lock, each merges what the other has written. The keys of the file are
 those of earlier versions; this module alone knows them.
 """
@@ -55,7 +55,7 @@
         permits: drain permits by job.
         committed_up_to: see `OverrideLog`.
         entries: overrides by server.
-        pending: pending overrides by identifier; None for one that cannot be read.
+        pending: pending overrides by identifier; None for an entry that cannot be read.
     """
 
     boot: Any
--- a/glenrock/coordination/lease_runner.py
+++ b/glenrock/coordination/lease_runner.py
@@ -11,9 +11,9 @@
 from .background_tasks import BackgroundTasks
 from .leases.candidate import LeaseAcquired, LeaseLost, LeaseTiming, LossReason
 from .leases.fence import Fence
-from .leases.lease_manager import JobEvent, JobRequest, LeaseManager
+from .leases.lease_manager import JobEvent, LeaseManager
 from .leases.sqlite_store import boottime_us
-from .leases.store import LeaseStore, StoreUnavailableError
+from .leases.store import JobRequest, LeaseStore, StoreUnavailableError
 from .transport import DatagramTransport
 
 logger = get_logger(__name__)
--- a/glenrock/coordination/leases/__init__.py
+++ b/glenrock/coordination/leases/__init__.py
@@ -1,7 +1,7 @@
-"""One lease holder at a time for work that concerns all balancers: terms from a store, fences at every receiver.
+"""Leases for the jobs that one balancer does for all: terms from a store, and a fence at each receiver.
 
-Pure: `candidate` (who may act, and until when), `lease_manager`, `fence` (what a receiver takes), and `model_checker`,
-    which goes through all that can happen to them. With I/O: `sqlite_store`, `consul_store`. Design:
-    docs/notes/ownership.md. The idea of terms as fencing tokens: Gray and Cheriton, Leases (SOSP 1989); Burrows, Chubby
-    (OSDI 2006), sequencers.
+Pure: `candidate` (the election of one candidate for one job), `lease_manager` (all leases of a process), `fence` (the
+receiver), and `model_checker`, which searches their reachable states. `store` is the interface of `sqlite_store` and
+`consul_store`. Design: docs/notes/ownership.md. Terms as fencing tokens: Gray and Cheriton, Leases (SOSP 1989);
+Burrows, Chubby (OSDI 2006), sequencers.
 """
--- a/glenrock/coordination/leases/candidate.py
+++ b/glenrock/coordination/leases/candidate.py
@@ -62,8 +62,8 @@
     """A request to the store for one job's lease.
 
     Attributes:
-        sequence: the request's number among those of this holder; the store ignores one that is not higher than the
-            last.
+        sequence: the request's number among those of this holder; the store ignores a number that is not
+            above the last.
         kind: what is requested.
         term: the term to renew or release.
         term_floor: the highest term that a receiver has seen; a granted term must be above it.
@@ -99,12 +99,12 @@
     """Durations of a lease, in microseconds.
 
     Attributes:
-        lease_us: how long the store grants a lease for, counted from when it takes the request.
+        lease_us: duration of a lease, counted from when the store accepts the request.
         max_drift_fraction: bound on the drift of the store's clock and the holder's against each other.
         renew_after_fraction: the part of the lease after which the holder renews it.
         request_timeout_us: how long an answer may take.
-        retry_interval_us: time before the next request after a rejected one.
-        unreachable_backoff_us: time before the next request after one without an answer.
+        retry_interval_us: time from a rejected request until the next.
+        unreachable_backoff_us: time from a request without an answer until the next.
     """
 
     lease_us: int = 10_000_000
--- a/glenrock/coordination/leases/consul_store.py
+++ b/glenrock/coordination/leases/consul_store.py
@@ -24,7 +24,7 @@
 import aiohttp
 
 from .candidate import LeaseRequest, RequestKind
-from .store import TIME_UNKNOWN, Lease, PastTerm, Record, StoreUnavailableError
+from .store import TIME_UNKNOWN, JobRequest, Lease, PastTerm, Record, StoreUnavailableError
 
 CALL_TIMEOUT_S = 1.5
 MAX_OPERATIONS = 64  # in a transaction, a limit of Consul
@@ -115,8 +115,8 @@
         holder: name of this incarnation of this process.
         session: Consul's session that holds the locks; empty while there is none.
         call_count: HTTP calls made.
-        addresses: `host:port` of Consul's servers or agents. The first is called; one that does not answer becomes the
-            last.
+        addresses: `host:port` of Consul's servers or agents. The first is called; an address that does not answer
+            becomes the last.
     """
 
     def __init__(
@@ -190,7 +190,7 @@
 
     # -- leases ----------------------------------------------------------------------------------------
 
-    async def submit(self, requests: Sequence[tuple[str, LeaseRequest]], lease_us: int) -> dict[str, int]:
+    async def submit(self, requests: Sequence[JobRequest], lease_us: int) -> dict[str, int]:
         """See `LeaseStore`."""
         async with self._submit_lock:
             granted: dict[str, int] = {}
@@ -205,7 +205,7 @@
             return granted
 
     async def _renew_session(self, may_create: bool) -> bool:
-        """Renews the session, or creates one. Returns whether the session of before still lives."""
+        """Renews the session, or creates one. Returns whether an existing session was renewed."""
         if self.session:
             reply = await self._call("PUT", f"session/renew/{self.session}")
             if reply.status == HTTP_OK:
@@ -220,15 +220,13 @@
             self.session = str(reply.body["ID"])
         return False
 
-    async def _check_renewals(
-        self, renewals: list[tuple[str, LeaseRequest]], granted: dict[str, int], is_renewed: bool
-    ) -> None:
+    async def _check_renewals(self, renewals: list[JobRequest], granted: dict[str, int], is_renewed: bool) -> None:
         held = []
-        for job, request in renewals:
-            if is_renewed and self._held.get(job, NOT_HELD).term == request.term:
-                held.append((job, request))
+        for renewal in renewals:
+            if is_renewed and self._held.get(renewal.job, NOT_HELD).term == renewal.request.term:
+                held.append(renewal)
             else:
-                granted[job] = 0
+                granted[renewal.job] = 0
         for start in range(0, len(held), MAX_OPERATIONS):
             batch = held[start : start + MAX_OPERATIONS]
             checks = [self._index_check(job, self._held[job].modify_index) for job, _ in batch]
@@ -241,7 +239,7 @@
     def _index_check(self, job: str, index: int) -> dict[str, Any]:
         return {"Verb": "check-index", "Key": self._lock_key(job), "Index": index}
 
-    async def _acquire(self, requests: list[tuple[str, LeaseRequest]], granted: dict[str, int]) -> None:
+    async def _acquire(self, requests: list[JobRequest], granted: dict[str, int]) -> None:
         if not requests:
             return
         locks = await self._read_locks([job for job, _ in requests])
@@ -292,7 +290,7 @@
             granted[job] = term
             self._held[job] = HeldLock(term, indexes[self._lock_key(job)])
 
-    async def _release(self, requests: list[tuple[str, LeaseRequest]], granted: dict[str, int]) -> None:
+    async def _release(self, requests: list[JobRequest], granted: dict[str, int]) -> None:
         for job, request in requests:
             granted[job] = 0
             held = self._held.get(job, NOT_HELD)
@@ -392,5 +390,5 @@
             self._client = None
 
 
-def _of_kind(requests: Sequence[tuple[str, LeaseRequest]], kind: RequestKind) -> list[tuple[str, LeaseRequest]]:
-    return [(job, request) for job, request in requests if request.kind is kind]
+def _of_kind(requests: Sequence[JobRequest], kind: RequestKind) -> list[JobRequest]:
+    return [item for item in requests if item.request.kind is kind]
--- a/glenrock/coordination/leases/lease_manager.py
+++ b/glenrock/coordination/leases/lease_manager.py
@@ -22,25 +22,18 @@
     LeaseTiming,
     RequestKind,
 )
-from .store import Lease
+from .store import JobRequest, Lease
 
 MAX_WATCHERS = 3  # members that watch a job's lease; the others read it at a full watch only
 MAX_STEPS = 10  # bound on the steps that a member waits for the members before it
 MAX_PATIENCE_LEASES = 256
 PATIENCE_FACTOR = 4
 IDLE_PENALTY_LEASES = 3  # a job whose lease was held without work is not requested for this many leases
-REBALANCE_DIVISOR = 10  # one in this many misplaced jobs is released at a time
+REBALANCE_DIVISOR = 10  # the misplaced jobs over those released at a time
 TIME_NOT_KNOWN = -1
 NO_LEASE = Lease("", 0, 0)
 
 
-class JobRequest(NamedTuple):
-    """A request to the store for one job's lease."""
-
-    job: str
-    request: LeaseRequest
-
-
 class JobEvent(NamedTuple):
     """The lease of a job was acquired or lost."""
 
@@ -102,7 +95,7 @@
         self._observed: dict[str, ObservedLease] = {}
         self._active_jobs: set[str] = set()  # held, requested or free: the jobs that a tick may act on
         self._members: list[int] = []
-        self._watched: list[str] = []  # jobs for which this member is one of the watchers
+        self._watched: list[str] = []  # jobs whose lease this member reads at each watch
         self._penalty_until_us: dict[str, int] = {}
         self._last_work_us: dict[str, int] = {}
         self._acquired_us: dict[str, int] = {}
@@ -125,7 +118,7 @@
         self._last_work_us[job] = now_us
 
     def raise_term_floor(self, job: str, term: int) -> None:
-        """Requires terms above one that this process has seen as a receiver, even if the store lost its state."""
+        """Requires terms above `term`, which this process has seen as a receiver; the store may have lost it."""
         if job in self.candidates:
             self.candidates[job].term_floor = max(self.candidates[job].term_floor, term)
 
--- a/glenrock/coordination/leases/model_checker.py
+++ b/glenrock/coordination/leases/model_checker.py
@@ -143,12 +143,12 @@
 class ModelState:
     """One state of the model.
 
-    A suspended candidate needs no state: each step of a candidate is one that may not happen.
+    A suspended candidate needs no state of its own, since no step of a candidate has to happen.
 
     Attributes:
         candidates: the candidates under test.
         clocks: the time of each candidate's clock, in ticks.
-        ticks_since_skip: by candidate, ticks since its clock last skipped one.
+        ticks_since_skip: by candidate, ticks since its clock last skipped a tick.
         fences: the receivers under test.
         accepted_terms: by receiver, the highest term of which an effect was accepted, over restarts.
         holder: the candidate that the store granted the lease to last.
--- a/glenrock/coordination/leases/sqlite_store.py
+++ b/glenrock/coordination/leases/sqlite_store.py
@@ -18,7 +18,7 @@
 from typing import NamedTuple, TypeVar
 
 from .candidate import LeaseRequest, RequestKind
-from .store import Lease, PastTerm, Record, StoreUnavailableError
+from .store import JobRequest, Lease, PastTerm, Record, StoreUnavailableError
 
 T = TypeVar("T")
 
@@ -161,17 +161,19 @@
         Returns:
             The new term, or 0 if another process holds the lease.
         """
-        return self.submit(holder, [(job, LeaseRequest(sequence, RequestKind.ACQUIRE, 0, term_floor))], lease_us)[job]
+        return self.submit(
+            holder, [JobRequest(job, LeaseRequest(sequence, RequestKind.ACQUIRE, 0, term_floor))], lease_us
+        )[job]
 
     def renew(self, job: str, holder: str, sequence: int, term: int, lease_us: int) -> int:
         """Renews a lease. Returns its term, or 0 if it has expired."""
-        return self.submit(holder, [(job, LeaseRequest(sequence, RequestKind.RENEW, term, 0))], lease_us)[job]
+        return self.submit(holder, [JobRequest(job, LeaseRequest(sequence, RequestKind.RENEW, term, 0))], lease_us)[job]
 
     def release(self, job: str, holder: str, sequence: int, term: int) -> None:
         """Releases a lease."""
-        self.submit(holder, [(job, LeaseRequest(sequence, RequestKind.RELEASE, term, 0))], 0)
+        self.submit(holder, [JobRequest(job, LeaseRequest(sequence, RequestKind.RELEASE, term, 0))], 0)
 
-    def submit(self, holder: str, requests: Iterable[tuple[str, LeaseRequest]], lease_us: int) -> dict[str, int]:
+    def submit(self, holder: str, requests: Iterable[JobRequest], lease_us: int) -> dict[str, int]:
         """Applies the requests of one process in one transaction. Returns the term granted by job, or 0."""
         with self._writing() as db:
             return {job: self._answer(db, job, holder, request, lease_us) for job, request in requests}
@@ -321,7 +323,7 @@
 
         return await asyncio.get_running_loop().run_in_executor(self._threads[access], in_thread)
 
-    async def submit(self, requests: Sequence[tuple[str, LeaseRequest]], lease_us: int) -> dict[str, int]:
+    async def submit(self, requests: Sequence[JobRequest], lease_us: int) -> dict[str, int]:
         """See `LeaseStore`."""
         return await self._call(lambda store: store.submit(self.holder, requests, lease_us))
 
--- a/glenrock/coordination/leases/store.py
+++ b/glenrock/coordination/leases/store.py
@@ -10,7 +10,7 @@
 
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
-from typing import Protocol
+from typing import NamedTuple, Protocol
 
 from .candidate import LeaseRequest
 
@@ -21,6 +21,13 @@
     """The store did not answer. It may have carried the call out."""
 
 
+class JobRequest(NamedTuple):
+    """A request to the store for the lease of a job."""
+
+    job: str
+    request: LeaseRequest
+
+
 @dataclass(frozen=True, slots=True)
 class Lease:
     """The lease of a job.
@@ -59,11 +66,11 @@
 
     holder: str
 
-    async def submit(self, requests: Sequence[tuple[str, LeaseRequest]], lease_us: int) -> dict[str, int]:
+    async def submit(self, requests: Sequence[JobRequest], lease_us: int) -> dict[str, int]:
         """Submits the lease requests of this process in one call.
 
         Args:
-            requests: pairs of a job and the request for its lease.
+            requests: in the order in which the store must apply them.
             lease_us: how long a granted lease lasts.
 
         Returns:
--- a/glenrock/coordination/override_holder.py
+++ b/glenrock/coordination/override_holder.py
@@ -127,7 +127,7 @@
         return True
 
     async def _commit(self, term: int, proposal_id: str, proposal: PendingOverride) -> bool:
-        """Commits a proposal; one that is committed already is only deleted. Returns False if the lease is lost."""
+        """Commits a proposal, or deletes it if it is committed already. Returns False if the lease is lost."""
         self._record_sequence += 1
         entry = OverrideEntry(proposal.is_suspended, Revision(term, self._record_sequence))
         incarnation, count = decode_pending_id(proposal_id)
@@ -213,7 +213,7 @@
             self._leases.handle_rejection(OVERRIDES_JOB, message.highest_term)
 
     def _on_known_override(self, peer: int, message: datagrams.KnownOverride) -> None:
-        """Merges an override that a peer knows; one with a revision above this log's was lost by the store."""
+        """Merges an override that a peer knows and this holder does not: the store has lost it."""
         entry = self._context.overrides.entries.get(message.server)
         revision = entry.revision if entry else NO_REVISION
         if self.is_holder() and self._is_ready and message.revision > revision:
--- a/glenrock/coordination/override_receiver.py
+++ b/glenrock/coordination/override_receiver.py
@@ -77,7 +77,7 @@
             self._request_sync(peer, message)
 
     def _request_sync(self, peer: int, message: datagrams.LeaderHeartbeat) -> None:
-        """Requests the overrides after the last one known; all of them if that did not make the digests equal."""
+        """Requests the overrides after the last known revision; all of them if the digests still differ after that."""
         overrides = self._context.overrides
         digests = _Digests(message.digest, overrides.digest)
         wants_all = self._synced_digests == digests
--- a/glenrock/coordination/override_replication.py
+++ b/glenrock/coordination/override_replication.py
@@ -107,8 +107,8 @@
     async def _post_pending(self) -> None:
         """Proposes each pending override that was not proposed lately. Raises StoreUnavailableError.
 
-        A store that is restored from an earlier state has lost proposals, so they are posted again. The holder drops
-        one that is committed already.
+        A store that is restored from an earlier state has lost proposals, so they are posted again. The holder drops a
+        proposal that is committed already.
         """
         loop = asyncio.get_running_loop()
         for pending_id, pending in list(self._context.overrides.pending.items()):
--- a/glenrock/coordination/shared_work/override_log.py
+++ b/glenrock/coordination/shared_work/override_log.py
@@ -151,7 +151,7 @@
         return changes
 
     def add_pending(self, pending_id: str, server: str, is_suspended: bool) -> None:
-        """Adds a pending override in place of an earlier one of the same server."""
+        """Adds a pending override, in place of an earlier override of the same server."""
         for earlier in [other for other, pending in self.pending.items() if pending.server == server]:
             del self.pending[earlier]
         self.pending[pending_id] = PendingOverride(server, is_suspended)
--- a/tests/coordination/leases/store_fixture.py
+++ b/tests/coordination/leases/store_fixture.py
@@ -9,7 +9,7 @@
 from glenrock.coordination.leases.candidate import LeaseRequest, RequestKind
 from glenrock.coordination.leases.consul_store import ConsulStore
 from glenrock.coordination.leases.sqlite_store import AsyncSqliteStore
-from glenrock.coordination.leases.store import LeaseStore
+from glenrock.coordination.leases.store import JobRequest, LeaseStore
 from glenrock.testbed.consul_server import ConsulServer
 from glenrock.testbed.loopback import LoopbackNetwork
 
@@ -34,14 +34,16 @@
         self.clients.append(made)
         return made
 
-    async def submit(self, store: LeaseStore, requests: list[tuple[str, LeaseRequest]]) -> dict[str, int]:
+    async def submit(self, store: LeaseStore, requests: list[JobRequest]) -> dict[str, int]:
         return await store.submit(requests, self.lease_us)
 
     async def acquire(self, store: LeaseStore, job: str, sequence: int, term_floor: int = 0) -> int:
-        return (await self.submit(store, [(job, LeaseRequest(sequence, RequestKind.ACQUIRE, 0, term_floor))]))[job]
+        return (
+            await self.submit(store, [JobRequest(job, LeaseRequest(sequence, RequestKind.ACQUIRE, 0, term_floor))])
+        )[job]
 
     async def renew(self, store: LeaseStore, job: str, sequence: int, term: int) -> int:
-        return (await self.submit(store, [(job, LeaseRequest(sequence, RequestKind.RENEW, term, 0))]))[job]
+        return (await self.submit(store, [JobRequest(job, LeaseRequest(sequence, RequestKind.RENEW, term, 0))]))[job]
 
 
 Scenario = Callable[[StoreFixture], Awaitable[None]]
--- a/tests/coordination/leases/test_consul_store.py
+++ b/tests/coordination/leases/test_consul_store.py
@@ -10,7 +10,7 @@
 
 from glenrock.coordination.leases.candidate import LeaseRequest, RequestKind
 from glenrock.coordination.leases.consul_store import ConsulStore, escape_key, unescape_key
-from glenrock.coordination.leases.store import StoreUnavailableError
+from glenrock.coordination.leases.store import JobRequest, StoreUnavailableError
 
 from .store_fixture import LONG_LEASE_US, SHORT_LEASE_US, Scenario, StoreFixture, run_with_store
 
@@ -47,7 +47,10 @@
         assert (
             await fixture.submit(
                 a,
-                [("j", LeaseRequest(2, RequestKind.RENEW, 1, 0)), ("k", LeaseRequest(2, RequestKind.RENEW, 1, 0))],
+                [
+                    JobRequest("j", LeaseRequest(2, RequestKind.RENEW, 1, 0)),
+                    JobRequest("k", LeaseRequest(2, RequestKind.RENEW, 1, 0)),
+                ],
             )
         ) == {"j": 0, "k": 1}
 
@@ -72,9 +75,8 @@
         a, b = fixture.client("a"), fixture.client("b")
         assert await fixture.acquire(a, "j", 1) == 1
         fixture.consul.keep()
-        assert (await fixture.submit(a, [("j", LeaseRequest(2, RequestKind.RELEASE, 1, 0))])) == {
-            "j": 0
-        } and await fixture.acquire(b, "j", 1) == 2
+        released = await fixture.submit(a, [JobRequest("j", LeaseRequest(2, RequestKind.RELEASE, 1, 0))])
+        assert released == {"j": 0} and await fixture.acquire(b, "j", 1) == 2
         fixture.consul.restart(back=True)
         assert await fixture.renew(b, "j", 2, 2) == 0 and not await b.put("j", 2, 1, {"k": "v"})
         await asyncio.sleep(fixture.lease_us / 1e6 + 0.1)
--- a/tests/coordination/leases/test_lease_manager.py
+++ b/tests/coordination/leases/test_lease_manager.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from glenrock.coordination.leases.candidate import LeaseRequest, LeaseTiming, RequestKind
-from glenrock.coordination.leases.lease_manager import JobRequest, LeaseManager
-from glenrock.coordination.leases.store import Lease
+from glenrock.coordination.leases.lease_manager import LeaseManager
+from glenrock.coordination.leases.store import JobRequest, Lease
 from glenrock.coordination.membership import PeerLiveness, preferred_member, rank, rendezvous_score, stable_hash
 
 SECOND_US = 1_000_000
--- a/tests/coordination/leases/test_store_processes.py
+++ b/tests/coordination/leases/test_store_processes.py
@@ -18,6 +18,7 @@
 from pathlib import Path
 from glenrock.coordination.leases.candidate import LeaseCandidate, LeaseRequest, LeaseTiming
 from glenrock.coordination.leases.sqlite_store import SqliteStore, StoreUnavailableError, boottime_us
+from glenrock.coordination.leases.store import JobRequest
 name, path, stop_path = f"{sys.argv[1]}/{boottime_us()}", Path(sys.argv[2]), Path(sys.argv[4])
 out = open(sys.argv[3], "a", buffering=1)
 timing = LeaseTiming(lease_us=200_000, max_drift_fraction=0.05, request_timeout_us=100_000, retry_interval_us=20_000,
@@ -27,7 +28,7 @@
     for action in candidate.tick(boottime_us()):
         if isinstance(action, LeaseRequest):
             try:
-                granted = store.submit(name, [("job", action)], timing.lease_us)["job"]
+                granted = store.submit(name, [JobRequest("job", action)], timing.lease_us)["job"]
             except StoreUnavailableError:
                 candidate.handle_timeout(boottime_us(), action.sequence)
                 continue
--- a/tests/coordination/leases/test_stores.py
+++ b/tests/coordination/leases/test_stores.py
@@ -7,7 +7,7 @@
 import pytest
 
 from glenrock.coordination.leases.candidate import LeaseRequest, RequestKind
-from glenrock.coordination.leases.store import Record
+from glenrock.coordination.leases.store import JobRequest, Record
 
 from .store_fixture import SHORT_LEASE_US, StoreFixture, run_with_store
 
@@ -26,7 +26,8 @@
         assert await b.proposals("x/y z") == {}
         assert (await b.leases(["x/y z"]))["x/y z"].holder == "a" == (await b.leases())["x/y z"].holder
         assert await fixture.renew(a, "x/y z", 2, 1) == 1 and await fixture.renew(b, "x/y z", 2, 1) == 0
-        assert (await fixture.submit(a, [("x/y z", LeaseRequest(3, RequestKind.RELEASE, 1, 0))]))["x/y z"] == 0
+        released = await fixture.submit(a, [JobRequest("x/y z", LeaseRequest(3, RequestKind.RELEASE, 1, 0))])
+        assert released["x/y z"] == 0
         assert await fixture.acquire(b, "x/y z", 3, term_floor=7) == 8, "above the term floor"
         assert not await a.put("x/y z", 1, 3, {"k": "late"}) and await fixture.renew(a, "x/y z", 4, 1) == 0
         assert [(p.term, p.holder) for p in await a.past_terms("x/y z")] == [(1, "a"), (8, "b")]
@@ -60,10 +61,12 @@
         a, b = fixture.client("a"), fixture.client("b")
         jobs = [f"j{n}" for n in range(150)]
         assert await fixture.acquire(b, "j7", 1) == 1
-        got = await fixture.submit(a, [(j, LeaseRequest(1, RequestKind.ACQUIRE, 0, 0)) for j in jobs])
+        got = await fixture.submit(a, [JobRequest(j, LeaseRequest(1, RequestKind.ACQUIRE, 0, 0)) for j in jobs])
         assert got == {j: int(j != "j7") for j in jobs}
         before = fixture.consul.calls if fixture.consul else 0
-        again = await fixture.submit(a, [(j, LeaseRequest(2, RequestKind.RENEW, 1, 0)) for j in jobs if j != "j7"])
+        again = await fixture.submit(
+            a, [JobRequest(j, LeaseRequest(2, RequestKind.RENEW, 1, 0)) for j in jobs if j != "j7"]
+        )
         assert set(again.values()) == {1} and (not fixture.consul or fixture.consul.calls - before <= 4)
 
     run_with_store(kind, tmp_path, scenario)
