--- a/glenrock/coordination/override_applier.py
+++ b/glenrock/coordination/override_applier.py
@@ -79,8 +79,8 @@
             except OperationRejectedError as error:
                 logger.warning("override not applied", server=server, suspended=is_suspended, error=error.reason)
         else:
-            host.servers.hold(server, is_suspended)
-            host.routing.order(interface.OperatorOverride(server, is_suspended, 0))
+            host.servers.set_suspended(server, is_suspended)
+            host.routing.post_first(interface.OperatorOverride(server, is_suspended, 0))
 
     def _start_applying(self, changes: Mapping[str, bool]) -> None:
         async def apply_all() -> None:
--- a/tests/test_recorded.py
+++ b/tests/test_recorded.py
@@ -20,9 +20,9 @@
 from glenrock.coordination.shared_work.override_log import OverrideEntry, OverrideLog
 from glenrock.coordination.warm_start import start_record as start_record
 from glenrock.coordination.warm_start.start_backoff import BackoffPolicy, StartBackoff
-from glenrock.lab import record as lab_record
-from glenrock.lab import spec
 from glenrock.routing.gossip_codec import decode
+from glenrock.simulation import record as lab_record
+from glenrock.simulation import spec
 from glenrock.testbed import scenario as scene_spec
 from glenrock.testbed.consul_server import ConsulServer
 from glenrock.testbed.loopback import LoopbackNetwork
@@ -109,7 +109,9 @@
 
     known = relay_message.protocol.KnownNames({"look": 1000.0})
     clock = SimpleNamespace(now=lambda: 0.0)
-    server = SimpleNamespace(known=known, knows=lambda id_: False, full=lambda: False, routing=None, clock=clock)
+    server = SimpleNamespace(
+        known_names=known, is_open=lambda id_: False, is_full=lambda: False, routing=None, metrics=None, clock=clock
+    )
     with pytest.MonkeyPatch.context() as patch, socket.create_server(("127.0.0.1", 0)) as listener:
         patch.setattr(relay_message, "ClientConnection", Takes)
         client = socket.create_connection(listener.getsockname())
@@ -117,8 +119,8 @@
         with client, backend:
             found = relay_message.decode_relay(data, server, client, backend)
     assert taken == [("127.0.0.1:9001", backend)]
-    assert (found.opened.id, found.opened.group, found.load) == ("50", 255, 52000)
-    assert (found.gate.splitter.part, found.last_word, found.asked_at) == (b"HALF A", "ACTIVE", None)
+    assert (found.request_line.request_id, found.request_line.group, found.reports.load) == ("50", 255, 52000)
+    assert (found.gate.splitter.part, found.last_word, found.unanswered_since_ms) == (b"HALF A", "ACTIVE", None)
 
 
 def test_datagrams_are_read_and_written_in_the_same_form() -> None:
