--- a/tests/test_start_times.py
+++ b/tests/net/test_start_times.py
@@ -1,4 +1,4 @@
-"""Ages of servers under a wall clock that is stepped: before the start, while this process runs, here or everywhere."""
+"""Ages of servers under wall clocks that are stepped, before the start or later, on this machine or on all."""
 
 from __future__ import annotations
 
@@ -14,23 +14,26 @@
 from glenrock.routing.interface import EndpointState
 from glenrock.testbed.bed import BedShape, Testbed
 
-NOW, SLOW, HOUR = 1_700_000_000_000.0, 5000.0, 3_600_000.0
+NOW_MS = 1_700_000_000_000.0
+SLOW_START_MS = 5000.0
+HOUR_MS = 3_600_000.0
 
 
 class Machine:
-    """A process's clock beside a wall clock that may be stepped."""
+    """A process's clock, and a wall clock that a test steps."""
 
     def __init__(self, ahead_ms: float = 0.0) -> None:
-        self.true_ms, self.step_ms = NOW, 0.0
-        self.clock = SetClock(NOW + ahead_ms)
+        self.true_ms, self.step_ms = NOW_MS, 0.0
+        self.clock = SetClock(NOW_MS + ahead_ms)
         self.ahead_ms = ahead_ms
-        self.times = StartTimes(self.clock, SLOW, lambda: self.true_ms + self.ahead_ms + self.step_ms)
+        self.times = StartTimes(self.clock, SLOW_START_MS, lambda: self.true_ms + self.ahead_ms + self.step_ms)
 
-    def run(self, ms: float) -> None:
+    def advance(self, ms: float) -> None:
         self.true_ms += ms
         self.clock.advance(ms)
 
-    def ages(self, **since_ms: float) -> dict[str, float]:
+    def ages_ms(self, **since_ms: float) -> dict[str, float]:
+        """Returns the ages of listed servers by name; infinite for a server without a known start."""
         rows = [
             EndpointRow(name, ("127.0.0.1", 9), EndpointState.READY, since_ms=at_ms) for name, at_ms in since_ms.items()
         ]
@@ -40,48 +43,48 @@
         }
 
 
-@pytest.mark.parametrize("ahead_ms", (0.0, 10_000.0, HOUR, -10_000.0, -HOUR))
-def test_a_start_in_the_first_list_is_no_older_than_it_can_be_and_warms_up_in_time(ahead_ms: float) -> None:
+@pytest.mark.parametrize("ahead_ms", (0.0, 10_000.0, HOUR_MS, -10_000.0, -HOUR_MS))
+def test_age_in_the_first_list_is_bounded_and_warming_up_ends_in_time(ahead_ms: float) -> None:
     machine = Machine(ahead_ms)
-    ages = machine.ages(a=0, b=0, c=NOW - 1000, d=NOW - 3 * HOUR, e=NOW - 3 * HOUR)
-    assert ages["a"] == float("inf") and ages["d"] > SLOW
-    assert 0 <= ages["c"] <= 1000
-    machine.run(SLOW)
-    assert machine.ages(c=NOW - 1000)["c"] >= SLOW
+    ages_ms = machine.ages_ms(a=0, b=0, c=NOW_MS - 1000, d=NOW_MS - 3 * HOUR_MS, e=NOW_MS - 3 * HOUR_MS)
+    assert ages_ms["a"] == float("inf") and ages_ms["d"] > SLOW_START_MS
+    assert 0 <= ages_ms["c"] <= 1000
+    machine.advance(SLOW_START_MS)
+    assert machine.ages_ms(c=NOW_MS - 1000)["c"] >= SLOW_START_MS
 
 
-@pytest.mark.parametrize("ahead_ms", (0.0, 10_000.0, HOUR, -HOUR))
-@pytest.mark.parametrize("step_ms", (0.0, 7000.0, -7000.0, HOUR, -HOUR))
+@pytest.mark.parametrize("ahead_ms", (0.0, 10_000.0, HOUR_MS, -HOUR_MS))
+@pytest.mark.parametrize("step_ms", (0.0, 7000.0, -7000.0, HOUR_MS, -HOUR_MS))
 @pytest.mark.parametrize("everywhere", (True, False))
-def test_a_start_that_is_news_is_young_whatever_the_clocks_show(
+def test_newly_reported_server_is_young_whatever_the_clocks_show(
     ahead_ms: float, step_ms: float, everywhere: bool
 ) -> None:
     machine = Machine(ahead_ms)
-    machine.ages(a=0)
+    machine.ages_ms(a=0)
     machine.times.record_answer()
-    machine.run(60_000)
+    machine.advance(60_000)
     machine.times.record_answer()
     machine.step_ms = step_ms
-    machine.run(2000)  # it started right after the last answer
+    machine.advance(2000)  # the server started right after the last answer
     since_ms = machine.true_ms - 2000 + (step_ms if everywhere else 0)
-    age = machine.ages(n=since_ms)["n"]
-    assert 0 <= age <= 2000 + REPORT_DELAY_MS
+    age_ms = machine.ages_ms(n=since_ms)["n"]
+    assert 0 <= age_ms <= 2000 + REPORT_DELAY_MS
     if not ahead_ms:
-        assert age <= 2000
-    machine.run(SLOW)
+        assert age_ms <= 2000
+    machine.advance(SLOW_START_MS)
     machine.times.record_answer()
-    assert machine.ages(n=since_ms)["n"] == age + SLOW, "told again it is no news"
+    assert machine.ages_ms(n=since_ms)["n"] == age_ms + SLOW_START_MS, "a repeated report changes nothing"
 
 
-def test_a_fleet_that_started_together_long_ago_is_warm_at_the_start() -> None:
+def test_servers_that_started_together_long_ago_are_not_warming_up() -> None:
     machine = Machine()
-    ages = machine.ages(**{f"s{n}": NOW - HOUR + n for n in range(9)})
-    assert all(age > SLOW for age in ages.values())
+    ages_ms = machine.ages_ms(**{f"s{number}": NOW_MS - HOUR_MS + number for number in range(9)})
+    assert all(age_ms > SLOW_START_MS for age_ms in ages_ms.values())
 
 
 @pytest.mark.parametrize("step_s", (3600, -3600, 20, -20))
 @pytest.mark.parametrize("when", ("before the start", "while it runs"))
-def test_a_real_process_whose_clock_is_stepped_serves_and_ends_in_time(step_s: int, when: str) -> None:
+def test_process_serves_and_stops_in_time_after_a_clock_step(step_s: int, when: str) -> None:
     async def play() -> None:
         async with Testbed(BedShape(servers=10)) as bed:
             faults = bed.call_faults(0)
@@ -94,13 +97,13 @@
             if when == "while it runs":
                 faults.step_clock(step_s)
             bed.directory.set_status(["s-00000002"], "SERVING", since_ms=time.time() * 1000)
-            late = [bed.client(0, stays_s=20.0) for _ in range(10)]
-            assert await bed.until(lambda: all(client.up.is_set() for client in late), 3.0)
-            asked_s = time.monotonic()
+            later_clients = [bed.client(0, stays_s=20.0) for _ in range(10)]
+            assert await bed.until(lambda: all(client.up.is_set() for client in later_clients), 3.0)
+            signal_s = time.monotonic()
             bed.processes[0].send_signal(15)
             assert await bed.until(lambda: not bed.processes[0].is_running, 3.7)
-            assert time.monotonic() - asked_s > 2.0 and bed.processes[0].exit_code == 0
-            assert all(client.request.is_migrated for client in [*clients, *late])
+            assert time.monotonic() - signal_s > 2.0 and bed.processes[0].exit_code == 0
+            assert all(client.request.is_migrated for client in [*clients, *later_clients])
             faults.close()
 
     uvloop.run(asyncio.wait_for(play(), 30))
--- /dev/null
+++ b/tests/routing/test_invalid_summaries.py
@@ -0,0 +1,77 @@
+"""Gossip summaries that cannot be of a balancer: ignored with a reason, and the previous summary stays."""
+
+from __future__ import annotations
+
+import pytest
+from conftest import Harness, settings
+from hypothesis import given
+from hypothesis import strategies as st
+
+from glenrock.routing import interface
+from glenrock.routing.gossip_codec import check_summary, decode, encode
+
+TIER_LOAD = 9_000_000 + 5 * 25_000  # of the peer's summary and of this balancer's connections
+
+
+def harness_with_a_peer() -> Harness:
+    harness = Harness(settings(tenants=(interface.Tenant("t", 600.0),)))
+    harness.list_servers("a:1")
+    for n in range(5):
+        harness.deliver(
+            interface.OpenConnection(interface.Request(f"o{n}", "read", harness.now_us, n, load=25_000), "a:1")
+        )
+    harness.deliver(interface.GossipReceived(1, encode(1, 9_000_000, 300, [])))
+    assert harness.balancer.gossip.tier_load() == TIER_LOAD
+    return harness
+
+
+def test_balancer_without_known_loads_accepts_a_summary() -> None:
+    harness = Harness(settings(tenants=(interface.Tenant("t", 600.0),)))
+    harness.balancer.connection_loads.mean_load = 1.0  # no load of a connection is known
+    harness.deliver(interface.GossipReceived(1, encode(1, 9_000_000, 300, [])))
+    assert harness.balancer.gossip.tier_load() == 9_000_000 and not harness.balancer.batch.ignored_summaries
+
+
+@pytest.mark.parametrize(
+    ("peer", "data", "reason"),
+    [
+        (1, b"\1\2", "cannot be read"),
+        (1, b"\2" + encode(2, 1, 1, [])[1:], "cannot be read"),
+        (1, encode(2, 1e15, 300, []), "absurd"),
+        (1, encode(2, 1e6, 2_000_000, []), "absurd"),
+        (2, encode(2, 1e6, 3, [(0, 1e15)]), "absurd"),
+        (4, encode(2, 1e6, 3, []), "the settings name 4"),
+    ],
+)
+def test_invalid_summary_is_ignored_with_a_reason_and_the_previous_one_stays(
+    peer: int, data: bytes, reason: str
+) -> None:
+    harness = harness_with_a_peer()
+    harness.deliver(interface.GossipReceived(peer, data))
+    (ignored,) = harness.balancer.batch.ignored_summaries
+    assert ignored.peer == peer and reason in ignored.reason
+    assert harness.balancer.gossip.tier_load() == TIER_LOAD
+    assert not harness.balancer.waiting_queue.load_by_bucket()
+    assert set(harness.balancer.gossip.peers) == {1}
+    harness.deliver()
+    assert harness.balancer.batch.ignored_summaries == []
+
+
+@given(
+    active_load=st.floats(0, 1e9),
+    clients=st.integers(0, 100_000),
+    waiting=st.lists(st.tuples(st.integers(0, 60), st.floats(0, 1e7)), max_size=20),
+    peer=st.integers(0, 39),
+)
+def test_possible_summary_is_accepted(active_load, clients, waiting, peer) -> None:
+    summary = decode(encode(7, active_load, clients, waiting))
+    assert summary is not None
+    assert check_summary(peer, 40, summary, 25_000.0 * 600) is summary
+    assert check_summary(peer, 40, summary, 0.0) is summary
+
+
+@given(data=st.binary(max_size=256))
+def test_arbitrary_bytes_raise_the_tier_load_by_a_bounded_amount(data: bytes) -> None:
+    harness = harness_with_a_peer()
+    harness.deliver(interface.GossipReceived(1, data))
+    assert harness.balancer.gossip.tier_load() <= 100 * 600 * 25_000
