--- a/glenrock/coordination/agent.py
+++ b/glenrock/coordination/agent.py
@@ -150,7 +150,8 @@
         return build_view(
             self._context,
             rejections=self.overrides.receiver.rejections if self.overrides else [],
-            start={"says": cache_status, **self._milestones.view()},
+            cache_status=cache_status,
+            start=self._milestones.progress(),
             permit=self.drain_limiter.permit if self.drain_limiter else "",
         )
 
--- a/glenrock/coordination/status_view.py
+++ b/glenrock/coordination/status_view.py
@@ -9,6 +9,7 @@
 from .leases.candidate import CandidateState
 from .leases.sqlite_store import boottime_us
 from .override_receiver import Rejection
+from .warm_start.milestones import ListSource, StartProgress
 
 MS_US = 1000
 
@@ -19,15 +20,23 @@
     CandidateState.RELEASING: "leaving",
     CandidateState.BACKING_OFF: "wary",
 }
+LIST_WORDS = {
+    ListSource.CACHED: "kept",
+    ListSource.CONFIGURED: "given",
+    ListSource.NONE: "none",
+}
 
 
-def build_view(context: CoordinationContext, rejections: list[Rejection], start: dict[str, Any], permit: str) -> str:
+def build_view(
+    context: CoordinationContext, rejections: list[Rejection], cache_status: str, start: StartProgress, permit: str
+) -> str:
     """Returns the view.
 
     Args:
         context: the coordination's shared objects.
         rejections: the last effects and heartbeats that were rejected.
-        start: the view of the start.
+        cache_status: what the start used of the start cache, in words.
+        start: the milestones of the start.
         permit: the job of the drain permit that is held; empty if there is none.
     """
     overrides = context.overrides
@@ -44,7 +53,7 @@
             server: {"out": entry.is_suspended, "revision": entry.revision}
             for server, entry in overrides.entries.items()
         },
-        "start": start,
+        "start": {"says": cache_status, **_start_view(start)},
         "wishes": len(overrides.pending),
         "digest": f"{overrides.digest:016x}",
         "ticket": permit,
@@ -75,3 +84,22 @@
         "seen": rejection.highest_term,
         "why": rejection.reason,
     }
+
+
+def _start_view(start: StartProgress) -> dict[str, Any]:
+    calls, connections = start.calls, start.connections
+    return {
+        "begun_ms": round(start.process_started_ms),
+        "waited_ms": round(start.delay_ms),
+        "ready_ms": round(start.ready_ms),
+        "heard_ms": round(start.list_ms),
+        "served_ms": round(start.served_ms),
+        "list": LIST_WORDS[start.list_source],
+        "calls": {"answered": calls.answered, "refused": calls.rejected, "failed": calls.failed} if calls else {},
+        "first": {
+            "attempts": connections.attempts,
+            "up": connections.established,
+            "refused": connections.rejected,
+            "failed": connections.failed,
+        },
+    }
--- a/glenrock/coordination/warm_start/milestones.py
+++ b/glenrock/coordination/warm_start/milestones.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from dataclasses import dataclass
 from enum import StrEnum
 from typing import Any
 
@@ -11,33 +12,72 @@
 
 
 class ListSource(StrEnum):
-    """Where the endpoint list of a start is from; the values are in the operators' view.
+    """Where the endpoint list of a start is from.
 
     CACHED: the cache of an earlier incarnation.
     CONFIGURED: the configuration.
     NONE: there is no list until discovery answers.
     """
 
-    CACHED = "kept"
-    CONFIGURED = "given"
+    CACHED = "cached"
+    CONFIGURED = "configured"
     NONE = "none"
 
 
 CHECK_INTERVAL_MS = 20.0
 FIRST_SERVICE_MS = 5000.0  # connections in this time after `ready` count as the start's
 MAX_WATCH_MS = 600_000.0
-COUNTED_OUTCOMES: dict[str, ConnectionOutcome] = {
-    "up": ConnectionOutcome.FULFILLED,
-    "refused": ConnectionOutcome.THROTTLED,
-    "failed": ConnectionOutcome.FAULTED,
-}
+
+
+@dataclass(frozen=True, slots=True)
+class ConnectionCounts:
+    """Connections of this process: attempts sent to servers, and answers to clients by outcome."""
+
+    attempts: int
+    established: int
+    rejected: int
+    failed: int
+
+
+@dataclass(frozen=True, slots=True)
+class CallCounts:
+    """Calls for the endpoint list, by result."""
+
+    answered: int
+    rejected: int
+    failed: int
+
+
+@dataclass(frozen=True, slots=True)
+class StartProgress:
+    """The milestones of a start. Times are Unix milliseconds, 0 until a milestone is reached.
+
+    Attributes:
+        process_started_ms: when the process started.
+        delay_ms: the delay by the start backoff.
+        ready_ms: when the balancer accepted clients.
+        list_ms: when discovery first answered.
+        served_ms: when the first connection was established.
+        list_source: where the endpoint list of the start is from.
+        calls: for the endpoint list; None before the start.
+        connections: in the first time after `ready_ms`, or so far.
+    """
+
+    process_started_ms: float
+    delay_ms: float
+    ready_ms: float
+    list_ms: float
+    served_ms: float
+    list_source: ListSource
+    calls: CallCounts | None
+    connections: ConnectionCounts
 
 
 class CountingPollBackoff:
     """Counts the results of calls for the endpoint list, and delegates everything to another `PollBackoff`."""
 
     def __init__(self, backoff: PollBackoff) -> None:
-        self.answered = self.refused = self.failed = 0
+        self.answered = self.rejected = self.failed = 0
         self._backoff = backoff
 
     def __getattr__(self, name: str) -> Any:
@@ -51,7 +91,7 @@
 
     def overload_delay_ms(self) -> float:
         """Records that a call was rejected. Returns the pause before the next one, in milliseconds."""
-        self.refused += 1
+        self.rejected += 1
         return self._backoff.overload_delay_ms()
 
     def retry_delay_ms(self, failures: int) -> float:
@@ -69,7 +109,7 @@
         self._started_ms = self._clock.now()
         self._delay_ms = self._ready_ms = self._list_ms = self._served_ms = 0.0
         self._list_source = ListSource.NONE
-        self._first_service: dict[str, int] = {}
+        self._first_connections: ConnectionCounts | None = None
         self._calls: CountingPollBackoff | None = None
 
     def start(self, list_source: ListSource) -> None:
@@ -79,11 +119,16 @@
         self._calls = CountingPollBackoff(self._host.endpoints.backoff)
         self._host.endpoints.backoff = self._calls  # type: ignore[assignment] # it delegates what it does not define
 
-    def _connection_counts(self) -> dict[str, int]:
-        """Returns the connections since the process started, by result."""
-        counts = self._host.connections.metrics
-        outcomes = {name: sum(counts.outcomes[key].values()) for name, key in COUNTED_OUTCOMES.items()}
-        return {"attempts": counts.relayed, **outcomes}
+    def _connection_counts(self) -> ConnectionCounts:
+        """Returns the connections since the process started."""
+        metrics = self._host.connections.metrics
+        totals = {outcome: sum(counts.values()) for outcome, counts in metrics.outcomes.items()}
+        return ConnectionCounts(
+            attempts=metrics.relayed,
+            established=totals[ConnectionOutcome.FULFILLED],
+            rejected=totals[ConnectionOutcome.THROTTLED],
+            failed=totals[ConnectionOutcome.FAULTED],
+        )
 
     async def watch(self) -> None:
         """Polls until all milestones are reached, so that the serving parts need no hooks."""
@@ -93,27 +138,24 @@
                 self._ready_ms = now_ms
             if not self._list_ms and self._host.endpoints.has_answered.is_set():
                 self._list_ms = now_ms
-            if not self._served_ms and self._connection_counts()["up"] > 0:
+            if not self._served_ms and self._connection_counts().established > 0:
                 self._served_ms = now_ms
-            if self._ready_ms and not self._first_service and now_ms >= self._ready_ms + FIRST_SERVICE_MS:
-                self._first_service = self._connection_counts()
-            if self._first_service and self._list_ms and self._served_ms:
+            if self._ready_ms and not self._first_connections and now_ms >= self._ready_ms + FIRST_SERVICE_MS:
+                self._first_connections = self._connection_counts()
+            if self._first_connections and self._list_ms and self._served_ms:
                 return
             await self._clock.sleep(CHECK_INTERVAL_MS)
 
-    def view(self) -> dict[str, Any]:
-        """Returns the milestones with the keys of the operators' view."""
+    def progress(self) -> StartProgress:
+        """Returns the milestones reached so far."""
         calls = self._calls
-        counted = {}
-        if calls:
-            counted = {"answered": calls.answered, "refused": calls.refused, "failed": calls.failed}
-        return {
-            "begun_ms": round(self._started_ms),
-            "waited_ms": round(self._delay_ms),
-            "ready_ms": round(self._ready_ms),
-            "heard_ms": round(self._list_ms),
-            "served_ms": round(self._served_ms),
-            "list": self._list_source,
-            "calls": counted,
-            "first": dict(self._first_service) or self._connection_counts(),
-        }
+        return StartProgress(
+            process_started_ms=self._started_ms,
+            delay_ms=self._delay_ms,
+            ready_ms=self._ready_ms,
+            list_ms=self._list_ms,
+            served_ms=self._served_ms,
+            list_source=self._list_source,
+            calls=CallCounts(calls.answered, calls.rejected, calls.failed) if calls else None,
+            connections=self._first_connections or self._connection_counts(),
+        )
--- /dev/null
+++ b/tests/coordination/test_status_view.py
@@ -0,0 +1,49 @@
+"""The operators' view is byte for byte that of the version before (tests/recorded/README.md)."""
+
+from __future__ import annotations
+
+from pathlib import Path
+from types import SimpleNamespace
+
+from glenrock.coordination import status_view
+from glenrock.coordination.leases.candidate import CandidateState, LeaseCandidate, LeaseTiming
+from glenrock.coordination.leases.fence import Fence, FencePosition
+from glenrock.coordination.override_receiver import Rejection
+from glenrock.coordination.shared_work.override_log import OverrideEntry, OverrideLog
+from glenrock.coordination.shared_work.revision import Revision
+from glenrock.coordination.warm_start.milestones import CallCounts, ConnectionCounts, ListSource, StartProgress
+
+RECORDED = Path(__file__).resolve().parents[1] / "recorded/fleet-view.json"
+
+
+def test_view_is_the_recorded_one(monkeypatch) -> None:
+    monkeypatch.setattr(status_view, "boottime_us", lambda: 5_000_000)
+    jobs = dict(zip(("idle", "asking", "owner", "leaving", "wary"), CandidateState, strict=True))
+    candidates = {
+        job: LeaseCandidate(LeaseTiming(), state=state, term=term, expires_us=9_000_000)
+        for term, (job, state) in enumerate(jobs.items())
+    }
+    overrides = OverrideLog()
+    overrides.merge_entry("s1", OverrideEntry(True, Revision(3, 2)))
+    overrides.add_pending("n1/5-6#2", "s2", False)
+    context = SimpleNamespace(
+        name="n1",
+        holder="n1/5-6",
+        overrides=overrides,
+        fence=Fence(True, {"bans": FencePosition(3, 2)}, 1),
+        membership=SimpleNamespace(members=lambda now_us: (2, 0, 1)),
+        leases=SimpleNamespace(store_error="", manager=SimpleNamespace(candidates=candidates, jobs=("idle",))),
+    )
+    start = StartProgress(
+        process_started_ms=1000.4,
+        delay_ms=0.0,
+        ready_ms=1300.0,
+        list_ms=1200.0,
+        served_ms=0.0,
+        list_source=ListSource.CACHED,
+        calls=CallCounts(answered=2, rejected=1, failed=0),
+        connections=ConnectionCounts(attempts=9, established=8, rejected=1, failed=0),
+    )
+    rejections = [Rejection(7, 2, "bans", 2, 3, "term 2 is past, 3 was seen")]
+    view = status_view.build_view(context, rejections, "nothing was kept", start, "turnstile/0")
+    assert view == RECORDED.read_text()
--- a/tests/coordination/warm_start/test_milestones.py
+++ b/tests/coordination/warm_start/test_milestones.py
@@ -25,4 +25,4 @@
     assert counted.overload_delay_ms() == other.overload_delay_ms() and counted.first_call_delay_ms(
         False
     ) == other.first_call_delay_ms(False)
-    assert (counted.answered, counted.refused, counted.failed) == (1, 4, 3)
+    assert (counted.answered, counted.rejected, counted.failed) == (1, 4, 3)
