--- a/tests/test_exchanges.py
+++ b/tests/net/test_exchanges.py
@@ -11,32 +11,13 @@
 
 import uvloop
 
-from glenrock.config import check
+from glenrock.config import parse_config
 from glenrock.net.clock import SetClock
 from glenrock.program import Program
 
-HERE = Path(__file__).resolve().parent / "exchanges"
-SETTINGS = {
-    "balancers": 2,
-    "slotNo": 0,
-    "tickUs": 2000,
-    "caps": {
-        "maxAttempts": 3,
-        "cancel": True,
-        "mayTell": True,
-        "retryAfter": True,
-        "maxRetryAfterUs": 1000000,
-        "dialTimeoutUs": 200000,
-    },
-    "classes": [{"name": "look", "targetUs": 300000, "deadlineUs": 1800000}],
-    "obligations": {
-        "drainGraceUs": 6000000,
-        "coldShare": 0.3,
-        "coldUs": 9000000,
-        "fallMultiple": 3,
-        "overloadForUs": 3000000,
-    },
-}
+from .settings import SETTINGS
+
+EXCHANGES = Path(__file__).resolve().parents[1] / "exchanges"
 
 
 class Ends:
@@ -112,7 +93,7 @@
         self.peer.bind(("127.0.0.1", 0))
         peer = f"127.0.0.1:{self.peer.getsockname()[1]}"
         self.program = Program(
-            check(
+            parse_config(
                 {
                     "name": "n0",
                     "listen": "127.0.0.1:0",
@@ -185,7 +166,7 @@
                 **json.loads(text),
                 "discovery": f"127.0.0.1:{self.ports['elsewhere']}",
             }
-            self.program.reload(lambda begun: check(new))
+            self.program.reload(lambda begun: parse_config(new))
         elif what == "lists":
             rows = [self.row(*part.split("=")) for part in text.split()]
             self.answer({"index": 2, "snapshot": True, "endpoints": rows}, who)
@@ -251,7 +232,7 @@
 
 class Exchanges(unittest.TestCase):
     def test_each_is_answered_as_recorded(self) -> None:
-        paths = sorted(HERE.glob("*.txt"))
+        paths = sorted(EXCHANGES.glob("*.txt"))
         self.assertTrue(paths)
         for path in paths:
             with self.subTest(path.stem):
