--- a/glenrock/simulation/measure.py
+++ b/glenrock/simulation/measure.py
@@ -1,7 +1,7 @@
-"""What a run is measured by: worth, waits, refusals, retries, moves, crossings, fairness, recovery.
+"""The measures of a run: priority weight served, waits, rejections, crossings, fairness, recovery.
 
-Worth is the worth of seconds in which a connection was served in time, over the worth of all seconds in which
-clients wanted theirs. Histograms are HDR: 1 to 3,600,000,000 microseconds, two significant digits.
+The worth of a run is the priority weight of the seconds in which a connection was served in time, over that of all
+seconds in which clients asked for one. Histograms are HDR: 1 to 3,600,000,000 microseconds, two significant digits.
 """
 
 from __future__ import annotations
@@ -10,173 +10,219 @@
 from typing import TYPE_CHECKING, Any
 
 import numpy as np
+import numpy.typing as npt
 from hdrh.histogram import HdrHistogram
 
+from .engine import SECOND_US
 from .spec import Experiment
 
 if TYPE_CHECKING:
     from .model.plan import Row
 
-WINDOW_S = 10  # the worst one of this length counts
-BACK = 0.95  # of what was served before a fault: recovered once it is that again
-STAYS_S = 3  # for so long
-LONGEST_US = 3_600_000_000
+WORST_WINDOW_S = 10
+RECOVERED_FRACTION = 0.95  # of what was served before a fault
+RECOVERED_FOR_S = 3
+BEFORE_FAULT_S = 5
+MAX_HISTOGRAM_US = 3_600_000_000
+PEER_BYTES_PER_PRICE = 256
+PERCENTILES = (("p50_ms", 50), ("p90_ms", 90), ("p99_ms", 99), ("p999_ms", 99.9))
+COUNTS = (
+    "clients",
+    "tries",
+    "attempts",
+    "set_up",
+    "refused",
+    "failed",
+    "overdue",
+    "unreachable",
+    "broken",
+    "moved",
+    "probes",
+    "peer_bytes",
+    "crossings",
+    "left",
+    "shed",
+)
 
 
 def histogram() -> HdrHistogram:
-    return HdrHistogram(1, LONGEST_US, 2)
+    """Returns an empty histogram of microseconds."""
+    return HdrHistogram(1, MAX_HISTOGRAM_US, 2)
 
 
-def told(h: HdrHistogram) -> dict[str, float]:
-    """Percentiles in milliseconds, by their names."""
-    if not h.get_total_count():
+def told(durations: HdrHistogram) -> dict[str, float]:
+    """Returns count, mean, percentiles and maximum of a histogram, in milliseconds, as summaries have them."""
+    if not durations.get_total_count():
         return {"count": 0}
-    out = {"count": int(h.get_total_count()), "mean_ms": round(h.get_mean_value() / 1000, 3)}
-    for name, p in (("p50_ms", 50), ("p90_ms", 90), ("p99_ms", 99), ("p999_ms", 99.9)):
-        out[name] = round(h.get_value_at_percentile(p) / 1000, 3)
-    out["max_ms"] = round(h.get_max_value() / 1000, 3)
-    return out
+    figures = {
+        "count": int(durations.get_total_count()),
+        "mean_ms": round(durations.get_mean_value() / 1000, 3),
+    }
+    for name, percentile in PERCENTILES:
+        figures[name] = round(durations.get_value_at_percentile(percentile) / 1000, 3)
+    figures["max_ms"] = round(durations.get_max_value() / 1000, 3)
+    return figures
 
 
 class Measure:
-    def __init__(self, e: Experiment, asked: np.ndarray, start_us: int, instances: int) -> None:
-        self.e, self.asked, self.start = e, asked, start_us
-        seconds, kinds = asked.shape
-        self.seconds = seconds
-        self.earned = [[0.0] * kinds for _ in range(seconds)]
-        tenants = len(e.tenants)
-        self.tenant_asked, self.tenant_earned = [0.0] * tenants, [0.0] * tenants  # within their shares
-        self.tenant_all = [0.0] * tenants  # seconds served, over and within: for fairness
-        self.tenant_wanted = [0.0] * tenants
-        self.waits = [histogram() for _ in range(kinds)]
+    """Counts of a run, and what follows from them.
+
+    Attributes:
+        asked: priority weight asked for in each second, by class.
+        earned: priority weight served in time in each second, by class.
+        tenant_asked, tenant_earned: the same by tenant, within the quotas.
+        tenant_all: priority weight served by tenant, within and over the quotas.
+        tenant_wanted: priority weight asked for by tenant, within and over the quotas.
+        waits: time until a connection is open, by class.
+        refusals: time until a rejection.
+        counts: by the names in `COUNTS`, and `held_back`.
+        standing_s, crossing_s: seconds of open connections, and of those between zones.
+        heat: load of each instance over its capacity in each second; -1 while it is down.
+        series: time series by name.
+    """
+
+    def __init__(self, experiment: Experiment, asked: npt.NDArray[np.float64], start_us: int, instances: int) -> None:
+        self.experiment, self.asked, self.start_us = experiment, asked, start_us
+        self.seconds, classes = asked.shape
+        self.earned = [[0.0] * classes for _ in range(self.seconds)]
+        tenants = len(experiment.tenants)
+        self.tenant_asked, self.tenant_earned = [0.0] * tenants, [0.0] * tenants
+        self.tenant_all, self.tenant_wanted = [0.0] * tenants, [0.0] * tenants
+        self.waits = [histogram() for _ in range(classes)]
         self.messages = histogram()
-        self.refusals = histogram()  # how long a refusal took
-        self.counts = dict.fromkeys(
-            (
-                "clients",
-                "tries",
-                "attempts",
-                "set_up",
-                "refused",
-                "failed",
-                "overdue",
-                "unreachable",
-                "broken",
-                "moved",
-                "probes",
-                "peer_bytes",
-                "crossings",
-                "left",
-                "shed",
-            ),
-            0,
-        )
+        self.refusals = histogram()
+        self.counts = dict.fromkeys(COUNTS, 0)
         self.crossing_s = self.standing_s = 0.0
-        self.heat = np.zeros((instances, seconds), dtype=np.float32)  # load of each instance over what it can
+        self.heat = np.zeros((instances, self.seconds), dtype=np.float32)
         self.series: dict[str, list[float]] = {}
 
     def earn(self, at_us: int, kind: int, worth: float) -> None:
-        second = (at_us - self.start) // 1_000_000
+        """Adds priority weight served in time, of a class."""
+        second = (at_us - self.start_us) // SECOND_US
         if 0 <= second < self.seconds:
             self.earned[second][kind] += worth
 
     def ask(self, rows: Iterable[Row], length_us: int) -> None:
-        """What tenants wanted on the day, and within their shares."""
+        """Adds what tenants asked for during the run, in all and within their quotas."""
         for row in rows:
-            wanted = max(0, min(row.end, length_us) - max(0, row.arrival)) / 1_000_000
-            worth = self.e.classes[row.kind].worth * wanted
+            wanted_s = max(0, min(row.end, length_us) - max(0, row.arrival)) / SECOND_US
+            worth = self.experiment.classes[row.kind].worth * wanted_s
             self.tenant_wanted[row.tenant] += worth
             if row.weight == 1.0:
                 self.tenant_asked[row.tenant] += worth
 
     def credit(self, row: Row, seconds: float) -> None:
-        """Seconds of a client's that were served in time go to its tenant."""
-        worth = self.e.classes[row.kind].worth * seconds
+        """Adds seconds in which a client was served in time to its tenant."""
+        worth = self.experiment.classes[row.kind].worth * seconds
         self.tenant_all[row.tenant] += worth
         if row.weight == 1.0:
             self.tenant_earned[row.tenant] += worth
 
     def put(self, second: int, **values: float) -> None:
-        """Values of the time series for that second."""
+        """Sets values of the time series at a second."""
         for name, value in values.items():
-            line = self.series.setdefault(name, [])
-            line.extend([0.0] * (second + 1 - len(line)))
-            line[second] = value
+            series = self.series.setdefault(name, [])
+            series.extend([0.0] * (second + 1 - len(series)))
+            series[second] = value
 
-    # -- what it comes to ------------------------------------------------------------------------------
+    # -- results -------------------------------------------------------------------------------------
 
     def worth(self) -> dict[str, Any]:
+        """Returns the worth of the run as `summary.json` has it: whole, worst parts, goal and prices."""
         earned, asked = np.array(self.earned), self.asked
         whole = ratio(earned.sum(), asked.sum())
-        e_s, a_s = earned.sum(axis=1), asked.sum(axis=1)
-        window = min(WINDOW_S, len(a_s))
-        windows = [
-            ratio(e_s[n : n + window].sum(), a_s[n : n + window].sum())
-            for n in range(len(a_s) - window + 1)
-            if a_s[n : n + window].sum() > 0
-        ]
-        classes = {c.name: ratio(earned[:, k].sum(), asked[:, k].sum()) for k, c in enumerate(self.e.classes)}
-        tenants = {t.name: ratio(self.tenant_earned[n], self.tenant_asked[n]) for n, t in enumerate(self.e.tenants)}
-        out = {
-            "whole": whole,
-            "worst_window": min(windows, default=1.0),
-            "worst_class": min(classes.values()),
-            "worst_tenant": min(tenants.values()),
-            "classes": classes,
-            "tenants": tenants,
+        worst_window = self._worst_window(earned.sum(axis=1), asked.sum(axis=1))
+        classes = {
+            class_.name: ratio(earned[:, kind].sum(), asked[:, kind].sum())
+            for kind, class_ in enumerate(self.experiment.classes)
         }
-        g, p, c = self.e.goal, self.e.platform, self.counts
-        first = max(1, c["clients"])
-        prices = {
-            "crossings": p.price_cross_zone * (self.crossing_s / self.standing_s if self.standing_s else 0.0),
-            "probes": p.price_probe * c["probes"] / first,
-            "moves": p.price_move * c["moved"] / first,
-            "peers": p.price_peer * c["peer_bytes"] / 256 / first,
+        tenants = {
+            tenant.name: ratio(self.tenant_earned[number], self.tenant_asked[number])
+            for number, tenant in enumerate(self.experiment.tenants)
         }
+        worst_class, worst_tenant = min(classes.values()), min(tenants.values())
+        weights, prices = self.experiment.goal, self._prices()
         goal = (
-            g.whole * out["whole"]
-            + g.worst_window * out["worst_window"]
-            + g.worst_class * out["worst_class"]
-            + g.worst_tenant * out["worst_tenant"]
+            weights.whole * whole
+            + weights.worst_window * worst_window
+            + weights.worst_class * worst_class
+            + weights.worst_tenant * worst_tenant
         )
         return {
-            **{k: rounded(v) for k, v in out.items()},
+            "whole": rounded(whole),
+            "worst_window": rounded(worst_window),
+            "worst_class": rounded(worst_class),
+            "worst_tenant": rounded(worst_tenant),
+            "classes": rounded(classes),
+            "tenants": rounded(tenants),
             "goal": rounded(max(0.0, goal - sum(prices.values()))),
             "prices": rounded(prices),
         }
 
+    @staticmethod
+    def _worst_window(earned: npt.NDArray[np.float64], asked: npt.NDArray[np.float64]) -> float:
+        length = min(WORST_WINDOW_S, len(asked))
+        windows = [
+            ratio(earned[start : start + length].sum(), asked[start : start + length].sum())
+            for start in range(len(asked) - length + 1)
+            if asked[start : start + length].sum() > 0
+        ]
+        return min(windows, default=1.0)
+
+    def _prices(self) -> dict[str, float]:
+        """Returns what the goal loses by crossings, health checks, migrations and gossip."""
+        platform, counts = self.experiment.platform, self.counts
+        clients = max(1, counts["clients"])
+        crossing_fraction = self.crossing_s / self.standing_s if self.standing_s else 0.0
+        return {
+            "crossings": platform.price_cross_zone * crossing_fraction,
+            "probes": platform.price_probe * counts["probes"] / clients,
+            "moves": platform.price_move * counts["moved"] / clients,
+            "peers": platform.price_peer * counts["peer_bytes"] / PEER_BYTES_PER_PRICE / clients,
+        }
+
     def recovery(self, faults: list[dict[str, Any]]) -> list[dict[str, Any]]:
-        """For each fault, seconds from its beginning until service was back for good, or null."""
+        """Returns each fault with the seconds from its beginning until service had recovered, or None."""
         earned, asked = np.array(self.earned).sum(axis=1), self.asked.sum(axis=1)
-        share = np.divide(earned, asked, out=np.ones_like(earned), where=asked > 0)
-        out = []
-        for f in faults:
-            at = int(f["from_s"])
-            before = share[max(0, at - 5) : at].mean() if at > 0 else share[:1].mean()
-            worst = at
-            back = None
-            ends = min(len(share), int(np.ceil(f["to_s"])) + 1)
-            if at < len(share):
-                worst = at + int(np.argmin(share[at : max(at + 1, ends)]))
-            for s in range(worst, len(share) - STAYS_S + 1):
-                if (share[s : s + STAYS_S] >= BACK * before).all():
-                    back = s - at
-                    break
-            deep = rounded(float(share[worst])) if at < len(share) else None
-            out.append({**f, "recovery_s": back, "before": rounded(float(before)), "lowest": deep})
-        return out
+        served = np.divide(earned, asked, out=np.ones_like(earned), where=asked > 0)
+        return [{**fault, **_recovery_of(fault, served)} for fault in faults]
 
     def fairness(self) -> float:
-        """Jain's index over tenants of seconds served in time, each over seconds wanted. 1: all alike."""
-        x = np.array([ratio(a, b) for a, b in zip(self.tenant_all, self.tenant_wanted, strict=True)])
-        return rounded(float(x.sum() ** 2 / (len(x) * (x**2).sum()))) if (x**2).sum() else 1.0
-
-
-def ratio(a: float, b: float) -> float:
-    return float(a / b) if b > 0 else 1.0
-
-
-def rounded(x: Any) -> Any:
-    if isinstance(x, dict):
-        return {k: rounded(v) for k, v in x.items()}
-    return round(float(x), 6)
+        """Returns Jain's index over the tenants' worth; 1: all alike."""
+        worths = np.array(
+            [ratio(served, wanted) for served, wanted in zip(self.tenant_all, self.tenant_wanted, strict=True)]
+        )
+        squares = (worths**2).sum()
+        index: float = rounded(float(worths.sum() ** 2 / (len(worths) * squares))) if squares else 1.0
+        return index
+
+
+def _recovery_of(fault: dict[str, Any], served: npt.NDArray[np.float64]) -> dict[str, Any]:
+    """Returns recovery, level before the fault and lowest level, of the fraction served in each second."""
+    at_s = int(fault["from_s"])
+    before = served[max(0, at_s - BEFORE_FAULT_S) : at_s].mean() if at_s > 0 else served[:1].mean()
+    end_s = min(len(served), int(np.ceil(fault["to_s"])) + 1)
+    is_measured = at_s < len(served)
+    worst_s = at_s + int(np.argmin(served[at_s : max(at_s + 1, end_s)])) if is_measured else at_s
+    recovery_s = None
+    for second in range(worst_s, len(served) - RECOVERED_FOR_S + 1):
+        if (served[second : second + RECOVERED_FOR_S] >= RECOVERED_FRACTION * before).all():
+            recovery_s = second - at_s
+            break
+    return {
+        "recovery_s": recovery_s,
+        "before": rounded(float(before)),
+        "lowest": rounded(float(served[worst_s])) if is_measured else None,
+    }
+
+
+def ratio(part: float, whole: float) -> float:
+    """Returns a part over its whole; 1 for an empty whole."""
+    return float(part / whole) if whole > 0 else 1.0
+
+
+def rounded(value: Any) -> Any:
+    """Rounds a number, or the numbers of a table, to the six digits of summaries."""
+    if isinstance(value, dict):
+        return {key: rounded(item) for key, item in value.items()}
+    return round(float(value), 6)
--- a/glenrock/simulation/model/plan.py
+++ b/glenrock/simulation/model/plan.py
@@ -1,7 +1,7 @@
-"""All that clients will want on a day, drawn ahead: waiting does not slow arrivals, and no policy moves them.
+"""The workload: all that clients will ask for during a run, drawn before it.
 
-A client wants its connection from its arrival to its end by the clock, served or not. What it asks for is so
-the same under every policy, and seconds that it spends waiting are lost to whoever let it wait.
+A client asks for its connection from its arrival to its end by the clock, served or not. So the workload is the same
+under every policy, waiting does not slow arrivals, and seconds spent waiting count against the policy.
 """
 
 from __future__ import annotations
@@ -9,187 +9,285 @@
 from dataclasses import dataclass
 
 import numpy as np
+import numpy.typing as npt
 
+from ..engine import SECOND_US
 from ..spec import Experiment, FlashCrowd, TenantFlood
+from ..spec_types import drawn_number
 from ..streams import Streams
 
-S = 1_000_000
-HISTORY = 6.0  # usual lives before the day's start from which those standing then are drawn
+HISTORY_LIVES = 6.0  # usual lives before the start, from which the connections open at the start are drawn
+END_MARGIN_S = 1e-6  # before the end of the run, for the last arrival
+
+Numbers = npt.NDArray[np.float64]
+Indices = npt.NDArray[np.int64]
 
 
 @dataclass(slots=True, eq=False)
 class Row:
-    """One client's day."""
+    """The workload of one client.
+
+    Attributes:
+        arrival: microseconds from the start of the run; below 0: its connection is open at the start.
+        end: microseconds from the start of the run.
+        kind: index of its class.
+        usual: usual load, in microseconds of work a second.
+        weight: factor of its priority weight: 1, or less beyond the quota of its tenant.
+        changes: times from the start of the run, and the load from then on.
+    """
 
     number: int
-    arrival: int  # microseconds from the day's start; below 0: it stands when the day begins
+    arrival: int
     end: int
-    kind: int  # of the classes
+    kind: int
     tenant: int
     zone: int
     group: int
-    usual: float  # load, in microseconds of work a second
-    weight: float  # of its worth: 1, or less for what its tenant asks beyond its share
-    changes: tuple[tuple[int, float], ...]  # time from which its load is so much
+    usual: float
+    weight: float
+    changes: tuple[tuple[int, float], ...]
 
 
 @dataclass(slots=True)
 class Plan:
+    """The workload of a run.
+
+    Attributes:
+        rows: clients by arrival.
+        asked: priority weight asked for in each second, by class.
+        quotas: connections of each tenant's quota.
+        usual_load: mean load of a connection, in microseconds of work a second.
+        capacity: of the whole fleet, in microseconds of work a second.
+        per_s: mean rate of new clients.
+    """
+
     rows: list[Row]
-    asked: np.ndarray  # worth asked for in each second of the day, by class
-    quotas: tuple[float, ...]  # connections within each tenant's share
-    usual_load: float  # of a connection, mean
-    capacity: float  # of the whole fleet, in microseconds of work a second
-    per_s: float  # new clients a second, mean
-
-
-def skewed(count: int, skew: float, last: bool = False) -> np.ndarray:
-    """Parts that add up to 1: even with skew 0, all on the first (or last) with skew 1."""
-    even = np.full(count, 1 / count)
-    even = even * (1 - skew)
-    even[-1 if last else 0] += skew
-    return even
-
-
-def plan(e: Experiment, streams: Streams, capacity: float) -> Plan:
-    """`e` is drawn. `capacity` is that of the instances drawn for this day."""
-    t, length = e.traffic, float(e.length_s)
-    usual = S / float(t.connections_per_core)
-    shares = np.array([float(c.share) for c in e.classes])
-    shares /= shares.sum()
-    busy = np.array([c.load * (1 - c.idle) for c in e.classes], dtype=float)
-    lives = np.array([c.life for c in e.classes], dtype=float) * float(t.life_s)
-    if (lives > 0).any():
-        demand = float((shares * busy * lives).sum()) * usual  # that one client a second brings in the end
+    asked: Numbers
+    quotas: tuple[float, ...]
+    usual_load: float
+    capacity: float
+    per_s: float
+
+
+@dataclass(frozen=True, slots=True)
+class _Rates:
+    """What the arrivals of a workload are drawn from.
+
+    Attributes:
+        class_fractions: of new clients.
+        lives_s: usual life of a connection, by class.
+        usual_load: of a connection of a class with load 1.
+        mean_load: of a connection over all classes.
+        clients_per_s: mean rate of new clients.
+        tenant_fractions: of the quotas.
+        usage_fractions: of new clients, by tenant.
+    """
+
+    class_fractions: Numbers
+    lives_s: Numbers
+    usual_load: float
+    mean_load: float
+    clients_per_s: float
+    tenant_fractions: Numbers
+    usage_fractions: Numbers
+
+
+def skewed(count: int, skew: float, last: bool = False) -> Numbers:
+    """Returns fractions that add up to 1: equal with skew 0, all on the first (or last) with skew 1."""
+    fractions = np.full(count, 1 / count)
+    fractions = fractions * (1 - skew)
+    fractions[-1 if last else 0] += skew
+    return fractions
+
+
+def plan(experiment: Experiment, streams: Streams, capacity: float) -> Plan:
+    """Draws the workload of an experiment that is itself drawn.
+
+    Args:
+        experiment: the drawn experiment.
+        streams: the streams of the run.
+        capacity: of the instances drawn for the run, in microseconds of work a second.
+    """
+    rates = _rates(experiment, capacity)
+    share_room = drawn_number(experiment.platform.share_room)
+    quotas = tuple(float(quota) for quota in rates.tenant_fractions * share_room * capacity / rates.mean_load)
+    times, tenants = _arrivals(experiment, streams, rates)
+    return _draw_clients(experiment, streams, times, tenants, quotas, rates, capacity)
+
+
+def _rates(experiment: Experiment, capacity: float) -> _Rates:
+    traffic, classes = experiment.traffic, experiment.classes
+    usual_load = SECOND_US / drawn_number(traffic.connections_per_core)
+    fractions = np.array([drawn_number(class_.share) for class_ in classes])
+    fractions /= fractions.sum()
+    busy = np.array([drawn_number(class_.load) * (1 - drawn_number(class_.idle)) for class_ in classes], dtype=float)
+    lives_s = np.array([drawn_number(class_.life) for class_ in classes], dtype=float) * drawn_number(traffic.life_s)
+    if (lives_s > 0).any():
+        demand_per_client = float((fractions * busy * lives_s).sum()) * usual_load
     else:
-        demand = float((shares * [c.setup_ms * 1000 for c in e.classes]).sum())
-    rate = float(t.load) * capacity / demand
-    parts = np.array([float(x.share) for x in e.tenants])
-    parts /= parts.sum()
-    standing = shares * lives
-    load = float((standing * busy).sum() / standing.sum()) * usual if standing.sum() else usual
-    quotas = tuple(float(q) for q in parts * float(e.platform.share_room) * capacity / load)
-
-    usage = parts * [x.usage for x in e.tenants]
+        demand_per_client = float((fractions * [drawn_number(c.setup_ms) * 1000 for c in classes]).sum())
+    clients_per_s = drawn_number(traffic.load) * capacity / demand_per_client
+    tenant_fractions = np.array([drawn_number(tenant.share) for tenant in experiment.tenants])
+    tenant_fractions /= tenant_fractions.sum()
+    open_connections = fractions * lives_s
+    mean_load = usual_load
+    if open_connections.sum():
+        mean_load = float((open_connections * busy).sum() / open_connections.sum()) * usual_load
+    usage = tenant_fractions * [drawn_number(tenant.usage) for tenant in experiment.tenants]
     usage /= usage.sum()
-    before = HISTORY * float(lives.max())
-    swing = float(t.swing)
+    return _Rates(fractions, lives_s, usual_load, mean_load, clients_per_s, tenant_fractions, usage)
 
-    def shape(at: np.ndarray) -> np.ndarray:
-        x = np.clip(at / length, 0, 1)
-        if t.shape == "ramp":
-            return 1 + swing * (2 * x - 1)
-        return 1 + swing * np.sin(2 * np.pi * x) if t.shape == "wave" else np.ones_like(x)
 
+def _relative_rate(experiment: Experiment, times_s: Numbers) -> Numbers:
+    """Returns the rate of arrivals at each time, over its mean."""
+    traffic, swing = experiment.traffic, drawn_number(experiment.traffic.swing)
+    progress = np.clip(times_s / drawn_number(experiment.length_s), 0, 1)
+    if traffic.shape == "ramp":
+        return 1 + swing * (2 * progress - 1)
+    return 1 + swing * np.sin(2 * np.pi * progress) if traffic.shape == "wave" else np.ones_like(progress)
+
+
+def _arrivals(experiment: Experiment, streams: Streams, rates: _Rates) -> tuple[Numbers, Indices]:
+    """Draws the times of arrivals in seconds, in order, and their tenants."""
+    length_s, swing = drawn_number(experiment.length_s), drawn_number(experiment.traffic.swing)
+    history_s = HISTORY_LIVES * float(rates.lives_s.max())
+    tenant_count = len(rates.tenant_fractions)
     draw = streams.of("arrivals")
-    many = draw.poisson(rate * (1 + swing) * (before + length))
-    times = np.sort(draw.random(many)) * (before + length) - before
-    times = times[draw.random(many) * (1 + swing) < shape(times)]
-    tenants = draw.choice(len(parts), size=len(times), p=usage)
-    # What faults bring comes beside the usual arrivals, which stay as they are without the fault.
-    for n, f in enumerate(e.faults):
-        if isinstance(f, FlashCrowd | TenantFlood):
-            extra = streams.of(f"arrivals of fault {n}")
-            one = None
-            if isinstance(f, TenantFlood):
-                one = next((m for m, x in enumerate(e.tenants) if x.name == f.tenant), 0)
-            more = rate * max(0.0, float(f.times) - 1) * (usage[one] if one is not None else 1.0)
-            count = extra.poisson(more * float(f.for_s))
-            come = float(f.at_s) + extra.random(count) * float(f.for_s)
-            whose = np.full(count, one) if one is not None else extra.choice(len(parts), size=count, p=usage)
-            times, tenants = np.append(times, come), np.append(tenants, whose)
-    times = np.minimum(times, length - 1e-6)
+    count = draw.poisson(rates.clients_per_s * (1 + swing) * (history_s + length_s))
+    times = np.sort(draw.random(count)) * (history_s + length_s) - history_s
+    times = times[draw.random(count) * (1 + swing) < _relative_rate(experiment, times)]
+    tenants = draw.choice(tenant_count, size=len(times), p=rates.usage_fractions)
+    # Arrivals that faults add are drawn beside the usual ones, which stay the same without the fault.
+    for number, fault in enumerate(experiment.faults):
+        if isinstance(fault, FlashCrowd | TenantFlood):
+            more_times, more_tenants = _added_arrivals(
+                experiment, fault, streams.of(f"arrivals of fault {number}"), rates
+            )
+            times, tenants = np.append(times, more_times), np.append(tenants, more_tenants)
+    times = np.minimum(times, length_s - END_MARGIN_S)
     order = np.argsort(times, kind="stable")
-    return _rows(e, streams, times[order], tenants[order], quotas, usual, rate, capacity, lives, shares, load)
+    return times[order], tenants[order]
+
 
+def _added_arrivals(
+    experiment: Experiment, fault: FlashCrowd | TenantFlood, draw: np.random.Generator, rates: _Rates
+) -> tuple[Numbers, Indices]:
+    tenant = None
+    if isinstance(fault, TenantFlood):
+        names = [tenant.name for tenant in experiment.tenants]
+        tenant = names.index(fault.tenant) if fault.tenant in names else 0
+    usage = rates.usage_fractions[tenant] if tenant is not None else 1.0
+    rate = rates.clients_per_s * max(0.0, drawn_number(fault.times) - 1) * usage
+    count = draw.poisson(rate * drawn_number(fault.for_s))
+    times = drawn_number(fault.at_s) + draw.random(count) * drawn_number(fault.for_s)
+    if tenant is not None:
+        return times, np.full(count, tenant)
+    return times, draw.choice(len(rates.tenant_fractions), size=count, p=rates.usage_fractions)
 
-def _rows(
-    e: Experiment,
+
+def _draw_clients(
+    experiment: Experiment,
     streams: Streams,
-    times: np.ndarray,
-    tenants: np.ndarray,
+    times: Numbers,
+    tenants: Indices,
     quotas: tuple[float, ...],
-    usual: float,
-    rate: float,
+    rates: _Rates,
     capacity: float,
-    lives: np.ndarray,
-    shares: np.ndarray,
-    mean_load: float,
 ) -> Plan:
-    t, count, length = e.traffic, len(times), float(e.length_s)
+    traffic, classes, zone_count = experiment.traffic, experiment.classes, len(experiment.fleet.zones)
+    count, length_s = len(times), drawn_number(experiment.length_s)
+    fractions, lives_s = rates.class_fractions, rates.lives_s
     draw = streams.of("clients")
-    kinds = draw.choice(len(shares), size=count, p=shares)
-    zones = draw.choice(len(e.fleet.zones), size=count, p=skewed(len(e.fleet.zones), float(e.fleet.zone_skew)))
-    sigma = float(t.life_sigma)
-    life = lives[kinds] * np.exp(sigma * draw.standard_normal(count) - sigma * sigma / 2)
-    spread = np.array([float(c.load_sigma) for c in e.classes])[kinds]
-    relative = np.array([float(c.load) for c in e.classes])[kinds]
-    loads = usual * relative * np.exp(spread * draw.standard_normal(count) - spread * spread / 2)
-    # Some groups are larger than others: as 1 over the square root of their rank.
-    standing = max(1.0, rate * float((shares * lives).sum()))
-    groups = max(1, round(standing / float(t.group_size)))
-    rank = 1 / np.sqrt(np.arange(1, groups + 1))
-    group = draw.choice(groups, size=count, p=rank / rank.sum())
-    keep = (times >= 0) | (times + life > 0)
-    times, tenants, kinds, zones, life, loads, group = (
-        x[keep] for x in (times, tenants, kinds, zones, life, loads, group)
+    kinds = draw.choice(len(fractions), size=count, p=fractions)
+    zones = draw.choice(zone_count, size=count, p=skewed(zone_count, drawn_number(experiment.fleet.zone_skew)))
+    sigma = drawn_number(traffic.life_sigma)
+    lives = lives_s[kinds] * np.exp(sigma * draw.standard_normal(count) - sigma * sigma / 2)
+    load_sigma = np.array([drawn_number(class_.load_sigma) for class_ in classes])[kinds]
+    relative_load = np.array([drawn_number(class_.load) for class_ in classes])[kinds]
+    loads = (
+        rates.usual_load
+        * relative_load
+        * np.exp(load_sigma * draw.standard_normal(count) - load_sigma * load_sigma / 2)
+    )
+    # The size of a group falls with its rank, as 1 over the square root.
+    open_connections = max(1.0, rates.clients_per_s * float((fractions * lives_s).sum()))
+    group_count = max(1, round(open_connections / drawn_number(traffic.group_size)))
+    group_sizes = 1 / np.sqrt(np.arange(1, group_count + 1))
+    groups = draw.choice(group_count, size=count, p=group_sizes / group_sizes.sum())
+    is_kept = (times >= 0) | (times + lives > 0)
+    times, lives, loads = (column[is_kept] for column in (times, lives, loads))
+    tenants, kinds, zones, groups = (column[is_kept] for column in (tenants, kinds, zones, groups))
+    ends = times + lives
+    changes = _draw_changes(experiment, streams, times, ends, kinds, loads)
+    weights = _weights(times, ends, tenants, quotas, float(experiment.platform.over_share_worth))
+    columns = zip(
+        (times * SECOND_US).astype(np.int64).tolist(),
+        (ends * SECOND_US).astype(np.int64).tolist(),
+        kinds.tolist(),
+        tenants.tolist(),
+        zones.tolist(),
+        groups.tolist(),
+        loads.tolist(),
+        weights,
+        changes,
+        strict=True,
     )
-    ends = times + life
+    rows = [Row(number, *column) for number, column in enumerate(columns)]
+    asked = _asked(experiment, times, ends, kinds, weights, length_s)
+    return Plan(rows, asked, quotas, rates.mean_load, capacity, rates.clients_per_s)
+
 
-    # Changes of load, from a stream of their own; only within the day.
+def _draw_changes(
+    experiment: Experiment, streams: Streams, times: Numbers, ends: Numbers, kinds: Indices, loads: Numbers
+) -> list[tuple[tuple[int, float], ...]]:
+    """Draws the changes of each client's load within the run, in order; the first is at its arrival."""
+    classes, run_s = experiment.classes, drawn_number(experiment.length_s) + float(experiment.drain_s)
     draw = streams.of("load changes")
     first = np.maximum(times, 0.0)
-    span = np.maximum(0.0, np.minimum(ends, length + float(e.drain_s)) - first)
-    per = np.array([float(c.change_s) for c in e.classes])[kinds]
-    numbers = draw.poisson(span / per) + 1
-    starts = np.concatenate(([0], np.cumsum(numbers)))
+    span = np.maximum(0.0, np.minimum(ends, run_s) - first)
+    interval_s = np.array([drawn_number(class_.change_s) for class_ in classes])[kinds]
+    counts = draw.poisson(span / interval_s) + 1
+    starts = np.concatenate(([0], np.cumsum(counts)))
     total = int(starts[-1])
-    owner = np.repeat(np.arange(len(times)), numbers)
-    when = first[owner] + draw.random(total) * span[owner]
-    when[starts[:-1]] = first
-    swing = np.array([float(c.swing_sigma) for c in e.classes])[kinds][owner]
-    idle = np.array([float(c.idle) for c in e.classes])[kinds][owner]
-    size = loads[owner] * np.exp(swing * draw.standard_normal(total) - swing * swing / 2)
-    size[draw.random(total) < idle] = 0.0
-    order = np.lexsort((when, owner))
-    when_us, size_of = (when[order] * S).astype(np.int64).tolist(), size[order].tolist()
-
-    weights = _weights(times, ends, tenants, quotas, float(e.platform.over_share_worth))
-    rows = []
-    for n, (a, z, k, x, zone, g, load, w) in enumerate(
-        zip(
-            (times * S).astype(np.int64).tolist(),
-            (ends * S).astype(np.int64).tolist(),
-            kinds.tolist(),
-            tenants.tolist(),
-            zones.tolist(),
-            group.tolist(),
-            loads.tolist(),
-            weights,
-            strict=True,
-        )
-    ):
-        at, past = int(starts[n]), int(starts[n + 1])
-        rows.append(Row(n, a, z, k, x, zone, g, load, w, tuple(zip(when_us[at:past], size_of[at:past], strict=True))))
-    worth = np.array([float(c.worth) for c in e.classes])
-    seconds = int(np.ceil(length))
+    owners = np.repeat(np.arange(len(times)), counts)
+    change_times = first[owners] + draw.random(total) * span[owners]
+    change_times[starts[:-1]] = first
+    swing = np.array([drawn_number(class_.swing_sigma) for class_ in classes])[kinds][owners]
+    idle = np.array([drawn_number(class_.idle) for class_ in classes])[kinds][owners]
+    change_loads = loads[owners] * np.exp(swing * draw.standard_normal(total) - swing * swing / 2)
+    change_loads[draw.random(total) < idle] = 0.0
+    order = np.lexsort((change_times, owners))
+    times_us = (change_times[order] * SECOND_US).astype(np.int64).tolist()
+    ordered_loads = change_loads[order].tolist()
+    return [
+        tuple(zip(times_us[start:end], ordered_loads[start:end], strict=True))
+        for start, end in zip(starts[:-1].tolist(), starts[1:].tolist(), strict=True)
+    ]
+
+
+def _asked(
+    experiment: Experiment, times: Numbers, ends: Numbers, kinds: Indices, weights: list[float], length_s: float
+) -> Numbers:
+    """Returns the priority weight asked for in each second, by class."""
+    worth = np.array([float(class_.worth) for class_ in experiment.classes])
+    seconds = int(np.ceil(length_s))
     asked = np.zeros((seconds, len(worth)))
-    value = worth[kinds] * np.array(weights)
-    for s in range(seconds):
-        inside = np.clip(np.minimum(ends, min(s + 1, length)) - np.maximum(times, s), 0, 1)
-        asked[s] = np.bincount(kinds, weights=value * inside, minlength=len(worth))
-    return Plan(rows, asked, quotas, mean_load, capacity, rate)
+    values = worth[kinds] * np.array(weights)
+    for second in range(seconds):
+        inside = np.clip(np.minimum(ends, min(second + 1, length_s)) - np.maximum(times, second), 0, 1)
+        asked[second] = np.bincount(kinds, weights=values * inside, minlength=len(worth))
+    return asked
 
 
 def _weights(
-    times: np.ndarray, ends: np.ndarray, tenants: np.ndarray, quotas: tuple[float, ...], beyond: float
+    times: Numbers, ends: Numbers, tenants: Indices, quotas: tuple[float, ...], over_quota_weight: float
 ) -> list[float]:
-    """1 for a client that comes while its tenant wants no more than its share, else `beyond`."""
-    out = [1.0] * len(times)
-    for t, quota in enumerate(quotas):
-        mine = np.nonzero(tenants == t)[0]
-        gone = np.sort(ends[mine])
-        here = np.arange(len(mine)) - np.searchsorted(gone, times[mine], side="right")
-        for n in mine[here >= quota].tolist():
-            out[n] = beyond
-    return out
+    """Returns 1 for a client that arrives while its tenant is within its quota, else `over_quota_weight`."""
+    weights = [1.0] * len(times)
+    for tenant, quota in enumerate(quotas):
+        clients = np.nonzero(tenants == tenant)[0]
+        sorted_ends = np.sort(ends[clients])
+        open_connections = np.arange(len(clients)) - np.searchsorted(sorted_ends, times[clients], side="right")
+        for client in clients[open_connections >= quota].tolist():
+            weights[client] = over_quota_weight
+    return weights
--- a/glenrock/simulation/model/store.py
+++ b/glenrock/simulation/model/store.py
@@ -1,27 +1,33 @@
-"""The store that every set-up asks: one line, first come first served, for all instances together.
+"""The store that every attempt asks: one queue, first come first served, for all instances together.
 
-It works for callers who have left, too: a call cannot be taken back. So a wave that gives up and comes again finds
-its own dead calls before it.
+A call cannot be withdrawn, so the store also serves calls of clients that have disconnected.
 """
 
 from __future__ import annotations
 
-S = 1_000_000
+from ..engine import SECOND_US
 
 
 class Store:
-    """`per_s` calls a second, 0 for one that nobody waits at; `base_us` is what a call takes in an empty line."""
+    """The queue of the store.
 
-    def __init__(self, per_s: float, base_us: float) -> None:
-        self.each = S / per_s if per_s > 0 else 0.0
-        self.base = base_us
-        self.free = 0.0  # when the line is empty
+    Attributes:
+        interval_us: between two calls that it serves; 0: no call waits.
+        base_us: time of a call in an empty queue.
+        free_us: when the queue is empty.
+        calls: number of calls made.
+    """
+
+    def __init__(self, calls_per_s: float, base_us: float) -> None:
+        self.interval_us = SECOND_US / calls_per_s if calls_per_s > 0 else 0.0
+        self.base_us = base_us
+        self.free_us = 0.0
         self.calls = 0
 
     def call(self, now: int) -> int:
-        """When a call made now is answered."""
+        """Makes a call. Returns when it is answered."""
         self.calls += 1
-        if not self.each:
+        if not self.interval_us:
             return now
-        self.free = max(float(now), self.free) + self.each
-        return round(self.free + self.base)
+        self.free_us = max(float(now), self.free_us) + self.interval_us
+        return round(self.free_us + self.base_us)
--- a/glenrock/simulation/model/waits.py
+++ b/glenrock/simulation/model/waits.py
@@ -1,43 +1,48 @@
-"""How long messages take at an instance: Erlang's formula for several cores, and what has piled up."""
+"""The time of messages at an instance: Erlang C for several cores, behind a backlog of work."""
 
 from __future__ import annotations
 
 from functools import lru_cache
 from math import exp
 
-STEPS = 512
+STEPS = 512  # of the table over utilization
+MAX_UTILIZATION = 0.995  # for the mean time, which is unbounded at 1
 
 
-def erlang_c(cores: int, busy: float) -> float:
-    """The chance that all cores are busy, `busy` being the part of them in use (M/M/c), 0 to 1."""
-    if busy >= 1:
+def erlang_c(cores: int, utilization: float) -> float:
+    """Returns the probability that all cores are busy (M/M/c)."""
+    if utilization >= 1:
         return 1.0
-    offered = cores * busy
+    offered = cores * utilization
     blocked = 1.0  # Erlang B, by its recursion
-    for n in range(1, cores + 1):
-        blocked = offered * blocked / (n + offered * blocked)
-    return blocked / (1 - busy * (1 - blocked))
+    for core in range(1, cores + 1):
+        blocked = offered * blocked / (core + offered * blocked)
+    return blocked / (1 - utilization * (1 - blocked))
 
 
 @lru_cache(maxsize=64)
-def chances(cores: int) -> tuple[float, ...]:
-    return tuple(erlang_c(cores, n / STEPS) for n in range(STEPS + 1))
+def erlang_c_table(cores: int) -> tuple[float, ...]:
+    """Returns `erlang_c` at `STEPS + 1` utilizations from 0 to 1."""
+    return tuple(erlang_c(cores, step / STEPS) for step in range(STEPS + 1))
 
 
-def in_time(cores: int, busy: float, message_us: float, aim_us: float, bursty: float, piled_us: float) -> float:
-    """The part of messages answered within `aim_us`.
+def in_time(
+    cores: int, utilization: float, message_us: float, objective_us: float, bursty: float, backlog_us: float
+) -> float:
+    """Returns the fraction of messages answered within their objective.
 
-    M/M/c in its steady state behind work piled up for `piled_us`: P(W > t) = C exp(-(1 - busy) c t / m), with m
-    stretched by `bursty`. Left out: that messages of one connection wait for each other.
+    M/M/c in its steady state behind a backlog: P(W > t) = C exp(-(1 - u) c t / m), with m stretched by `bursty`.
+    Left out: messages of one connection that wait for each other.
     """
-    left = aim_us - piled_us - message_us
-    if left <= 0 or busy >= 1:
+    left_us = objective_us - backlog_us - message_us
+    if left_us <= 0 or utilization >= 1:
         return 0.0
-    waits = chances(cores)[int(busy * STEPS)]
-    return 1 - waits * exp(-(1 - busy) * cores * left / (message_us * bursty))
+    waiting = erlang_c_table(cores)[int(utilization * STEPS)]
+    return 1 - waiting * exp(-(1 - utilization) * cores * left_us / (message_us * bursty))
 
 
-def mean_us(cores: int, busy: float, message_us: float, bursty: float, piled_us: float) -> float:
-    """The mean time of a message, with the same formula; at most as if 0.995 of the cores were busy."""
-    busy = min(busy, 0.995)
-    return message_us + piled_us + chances(cores)[int(busy * STEPS)] * message_us * bursty / (cores * (1 - busy))
+def mean_us(cores: int, utilization: float, message_us: float, bursty: float, backlog_us: float) -> float:
+    """Returns the mean time of a message in microseconds, by the same formula."""
+    utilization = min(utilization, MAX_UTILIZATION)
+    waiting = erlang_c_table(cores)[int(utilization * STEPS)]
+    return message_us + backlog_us + waiting * message_us * bursty / (cores * (1 - utilization))
--- a/glenrock/simulation/record.py
+++ b/glenrock/simulation/record.py
@@ -1,9 +1,9 @@
-"""A run on disk: written beside and then renamed, so that nothing is ever half written.
+"""The results of a run on disk, written to a temporary place and renamed, so that a result is complete or absent.
 
-summary.json     what came of it (docs/simulation.md lists the keys)
-series.csv       one line a second
-heat.csv         load of each instance, one line a second; -1 where it was down
-histograms.json  HDR histograms, whole, in HdrHistogram's own base64 form
+summary.json     the summary (docs/simulation.md lists the keys)
+series.csv       time series, a row a second
+heat.csv         load of each instance, a row a second; -1 while it was down
+histograms.json  HDR histograms in HdrHistogram's base64 form
 report.html      the same for people
 """
 
@@ -18,113 +18,129 @@
 from typing import Any
 
 import numpy as np
+import numpy.typing as npt
 
 from ..toml_file import InputFileError
 from .fleet_simulation import FleetSimulation
 from .measure import Measure
 from .spec import Experiment
 
-OURS = ("summary.json", "sweep.json", "compare.json")  # a folder that holds one of these may be replaced
+RESULT_FILES = ("summary.json", "sweep.json", "compare.json")  # a folder that holds one of these may be replaced
+SUMMARY_FORMAT = 1
 
 
-def text_of(x: Any) -> str:
-    """JSON in the one form in which it is written: the same values give the same bytes."""
-    return json.dumps(x, indent=1, sort_keys=True, ensure_ascii=False, allow_nan=False) + "\n"
+def text_of(value: Any) -> str:
+    """Returns JSON in the form of all results: the same values give the same bytes."""
+    return json.dumps(value, indent=1, sort_keys=True, ensure_ascii=False, allow_nan=False) + "\n"
 
 
 def folder(out: Path, fill: Callable[[Path], None]) -> None:
-    """Fills a new folder and puts it in the place of `out`. Raises InputFileError, and then leaves `out` as it was."""
+    """Fills a new folder and renames it to `out`.
+
+    Raises:
+        InputFileError: `out` cannot be replaced; it is left as it was.
+    """
     if out.exists() and not out.is_dir():
         raise InputFileError(f"{out}: not a folder")
-    if out.is_dir() and any(out.iterdir()) and not any((out / name).exists() for name in OURS):
+    if out.is_dir() and any(out.iterdir()) and not any((out / name).exists() for name in RESULT_FILES):
         raise InputFileError(f"{out}: holds other things than results; name another folder")
-    beside = out.with_name(f".{out.name}.{os.getpid()}")
+    temporary = out.with_name(f".{out.name}.{os.getpid()}")
     try:
         out.parent.mkdir(parents=True, exist_ok=True)
-        beside.mkdir()
-    except OSError as bad:
-        raise InputFileError(f"{out}: {bad.strerror or bad}") from None
+        temporary.mkdir()
+    except OSError as error:
+        raise InputFileError(f"{out}: {error.strerror or error}") from None
     try:
-        fill(beside)
+        fill(temporary)
         if out.exists():
             old = out.with_name(f".{out.name}.{os.getpid()}.old")
             out.rename(old)
-            beside.rename(out)
+            temporary.rename(out)
             shutil.rmtree(old)
         else:
-            beside.rename(out)
-    except OSError as bad:
-        raise InputFileError(f"{out}: {bad.strerror or bad}") from None
+            temporary.rename(out)
+    except OSError as error:
+        raise InputFileError(f"{out}: {error.strerror or error}") from None
     finally:
-        shutil.rmtree(beside, ignore_errors=True)
+        shutil.rmtree(temporary, ignore_errors=True)
 
 
 def file(path: Path, text: str) -> None:
-    """One file, whole or not at all."""
-    beside = path.with_name(f".{path.name}.{os.getpid()}")
+    """Writes a file completely or not at all. Raises InputFileError if it cannot be written."""
+    temporary = path.with_name(f".{path.name}.{os.getpid()}")
     try:
-        beside.write_text(text, encoding="utf-8")
-        beside.replace(path)
-    except OSError as bad:
-        raise InputFileError(f"{path}: {bad.strerror or bad}") from None
+        temporary.write_text(text, encoding="utf-8")
+        temporary.replace(path)
+    except OSError as error:
+        raise InputFileError(f"{path}: {error.strerror or error}") from None
     finally:
-        beside.unlink(missing_ok=True)
+        temporary.unlink(missing_ok=True)
 
 
 def write_run(into: Path, simulation: FleetSimulation, summary: dict[str, Any]) -> None:
+    """Writes the results of a run, without its report."""
     write_tables(into, simulation.measure, simulation.experiment, list(simulation.instances), summary)
 
 
-def write_tables(into: Path, m: Measure, e: Experiment, instances: list[str], summary: dict[str, Any]) -> None:
+def write_tables(
+    into: Path, measure: Measure, experiment: Experiment, instances: list[str], summary: dict[str, Any]
+) -> None:
+    """Writes summary, time series, loads and histograms."""
     (into / "summary.json").write_text(text_of(summary), encoding="utf-8")
-    served = np.array(m.earned)
-    names = list(m.series)
-    with open(into / "series.csv", "w", newline="", encoding="utf-8") as f:
-        out = csv.writer(f)
-        classes = [c.name for c in e.classes]
-        out.writerow(
-            ["second", "asked", "served", *(f"asked {c}" for c in classes), *(f"served {c}" for c in classes), *names]
-        )
-        for s in range(m.seconds):
+    classes = [class_.name for class_ in experiment.classes]
+    _write_series(into / "series.csv", measure, classes)
+    with open(into / "heat.csv", "w", newline="", encoding="utf-8") as file_:
+        writer = csv.writer(file_)
+        writer.writerow(["second", *instances])
+        for second in range(measure.seconds):
+            writer.writerow([second, *(f"{load:.3f}" for load in measure.heat[:, second])])
+    histograms = {f"setup {name}": waits.encode().decode() for name, waits in zip(classes, measure.waits, strict=True)}
+    histograms |= {
+        "messages": measure.messages.encode().decode(),
+        "refusals": measure.refusals.encode().decode(),
+    }
+    (into / "histograms.json").write_text(text_of(histograms), encoding="utf-8")
+
+
+def _write_series(path: Path, measure: Measure, classes: list[str]) -> None:
+    served = np.array(measure.earned)
+    names = list(measure.series)
+    with open(path, "w", newline="", encoding="utf-8") as file_:
+        writer = csv.writer(file_)
+        asked_names, served_names = [f"asked {name}" for name in classes], [f"served {name}" for name in classes]
+        writer.writerow(["second", "asked", "served", *asked_names, *served_names, *names])
+        for second in range(measure.seconds):
             row = [
-                m.asked[s].sum(),
-                served[s].sum(),
-                *m.asked[s],
-                *served[s],
-                *(m.series[n][s] if s < len(m.series[n]) else 0.0 for n in names),
+                measure.asked[second].sum(),
+                served[second].sum(),
+                *measure.asked[second],
+                *served[second],
+                *(measure.series[name][second] if second < len(measure.series[name]) else 0.0 for name in names),
             ]
-            out.writerow([s, *(f"{v:.6g}" for v in row)])
-    with open(into / "heat.csv", "w", newline="", encoding="utf-8") as f:
-        out = csv.writer(f)
-        out.writerow(["second", *instances])
-        for s in range(m.seconds):
-            out.writerow([s, *(f"{v:.3f}" for v in m.heat[:, s])])
-    kept = {f"setup {c.name}": h.encode().decode() for c, h in zip(e.classes, m.waits, strict=True)}
-    kept |= {"messages": m.messages.encode().decode(), "refusals": m.refusals.encode().decode()}
-    (into / "histograms.json").write_text(text_of(kept), encoding="utf-8")
+            writer.writerow([second, *(f"{value:.6g}" for value in row)])
 
 
 def read_summary(path: Path) -> dict[str, Any]:
-    """Raises InputFileError for anything that is not a summary."""
+    """Reads the summary in a file or a folder. Raises InputFileError if it holds none."""
     file_ = path / "summary.json" if path.is_dir() else path
     try:
         found = json.loads(file_.read_text(encoding="utf-8"))
-    except OSError as bad:
-        raise InputFileError(f"{file_}: {bad.strerror or bad}") from None
-    except ValueError as bad:
-        raise InputFileError(f"{file_}: {bad}") from None
-    if not isinstance(found, dict) or found.get("format") != 1:
-        raise InputFileError(f"{file_}: not a summary of this format (1)")
+    except OSError as error:
+        raise InputFileError(f"{file_}: {error.strerror or error}") from None
+    except ValueError as error:
+        raise InputFileError(f"{file_}: {error}") from None
+    if not isinstance(found, dict) or found.get("format") != SUMMARY_FORMAT:
+        raise InputFileError(f"{file_}: not a summary of this format ({SUMMARY_FORMAT})")
     return found
 
 
-def read_table(path: Path) -> tuple[list[str], np.ndarray]:
-    """A CSV of numbers, with its header."""
+def read_table(path: Path) -> tuple[list[str], npt.NDArray[np.float64]]:
+    """Reads a CSV table of numbers. Returns its header and its rows. Raises InputFileError if it is no table."""
     try:
-        with open(path, newline="", encoding="utf-8") as f:
-            rows = list(csv.reader(f))
+        with open(path, newline="", encoding="utf-8") as file_:
+            rows = list(csv.reader(file_))
         return rows[0], np.array(rows[1:], dtype=float)
-    except OSError as bad:
-        raise InputFileError(f"{path}: {bad.strerror or bad}") from None
+    except OSError as error:
+        raise InputFileError(f"{path}: {error.strerror or error}") from None
     except (ValueError, IndexError):
         raise InputFileError(f"{path}: not a table of numbers") from None
--- a/glenrock/simulation/runner.py
+++ b/glenrock/simulation/runner.py
@@ -1,7 +1,7 @@
 """Many runs: points of a sweep times seeds times policies, in parallel processes.
 
-Each run is fully determined by its experiment, seed and policy; where and in what order it is played changes
-nothing. Finished runs are kept one file each, so that an interrupted sweep goes on where it stopped.
+A run depends on its experiment, seed and policy alone, and not on where or in what order it is made. The summary of
+each finished run is cached in a file, so that an interrupted sweep can be resumed.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 import signal
 from collections.abc import Callable, Generator, Iterator
 from concurrent.futures import Future, ProcessPoolExecutor
-from contextlib import contextmanager, suppress
+from contextlib import closing, contextmanager, suppress
 from dataclasses import dataclass
 from multiprocessing import get_context
 from pathlib import Path
@@ -27,79 +27,101 @@
 from .fleet_simulation import FleetSimulation
 from .spec import Experiment
 
-WAIT_S = 0.1  # Ctrl-C is seen within this
+INTERRUPT_CHECK_S = 0.1
 
 
 @dataclass(frozen=True)
 class Task:
+    """A run to be made.
+
+    Attributes:
+        where: the values of the sweep's axes.
+    """
+
     experiment: Experiment
-    where: dict[str, Any]  # the sweep's values at this point
+    where: dict[str, Any]
     seed: int
     policy: str
 
     @property
     def key(self) -> str:
-        """Names the run: the same file, seed, policy and module text give the same key."""
-        whole = msgspec.json.encode([self.experiment, self.seed, self.policy, module_text()], order="sorted")
-        return xxh64_hexdigest(whole)
+        """The name of the run: the same experiment, seed, policy and text of routing give the same key."""
+        values = [self.experiment, self.seed, self.policy, routing_digest()]
+        return xxh64_hexdigest(msgspec.json.encode(values, order="sorted"))
 
 
-def module_text() -> str:
-    """A digest of the decision module's text: results of an earlier text are not mixed with this one's."""
-    folder = Path(glenrock.routing.__file__).parent
-    return xxh64_hexdigest(b"".join(p.read_bytes() for p in sorted(folder.rglob("*.py"))))
+def routing_digest() -> str:
+    """Returns a digest of the text of `glenrock.routing`, so that summaries of another text are not reused."""
+    package = Path(glenrock.routing.__file__).parent
+    return xxh64_hexdigest(b"".join(path.read_bytes() for path in sorted(package.rglob("*.py"))))
 
 
 def tasks(points: list[tuple[dict[str, Any], Experiment]], seeds: list[int], policies: list[str]) -> list[Task]:
-    return [Task(e, where, seed, policy) for where, e in points for seed in seeds for policy in policies]
+    """Returns the runs of all points, seeds and policies."""
+    return [
+        Task(experiment, where, seed, policy) for where, experiment in points for seed in seeds for policy in policies
+    ]
 
 
 def play(task: Task) -> dict[str, Any]:
+    """Makes a run. Returns its summary, with its point of the sweep and its key."""
     summary = FleetSimulation(task.experiment, task.seed, task.policy).run()
     return {**summary, "where": task.where, "key": task.key}
 
 
-def deaf() -> None:
-    """Workers leave Ctrl-C to the one that started them."""
+def _ignore_interrupts() -> None:
+    """Leaves Ctrl-C to the parent process."""
     signal.signal(signal.SIGINT, signal.SIG_IGN)
 
 
 def run_all(
-    todo: list[Task], jobs: int, kept: Path | None, resume: bool, done: Callable[[int], None]
+    todo: list[Task], jobs: int, cache: Path | None, resume: bool, done: Callable[[int], None]
 ) -> Generator[dict[str, Any], None, None]:
-    """Summaries as they are finished, those kept from before first. Ctrl-C ends it; what is finished is kept."""
+    """Yields the summaries of all tasks as they are finished, cached ones first.
+
+    Args:
+        todo: the runs.
+        jobs: number of processes.
+        cache: folder of finished summaries.
+        resume: whether summaries in it are reused.
+        done: called with 1 for each finished run.
+
+    Raises:
+        KeyboardInterrupt: at Ctrl-C; finished runs stay in the cache.
+    """
     left: list[Task] = []
     for task in todo:
-        old = earlier(kept, task) if resume else None
-        if old is None:
+        cached = _read_cached(cache, task) if resume else None
+        if cached is None:
             left.append(task)
         else:
             done(1)
-            yield old
-    if jobs <= 1:
-        for task in left:
-            yield keep(kept, play(task))
+            yield cached
+    # Closed with this generator, so that the processes of the pool end with it.
+    with closing(_play_in_turn(left) if jobs <= 1 else _play_in_parallel(left, jobs)) as summaries:
+        for summary in summaries:
+            yield _write_cached(cache, summary)
             done(1)
-        return
-    pool = ProcessPoolExecutor(min(jobs, max(1, len(left))), get_context("spawn"), deaf)
-    ended: SimpleQueue[Future] = SimpleQueue()
+
+
+def _play_in_turn(todo: list[Task]) -> Generator[dict[str, Any], None, None]:
+    for task in todo:
+        yield play(task)
+
+
+def _play_in_parallel(todo: list[Task], jobs: int) -> Generator[dict[str, Any], None, None]:
+    pool = ProcessPoolExecutor(min(jobs, max(1, len(todo))), get_context("spawn"), _ignore_interrupts)
+    ended: SimpleQueue[Future[dict[str, Any]]] = SimpleQueue()
     try:
-        # Danger: an exception raised wherever Ctrl-C happens to come would leave a lock of the pool held, and the
-        # program would hang at its end. So it is noted, and raised where none is held.
-        with noted_interrupt() as stopped:
-            for task in left:
+        # An exception raised wherever Ctrl-C arrives could leave a lock of the pool held, and the program would hang
+        # at its end. The interrupt is noted, and raised where no lock is held.
+        with noted_interrupt() as interrupts:
+            for task in todo:
                 pool.submit(play, task).add_done_callback(ended.put)
-            for _ in left:
-                future = None
-                while future is None:
-                    if stopped:
-                        raise KeyboardInterrupt
-                    with suppress(Empty):
-                        future = ended.get(timeout=WAIT_S)
-                yield keep(kept, future.result())
-                done(1)
+            for _ in todo:
+                yield _next_ended(ended, interrupts).result()
     except BaseException:
-        # What is half played is lost in any case, and the pool's own shutdown would wait for all that is queued.
+        # Runs in progress are lost anyway, and the pool's own shutdown would wait for all that are queued.
         for process in list((pool._processes or {}).values()):
             process.kill()
         pool.shutdown(wait=False, cancel_futures=True)
@@ -107,36 +129,48 @@
     pool.shutdown()
 
 
+def _next_ended(ended: SimpleQueue[Future[dict[str, Any]]], interrupts: list[int]) -> Future[dict[str, Any]]:
+    """Waits for the next finished run. Raises KeyboardInterrupt after Ctrl-C."""
+    while True:
+        if interrupts:
+            raise KeyboardInterrupt
+        with suppress(Empty):
+            return ended.get(timeout=INTERRUPT_CHECK_S)
+
+
 @contextmanager
 def noted_interrupt() -> Iterator[list[int]]:
-    """Ctrl-C is put into the list in place of being raised. Only the main thread hears of it at all."""
-    stopped: list[int] = []
+    """Notes Ctrl-C in a list in place of raising an exception. Only the main thread receives signals."""
+    interrupts: list[int] = []
     if current_thread() is not main_thread():
-        yield stopped
+        yield interrupts
         return
-    before = signal.signal(signal.SIGINT, lambda number, _: stopped.append(number))
+    before = signal.signal(signal.SIGINT, lambda number, _: interrupts.append(number))
     try:
-        yield stopped
+        yield interrupts
     finally:
         signal.signal(signal.SIGINT, before)
 
 
-def keep(kept: Path | None, summary: dict[str, Any]) -> dict[str, Any]:
-    if kept:
-        record.file(kept / f"{summary['key']}.json", record.text_of(summary))
+def _write_cached(cache: Path | None, summary: dict[str, Any]) -> dict[str, Any]:
+    if cache:
+        record.file(cache / f"{summary['key']}.json", record.text_of(summary))
     return summary
 
 
-def earlier(kept: Path | None, task: Task) -> dict[str, Any] | None:
-    if kept is None:
+def _read_cached(cache: Path | None, task: Task) -> dict[str, Any] | None:
+    if cache is None:
         return None
     try:
-        found = json.loads((kept / f"{task.key}.json").read_text(encoding="utf-8"))
+        found: dict[str, Any] = json.loads((cache / f"{task.key}.json").read_text(encoding="utf-8"))
     except (OSError, ValueError):
         return None
     return found if found.get("key") == task.key else None
 
 
-def order(found: list[dict[str, Any]]) -> list[dict[str, Any]]:
-    """The same order whatever came first."""
-    return sorted(found, key=lambda s: (json.dumps(s["where"], sort_keys=True), s["policy"], s["seed"]))
+def order(summaries: list[dict[str, Any]]) -> list[dict[str, Any]]:
+    """Sorts summaries by point, policy and seed."""
+    return sorted(
+        summaries,
+        key=lambda summary: (json.dumps(summary["where"], sort_keys=True), summary["policy"], summary["seed"]),
+    )
--- a/glenrock/simulation/spec.py
+++ b/glenrock/simulation/spec.py
@@ -66,7 +66,7 @@
 ]
 
 
-class Kind(Strict):
+class Kind(Strict, frozen=True):
     """A kind of machine. Source of the defaults: the operators' table of machines."""
 
     name: str
@@ -84,7 +84,7 @@
     sheds: Literal["none", "newest", "heaviest"] = "none"  # connections that it drops then
 
 
-class Class(Strict):
+class Class(Strict, frozen=True):
     """A class of connections."""
 
     name: str
@@ -103,7 +103,7 @@
     message_aim_ms: Above0R = 100.0  # wanted time of a message
 
 
-class Tenant(Strict):
+class Tenant(Strict, frozen=True):
     """Who shares the fleet."""
 
     name: str
@@ -111,7 +111,7 @@
     usage: Above0R = 1.0  # what it asks for, over its share
 
 
-class Fleet(Strict):
+class Fleet(Strict, frozen=True):
     balancers: SomeR = 3
     instances: SomeR = 12
     zones: tuple[str, ...] = ("a", "b")
@@ -119,7 +119,7 @@
     instance_skew: PartR = 0.0  # the same for instances, leaning to the last zone
 
 
-class Traffic(Strict):
+class Traffic(Strict, frozen=True):
     load: Above0R = 0.3  # asked for on average, as a part of what the fleet can do
     connections_per_core: Above0R = 20.0  # usual connections that fill a standard core
     life_s: Above0R = 45.0  # usual life of a connection
@@ -133,14 +133,14 @@
     bursty: Above0R = 2.0  # how much longer waits are than with evenly spread messages
 
 
-class Store(Strict):
+class Store(Strict, frozen=True):
     """What every set-up asks beside its instance, all of them in one line."""
 
     headroom: Least0R = 0.0  # calls that it can do, over the usual rate of new clients; 0: nobody waits for it
     call_ms: Least0R = 10.0  # what a call takes in an empty line
 
 
-class Clients(Strict):
+class Clients(Strict, frozen=True):
     retries: CountR = 2  # quick ones, each after a back-off; then one each `pause_ms`
     backoff: Literal["double", "fixed", "none"] = "double"  # how the quick ones are spaced
     backoff_ms: Above0R = 60.0
@@ -151,7 +151,7 @@
     impatient: PartR = 0.01  # part that leaves a try early, at a random time
 
 
-class Network(Strict):
+class Network(Strict, frozen=True):
     same_ms: Least0R = 0.25  # one way within a zone
     cross_ms: Least0R = 2.0  # between zones
     client_ms: Least0R = 0.6  # between client and balancer
@@ -161,12 +161,12 @@
     silence_s: Above0R = 4.5  # a balancer gives up a connection that has said nothing for so long
 
 
-class Front(Strict):
+class Front(Strict, frozen=True):
     notice_s: Least0R = 2.3  # it sends to a dead balancer for so long
     admit_s: Least0R = 0.5  # and to one started again only after this
 
 
-class Discovery(Strict):
+class Discovery(Strict, frozen=True):
     mode: Literal["push", "ask"] = "push"
     notice_s: Least0R = 3.0  # from the end of a process to the list
     add_s: Least0R = 1.0  # from its start
@@ -175,7 +175,7 @@
     ask_failures: PartR = 0.0  # part of the calls that fail
 
 
-class Reports(Strict):
+class Reports(Strict, frozen=True):
     names: tuple[Literal["load_ratio", "utilization", "backlog", "backlog_s", "inflight"], ...] = (
         "load_ratio",
         "utilization",
@@ -191,7 +191,7 @@
     delay_told: bool = True  # balancers are told of connections whose messages are slow
 
 
-class Platform(Strict):
+class Platform(Strict, frozen=True):
     """What balancers may do and what it costs, as their settings tell them."""
 
     tick_ms: Above0 = 2.0
@@ -211,7 +211,7 @@
     share_room: Above0R = 0.82  # shares together, as a part of what the fleet holds
 
 
-class Rules(Strict):
+class Rules(Strict, frozen=True):
     """Figures of the four rules (WIRE, section 13)."""
 
     answer_grace_ms: Least0 = 8.0
@@ -222,7 +222,7 @@
     cold_s: Above0 = 9.0  # told to balancers: the longest of all kinds
 
 
-class Goal(Strict):
+class Goal(Strict, frozen=True):
     """Weights of the parts of `worth.goal`."""
 
     whole: Least0 = 0.35
@@ -231,7 +231,7 @@
     worst_tenant: Least0 = 0.1
 
 
-class Experiment(Strict):
+class Experiment(Strict, frozen=True):
     """The whole file, but for `base`, which names a file that this one changes, and `sweep`."""
 
     name: str
--- a/tests/simulation/test_store.py
+++ b/tests/simulation/test_store.py
@@ -10,8 +10,9 @@
 
 from glenrock.routing import interface
 from glenrock.simulation import spec
+from glenrock.simulation.engine import SECOND_US as S
 from glenrock.simulation.fleet_simulation import FleetSimulation
-from glenrock.simulation.model.store import S, Store
+from glenrock.simulation.model.store import Store
 
 from .days import Scripted, day
 
