--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""A faulty configuration is told in one line that names the key."""
+"""Configuration: invalid keys, reloads, exit codes."""
 
 from __future__ import annotations
 
@@ -7,15 +7,16 @@
 import signal
 import subprocess
 import sys
-import tempfile
-import unittest
 from pathlib import Path
+from typing import Any
+
+import pytest
 
 from glenrock.config import ConfigError, parse_config, read_config
 from glenrock.routing import interface
 
 ROOT = Path(__file__).resolve().parent.parent
-GOOD = {
+VALID = {
     "name": "n0",
     "listen": "127.0.0.1:1",
     "discovery": "127.0.0.1:2",
@@ -26,86 +27,86 @@
         "domain": {"tellsDelay": True},
     },
 }
+PROGRAM = [sys.executable, "-B", "-m", "glenrock"]
+
+
+@pytest.mark.parametrize(
+    ("key", "value"),
+    [
+        ("listen", "nowhere"),
+        ("discovery", "h:99999"),
+        ("seed", "xyz"),
+        ("peers", "a:1"),
+        ("peers", ["a"]),
+        ("limits", {"sockets": 3}),
+        ("limits", {"sockets": "many"}),
+        ("settings", {}),
+        ("settings", {"classes": []}),
+        ("known", []),
+    ],
+)
+def test_error_names_the_invalid_key(key: str, value: Any) -> None:
+    with pytest.raises(ConfigError, match=key):
+        parse_config({**VALID, key: value})
+
+
+def test_load_report_fields_are_mapped_and_delay_reports_come_from_relays() -> None:
+    config = parse_config(VALID)
+    assert config.settings.load_report_fields == (interface.UTILIZATION, "backlog", interface.LOAD_RATIO)
+    assert (config.settings.has_message_delay_reports, config.measures_delay) == (False, True)
+
+
+def test_key_that_changed_in_the_file_overrides_its_variable_after_a_reload(tmp_path: Path) -> None:
+    path = tmp_path / "config.json"
+    environment = {"LB_CONFIG": str(path), "LB_DISCOVERY": "127.0.0.1:2"}
+    path.write_text(json.dumps(VALID))
+    at_start = read_config(environment)
+    assert read_config(environment, at_start).discovery == ("127.0.0.1", 2)
+    path.write_text(json.dumps({**VALID, "discovery": "127.0.0.1:3"}))
+    assert read_config(environment, at_start).discovery == ("127.0.0.1", 3)
+
+
+def test_sighup_never_ends_the_process(tmp_path: Path) -> None:
+    path = tmp_path / "config.json"
+    path.write_text(json.dumps({**VALID, "listen": "127.0.0.1:0"}))
+    process = subprocess.Popen(
+        PROGRAM, cwd=ROOT, text=True, stderr=subprocess.PIPE, env={**os.environ, "LB_CONFIG": str(path)}
+    )
+
+    def wait_for_line(text: str) -> None:
+        for line in process.stderr:
+            if text in line:
+                return
+        pytest.fail(f"the process ended without {text!r}")
+
+    try:
+        wait_for_line("endpoint poll failed")  # before the process is ready
+        process.send_signal(signal.SIGHUP)
+        wait_for_line("configuration reloaded discovery=127.0.0.1:2")
+        wait_for_line("program: ready")
+        path.write_text("{")
+        process.send_signal(signal.SIGHUP)
+        wait_for_line("configuration not reloaded: the previous one stays")
+        process.send_signal(signal.SIGTERM)
+        process.send_signal(signal.SIGHUP)
+        wait_for_line("program: stopped\n")
+        assert process.wait(10) == 0
+    finally:
+        process.kill()
+        process.wait()
+        process.stderr.close()
 
 
-class Configuration(unittest.TestCase):
-    def test_faults_name_their_key(self) -> None:
-        for key, value in (
-            ("listen", "nowhere"),
-            ("discovery", "h:99999"),
-            ("seed", "xyz"),
-            ("peers", "a:1"),
-            ("peers", ["a"]),
-            ("limits", {"sockets": 3}),
-            ("limits", {"sockets": "many"}),
-            ("settings", {}),
-            ("settings", {"classes": []}),
-            ("known", []),
-        ):
-            with self.subTest(key=key, value=value), self.assertRaisesRegex(ConfigError, key):
-                parse_config({**GOOD, key: value})
-
-    def test_reports_go_by_the_modules_names_and_silence_is_no_good_news(self) -> None:
-        config = parse_config(GOOD)
-        self.assertEqual(config.settings.load_report_fields, (interface.UTILIZATION, "backlog", interface.LOAD_RATIO))
-        self.assertEqual((config.settings.has_message_delay_reports, config.measures_delay), (False, True))
-
-    def test_read_again_a_changed_key_wins_over_its_variable(self) -> None:
-        with tempfile.TemporaryDirectory() as folder:
-            path = Path(folder) / "config.json"
-            env = {"LB_CONFIG": str(path), "LB_DISCOVERY": "127.0.0.1:2"}
-            path.write_text(json.dumps(GOOD))
-            begun = read_config(env)
-            self.assertEqual(read_config(env, begun).discovery, ("127.0.0.1", 2))
-            path.write_text(json.dumps({**GOOD, "discovery": "127.0.0.1:3"}))
-            self.assertEqual(read_config(env, begun).discovery, ("127.0.0.1", 3))
-
-    def test_sighup_at_any_time_ends_nothing(self) -> None:
-        with tempfile.TemporaryDirectory() as folder:
-            path = Path(folder) / "config.json"
-            path.write_text(json.dumps({**GOOD, "listen": "127.0.0.1:0"}))
-            program = subprocess.Popen(
-                [sys.executable, "-B", "-m", "glenrock"],
-                cwd=ROOT,
-                text=True,
-                stderr=subprocess.PIPE,
-                env={**os.environ, "LB_CONFIG": str(path)},
-            )
-
-            def until(words: str) -> None:
-                for line in program.stderr:
-                    if words in line:
-                        return
-                self.fail(f"ended without {words!r}")
-
-            try:
-                until("endpoint poll failed")  # not ready yet
-                program.send_signal(signal.SIGHUP)
-                until("configuration reloaded discovery=127.0.0.1:2")
-                until("program: ready")
-                path.write_text("{")
-                program.send_signal(signal.SIGHUP)
-                until("configuration not reloaded: the previous one stays")
-                program.send_signal(signal.SIGTERM)
-                program.send_signal(signal.SIGHUP)
-                until("program: stopped\n")
-                self.assertEqual(program.wait(10), 0)
-            finally:
-                program.kill()
-                program.wait()
-                program.stderr.close()
-
-    def test_the_program_exits_2_without_a_traceback(self) -> None:
-        with tempfile.TemporaryDirectory() as folder:
-            path = Path(folder) / "config.json"
-            path.write_text(json.dumps({**GOOD, "listen": "nowhere"}))
-            done = subprocess.run(
-                [sys.executable, "-B", "-m", "glenrock"],
-                cwd=ROOT,
-                capture_output=True,
-                text=True,
-                timeout=30,
-                env={**os.environ, "LB_CONFIG": str(path)},
-            )
-        self.assertEqual(done.returncode, 2)
-        self.assertEqual(done.stderr, "glenrock: listen: expected host:port, got 'nowhere'\n")
+def test_invalid_configuration_exits_2_without_a_traceback(tmp_path: Path) -> None:
+    path = tmp_path / "config.json"
+    path.write_text(json.dumps({**VALID, "listen": "nowhere"}))
+    completed = subprocess.run(
+        PROGRAM,
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        timeout=30,
+        env={**os.environ, "LB_CONFIG": str(path)},
+    )
+    assert completed.returncode == 2
+    assert completed.stderr == "glenrock: listen: expected host:port, got 'nowhere'\n"
--- a/tests/test_durable_file.py
+++ b/tests/test_durable_file.py
@@ -1,4 +1,4 @@
-"""Every write, sync and rename of a kept record fails in turn, and a kill leaves each part of one."""
+"""Durable files: each write, sync and rename fails in turn, and a write is interrupted after each byte."""
 
 from __future__ import annotations
 
@@ -21,38 +21,38 @@
 
 
 class FailingCalls:
-    """The n-th of these calls fails, and all after it until `heal`."""
+    """Makes a system call fail from its n-th use, counted from 0, until `recover`."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, call: str, nth: int, error: int) -> None:
         self.count, self.failed = 0, 0
-        self._nth, self._error, self._whole = nth, error, False
+        self._nth, self._error, self._has_recovered = nth, error, False
         for name in ("fsync", "replace"):
             monkeypatch.setattr(durable_file.os, name, self._wrap(name == call, getattr(os, name)))
         if call == "write":
             monkeypatch.setattr(durable_file, "open", self._open, raising=False)
 
-    def heal(self) -> None:
-        self._whole = True
+    def recover(self) -> None:
+        self._has_recovered = True
 
-    def _due(self) -> bool:
+    def _must_fail(self) -> bool:
         self.count += 1
-        due = self.count > self._nth and not self._whole
-        self.failed += due
-        return due
+        must_fail = self.count > self._nth and not self._has_recovered
+        self.failed += must_fail
+        return must_fail
 
     def _wrap(self, is_chosen: bool, real: Callable) -> Callable:
         def call(*args):
-            if is_chosen and self._due():
+            if is_chosen and self._must_fail():
                 raise OSError(self._error, os.strerror(self._error))
             return real(*args)
 
         return call
 
     def _open(self, path, mode):
-        file = open(path, mode, buffering=0)  # noqa: SIM115 - handed on
+        file = open(path, mode, buffering=0)  # noqa: SIM115 - the caller closes it
         real = file.write
 
-        class Half:
+        class FileWithPartialWrites:
             def __enter__(inner):
                 return inner
 
@@ -60,7 +60,7 @@
                 file.close()
 
             def write(inner, data):
-                if self._due():
+                if self._must_fail():
                     real(data[: len(data) // 2])
                     raise OSError(self._error, os.strerror(self._error))
                 return real(data)
@@ -71,25 +71,25 @@
             def fileno(inner):
                 return file.fileno()
 
-        return Half()
+        return FileWithPartialWrites()
 
 
 def state_of(folder: Path) -> tuple[int, bool | None]:
-    """Term and word as a start reads them back."""
+    """Returns the term and the override that a start reads."""
     fence, log = Fence(), OverrideLog()
     DurableState(folder, "n").read(fence, log)
     entry = log.entries.get("s")
     return fence.position("bans").term, entry.is_suspended if entry else None
 
 
-def left_beside(folder: Path) -> list[str]:
+def temporary_files(folder: Path) -> list[str]:
     return [path.name for path in folder.iterdir() if str(os.getpid()) in path.name]
 
 
-def write_state(folder: Path, term: int, out: bool) -> None:
+def write_state(folder: Path, term: int, is_suspended: bool) -> None:
     fence, log = Fence(is_restored=True), OverrideLog()
     fence.check_effect("bans", term, 1)
-    log.merge_entry("s", OverrideEntry(out, (term, 1)))
+    log.merge_entry("s", OverrideEntry(is_suspended, (term, 1)))
     state = DurableState(folder, "n")
     state.write(state.snapshot(fence, log))
 
@@ -97,7 +97,7 @@
 @pytest.mark.parametrize("error", (errno.ENOSPC, errno.EIO))
 @pytest.mark.parametrize("call", CALLS)
 @pytest.mark.parametrize("nth", (0, 1, 2))
-def test_a_state_that_could_not_be_written_is_as_it_was_and_is_written_later(
+def test_failed_write_leaves_the_state_and_a_later_write_succeeds(
     call: str, nth: int, error: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     write_state(tmp_path, 3, True)
@@ -108,37 +108,37 @@
             try:
                 write_state(tmp_path, term, term % 2 == 1)
             except OSError:
-                # One whose rename was done and not synced may stand there already; it was not acknowledged.
+                # A state whose rename succeeded and whose sync failed may be in place; it was not acknowledged.
                 assert failing.failed and acknowledged <= state_of(tmp_path)[0] <= term
-                assert not left_beside(tmp_path)
+                assert not temporary_files(tmp_path)
             else:
                 acknowledged = term
-            assert state_of(tmp_path)[1] == (state_of(tmp_path)[0] % 2 == 1), "a record is whole"
+            assert state_of(tmp_path)[1] == (state_of(tmp_path)[0] % 2 == 1), "a record is complete"
         assert failing.failed
-        failing.heal()
+        failing.recover()
         write_state(tmp_path, 7, True)
     assert state_of(tmp_path) == (7, True)
-    assert not left_beside(tmp_path)
+    assert not temporary_files(tmp_path)
 
 
-def test_a_kill_after_each_byte_leaves_the_record_before(tmp_path: Path) -> None:
+def test_write_interrupted_after_each_byte_leaves_the_previous_state(tmp_path: Path) -> None:
     write_state(tmp_path, 3, True)
-    whole = (tmp_path / "glenrock-n.fleet.json").read_bytes()
-    for size in range(len(whole)):
-        (tmp_path / f"glenrock-n.fleet.json.{os.getpid()}").write_bytes(whole[:size])
+    complete = (tmp_path / "glenrock-n.fleet.json").read_bytes()
+    for size in range(len(complete)):
+        (tmp_path / f"glenrock-n.fleet.json.{os.getpid()}").write_bytes(complete[:size])
         assert state_of(tmp_path) == (3, True)
     write_state(tmp_path, 4, False)
     assert state_of(tmp_path) == (4, False)
 
 
-def test_a_record_cut_at_each_byte_or_spoilt_is_told_and_the_last_whole_one_counts(tmp_path: Path) -> None:
+def test_truncated_or_damaged_state_is_reported_and_the_previous_one_counts(tmp_path: Path) -> None:
     write_state(tmp_path, 3, True)
     write_state(tmp_path, 4, False)
     path = tmp_path / "glenrock-n.fleet.json"
-    whole = path.read_bytes()
-    spoilt = whole.replace(b'"bans": [4, 1]', b'"bans": [2, 1]')
-    assert spoilt != whole
-    for data in [whole[:size] for size in range(len(whole))] + [spoilt]:
+    complete = path.read_bytes()
+    damaged = complete.replace(b'"bans": [4, 1]', b'"bans": [2, 1]')
+    assert damaged != complete
+    for data in [complete[:size] for size in range(len(complete))] + [damaged]:
         path.write_bytes(data)
         fence, log = Fence(), OverrideLog()
         with pytest.raises(DurableStateError):
@@ -149,21 +149,21 @@
 
 
 @pytest.mark.parametrize("call", ("write", "replace"))
-def test_an_operators_word_that_could_not_be_written_is_not_taken(
+def test_override_that_cannot_be_written_is_not_accepted(
     call: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    folder, held = str(tmp_path), SharedOverrides()
-    override_file.exchange(folder, lambda shared: shared.suspended.add("s1"), held, [], 0.0)
+    folder, overrides = str(tmp_path), SharedOverrides()
+    override_file.exchange(folder, lambda shared: shared.suspended.add("s1"), overrides, [], 0.0)
     with monkeypatch.context() as patched:
         FailingCalls(patched, call, 0, errno.ENOSPC)
         with pytest.raises(OSError):
-            override_file.exchange(folder, lambda shared: shared.suspended.add("s2"), held, [], 0.0)
+            override_file.exchange(folder, lambda shared: shared.suspended.add("s2"), overrides, [], 0.0)
     assert override_file.read(folder).suspended == {"s1"}
-    override_file.exchange(folder, lambda shared: shared.suspended.add("s2"), held, [], 0.0)
+    override_file.exchange(folder, lambda shared: shared.suspended.add("s2"), overrides, [], 0.0)
     assert override_file.read(folder).suspended == {"s1", "s2"}
 
 
-def test_of_a_spoilt_file_of_operators_words_the_one_before_is_used(tmp_path: Path) -> None:
+def test_previous_override_file_is_readable_if_the_present_one_is_damaged(tmp_path: Path) -> None:
     folder = str(tmp_path)
     for name in ("s1", "s2"):
         override_file.exchange(folder, lambda shared, name=name: shared.suspended.add(name), SharedOverrides(), [], 0.0)
@@ -174,7 +174,7 @@
     assert override_file.read_previous(folder).suspended == {"s1"}
 
 
-def test_a_file_of_an_earlier_version_has_no_digest_and_is_read(tmp_path: Path) -> None:
+def test_file_of_an_earlier_version_without_a_digest_is_read(tmp_path: Path) -> None:
     content = {"version": 1, "out": ["s1"], "back": {}, "seen": ["s1"]}
     (tmp_path / override_file.FILE_NAME).write_text(json.dumps(content))
     assert override_file.read(str(tmp_path)).suspended == {"s1"}
