--- /dev/null
+++ b/tests/net/test_large_fleet.py
@@ -0,0 +1,127 @@
+"""Real processes with thousands of servers: releases in waves, restarts, slow and truncated endpoint lists."""
+
+from __future__ import annotations
+
+import asyncio
+import signal
+import time
+from collections.abc import Awaitable, Callable
+
+import pytest
+import uvloop
+
+from glenrock.testbed.bed import BedShape, Testbed
+from glenrock.testbed.endpoint_directory import DELETED, DRAINING
+
+SERVERS = 3200
+WAVES, WAVE_SERVERS = 3, 320  # of a release
+DRAIN_GRACE_S = 2.5
+MAX_TIMER_DELAY_S = 0.05
+KILL_AFTER_S = 1.8 + 1.2 + 0.7  # 3 s for a longest deadline below that, and 0.7 s
+
+
+def run_on_testbed(descriptors: int, scenario: Callable[[Testbed], Awaitable[None]], balancers: int = 1) -> None:
+    async def run() -> None:
+        async with Testbed(BedShape(balancers=balancers, servers=SERVERS, descriptors=descriptors)) as bed:
+            await bed.start_balancers()
+            await scenario(bed)
+
+    uvloop.run(asyncio.wait_for(run(), 60))
+
+
+@pytest.mark.parametrize("descriptors", (256, 512, 1024))
+def test_release_in_waves_costs_no_answer_and_draining_servers_get_nothing(descriptors: int) -> None:
+    async def scenario(bed: Testbed) -> None:
+        names, clients, drained_s = list(bed.servers), [], {}
+        resumed = [bed.client(0, standing_at=names[n * 97 % SERVERS], stays_s=30.0) for n in range(20)]
+        assert await bed.until(lambda: all(client.up.is_set() for client in resumed), 5.0)
+        for wave in range(WAVES):
+            drained = [name for name, row in bed.directory.servers.items() if row.status == DRAINING]
+            if drained:
+                bed.directory.set_status(drained, DELETED)
+            draining = names[wave * WAVE_SERVERS : (wave + 1) * WAVE_SERVERS]
+            bed.directory.set_status(draining, DRAINING)
+            drained_s |= dict.fromkeys(draining, time.monotonic())
+            for number in range(10):
+                bed.add_server(f"t-{wave}-{number}", since_ms=time.time() * 1000)
+            for _ in range(10):
+                clients += [bed.client(0, stays_s=1.0) for _ in range(3)]
+                await asyncio.sleep(0.1)
+        assert await bed.until(lambda: all(client.request.answer for client in clients), 4.0)
+        assert {client.request.answer.split(" ")[0] for client in clients} == {"UP"}
+        for attempt in bed.record.attempts:
+            draining_s = drained_s.get(attempt.server, float("inf"))
+            assert attempt.is_resumed or attempt.first_byte_s < draining_s + DRAIN_GRACE_S + MAX_TIMER_DELAY_S
+        on_draining = [client for client in resumed if client.request.resumes_at in drained_s]
+        assert await bed.until(lambda: all(client.request.is_migrated for client in on_draining), 4.0)
+        others = [client for client in resumed if client not in on_draining]
+        assert not any(client.request.is_migrated or client.request.ended_s < float("inf") for client in others)
+
+    run_on_testbed(descriptors, scenario)
+
+
+@pytest.mark.parametrize("descriptors", (256, 1024))
+def test_balancers_are_ready_again_after_sigterm_and_sigkill_and_lose_no_request(descriptors: int) -> None:
+    async def scenario(bed: Testbed) -> None:
+        terminated, killed = bed.processes
+        clients = [bed.client(number, stays_s=10.0) for number in (0, 1) for _ in range(10)]
+        assert await bed.until(lambda: all(client.up.is_set() for client in clients), 5.0)
+        terminated.send_signal(signal.SIGTERM)
+        killed.send_signal(signal.SIGKILL)
+        signals_s = time.monotonic()
+        killed.end()
+        killed.start()
+        await bed.until_ready(killed)
+        assert time.monotonic() - signals_s < 6.0
+        left_s = KILL_AFTER_S - (time.monotonic() - signals_s)
+        assert await bed.until(lambda: not terminated.is_running, left_s)
+        assert terminated.exit_code == 0
+        assert all(client.request.is_migrated for client in clients[:10])
+        terminated.start()
+        await bed.until_ready(terminated)
+        later_clients = [bed.client(number) for number in (0, 1) for _ in range(10)]
+        assert await bed.until(lambda: all(client.up.is_set() for client in later_clients), 5.0)
+
+    run_on_testbed(descriptors, scenario, balancers=2)
+
+
+@pytest.mark.parametrize("fault", ("slow", "truncated"))
+def test_slow_or_truncated_list_interrupts_no_service(fault: str) -> None:
+    async def scenario(bed: Testbed) -> None:
+        agent, names = bed.agents[0], list(bed.servers)
+        if fault == "slow":
+            agent.slow_s = 0.3
+        else:
+            agent.cuts = 3
+        calls = agent.calls
+        draining = names[: SERVERS // 2]
+        bed.directory.set_status(draining, DRAINING)
+        draining_s = time.monotonic()
+        clients = []
+        while time.monotonic() < draining_s + DRAIN_GRACE_S + 1.0:
+            clients.append(bed.client(0, stays_s=0.5))
+            await asyncio.sleep(0.05)
+        assert await bed.until(lambda: all(client.request.answer for client in clients), 4.0)
+        assert {client.request.answer.split(" ")[0] for client in clients} == {"UP"}
+        assert agent.calls > calls
+        grace_end_s = draining_s + DRAIN_GRACE_S + MAX_TIMER_DELAY_S
+        late_attempts = [attempt for attempt in bed.record.attempts if attempt.first_byte_s > grace_end_s]
+        assert late_attempts and not any(attempt.server in draining for attempt in late_attempts)
+
+    run_on_testbed(512, scenario)
+
+
+@pytest.mark.parametrize("answer_s", (1.5, 4.0))
+def test_first_list_may_take_seconds_and_resumed_connections_come_up(answer_s: float) -> None:
+    async def scenario(bed: Testbed) -> None:
+        bed.agents[0].slow_s = answer_s
+        process, names = bed.processes[0], list(bed.servers)
+        process.end()
+        process.start()
+        await bed.until_ready(process)
+        resumed = [bed.client(0, standing_at=names[n * 97 % SERVERS]) for n in range(10)]
+        assert await bed.until(lambda: all(client.up.is_set() for client in resumed), answer_s + 3.0)
+        clients = [bed.client(0) for _ in range(10)]
+        assert await bed.until(lambda: all(client.up.is_set() for client in clients), 3.0)
+
+    run_on_testbed(512, scenario)
