--- a/glenrock/simulation/policies/__init__.py
+++ b/glenrock/simulation/policies/__init__.py
@@ -1,6 +1,6 @@
-"""What can be driven: the decision module that serves, and the textbook's ways to compare it with.
+"""The policies of a simulation: the routing decisions that serve, and the reference policies they are compared with.
 
-All of them take the events and give the actions of `glenrock.routing.interface`. `make` builds one by its name.
+All take the events and return the actions of `glenrock.routing.interface`.
 """
 
 from __future__ import annotations
@@ -28,5 +28,5 @@
 
 
 def make(name: str) -> Maker:
-    """Raises KeyError for a name that is not in POLICIES."""
+    """Returns what builds a policy. Raises KeyError for an unknown name."""
     return POLICIES[name][0]
--- a/glenrock/simulation/policies/module.py
+++ b/glenrock/simulation/policies/module.py
@@ -1,4 +1,4 @@
-"""The routing decisions as what is driven, and their open constants set from outside for a run."""
+"""The routing decisions as a policy, and their open constants, which an experiment sets for a run."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 ROUND_MODULES = (event_batch, balancer_module, connection_concurrency, migration, gossip)
 FEEDBACK_MODULES = (admission, capacity_estimation, outlier_ejection, migration)
 
-# Experiment files name constants as they always did; here stand the name and the modules that each one lives in today.
+# By the name in experiment files: the constant's name in `glenrock.routing`, and the modules that hold it.
 CONSTANTS: dict[str, tuple[str, tuple[ModuleType, ...]]] = {
     "ROUND_US": ("ROUND_US", ROUND_MODULES),
     "CALM_US": ("IDLE_GOSSIP_INTERVAL_US", (gossip,)),
@@ -72,7 +72,7 @@
     name, modules = CONSTANTS[key]
     for module in modules:
         setattr(module, name, value)
-    if key == "MAX_LINE_BYTES":  # one bound for both, as experiment files have it
+    if key == "MAX_LINE":  # one bound for both in experiment files
         group_affinity.MAX_GROUPS = int(value)
     if key == "CALM_US":
         gossip.MAX_PEER_SILENCE_US = 3 * int(value)
@@ -80,7 +80,7 @@
 
 @contextmanager
 def constants(values: Mapping[str, float]) -> Iterator[None]:
-    """Open constants set for a while, in this process. KeyError names one that is not open."""
+    """Sets open constants of routing in this process while the context lasts. Raises KeyError for an unknown name."""
     for key in values:
         if key not in OPEN:
             raise KeyError(key)
@@ -93,8 +93,8 @@
             _set(key, OPEN[key])
 
 
-def gauges(driven: object) -> tuple[float, float] | None:
-    """The cap on active load, and the length of the waiting line, of a balancer that has them."""
-    if isinstance(driven, Balancer):
-        return driven.admission.load_cap, float(len(driven.waiting_queue))
+def gauges(policy: object) -> tuple[float, float] | None:
+    """Returns the load cap and the length of the waiting queue of the routing decisions; None for another policy."""
+    if isinstance(policy, Balancer):
+        return policy.admission.load_cap, float(len(policy.waiting_queue))
     return None
