--- a/glenrock/admin/listener.py
+++ b/glenrock/admin/listener.py
@@ -97,13 +97,13 @@
             configure_socket(sock)
             request = HttpRequest()
             response: HttpResponse | None = None
-            async with self._clock.limit(REQUEST_TIMEOUT_MS) as limit:
+            async with self._clock.time_limit(REQUEST_TIMEOUT_MS) as limit:
                 while not request.is_complete and response is None:
                     data = await self._read(sock)
                     if not data:
                         return
                     response = request.feed(data)
-            if limit.over:
+            if limit.has_expired:
                 response = HttpResponse(408, f"no whole call came within {REQUEST_TIMEOUT_MS / 1000:.0f} s\n")
             if response is None:
                 response = await self._respond(request)
@@ -127,7 +127,7 @@
         Closing a socket with unread bytes resets the connection, and the caller may lose the response.
         """
         bytes_left = MAX_LINGER_BYTES
-        async with self._clock.limit(LINGER_TIMEOUT_MS):
+        async with self._clock.time_limit(LINGER_TIMEOUT_MS):
             await asyncio.get_running_loop().sock_sendall(sock, response.encode())
             sock.shutdown(socket.SHUT_WR)
             while bytes_left > 0 and (data := await self._read(sock)):
--- a/glenrock/coordination/agent.py
+++ b/glenrock/coordination/agent.py
@@ -99,7 +99,7 @@
 
     def _build_start_backoff(self, settings: StartSettings, folder: Path) -> StartBackoff:
         policy = BackoffPolicy(settings.sound_ms, settings.most_wait_ms)
-        return StartBackoff(folder, self._context.name, policy, self._host.clock.now)
+        return StartBackoff(folder, self._context.name, policy, self._host.clock.now_ms)
 
     async def wait_before_start(self, stop: asyncio.Event) -> None:
         """Delays the start of a balancer that crashed repeatedly, before it serves or calls anything."""
--- a/glenrock/coordination/context.py
+++ b/glenrock/coordination/context.py
@@ -62,7 +62,7 @@
         clock = self.host.clock
         async with self._write_lock:
             snapshot = self.state.snapshot(self.fence, self.overrides)
-            started_ms = clock.now()
+            started_ms = clock.now_ms()
             try:
                 is_merged = await asyncio.to_thread(self.state.write, snapshot)
             except OSError as error:
@@ -73,7 +73,7 @@
             logger.info("coordination state writable again", path=self.state.path)
         if is_merged:
             self.merged_changes.update(self.state.merge(snapshot, self.fence, self.overrides))
-        duration_ms = clock.now() - started_ms
+        duration_ms = clock.now_ms() - started_ms
         if duration_ms > SLOW_WRITE_MS:
             logger.warning("slow write of the coordination state", path=self.state.path, duration_ms=duration_ms)
         return True
--- a/glenrock/coordination/override_receiver.py
+++ b/glenrock/coordination/override_receiver.py
@@ -108,7 +108,7 @@
         self._applier.reply(peer, acknowledgement)
 
     def _record_rejection(self, peer: int, job: str, term: int, verdict: FenceVerdict) -> None:
-        at_ms = round(self._context.host.clock.now())
+        at_ms = round(self._context.host.clock.now_ms())
         self.rejections.append(Rejection(at_ms, peer, job, term, verdict.highest_term, verdict.reason))
         del self.rejections[:-MAX_REJECTIONS]
         logger.warning("datagram of a lease holder rejected", peer=peer, job=job, term=term, reason=verdict.reason)
--- a/glenrock/coordination/override_replication.py
+++ b/glenrock/coordination/override_replication.py
@@ -74,8 +74,8 @@
         """Returns whether the override is committed within CONFIRM_TIMEOUT_MS."""
         pending = self._context.overrides.pending
         clock = self._context.host.clock
-        deadline_ms = clock.now() + CONFIRM_TIMEOUT_MS
-        while pending_id in pending and clock.now() < deadline_ms:
+        deadline_ms = clock.now_ms() + CONFIRM_TIMEOUT_MS
+        while pending_id in pending and clock.now_ms() < deadline_ms:
             await clock.sleep(CONFIRM_POLL_MS)
         return pending_id not in pending
 
--- a/glenrock/coordination/sharded_health_checks.py
+++ b/glenrock/coordination/sharded_health_checks.py
@@ -83,5 +83,5 @@
     def _warm_servers(self) -> list[str]:
         """Returns the listed servers that are no longer warming up."""
         host = self._context.host
-        warm_since_ms = host.clock.now() - host.config.settings.slow_start_us / MS_US
+        warm_since_ms = host.clock.now_ms() - host.config.settings.slow_start_us / MS_US
         return [row.name for row in host.servers.listed_rows() if row.since_ms <= warm_since_ms]
--- a/glenrock/coordination/warm_start/milestones.py
+++ b/glenrock/coordination/warm_start/milestones.py
@@ -106,7 +106,7 @@
     def __init__(self, host: BalancerHost) -> None:
         self._host = host
         self._clock = host.clock
-        self._started_ms = self._clock.now()
+        self._started_ms = self._clock.now_ms()
         self._delay_ms = self._ready_ms = self._list_ms = self._served_ms = 0.0
         self._list_source = ListSource.NONE
         self._first_connections: ConnectionCounts | None = None
@@ -115,7 +115,7 @@
     def start(self, list_source: ListSource) -> None:
         """Starts the recording, before the first call for the endpoint list."""
         self._list_source = list_source
-        self._delay_ms = self._clock.now() - self._started_ms
+        self._delay_ms = self._clock.now_ms() - self._started_ms
         self._calls = CountingPollBackoff(self._host.endpoints.backoff)
         self._host.endpoints.backoff = self._calls  # type: ignore[assignment] # it delegates what it does not define
 
@@ -132,8 +132,8 @@
 
     async def watch(self) -> None:
         """Polls until all milestones are reached, so that the serving parts need no hooks."""
-        while self._clock.now() < self._started_ms + MAX_WATCH_MS:
-            now_ms = self._clock.now()
+        while self._clock.now_ms() < self._started_ms + MAX_WATCH_MS:
+            now_ms = self._clock.now_ms()
             if not self._ready_ms and self._host.acceptor.listener is not None:
                 self._ready_ms = now_ms
             if not self._list_ms and self._host.endpoints.has_answered.is_set():
--- a/glenrock/coordination/warm_start/start_cache.py
+++ b/glenrock/coordination/warm_start/start_cache.py
@@ -78,7 +78,7 @@
         return knowledge.table
 
     def _usable(self, record: StartRecord, configured: EndpointTable) -> StartKnowledge:
-        return usable_knowledge(record, configured, self._clock.now(), self._boot, self._discovery(), self._trust)
+        return usable_knowledge(record, configured, self._clock.now_ms(), self._boot, self._discovery(), self._trust)
 
     def _discovery(self) -> str:
         host, port = self._host.endpoints.address
@@ -104,7 +104,7 @@
         ]
         endpoints = {"index": table.newest_version, "snapshot": True, "endpoints": rows}
         means = self._host.routing.balancer.connection_loads.snapshot()
-        return StartRecord(self._clock.now(), self._boot, self._discovery(), endpoints, means)
+        return StartRecord(self._clock.now_ms(), self._boot, self._discovery(), endpoints, means)
 
     def write(self, data: bytes) -> None:
         """Replaces the file as a whole, after a sync. Call it in a thread, since a disk may take seconds.
@@ -127,7 +127,7 @@
 
     async def write_if_due(self) -> None:
         """Writes the file if the list has changed, or WRITE_INTERVAL_MS after the last write."""
-        now_ms = self._clock.now()
+        now_ms = self._clock.now_ms()
         last = self._last_write
         is_same_list = last is not None and last.version == self._host.endpoints.newest_version
         if last and is_same_list and now_ms - last.at_ms < WRITE_INTERVAL_MS:
--- a/glenrock/net/acceptor.py
+++ b/glenrock/net/acceptor.py
@@ -175,7 +175,7 @@
         task = _current_task()
         if self.idle.is_shed(task):
             return data + _received(sock)
-        async with self._clock.limit(self._line_timeout_ms(has_pinged)) as limit:
+        async with self._clock.time_limit(self._line_timeout_ms(has_pinged)) as limit:
             self.idle.start_reading(task, limit)
             try:
                 while not _is_complete(data):
@@ -185,7 +185,7 @@
                     data += buffer[:count]
             finally:
                 self.idle.stop_reading(task)
-        if limit.over:
+        if limit.has_expired:
             # A request may have arrived as the limit was reached.
             data += _received(sock)
         return data
@@ -246,7 +246,7 @@
         left = MAX_LINGER_BYTES
         self._connections.metrics.rejected[reason] += 1
         self.idle.mark_rejected(_current_task())
-        async with self._clock.limit(LINGER_TIMEOUT_MS):
+        async with self._clock.time_limit(LINGER_TIMEOUT_MS):
             await loop.sock_sendall(sock, line)
             sock.shutdown(socket.SHUT_WR)
             while left > 0 and (count := await loop.sock_recv_into(sock, buffer)):
--- a/glenrock/net/client_connection.py
+++ b/glenrock/net/client_connection.py
@@ -136,7 +136,7 @@
     async def _establish(self, resumes_at: str | None) -> bool:
         """Handles messages until the connection is established (True) or the client has its answer (False)."""
         while True:
-            message = await self.mailbox.next()
+            message = await self.mailbox.get()
             match message:
                 case FinalAnswer(line, reason):
                     self.reports.is_forgotten = True
@@ -185,13 +185,13 @@
         servers = self._owner.servers
         may_be_listed = servers.knows(resumes_at) or not servers.has_list
         timeout_ms = RESUME_TIMEOUT_MS if may_be_listed else RESUME_UNLISTED_TIMEOUT_MS
-        if self.clock.now() > self.arrived_ms + timeout_ms:
+        if self.clock.now_ms() > self.arrived_ms + timeout_ms:
             logger.warning(
                 "connection could not be resumed", request_id=self.request_line.request_id, server=resumes_at
             )
             await self._answer(protocol.FAILED, RejectReason.FAILED)
             return False
-        at_ms = self.clock.now() + RESUME_RETRY_MS
+        at_ms = self.clock.now_ms() + RESUME_RETRY_MS
         self.clock.call_at(at_ms, self._send_request, resumes_at, RESUME_TIMEOUT_MS, True)
         return True
 
--- a/glenrock/net/clock.py
+++ b/glenrock/net/clock.py
@@ -1,7 +1,7 @@
 """The clock of the process: Unix time in milliseconds, as a float, that never goes back.
 
-Routing uses whole microseconds. `micros` and `millis` are the only conversions, for the Unix times of the endpoint list
-too.
+Routing uses whole microseconds. `us_from_ms` and `ms_from_us` are the only conversions, also for the Unix times of the
+endpoint list.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 from types import TracebackType
 
 
-def micros(ms: float) -> int:
+def us_from_ms(ms: float) -> int:
     """Returns milliseconds as whole microseconds."""
     return int(ms * 1000)
 
 
-def millis(us: int) -> float:
+def ms_from_us(us: int) -> float:
     """Returns microseconds as milliseconds."""
     return us / 1000
 
@@ -34,40 +34,40 @@
     def __init__(self) -> None:
         self._offset_ms = (time.time() - time.monotonic()) * 1000
 
-    def now(self) -> float:
+    def now_ms(self) -> float:
         """Returns the time in Unix milliseconds."""
         return time.monotonic() * 1000 + self._offset_ms
 
     def call_at(self, when_ms: float, call: Callable[..., object], *args: object) -> asyncio.Handle:
         """Calls `call` at that time, or at once if the time is past."""
-        delay_s = max(0.0, when_ms - self.now()) / 1000
+        delay_s = max(0.0, when_ms - self.now_ms()) / 1000
         return asyncio.get_running_loop().call_later(delay_s, call, *args)
 
     async def sleep(self, ms: float) -> None:
         """Waits for that time by this clock."""
         done: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        handle = self.call_at(self.now() + ms, _finish, done)
+        handle = self.call_at(self.now_ms() + ms, _finish, done)
         try:
             await done
         finally:
             handle.cancel()
 
-    def limit(self, ms: float) -> Limit:
+    def time_limit(self, ms: float) -> TimeLimit:
         """Returns a context manager that ends its block after that time."""
-        return Limit(self, ms)
+        return TimeLimit(self, ms)
 
 
-class SetClock(Clock):
+class ManualClock(Clock):
     """A clock for tests, which advances only by `advance`."""
 
-    def __init__(self, now: float = 1_000_000.0) -> None:
-        self.time = now
+    def __init__(self, now_ms: float = 1_000_000.0) -> None:
+        self.time_ms = now_ms
         self._due: list[tuple[float, int, asyncio.Handle]] = []
         self._count = 0
 
-    def now(self) -> float:
+    def now_ms(self) -> float:
         """Returns the time that was set."""
-        return self.time
+        return self.time_ms
 
     def call_at(self, when_ms: float, call: Callable[..., object], *args: object) -> asyncio.Handle:
         """Calls `call` once `advance` has reached that time."""
@@ -78,32 +78,32 @@
 
     def advance(self, ms: float) -> None:
         """Advances the clock, and makes the calls that are due, in order."""
-        self.time += ms
-        while self._due and self._due[0][0] <= self.time:
+        self.time_ms += ms
+        while self._due and self._due[0][0] <= self.time_ms:
             handle = heapq.heappop(self._due)[2]
             if not handle.cancelled():
                 handle._run()
 
 
-class Limit:
-    """`async with clock.limit(ms) as limit:` ends the block after that time; then `limit.over` is true."""
+class TimeLimit:
+    """`async with clock.time_limit(ms) as limit:` ends the block after that time; then `limit.has_expired` is true."""
 
     def __init__(self, clock: Clock, ms: float) -> None:
-        self.over = False
+        self.has_expired = False
         self._clock = clock
         self._ms = ms
         self._task: asyncio.Task[object] | None = None
         self._handle: asyncio.Handle | None = None
 
-    async def __aenter__(self) -> Limit:
+    async def __aenter__(self) -> TimeLimit:
         self._task = asyncio.current_task()
-        self._handle = self._clock.call_at(self._clock.now() + self._ms, self.stop)
+        self._handle = self._clock.call_at(self._clock.now_ms() + self._ms, self.stop)
         return self
 
     def stop(self) -> None:
         """Ends the block now."""
-        if not self.over and self._task:  # a second cancellation would not be suppressed
-            self.over = True
+        if not self.has_expired and self._task:  # a second cancellation would not be suppressed
+            self.has_expired = True
             self._task.cancel()
 
     async def __aexit__(
@@ -112,4 +112,4 @@
         assert self._task is not None and self._handle is not None
         self._handle.cancel()
         # Only the cancellation by `stop` is suppressed, no other one.
-        return self.over and self._task.uncancel() == 0 and kind is asyncio.CancelledError
+        return self.has_expired and self._task.uncancel() == 0 and kind is asyncio.CancelledError
--- a/glenrock/net/connection_reports.py
+++ b/glenrock/net/connection_reports.py
@@ -4,7 +4,7 @@
 
 from glenrock.routing import interface
 
-from .clock import micros
+from .clock import us_from_ms
 from .metrics import ConnectionMetrics, ConnectionOutcome
 from .protocol import RequestLine
 from .routing_actor import RoutingActor
@@ -35,7 +35,7 @@
         return interface.Request(
             id=request_line.request_id,
             service=request_line.class_name,
-            deadline_us=micros(self._deadline_ms),
+            deadline_us=us_from_ms(self._deadline_ms),
             key=request_line.key,
             group=request_line.group,
             tenant=request_line.tenant,
@@ -54,7 +54,7 @@
     def post_established(self, attempt_number: int, server: str, latency_ms: float) -> None:
         """Reports that the connection is established."""
         request_id = self._request_line.request_id
-        self._routing.post(interface.ConnectionEstablished(request_id, attempt_number, server, micros(latency_ms)))
+        self._routing.post(interface.ConnectionEstablished(request_id, attempt_number, server, us_from_ms(latency_ms)))
 
     def post_load(self, server: str, load: float) -> None:
         """Reports the load that the server states for the connection."""
@@ -77,7 +77,7 @@
                 server,
                 outcome,
                 was_established,
-                micros(latency_ms),
+                us_from_ms(latency_ms),
                 report,
             )
         )
--- a/glenrock/net/connection_table.py
+++ b/glenrock/net/connection_table.py
@@ -132,7 +132,7 @@
         if not self._slow_message_ms:
             return
         server = connection.server
-        now_ms = self.clock.now()
+        now_ms = self.clock.now_ms()
         reported_ms = self._delay_reported_ms.get(server)
         if delay_ms > self._slow_message_ms:
             if reported_ms is not None and now_ms - reported_ms < DELAY_REPORT_INTERVAL_MS:
@@ -148,7 +148,7 @@
         while True:
             await self.clock.sleep(SWEEP_INTERVAL_MS)
             self.budget.other_process = self.count_other_descriptors()
-            oldest_ms = self.clock.now() - UNANSWERED_TIMEOUT_MS
+            oldest_ms = self.clock.now_ms() - UNANSWERED_TIMEOUT_MS
             for connection in self.by_id.values():
                 since_ms = connection.unanswered_since_ms
                 if since_ms is not None and since_ms < oldest_ms and not connection.migration:
--- a/glenrock/net/discovery_client.py
+++ b/glenrock/net/discovery_client.py
@@ -11,7 +11,7 @@
 import httptools
 
 from ..config import Address
-from .clock import Clock, Limit
+from .clock import Clock, TimeLimit
 from .socket_io import close_socket, configure_socket
 
 OVERLOAD_STATUSES = (429, 503)
@@ -43,9 +43,9 @@
 
     Attributes:
         body: the bytes of the body so far.
-        is_complete: whether the whole answer has come.
+        is_complete: whether the whole answer has been received.
         keeps_alive: whether the connection stays open.
-        parser: is fed the bytes of the connection.
+        parser: parses the bytes of the connection.
     """
 
     def __init__(self) -> None:
@@ -60,8 +60,8 @@
 
     def on_message_complete(self) -> None:
         """Records the end of the answer."""
-        # The parser forgets this after the callback.
         self.is_complete = True
+        # The parser resets its state after this callback.
         self.keeps_alive = self.parser.should_keep_alive()
 
 
@@ -76,7 +76,7 @@
         self.address = address
         self._clock = clock
         self._sock: socket.socket | None = None
-        self._limit: Limit | None = None  # of the present wait
+        self._limit: TimeLimit | None = None  # of the present wait
 
     async def get(self, path: str, timeout_ms: float) -> Any:
         """Returns the JSON of an answer, whose first bytes are awaited for `timeout_ms`.
@@ -86,7 +86,7 @@
             NoAnswerError: no answer came in time.
             DiscoveryError: the answer is too large, or the connection was closed.
             OSError: discovery cannot be reached.
-            ValueError: the answer is no JSON.
+            ValueError: the answer is not JSON.
         """
         answer = await self._exchange(path, timeout_ms)
         if not answer.keeps_alive:
@@ -104,7 +104,7 @@
         Raises:
             NoAnswerError: the work took longer, or `interrupt` was called.
         """
-        async with self._clock.limit(timeout_ms) as self._limit:
+        async with self._clock.time_limit(timeout_ms) as self._limit:
             try:
                 return await work
             finally:
@@ -137,10 +137,10 @@
         """
         answer = HttpAnswer()
         buffer = bytearray(READ_BYTES)
-        deadline_ms = self._clock.now() + MAX_ANSWER_MS
+        deadline_ms = self._clock.now_ms() + MAX_ANSWER_MS
         await self.run_within(timeout_ms, self._send(path, answer, buffer))
         while not answer.is_complete:
-            left_ms = min(MAX_SILENCE_MS, deadline_ms - self._clock.now())
+            left_ms = min(MAX_SILENCE_MS, deadline_ms - self._clock.now_ms())
             await self.run_within(left_ms, self._read(answer, buffer))
         return answer
 
--- a/glenrock/net/endpoint_rows.py
+++ b/glenrock/net/endpoint_rows.py
@@ -21,7 +21,17 @@
 
 @dataclass
 class EndpointRow:
-    """A server as discovery lists it. `since_ms`: Unix time of its start."""
+    """A server in the endpoint list.
+
+    Attributes:
+        name: the identity of the server, which stays when its address changes or its process restarts.
+        address: where the server accepts connections.
+        state: whether the server is ready, draining or gone.
+        zone: the failure domain of the server; empty if unknown.
+        group: the affinity group of the server.
+        weight: the listed size of the server relative to others.
+        since_ms: the Unix time at which the server's process started; 0 if unknown.
+    """
 
     name: str
     address: Address
@@ -33,12 +43,12 @@
 
     @property
     def status(self) -> str:
-        """The state in discovery's words, as stored files have it."""
+        """Discovery's word for the state, which stored files use too."""
         return STATUS_BY_STATE[self.state]
 
 
 def parse_row(raw: dict[str, Any]) -> EndpointRow:
-    """Returns the row.
+    """Returns the row that a JSON object describes.
 
     Raises:
         KeyError: the row has no name, address or status.
@@ -51,7 +61,7 @@
     name = str(raw["name"])
     status = str(raw["status"])
     if not 0 < len(name) <= MAX_NAME_LENGTH or status not in STATES_BY_STATUS or not address[1]:
-        raise ValueError("no name, state or port that can be used")
+        raise ValueError("invalid name, status or port")
     row = EndpointRow(
         name=name,
         address=address,
@@ -63,5 +73,5 @@
     )
     numbers = (row.weight, row.since_ms)
     if not all(isfinite(number) and number >= 0 for number in numbers):
-        raise ValueError("a number out of range")
+        raise ValueError("a number is negative or not finite")
     return row
--- a/glenrock/net/endpoint_watcher.py
+++ b/glenrock/net/endpoint_watcher.py
@@ -23,8 +23,8 @@
 from .poll_backoff import PollBackoff
 
 NO_LIST_ANSWER_GRACE_MS = 5000.0  # without a list the balancer can only wait
-MIN_POLL_INTERVAL_MS = 50.0  # after an empty answer; the protocol ends a watch without a call within 200 ms
-OLDER_ANSWERS_BELIEVED = 4  # a whole list of an older version is believed at this repetition
+MIN_POLL_INTERVAL_MS = 50.0  # after an empty answer; a watch ends if its next call does not follow within 200 ms
+OLDER_ANSWERS_BELIEVED = 4  # in a row; a whole list of an older version then replaces the present list
 NO_VERSION = -1
 
 logger = get_logger(__name__)
@@ -42,7 +42,7 @@
     """Returns an answer without its unreadable rows; of two rows with one name the later counts.
 
     Raises:
-        KeyError, TypeError, ValueError: it is no answer of discovery.
+        KeyError, TypeError, ValueError: the object is not an answer of discovery.
     """
     rows: dict[str, EndpointRow] = {}
     for item in raw["endpoints"]:
@@ -72,7 +72,7 @@
     Attributes:
         newest_version: the highest version that the present discovery has reported.
         has_answered: set at the first valid answer.
-        backoff: times of calls.
+        backoff: the delays between calls.
     """
 
     def __init__(
@@ -107,7 +107,7 @@
         return self.backoff.must_poll and self.newest_version < 0 and not self.has_answered.is_set()
 
     def use_cached_list(self, known: dict[str, Any]) -> None:
-        """Uses the list of an earlier run. It may be old, so discovery is polled in any case."""
+        """Uses the list of an earlier run until discovery answers. An unusable list is logged and ignored."""
         try:
             answer = parse_answer(known)
         except (KeyError, TypeError, ValueError) as error:
@@ -166,7 +166,7 @@
         await self._sleep(delay_ms)
 
     async def _sleep(self, delay_ms: float) -> None:
-        """Waits, until discovery's address changes at most."""
+        """Waits for that time, or until discovery's address changes."""
         with contextlib.suppress(OSError):
             await self._client.run_within(delay_ms, self._clock.sleep(2 * delay_ms))
 
@@ -174,7 +174,7 @@
         version = self._watch_version
         watch_ms = self.backoff.watch_timeout_ms if version is not None else 0
         query = f"?index={version}&wait={watch_ms:.0f}" if version is not None else ""
-        started_ms = self._clock.now()
+        started_ms = self._clock.now_ms()
         grace_ms = NO_LIST_ANSWER_GRACE_MS if self.has_no_list else self.backoff.answer_grace_ms
         try:
             raw = await self._client.get(f"/discovery/hosts{query}", watch_ms + grace_ms)
@@ -184,7 +184,7 @@
         answer = parse_answer(raw)
         self._check(answer)
         self._watch_version = answer.version
-        if not answer.rows and self._clock.now() - started_ms < MIN_POLL_INTERVAL_MS:
+        if not answer.rows and self._clock.now_ms() - started_ms < MIN_POLL_INTERVAL_MS:
             # A discovery that answers a watch at once would make the loop spin.
             await self._client.run_within(2 * MIN_POLL_INTERVAL_MS, self._clock.sleep(MIN_POLL_INTERVAL_MS))
         if answer.rows or answer.is_full:
--- a/glenrock/net/established_relay.py
+++ b/glenrock/net/established_relay.py
@@ -81,7 +81,7 @@
         self.has_ended = False
         self.is_offered = False
         self.last_word = ""
-        self.arrived_ms = self.clock.now()
+        self.arrived_ms = self.clock.now_ms()
         self.deadline_ms = self.arrived_ms + request_line.wait_ms
         self.reports = ConnectionReports(owner.routing, owner.metrics, request_line, self.deadline_ms)
         self._owner = owner
@@ -90,11 +90,11 @@
 
     def on_lines(self, lines: list[bytes]) -> None:
         """Reports loads to routing. Each other line answers the client's lines."""
-        now_ms = self.clock.now()
+        now_ms = self.clock.now_ms()
         for line in lines:
-            self.last_word, rest = protocol.split_word(line)
+            self.last_word, rest = protocol.split_first_word(line)
             if self.last_word == ServerWord.LOAD:
-                load = protocol.finite_number(rest)
+                load = protocol.parse_finite_number(rest)
                 if load is not None and load >= 0:
                     self.reports.post_load(self.server, load)
             elif self.unanswered_since_ms is not None and self.established.is_set():
@@ -105,7 +105,7 @@
     async def relay(self) -> None:
         """Handles messages until the relay ends, or belongs to the successor."""
         while True:
-            message = await self.mailbox.next()
+            message = await self.mailbox.get()
             if isinstance(message, HandOverRelay):
                 if await self.hand_over(message.hand_over):
                     return
@@ -143,7 +143,7 @@
         self.migration = outcome
         if self.may_migrate():
             return True
-        self.clock.call_at(self.clock.now() + MIGRATION_TIMEOUT_MS, self.mailbox.deliver, RelayEnd.OVERDUE)
+        self.clock.call_at(self.clock.now_ms() + MIGRATION_TIMEOUT_MS, self.mailbox.deliver, RelayEnd.OVERDUE)
         return False
 
     def may_hand_over(self) -> bool:
@@ -216,7 +216,7 @@
         with contextlib.suppress(OSError):
             if self.server_sock:
                 self.server_sock.shutdown(socket.SHUT_WR)
-            async with self.clock.limit(LINGER_TIMEOUT_MS):
+            async with self.clock.time_limit(LINGER_TIMEOUT_MS):
                 await self._await_end(SERVER_ENDS)
 
     def _report_relay_end(self, outcome: AttemptOutcome) -> None:
@@ -237,12 +237,12 @@
         is_rejection = protocol.is_rejection(line)
         self.reports.count(ConnectionOutcome.THROTTLED if is_rejection else ConnectionOutcome.FAULTED)
         with contextlib.suppress(OSError):
-            async with self.clock.limit(LINGER_TIMEOUT_MS):
+            async with self.clock.time_limit(LINGER_TIMEOUT_MS):
                 await loop.sock_sendall(self.sock, line)
                 self.sock.shutdown(socket.SHUT_WR)
                 await self._await_end(CLIENT_ENDS)
 
     async def _await_end(self, ends: tuple[RelayEnd, ...]) -> None:
         """Waits for one of these ends, and discards other messages."""
-        while await self.mailbox.next() not in ends:
+        while await self.mailbox.get() not in ends:
             pass
--- a/glenrock/net/graceful_shutdown.py
+++ b/glenrock/net/graceful_shutdown.py
@@ -117,13 +117,13 @@
 
     async def _drain(self) -> None:
         """Migrates clients evenly over the drain, and those that connect later at once, until it is cancelled."""
-        started_ms = self._clock.now()
+        started_ms = self._clock.now_ms()
         end_ms = started_ms + MANUAL_DRAIN_MS
         await self._clock.sleep(FRONT_END_NOTICE_MS)
         while True:
             if not self._acceptor.drain_permit_is_valid():
                 return
-            now_ms = self._clock.now()
+            now_ms = self._clock.now_ms()
             self._acceptor.rejects_requests = now_ms >= started_ms + MANUAL_REJECT_AFTER_MS
             self._migrate_step(end_ms - now_ms)
             if now_ms >= end_ms:
@@ -169,14 +169,14 @@
             await self._hand_over(successor, end_ms - HAND_OVER_MARGIN_MS)
         elif routing.balancer.settings.balancers == 1:
             # No other balancer can serve the clients, so they stay here as long as possible.
-            await self._clock.sleep(max(0.0, end_ms - LONE_BALANCER_MIGRATION_MS - self._clock.now()))
+            await self._clock.sleep(max(0.0, end_ms - LONE_BALANCER_MIGRATION_MS - self._clock.now_ms()))
         await self._migrate_all(end_ms, has_inherited_listener)
         self._acceptor.close_idle()
         for connection in list(self._table.by_id.values()):
             connection.mailbox.deliver(AnswerNow(self._table.retry_after_ms))
         # Idle connections, and requests that have just arrived, get their answer before the process ends.
         last_answer_ms = end_ms + LAST_ANSWERS_MS
-        while self._clock.now() < last_answer_ms and (
+        while self._clock.now_ms() < last_answer_ms and (
             self._table.by_id or self._acceptor.tasks or not has_inherited_listener
         ):
             await self._clock.sleep(STEP_MS)
@@ -185,7 +185,7 @@
         classes = self._table.routing.balancer.settings.classes
         longest_deadline_us = max(request_class.deadline_us for request_class in classes)
         longest_ms = min(MAX_DEADLINE_MS, longest_deadline_us / 1000)
-        return self._clock.now() + longest_ms + SIGKILL_AFTER_DEADLINE_MS - SHUTDOWN_MARGIN_MS
+        return self._clock.now_ms() + longest_ms + SIGKILL_AFTER_DEADLINE_MS - SHUTDOWN_MARGIN_MS
 
     def _has_clients(self) -> bool:
         """Returns whether a client is connected that may have sent a request."""
@@ -193,13 +193,13 @@
 
     async def _migrate_all(self, end_ms: float, has_inherited_listener: bool) -> None:
         """Migrates clients until the end, since clients can connect as long as the listening socket is open."""
-        while (now_ms := self._clock.now()) < end_ms and (self._has_clients() or not has_inherited_listener):
+        while (now_ms := self._clock.now_ms()) < end_ms and (self._has_clients() or not has_inherited_listener):
             self._migrate_step(end_ms - MIGRATED_BEFORE_END_MS - now_ms)
             await self._clock.sleep(STEP_MS)
 
     async def _hand_over(self, successor: Successor, end_ms: float) -> None:
         """Hands relays over, those that are established meanwhile too."""
-        while successor.is_connected and self._clock.now() < end_ms and self._has_clients():
+        while successor.is_connected and self._clock.now_ms() < end_ms and self._has_clients():
             ready = [
                 connection
                 for connection in self._table.by_id.values()
--- a/glenrock/net/health_probe.py
+++ b/glenrock/net/health_check_connection.py
@@ -1,4 +1,4 @@
-"""Health checks of one server, on a connection that is kept between checks."""
+"""Health checks of one server, on a connection that stays open between checks."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from glenrock.routing import interface
 
 from . import protocol
-from .clock import Clock, micros
+from .clock import Clock, us_from_ms
 from .endpoint_rows import EndpointRow
-from .health_connections import HealthConnections
+from .health_check_pool import HealthCheckPool
 from .protocol import ServerWord
 from .socket_io import close_socket, configure_socket
-from .system_errors import is_local
+from .system_errors import is_local_error
 
 HEALTH_CHECK_TIMEOUT_MS = 250.0  # for the answer to a health check
 UNUSED_TIMEOUT_MS = 8000.0  # an unused connection is closed after this time
@@ -34,10 +34,10 @@
 NOT_SENT = HealthAnswer(interface.AttemptOutcome.UNSENT, {})  # because of this machine: says nothing about the server
 
 
-class HealthProbe:
+class HealthCheckConnection:
     """Owns the connection for health checks of one server."""
 
-    def __init__(self, clock: Clock, post: Callable[[interface.Event], bool], pool: HealthConnections) -> None:
+    def __init__(self, clock: Clock, post: Callable[[interface.Event], bool], pool: HealthCheckPool) -> None:
         self._clock = clock
         self._post = post
         self._pool = pool
@@ -46,23 +46,23 @@
         self._used_ms = 0.0
 
     async def check(self, row: EndpointRow) -> None:
-        """Sends a health check, and posts its result; UNSENT if the pool has no connection for it."""
-        sent_ms = self._clock.now()
+        """Sends a health check and posts its result, which is UNSENT if all connections of the pool are in use."""
+        sent_ms = self._clock.now_ms()
         answer = NO_ANSWER
         if not self._pool.acquire(self):
             self._post(interface.HealthCheckResult(row.name, interface.AttemptOutcome.UNSENT))
             return
         try:
-            async with self._clock.limit(HEALTH_CHECK_TIMEOUT_MS):
+            async with self._clock.time_limit(HEALTH_CHECK_TIMEOUT_MS):
                 answer = await self._ask(row)
         except OSError as error:
-            answer = NOT_SENT if is_local(error) and not self._is_connected else NO_CONNECTION
+            answer = NOT_SENT if is_local_error(error) and not self._is_connected else NO_CONNECTION
         finally:
             if answer.outcome is not interface.AttemptOutcome.SERVED:
                 self.disconnect()
             self._pool.release(self)
-        self._used_ms = self._clock.now()
-        latency_us = micros(self._used_ms - sent_ms)
+        self._used_ms = self._clock.now_ms()
+        latency_us = us_from_ms(self._used_ms - sent_ms)
         self._post(interface.HealthCheckResult(row.name, answer.outcome, latency_us, answer.report))
 
     async def _ask(self, row: EndpointRow) -> HealthAnswer:
@@ -92,12 +92,12 @@
             if not count:
                 return NO_CONNECTION
             for line in splitter.feed(bytes(buffer[:count])):
-                word, rest = protocol.split_word(line)
+                word, rest = protocol.split_first_word(line)
                 if word != ServerWord.HEALTHY and "=" not in word:
                     return HealthAnswer(interface.AttemptOutcome.ERROR, {})
                 text = rest if word == ServerWord.HEALTHY else word
                 if "=" in text:
-                    return HealthAnswer(interface.AttemptOutcome.SERVED, protocol.report_of(text))
+                    return HealthAnswer(interface.AttemptOutcome.SERVED, protocol.parse_load_report(text))
 
     def disconnect(self) -> None:
         """Closes the connection."""
@@ -113,5 +113,5 @@
 
     def close_if_unused(self) -> None:
         """Closes a connection that has been unused for a while. No health check may be in flight."""
-        if self._sock and self._clock.now() - self._used_ms > UNUSED_TIMEOUT_MS:
+        if self._sock and self._clock.now_ms() - self._used_ms > UNUSED_TIMEOUT_MS:
             self.disconnect()
--- a/glenrock/net/health_connections.py
+++ b/glenrock/net/health_check_pool.py
@@ -14,12 +14,16 @@
         ...
 
 
-class HealthConnections:
-    """The connections in the pool, the least recently used first. `limit`: returns the size of the pool."""
+class HealthCheckPool:
+    """Bounds the open connections for health checks.
+
+    Args:
+        limit: returns the number of connections that may be open.
+    """
 
     def __init__(self, limit: Callable[[], int]) -> None:
         self._limit = limit
-        self._is_busy: dict[PooledConnection, bool] = {}
+        self._is_busy: dict[PooledConnection, bool] = {}  # the least recently used first
 
     def __len__(self) -> int:
         """Returns the number of connections that are open, or about to be."""
--- a/glenrock/net/idle_connections.py
+++ b/glenrock/net/idle_connections.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from ..log import get_logger
-from .clock import Limit
+from .clock import TimeLimit
 
 ConnectionTask = asyncio.Task[None]
 
@@ -25,7 +25,7 @@
         self.answered: dict[ConnectionTask, None] = {}
         self._rejected: dict[ConnectionTask, None] = {}  # of those answered: the client's end is awaited
         self._shed: set[ConnectionTask] = set()  # rejected next, unless a request has already arrived
-        self._read_limits: dict[ConnectionTask, Limit] = {}
+        self._read_limits: dict[ConnectionTask, TimeLimit] = {}
 
     def __len__(self) -> int:
         """Returns the number of connections that are not being shed."""
@@ -60,7 +60,7 @@
         """Returns whether the connection is to be closed to free its descriptor."""
         return task in self._shed
 
-    def start_reading(self, task: ConnectionTask, limit: Limit) -> None:
+    def start_reading(self, task: ConnectionTask, limit: TimeLimit) -> None:
         """Records that the connection waits for a line within that limit."""
         self._read_limits[task] = limit
 
--- a/glenrock/net/line_gate.py
+++ b/glenrock/net/line_gate.py
@@ -1,4 +1,4 @@
-"""Passes whole lines only from a server to its client. No I/O."""
+"""Forwards only whole lines from a server to its client. No I/O."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from .protocol import LineSplitter
 
 
-class Passed(NamedTuple):
+class ForwardedLines(NamedTuple):
     """Bytes that may be sent to the client now, and the lines that ended in the bytes fed."""
 
     data: bytes
@@ -29,8 +29,8 @@
         self.splitter = LineSplitter()
         self.is_within_line = False
 
-    def feed(self, chunk: bytes) -> Passed:
-        """Returns whole lines; of an overlong line all bytes."""
+    def feed(self, chunk: bytes) -> ForwardedLines:
+        """Returns the bytes that end a line, and all bytes of an overlong line; keeps the others."""
         data = self.pending() + chunk
         lines = self.splitter.feed(chunk)
         end = data.rfind(b"\n") + 1
@@ -38,20 +38,20 @@
             end = len(data)
         if end:
             self.is_within_line = data[end - 1 : end] != b"\n"
-        return Passed(data[:end], lines)
+        return ForwardedLines(data[:end], lines)
 
     def pending(self) -> bytes:
         """Returns the part of a line that is held back."""
-        return b"" if self.is_within_line else self.splitter.part
+        return b"" if self.is_within_line else self.splitter.partial_line
 
     def release(self) -> bytes:
-        """Returns the part that is held back, as its server has closed the connection within a line."""
+        """Returns the part that is held back, for a server that has closed the connection within a line."""
         data = self.pending()
         self.is_within_line = True
         return data
 
     def restore(self, part: bytes, is_overlong: bool) -> None:
         """Sets the state of a relay that is taken over. Such a relay holds no part of a line back."""
-        self.splitter.part = part
+        self.splitter.partial_line = part
         self.splitter.is_overlong = is_overlong
         self.is_within_line = not self.splitter.is_between_lines
--- a/glenrock/net/listening_socket.py
+++ b/glenrock/net/listening_socket.py
@@ -98,14 +98,14 @@
     def _pause(self, listener: socket.socket, error: OSError) -> None:
         """Pauses accepting: the listening socket stays readable, and the loop would spin."""
         logger.warning("accepting paused after a resource error", error=error, pause_ms=ACCEPT_PAUSE_MS)
-        now_ms = self._clock.now()
+        now_ms = self._clock.now_ms()
         if is_shortage(error):
             if self._shortage_since_ms is None:
                 self._shortage_since_ms = now_ms
             if now_ms - self._shortage_since_ms >= SHORTAGE_MS:
                 self._on_shortage()
         asyncio.get_running_loop().remove_reader(listener)
-        self._clock.call_at(self._clock.now() + ACCEPT_PAUSE_MS, self._resume)
+        self._clock.call_at(self._clock.now_ms() + ACCEPT_PAUSE_MS, self._resume)
 
     def _resume(self) -> None:
         if self.sock:
--- a/glenrock/net/mailbox.py
+++ b/glenrock/net/mailbox.py
@@ -45,18 +45,18 @@
             self._waiter = asyncio.get_running_loop().create_future()
             await self._waiter
 
-    async def take(self) -> list[Message]:
+    async def get_all(self) -> list[Message]:
         """Returns all messages, once there is a message or `wake` was called."""
         await self._wait()
         messages = list(self.messages)
         self.messages.clear()
         return messages
 
-    async def next(self) -> Message:
+    async def get(self) -> Message:
         """Returns the oldest message.
 
-        For an actor that reads messages in several places: with `take` it would lose those that it has not handled when
-        it leaves the first place.
+        For an actor that reads messages in several places: with `get_all`, messages that the first place has not
+        handled would be lost for the next one.
         """
         while not self.messages:
             await self._wait()
--- a/glenrock/net/peers.py
+++ b/glenrock/net/peers.py
@@ -29,7 +29,7 @@
         sock: the bound socket.
         addresses: where summaries are sent.
         number_by_address: the numbers of balancers by their addresses.
-        on_datagram: takes all datagrams of peers; None without coordination.
+        on_datagram: called with each datagram and its sender's number; None without coordination.
     """
 
     def __init__(
@@ -103,7 +103,7 @@
                 self._post(interface.GossipReceived(peer, data))
 
     def send_to(self, peer: int, data: bytes) -> None:
-        """Sends a message of the coordination. Losses are not logged, since its senders repeat messages."""
+        """Sends a message of the coordination. Errors are ignored, since the sender repeats its messages."""
         if address := self._address_by_number.get(peer):
             with contextlib.suppress(OSError):
                 self.sock.sendto(data, address)
--- a/glenrock/net/protocol.py
+++ b/glenrock/net/protocol.py
@@ -182,7 +182,7 @@
     return line.startswith(REJECTED_PREFIX)
 
 
-def finite_number(text: str) -> float | None:
+def parse_finite_number(text: str) -> float | None:
     """Returns the number; None if the text is no finite number."""
     try:
         value = float(text)
@@ -191,18 +191,18 @@
     return value if isfinite(value) else None
 
 
-def split_word(line: bytes) -> tuple[str, str]:
+def split_first_word(line: bytes) -> tuple[str, str]:
     """Returns the first word and the rest; bytes that are not ASCII become replacement characters."""
     word, _, rest = line.rstrip(b"\r\n").decode("ascii", "replace").partition(" ")
     return word, rest
 
 
-def report_of(text: str) -> dict[str, float]:
+def parse_load_report(text: str) -> dict[str, float]:
     """Returns a load report under the names of the routing interface, without unreadable fields."""
     report: dict[str, float] = {}
     for part in text.strip().split(","):
         name, equals, value_text = part.partition("=")
-        value = finite_number(value_text)
+        value = parse_finite_number(value_text)
         if equals and value is not None:
             report[report_field(name)] = value
     return report
@@ -212,31 +212,31 @@
     """Splits a stream into lines. Memory is bounded: the bytes of an overlong line are dropped.
 
     Attributes:
-        part: the bytes of the line that has not ended yet.
+        partial_line: the bytes of the line that has not ended yet.
         is_overlong: whether that line is too long.
     """
 
     def __init__(self) -> None:
-        self.part = b""
+        self.partial_line = b""
         self.is_overlong = False
 
     @property
     def is_between_lines(self) -> bool:
         """Whether the stream is at the end of a line."""
-        return not self.part and not self.is_overlong
+        return not self.partial_line and not self.is_overlong
 
     def feed(self, chunk: bytes) -> list[bytes]:
         """Returns the lines that end in this chunk, with their line ends."""
         *ended, rest = chunk.split(b"\n")
         lines = []
         for piece in ended:
-            line = self.part + piece
+            line = self.partial_line + piece
             if not self.is_overlong and len(line) < MAX_LINE_BYTES:
                 lines.append(line + b"\n")
-            self.part = b""
+            self.partial_line = b""
             self.is_overlong = False
-        self.part += rest
-        if len(self.part) >= MAX_LINE_BYTES:
-            self.part = b""
+        self.partial_line += rest
+        if len(self.partial_line) >= MAX_LINE_BYTES:
+            self.partial_line = b""
             self.is_overlong = True
         return lines
--- a/glenrock/net/relay_pumps.py
+++ b/glenrock/net/relay_pumps.py
@@ -108,7 +108,7 @@
             if server_sock is None:  # closed: only the client's end counts
                 continue
             if self.unanswered_since_ms is None and b"\n" in buffer[:count]:
-                self.unanswered_since_ms = self.clock.now()
+                self.unanswered_since_ms = self.clock.now_ms()
             try:
                 await loop.sock_sendall(server_sock, memoryview(buffer)[:count])
             except OSError:
--- a/glenrock/net/routing_actor.py
+++ b/glenrock/net/routing_actor.py
@@ -15,7 +15,7 @@
 from glenrock.routing.event_batch import ROUND_US
 
 from ..log import get_logger
-from .clock import Clock, micros, millis
+from .clock import Clock, ms_from_us, us_from_ms
 from .mailbox import Mailbox
 
 MAX_EVENTS = 65536  # in the mailbox; with more, new requests are rejected
@@ -115,16 +115,16 @@
     async def _next_batch(self) -> list[interface.Event]:
         wake_up = None
         if self._timers:
-            at_ms = millis(self._timers[0][0]) + TIMER_MARGIN_MS
+            at_ms = ms_from_us(self._timers[0][0]) + TIMER_MARGIN_MS
             wake_up = self._clock.call_at(at_ms, self.mailbox.wake)
-        batch = [] if self._first_events or self._batch_waiters else await self.mailbox.take()
+        batch = [] if self._first_events or self._batch_waiters else await self.mailbox.get_all()
         if wake_up:
             wake_up.cancel()
         return batch
 
     def handle_batch(self, batch: list[interface.Event]) -> None:
         """Passes a batch and the timers that are due to routing, and carries out the actions."""
-        now_us = self._last_us = max(self._last_us, micros(self._clock.now()))
+        now_us = self._last_us = max(self._last_us, us_from_ms(self._clock.now_ms()))
         while self._timers and self._timers[0][0] <= now_us:
             batch.append(interface.TimerFired(heapq.heappop(self._timers)[1]))
         try:
@@ -171,11 +171,11 @@
 def _act_on(connection: RoutedConnection, action: ConnectionAction) -> None:
     match action:
         case interface.StartAttempt(_, server, timeout_us):
-            connection.start_attempt(server, millis(timeout_us))
+            connection.start_attempt(server, ms_from_us(timeout_us))
         case interface.CancelAttempt(_, attempt):
             connection.cancel_attempt(attempt)
         case interface.Reject(_, retry_after_us):
-            connection.reject(millis(retry_after_us))
+            connection.reject(ms_from_us(retry_after_us))
         case interface.Fail():
             connection.fail()
         case interface.Migrate():
--- a/glenrock/net/server_actor.py
+++ b/glenrock/net/server_actor.py
@@ -15,13 +15,13 @@
 from .clock import Clock
 from .connection_attempt import ConnectionAttempt
 from .endpoint_rows import EndpointRow
-from .health_connections import HealthConnections
-from .health_probe import HealthProbe
+from .health_check_connection import HealthCheckConnection
+from .health_check_pool import HealthCheckPool
 from .mailbox import Mailbox
 from .metrics import ConnectionMetrics
 from .protocol import ServerWord
 from .socket_io import close_socket, configure_socket
-from .system_errors import is_local
+from .system_errors import is_local_error
 
 MAX_MESSAGES = 1024  # health checks and attempts that wait for one actor
 LOCAL_RETRY_MS = 20.0  # after this machine could not begin a connection
@@ -62,7 +62,7 @@
         connect_timeout_ms: float,
         post: Post,
         metrics: ConnectionMetrics,
-        pool: HealthConnections,
+        pool: HealthCheckPool,
     ) -> None:
         self.row = row
         self.connect_timeout_ms = connect_timeout_ms
@@ -73,7 +73,7 @@
         self.tasks: set[asyncio.Task[None]] = set()
         self._clock = clock
         self._metrics = metrics
-        self._probe = HealthProbe(clock, lambda event: self.post(event), pool)
+        self._health_check_connection = HealthCheckConnection(clock, lambda event: self.post(event), pool)
         self._actor = asyncio.get_running_loop().create_task(self._run())
 
     @property
@@ -84,7 +84,7 @@
     @property
     def is_idle(self) -> bool:
         """Whether the actor has no work and no connection, so that it can be retired."""
-        return not (self.tasks or self.mailbox.messages or self._probe.is_open)
+        return not (self.tasks or self.mailbox.messages or self._health_check_connection.is_open)
 
     @property
     def _checks_health(self) -> bool:
@@ -100,21 +100,21 @@
         """Replaces the server's row."""
         has_restarted = row.since_ms != self.row.since_ms or row.address != self.row.address
         if has_restarted and not self._checks_health:
-            self._probe.disconnect()  # the connection belongs to the earlier process
+            self._health_check_connection.disconnect()  # the connection belongs to the earlier process
         self.row = row
 
     def close_unused_connection(self) -> None:
         """Closes the connection for health checks if it has been unused for a while."""
         if not self._checks_health:
-            self._probe.close_if_unused()
+            self._health_check_connection.close_if_unused()
 
     async def _run(self) -> None:
         while True:
-            for job in await self.mailbox.take():
+            for job in await self.mailbox.get_all():
                 if isinstance(job, ConnectionAttempt):
                     job.task = self._start(self._run_attempt(job))
                 elif not self._checks_health:
-                    self.health_check_task = self._start(self._probe.check(self.row))
+                    self.health_check_task = self._start(self._health_check_connection.check(self.row))
 
     def _start(self, work: Coroutine[None, None, None]) -> asyncio.Task[None]:
         task = asyncio.get_running_loop().create_task(work)
@@ -125,7 +125,7 @@
     # -- attempts --------------------------------------------------------------------------------------
 
     async def _run_attempt(self, attempt: ConnectionAttempt) -> None:
-        attempt.started_ms = self._clock.now()
+        attempt.started_ms = self._clock.now_ms()
         try:
             result = await self.attempt(attempt)
         except asyncio.CancelledError:
@@ -139,11 +139,11 @@
             # Closed before routing learns of the end, so that two attempts are never in flight.
             close_socket(attempt.sock)
             attempt.sock = None
-        attempt.latency_ms = self._clock.now() - attempt.started_ms
+        attempt.latency_ms = self._clock.now_ms() - attempt.started_ms
         attempt.on_result(attempt, result)
 
     def _left_ms(self, attempt: ConnectionAttempt) -> float:
-        return attempt.started_ms + attempt.timeout_ms - self._clock.now()
+        return attempt.started_ms + attempt.timeout_ms - self._clock.now_ms()
 
     async def attempt(self, attempt: ConnectionAttempt) -> AttemptResult:
         """Connects, writes the request line and awaits the answer.
@@ -158,7 +158,7 @@
         try:
             sock = await self._connect(attempt)
         except OSError as error:
-            if not is_local(error):
+            if not is_local_error(error):
                 raise
             logger.warning(
                 "attempt could not start on this machine",
@@ -188,26 +188,26 @@
         Raises:
             OSError: the connect failed, or this machine could not begin it within the connect timeout.
         """
-        deadline_ms = self._clock.now() + min(self.connect_timeout_ms, self._left_ms(attempt))
+        deadline_ms = self._clock.now_ms() + min(self.connect_timeout_ms, self._left_ms(attempt))
         while True:
             try:
                 sock = attempt.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
                 configure_socket(sock)
-                async with self._clock.limit(deadline_ms - self._clock.now()) as limit:
+                async with self._clock.time_limit(deadline_ms - self._clock.now_ms()) as limit:
                     await asyncio.get_running_loop().sock_connect(sock, self.row.address)
             except OSError as error:
-                if not is_local(error) or self._clock.now() + LOCAL_RETRY_MS >= deadline_ms:
+                if not is_local_error(error) or self._clock.now_ms() + LOCAL_RETRY_MS >= deadline_ms:
                     raise
                 if attempt.sock:
                     attempt.sock.close()
                     attempt.sock = None
             else:
-                return None if limit.over else sock
+                return None if limit.has_expired else sock
             await self._clock.sleep(LOCAL_RETRY_MS)
 
     async def _send_request(self, attempt: ConnectionAttempt, sock: socket.socket) -> AttemptResult:
         loop = asyncio.get_running_loop()
-        async with self._clock.limit(self._left_ms(attempt)):
+        async with self._clock.time_limit(self._left_ms(attempt)):
             attempt.reach = Reach.PARTLY_WRITTEN
             await loop.sock_sendall(sock, protocol.with_time_left(attempt.line, self._left_ms(attempt)))
             attempt.reach = Reach.WRITTEN
@@ -229,11 +229,11 @@
             lines = splitter.feed(bytes(buffer[:count]))
             if splitter.is_overlong:
                 return AttemptResult(AttemptEnd.ERROR, attempt.reach)
-        word, rest = protocol.split_word(lines[0])
+        word, rest = protocol.split_first_word(lines[0])
         if word == ServerWord.ESTABLISHED:
             attempt.reach = Reach.ESTABLISHED
             return AttemptResult(AttemptEnd.ESTABLISHED, attempt.reach)
         if word == ServerWord.MALFORMED:
             logger.error("server rejected the form of a request line", server=self.row.name, line=attempt.line)
         end = ENDS_BY_WORD.get(word, AttemptEnd.ERROR)
-        return AttemptResult(end, attempt.reach, protocol.report_of(rest))
+        return AttemptResult(end, attempt.reach, protocol.parse_load_report(rest))
--- a/glenrock/net/server_connections.py
+++ b/glenrock/net/server_connections.py
@@ -8,10 +8,10 @@
 from glenrock.routing.interface import EndpointListKind, EndpointState
 
 from ..log import get_logger
-from .clock import Clock, micros
+from .clock import Clock, us_from_ms
 from .descriptor_budget import DescriptorBudget
 from .endpoint_rows import EndpointRow
-from .health_connections import HealthConnections
+from .health_check_pool import HealthCheckPool
 from .metrics import ConnectionMetrics
 from .server_actor import Post, ServerActor, ServerJob
 from .start_times import StartTimes
@@ -56,9 +56,9 @@
         self._metrics = metrics
         self._budget = budget
         self._start_times = start_times
-        self._pool = HealthConnections(lambda: budget.health_connections)
+        self._pool = HealthCheckPool(lambda: budget.health_connections)
         self._idle_names: set[str] = set()  # servers whose actors were idle at the last check
-        self._idle_checked_ms = clock.now()
+        self._idle_checked_ms = clock.now_ms()
 
     def set_suspended(self, name: str, is_suspended: bool) -> None:
         """Takes a server out of rotation, for attempts that wait too, or back into rotation."""
@@ -151,9 +151,9 @@
         """Closes unused connections for health checks, and retires actors without work."""
         for actor in self.actors.values():
             actor.close_unused_connection()
-        if self._clock.now() - self._idle_checked_ms < RETIRE_AFTER_MS:
+        if self._clock.now_ms() - self._idle_checked_ms < RETIRE_AFTER_MS:
             return
-        self._idle_checked_ms = self._clock.now()
+        self._idle_checked_ms = self._clock.now_ms()
         idle_names = {name for name, actor in self.actors.items() if actor.is_idle}
         for name in idle_names & self._idle_names:
             self._retire(name)
@@ -165,4 +165,4 @@
 
 
 def _endpoint_of(row: EndpointRow, started_ms: float) -> interface.Endpoint:
-    return interface.Endpoint(row.name, row.state, row.zone, row.group, row.weight, micros(started_ms))
+    return interface.Endpoint(row.name, row.state, row.zone, row.group, row.weight, us_from_ms(started_ms))
--- a/glenrock/net/socket_io.py
+++ b/glenrock/net/socket_io.py
@@ -41,7 +41,7 @@
     sock.close()
 
 
-async def readable(loop: asyncio.AbstractEventLoop, sock: socket.socket) -> None:
+async def wait_readable(loop: asyncio.AbstractEventLoop, sock: socket.socket) -> None:
     """Waits until the socket has bytes or an end."""
     ready = loop.create_future()
     loop.add_reader(sock, _wake, ready)
@@ -59,10 +59,10 @@
 async def recv_into(loop: asyncio.AbstractEventLoop, sock: socket.socket, buffer: bytearray) -> int:
     """Returns the number of bytes read, 0 at the end. A cancellation loses no bytes.
 
-    The wait before each read gives other tasks their turn, whatever one client sends.
+    The wait before each read lets other tasks run, however much one peer sends.
     """
     while True:
-        await readable(loop, sock)
+        await wait_readable(loop, sock)
         try:
             return sock.recv_into(buffer)
         except (BlockingIOError, InterruptedError):
--- a/glenrock/net/start_times.py
+++ b/glenrock/net/start_times.py
@@ -21,7 +21,7 @@
 from .clock import Clock
 from .endpoint_rows import EndpointRow
 
-REPORT_DELAY_MS = 3000.0  # of discovery, for a new start
+REPORT_DELAY_MS = 3000.0  # from a server's start until discovery reports it
 LONG_AGO = 0.0
 
 
@@ -54,8 +54,8 @@
         self._answered_ms: float | None = None
 
     def record_answer(self) -> None:
-        """Records that discovery has answered: later reports are new."""
-        self._answered_ms = self._clock.now()
+        """Records that discovery has answered, so that starts first reported from now on are recent."""
+        self._answered_ms = self._clock.now_ms()
 
     def forget(self, name: str) -> None:
         """Removes a server that is no longer listed."""
@@ -63,7 +63,7 @@
 
     def started_ms(self, rows: Sequence[EndpointRow]) -> list[float]:
         """Returns the start of each server in milliseconds of this process's clock; 0 for a start long ago."""
-        now_ms = self._clock.now()
+        now_ms = self._clock.now_ms()
         fresh = [row for row in rows if row.since_ms and not self._is_known(row)]
         if self._answered_ms is None:
             ages_ms = self._ages_in_first_list(rows, fresh)
@@ -79,12 +79,12 @@
 
     def _age(self, since_ms: float, least_now_ms: float = 0.0) -> float:
         """Returns the lesser age by this process's clock and by the wall clock."""
-        readings = (self._clock.now(), self._wall_ms())
+        readings = (self._clock.now_ms(), self._wall_ms())
         return min(max(0.0, max(reading, least_now_ms) - since_ms) for reading in readings)
 
     def _age_of_new_report(self, row: EndpointRow) -> float:
-        assert self._answered_ms is not None, "there was an answer before"
-        max_age_ms = self._clock.now() - self._answered_ms + REPORT_DELAY_MS
+        assert self._answered_ms is not None, "discovery has answered"
+        max_age_ms = self._clock.now_ms() - self._answered_ms + REPORT_DELAY_MS
         return min(self._age(row.since_ms), max_age_ms)
 
     def _ages_in_first_list(self, rows: Sequence[EndpointRow], fresh: Sequence[EndpointRow]) -> list[float]:
--- a/glenrock/net/system_errors.py
+++ b/glenrock/net/system_errors.py
@@ -63,6 +63,6 @@
     return error.errno in GONE_BEFORE_ACCEPT
 
 
-def is_local(error: OSError) -> bool:
+def is_local_error(error: OSError) -> bool:
     """Returns whether a connect failed because of this machine."""
     return error.errno in LOCAL
--- a/glenrock/program.py
+++ b/glenrock/program.py
@@ -257,7 +257,7 @@
         self.run_task(self.routing.run())
         self.run_task(self.endpoints.run())
         # An accepted client may send PING, and PONG says that this balancer can serve.
-        async with self.clock.limit(FIRST_LIST_TIMEOUT_MS):
+        async with self.clock.time_limit(FIRST_LIST_TIMEOUT_MS):
             await self.endpoints.has_answered.wait()
         self._accept_clients()
         host, port = self.config.listen
--- a/glenrock/upgrade/override_sync.py
+++ b/glenrock/upgrade/override_sync.py
@@ -8,7 +8,7 @@
 from glenrock.routing import interface
 
 from ..log import get_logger
-from ..net.clock import Clock, micros
+from ..net.clock import Clock, us_from_ms
 from ..net.routing_actor import RoutingActor
 from ..net.server_connections import ServerRegistry
 from ..operation_errors import OperationRejectedError
@@ -110,7 +110,7 @@
             return
         async with self._change_lock:
             listed_servers = list(self._servers.rows)
-            oldest_ms = self._clock.now() - RESUMED_RETENTION_MS
+            oldest_ms = self._clock.now_ms() - RESUMED_RETENTION_MS
             exchange = await asyncio.to_thread(
                 override_file.exchange, self.folder, change, self.overrides, listed_servers, oldest_ms
             )
@@ -133,7 +133,7 @@
                 shared.resumed_at_ms.pop(server_id, None)
             elif not is_suspended and server_id in shared.suspended:
                 shared.suspended.discard(server_id)
-                shared.resumed_at_ms[server_id] = self._clock.now()
+                shared.resumed_at_ms[server_id] = self._clock.now_ms()
 
         was_suspended = await self._change_with_retries(server_id, change)
         if is_suspended and server_id not in self.overrides.suspended:
@@ -171,7 +171,7 @@
     def _apply(self, server_id: str, is_suspended: bool, resumed_at_ms: float) -> None:
         """Passes an override on to the server's connections and to routing. `resumed_at_ms`: 0 means now."""
         self._servers.set_suspended(server_id, is_suspended)
-        self._routing.post_first(interface.OperatorOverride(server_id, is_suspended, micros(resumed_at_ms)))
+        self._routing.post_first(interface.OperatorOverride(server_id, is_suspended, us_from_ms(resumed_at_ms)))
 
 
 def _change_nothing(shared: SharedOverrides) -> None:
--- a/glenrock/upgrade/relay_message.py
+++ b/glenrock/upgrade/relay_message.py
@@ -112,7 +112,7 @@
         open_line=connection.request_line.raw,
         server_id=connection.server,
         load=load,
-        partial_line=splitter.part,
+        partial_line=splitter.partial_line,
         is_overlong=splitter.is_overlong,
         last_word=connection.last_word,
         unanswered_since_ms=connection.unanswered_since_ms,
--- a/glenrock/upgrade/relay_receiver.py
+++ b/glenrock/upgrade/relay_receiver.py
@@ -11,7 +11,7 @@
 from ..log import get_logger
 from ..net.client_connection import ClientConnection
 from ..net.connection_table import ConnectionTable
-from ..net.socket_io import readable
+from ..net.socket_io import wait_readable
 from .relay_message import (
     ACCEPTED,
     DESCRIPTORS_PER_MESSAGE,
@@ -109,7 +109,7 @@
 
 async def _receive(loop: asyncio.AbstractEventLoop, sock: socket.socket) -> _ReceivedMessage:
     while True:
-        await readable(loop, sock)
+        await wait_readable(loop, sock)
         try:
             data, descriptors, _, _ = socket.recv_fds(sock, MAX_MESSAGE_BYTES, MAX_DESCRIPTORS_PER_MESSAGE)
             return _ReceivedMessage(data, descriptors)
--- a/glenrock/upgrade/relay_sender.py
+++ b/glenrock/upgrade/relay_sender.py
@@ -101,9 +101,9 @@
         count = 0
         loop = asyncio.get_running_loop()
         socket.send_fds(sock, [data], [connection.sock.fileno(), connection.server_sock.fileno()])
-        async with self._clock.limit(ANSWER_TIMEOUT_MS) as limit:
+        async with self._clock.time_limit(ANSWER_TIMEOUT_MS) as limit:
             count = await recv_into(loop, sock, answer)
-        if limit.over:
+        if limit.has_expired:
             return True
         if not count:
             raise SuccessorNotFoundError("the successor has ended")
--- a/tests/coordination/warm_start/test_start_backoff.py
+++ b/tests/coordination/warm_start/test_start_backoff.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from glenrock.coordination.warm_start.start_backoff import MAX_STARTS, BackoffPolicy, StartBackoff
-from glenrock.net.clock import SetClock
+from glenrock.net.clock import ManualClock
 
 from .records import NOW
 
@@ -54,26 +54,26 @@
 
 def test_restart_backoff_grows_and_an_orderly_end_is_no_crash(tmp_path, caplog) -> None:
     async def scenario() -> None:
-        clock, waited = SetClock(NOW), []
+        clock, waited = ManualClock(NOW), []
         stop = asyncio.Event()
         stop.set()  # no start of this test waits
         for n in range(5):
-            starts = StartBackoff(tmp_path, "n0", POLICY, clock.now)
-            waited.append(POLICY.delay_ms(starts.read(), clock.now()))
+            starts = StartBackoff(tmp_path, "n0", POLICY, clock.now_ms)
+            waited.append(POLICY.delay_ms(starts.read(), clock.now_ms()))
             await starts.wait(stop)
-            clock.time += 100
+            clock.time_ms += 100
             if n == 3:
                 starts.record_orderly_end()
         assert waited == [0.0, 0.0, 500.0, 1000.0, 1000.0]
         prefix = "start delayed after repeated crashes crashes="
         assert [line.partition(" sound_ms")[0] for line in caplog.messages] == [prefix + n for n in "233"]
-        crashing = StartBackoff(tmp_path, "n0", POLICY, clock.now)
+        crashing = StartBackoff(tmp_path, "n0", POLICY, clock.now_ms)
         waiting = asyncio.create_task(crashing.wait(asyncio.Event()))
         await asyncio.sleep(0)
         waiting.cancel()
         assert len(starts.read()) == 5, "a crash during the delay counts"
         for _ in range(30):
-            starts.write([*starts.read(), clock.now()])
+            starts.write([*starts.read(), clock.now_ms()])
         assert len(starts.read()) == MAX_STARTS
 
     asyncio.run(scenario())
@@ -81,8 +81,8 @@
 
 def test_delay_lasts_its_time_and_ends_when_the_process_stops(tmp_path) -> None:
     async def scenario() -> None:
-        clock, stop = SetClock(NOW), asyncio.Event()
-        starts = StartBackoff(tmp_path, "n0", BackoffPolicy(1600.0, 60_000.0), clock.now)
+        clock, stop = ManualClock(NOW), asyncio.Event()
+        starts = StartBackoff(tmp_path, "n0", BackoffPolicy(1600.0, 60_000.0), clock.now_ms)
         starts.write([NOW - n for n in range(1, 3)])
         loop = asyncio.get_running_loop()
         began = loop.time()
--- a/tests/coordination/warm_start/test_start_cache.py
+++ b/tests/coordination/warm_start/test_start_cache.py
@@ -11,7 +11,7 @@
 
 from glenrock.coordination.warm_start.start_cache import StartCache
 from glenrock.coordination.warm_start.start_record import decode
-from glenrock.net.clock import SetClock
+from glenrock.net.clock import ManualClock
 from glenrock.net.endpoint_rows import EndpointRow
 from glenrock.net.server_connections import ServerRegistry
 from glenrock.routing import Balancer
@@ -28,7 +28,7 @@
     servers = ServerRegistry.__new__(ServerRegistry)
     servers.rows = {"s1": entry, "s2": gone}
     program = SimpleNamespace(
-        clock=SetClock(NOW),
+        clock=ManualClock(NOW),
         routing=SimpleNamespace(balancer=Balancer(SETTINGS, 1)),
         endpoints=SimpleNamespace(address=("d", 1), newest_version=version, has_answered=heard),
         servers=servers,
@@ -46,7 +46,7 @@
         assert not written and not cache.path.exists()
         for version, later in ((3, 0), (3, 500), (4, 500), (4, 9000), (4, 1000)):
             cache._host.endpoints.newest_version = version
-            cache._clock.time += later
+            cache._clock.time_ms += later
             await cache.write_if_due()
         assert written == [3, 4, 4]
         assert [r["name"] for r in decode(cache.path.read_bytes()).table["endpoints"]] == ["s1"]
--- a/tests/net/rig.py
+++ b/tests/net/rig.py
@@ -13,7 +13,7 @@
 
 from glenrock.config import parse_config
 from glenrock.net.client_connection import ClientConnection
-from glenrock.net.clock import SetClock
+from glenrock.net.clock import ManualClock
 from glenrock.program import Program
 
 from .settings import SETTINGS
@@ -49,7 +49,7 @@
     """A program whose clock the test advances, with raw sockets for clients, servers and discovery."""
 
     def __init__(self) -> None:
-        self.clock, self.listeners, self.open_sockets = SetClock(), {}, []
+        self.clock, self.listeners, self.open_sockets = ManualClock(), {}, []
 
     async def open(self, *names: str, effect: str = "safe", **over) -> LoopbackRig:
         self.listeners = {name: create_listener() for name in names or ("s1",)}
--- a/tests/net/test_any_order.py
+++ b/tests/net/test_any_order.py
@@ -133,7 +133,7 @@
         out: list[socket.socket] = []  # attempts; all but the last have ended
         over: set[int] = set()
         received, stops, stood, told = b"", None, False, 0.0
-        client, began = rig.connect_client(REQUEST_LINE), rig.clock.now()
+        client, began = rig.connect_client(REQUEST_LINE), rig.clock.now_ms()
 
         def given_up() -> None:
             for n, sock in enumerate(out):
@@ -165,7 +165,7 @@
                 before = received
                 with contextlib.suppress(OSError):
                     received += client.recv(1 << 16)
-                told = told or (rig.clock.now() if received != before else 0.0)
+                told = told or (rig.clock.now_ms() if received != before else 0.0)
 
         left = False
         for n, what in enumerate(script):
@@ -197,7 +197,7 @@
                     over.add(len(out) - 1)
             await rig.run_loop()
             look()
-        while rig.clock.now() < began + 1600:
+        while rig.clock.now_ms() < began + 1600:
             await rig.advance(10)
             look()
         if not left:
--- a/tests/net/test_exchanges.py
+++ b/tests/net/test_exchanges.py
@@ -12,7 +12,7 @@
 import uvloop
 
 from glenrock.config import parse_config
-from glenrock.net.clock import SetClock
+from glenrock.net.clock import ManualClock
 from glenrock.program import Program
 
 from .settings import SETTINGS
@@ -62,7 +62,7 @@
     """The program with clients, servers, discovery and one peer, which follow a script."""
 
     def __init__(self, server_names: list[str]) -> None:
-        self.server_names, self.ports, self.clock = server_names, {}, SetClock()
+        self.server_names, self.ports, self.clock = server_names, {}, ManualClock()
         self.endpoints: dict[str, Endpoint] = {}  # by their names in the script
         self.accepted: dict[str, list] = {name: [] for name in [*server_names, *DISCOVERIES]}
         self.accepted_by_servers: list[Endpoint] = []
--- a/tests/net/test_health_connections.py
+++ b/tests/net/test_health_check_pool.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from glenrock.net.health_connections import HealthConnections
+from glenrock.net.health_check_pool import HealthCheckPool
 
 
 class PooledConnection:
@@ -16,7 +16,7 @@
 
 
 def test_pool_closes_the_least_recently_used_idle_connection_and_none_in_use() -> None:
-    pool, connections = HealthConnections(lambda: 2), [PooledConnection() for _ in range(4)]
+    pool, connections = HealthCheckPool(lambda: 2), [PooledConnection() for _ in range(4)]
     assert pool.acquire(connections[0]) and pool.acquire(connections[1]) and not pool.acquire(connections[2])
     pool.release(connections[1])
     pool.release(connections[0])
--- a/tests/net/test_start_times.py
+++ b/tests/net/test_start_times.py
@@ -8,7 +8,7 @@
 import pytest
 import uvloop
 
-from glenrock.net.clock import SetClock
+from glenrock.net.clock import ManualClock
 from glenrock.net.endpoint_rows import EndpointRow
 from glenrock.net.start_times import REPORT_DELAY_MS, StartTimes
 from glenrock.routing.interface import EndpointState
@@ -24,7 +24,7 @@
 
     def __init__(self, ahead_ms: float = 0.0) -> None:
         self.true_ms, self.step_ms = NOW_MS, 0.0
-        self.clock = SetClock(NOW_MS + ahead_ms)
+        self.clock = ManualClock(NOW_MS + ahead_ms)
         self.ahead_ms = ahead_ms
         self.times = StartTimes(self.clock, SLOW_START_MS, lambda: self.true_ms + self.ahead_ms + self.step_ms)
 
@@ -38,7 +38,7 @@
             EndpointRow(name, ("127.0.0.1", 9), EndpointState.READY, since_ms=at_ms) for name, at_ms in since_ms.items()
         ]
         return {
-            row.name: self.clock.now() - started_ms if started_ms else float("inf")
+            row.name: self.clock.now_ms() - started_ms if started_ms else float("inf")
             for row, started_ms in zip(rows, self.times.started_ms(rows), strict=True)
         }
 
--- a/tests/test_recorded.py
+++ b/tests/test_recorded.py
@@ -108,7 +108,7 @@
             taken.append((name, sock))
 
     known = relay_message.protocol.KnownNames({"look": 1000.0})
-    clock = SimpleNamespace(now=lambda: 0.0)
+    clock = SimpleNamespace(now_ms=lambda: 0.0)
     server = SimpleNamespace(
         known_names=known, is_open=lambda id_: False, is_full=lambda: False, routing=None, metrics=None, clock=clock
     )
@@ -120,7 +120,7 @@
             found = relay_message.decode_relay(data, server, client, backend)
     assert taken == [("127.0.0.1:9001", backend)]
     assert (found.request_line.request_id, found.request_line.group, found.reports.load) == ("50", 255, 52000)
-    assert (found.gate.splitter.part, found.last_word, found.unanswered_since_ms) == (b"HALF A", "ACTIVE", None)
+    assert (found.gate.splitter.partial_line, found.last_word, found.unanswered_since_ms) == (b"HALF A", "ACTIVE", None)
 
 
 def test_datagrams_are_read_and_written_in_the_same_form() -> None:
