--- a/glenrock/coordination/leases/consul_store.py
+++ b/glenrock/coordination/leases/consul_store.py
@@ -26,11 +26,14 @@
 from .candidate import LeaseRequest, RequestKind
 from .store import TIME_UNKNOWN, JobRequest, Lease, PastTerm, Record, StoreUnavailableError
 
+SECOND_US = 1_000_000
+SECOND_MS = 1000
 CALL_TIMEOUT_S = 1.5
 MAX_OPERATIONS = 64  # in a transaction, a limit of Consul
 OPERATIONS_PER_ACQUISITION = 2  # a check of the index, and the lock
 MAX_PAST_TERMS = 20  # in the value of a lock
 MAX_SINGLE_READS = 4  # of locks; more are read in one call
+MAX_ERROR_BYTES = 100  # of an error's body, in the message
 TERM_TIME_DECIMALS = 3  # of the Unix time at which a term began
 
 HTTP_OK, HTTP_NOT_FOUND, HTTP_CONFLICT, HTTP_SERVER_ERROR = 200, 404, 409, 500
@@ -133,8 +136,8 @@
         self.call_count = 0
         self.addresses = list(addresses)
         self._prefix = prefix.strip("/")
-        self._ttl = f"{lease_us / 1e6:.3f}s"
-        self._lock_delay = f"{lock_delay_us / 1e6:.3f}s"
+        self._ttl = f"{lease_us / SECOND_US:.3f}s"
+        self._lock_delay = f"{lock_delay_us / SECOND_US:.3f}s"
         self._headers = {"X-Consul-Token": token} if token else {}
         self._held: dict[str, HeldLock] = {}
         self._watch_index = 0  # of the last blocking query
@@ -155,9 +158,10 @@
             async with self._client.request(method, url, timeout=timeout, json=body) as answer:
                 data = await answer.read()
                 if answer.status >= HTTP_SERVER_ERROR:
-                    raise StoreUnavailableError(f"{address}: {answer.status} {data[:100]!r}")
-                found = json.loads(data) if data and answer.status in (HTTP_OK, HTTP_CONFLICT) else None
-                return Reply(answer.status, found, int(answer.headers.get("X-Consul-Index", "0")))
+                    raise StoreUnavailableError(f"{address}: {answer.status} {data[:MAX_ERROR_BYTES]!r}")
+                has_json = data and answer.status in (HTTP_OK, HTTP_CONFLICT)
+                watch_index = int(answer.headers.get("X-Consul-Index", "0"))
+                return Reply(answer.status, json.loads(data) if has_json else None, watch_index)
         except (aiohttp.ClientError, TimeoutError, ValueError, OSError) as error:
             self.addresses.append(self.addresses.pop(0))
             raise StoreUnavailableError(f"{address}: {error or 'no answer in time'}") from error
@@ -221,6 +225,7 @@
         return False
 
     async def _check_renewals(self, renewals: list[JobRequest], granted: dict[str, int], is_renewed: bool) -> None:
+        """Adds to `granted` the renewals of locks that are still held."""
         held = []
         for renewal in renewals:
             if is_renewed and self._held.get(renewal.job, NOT_HELD).term == renewal.request.term:
@@ -240,6 +245,7 @@
         return {"Verb": "check-index", "Key": self._lock_key(job), "Index": index}
 
     async def _acquire(self, requests: list[JobRequest], granted: dict[str, int]) -> None:
+        """Adds to `granted` the terms of the locks that are acquired; retries a batch without those that failed."""
         if not requests:
             return
         locks = await self._read_locks([job for job, _ in requests])
@@ -262,20 +268,21 @@
             self._record_acquired(batch, result.entries, granted)
 
     async def _read_locks(self, jobs: list[str]) -> dict[str, Entry]:
+        """Returns the locks that exist, by key."""
         if len(jobs) > MAX_SINGLE_READS:
             entries, _ = await self._read("jobs/", "&recurse")
             return {entry["Key"]: entry for entry in entries}
-        found: dict[str, Entry] = {}
+        locks: dict[str, Entry] = {}
         for job in jobs:
             entries, _ = await self._read(f"jobs/{escape_key(job)}")
-            found.update({entry["Key"]: entry for entry in entries})
-        return found
+            locks.update({entry["Key"]: entry for entry in entries})
+        return locks
 
     def _acquisition(self, job: str, request: LeaseRequest, entry: Entry | None) -> _Acquisition:
         before = decode_lock_value(entry)
         term = max(before.term, request.term_floor) + 1
-        began = [term, self.holder, round(time.time(), TERM_TIME_DECIMALS)]
-        past = [*before.past, began][-MAX_PAST_TERMS:]
+        row = [term, self.holder, round(time.time(), TERM_TIME_DECIMALS)]
+        past = [*before.past, row][-MAX_PAST_TERMS:]
         check = {"Verb": "check-not-exists", "Key": self._lock_key(job)}
         if entry:
             check = self._index_check(job, entry["ModifyIndex"])
@@ -378,7 +385,7 @@
         """See `LeaseStore`."""
         query = "&recurse"
         if self._watch_index:
-            query += f"&index={self._watch_index}&wait={max(1, round(timeout_s * 1000))}ms"
+            query += f"&index={self._watch_index}&wait={max(1, round(timeout_s * SECOND_MS))}ms"
         _, index = await self._read("work/", query, timeout_s)
         # A lower index is that of a restored store; the next query starts anew.
         self._watch_index = index if index >= self._watch_index else 0
--- a/glenrock/coordination/leases/sqlite_store.py
+++ b/glenrock/coordination/leases/sqlite_store.py
@@ -100,9 +100,8 @@
         try:
             self.db = sqlite3.connect(path, timeout=busy_timeout_s, isolation_level=None, check_same_thread=False)
             self.db.execute("PRAGMA journal_mode=WAL")
-            self.db.execute(
-                "PRAGMA synchronous=FULL"
-            )  # a term that was granted must not be granted again after a crash
+            # A term that was granted must not be granted again after a crash of the machine.
+            self.db.execute("PRAGMA synchronous=FULL")
             self.db.executescript(SCHEMA)
         except sqlite3.Error as error:
             raise StoreUnavailableError(f"{path}: {error}") from error
@@ -161,13 +160,13 @@
         Returns:
             The new term, or 0 if another process holds the lease.
         """
-        return self.submit(
-            holder, [JobRequest(job, LeaseRequest(sequence, RequestKind.ACQUIRE, 0, term_floor))], lease_us
-        )[job]
+        request = JobRequest(job, LeaseRequest(sequence, RequestKind.ACQUIRE, 0, term_floor))
+        return self.submit(holder, [request], lease_us)[job]
 
     def renew(self, job: str, holder: str, sequence: int, term: int, lease_us: int) -> int:
         """Renews a lease. Returns its term, or 0 if it has expired."""
-        return self.submit(holder, [JobRequest(job, LeaseRequest(sequence, RequestKind.RENEW, term, 0))], lease_us)[job]
+        request = JobRequest(job, LeaseRequest(sequence, RequestKind.RENEW, term, 0))
+        return self.submit(holder, [request], lease_us)[job]
 
     def release(self, job: str, holder: str, sequence: int, term: int) -> None:
         """Releases a lease."""
--- a/tests/coordination/leases/test_lease_manager.py
+++ b/tests/coordination/leases/test_lease_manager.py
@@ -83,14 +83,14 @@
         return 0
 
     def holders(self) -> dict[str, int]:
-        return {j: holder for j, (holder, _, until) in self.leases.items() if until > self.now}
+        return {job: holder for job, (holder, _, until) in self.leases.items() if until > self.now}
 
 
 def test_jobs_are_distributed_taken_over_after_a_crash_and_rebalanced() -> None:
     members = Members(5, 60)
     members.run(8)
     holders = members.holders()
-    assert len(holders) == 60 and all(holders[j] == preference_order(j, range(5))[0] for j in members.jobs)
+    assert len(holders) == 60 and all(holders[job] == preference_order(job, range(5))[0] for job in members.jobs)
     members.suspended = {holders["j0"]}
     members.run(4.5)
     after = members.holders()
@@ -100,7 +100,9 @@
     )
     members.suspended = set()
     members.run(14)
-    assert sum(members.holders()[j] == holders[j] for j in members.jobs) >= 58, "misplaced jobs go back, some at a time"
+    assert sum(members.holders()[job] == holders[job] for job in members.jobs) >= 58, (
+        "misplaced jobs go back, some at a time"
+    )
 
 
 def test_store_calls_do_not_grow_with_the_number_of_jobs() -> None:
