--- a/glenrock/net/acceptor.py
+++ b/glenrock/net/acceptor.py
@@ -210,7 +210,7 @@
         try:
             request_line = protocol.parse_request_line(data, self._connections.known_names)
             if self._connections.is_open(request_line.request_id):
-                raise protocol.RequestLineError("the id of a command that is open")  # noqa: TRY301 - answered alike
+                raise protocol.RequestLineError("request id in use")  # noqa: TRY301 - answered alike
         except protocol.RequestLineError as error:
             self._count_malformed(data)
             logger.info("request line rejected", reason=str(error), data=data[:LOGGED_BYTES])
--- a/glenrock/net/endpoint_rows.py
+++ b/glenrock/net/endpoint_rows.py
@@ -51,7 +51,7 @@
     name = str(raw["name"])
     status = str(raw["status"])
     if not 0 < len(name) <= MAX_NAME_LENGTH or status not in STATES_BY_STATUS or not address[1]:
-        raise ValueError("no name, state or port that can be used")
+        raise ValueError("invalid name, status or port")
     row = EndpointRow(
         name=name,
         address=address,
@@ -63,5 +63,5 @@
     )
     numbers = (row.weight, row.since_ms)
     if not all(isfinite(number) and number >= 0 for number in numbers):
-        raise ValueError("a number out of range")
+        raise ValueError("weight or since_ms out of range")
     return row
--- a/glenrock/net/protocol.py
+++ b/glenrock/net/protocol.py
@@ -130,20 +130,20 @@
         line, _, more = data.partition(b"\r\n")
         if more and OPEN.fullmatch(line + b"\r\n"):
             raise RequestLineError("bytes before the answer")
-        raise RequestLineError("not an OPEN line")
+        raise RequestLineError("not a request line")
     if len(data) > MAX_LINE_BYTES:
-        raise RequestLineError("too long")
+        raise RequestLineError("line too long")
     fields = _fields_of(found[3].decode("ascii"))
     if fields.get("c") not in known.classes:
-        raise RequestLineError("no class that is known")
+        raise RequestLineError("unknown class")
     if known.tenants and fields.get("t") not in known.tenants:
-        raise RequestLineError("no tenant that is known")
+        raise RequestLineError("unknown tenant")
     request_line = RequestLine(found[1].decode(), int(found[2], 16), fields, data)
     if request_line.resumes_at is None:  # a resumed connection has no deadline of its client
         if "d" not in fields:
-            raise RequestLineError("no d")
+            raise RequestLineError("no field d")
         if request_line.wait_ms > known.classes[request_line.class_name]:
-            raise RequestLineError("d too long")
+            raise RequestLineError("wait too long in field d")
     return request_line
 
 
@@ -153,14 +153,14 @@
     for part in text.split(","):
         pair = FIELD.fullmatch(part)
         if pair is None:
-            raise RequestLineError("a field that is not NAME=VALUE")
+            raise RequestLineError("a field is not NAME=VALUE")
         repeated |= pair[1] in fields
         fields[pair[1]] = pair[2]
     if repeated:
-        raise RequestLineError("a field twice")
+        raise RequestLineError("duplicate field")
     for name, form in FORMS.items():
         if name in fields and not form.fullmatch(fields[name]):
-            raise RequestLineError(f"{name} out of form")
+            raise RequestLineError(f"invalid value in field {name}")
     return fields
 
 
--- a/glenrock/net/server_connections.py
+++ b/glenrock/net/server_connections.py
@@ -17,7 +17,7 @@
 from .start_times import StartTimes
 
 MAX_SERVERS = 8192  # bounds the memory for rows
-RETIRE_AFTER_MS = 10_000.0  # an actor is retired after one to two of these without work
+RETIRE_AFTER_MS = 10_000.0  # without work; checked at this interval, so an actor is retired within twice this time
 
 logger = get_logger(__name__)
 
