--- a/glenrock/net/idle_connections.py
+++ b/glenrock/net/idle_connections.py
@@ -95,7 +95,11 @@
         return False
 
     def _shed_first(self, connections: dict[ConnectionTask, None]) -> None:
-        logger.warning("idle connection closed to free a descriptor", idle_connections=len(self.unanswered))
+        logger.warning(
+            "idle connection closed to free a descriptor",
+            unanswered_connections=len(self.unanswered),
+            answered_connections=len(self.answered),
+        )
         task = next(iter(connections))
         del connections[task]
         self._shed.add(task)
