--- a/glenrock/net/endpoint_rows.py
+++ b/glenrock/net/endpoint_rows.py
@@ -73,5 +73,5 @@
     )
     numbers = (row.weight, row.since_ms)
     if not all(isfinite(number) and number >= 0 for number in numbers):
-        raise ValueError("a number is negative or not finite")
+        raise ValueError("weight or since_ms out of range")
     return row
