--- a/benchmarks/many_servers.py
+++ b/benchmarks/many_servers.py
@@ -19,9 +19,9 @@
 import uvloop
 
 from glenrock.testbed.balancer_process import ROOT
-from glenrock.testbed.bed import BedShape, Testbed
 from glenrock.testbed.clients import Client
-from glenrock.testbed.endpoint_directory import DELETED, DRAINING
+from glenrock.testbed.endpoint_directory import EndpointStatus
+from glenrock.testbed.testbed import FleetShape, Testbed
 
 USUAL, SIZES = 200, (200, 800, 3200)
 EACH_SECOND = 30  # new connections
@@ -48,13 +48,13 @@
 
 async def measure(servers: int, seconds: float, descriptors: int, source: Path) -> Measured:
     """Plays the traffic beside so many servers."""
-    shape = BedShape(servers=servers, descriptors=descriptors)
+    shape = FleetShape(servers=servers, descriptors=descriptors)
     async with Testbed(shape, source=source) as bed:
         await bed.start_balancers()
         process, agent = bed.processes[0], bed.agents[0]
         names = list(bed.servers)
         first_bytes = agent.bytes_sent
-        standing = [bed.client(0, standing_at=names[n * 97 % servers], stays_s=seconds) for n in range(STANDING)]
+        standing = [bed.client(0, resumes_at=names[n * 97 % servers], stays_s=seconds) for n in range(STANDING)]
         await bed.until(lambda: all(client.up.is_set() for client in standing), 5.0)
         most, clients = 0, []
         steps = int(seconds / STEP_S)
@@ -71,7 +71,7 @@
             usage.cpu_s,
             usage.peak_mb,
             most,
-            sum(server.connections_taken for server in bed.servers.values()),
+            sum(server.accepted_connections for server in bed.servers.values()),
             agent.bytes_sent - first_bytes,
             _share_up(clients),
             sum(client.up.is_set() for client in standing),
@@ -81,10 +81,10 @@
 def _release_some(bed: Testbed, names: list[str], wave: int) -> None:
     """A tenth of the servers drains, and what drained a wave before is gone; as many are new."""
     tenth = len(names) // WAVE_SHARE
-    gone = [name for name, row in bed.directory.servers.items() if row.status == DRAINING]
+    gone = [name for name, row in bed.directory.servers.items() if row.status == EndpointStatus.DRAINING]
     if gone:
-        bed.directory.set_status(gone, DELETED)
-    bed.directory.set_status(names[wave * tenth : (wave + 1) * tenth], DRAINING)
+        bed.directory.set_status(gone, EndpointStatus.DELETED)
+    bed.directory.set_status(names[wave * tenth : (wave + 1) * tenth], EndpointStatus.DRAINING)
 
 
 def _share_up(clients: list[Client]) -> float:
--- a/glenrock/cli/scenario_live_table.py
+++ b/glenrock/cli/scenario_live_table.py
@@ -42,13 +42,13 @@
         ", ".join(f"{s.kind} ({', '.join(sorted(s.parties)) or 'datagrams'})" for s in bed.history.active_faults())
         or "no fault"
     )
-    out = Table(title=f"{bed.scenario.name}, {bed.clients.seconds():.0f} of {bed.length_s:.0f} s: {on}")
+    out = Table(title=f"{bed.scenario.name}, {bed.clients.elapsed_s():.0f} of {bed.length_s:.0f} s: {on}")
     for name in ("balancer", "state", "connections", "life", "last said"):
         out.add_column(name)
     for b in bed.balancers:
         state = "asleep" if b.is_paused else "up" if b.is_running else "down"
-        state += "" if b.number in bed.frontend.known else ", left out"
-        held = sum(a.balancer == b.number for s in bed.servers for a in s.open_now)
+        state += "" if b.number in bed.frontend.ready else ", left out"
+        held = sum(a.balancer == b.number for s in bed.servers for a in s.open_attempts)
         said = next(
             (e.data["text"] for e in reversed(bed.history.events) if e.kind == "log" and e.party == b.party), ""
         )
@@ -57,5 +57,5 @@
         f"{s.model.demand / max(1e-9, s.model.capacity(bed.engine.now)):.2f}" if s.model.up else "-"
         for s in bed.servers
     )
-    out.caption = f"{bed.clients.standing()} clients stand, {bed.clients.waiting()} wait; loads {loads}"
+    out.caption = f"{bed.clients.connected()} clients stand, {bed.clients.waiting()} wait; loads {loads}"
     return out
--- a/glenrock/testbed/clients.py
+++ b/glenrock/testbed/clients.py
@@ -1,4 +1,4 @@
-"""Stand-ins for clients: one request on one connection each, and what bad clients do."""
+"""Clients whose behaviour a test or a soak sets: one request on one connection each."""
 
 from __future__ import annotations
 
@@ -6,12 +6,14 @@
 import time
 from dataclasses import dataclass
 
+from .client_io import connect, read_answer
 from .loopback import Address, reset_connection
 from .records import ConnectionEnd, Idempotency, RequestRecord, RunRecord
+from .request_line import MOVE_LINE, RESUME_FIELD, AnswerKind, RequestLine
 
-LATE_ANSWER_S = 3.0  # an answer is awaited this long past the deadline, so that a late one is told from none
-STANDING_WAIT_S = 40.0
-CONNECT_S = 1.0
+LATE_ANSWER_TIMEOUT_S = 3.0  # past the deadline, so that a late answer is told from none
+RESUME_TIMEOUT_S = 40.0
+BYE_LINE = b"BYE\r\n"
 
 
 @dataclass
@@ -21,16 +23,16 @@
     Attributes:
         balancer: number of the process.
         request_id: new with every connection.
-        key: of its flow.
-        service: its class. `effect`: of that class, for the judge.
+        key: of the client.
+        service: its class. `idempotency`: of that class.
         deadline_ms: how long it waits for its answer.
-        stays_s: it closes so long after UP.
-        line_every_s: it sends a line so often while it is up.
-        standing_at: the server that it stood at before.
+        stays_s: from UP until it closes.
+        line_interval_s: between the lines that it sends while it is up.
+        resumes_at: the server that its connection was open at before the run; empty for a new one.
         group: that it belongs to; 0 for none.
-        returns: it comes back after a move or a break.
-        pings_first: it asks PING first, and rests so long before its request.
-        leaves_after_s: it closes before its answer; None: it waits.
+        is_retry: its connection was migrated or broke before.
+        rest_s: it sends PING first, and rests this long before its request; None: it does not.
+        leaves_after_s: from its request until it closes without an answer; None: it waits.
     """
 
     balancer: int
@@ -39,33 +41,38 @@
     service: str
     deadline_ms: float
     stays_s: float = 5.0
-    line_every_s: float = 0.5
-    effect: str = "safe"
-    standing_at: str = ""
+    line_interval_s: float = 0.5
+    idempotency: Idempotency = Idempotency.SAFE
+    resumes_at: str = ""
     group: int = 0
-    returns: bool = False
-    pings_first: float | None = None
+    is_retry: bool = False
+    rest_s: float | None = None
     leaves_after_s: float | None = None
 
-    def line(self) -> bytes:
-        """The first line."""
-        fields = [f"c={self.service}", f"d={self.deadline_ms:.0f}"]
+    def request_line(self) -> RequestLine:
+        """Returns the request."""
+        fields = {"c": self.service, "d": f"{self.deadline_ms:.0f}"}
         if self.group:
-            fields.append(f"g={self.group:x}")
-        if self.returns:
-            fields.append("again=1")
-        if self.standing_at:
-            fields.append(f"at={self.standing_at}")
-        return f"OPEN {self.request_id} {self.key:016x} {','.join(fields)}\r\n".encode()
+            fields["g"] = f"{self.group:x}"
+        if self.is_retry:
+            fields["again"] = "1"
+        if self.resumes_at:
+            fields[RESUME_FIELD] = self.resumes_at
+        return RequestLine(self.request_id, f"{self.key:016x}", fields)
 
 
 class Client:
-    """One client, from its connect to its end."""
+    """One client, from its connect to its end.
+
+    Attributes:
+        request: what it saw.
+        up: is set when its connection is established. `ended`: when it has ended.
+    """
 
     def __init__(self, plan: ClientPlan, address: Address, record: RunRecord) -> None:
         self.plan = plan
         self.request = RequestRecord(
-            plan.request_id, plan.balancer, plan.deadline_ms, plan.standing_at, Idempotency(plan.effect)
+            plan.request_id, plan.balancer, plan.deadline_ms, plan.resumes_at, plan.idempotency
         )
         self.up = asyncio.Event()
         self.ended = asyncio.Event()
@@ -73,7 +80,7 @@
         self._record = record
 
     async def run(self) -> RequestRecord:
-        """Plays the client. A connection that never came up leaves no record."""
+        """Plays the client. A connection that did not come up leaves no record."""
         try:
             return await self._run()
         finally:
@@ -81,49 +88,44 @@
 
     async def _run(self) -> RequestRecord:
         try:
-            connecting = asyncio.open_connection(*self._address)
-            reader, writer = await asyncio.wait_for(connecting, CONNECT_S)
+            reader, writer = await connect(self._address)
         except (OSError, TimeoutError):
             return self.request
         try:
             await self._talk(reader, writer)
-        except (
-            ConnectionError,
-            asyncio.IncompleteReadError,
-            RuntimeError,
-        ):  # uvloop's word for a transport that is gone
-            self._ended(ConnectionEnd.RESET)
+        except (ConnectionError, asyncio.IncompleteReadError, RuntimeError):  # RuntimeError: uvloop, transport closed
+            self._note_end(ConnectionEnd.RESET)
         finally:
             writer.close()
         return self.request
 
-    def _ended(self, how: ConnectionEnd) -> None:
+    def _note_end(self, end: ConnectionEnd) -> None:
         if self.request.end is ConnectionEnd.OPEN:
-            self.request.end = how
+            self.request.end = end
             self.request.ended_s = time.monotonic()
 
     async def _talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         plan, request = self.plan, self.request
-        if plan.pings_first is not None:
+        if plan.rest_s is not None:
             writer.write(b"PING\r\n")
             if await reader.readline() != b"PONG\r\n":
                 return
-            if await self._rest_was_ended(reader, plan.pings_first):
+            if await self._is_ended_while_resting(reader, plan.rest_s):
                 return
-        writer.write(plan.line())
+        writer.write(plan.request_line().encode())
         request.sent_s = time.monotonic()
         self._record.requests.append(request)
         if not await self._await_answer(reader, writer):
             return
         if not request.is_up:
             await reader.read()
-            self._ended(ConnectionEnd.FINISHED)
+            self._note_end(ConnectionEnd.FINISHED)
             return
         self.up.set()
         await self._use(reader, writer)
 
-    async def _rest_was_ended(self, reader: asyncio.StreamReader, rest_s: float) -> bool:
-        """Rests so long; true where the balancer ended the connection or said that it will, before a request."""
+    async def _is_ended_while_resting(self, reader: asyncio.StreamReader, rest_s: float) -> bool:
+        """Returns True where the balancer ends the connection, or announces it, before a request was sent."""
         try:
             await asyncio.wait_for(reader.read(1), rest_s)
         except TimeoutError:
@@ -131,25 +133,23 @@
         return True
 
     async def _await_answer(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
-        """False where none came, or the client has left."""
+        """Returns False where none came, or the client has left."""
         plan, request = self.plan, self.request
-        wait_s = plan.deadline_ms / 1000 + LATE_ANSWER_S if not plan.standing_at else STANDING_WAIT_S
+        wait_s = plan.deadline_ms / 1000 + LATE_ANSWER_TIMEOUT_S if not plan.resumes_at else RESUME_TIMEOUT_S
         if plan.leaves_after_s is not None:
             wait_s = min(wait_s, plan.leaves_after_s)
-        try:
-            line = await asyncio.wait_for(reader.readline(), wait_s)
-        except TimeoutError:
+        answer = await read_answer(reader, wait_s)
+        if answer.kind is AnswerKind.NONE:
             request.left_s = time.monotonic()
             reset_connection(writer)
-            self._ended(ConnectionEnd.LEFT)
+            self._note_end(ConnectionEnd.LEFT)
             return False
-        if not line.endswith(b"\r\n"):
-            request.unexpected = repr(line) if line else ""
-            self._ended(ConnectionEnd.FINISHED)
+        if answer.kind is AnswerKind.CLOSED:
+            request.unexpected = repr(answer.partial) if answer.partial else ""
+            self._note_end(ConnectionEnd.FINISHED)
             return False
-        request.answer = line.decode("latin-1").strip()
+        request.answer, request.answers = answer.text, 1
         request.answered_s = time.monotonic()
-        request.answers = 1
         return True
 
     async def _use(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -159,24 +159,26 @@
         reading = asyncio.ensure_future(self._read_lines(reader))
         try:
             while time.monotonic() < until_s and not reading.done():
-                writer.write(f"hello {request.request_id}\r\n".encode())
-                await asyncio.wait([reading], timeout=self.plan.line_every_s)
+                writer.write(self._line())
+                await asyncio.wait([reading], timeout=self.plan.line_interval_s)
             if reading.done():
                 reading.result()
-                self._ended(ConnectionEnd.FINISHED)
+                self._note_end(ConnectionEnd.FINISHED)
             else:
                 request.left_s = time.monotonic()
-                self._ended(ConnectionEnd.LEFT)
+                self._note_end(ConnectionEnd.LEFT)
         finally:
             reading.cancel()
 
+    def _line(self) -> bytes:
+        return f"hello {self.request.request_id}\r\n".encode()
+
     async def _read_lines(self, reader: asyncio.StreamReader) -> None:
-        request = self.request
-        expected = f"hello {request.request_id}\r\n".encode()
+        request, expected = self.request, self._line()
         while line := await reader.readline():
-            if line == b"MOVE\r\n":
+            if line == MOVE_LINE:
                 request.is_migrated = True
-            elif line == b"BYE\r\n":
+            elif line == BYE_LINE:
                 continue
             elif line == expected:
                 request.last_line_s = time.monotonic()
--- a/glenrock/testbed/coordination_store.py
+++ b/glenrock/testbed/coordination_store.py
@@ -13,7 +13,8 @@
 from ..coordination.leases.consul_store import decode_lock_value, unescape_key
 from .consul_server import ConsulServer
 from .loopback import Address, LoopbackNetwork
-from .scenario import Together
+from .records import STORE, balancer_party
+from .scenario import CoordinationOptions, StoreKind
 
 
 @dataclass(frozen=True, slots=True)
@@ -34,7 +35,7 @@
 
     def __init__(
         self,
-        options: Together,
+        options: CoordinationOptions,
         folder: Path,
         network: LoopbackNetwork,
         balancers: int,
@@ -44,10 +45,10 @@
         self.consul: ConsulServer | None = None
         self._options, self._folder = options, folder
         self._addresses: list[Address] = []
-        if options.store == "consul":
+        if options.store is StoreKind.CONSUL:
             self.consul = ConsulServer(network.next(), 0.0, options.late)
             self._addresses = [
-                path_address(f"balancer:{number}", "store", self.consul.address) for number in range(balancers)
+                path_address(balancer_party(number), STORE, self.consul.address) for number in range(balancers)
             ]
 
     async def open(self) -> None:
@@ -58,7 +59,7 @@
     async def close(self) -> None:
         """Ends the service, whatever fault it is under."""
         if self.consul:
-            self.consul.paused = self.consul.loses = False
+            self.consul.is_paused = self.consul.loses_answers = False
             await self.consul.close()
 
     def write_fleet_file(self, number: int) -> Path:
@@ -101,6 +102,6 @@
         found = {}
         for key, entry in consul.state.entries.items():
             if "/jobs/" in key and entry.value:
-                value = decode_lock_value(entry.told(key))
+                value = decode_lock_value(entry.encode(key))
                 found[unescape_key(key.rpartition("/")[2])] = StoredLease(value.term, value.holder)
         return found
--- a/glenrock/testbed/discovery_agent.py
+++ b/glenrock/testbed/discovery_agent.py
@@ -1,41 +1,81 @@
-"""A stand-in for the discovery agent on a balancer's machine: whole lists, watches, and what can go wrong with both."""
+"""A stand-in for discovery as one balancer calls it: whole lists, watches, and the faults of both."""
 
 from __future__ import annotations
 
 import asyncio
 import time
+from typing import Protocol
 from urllib.parse import parse_qs, urlsplit
 
-from .endpoint_directory import EndpointDirectory
+from .call_queue import CallQueue
+from .endpoint_directory import EndpointDirectory, ListedServer
 from .loopback import Address, Listener, reset_connection
 from .records import ListedRecord, RunRecord
 
+PATH = "/discovery/hosts"
 MAX_WATCH_S = 60.0
+WATCH_GAP_S = 0.2  # a call within this of the last answer continues its watch, and does not wait in line
 REASONS = {200: "OK", 404: "Not Found", 503: "Service Unavailable"}
-SLOW_PIECES = 20  # a slow answer comes in so many pieces
+SLOW_PIECES = 20  # of a slow answer
+
+
+class DiscoveryObserver(Protocol):
+    """Notes what an agent does."""
+
+    def note_call(self, balancer: int) -> None:
+        """A balancer called."""
+
+    def note_listed(self, balancer: int, server: ListedServer) -> None:
+        """A balancer was sent the status of a server."""
+
+
+class RecordingObserver:
+    """Adds what balancers were sent to the records of a run."""
+
+    def __init__(self, record: RunRecord) -> None:
+        self._record = record
+
+    def note_call(self, balancer: int) -> None:
+        """Does nothing."""
+
+    def note_listed(self, balancer: int, server: ListedServer) -> None:
+        """Adds a record."""
+        self._record.listed.append(ListedRecord(balancer, server.name, server.status, time.monotonic()))
 
 
 class DiscoveryAgent:
-    """The agent of one balancer.
+    """The discovery of one balancer: an agent on its machine, or with a queue a service for all.
 
     Attributes:
-        refuses: answers 503.
+        rejects: answers 503.
         slow_s: an answer takes this long from its first byte to its last.
         cuts: this many answers are still to be cut in their middle.
-        calls: taken so far. `bytes_sent`: of all answers.
+        calls: accepted so far. `rejected_calls`: answered 503. `bytes_sent`: of all answers.
+        first_answer_s: on the loop's clock; None before.
     """
 
-    def __init__(self, balancer: int, address: Address, directory: EndpointDirectory, record: RunRecord) -> None:
-        self.refuses = False
+    def __init__(
+        self,
+        balancer: int,
+        address: Address,
+        directory: EndpointDirectory,
+        observer: DiscoveryObserver,
+        queue: CallQueue | None = None,
+    ) -> None:
+        self.rejects = False
         self.slow_s = 0.0
         self.cuts = 0
         self.calls = 0
+        self.rejected_calls = 0
         self.bytes_sent = 0
+        self.first_answer_s: float | None = None
+        self._last_answer_s = float("-inf")
         self._speaks = asyncio.Event()
         self._speaks.set()
         self._balancer = balancer
         self._directory = directory
-        self._record = record
+        self._observer = observer
+        self._queue = queue
         self._listener = Listener(address, self._serve)
 
     @property
@@ -44,13 +84,13 @@
         return self._listener.address
 
     @property
-    def silent(self) -> bool:
-        """Whether it takes calls and says nothing."""
+    def is_silent(self) -> bool:
+        """Whether calls are accepted and not answered."""
         return not self._speaks.is_set()
 
-    def set_silent(self, silent: bool) -> None:
-        """Falls silent, or answers again whoever waits."""
-        if silent:
+    def set_silent(self, is_silent: bool) -> None:
+        """Leaves calls unanswered from now on, or answers all that wait."""
+        if is_silent:
             self._speaks.clear()
         else:
             self._speaks.set()
@@ -67,30 +107,40 @@
         while head := await reader.readuntil(b"\r\n\r\n"):
             self.calls += 1
             target = urlsplit(head.split(b" ", 2)[1].decode())
-            query = parse_qs(target.query)
-            if self.refuses:
-                await self._send(writer, 503, b"{}")
-                continue
-            since = int(query["index"][0]) if "index" in query else None
-            if since is not None and since >= self._directory.version:
-                wait_ms = float(query.get("wait", ["0"])[0])
-                await self._directory.wait_for_change(min(MAX_WATCH_S, wait_ms / 1000))
-            await self._speaks.wait()
-            if self.refuses:
-                reset_connection(writer)
-                return
-            if not await self._send(writer, 200, self._directory.answer_bytes(since)):
+            if target.path != PATH:
+                await self._send(writer, 404, b"{}")
+            elif not await self._answer(parse_qs(target.query), writer):
                 return
-            self._note_told(since)
 
-    def _note_told(self, since: int | None) -> None:
-        now_s = time.monotonic()
-        for server in self._directory.servers.values():
-            if since is None or server.version > since:
-                self._record.listed.append(ListedRecord(self._balancer, server.name, server.status, now_s))
+    async def _answer(self, query: dict[str, list[str]], writer: asyncio.StreamWriter) -> bool:
+        """Returns False where the connection was ended."""
+        loop = asyncio.get_running_loop()
+        self._observer.note_call(self._balancer)
+        since = int(query["index"][0]) if "index" in query else None
+        continues_watch = since is not None and loop.time() - self._last_answer_s < WATCH_GAP_S
+        has_turn = continues_watch or self._queue is None or await self._queue.wait_turn()
+        if not has_turn or self.rejects:
+            self.rejected_calls += 1
+            return await self._send(writer, 503, b"{}")
+        if self.first_answer_s is None:
+            self.first_answer_s = loop.time()
+        if since is not None and since >= self._directory.version:
+            wait_ms = float(query.get("wait", ["0"])[0])
+            await self._directory.wait_for_change(min(MAX_WATCH_S, wait_ms / 1000))
+        await self._speaks.wait()
+        if self.rejects:
+            reset_connection(writer)
+            return False
+        if not await self._send(writer, 200, self._directory.answer_bytes(self._balancer, since)):
+            return False
+        self._last_answer_s = loop.time()
+        # A change that the agent holds counts as sent, also one since the answer was made.
+        for server in self._directory.changed_since(since):
+            self._observer.note_listed(self._balancer, server)
+        return True
 
     async def _send(self, writer: asyncio.StreamWriter, status: int, body: bytes) -> bool:
-        """False where the answer was cut off."""
+        """Returns False where the answer was cut off."""
         head = f"HTTP/1.1 {status} {REASONS[status]}\r\nContent-Length: {len(body)}\r\n\r\n"
         data = head.encode() + body
         self.bytes_sent += len(data)
--- a/glenrock/testbed/fault_player.py
+++ b/glenrock/testbed/fault_player.py
@@ -9,15 +9,14 @@
 import time
 from collections.abc import Awaitable, Callable
 
-from .bed import Testbed
 from .call_faults import CallFaults
-from .discovery_agent import DiscoveryAgent
-from .endpoint_directory import DELETED, DRAINING, SERVING
+from .endpoint_directory import EndpointStatus
 from .fault_schedule import ALL_BALANCERS, FaultKind, PlannedFault, SoakPlan
 from .invariant import Invariant
 from .loopback import reset_connection
 from .records import FaultRecord, HalfRequestRecord, balancer_party
-from .session_servers import ServerMode, SessionServer
+from .session_servers import ScriptedServer, ServerMode
+from .testbed import Testbed
 
 KILL_AFTER_MS = 700.0  # after the longest deadline, which counts as 3 s at least
 SHORTEST_LONGEST_DEADLINE_MS = 3000.0
@@ -145,7 +144,7 @@
             return
         bed, number = self._bed, fault.target
         for _ in range(int(fault.value)):
-            agent = DiscoveryAgent(number, bed.net.next(), bed.directory, bed.record)
+            agent = bed.new_agent(number)
             agent.open()
             bed.agents.append(agent)
             process = bed.processes[number]
@@ -157,7 +156,7 @@
 
     # -- session servers and discovery -----------------------------------------------------------------
 
-    def _some_servers(self, share: float) -> list[SessionServer]:
+    def _some_servers(self, share: float) -> list[ScriptedServer]:
         there = [server for name, server in self._bed.servers.items() if name not in self._drained and server.is_up]
         return self._rng.sample(there, min(len(there), max(1, int(share * len(there) / 2))))
 
@@ -171,7 +170,7 @@
 
     async def _close_idle(self, fault: PlannedFault) -> None:
         for server in self._some_servers(fault.value):
-            server.idle_s = 0.5
+            server.idle_timeout_s = 0.5
 
     async def _write_in_pieces(self, fault: PlannedFault) -> None:
         for server in self._some_servers(fault.value):
@@ -179,7 +178,7 @@
 
     async def _end_connections(self, fault: PlannedFault) -> None:
         for server in self._some_servers(fault.value):
-            server.end_all()
+            server.end_connections()
 
     async def _crash_servers(self, fault: PlannedFault) -> None:
         chosen = self._some_servers(fault.value)
@@ -191,19 +190,19 @@
                 server.start()
         names = [server.name for server in chosen if server.name not in self._drained]
         if names:
-            self._bed.directory.set_status(names, SERVING, since_ms=time.time() * 1000)
+            self._bed.directory.set_status(names, EndpointStatus.SERVING, since_ms=time.time() * 1000)
 
     async def _drain(self, fault: PlannedFault) -> None:
         bed = self._bed
         chosen = self._some_servers(fault.value)
         names = [server.name for server in chosen]
         self._drained.update(names)
-        bed.directory.set_status(names, DRAINING)
+        bed.directory.set_status(names, EndpointStatus.DRAINING)
         for _ in chosen[:40]:
             self._new_servers += 1
             bed.add_server(f"t-{self._new_servers:08x}", since_ms=time.time() * 1000)
         await asyncio.sleep(self._plan.shape.drain_grace_ms / 1000 + 7.0)
-        bed.directory.set_status(names, DELETED)
+        bed.directory.set_status(names, EndpointStatus.DELETED)
 
     async def _silence_discovery(self, fault: PlannedFault) -> None:
         for agent in self._bed.agents:
@@ -214,10 +213,10 @@
 
     async def _refuse_discovery(self, fault: PlannedFault) -> None:
         for agent in self._bed.agents:
-            agent.refuses = True
+            agent.rejects = True
         await asyncio.sleep(fault.lasts_s)
         for agent in self._bed.agents:
-            agent.refuses = False
+            agent.rejects = False
 
     async def _slow_discovery(self, fault: PlannedFault) -> None:
         for agent in self._bed.agents:
--- a/glenrock/testbed/fault_schedule.py
+++ b/glenrock/testbed/fault_schedule.py
@@ -7,8 +7,9 @@
 from dataclasses import dataclass, replace
 from enum import Enum
 
-from .bed import BedShape
 from .call_faults import Call
+from .records import Idempotency
+from .testbed import FleetShape
 
 MAX_FAULTS, MIN_FAULTS = 14, 6
 SETTLE_S = 1.0  # before the first fault
@@ -81,7 +82,7 @@
     """One run."""
 
     seed: int
-    shape: BedShape
+    shape: FleetShape
     seconds: float
     requests_per_s: float
     standing: int  # at each balancer
@@ -97,12 +98,12 @@
     rng = random.Random(seed)  # noqa: S311 - draws need be repeatable, not secret
     balancers = rng.choice((1, 2, 3, 3, 4, 5, 6, 8, 12))
     deadline_ms = rng.choice((300.0, 600.0, 1200.0, 1800.0, 3000.0))
-    shape = BedShape(
+    shape = FleetShape(
         balancers=balancers,
         servers=rng.choice((10, 20, 60, 200, 800, 3200)),
         descriptors=rng.choice((256, 512, 1024)),
         deadline_ms=deadline_ms,
-        effect=rng.choice(("safe", "safe", "keyed", "unsafe")),
+        idempotency=rng.choice((Idempotency.SAFE, Idempotency.SAFE, Idempotency.KEYED, Idempotency.UNSAFE)),
         window_ms=deadline_ms * rng.choice((0.25, 0.5, 1.0)),
         drain_grace_ms=rng.choice((2500.0, 4000.0, 6000.0)),
         max_attempts=rng.choice((1, 2, 4, 5)),
@@ -111,7 +112,7 @@
         groups=rng.choice((0, 0, 5, 40)),
     )
     faults = [_draw_fault(rng, balancers, seconds) for _ in range(rng.randint(MIN_FAULTS, MAX_FAULTS))]
-    if shape.effect != "safe":  # only an attempt that may have run tells whether a repeat is right
+    if shape.idempotency is not Idempotency.SAFE:  # only an attempt that may have run tells whether a repeat is right
         at_s = rng.uniform(SETTLE_S, seconds / 2)
         faults.append(PlannedFault(at_s, FaultKind.SERVER_HANG, 0, seconds / 2, max(_SHARES)))
     faults.sort(key=lambda fault: fault.at_s)
--- a/glenrock/testbed/frontend.py
+++ b/glenrock/testbed/frontend.py
@@ -1,4 +1,4 @@
-"""The front: deals clients out over the balancers that answer PING, and finds a dead one late."""
+"""The tier before the balancers: spreads clients over those that answer PING, and notices a dead one late."""
 
 from __future__ import annotations
 
@@ -8,49 +8,67 @@
 from .history import EventKind, History
 from .loopback import Address
 
-PING_S = 1.0  # a balancer that has not answered within this did not answer
+PING_TIMEOUT_S = 1.0
+READY_ANSWER, DRAINING_ANSWER = b"PONG", b"ERR"
+PARTY = "front"
 
 
 class Frontend:
-    def __init__(self, addresses: list[Address], notice_s: float, look_s: float, history: History, seed: int) -> None:
-        self.addresses, self.notice_s, self.look_s, self.history = addresses, notice_s, look_s, history
-        self.draw = random.Random(seed)
-        self.known: set[int] = set()
-        self.heard: dict[int, float] = {}
-        self.tasks: list[asyncio.Task[None]] = []
+    """Looks at each balancer, and picks one for each client.
+
+    Attributes:
+        ready: numbers of the balancers that clients are sent to.
+    """
+
+    def __init__(
+        self, addresses: list[Address], notice_s: float, interval_s: float, history: History, seed: int
+    ) -> None:
+        """Takes the balancers' addresses, the time until a silent one is removed, and the time between two looks."""
+        self.ready: set[int] = set()
+        self._addresses = addresses
+        self._notice_s, self._interval_s = notice_s, interval_s
+        self._history = history
+        self._rng = random.Random(seed)  # noqa: S311 - draws need be repeatable, not secret
+        self._answered_s: dict[int, float] = {}
+        self._tasks: list[asyncio.Task[None]] = []
 
     def open(self) -> None:
+        """Looks at all balancers from now on."""
         loop = asyncio.get_running_loop()
-        self.tasks = [loop.create_task(self.watch(n)) for n in range(len(self.addresses))]
+        self._tasks = [loop.create_task(self._watch(number)) for number in range(len(self._addresses))]
 
     def close(self) -> None:
-        for task in self.tasks:
+        """Stops looking."""
+        for task in self._tasks:
             task.cancel()
 
     def pick(self) -> int | None:
-        """The number of a balancer that the front takes to be alive."""
-        return self.draw.choice(sorted(self.known)) if self.known else None
+        """Returns the number of a ready balancer; None where there is none."""
+        return self._rng.choice(sorted(self.ready)) if self.ready else None
 
-    async def watch(self, number: int) -> None:
+    async def _watch(self, number: int) -> None:
         loop = asyncio.get_running_loop()
         while True:
-            answer = await self.ping(number)
-            if answer == b"ERR":
-                self.history.note("front", EventKind.BALANCER_DRAINS, balancer=number)
-            if answer == b"PONG":
-                self.heard[number] = loop.time()
-                if number not in self.known:
-                    self.known.add(number)
-                    self.history.note("front", EventKind.BALANCER_ADDED, balancer=number)
-            elif number in self.known and (answer == b"ERR" or loop.time() - self.heard[number] > self.notice_s):
-                self.known.discard(number)
-                self.history.note("front", EventKind.BALANCER_REMOVED, balancer=number)
-            await asyncio.sleep(self.look_s)
-
-    async def ping(self, number: int) -> bytes:
+            answer = await self._ping(number)
+            if answer == DRAINING_ANSWER:
+                self._history.note(PARTY, EventKind.BALANCER_DRAINS, balancer=number)
+            if answer == READY_ANSWER:
+                self._answered_s[number] = loop.time()
+                if number not in self.ready:
+                    self.ready.add(number)
+                    self._history.note(PARTY, EventKind.BALANCER_ADDED, balancer=number)
+            elif number in self.ready and (
+                answer == DRAINING_ANSWER or loop.time() - self._answered_s[number] > self._notice_s
+            ):
+                self.ready.discard(number)
+                self._history.note(PARTY, EventKind.BALANCER_REMOVED, balancer=number)
+            await asyncio.sleep(self._interval_s)
+
+    async def _ping(self, number: int) -> bytes:
+        """Returns the answer without its end of line; empty where none comes."""
         try:
-            async with asyncio.timeout(PING_S):
-                reader, writer = await asyncio.open_connection(*self.addresses[number])
+            async with asyncio.timeout(PING_TIMEOUT_S):
+                reader, writer = await asyncio.open_connection(*self._addresses[number])
                 try:
                     writer.write(b"PING\r\n")
                     return (await reader.readline()).strip()
--- a/glenrock/testbed/loopback.py
+++ b/glenrock/testbed/loopback.py
@@ -1,156 +1,156 @@
-"""Addresses of a run, sockets, and the clock that the laboratory's model runs on here."""
+"""Loopback addresses of a run, and listeners that can refuse connections or leave them unanswered."""
 
 from __future__ import annotations
 
 import asyncio
+import contextlib
 import os
 import socket
 import struct
-from collections.abc import Callable
+from collections.abc import Callable, Coroutine
 from typing import Any
 
-S = 1_000_000
 Address = tuple[str, int]
-BACKLOG, AT_ONCE = 1024, 64
-LONGEST = 1 << 16  # bytes of a line
-QUEUE, FILL = 1, 4  # connections that the kernel takes while nobody accepts, and enough more to fill it
-RESET = struct.pack("ii", 1, 0)  # SO_LINGER with no time: a close that resets
+Serve = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Coroutine[Any, Any, None]]
+
+NETWORKS_PER_BYTE, NETWORKS = 60, 60 * 250
+FIRST_NETWORK = 64  # the second byte of the first network
+CLIENT_PORT, PEER_PORT, ADMIN_PORT = 8080, 8081, 8082
+STAND_IN_HOST = 250
+FIRST_STAND_IN_PORT = 20_001
+BACKLOG = 1024
+MAX_ACCEPTS = 64  # in a row, before the loop serves others
+MAX_LINE_BYTES = 1 << 16
+FULL_BACKLOG, FILLERS = 1, 4  # the kernel takes one connection more than the backlog, and some that are half open
+LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER without time: close sends RST
 
 
 class LoopbackNetwork:
-    """A net of loopback addresses of one's own, by the process id, so that runs beside each other never meet."""
+    """A network of 127.0.0.0/8 for one run, chosen by a number or the process id, so that parallel runs are apart."""
 
     def __init__(self, number: int | None = None) -> None:
-        n = (os.getpid() if number is None else number) % (60 * 250)
-        self.prefix = f"127.{64 + n % 60}.{n // 60}"
-        self.ports = 20000
+        chosen = (os.getpid() if number is None else number) % NETWORKS
+        self.prefix = f"127.{FIRST_NETWORK + chosen % NETWORKS_PER_BYTE}.{chosen // NETWORKS_PER_BYTE}"
+        self.next_port = FIRST_STAND_IN_PORT
 
-    def balancer(self, n: int) -> Address:
-        return f"{self.prefix}.{1 + n}", 8080
+    def balancer(self, number: int) -> Address:
+        """Returns where clients connect to a balancer."""
+        return f"{self.prefix}.{1 + number}", CLIENT_PORT
 
-    def peer(self, n: int) -> Address:
-        return f"{self.prefix}.{1 + n}", 8081
+    def peer(self, number: int) -> Address:
+        """Returns where a balancer receives gossip."""
+        return f"{self.prefix}.{1 + number}", PEER_PORT
 
-    def admin(self, n: int) -> Address:
-        return f"{self.prefix}.{1 + n}", 8082
+    def admin(self, number: int) -> Address:
+        """Returns where operators call a balancer."""
+        return f"{self.prefix}.{1 + number}", ADMIN_PORT
 
     def next(self) -> Address:
-        """An address that nobody has had in this run."""
-        self.ports += 1
-        return f"{self.prefix}.250", self.ports
-
-
-class RealTimeEngine:
-    """The laboratory's `Engine` on the loop's clock: its model of instances runs here in real time.
+        """Returns an address that no stand-in of this run has had."""
+        port = self.next_port
+        self.next_port += 1
+        return f"{self.prefix}.{STAND_IN_HOST}", port
 
-    `now` counts microseconds from the run's beginning; `day` is when the scene's day began.
-    """
-
-    def __init__(self) -> None:
-        self.loop = asyncio.get_running_loop()
-        self.zero, self.day, self.events, self.closed = self.loop.time(), 0, 0, False
-
-    @property
-    def now(self) -> int:
-        return round((self.loop.time() - self.zero) * S)
 
-    def at(self, time_us: int, call: Callable[..., None], *given: Any) -> None:
-        self.loop.call_at(self.zero + time_us / S, self.run_one, call, given)
-
-    def run_one(self, call: Callable[..., None], given: tuple[Any, ...]) -> None:
-        self.events += 1
-        if not self.closed:
-            call(*given)
-
-    def run(self, until_us: int) -> None:
-        raise NotImplementedError("the loop runs by itself")
+def format_address(address: Address) -> str:
+    """Returns `host:port`."""
+    return f"{address[0]}:{address[1]}"
 
 
 def reset_connection(writer: asyncio.StreamWriter) -> None:
-    """Resets a connection: whoever is at the other end reads ECONNRESET."""
+    """Ends a connection with RST: the other end reads ECONNRESET."""
     sock = writer.get_extra_info("socket")
     if sock is not None and not writer.is_closing():
-        try:
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
-        except OSError:
-            pass  # gone already
+        with contextlib.suppress(OSError):  # closed already
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
     writer.transport.abort()
 
 
 class Listener:
-    """A TCP address that can be taken away (connections are refused), fall deaf (none comes up) and come back."""
+    """A TCP address that accepts connections, refuses them, or leaves them unanswered."""
 
-    def __init__(self, address: Address, serve: Callable[[asyncio.StreamReader, asyncio.StreamWriter], Any]) -> None:
-        self.address, self.serve = address, serve
-        self.sock: socket.socket | None = None
-        self.fillers: list[socket.socket] = []
-        self.tasks: set[asyncio.Task[None]] = set()
+    def __init__(self, address: Address, serve: Serve) -> None:
+        self.address = address
+        self._serve = serve
+        self._socket: socket.socket | None = None
+        self._fillers: list[socket.socket] = []
+        self._tasks: set[asyncio.Task[None]] = set()
+
+    @property
+    def is_open(self) -> bool:
+        """Whether the address is bound."""
+        return self._socket is not None
 
     def open(self) -> None:
-        if self.sock is None:
-            self.sock = socket.create_server(self.address, backlog=BACKLOG)
-            self.sock.setblocking(False)
-            asyncio.get_running_loop().add_reader(self.sock, self.accept)
+        """Accepts connections; does nothing where it does already."""
+        if self._socket is None:
+            self._socket = socket.create_server(self.address, backlog=BACKLOG)
+            self._socket.setblocking(False)
+            asyncio.get_running_loop().add_reader(self._socket, self._accept)
 
-    def accept(self) -> None:
+    def _accept(self) -> None:
         loop = asyncio.get_running_loop()
-        for _ in range(AT_ONCE):
+        for _ in range(MAX_ACCEPTS):
+            if self._socket is None:
+                return
             try:
-                sock, sender = self.sock.accept()  # type: ignore[union-attr]
-            except (OSError, AttributeError):
-                return  # none is left, or it was taken away just now
-            sock.setblocking(False)
-            if any(sender == filler.getsockname() for filler in self.fillers):
-                sock.close()
+                accepted, sender = self._socket.accept()
+            except OSError:
+                return  # none is waiting
+            accepted.setblocking(False)
+            if any(sender == filler.getsockname() for filler in self._fillers):
+                accepted.close()
                 continue
-            task = loop.create_task(self.connection(sock))
-            self.tasks.add(task)
-            task.add_done_callback(self.tasks.discard)
+            task = loop.create_task(self._serve_connection(accepted))
+            self._tasks.add(task)
+            task.add_done_callback(self._tasks.discard)
 
-    async def connection(self, sock: socket.socket) -> None:
+    async def _serve_connection(self, accepted: socket.socket) -> None:
         loop = asyncio.get_running_loop()
-        reader = asyncio.StreamReader(limit=LONGEST)
+        reader = asyncio.StreamReader(limit=MAX_LINE_BYTES)
         protocol = asyncio.StreamReaderProtocol(reader)
-        transport, _ = await loop.connect_accepted_socket(lambda: protocol, sock)
+        transport, _ = await loop.connect_accepted_socket(lambda: protocol, accepted)
         writer = asyncio.StreamWriter(transport, protocol, reader, loop)
         try:
-            await self.serve(reader, writer)
+            await self._serve(reader, writer)
         except (OSError, asyncio.IncompleteReadError, ValueError):
             pass  # the other side is gone, or a line was too long
         finally:
             writer.close()
 
-    def deafen(self) -> None:
-        """No connection comes up: nobody accepts, and the kernel's queue is full, so it answers no SYN."""
-        if self.sock is None or self.fillers:
+    def leave_unanswered(self) -> None:
+        """Answers no SYN: accepting is off and the kernel's queue is full."""
+        if self._socket is None or self._fillers:
             return
-        asyncio.get_running_loop().remove_reader(self.sock)
-        self.sock.listen(QUEUE)
-        for _ in range(QUEUE + FILL):
+        asyncio.get_running_loop().remove_reader(self._socket)
+        self._socket.listen(FULL_BACKLOG)
+        for _ in range(FULL_BACKLOG + FILLERS):
             filler = socket.socket()
             filler.setblocking(False)
             filler.connect_ex(self.address)
-            self.fillers.append(filler)
+            self._fillers.append(filler)
 
-    def hear(self) -> None:
-        """Connections come up again; those that were tried meanwhile with the kernel's next SYN."""
-        if not self.fillers or self.sock is None:
+    def answer_again(self) -> None:
+        """Ends `leave_unanswered`; waiting connections come up with the kernel's next SYN."""
+        if not self._fillers or self._socket is None:
             return
-        self.sock.listen(BACKLOG)
-        self.accept()
-        for filler in self.fillers:
+        self._socket.listen(BACKLOG)
+        self._accept()
+        for filler in self._fillers:
             filler.close()
-        self.fillers.clear()
-        asyncio.get_running_loop().add_reader(self.sock, self.accept)
+        self._fillers.clear()
+        asyncio.get_running_loop().add_reader(self._socket, self._accept)
 
     def refuse(self) -> None:
-        self.hear()
-        if self.sock is not None:
-            asyncio.get_running_loop().remove_reader(self.sock)
-            self.sock.close()
-            self.sock = None
+        """Unbinds the address: new connections are refused."""
+        self.answer_again()
+        if self._socket is not None:
+            asyncio.get_running_loop().remove_reader(self._socket)
+            self._socket.close()
+            self._socket = None
 
     def close(self) -> None:
+        """Unbinds the address and ends the connections."""
         self.refuse()
-        for task in self.tasks:
+        for task in self._tasks:
             task.cancel()
--- a/glenrock/testbed/modelled_servers.py
+++ b/glenrock/testbed/modelled_servers.py
@@ -1,7 +1,7 @@
-"""Stand-ins for instances: the protocol on sockets, and behind it the laboratory's own model of one.
+"""Session servers whose behaviour is the simulation's model of a server, on the event loop's clock.
 
-The model (`glenrock.lab.model.instance`) tells how long a set-up takes, what is turned away, how late messages are,
-what a report says and when a cold one falls over; here it runs on the loop's clock.
+The model decides how long a set-up takes, which requests are rejected, how late messages are, what a load report says,
+and when a server that warms up is overloaded.
 """
 
 from __future__ import annotations
@@ -11,250 +11,307 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 from math import exp
+from typing import TYPE_CHECKING, Any, cast
 
-from glenrock.routing import interface
+from .balancer_settings import LOAD_REPORT_FIELDS
+from .history import US_PER_S, EventKind, History
+from .loopback import Address, reset_connection
+from .real_time_engine import RealTimeEngine
+from .request_line import RequestLine
+from .scenario import Scenario, drawn_number
+from .session_servers import SessionServer
+from .simulation_model import ModelConnection, ModelFigures, PlannedClient, ServerModel, ServerShape, SimulationEngine
 
-from ..lab.model.instance import Connection, Figures, Instance, Shape
-from ..lab.model.plan import Row
-from .history import EventKind, History
-from .loopback import Address, Listener, LoopbackNetwork, RealTimeEngine, reset_connection
-from .scenario import Scenario
+if TYPE_CHECKING:
+    from ..lab.model.balancer import Attempt as ModelAttempt
 
-S = 1_000_000
-NAMES = {
-    interface.LOAD_RATIO: "x0",
-    interface.UTILIZATION: "util",
-    "backlog": "queue",
-    "backlog_s": "x1",
-    "inflight": "inflight",
-}
-REFUSED = {"full": b"BUSY\r\n", "error": b"ERR\r\n"}
-LONGEST_ECHO_S = 30.0
+ERROR_ANSWERS = {"full": b"BUSY\r\n", "error": b"ERR\r\n"}  # by the model's word
+UP = "up"  # the model's word
+ENDED_BY_SERVER, ENDED_BY_PEER = "self", "peer"  # words of the history
+MAX_DELAY_S = 30.0  # of an echo or a health check
 
 
 @dataclass(eq=False, slots=True)
-class Attempt:
-    """One line that came, until its connection ends."""
+class ServedAttempt:
+    """A request line at a server, until its connection ends.
 
-    id: str
+    Attributes:
+        outcome: the model's word on it.
+        connection: None until it is up, and after it was settled.
+    """
+
+    request_id: str
     balancer: int
-    done: asyncio.Future[str]
+    outcome: asyncio.Future[str]
     writer: asyncio.StreamWriter
-    connection: Connection | None = None
+    connection: ModelConnection | None = None
+
+    def as_model(self) -> ModelAttempt:
+        """Returns the attempt as the model keeps it: as a key, without reading it."""
+        return cast("ModelAttempt", self)
+
+
+@dataclass(frozen=True, slots=True)
+class ServerEnvironment:
+    """What all servers of a run share.
+
+    Attributes:
+        clients: by request id.
+        report_noise: draws a standard normal number.
+        setup_work_us: draws the work of a client's set-up.
+        earn: counts what was served: time, class, worth.
+        credit: counts the seconds that a client was served.
+    """
 
+    scenario: Scenario
+    engine: RealTimeEngine
+    history: History
+    figures: ModelFigures
+    clients: dict[str, PlannedClient]
+    report_noise: Callable[[], float]
+    setup_work_us: Callable[[PlannedClient], float]
+    earn: Callable[[int, int, float], None]
+    credit: Callable[[PlannedClient, float], None]
 
-class ModelledServer:
-    """One instance, with an address for each balancer."""
+
+class ModelledServer(SessionServer):
+    """A session server with an address for each balancer.
+
+    Attributes:
+        number: among the servers. `party`: its name in histories.
+        model: the simulation's.
+        started_ms: Unix time of its start, as the endpoint list has it; 0 for long ago.
+        listed_start_ms: by balancer, the start that it was notified of last.
+        open_attempts: those whose connection has not ended.
+        attempts: new ones so far.
+    """
 
     def __init__(
-        self,
-        number: int,
-        name: str,
-        shape: Shape,
-        figures: Figures,
-        scene: Scenario,
-        engine: RealTimeEngine,
-        history: History,
-        rows: dict[str, Row],
-        net: LoopbackNetwork,
-        noise: Callable[[], float],
-        earn: Callable[[int, int, float], None],
-        work: Callable[[Row], float],
-        credit: Callable[[Row, float], None],
+        self, number: int, shape: ServerShape, addresses: dict[int, Address], environment: ServerEnvironment
     ) -> None:
-        self.number, self.name, self.party = number, name, f"instance:{number}"
-        self.zone = scene.fleet.zones[shape.zone]
-        self.scene, self.engine, self.history, self.rows = scene, engine, history, rows
-        self.noise, self.work, self.credit = noise, work, credit
+        super().__init__(f"s-{number:03d}", addresses)
+        self.number, self.party = number, f"instance:{number}"
+        self.zone = environment.scenario.fleet.zones[shape.zone]
         self.attempts = 0
-        self.model = Instance(name, number, shape, figures, self.told, engine, earn)
-        self.model.last = engine.now
-        self.started_ms = 0.0  # Unix time, as the list tells it; 0: long ago
-        self.told_start: dict[int, float] = {}  # balancer: the start that the list told it last
-        self.listeners = [
-            Listener(net.next(), lambda r, w, n=n: self.serve(n, r, w)) for n in range(int(scene.fleet.balancers))
-        ]
-        self.open_now: dict[Attempt, None] = {}
-        self.draining = False
-
-    def address(self, balancer: int) -> Address:
-        return self.listeners[balancer].address
+        self.started_ms = 0.0
+        self.listed_start_ms: dict[int, float] = {}
+        self.open_attempts: dict[ServedAttempt, None] = {}
+        self._environment = environment
+        self._engine, self._history = environment.engine, environment.history
+        self.model = ServerModel(
+            self.name,
+            number,
+            shape,
+            environment.figures,
+            self._set_outcome,
+            cast(SimulationEngine, self._engine),
+            environment.earn,
+        )
+        self.model.last = self._engine.now
 
     # -- the process -----------------------------------------------------------------------------------
 
-    def begin(self) -> None:
+    def start(self) -> None:
+        """Starts the process for the first time: it is warm."""
         if self.started_ms or not self.model.up:
-            self.model.begin(self.engine.now)
-        for listener in self.listeners:
-            listener.open()
-        self.history.note(self.party, EventKind.STARTED, cold=bool(self.started_ms))
+            self.model.begin(self._engine.now)
+        self._listen()
+        self._history.note(self.party, EventKind.STARTED, cold=bool(self.started_ms))
 
-    def stop(self) -> None:
-        """Its process dies: connections are reset, new ones are refused."""
-        if not self.model.up:
-            return
-        self.history.note(self.party, EventKind.CRASHED)
-        for listener in self.listeners:
-            listener.refuse()
-        self.model.stop(self.engine.now)
-        for a in list(self.open_now):
-            self.over(a, "self")
-            reset_connection(a.writer)
-        self.draining = False
-
-    def again(self) -> None:
+    def restart(self) -> None:
+        """Starts the process again: it warms up."""
         self.started_ms = time.time() * 1000
-        self.begin()
-
-    def second(self) -> None:
-        """Once a second: what has piled up beyond its buffer, and who is dropped for it."""
-        for c in self.model.tick(self.engine.now):
-            a: Attempt = c.attempt  # type: ignore[assignment]
-            self.over(a, "self")
-            reset_connection(a.writer)
-
-    def close(self) -> None:
-        for listener in self.listeners:
-            listener.close()
-
-    # -- one connection --------------------------------------------------------------------------------
-
-    async def serve(self, balancer: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        while line := await reader.readline():
-            word = line.split(b" ", 1)[0].strip()
-            if word in (b"PING", b"STATS"):
-                await self.probe(word, writer)
-            elif word == b"OPEN":
-                await self.command(balancer, line.decode(), reader, writer)
-                return
-            else:
-                self.history.note(self.party, EventKind.UNKNOWN_LINE, line=repr(line[:80]))
-                return
+        self.start()
 
-    async def probe(self, word: bytes, writer: asyncio.StreamWriter) -> None:
-        r = self.scene.reports
-        took = self.model.work(self.engine.now, float(r.probe_ms) * 1000, r.probe_waits) / S
-        self.history.note(self.party, EventKind.HEALTH_CHECK)
-        await asyncio.sleep(min(took, LONGEST_ECHO_S))
-        if word == b"PING":
-            writer.write(b"PONG\r\n")
+    def crash(self) -> None:
+        """Ends the process: connections are reset, new ones refused."""
+        if not self.model.up:
             return
-        seen = self.model.reported(self.engine.now - round(float(r.delay_ms) * 1000))
-        spread = float(r.noise)
-        pairs = ",".join(f"{NAMES[n]}={seen[n] * exp(spread * self.noise()):.5f}" for n in r.names if n in seen)
+        self._history.note(self.party, EventKind.CRASHED)
+        self._refuse()
+        self.model.stop(self._engine.now)
+        for attempt in list(self.open_attempts):
+            self._end_attempt(attempt, ENDED_BY_SERVER)
+            reset_connection(attempt.writer)
+
+    def advance_second(self) -> None:
+        """Lets the model drop the connections whose work exceeds its buffer; is called once a second."""
+        for connection in self.model.tick(self._engine.now):
+            attempt = cast(ServedAttempt, connection.attempt)
+            self._end_attempt(attempt, ENDED_BY_SERVER)
+            reset_connection(attempt.writer)
+
+    def begin_measuring(self) -> None:
+        """Leaves what was served until now out of the measures."""
+        self.model.advance(self._engine.now)
+        for connection in self.model.held.values():
+            connection.since, connection.earned = self.model.integrals[connection.kind], 0.0
+
+    def end_measuring(self) -> None:
+        """Counts what was served until now, and nothing after it."""
+        self.model.advance(self._engine.now)
+        for attempt in list(self.open_attempts):
+            connection = attempt.connection
+            if connection is not None and connection.attempt in self.model.held:
+                served_s = connection.earned + self.model.integrals[connection.kind] - connection.since
+                self._environment.credit(self._client(attempt), served_s)
+                attempt.connection, connection.value = None, 0.0
+
+    # -- health checks ---------------------------------------------------------------------------------
+
+    async def _answer_health_check(self, wants_report: bool, writer: asyncio.StreamWriter) -> None:
+        reports = self._environment.scenario.reports
+        work_us = drawn_number(reports.probe_ms) * 1000
+        delay_s = self.model.work(self._engine.now, work_us, reports.probe_waits) / US_PER_S
+        self._history.note(self.party, EventKind.HEALTH_CHECK)
+        await asyncio.sleep(min(delay_s, MAX_DELAY_S))
+        pairs = self._load_report() if wants_report else ""
         writer.write(f"PONG {pairs}\r\n".encode() if pairs else b"PONG\r\n")
 
-    def told(self, a: object, what: str) -> None:
-        """The model's word on an attempt."""
-        if isinstance(a, Attempt) and not a.done.done():
-            a.done.set_result(what)
+    def _load_report(self) -> str:
+        reports = self._environment.scenario.reports
+        figures = self.model.reported(self._engine.now - round(drawn_number(reports.delay_ms) * 1000))
+        spread = drawn_number(reports.noise)
+        return ",".join(
+            f"{LOAD_REPORT_FIELDS[name]}={figures[name] * exp(spread * self._environment.report_noise()):.5f}"
+            for name in reports.names
+            if name in figures
+        )
+
+    def _note_unknown_line(self, line: bytes) -> None:
+        self._history.note(self.party, EventKind.UNKNOWN_LINE, line=repr(line[:80]))
+
+    # -- requests --------------------------------------------------------------------------------------
+
+    def _client(self, attempt: ServedAttempt) -> PlannedClient:
+        return self._environment.clients[attempt.request_id]
+
+    def _set_outcome(self, attempt: object, outcome: str) -> None:
+        """Is called by the model."""
+        if isinstance(attempt, ServedAttempt) and not attempt.outcome.done():
+            attempt.outcome.set_result(outcome)
 
-    async def command(
-        self, balancer: int, line: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    async def _serve_request(
+        self,
+        balancer: int,
+        request: RequestLine,
+        first_byte_s: float,
+        reader: asyncio.StreamReader,
+        writer: asyncio.StreamWriter,
     ) -> None:
-        _, id_, _, pairs = line.split()
-        fields = dict(p.split("=", 1) for p in pairs.split(","))
-        row = self.rows[id_]
-        loop = asyncio.get_running_loop()
-        a = Attempt(id_, balancer, loop.create_future(), writer)
-        self.open_now[a] = None
-        self.attempts += "at" not in fields
-        self.history.note(self.party, EventKind.ATTEMPT_RECEIVED, id_, balancer=balancer, at="at" in fields)
+        outcome: asyncio.Future[str] = asyncio.get_running_loop().create_future()
+        attempt = ServedAttempt(request.request_id, balancer, outcome, writer)
+        self.open_attempts[attempt] = None
+        self.attempts += not request.is_resumed
+        self._history.note(
+            self.party, EventKind.ATTEMPT_RECEIVED, request.request_id, balancer=balancer, at=request.is_resumed
+        )
         try:
-            if "at" in fields:
-                self.model.opening[a] = True  # type: ignore[index]
-                a.done.set_result("up")
-            else:
-                known = self.told_start.get(balancer, -1.0) >= self.started_ms
-                self.model.arrive(self.engine.now, a, self.work(row), row.usual, known)  # type: ignore[arg-type]
-                if self.model.fallen and self.model.up:
-                    self.history.note(self.party, EventKind.OVERLOADED, id_, balancer=balancer)
-                    self.stop()
-            leaves = asyncio.ensure_future(reader.read(1))  # a client says nothing before its answer
-            await asyncio.wait([a.done, leaves], return_when=asyncio.FIRST_COMPLETED)
-            if not a.done.done():
-                self.model.abandon(self.engine.now, a)  # type: ignore[arg-type]
-                self.over(a, "peer")
+            self._submit(attempt, request.is_resumed)
+            if await self._peer_left(attempt, reader):
+                self.model.abandon(self._engine.now, attempt.as_model())
                 return
-            leaves.cancel()
-            await asyncio.wait([leaves])  # the reader is free again only then
-            if a.done.result() == "up":
-                await self.stand(a, row, reader, writer)
-            else:
-                self.over(a, "self")
-                if answer := REFUSED.get(a.done.result()):
-                    writer.write(answer)
-                    await writer.drain()
-                else:
-                    reset_connection(writer)
+            await self._answer(attempt, reader)
         finally:
-            self.over(a, "peer")
-
-    async def stand(self, a: Attempt, row: Row, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        f = self.scene.classes[row.kind]
-        c = a.connection = Connection(
-            None,
-            a,
-            a.balancer,
-            row.kind,
-            row.group,  # type: ignore[arg-type]
-            float(f.worth) * row.weight,
+            self._end_attempt(attempt, ENDED_BY_PEER)
+
+    def _submit(self, attempt: ServedAttempt, is_resumed: bool) -> None:
+        """Gives the attempt to the model. A server that this overloads while it warms up crashes."""
+        if is_resumed:
+            self.model.opening[attempt.as_model()] = True
+            attempt.outcome.set_result(UP)
+            return
+        client = self._client(attempt)
+        is_listed = self.listed_start_ms.get(attempt.balancer, -1.0) >= self.started_ms
+        work_us = self._environment.setup_work_us(client)
+        self.model.arrive(self._engine.now, attempt.as_model(), work_us, client.usual, is_listed)
+        if self.model.fallen and self.model.up:
+            self._history.note(self.party, EventKind.OVERLOADED, attempt.request_id, balancer=attempt.balancer)
+            self.crash()
+
+    async def _peer_left(self, attempt: ServedAttempt, reader: asyncio.StreamReader) -> bool:
+        """Waits for the outcome. Returns True where the balancer closes first; it sends nothing before the answer."""
+        closing = asyncio.ensure_future(reader.read(1))
+        awaited: list[asyncio.Future[Any]] = [attempt.outcome, closing]
+        await asyncio.wait(awaited, return_when=asyncio.FIRST_COMPLETED)
+        if not attempt.outcome.done():
+            return True
+        closing.cancel()
+        await asyncio.wait([closing])  # until then the reader has a reader
+        return False
+
+    async def _answer(self, attempt: ServedAttempt, reader: asyncio.StreamReader) -> None:
+        outcome, writer = attempt.outcome.result(), attempt.writer
+        if outcome == UP:
+            await self._serve_connection(attempt, reader)
+            return
+        self._end_attempt(attempt, ENDED_BY_SERVER)
+        if answer := ERROR_ANSWERS.get(outcome):
+            writer.write(answer)
+            await writer.drain()
+        else:
+            reset_connection(writer)
+
+    async def _serve_connection(self, attempt: ServedAttempt, reader: asyncio.StreamReader) -> None:
+        client, writer = self._client(attempt), attempt.writer
+        worth = float(self._environment.scenario.classes[client.kind].worth) * client.weight
+        connection = ModelConnection(
+            None,  # type: ignore[arg-type]  # the model reads it only in simulated time
+            attempt.as_model(),
+            attempt.balancer,
+            client.kind,
+            client.group,
+            worth,
         )
-        if not self.model.open(self.engine.now, c, load_at(row, self.engine)):
+        attempt.connection = connection
+        if not self.model.open(self._engine.now, connection, load_now(client, self._engine)):
             reset_connection(writer)
             return
-        self.history.note(self.party, EventKind.ATTEMPT_UP, a.id, balancer=a.balancer)
-        writer.write(f"UP {self.name}-{a.id}\r\n".encode())
-        changes = asyncio.ensure_future(self.changes(c, row, writer))
+        self._history.note(self.party, EventKind.ATTEMPT_UP, attempt.request_id, balancer=attempt.balancer)
+        writer.write(f"UP {self.name}-{attempt.request_id}\r\n".encode())
+        changes = asyncio.ensure_future(self._play_load_changes(connection, client, writer))
         try:
             while line := await reader.readline():
-                await asyncio.sleep(min(self.model.message_us / S, LONGEST_ECHO_S))
+                await asyncio.sleep(min(self.model.message_us / US_PER_S, MAX_DELAY_S))
                 writer.write(line)
                 await writer.drain()
         finally:
             changes.cancel()
 
-    async def changes(self, c: Connection, row: Row, writer: asyncio.StreamWriter) -> None:
-        """The client's load as it changes, told to the balancer."""
+    async def _play_load_changes(
+        self, connection: ModelConnection, client: PlannedClient, writer: asyncio.StreamWriter
+    ) -> None:
+        """Changes the client's load in the model as planned, and reports it to the balancer."""
         last = -1.0
-        for at, load in ((0, load_at(row, self.engine)), *row.changes):
-            wait = (self.engine.day + at - self.engine.now) / S
-            if at and wait < 0:
+        for at_us, load in ((0, load_now(client, self._engine)), *client.changes):
+            wait_s = (self._engine.measured_from_us + at_us - self._engine.now) / US_PER_S
+            if at_us and wait_s < 0:
                 continue
-            await asyncio.sleep(max(0.0, wait if at else 0.0))
-            self.model.load(self.engine.now, c, load)
-            if self.scene.reports.load_told and load != last:
+            await asyncio.sleep(max(0.0, wait_s if at_us else 0.0))
+            self.model.load(self._engine.now, connection, load)
+            if self._environment.scenario.reports.load_told and load != last:
                 writer.write(f"LOAD {load:.0f}\r\n".encode())
             last = load
 
-    def over(self, a: Attempt, by: str) -> None:
-        """Its connection is at its end, once."""
-        if self.open_now.pop(a, a) is a:
+    def _end_attempt(self, attempt: ServedAttempt, ended_by: str) -> None:
+        """Notes the end of an attempt's connection; does nothing a second time."""
+        if attempt not in self.open_attempts:
             return
-        if a.connection is not None:
-            self.model.close(self.engine.now, a.connection)
-            self.credit(self.rows[a.id], a.connection.earned)
-        self.history.note(self.party, EventKind.ATTEMPT_ENDED, a.id, by=by, balancer=a.balancer)
-
-    def day_begins(self) -> None:
-        """What was served until now is no part of the day."""
-        self.model.advance(self.engine.now)
-        for c in self.model.held.values():
-            c.since, c.earned = self.model.integrals[c.kind], 0.0
-
-    def settle(self, a: Attempt) -> None:
-        """The end of the day: seconds served so far are counted, and none after."""
-        c = a.connection
-        if c is not None and c.attempt in self.model.held:
-            self.credit(self.rows[a.id], c.earned + self.model.integrals[c.kind] - c.since)
-            a.connection, c.value = None, 0.0
-
-
-def load_at(row: Row, engine: RealTimeEngine) -> float:
-    """What the client asks for now, in microseconds of work a second."""
-    now, load = engine.now - engine.day, row.changes[0][1] if row.changes else row.usual
-    for at, size in row.changes:
-        if at > now:
+        del self.open_attempts[attempt]
+        if attempt.connection is not None:
+            self.model.close(self._engine.now, attempt.connection)
+            self._environment.credit(self._client(attempt), attempt.connection.earned)
+        self._history.note(
+            self.party, EventKind.ATTEMPT_ENDED, attempt.request_id, by=ended_by, balancer=attempt.balancer
+        )
+
+
+def load_now(client: PlannedClient, engine: RealTimeEngine) -> float:
+    """Returns the client's load at this time, in microseconds of work a second."""
+    now_us = engine.now - engine.measured_from_us
+    load = client.changes[0][1] if client.changes else client.usual
+    for at_us, changed in client.changes:
+        if at_us > now_us:
             break
-        load = size
+        load = changed
     return load
--- a/glenrock/testbed/network_faults.py
+++ b/glenrock/testbed/network_faults.py
@@ -1,6 +1,6 @@
-"""What is wrong with the ways between parties, direction by direction. Pure: relays ask, the runner tells.
+"""What is wrong on the paths between parties, direction by direction. Pure: relays ask for it.
 
-Parties are named `clients`, `list`, `balancer:N` and `instance:N`; a pattern ends in `:*` for every one of a kind.
+Parties are `clients`, `list`, `store`, `balancer:N` and `instance:N`; `*` for N stands for all of a kind.
 """
 
 from __future__ import annotations
@@ -8,77 +8,97 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from .scenario import Way
+from .scenario import PathFault, drawn_number
 
 
 @dataclass(frozen=True, slots=True)
-class State:
-    """A direction as it is now, all its faults together. Times are seconds, `trickle` bytes a second (0: free)."""
+class PathState:
+    """The state of a direction under all its faults.
+
+    Attributes:
+        loss, duplication, reordering: fractions of datagrams.
+        delay_s, jitter_s: of everything.
+        bytes_per_s: of streams; 0: not limited.
+        is_cut: nothing passes. `is_reset`: connections are reset.
+    """
 
     loss: float = 0.0
-    doubled: float = 0.0
-    disordered: float = 0.0
-    delay: float = 0.0
-    jitter: float = 0.0
-    trickle: float = 0.0
-    cut: bool = False
-    reset: bool = False
+    duplication: float = 0.0
+    reordering: float = 0.0
+    delay_s: float = 0.0
+    jitter_s: float = 0.0
+    bytes_per_s: float = 0.0
+    is_cut: bool = False
+    is_reset: bool = False
 
 
-WHOLE = State()
+FAULT_FREE = PathState()
 
 
 def matches(pattern: str, party: str) -> bool:
+    """Whether a pattern of a scenario file stands for a party."""
     kind, star, _ = pattern.partition(":*")
     return pattern == party or (bool(star) and party.startswith(f"{kind}:"))
 
 
-def strikes(f: Way, source: str, target: str) -> bool:
-    return matches(f.source, source) and matches(f.target, target) and source != target
-
-
-def together(found: list[Way]) -> State:
-    """Several faults on one direction: delays add up, parts are independent, the slowest trickle binds."""
-    if not found:
-        return WHOLE
-    kept = {"loss": 1.0, "doubled": 1.0, "disordered": 1.0}
-    for f in found:
-        for name in kept:
-            kept[name] *= 1 - float(getattr(f, name))
-    slow = [float(f.trickle) for f in found if f.trickle]
-    return State(
-        *(1 - kept[name] for name in kept),
-        sum(float(f.delay_ms) for f in found) / 1000,
-        sum(float(f.jitter_ms) for f in found) / 1000,
-        min(slow, default=0.0),
-        any(f.cut for f in found),
-        any(f.reset for f in found),
+def affects(fault: PathFault, source: str, target: str) -> bool:
+    """Whether a fault strikes the direction from one party to another."""
+    return matches(fault.source, source) and matches(fault.target, target) and source != target
+
+
+def combine(faults: list[PathFault]) -> PathState:
+    """Returns the state under several faults: delays add up, fractions are independent, the lowest rate binds."""
+    if not faults:
+        return FAULT_FREE
+    passing = [1.0, 1.0, 1.0]
+    for fault in faults:
+        for number, fraction in enumerate((fault.loss, fault.doubled, fault.disordered)):
+            passing[number] *= 1 - drawn_number(fraction)
+    rates = [drawn_number(fault.trickle) for fault in faults if fault.trickle]
+    return PathState(
+        loss=1 - passing[0],
+        duplication=1 - passing[1],
+        reordering=1 - passing[2],
+        delay_s=sum(drawn_number(fault.delay_ms) for fault in faults) / 1000,
+        jitter_s=sum(drawn_number(fault.jitter_ms) for fault in faults) / 1000,
+        bytes_per_s=min(rates, default=0.0),
+        is_cut=any(fault.cut for fault in faults),
+        is_reset=any(fault.reset for fault in faults),
     )
 
 
 @dataclass(slots=True)
 class NetworkPaths:
-    """All directions. Whoever listens is called after each change, to act on what stands already."""
+    """All directions.
+
+    Attributes:
+        planned: all faults that may come; a pair that none of them strikes needs no relay.
+        active: the faults that are on now.
+        listeners: called after each change, to act on connections that are open.
+    """
 
-    planned: tuple[Way, ...]  # all that the plan holds: a pair that none of them strikes needs no relay
-    now: list[Way] = field(default_factory=list)
+    planned: tuple[PathFault, ...]
+    active: list[PathFault] = field(default_factory=list)
     listeners: list[Callable[[], None]] = field(default_factory=list)
 
-    def of(self, source: str, target: str) -> State:
-        return together([f for f in self.now if strikes(f, source, target)])
+    def state(self, source: str, target: str) -> PathState:
+        """Returns the state of a direction now."""
+        return combine([fault for fault in self.active if affects(fault, source, target)])
 
-    def needs(self, one: str, other: str) -> bool:
-        """Whether any planned fault strikes this pair, either way."""
-        return any(strikes(f, one, other) or strikes(f, other, one) for f in self.planned)
+    def needs_relay(self, party: str, other: str) -> bool:
+        """Whether a planned fault strikes this pair, in either direction."""
+        return any(affects(fault, party, other) or affects(fault, other, party) for fault in self.planned)
 
-    def begin(self, f: Way) -> None:
-        self.now.append(f)
-        self.tell()
+    def begin(self, fault: PathFault) -> None:
+        """Puts a fault on."""
+        self.active.append(fault)
+        self._notify()
 
-    def end(self, f: Way) -> None:
-        self.now.remove(f)
-        self.tell()
+    def end(self, fault: PathFault) -> None:
+        """Takes a fault off."""
+        self.active.remove(fault)
+        self._notify()
 
-    def tell(self) -> None:
+    def _notify(self) -> None:
         for listener in self.listeners:
             listener()
--- a/glenrock/testbed/network_relays.py
+++ b/glenrock/testbed/network_relays.py
@@ -1,197 +1,228 @@
-"""Relays in the ways between parties: what `NetworkPaths` says of a direction is done to what goes through them.
+"""Relays on the paths between parties, which do to streams and datagrams what `NetworkPaths` says of a direction.
 
-TCP carries every byte or none, as a network does: a cut direction holds its bytes until it is whole again, and
-no connection comes up meanwhile. Datagrams are lost, doubled, delayed and put out of order one by one.
+TCP delivers every byte or none: a cut direction holds its bytes until it is restored, and no connection comes up
+meanwhile. Datagrams are lost, duplicated, delayed and reordered one by one.
 """
 
 from __future__ import annotations
 
 import asyncio
+import functools
 import random
 from collections import deque
 from collections.abc import Callable
+from typing import Any
 
-from .loopback import Address, Listener, LoopbackNetwork, reset_connection
-from .network_faults import NetworkPaths, State
+from .loopback import Address, Listener, LoopbackNetwork, format_address, reset_connection
+from .network_faults import NetworkPaths, PathState
+from .records import balancer_party
 
-CHUNK = 16384
-HELD = 64  # chunks under way in one direction: past it the sender waits
-LOOK_S = 0.01  # a cut direction looks this often whether it is whole again
+CHUNK_BYTES = 16384
+MAX_QUEUED_CHUNKS = 64  # in one direction; above it the sender waits
+POLL_S = 0.01  # of a direction that is cut, and between the pieces of one whose rate is limited
 
+DatagramObserver = Callable[[int, int, bytes], None]
 
-class Direction:
-    """One direction of one stream: read here, written there, as late as the way says."""
 
-    def __init__(self, ways: NetworkPaths, source: str, target: str) -> None:
-        self.ways, self.source, self.target = ways, source, target
+class StreamDirection:
+    """One direction of one path."""
 
-    def state(self) -> State:
-        return self.ways.of(self.source, self.target)
+    def __init__(self, paths: NetworkPaths, source: str, target: str) -> None:
+        self._paths, self._source, self._target = paths, source, target
+
+    def state(self) -> PathState:
+        """Returns the state of the direction now."""
+        return self._paths.state(self._source, self._target)
 
     async def pump(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Copies a stream to its end, under the faults of the direction."""
         loop = asyncio.get_running_loop()
-        held: asyncio.Queue[tuple[float, bytes]] = asyncio.Queue(HELD)
-        out = loop.create_task(self.write(held, writer))
+        queue: asyncio.Queue[tuple[float, bytes]] = asyncio.Queue(MAX_QUEUED_CHUNKS)
+        writing = loop.create_task(self._write_queued(queue, writer))
         try:
             while True:
-                chunk = await reader.read(CHUNK)
+                chunk = await reader.read(CHUNK_BYTES)
                 state = self.state()
-                await held.put((loop.time() + state.delay + state.jitter * random.random(), chunk))
+                delay_s = state.delay_s + state.jitter_s * random.random()  # noqa: S311 - jitter of a test
+                await queue.put((loop.time() + delay_s, chunk))
                 if not chunk:
                     break
-            await out
+            await writing
         finally:
-            out.cancel()
+            writing.cancel()
 
-    async def write(self, held: asyncio.Queue[tuple[float, bytes]], writer: asyncio.StreamWriter) -> None:
+    async def _write_queued(self, queue: asyncio.Queue[tuple[float, bytes]], writer: asyncio.StreamWriter) -> None:
         loop = asyncio.get_running_loop()
         while True:
-            due, chunk = await held.get()
-            if (wait := due - loop.time()) > 0:
-                await asyncio.sleep(wait)
-            while (state := self.state()).cut:
-                await asyncio.sleep(LOOK_S)
+            due_s, chunk = await queue.get()
+            if (wait_s := due_s - loop.time()) > 0:
+                await asyncio.sleep(wait_s)
+            while (state := self.state()).is_cut:  # noqa: ASYNC110 - the state is computed, and no event tells of it
+                await asyncio.sleep(POLL_S)
             if not chunk:
                 if writer.can_write_eof():
                     writer.write_eof()
                 return
-            step = max(1, int(state.trickle * LOOK_S)) if state.trickle else len(chunk)
-            for at in range(0, len(chunk), step):
-                writer.write(chunk[at : at + step])
+            size = max(1, int(state.bytes_per_s * POLL_S)) if state.bytes_per_s else len(chunk)
+            for start in range(0, len(chunk), size):
+                writer.write(chunk[start : start + size])
                 await writer.drain()
-                if state.trickle:
-                    await asyncio.sleep(LOOK_S)
+                if state.bytes_per_s:
+                    await asyncio.sleep(POLL_S)
 
 
 class StreamRelay:
     """The address that `source` is given for `target`."""
 
-    def __init__(self, ways: NetworkPaths, source: str, target: str, address: Address, onward: Address) -> None:
-        self.ways, self.onward = ways, onward
-        self.there, self.back = Direction(ways, source, target), Direction(ways, target, source)
-        self.listener = Listener(address, self.serve)
-        self.pairs: set[tuple[asyncio.StreamWriter, asyncio.StreamWriter]] = set()
-        ways.listeners.append(self.changed)
+    def __init__(
+        self, paths: NetworkPaths, source: str, target: str, address: Address, target_address: Address
+    ) -> None:
+        self._target_address = target_address
+        self._outward = StreamDirection(paths, source, target)
+        self._backward = StreamDirection(paths, target, source)
+        self._listener = Listener(address, self._serve)
+        self._pairs: set[tuple[asyncio.StreamWriter, asyncio.StreamWriter]] = set()
+        paths.listeners.append(self._apply_state)
+
+    @property
+    def address(self) -> Address:
+        """Where `source` connects."""
+        return self._listener.address
 
     def open(self) -> None:
-        self.listener.open()
-        self.changed()
-
-    def cut(self) -> bool:
-        return self.there.state().cut or self.back.state().cut
-
-    def changed(self) -> None:
-        if self.there.state().reset or self.back.state().reset:
-            for pair in self.pairs:
-                for writer in pair:
-                    reset_connection(writer)
-        if self.cut():
-            self.listener.deafen()
+        """Relays connections from now on."""
+        self._listener.open()
+        self._apply_state()
+
+    def close(self) -> None:
+        """Ends all connections."""
+        self._listener.close()
+        self._reset_all()
+
+    def _reset_all(self) -> None:
+        for pair in list(self._pairs):
+            for writer in pair:
+                reset_connection(writer)
+
+    def _is_reset(self) -> bool:
+        return self._outward.state().is_reset or self._backward.state().is_reset
+
+    def _apply_state(self) -> None:
+        if self._is_reset():
+            self._reset_all()
+        if self._outward.state().is_cut or self._backward.state().is_cut:
+            self._listener.leave_unanswered()
         else:
-            self.listener.hear()
+            self._listener.answer_again()
 
-    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if self.there.state().reset or self.back.state().reset:
+    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        if self._is_reset():
             reset_connection(writer)
             return
         try:
-            there, onward = await asyncio.open_connection(*self.onward)
+            target_reader, target_writer = await asyncio.open_connection(*self._target_address)
         except OSError:
             reset_connection(writer)
             return
-        pair = (writer, onward)
-        self.pairs.add(pair)
+        pair = (writer, target_writer)
+        self._pairs.add(pair)
         pumps = [
-            asyncio.ensure_future(self.there.pump(reader, onward)),
-            asyncio.ensure_future(self.back.pump(there, writer)),
+            asyncio.ensure_future(self._outward.pump(reader, target_writer)),
+            asyncio.ensure_future(self._backward.pump(target_reader, writer)),
         ]
         try:
             done, _ = await asyncio.wait(pumps, return_when=asyncio.FIRST_EXCEPTION)
-            if any(p.exception() for p in done):  # an end that was no end of sending is passed on as one
+            if any(pump.exception() for pump in done):  # the other side has to see a reset too
                 reset_connection(writer)
-                reset_connection(onward)
+                reset_connection(target_writer)
         finally:
-            self.pairs.discard(pair)
-            for p in pumps:
-                p.cancel()
-            onward.close()
-
-    def close(self) -> None:
-        self.listener.close()
-        for pair in list(self.pairs):
-            for writer in pair:
-                reset_connection(writer)
+            self._pairs.discard(pair)
+            for pump in pumps:
+                pump.cancel()
+            target_writer.close()
 
 
 class DatagramRelays:
-    """Datagrams between balancers. Each ordered pair has a socket that stands for one of them at the other, so that
-    a datagram comes from the address that its receiver knows its sender by.
+    """Datagrams between balancers.
+
+    Each ordered pair has a socket that stands for one balancer at the other, so that a datagram comes from the address
+    that its receiver knows the sender by.
+
+    Attributes:
+        delivered, lost: datagrams so far.
+        observer: is called with sender, receiver and data of each datagram that is sent.
     """
 
     def __init__(
-        self, ways: NetworkPaths, net: LoopbackNetwork, balancers: int, seed: int, relayed: bool = True
+        self, paths: NetworkPaths, network: LoopbackNetwork, balancers: int, seed: int, is_relayed: bool = True
     ) -> None:
-        """`relayed` False: balancers have each other's own addresses, and nothing can strike what they say."""
-        self.ways, self.net, self.count, self.relayed = ways, net, balancers, relayed
-        self.draw = random.Random(seed)
-        self.doors: dict[tuple[int, int], asyncio.DatagramTransport] = {}
-        self.addresses: dict[tuple[int, int], Address] = {}
-        self.late: dict[tuple[int, int], deque[bytes]] = {}
-        self.carried = self.lost = 0
-        self.seen: Callable[[int, int, bytes], None] | None = None  # hears of each that was sent
+        """With `is_relayed` False, balancers have each other's own addresses, and nothing can strike datagrams."""
+        self.delivered = self.lost = 0
+        self.observer: DatagramObserver | None = None
+        self._paths, self._network, self._count, self._is_relayed = paths, network, balancers, is_relayed
+        self._rng = random.Random(seed)  # noqa: S311 - draws need be repeatable, not secret
+        self._transports: dict[tuple[int, int], asyncio.DatagramTransport] = {}
+        self._addresses: dict[tuple[int, int], Address] = {}
+        self._held_back: dict[tuple[int, int], deque[bytes]] = {}
 
     async def open(self) -> None:
+        """Opens a socket for each ordered pair."""
         loop = asyncio.get_running_loop()
-        for one in range(self.count if self.relayed else 0):
-            for at in range(self.count):
-                if one != at:
-                    address = self.net.next()
-                    transport, _ = await loop.create_datagram_endpoint(
-                        lambda one=one, at=at: Door(self, one, at), local_addr=address
-                    )
-                    self.doors[one, at], self.addresses[one, at] = transport, address
-
-    def peers_of(self, n: int) -> list[str]:
-        """What balancer n is told of the others, in the order of their numbers; itself among them."""
-        listed = [self.addresses.get((m, n), self.net.peer(m)) for m in range(self.count)]
-        return [f"{host}:{port}" for host, port in listed]
+        for represented in range(self._count if self._is_relayed else 0):
+            for location in range(self._count):
+                if represented == location:
+                    continue
+                address = self._network.next()
+                relay = functools.partial(_DatagramRelay, self, sender=location, receiver=represented)
+                transport, _ = await loop.create_datagram_endpoint(relay, local_addr=address)
+                self._transports[represented, location] = transport
+                self._addresses[represented, location] = address
+
+    def close(self) -> None:
+        """Closes all sockets."""
+        for transport in self._transports.values():
+            transport.close()
+
+    def peers_of(self, number: int) -> list[str]:
+        """Returns the addresses of all balancers as one of them has to use them, in the order of their numbers."""
+        return [
+            format_address(self._addresses.get((other, number), self._network.peer(other)))
+            for other in range(self._count)
+        ]
 
     def carry(self, sender: int, receiver: int, data: bytes) -> None:
-        if self.seen:
-            self.seen(sender, receiver, data)
-        state = self.ways.of(f"balancer:{sender}", f"balancer:{receiver}")
-        if state.cut or state.reset or self.draw.random() < state.loss:
+        """Carries a datagram, under the faults of its direction."""
+        if self.observer:
+            self.observer(sender, receiver, data)
+        state = self._paths.state(balancer_party(sender), balancer_party(receiver))
+        if state.is_cut or state.is_reset or self._rng.random() < state.loss:
             self.lost += 1
             return
-        held = self.late.setdefault((sender, receiver), deque())
-        if self.draw.random() < state.disordered:
-            held.append(data)
+        held_back = self._held_back.setdefault((sender, receiver), deque())
+        if self._rng.random() < state.reordering:
+            held_back.append(data)
             return
-        for _ in range(1 + (self.draw.random() < state.doubled)):
-            self.send(sender, receiver, data, state)
-        while held:
-            self.send(sender, receiver, held.popleft(), state)
+        for _ in range(1 + (self._rng.random() < state.duplication)):
+            self._send_later(sender, receiver, data, state)
+        while held_back:
+            self._send_later(sender, receiver, held_back.popleft(), state)
 
-    def send(self, sender: int, receiver: int, data: bytes, state: State) -> None:
-        wait = state.delay + state.jitter * self.draw.random()
-        asyncio.get_running_loop().call_later(wait, self.hand_over, sender, receiver, data)
+    def _send_later(self, sender: int, receiver: int, data: bytes, state: PathState) -> None:
+        delay_s = state.delay_s + state.jitter_s * self._rng.random()
+        asyncio.get_running_loop().call_later(delay_s, self._deliver, sender, receiver, data)
 
-    def hand_over(self, sender: int, receiver: int, data: bytes) -> None:
-        door = self.doors[sender, receiver]
-        if not door.is_closing():
-            self.carried += 1
-            door.sendto(data, self.net.peer(receiver))
-
-    def close(self) -> None:
-        for door in self.doors.values():
-            door.close()
+    def _deliver(self, sender: int, receiver: int, data: bytes) -> None:
+        transport = self._transports[sender, receiver]
+        if not transport.is_closing():
+            self.delivered += 1
+            transport.sendto(data, self._network.peer(receiver))
 
 
-class Door(asyncio.DatagramProtocol):
-    """What `at` sends here is meant for `one`."""
+class _DatagramRelay(asyncio.DatagramProtocol):
+    """The socket at which `sender` reaches `receiver`."""
 
-    def __init__(self, post: DatagramRelays, one: int, at: int) -> None:
-        self.post, self.one, self.at = post, one, at
+    def __init__(self, relays: DatagramRelays, sender: int, receiver: int) -> None:
+        self._relays, self._sender, self._receiver = relays, sender, receiver
 
-    def datagram_received(self, data: bytes, sender: Address) -> None:
-        self.post.carry(self.at, self.one, data)
+    def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
+        self._relays.carry(self._sender, self._receiver, data)
--- a/glenrock/testbed/scenario.py
+++ b/glenrock/testbed/scenario.py
@@ -1,22 +1,38 @@
-"""Scenario files: the laboratory's experiment format, with faults that strike processes and the ways between them."""
+"""Scenario files: the simulation's experiment format, with faults that strike processes and the paths between them.
+
+The fields of the tables are the keys of the files, and ranges are drawn by their names, so they keep the files' words.
+"""
 
 from __future__ import annotations
 
 import re
+from enum import StrEnum
 from pathlib import Path
-from typing import Annotated, Any, Literal
+from typing import Annotated, Any
 
 from msgspec import Meta
 
 from .. import toml_file
-from ..lab import spec as lab
-from ..lab.spec_faults import Fault
-from ..lab.spec_types import Above0R, Least0R, PartR, Strict
 from ..toml_file import InputFileError, fault
+from .simulation_model import (
+    Above0R,
+    Experiment,
+    Fault,
+    Least0R,
+    PartR,
+    Strict,
+    check_experiment,
+    high,
+    low,
+    put,
+    raw_of,
+)
+
+__all__ = ["InputFileError", "Scenario", "check", "load"]
 
 Party = Annotated[str, Meta(pattern=r"^(clients|list|store|(balancer|instance):(\*|[0-9]{1,4}))$")]
-Number = Annotated[int, Meta(ge=-1)]  # -1: drawn anew for each seed
-MOST_BALANCERS, MOST_INSTANCES = 200, 90  # each has an address of its own in one net
+Number = Annotated[int, Meta(ge=-1)]  # -1: drawn by the seed
+MAX_BALANCERS, MAX_SERVERS = 200, 90  # each has an address of its own in one network
 
 
 def drawn_number(value: float | tuple[float, ...]) -> float:
@@ -30,63 +46,81 @@
     return value
 
 
-class Kill(Fault):
+# -- faults of processes ---------------------------------------------------------------------------------
+
+
+class KillBalancer(Fault, frozen=True, tag="kill"):
     """SIGKILL; the same configuration starts again after `down_s` (0: never)."""
 
     balancer: Number = -1
     down_s: Least0R = 1.0
 
 
-class Stop(Fault):
-    """SIGTERM, SIGKILL after `patience_s`, and a new start `down_s` after it has ended (0: never)."""
+class TerminateBalancer(Fault, frozen=True, tag="stop"):
+    """SIGTERM, SIGKILL after `patience_s`, and a new start `down_s` after its end (0: never)."""
 
     balancer: Number = -1
     down_s: Least0R = 1.0
     patience_s: Above0R = 4.0
 
 
-class Pause(Fault):
-    """SIGSTOP, and SIGCONT after `for_s`: the process sleeps and does not know it."""
+class PauseBalancer(Fault, frozen=True, tag="pause"):
+    """SIGSTOP, and SIGCONT after `for_s`."""
 
     balancer: Number = -1
     for_s: Above0R = 2.0
 
 
-class Squeeze(Fault):
-    """CPU taken away: a lower priority, and a busy neighbour on the one core that it may use."""
+class LimitBalancerCpu(Fault, frozen=True, tag="squeeze"):
+    """A lower priority, and one core with a busy process on it."""
 
     balancer: Number = -1
     for_s: Above0R = 3.0
     nice: Annotated[int, Meta(ge=0, le=19)] = 10
 
 
-class InstanceKill(Fault):
-    """An instance's process dies and comes back cold after `down_s` (0: never)."""
+class CrashServer(Fault, frozen=True, tag="instance_kill"):
+    """A session server's process ends, and starts again after `down_s` (0: never); then it warms up."""
 
     instance: Number = -1
     down_s: Least0R = 2.0
 
 
-class Drain(Fault):
-    """The list says that an instance drains; it stops after `drain_s` and comes back cold after `down_s`."""
+class DrainServer(Fault, frozen=True, tag="drain"):
+    """A session server is listed as draining; it stops after `drain_s` and starts again after `down_s`."""
 
     instance: Number = -1
     drain_s: Above0R = 4.0
     down_s: Least0R = 2.0
 
 
-class ListFault(Fault):
-    """The list service is silent, refuses (503), or takes `call_ms` for each call."""
+# -- faults of services and paths ------------------------------------------------------------------------
+
+
+class DiscoveryFaultMode(StrEnum):
+    """What is wrong with discovery: no answer, 503, or `call_ms` for each call."""
+
+    SILENT = "silent"
+    REJECTS = "refuses"
+    SLOW = "slow"
+
+
+class DiscoveryFault(Fault, frozen=True, tag="list_fault"):
+    """Discovery is at fault for all balancers."""
 
-    how: Literal["silent", "refuses", "slow"] = "silent"
+    how: DiscoveryFaultMode = DiscoveryFaultMode.SILENT
     for_s: Above0R = 3.0
     call_ms: Above0R = 500.0
 
 
-class Way(Fault):
-    """The way from one party to another, in that direction alone; `*` is every one of a kind.
+class PathFault(Fault, frozen=True, tag="way"):
+    """The path from one party to another, in that direction alone; `*` stands for all of a kind.
 
-    `loss`, `doubled` and `disordered` strike datagrams only; a cut holds streams still, and none comes up.
+    Attributes:
+        loss, doubled, disordered: fractions of datagrams; a disordered one is held back until a later one has passed.
+        delay_ms: of everything. `jitter_ms`: more, uniformly drawn.
+        trickle: bytes a second of a stream; 0: not limited.
+        cut: streams are held, and no connection comes up.
     """
 
     source: Party
@@ -94,139 +128,239 @@
     for_s: Above0R = 3.0
     loss: PartR = 0.0
     doubled: PartR = 0.0
-    disordered: PartR = 0.0  # of datagrams, held back until a later one has passed
+    disordered: PartR = 0.0
     delay_ms: Least0R = 0.0
-    jitter_ms: Least0R = 0.0  # beside the delay, drawn evenly
-    trickle: Least0R = 0.0  # bytes a second, 0: as many as come
+    jitter_ms: Least0R = 0.0
+    trickle: Least0R = 0.0
     cut: bool = False
     reset: bool = False
 
 
-class StoreFault(Fault):
-    """The coordination store is paused, refuses, is slow, restarts after `for_s`, goes back to what it was at
-    `at_s`, does what it is asked without an answer, or answers reads that are not consistent with old ones.
+class StoreFaultMode(StrEnum):
+    """What is wrong with the store.
+
+    It answers nothing; answers 500; is slow; restarts after `for_s`; returns to its state at `at_s`; executes calls
+    without an answer; answers reads that need not be consistent with old data.
     """
 
-    how: Literal["paused", "refuses", "slow", "restart", "rollback", "loses", "stale"] = "paused"
+    PAUSED = "paused"
+    REJECTS = "refuses"
+    SLOW = "slow"
+    RESTART = "restart"
+    ROLLBACK = "rollback"
+    LOSES_ANSWERS = "loses"
+    STALE_READS = "stale"
+
+
+class StoreFault(Fault, frozen=True, tag="store_fault"):
+    """The coordination store is at fault. A SQLite file is locked, whatever the mode."""
+
+    how: StoreFaultMode = StoreFaultMode.PAUSED
     for_s: Above0R = 3.0
     call_ms: Above0R = 500.0
 
 
-class Ban(Fault):
-    """No fault: an operator takes an instance out, or calls it back, at one balancer."""
+# -- operators, and drawn faults -------------------------------------------------------------------------
+
+
+class OverrideServer(Fault, frozen=True, tag="ban"):
+    """No fault: an operator suspends a session server at one balancer, or resumes it."""
 
     balancer: Number = -1
     instance: Number = -1
     out: bool = True
 
 
-class Ticket(Fault):
-    """No fault: an operator drains a balancer, and calls it back after `for_s`."""
+class DrainBalancer(Fault, frozen=True, tag="ticket"):
+    """No fault: an operator drains a balancer, and ends the drain after `for_s`."""
 
     balancer: Number = -1
     for_s: Above0R = 2.0
 
 
-Strike = Literal["pause", "kill", "cut", "store_cut", "late", "ban", "ticket"]
+class RandomFaultKind(StrEnum):
+    """What `RandomFaults` draws from."""
 
+    PAUSE = "pause"
+    """Of 0.02 to 2 leases, half of them close to one lease."""
+    KILL = "kill"
+    GOSSIP_CUT = "cut"
+    STORE_CUT = "store_cut"
+    GOSSIP_LATE = "late"
+    """By more than a lease."""
+    OVERRIDE = "ban"
+    DRAIN = "ticket"
 
-class Strikes(Fault):
-    """For `for_s`, each `each_ms`, one of `kinds` at a drawn balancer: a pause of 0.02 to 2 leases, half of them
-    round a lease's end; a kill; a cut of its words, or of its way to the store, in one direction; words late by over
-    a lease.
-    `ban` and `ticket` are operators at work meanwhile: an instance out, or back; a balancer drained for a lease.
-    """
+
+class RandomFaults(Fault, frozen=True, tag="strikes"):
+    """For `for_s`, about every `each_ms`, one of `kinds` at a drawn balancer; several may be on at a time."""
 
     for_s: Above0R = 10.0
     each_ms: Above0R = 200.0
-    kinds: tuple[Strike, ...] = ("pause", "kill", "cut", "late")
+    kinds: tuple[RandomFaultKind, ...] = (
+        RandomFaultKind.PAUSE,
+        RandomFaultKind.KILL,
+        RandomFaultKind.GOSSIP_CUT,
+        RandomFaultKind.GOSSIP_LATE,
+    )
+
+
+AnyFault = (
+    KillBalancer
+    | TerminateBalancer
+    | PauseBalancer
+    | LimitBalancerCpu
+    | CrashServer
+    | DrainServer
+    | DiscoveryFault
+    | PathFault
+    | StoreFault
+    | OverrideServer
+    | DrainBalancer
+    | RandomFaults
+)
 
 
-class Together(Strict):
-    """What balancers do together; without a store, nothing."""
+def fault_word(found: Fault) -> str:
+    """Returns the word of a fault's kind in scenario files."""
+    return str(found.__struct_config__.tag)
 
-    store: Literal["", "sqlite", "consul"] = ""
+
+# -- the file --------------------------------------------------------------------------------------------
+
+
+class StoreKind(StrEnum):
+    """The coordination store of a scenario."""
+
+    NONE = ""
+    SQLITE = "sqlite"
+    CONSUL = "consul"
+
+
+class CoordinationOptions(Strict, frozen=True):
+    """Coordination between balancers; none without a store.
+
+    Attributes:
+        ask_ms: between two polls of the store.
+        late: the store holds a lease for this multiple of its length.
+        bans, turnstile, probe_shards: overrides for all balancers, drains at a time, and health check shards.
+        keep: the endpoint list and what was learned are kept for the next start.
+        spaced: a balancer whose incarnations end within `sound_ms` again and again delays its next start.
+    """
+
+    store: StoreKind = StoreKind.NONE
     lease_ms: Above0R = 1000.0
     drift: Least0R = 0.02
     ask_ms: Above0R = 300.0
     lock_delay_ms: Least0R = 0.0
-    late: Annotated[float, Meta(ge=1, le=2)] = 1.0  # a TTL's length at the store, as a multiple of what it says
+    late: Annotated[float, Meta(ge=1, le=2)] = 1.0
     bans: bool = True
     turnstile: Annotated[int, Meta(ge=0)] = 1
     probe_shards: bool = False
-    keep: bool = False  # the list and what was learned are kept for the next start
-    spaced: bool = False  # one whose lives end within `sound_ms`, again and again, comes back ever later
+    keep: bool = False
+    spaced: bool = False
     sound_ms: Above0R = 3000.0
 
 
-AnyFault = Kill | Stop | Pause | Squeeze | InstanceKill | Drain | ListFault | Way | StoreFault | Ban | Ticket | Strikes
-
+class ProcessOptions(Strict, frozen=True):
+    """How the processes run, and the stand-ins beside them.
 
-class Rig(Strict):
-    """How the processes run."""
+    Attributes:
+        sockets: descriptor limit of a process. `memory_mb`: limit of its address space.
+        ready_s: all processes answer PING within this, or the run fails.
+        admit_s: between two looks of the front end at a balancer.
+        ask_s: between two lines of a client.
+        call_ms: of discovery for a call; calls wait in line. `line_s`: a call waits no longer than this.
+        known: each process starts with the endpoint list as it is when the run begins.
+    """
 
-    sockets: Annotated[int, Meta(ge=64)] = 1024  # descriptors of one
-    memory_mb: Annotated[int, Meta(ge=64)] = 1024  # address space of one
-    ready_s: Above0R = 15.0  # all of them answer PING within this, or the run has failed
-    admit_s: Least0R = 0.2  # the front looks at a balancer so often
-    ask_s: Above0R = 2.0  # a client sends a line so often
-    call_ms: Least0R = 5.0  # the list service's time for a call; calls wait in line
-    known: bool = True  # each process has the list as it is when the run begins
-    line_s: Above0R = 2.0  # it gives up a call that has waited so long
+    sockets: Annotated[int, Meta(ge=64)] = 1024
+    memory_mb: Annotated[int, Meta(ge=64)] = 1024
+    ready_s: Above0R = 15.0
+    admit_s: Least0R = 0.2
+    ask_s: Above0R = 2.0
+    call_ms: Least0R = 5.0
+    known: bool = True
+    line_s: Above0R = 2.0
 
 
-class Scenario(lab.Experiment, kw_only=True, frozen=True, forbid_unknown_fields=True):
-    """A stage file."""
+class Scenario(Experiment, kw_only=True, frozen=True, forbid_unknown_fields=True):
+    """A written run of the testbed."""
 
     faults: tuple[AnyFault, ...] = ()  # type: ignore[assignment]
-    rig: Rig = Rig()
-    together: Together = Together()
+    rig: ProcessOptions = ProcessOptions()
+    together: CoordinationOptions = CoordinationOptions()
 
 
 def load(path: Path, overrides: dict[str, Any] | None = None) -> Scenario:
-    """The scene in that file. Raises InputFileError, with file, line and key."""
-    raw, text = lab.raw_of(path)
+    """Reads a scenario.
+
+    Raises:
+        InputFileError: with file, line and key.
+    """
+    raw, text = raw_of(path)
     for key, value in (overrides or {}).items():
-        raw = lab.put(raw, key, value, path)
-    found = toml_file.convert(path, text, raw, Scenario)
+        raw = put(raw, key, value, path)
+    found: Scenario = toml_file.convert(path, text, raw, Scenario)
     check(found, path, text)
     return found
 
 
-def check(e: Scenario, path: Path, text: str) -> None:
-    """What the types alone do not say."""
-    lab.check(e, path, text)
-
-    def need(ok: bool, key: str, what: str) -> None:
-        if not ok:
-            raise fault(path, text, key, what)
-
-    counts = {"balancer": lab.low(e.fleet.balancers), "instance": lab.low(e.fleet.instances)}
-    need(lab.high(e.fleet.balancers) <= MOST_BALANCERS, "fleet.balancers", f"at most {MOST_BALANCERS}")
-    need(lab.high(e.fleet.instances) <= MOST_INSTANCES, "fleet.instances", f"at most {MOST_INSTANCES}")
-    need(not e.sweep and not e.constants, "sweep" if e.sweep else "constants", "only the laboratory knows this")
-    for n, f in enumerate(e.faults):
-        for kind, count in counts.items():
-            number = getattr(f, kind, -1)
-            need(number < count, f"faults[{n}].{kind}", f"there is no {kind} {number} on every day")
-        need(bool(e.together.store) or not isinstance(f, WANTS_STORE), f"faults[{n}]", "[together] names no store")
-        if isinstance(f, Way):
-            for end in ("source", "target"):
-                kind, _, which = getattr(f, end).partition(":")
-                need(
-                    not which or which == "*" or int(which) < counts[kind],
-                    f"faults[{n}].{end}",
-                    f"there is no {kind} {which} on every day",
-                )
-            ends = {re.sub(":.*", "", f.source), re.sub(":.*", "", f.target)}
-            need(
-                ends in WAYS and ("store" not in ends or e.together.store == "consul"),
-                f"faults[{n}]",
-                f"nothing goes from {f.source} to {f.target}",
-            )
-
-
-WAYS = ({"clients", "balancer"}, {"balancer", "instance"}, {"balancer", "list"}, {"balancer", "store"}, {"balancer"})
-WANTS_STORE = (StoreFault, Ban, Ticket, Strikes)
+# -- what the types alone do not check ---------------------------------------------------------------------
 
-__all__ = ["InputFileError", "Scenario", "check", "load"]
+PATH_KINDS = (
+    {"clients", "balancer"},
+    {"balancer", "instance"},
+    {"balancer", "list"},
+    {"balancer", "store"},
+    {"balancer"},
+)
+NEEDS_STORE = (StoreFault, OverrideServer, DrainBalancer, RandomFaults)
+
+
+def check(scenario: Scenario, path: Path, text: str) -> None:
+    """Checks numbers, parties and what needs a store.
+
+    Raises:
+        InputFileError: with file, line and key.
+    """
+    check_experiment(scenario, path, text)
+    _ScenarioCheck(scenario, path, text).run()
+
+
+class _ScenarioCheck:
+    def __init__(self, scenario: Scenario, path: Path, text: str) -> None:
+        self._scenario, self._path, self._text = scenario, path, text
+        fleet = scenario.fleet
+        self._counts = {"balancer": low(fleet.balancers), "instance": low(fleet.instances)}
+
+    def _need(self, is_met: bool, key: str, message: str) -> None:
+        if not is_met:
+            raise fault(self._path, self._text, key, message)
+
+    def run(self) -> None:
+        scenario, fleet = self._scenario, self._scenario.fleet
+        self._need(high(fleet.balancers) <= MAX_BALANCERS, "fleet.balancers", f"at most {MAX_BALANCERS}")
+        self._need(high(fleet.instances) <= MAX_SERVERS, "fleet.instances", f"at most {MAX_SERVERS}")
+        only_simulated = "sweep" if scenario.sweep else "constants"
+        self._need(not scenario.sweep and not scenario.constants, only_simulated, "only the laboratory knows this")
+        for number, found in enumerate(scenario.faults):
+            self._check_fault(f"faults[{number}]", found)
+
+    def _check_fault(self, key: str, found: AnyFault) -> None:
+        for kind, count in self._counts.items():
+            number = getattr(found, kind, -1)
+            self._need(number < count, f"{key}.{kind}", f"there is no {kind} {number} on every day")
+        has_store = bool(self._scenario.together.store)
+        self._need(has_store or not isinstance(found, NEEDS_STORE), key, "[together] names no store")
+        if isinstance(found, PathFault):
+            self._check_path(key, found)
+
+    def _check_path(self, key: str, found: PathFault) -> None:
+        for end in ("source", "target"):
+            kind, _, number = getattr(found, end).partition(":")
+            is_there = not number or number == "*" or int(number) < self._counts[kind]
+            self._need(is_there, f"{key}.{end}", f"there is no {kind} {number} on every day")
+        kinds = {re.sub(":.*", "", party) for party in (found.source, found.target)}
+        has_service = "store" not in kinds or self._scenario.together.store == StoreKind.CONSUL
+        self._need(kinds in PATH_KINDS and has_service, key, f"nothing goes from {found.source} to {found.target}")
--- a/glenrock/testbed/scenario_clients.py
+++ b/glenrock/testbed/scenario_clients.py
@@ -1,219 +1,333 @@
-"""Clients of a scenario: an open loop, drawn ahead by the simulation's workload."""
+"""Clients of a scenario: an open loop of connections, drawn ahead as the simulation's workload.
+
+Each client arrives and leaves at its planned times, whatever it was answered, and retries as the scenario says.
+"""
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
+from collections import Counter
+from collections.abc import Callable, Coroutine, MutableMapping
 from dataclasses import dataclass
+from enum import Enum
+from typing import TYPE_CHECKING, Any, cast
 
-from ..lab.model.client import Habits
-from ..lab.model.plan import Row
+from .client_io import connect, read_answer
 from .frontend import Frontend
-from .history import EventKind, History
-from .loopback import Address, RealTimeEngine
-from .scenario import Scenario
+from .history import US_PER_S, EventKind, History
+from .loopback import Address
+from .real_time_engine import RealTimeEngine
+from .records import CLIENTS
+from .request_line import MOVE_LINE, RESUME_FIELD, Answer, AnswerKind, RequestLine
+from .scenario import Scenario, drawn_number
+from .simulation_model import ClientHabits, PlannedClient
+
+if TYPE_CHECKING:
+    from ..lab.model.client import Client as ModelClient
+
+EXTRA_WAIT_S = 2.0  # past the deadline, before an answer counts as lost
+RESUME_TIMEOUT_S = 40.0  # for a connection that was open before the run to be set up again
+
+
+class AttemptEnd(Enum):
+    """How one connection of a client ended. The values of the last four are words of the history."""
 
-S = 1_000_000
-SILENT_S = 2.0  # a client waits this much longer than it said before it calls an answer lost
-STANDING_S = 40.0  # one that stood before the run waits so long to stand again
-DIAL_S = 1.0  # to a balancer: it is near
+    UNREACHABLE = "unreachable"
+    NO_ANSWER = "no answer"
+    REJECTED = "rejected"
+    FAILED = "failed"
+    CLOSED_BY_CLIENT = "own"
+    MIGRATED = "moved"
+    FINISHED = "eof"
+    RESET = "reset"
+
+
+BROKEN = (AttemptEnd.FINISHED, AttemptEnd.RESET)
 
 
 @dataclass(eq=False, slots=True)
-class Caller:
-    row: Row
+class WorkloadClient:
+    """A client of the workload.
+
+    Attributes:
+        planned: when it is there, and what it wants.
+        tries: connections so far.
+        failures: in a row, since it was last connected.
+        is_returning: its connection was migrated or broke.
+        is_connected: its connection is established.
+    """
+
+    planned: PlannedClient
     tries: int = 0
     failures: int = 0
-    again: bool = False
-    standing: bool = False
+    is_returning: bool = False
+    is_connected: bool = False
+
+    def as_model(self) -> ModelClient:
+        """Returns the client as the simulation's habits read it: its failures alone."""
+        return cast("ModelClient", self)
+
+
+@dataclass(frozen=True, slots=True)
+class ClientEnvironment:
+    """What all clients of a run share.
+
+    Attributes:
+        addresses: of the balancers, as clients reach them.
+        habits: draws the times that clients wait.
+        clients: by request id; each connection adds its own.
+        counts: of the measures, by the simulation's names.
+        note_wait: counts the microseconds until a client of a class was set up.
+    """
+
+    scenario: Scenario
+    frontend: Frontend
+    addresses: list[Address]
+    habits: ClientHabits
+    engine: RealTimeEngine
+    history: History
+    clients: MutableMapping[str, PlannedClient]
+    counts: Counter[str] | dict[str, int]
+    note_wait: Callable[[int, int], None]
 
 
 class ScenarioClients:
-    """All of them. `counts` are the laboratory's."""
+    """All clients of a run.
 
-    def __init__(
-        self,
-        scene: Scenario,
-        rows: list[Row],
-        front: Frontend,
-        addresses: list[Address],
-        habits: Habits,
-        engine: RealTimeEngine,
-        history: History,
-        registry: dict[str, Row],
-        counts: dict[str, int],
-        waited: list,
-    ) -> None:  # type: ignore[type-arg]
-        self.scene, self.rows, self.front, self.addresses = scene, rows, front, addresses
-        self.habits, self.engine, self.history = habits, engine, history
-        self.registry, self.counts, self.waited = registry, counts, waited
-        self.callers = [Caller(row) for row in rows]
-        self.tasks: set[asyncio.Task[None]] = set()
-        self.ends: list[tuple[Row, asyncio.Timeout]] = []  # of those that stood before
-        self.before = 0  # who stood before the run and is not up again yet
-
-    def seconds(self) -> float:
-        """Of the day; 0 until it begins."""
-        return (self.engine.now - self.engine.day) / S if self.engine.day else 0.0
-
-    def standing(self) -> int:
-        return sum(c.standing for c in self.callers)
+    Attributes:
+        resuming: connections that were open before the run and are not set up again yet.
+    """
+
+    def __init__(self, planned: list[PlannedClient], environment: ClientEnvironment) -> None:
+        self.resuming = 0
+        self._clients = [WorkloadClient(client) for client in planned]
+        self._environment = environment
+        self._engine, self._counts = environment.engine, environment.counts
+        self._tasks: set[asyncio.Task[None]] = set()
+        self._resumed_ends: list[tuple[PlannedClient, asyncio.Timeout]] = []
+
+    # -- figures ---------------------------------------------------------------------------------------
+
+    def elapsed_s(self) -> float:
+        """Returns the time of the measured part of the run; 0 before it."""
+        return (self._engine.now - self._engine.measured_from_us) / US_PER_S if self._engine.measured_from_us else 0.0
+
+    def connected(self) -> int:
+        """Returns how many clients are connected."""
+        return sum(client.is_connected for client in self._clients)
 
     def waiting(self) -> int:
-        now = self.seconds() * S
-        return sum(not c.standing and c.row.arrival <= now < c.row.end for c in self.callers)
+        """Returns how many clients are there and not connected."""
+        now_us = self.elapsed_s() * US_PER_S
+        return sum(
+            not client.is_connected and client.planned.arrival <= now_us < client.planned.end
+            for client in self._clients
+        )
 
-    def place(self, balancers: int, instances: list[str]) -> None:
-        """Those that stood before: each at an instance of its own draw, evenly over the balancers."""
-        standing = [c for c in self.callers if c.row.arrival < 0]
-        self.before = len(standing)
-        for n, c in enumerate(standing):
-            self.start(self.life(c, n % balancers, instances[c.row.group % len(instances)]))
+    # -- all clients -----------------------------------------------------------------------------------
+
+    def resume_connections(self, balancers: int, servers: list[str]) -> None:
+        """Sets the connections up that were open before the run: evenly over the balancers, each at its own server."""
+        resuming = [client for client in self._clients if client.planned.arrival < 0]
+        self.resuming = len(resuming)
+        for number, client in enumerate(resuming):
+            server = servers[client.planned.group % len(servers)]
+            self._start(self._live(client, number % balancers, server))
 
     def begin(self) -> None:
-        """The day begins: those that stood before it leave by its clock too."""
-        for row, limit in self.ends:
+        """Begins the measured part of the run: from now on planned times count, also for resumed connections."""
+        for planned, timeout in self._resumed_ends:
             with contextlib.suppress(RuntimeError):  # it has ended meanwhile
-                limit.reschedule(self.engine.zero + (self.engine.day + row.end) / S)
-        self.ends.clear()
-        for c in self.callers:
-            if c.row.arrival >= 0:
-                self.start(self.life(c))
+                timeout.reschedule(self._engine.loop_time_s(planned.end))
+        self._resumed_ends.clear()
+        for client in self._clients:
+            if client.planned.arrival >= 0:
+                self._start(self._live(client))
 
-    def start(self, life) -> None:  # type: ignore[no-untyped-def]
+    def _start(self, life: Coroutine[Any, Any, None]) -> None:
         task = asyncio.get_running_loop().create_task(life)
-        self.tasks.add(task)
-        task.add_done_callback(self.tasks.discard)
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
 
     def close(self) -> None:
-        for task in self.tasks:
+        """Ends all clients."""
+        for task in self._tasks:
             task.cancel()
 
-    async def life(self, c: Caller, balancer: int | None = None, at: str = "") -> None:
-        row = c.row
-        await asyncio.sleep(max(0.0, row.arrival / S - self.seconds()))
-        self.counts["clients"] += 1
-        since = self.engine.now
-        while self.seconds() * S < row.end:
-            number = balancer if balancer is not None else self.front.pick()
+    # -- one client ------------------------------------------------------------------------------------
+
+    async def _live(self, client: WorkloadClient, balancer: int | None = None, resumes_at: str = "") -> None:
+        """Connects until the client's planned end. A balancer and a server are given for a resumed connection."""
+        planned, habits = client.planned, self._environment.habits
+        await asyncio.sleep(max(0.0, planned.arrival / US_PER_S - self.elapsed_s()))
+        self._counts["clients"] += 1
+        waits_since_us = self._engine.now
+        while self.elapsed_s() * US_PER_S < planned.end:
+            number = balancer if balancer is not None else self._environment.frontend.pick()
             if number is None:
-                self.counts["unreachable"] += 1
-                c.failures += 1
-                await asyncio.sleep(self.habits.after_failure(c) / S)  # type: ignore[arg-type]
+                self._counts["unreachable"] += 1
+                client.failures += 1
+                await asyncio.sleep(habits.after_failure(client.as_model()) / US_PER_S)
                 continue
-            how, wait = await self.attempt(c, number, since, at)
-            balancer, at = None, ""
-            if how == "own":
+            end, answer = await self._connect_once(client, number, waits_since_us, resumes_at)
+            balancer, resumes_at = None, ""
+            if end is AttemptEnd.CLOSED_BY_CLIENT:
                 return
-            if how in ("moved", "eof", "reset"):
-                c.again, since = True, self.engine.now
-                wait = self.habits.after_move() if how == "moved" else self.habits.after_break()
-            elif how == "refused":
-                wait = self.habits.after_refusal(c, wait)  # type: ignore[arg-type]
-            else:
-                wait = self.habits.after_failure(c)  # type: ignore[arg-type]
-            await asyncio.sleep(wait / S)
-
-    async def attempt(self, c: Caller, number: int, since: int, at: str) -> tuple[str, int]:
-        """One try: how it ended, and what a refusal said of when to come back, in microseconds."""
-        row, kind = c.row, self.scene.classes[c.row.kind]
-        c.tries += 1
-        self.counts["tries"] += 1
-        id_ = f"{row.number}.{c.tries}"
-        self.registry[id_] = row
-        fields = f"c={kind.name},t={self.scene.tenants[row.tenant].name},g={row.group:x}"
-        fields += f",at={at}" if at else f",d={float(kind.give_up_ms):.0f}{',again=1' if c.again else ''}"
+            if end is AttemptEnd.MIGRATED or end in BROKEN:
+                client.is_returning, waits_since_us = True, self._engine.now
+            await asyncio.sleep(self._retry_delay_us(client, end, answer) / US_PER_S)
+
+    def _retry_delay_us(self, client: WorkloadClient, end: AttemptEnd, answer: Answer | None) -> int:
+        habits = self._environment.habits
+        if end is AttemptEnd.MIGRATED:
+            return habits.after_move()
+        if end in BROKEN:
+            return habits.after_break()
+        if end is AttemptEnd.REJECTED and answer is not None:
+            return habits.after_refusal(client.as_model(), answer.retry_after_us)
+        return habits.after_failure(client.as_model())
+
+    async def _connect_once(
+        self, client: WorkloadClient, balancer: int, waits_since_us: int, resumes_at: str
+    ) -> tuple[AttemptEnd, Answer | None]:
+        client.tries += 1
+        self._counts["tries"] += 1
+        request = self._request_line(client, resumes_at)
+        self._environment.clients[request.request_id] = client.planned
         try:
-            async with asyncio.timeout(DIAL_S):
-                reader, writer = await asyncio.open_connection(*self.addresses[number])
+            reader, writer = await connect(self._environment.addresses[balancer])
         except (OSError, TimeoutError):
-            self.counts["unreachable"] += 1
-            c.failures += 1
-            self.before -= bool(at)
-            return "unreachable", 0
-        patience = STANDING_S if at else float(kind.give_up_ms) / 1000
+            self._counts["unreachable"] += 1
+            client.failures += 1
+            self.resuming -= bool(resumes_at)
+            return AttemptEnd.UNREACHABLE, None
         try:
-            writer.write(f"OPEN {id_} {row.number:x} {fields}\r\n".encode())
-            self.history.note("clients", EventKind.SENT, id_, balancer=number, d_ms=patience * 1000, at=at)
-            try:
-                how, told = await self.answer(c, id_, number, reader, patience)
-            finally:
-                self.before -= bool(at)
-            if how == "up":
-                self.waited[row.kind].record_value(max(1, self.engine.now - since))
-                return await self.stand(c, id_, number, reader, writer), 0
-            c.failures += 1
-            return how, told
+            answer = await self._request(client, balancer, request, reader, writer)
+            if answer.kind is AnswerKind.UP:
+                waited_us = max(1, self._engine.now - waits_since_us)
+                self._environment.note_wait(client.planned.kind, waited_us)
+                return await self._stay(client, request.request_id, balancer, reader, writer), answer
+            client.failures += 1
+            return _attempt_end(answer), answer
         finally:
             writer.close()
 
-    async def answer(
-        self, c: Caller, id_: str, number: int, reader: asyncio.StreamReader, patience: float
-    ) -> tuple[str, int]:
+    def _request_line(self, client: WorkloadClient, resumes_at: str) -> RequestLine:
+        planned, scenario = client.planned, self._environment.scenario
+        kind = scenario.classes[planned.kind]
+        fields = {"c": kind.name, "t": scenario.tenants[planned.tenant].name, "g": f"{planned.group:x}"}
+        if resumes_at:
+            fields[RESUME_FIELD] = resumes_at
+        else:
+            fields["d"] = f"{drawn_number(kind.give_up_ms):.0f}"
+            if client.is_returning:
+                fields["again"] = "1"
+        return RequestLine(f"{planned.number}.{client.tries}", f"{planned.number:x}", fields)
+
+    async def _request(
+        self,
+        client: WorkloadClient,
+        balancer: int,
+        request: RequestLine,
+        reader: asyncio.StreamReader,
+        writer: asyncio.StreamWriter,
+    ) -> Answer:
+        kind = self._environment.scenario.classes[client.planned.kind]
+        timeout_s = RESUME_TIMEOUT_S if request.is_resumed else drawn_number(kind.give_up_ms) / 1000
+        resumes_at = request.fields.get(RESUME_FIELD, "")
         try:
-            async with asyncio.timeout(patience + SILENT_S):
-                line = await reader.readline()
-        except TimeoutError:
-            self.counts["overdue"] += 1
-            self.history.note("clients", EventKind.GAVE_UP, id_, balancer=number)
-            return "silent", 0
+            writer.write(request.encode())
+            self._note(EventKind.SENT, request.request_id, balancer, d_ms=timeout_s * 1000, at=resumes_at)
+            return await self._read_answer(request.request_id, balancer, reader, timeout_s)
+        finally:
+            self.resuming -= request.is_resumed
+
+    async def _read_answer(
+        self, request_id: str, balancer: int, reader: asyncio.StreamReader, timeout_s: float
+    ) -> Answer:
+        try:
+            answer = await read_answer(reader, timeout_s + EXTRA_WAIT_S)
         except OSError:
-            line = b""
-        word, _, rest = line.decode("ascii", "replace").strip().partition(" ")
-        if not line.endswith(b"\n"):
-            self.counts["broken"] += 1
-            self.history.note("clients", EventKind.CLOSED_UNANSWERED, id_, balancer=number)
-            return "closed", 0
-        if word == "UP":
-            self.counts["set_up"] += 1
-            self.history.note(
-                "clients", EventKind.ANSWERED, id_, balancer=number, answer="UP", instance=rest.rpartition("-")[0]
-            )
-            return "up", 0
-        self.counts["refused" if word == "BUSY" else "failed"] += 1
-        self.history.note("clients", EventKind.ANSWERED, id_, balancer=number, answer=word)
+            answer = Answer(AnswerKind.CLOSED)
+        if answer.kind is AnswerKind.NONE:
+            self._counts["overdue"] += 1
+            self._note(EventKind.GAVE_UP, request_id, balancer)
+        elif answer.kind is AnswerKind.CLOSED:
+            self._counts["broken"] += 1
+            self._note(EventKind.CLOSED_UNANSWERED, request_id, balancer)
+        elif answer.kind is AnswerKind.UP:
+            self._counts["set_up"] += 1
+            self._note(EventKind.ANSWERED, request_id, balancer, answer=answer.word, instance=answer.server)
+        else:
+            self._counts["refused" if answer.kind is AnswerKind.BUSY else "failed"] += 1
+            self._note(EventKind.ANSWERED, request_id, balancer, answer=answer.word)
+            await self._read_further_answers(request_id, balancer, reader)
+        return answer
+
+    async def _read_further_answers(self, request_id: str, balancer: int, reader: asyncio.StreamReader) -> None:
+        """Notes each line after the answer, up to the end of the connection: there should be none."""
         with contextlib.suppress(OSError, TimeoutError):
-            async with asyncio.timeout(SILENT_S):
-                while more := await reader.readline():  # an answer is one line
-                    self.history.note("clients", EventKind.ANSWERED, id_, balancer=number, answer=repr(more))
-        told = int(rest) * 1000 if word == "BUSY" and rest.isdecimal() else 0
-        return "refused" if word == "BUSY" else "failed", told
-
-    async def stand(
-        self, c: Caller, id_: str, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
-    ) -> str:
-        c.standing, c.failures = True, 0
-        asks = asyncio.ensure_future(self.asks(writer))
-        how = "own"
+            async with asyncio.timeout(EXTRA_WAIT_S):
+                while line := await reader.readline():
+                    self._note(EventKind.ANSWERED, request_id, balancer, answer=repr(line))
+
+    async def _stay(
+        self,
+        client: WorkloadClient,
+        request_id: str,
+        balancer: int,
+        reader: asyncio.StreamReader,
+        writer: asyncio.StreamWriter,
+    ) -> AttemptEnd:
+        """Uses an established connection until one side ends it."""
+        client.is_connected, client.failures = True, 0
+        sending = asyncio.ensure_future(self._send_lines(writer))
+        end = AttemptEnd.CLOSED_BY_CLIENT
         try:
-            async with asyncio.timeout(max(0.0, c.row.end / S - self.seconds())) as limit:
-                if c.row.arrival < 0 and not c.again and not self.engine.day:
-                    self.ends.append((c.row, limit))
-                while True:
-                    line = await reader.readline()
-                    if not line.endswith(b"\n"):
-                        how = "eof"
-                        break
-                    if line == b"MOVE\r\n":
-                        self.counts["moved"] += 1
-                        how = "moved"
-                        break
+            async with asyncio.timeout(max(0.0, client.planned.end / US_PER_S - self.elapsed_s())) as timeout:
+                if client.planned.arrival < 0 and not client.is_returning and not self._engine.measured_from_us:
+                    self._resumed_ends.append((client.planned, timeout))
+                end = await self._read_to_end(reader)
         except TimeoutError:
             pass
         except OSError:
-            how = "reset"
+            end = AttemptEnd.RESET
         finally:
-            c.standing = False
-            asks.cancel()
-        if how in ("eof", "reset"):
-            self.counts["broken"] += 1
-        self.history.note("clients", EventKind.CONNECTION_ENDED, id_, balancer=number, how=how)
-        return how
-
-    async def asks(self, writer: asyncio.StreamWriter) -> None:
-        every = float(self.scene.rig.ask_s)
+            client.is_connected = False
+            sending.cancel()
+        if end in BROKEN:
+            self._counts["broken"] += 1
+        self._note(EventKind.CONNECTION_ENDED, request_id, balancer, how=end.value)
+        return end
+
+    async def _read_to_end(self, reader: asyncio.StreamReader) -> AttemptEnd:
+        while True:
+            line = await reader.readline()
+            if not line.endswith(b"\n"):
+                return AttemptEnd.FINISHED
+            if line == MOVE_LINE:
+                self._counts["moved"] += 1
+                return AttemptEnd.MIGRATED
+
+    async def _send_lines(self, writer: asyncio.StreamWriter) -> None:
+        interval_s = drawn_number(self._environment.scenario.rig.ask_s)
         with contextlib.suppress(OSError):
             while True:
-                await asyncio.sleep(every)
+                await asyncio.sleep(interval_s)
                 writer.write(b"ask\r\n")
                 await writer.drain()
+
+    def _note(self, kind: EventKind, request_id: str, balancer: int, **data: Any) -> None:
+        self._environment.history.note(CLIENTS, kind, request_id, balancer=balancer, **data)
+
+
+def _attempt_end(answer: Answer) -> AttemptEnd:
+    """Returns how an attempt ended that was not set up."""
+    match answer.kind:
+        case AnswerKind.BUSY:
+            return AttemptEnd.REJECTED
+        case AnswerKind.NONE | AnswerKind.CLOSED:
+            return AttemptEnd.NO_ANSWER
+        case _:
+            return AttemptEnd.FAILED
--- a/glenrock/testbed/scenario_runner.py
+++ b/glenrock/testbed/scenario_runner.py
@@ -69,27 +69,25 @@
 
             self._operator = self._faults.operator = Operator(bed)
             self._observer = CoordinationObserver(bed.store, bed.history)
-            bed.datagram_relays.seen = self._observer.observe_datagram
+            bed.datagram_relays.observer = self._observer.observe_datagram
             self._observer.start()
         await bed.start_balancers()
 
     async def _measure(self) -> None:
         bed = self._bed
         for server in bed.servers:
-            server.day_begins()
-        bed.engine.day = bed.history.measured_from_us = bed.engine.now
+            server.begin_measuring()
+        bed.engine.measured_from_us = bed.history.measured_from_us = bed.engine.now
         bed.is_measuring = True
         bed.clients.begin()
         self._faults.begin()
         for second in range(int(bed.length_s) + 1):
-            await asyncio.sleep(max(0.0, second - bed.clients.seconds()))
+            await asyncio.sleep(max(0.0, second - bed.clients.elapsed_s()))
             self._measure_second(second)
-        await asyncio.sleep(max(0.0, bed.length_s - bed.clients.seconds()))
+        await asyncio.sleep(max(0.0, bed.length_s - bed.clients.elapsed_s()))
         for server in bed.servers:
-            server.model.advance(bed.engine.now)
-            for attempt in list(server.open_now):
-                server.settle(attempt)
-        bed.measure.ask(bed.plan.rows, round(bed.length_s * US_PER_S))
+            server.end_measuring()
+        bed.measure.ask(bed.workload.rows, round(bed.length_s * US_PER_S))
         bed.is_measuring = False
 
     def _measure_second(self, second: int) -> None:
@@ -101,8 +99,8 @@
         if second < measure.seconds:
             measure.put(
                 second,
-                load=load / bed.plan.capacity,
-                standing=float(bed.clients.standing()),
+                load=load / bed.workload.capacity,
+                standing=float(bed.clients.connected()),
                 cap=float("nan"),
                 line=float(bed.clients.waiting()),
                 refused=float(measure.counts["refused"]),
@@ -117,7 +115,7 @@
     def _measure_server(self, number: int, second: int) -> float:
         """Returns the server's load, in microseconds of work a second."""
         bed, measure, server = self._bed, self._bed.measure, self._bed.servers[number]
-        server.second()
+        server.advance_second()
         if not server.model.up:
             if second < measure.seconds:
                 measure.heat[number, second] = -1
--- a/glenrock/testbed/scenario_summary.py
+++ b/glenrock/testbed/scenario_summary.py
@@ -6,13 +6,13 @@
 from collections import Counter
 from typing import Any
 
-from ..lab.measure import rounded, told
 from .coordination_figures import coordination_figures
 from .history import US_PER_S, EventKind
 from .invariant import CheckResult, Invariant
 from .invariants import INVARIANTS
 from .scenario import drawn_number
 from .scenario_testbed import ScenarioTestbed
+from .simulation_model import percentiles, rounded
 
 FORMAT = 1
 MAX_VIOLATIONS = 20
@@ -26,8 +26,8 @@
     measure, counts = bed.measure, bed.measure.counts
     counts["attempts"] = sum(server.attempts for server in bed.servers)
     counts["probes"] = sum(1 for _ in bed.history.each(EventKind.HEALTH_CHECK))
-    counts["list_calls"], counts["list_refused"] = bed.discovery.calls, bed.discovery.refused
-    counts["datagrams"], counts["datagrams_lost"] = bed.datagram_relays.carried, bed.datagram_relays.lost
+    counts["list_calls"], counts["list_refused"] = bed.call_queue.calls, _rejected_calls(bed)
+    counts["datagrams"], counts["datagrams_lost"] = bed.datagram_relays.delivered, bed.datagram_relays.lost
     clients = max(1, counts["clients"])
     found: dict[str, Any] = {
         "format": FORMAT,
@@ -46,15 +46,16 @@
         "crossing_part": 0.0,
         "fairness": measure.fairness(),
         "setup": {
-            kind.name: told(histogram) for kind, histogram in zip(bed.scenario.classes, measure.waits, strict=True)
+            kind.name: percentiles(histogram)
+            for kind, histogram in zip(bed.scenario.classes, measure.waits, strict=True)
         },
-        "messages": told(measure.messages),
-        "refusals": told(measure.refusals),
+        "messages": percentiles(measure.messages),
+        "refusals": percentiles(measure.refusals),
         "fleet": {
             "balancers": bed.balancer_count,
             "instances": len(bed.servers),
-            "capacity_cores": rounded(bed.plan.capacity / US_PER_S),
-            "clients_per_s": rounded(bed.plan.per_s),
+            "capacity_cores": rounded(bed.workload.capacity / US_PER_S),
+            "clients_per_s": rounded(bed.workload.per_s),
         },
         "list": _discovery(bed),
         "processes": {
@@ -96,7 +97,7 @@
     return [
         {
             "rule": violation.invariant.value,
-            "at_s": rounded(violation.at_s - bed.engine.day / US_PER_S),
+            "at_s": rounded(violation.at_s - bed.engine.measured_from_us / US_PER_S),
             "text": violation.text,
             "request": violation.request_id,
             "balancer": violation.balancer,
@@ -108,29 +109,34 @@
 
 
 def _faults(bed: ScenarioTestbed) -> list[dict[str, Any]]:
-    day_us = bed.engine.day
+    measured_from_us = bed.engine.measured_from_us
     return [
         {
             "kind": fault.kind,
-            "from_s": rounded((fault.begin_us - day_us) / US_PER_S),
-            "to_s": rounded(min(bed.length_s, (fault.end_us - day_us) / US_PER_S)),
+            "from_s": rounded((fault.begin_us - measured_from_us) / US_PER_S),
+            "to_s": rounded(min(bed.length_s, (fault.end_us - measured_from_us) / US_PER_S)),
         }
         for fault in bed.history.faults
-        if fault.begin_us - day_us < bed.length_s * US_PER_S
+        if fault.begin_us - measured_from_us < bed.length_s * US_PER_S
     ]
 
 
+def _rejected_calls(bed: ScenarioTestbed) -> int:
+    return sum(agent.rejected_calls for agent in bed.agents)
+
+
 def _discovery(bed: ScenarioTestbed) -> dict[str, Any]:
     """Cost of the start at the discovery service; times are seconds from the start of the first process."""
-    heard_s = sorted(round(at_s - bed.started_s, 3) for at_s in bed.discovery.heard.values())
-    percentiles = {
+    first_answers_s = [agent.first_answer_s for agent in bed.agents if agent.first_answer_s is not None]
+    heard_s = sorted(round(at_s - bed.started_s, 3) for at_s in first_answers_s)
+    shares = {
         f"p{percent}_s": heard_s[max(0, percent * len(heard_s) // 100 - 1)] if heard_s else None
         for percent in (50, 95, 100)
     }
     return {
         "heard": len(heard_s),
-        **percentiles,
-        "calls": bed.discovery.calls,
-        "refused": bed.discovery.refused,
-        "longest_line": bed.discovery.longest,
+        **shares,
+        "calls": bed.call_queue.calls,
+        "refused": _rejected_calls(bed),
+        "longest_line": bed.call_queue.longest,
     }
--- a/glenrock/testbed/scenario_testbed.py
+++ b/glenrock/testbed/scenario_testbed.py
@@ -6,24 +6,22 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
-from ..lab import spec as lab
-from ..lab.measure import Measure
-from ..lab.model import plan as plans
-from ..lab.model import shapes
-from ..lab.model.client import Habits
-from ..lab.model.plan import Row
-from ..lab.streams import Streams
-from . import balancer_settings
 from .balancer_process import BalancerProcess
-from .discovery_service import DiscoveryService
+from .balancer_settings import encode_settings
+from .call_queue import CallQueue
+from .discovery_agent import DiscoveryAgent
+from .endpoint_directory import EndpointDirectory, EndpointStatus, ListedServer
 from .frontend import Frontend
-from .history import US_PER_S, History
-from .loopback import Address, LoopbackNetwork, RealTimeEngine
-from .modelled_servers import ModelledServer
+from .history import US_PER_S, EventKind, History
+from .loopback import Address, LoopbackNetwork, format_address
+from .modelled_servers import ModelledServer, ServerEnvironment
 from .network_faults import NetworkPaths
 from .network_relays import DatagramRelays, StreamRelay
-from .scenario import Scenario, Strikes, Way, drawn_number
-from .scenario_clients import ScenarioClients
+from .real_time_engine import RealTimeEngine
+from .records import CLIENTS, DISCOVERY, STORE, balancer_party
+from .scenario import PathFault, RandomFaultKind, RandomFaults, Scenario, drawn_number
+from .scenario_clients import ClientEnvironment, ScenarioClients
+from .simulation_model import ClientHabits, Measure, PlannedClient, Streams, draw_workload, drawn, settings_of, shapes
 
 if TYPE_CHECKING:
     from .coordination_store import CoordinationStore
@@ -47,21 +45,22 @@
         history: events of all parties.
         measure: figures of the run, in the simulation's form.
         store: the coordination store; None where the scenario names none.
+        agents: discovery of each balancer. `call_queue`: their calls, which one service serves.
         is_measuring: whether the measured part of the run is on.
         clients_by_request: row of the workload, by request id.
     """
 
     def __init__(self, scenario: Scenario, seed: int, folder: Path, network: LoopbackNetwork) -> None:
-        self.scenario: Scenario = lab.drawn(scenario, seed)  # type: ignore[assignment]
+        self.scenario: Scenario = drawn(scenario, seed)  # type: ignore[assignment]
         self.seed, self.folder, self.network = seed, folder, network
         self.streams = Streams(seed)
         self.server_shapes = shapes.shapes(self.scenario, self.streams)
         capacity = sum(shape.cores * shape.speed for shape in self.server_shapes) * US_PER_S
-        self.plan = plans.plan(self.scenario, self.streams, capacity)
+        self.workload = draw_workload(self.scenario, self.streams, capacity)
         self.balancer_count = int(drawn_number(self.scenario.fleet.balancers))
         self.length_s = drawn_number(self.scenario.length_s)
-        self.measure = Measure(self.scenario, self.plan.asked, 0, len(self.server_shapes))
-        self.clients_by_request: dict[str, Row] = {}
+        self.measure = Measure(self.scenario, self.workload.asked, 0, len(self.server_shapes))
+        self.clients_by_request: dict[str, PlannedClient] = {}
         self.paths = NetworkPaths(_planned_path_faults(self.scenario))
         self.stream_relays: list[StreamRelay] = []
         self.balancers: list[BalancerProcess] = []
@@ -73,112 +72,146 @@
 
     def build(self) -> None:
         """Creates every part but the processes. Sockets are bound and nothing is served yet."""
-        scenario, rig = self.scenario, self.scenario.rig
         self.engine = RealTimeEngine()
         self.history = History(lambda: self.engine.now)
         self.servers = self._build_servers()
-        addresses = {
-            (balancer, server.number): self.path_address(f"balancer:{balancer}", server.party, server.address(balancer))
+        self._build_discovery()
+        self._build_clients()
+        options = self.scenario.together
+        if options.store:
+            from .coordination_store import CoordinationStore  # loads aiohttp, which runs without a store do not need
+
+            self.store = CoordinationStore(options, self.folder, self.network, self.balancer_count, self.path_address)
+
+    def _build_servers(self) -> list[ModelledServer]:
+        scenario = self.scenario
+        noise, work = self.streams.normals("report noise"), self.streams.exponentials("set-up work")
+        setups = [(drawn_number(kind.setup_ms) * 1000, kind.setup_spread == "exp") for kind in scenario.classes]
+
+        def setup_work_us(client: PlannedClient) -> float:
+            mean_us, is_exponential = setups[client.kind]
+            return mean_us * work() if is_exponential else mean_us
+
+        environment = ServerEnvironment(
+            scenario,
+            self.engine,
+            self.history,
+            shapes.figures(scenario),
+            self.clients_by_request,
+            noise,
+            setup_work_us,
+            self._earn,
+            self.measure.credit,
+        )
+        return [
+            ModelledServer(
+                number, shape, {balancer: self.network.next() for balancer in range(self.balancer_count)}, environment
+            )
+            for number, shape in enumerate(self.server_shapes)
+        ]
+
+    def _build_discovery(self) -> None:
+        rig = self.scenario.rig
+        paths = {
+            (balancer, server.number): self.path_address(
+                balancer_party(balancer), server.party, server.address(balancer)
+            )
             for balancer in range(self.balancer_count)
             for server in self.servers
         }
-        self.discovery = DiscoveryService(
-            self.servers,
-            addresses,
-            self.history,
-            self.network,
-            self.balancer_count,
-            drawn_number(rig.call_ms),
-            drawn_number(rig.line_s),
+        self.directory = EndpointDirectory(
+            ListedServer(
+                server.name,
+                server.address(0),
+                server.zone,
+                kind=server.model.shape.kind,
+                paths={balancer: paths[balancer, server.number] for balancer in range(self.balancer_count)},
+            )
+            for server in self.servers
         )
+        self.call_queue = CallQueue(drawn_number(rig.call_ms) / 1000, drawn_number(rig.line_s))
+        observer = _HistoryObserver(self.history, self.servers)
+        self.agents = [
+            DiscoveryAgent(balancer, self.network.next(), self.directory, observer, self.call_queue)
+            for balancer in range(self.balancer_count)
+        ]
+
+    def _build_clients(self) -> None:
+        scenario = self.scenario
         has_gossip_faults = any(fault.source[:4] == fault.target[:4] for fault in self.paths.planned)
         is_relayed = has_gossip_faults or bool(scenario.together.store) or self.balancer_count <= MAX_RELAYED_BALANCERS
         self.datagram_relays = DatagramRelays(self.paths, self.network, self.balancer_count, self.seed, is_relayed)
         entrances = [
-            self.path_address("clients", f"balancer:{number}", self.network.balancer(number))
+            self.path_address(CLIENTS, balancer_party(number), self.network.balancer(number))
             for number in range(self.balancer_count)
         ]
-        self.frontend = Frontend(
-            entrances, drawn_number(scenario.front.notice_s), drawn_number(rig.admit_s), self.history, self.seed
-        )
-        self.clients = ScenarioClients(
+        notice_s, interval_s = drawn_number(scenario.front.notice_s), drawn_number(scenario.rig.admit_s)
+        self.frontend = Frontend(entrances, notice_s, interval_s, self.history, self.seed)
+        environment = ClientEnvironment(
             scenario,
-            self.plan.rows,
             self.frontend,
             entrances,
-            Habits(scenario.clients, self.streams),
+            ClientHabits(scenario.clients, self.streams),
             self.engine,
             self.history,
             self.clients_by_request,
             self.measure.counts,
-            self.measure.waits,
+            self._note_wait,
         )
-        if scenario.together.store:
-            from .coordination_store import CoordinationStore  # loads aiohttp, which runs without a store do not need
+        self.clients = ScenarioClients(self.workload.rows, environment)
 
-            self.store = CoordinationStore(
-                scenario.together, self.folder, self.network, self.balancer_count, self.path_address
-            )
+    def _earn(self, at_us: int, kind: int, worth: float) -> None:
+        if self.is_measuring:
+            self.measure.earn(at_us - self.engine.measured_from_us, kind, worth)
 
-    def _build_servers(self) -> list[ModelledServer]:
-        scenario = self.scenario
-        noise, work = self.streams.normals("report noise"), self.streams.exponentials("set-up work")
-        setups = [(drawn_number(kind.setup_ms) * 1000, kind.setup_spread == "exp") for kind in scenario.classes]
+    def _note_wait(self, kind: int, waited_us: int) -> None:
+        self.measure.waits[kind].record_value(waited_us)
 
-        def setup_work_us(row: Row) -> float:
-            mean_us, is_exponential = setups[row.kind]
-            return mean_us * work() if is_exponential else mean_us
+    # -- discovery -------------------------------------------------------------------------------------
 
-        figures = shapes.figures(scenario)
-        return [
-            ModelledServer(
-                number,
-                f"s-{number:03d}",
-                shape,
-                figures,
-                scenario,
-                self.engine,
-                self.history,
-                self.clients_by_request,
-                self.network,
-                noise,
-                self._earn,
-                setup_work_us,
-                self.measure.credit,
-            )
-            for number, shape in enumerate(self.server_shapes)
-        ]
+    def list_server(self, number: int, status: EndpointStatus) -> None:
+        """Changes the status of a server in the endpoint list."""
+        self.directory.set_status([self.servers[number].name], status)
+        version = self.directory.version
+        self.history.note(DISCOVERY, EventKind.LIST_CHANGED, instance=number, status=status, index=version)
 
-    def _earn(self, at_us: int, kind: int, worth: float) -> None:
-        if self.is_measuring:
-            self.measure.earn(at_us - self.engine.day, kind, worth)
+    def restart_server(self, number: int) -> None:
+        """Starts a server again; its row tells its new start from the next time that it is sent."""
+        server = self.servers[number]
+        server.restart()
+        self.directory.servers[server.name].since_ms = server.started_ms
+
+    # -- paths and configurations ----------------------------------------------------------------------
 
     def path_address(self, source: str, target: str, address: Address) -> Address:
         """Returns the address that `source` gets for `target`: its own, or a relay's where a fault is planned."""
-        if not self.paths.needs(source, target):
+        if not self.paths.needs_relay(source, target):
             return address
         relay = StreamRelay(self.paths, source, target, self.network.next(), address)
         self.stream_relays.append(relay)
-        return relay.listener.address
+        return relay.address
 
     def _balancer_config(self, number: int) -> dict[str, Any]:
         scenario = self.scenario
-        settings = lab.settings_of(scenario, number, scenario.fleet.zones[0], self.plan.quotas)
-        discovery = self.path_address(f"balancer:{number}", "list", self.discovery.address(number))
+        settings = settings_of(scenario, number, scenario.fleet.zones[0], self.workload.quotas)
+        discovery = self.path_address(balancer_party(number), DISCOVERY, self.agents[number].address)
         config: dict[str, Any] = {
             "name": f"n{number}",
-            "listen": _text(self.network.balancer(number)),
-            "discovery": _text(discovery),
+            "listen": format_address(self.network.balancer(number)),
+            "discovery": format_address(discovery),
             "seed": f"{self.seed * 1000 + number:x}",
             "limits": {"sockets": scenario.rig.sockets},
-            "settings": balancer_settings.settings(settings, tuple(tenant.name for tenant in scenario.tenants)),
-            "peer_listen": _text(self.network.peer(number)),
+            "settings": encode_settings(settings, tuple(tenant.name for tenant in scenario.tenants)),
+            "peer_listen": format_address(self.network.peer(number)),
             "peers": self.datagram_relays.peers_of(number),
         }
         if self.store:
-            config |= {"fleet": str(self.store.write_fleet_file(number)), "admin": _text(self.network.admin(number))}
+            config |= {
+                "fleet": str(self.store.write_fleet_file(number)),
+                "admin": format_address(self.network.admin(number)),
+            }
         if scenario.rig.known:
-            config["known"] = self.discovery.answer(number, None)
+            config["known"] = self.directory.answer(number, None)
         return config
 
     # -- running ---------------------------------------------------------------------------------------
@@ -186,8 +219,9 @@
     async def open_stand_ins(self) -> None:
         """Serves everything that balancers connect to."""
         for server in self.servers:
-            server.begin()
-        self.discovery.open()
+            server.start()
+        for agent in self.agents:
+            agent.open()
         await self.datagram_relays.open()
         if self.store:
             await self.store.open()
@@ -211,16 +245,16 @@
             await asyncio.sleep(START_GAP_S)  # a start takes tens of milliseconds of the loop that serves the others
         self.frontend.open()
         await self._wait_until_ready()
-        self.clients.place(self.balancer_count, [server.name for server in self.servers])
+        self.clients.resume_connections(self.balancer_count, [server.name for server in self.servers])
         until_s = asyncio.get_running_loop().time() + STANDING_TIMEOUT_S
-        while self.clients.before and asyncio.get_running_loop().time() < until_s:  # noqa: ASYNC110 - bounded in time
+        while self.clients.resuming and asyncio.get_running_loop().time() < until_s:  # noqa: ASYNC110 - bounded in time
             await asyncio.sleep(POLL_S)
 
     async def _wait_until_ready(self) -> None:
         until_s = asyncio.get_running_loop().time() + drawn_number(self.scenario.rig.ready_s)
-        while len(self.frontend.known) < self.balancer_count:
+        while len(self.frontend.ready) < self.balancer_count:
             if asyncio.get_running_loop().time() > until_s:
-                missing = min(set(range(self.balancer_count)) - self.frontend.known)
+                missing = min(set(range(self.balancer_count)) - self.frontend.ready)
                 raise BalancersNotReadyError(
                     f"balancer {missing} did not answer PING in time; its log: {self.balancers[missing].log_path}"
                 )
@@ -228,26 +262,41 @@
 
     def close(self) -> None:
         """Ends all processes and sockets. Clients end first, so that none sees the end of its balancer."""
-        self.engine.closed = True
+        self.engine.is_closed = True
         self.clients.close()
         self.frontend.close()
         for balancer in self.balancers:
             balancer.end()
         for relay in self.stream_relays:
             relay.close()
-        self.discovery.close()
+        for agent in self.agents:
+            agent.close()
+        self.call_queue.close()
         self.datagram_relays.close()
         for server in self.servers:
             server.close()
 
 
-def _planned_path_faults(scenario: Scenario) -> tuple[Way, ...]:
-    planned = tuple(fault for fault in scenario.faults if isinstance(fault, Way))
-    if any(isinstance(fault, Strikes) and "store_cut" in fault.kinds for fault in scenario.faults):
+def _planned_path_faults(scenario: Scenario) -> tuple[PathFault, ...]:
+    planned = tuple(fault for fault in scenario.faults if isinstance(fault, PathFault))
+    if any(isinstance(fault, RandomFaults) and RandomFaultKind.STORE_CUT in fault.kinds for fault in scenario.faults):
         # The struck balancer is drawn later, so each of them needs a relay to the store.
-        planned += (Way(at_s=0.0, source="balancer:*", target="store", cut=True),)
+        planned += (PathFault(at_s=0.0, source="balancer:*", target=STORE, cut=True),)
     return planned
 
 
-def _text(address: Address) -> str:
-    return f"{address[0]}:{address[1]}"
+class _HistoryObserver:
+    """Notes what discovery sends, and which start of a server each balancer knows of."""
+
+    def __init__(self, history: History, servers: list[ModelledServer]) -> None:
+        self._history = history
+        self._servers = {server.name: server for server in servers}
+
+    def note_call(self, balancer: int) -> None:
+        self._history.note(DISCOVERY, EventKind.DISCOVERY_CALL, balancer=balancer)
+
+    def note_listed(self, balancer: int, listed: ListedServer) -> None:
+        server = self._servers[listed.name]
+        if listed.status is not EndpointStatus.DELETED:
+            server.listed_start_ms[balancer] = listed.since_ms
+        self._history.note(DISCOVERY, EventKind.LISTED, balancer=balancer, instance=server.party, status=listed.status)
--- a/glenrock/testbed/soak.py
+++ b/glenrock/testbed/soak.py
@@ -13,13 +13,13 @@
 import uvloop
 
 from .balancer_process import ROOT
-from .bed import BedShape, Testbed
 from .call_faults import CallFaults, NoCompilerError, build
 from .clients import Client
 from .fault_player import FaultPlayer
 from .fault_schedule import PlannedFault, SoakPlan, draw
 from .invariant import InvariantLimits, Violation
 from .invariants import check
+from .testbed import FleetShape, Testbed
 
 ANSWER_GRACE_S = 0.05  # of the rules on sockets
 END_VISIBLE_S = 0.15  # one loop runs all stand-ins, so each may see an end this much later
@@ -52,7 +52,7 @@
         shape = self.plan.shape
         head = (
             f"seed {self.plan.seed}: {shape.balancers} balancers, {shape.servers} servers, "
-            f"{shape.descriptors} descriptors, d {shape.deadline_ms:.0f} ms, {shape.effect}, "
+            f"{shape.descriptors} descriptors, d {shape.deadline_ms:.0f} ms, {shape.idempotency}, "
             f"{len(self.plan.faults)} faults; "
             + ", ".join(f"{count} {answer}" for answer, count in sorted(self.answers.items()))
         )
@@ -69,7 +69,7 @@
         return "\n".join(lines)
 
 
-def limits_of(shape: BedShape) -> InvariantLimits:
+def limits_of(shape: FleetShape) -> InvariantLimits:
     """Returns the limits that a run of that shape is checked against."""
     return InvariantLimits(
         drain_grace_s=shape.drain_grace_ms / 1000,
@@ -113,7 +113,7 @@
         names = list(self._bed.servers)
         for number in range(self._plan.shape.balancers):
             for _ in range(self._plan.standing):
-                self._bed.client(number, standing_at=self._rng.choice(names), stays_s=60.0)
+                self._bed.client(number, resumes_at=self._rng.choice(names), stays_s=60.0)
         faults = [asyncio.create_task(player.play(fault)) for fault in self._plan.faults]
         await self._send_requests(player)
         await self._shut_down(player)
@@ -146,9 +146,7 @@
         returns = False
         while True:
             left_s = max(0.1, stays_until_s - time.monotonic())
-            client = self._bed.client(
-                number, stays_s=left_s, pings_first=rests_s, returns=returns, deadline_ms=deadline_ms
-            )
+            client = self._bed.client(number, stays_s=left_s, rest_s=rests_s, is_retry=returns, deadline_ms=deadline_ms)
             await self._until_ended(client)
             request = client.request
             if (
--- a/glenrock/testbed/bed.py
+++ b/glenrock/testbed/testbed.py
@@ -15,20 +15,20 @@
 from .balancer_process import ROOT, BalancerProcess
 from .call_faults import CallFaults
 from .clients import Client, ClientPlan
-from .discovery_agent import DiscoveryAgent
+from .discovery_agent import DiscoveryAgent, RecordingObserver
 from .endpoint_directory import EndpointDirectory, ListedServer
-from .loopback import LoopbackNetwork
-from .records import RunRecord
-from .session_servers import SessionServer
+from .loopback import LoopbackNetwork, format_address
+from .records import Idempotency, RunRecord
+from .session_servers import ScriptedServer
 
 READY_S = 30.0
 STEP_S = 0.02
 SERVICE = "lookup"
-_nets = itertools.count()
+_networks = itertools.count()
 
 
 @dataclass(frozen=True)
-class BedShape:
+class FleetShape:
     """What a testbed is made of.
 
     Attributes:
@@ -36,7 +36,7 @@
         servers: session servers, each with an address of its own.
         descriptors: limit of each process.
         deadline_ms: of the one class.
-        effect: of that class. `window_ms`: for repeats, where it is keyed.
+        idempotency: of that class. `window_ms`: in which a keyed request may execute again.
         drain_grace_ms: after which nothing goes to a draining server.
         max_attempts: of a request.
         health_checks: balancers may ask servers for their load.
@@ -48,7 +48,7 @@
     servers: int = 60
     descriptors: int = 1024
     deadline_ms: float = 1800.0
-    effect: str = "safe"
+    idempotency: Idempotency = Idempotency.SAFE
     window_ms: float = 0.0
     drain_grace_ms: float = 2500.0
     max_attempts: int = 4
@@ -57,13 +57,13 @@
     groups: int = 0
 
 
-def settings_of(shape: BedShape, number: int) -> dict[str, Any]:
+def settings_of(shape: FleetShape, number: int) -> dict[str, Any]:
     """The settings object of a balancer."""
     request_class = {
         "name": SERVICE,
         "targetUs": int(shape.deadline_ms * 500),
         "deadlineUs": int(shape.deadline_ms * 1000),
-        "effect": shape.effect,
+        "effect": shape.idempotency,
         "windowUs": int(shape.window_ms * 1000),
     }
     return {
@@ -104,12 +104,12 @@
 
     __test__ = False  # pytest would take the name for a test's
 
-    def __init__(self, shape: BedShape, folder: Path | None = None, source: Path = ROOT) -> None:
+    def __init__(self, shape: FleetShape, folder: Path | None = None, source: Path = ROOT) -> None:
         self.shape = shape
         self.record = RunRecord()
-        self.net = LoopbackNetwork(next(_nets) * 251 + os.getpid())
+        self.network = LoopbackNetwork(next(_networks) * 251 + os.getpid())
         self.directory = EndpointDirectory()
-        self.servers: dict[str, SessionServer] = {}
+        self.servers: dict[str, ScriptedServer] = {}
         self.agents: list[DiscoveryAgent] = []
         self.processes: list[BalancerProcess] = []
         self._temporary = None if folder else tempfile.TemporaryDirectory(prefix="glenrock-testbed-")
@@ -122,7 +122,7 @@
         for number in range(self.shape.servers):
             self.add_server(f"s-{number:08x}")
         for number in range(self.shape.balancers):
-            agent = DiscoveryAgent(number, self.net.next(), self.directory, self.record)
+            agent = self.new_agent(number)
             agent.open()
             self.agents.append(agent)
             self.processes.append(
@@ -143,22 +143,26 @@
         if self._temporary:
             self._temporary.cleanup()
 
-    def add_server(self, name: str, since_ms: float = 0.0) -> SessionServer:
+    def new_agent(self, number: int) -> DiscoveryAgent:
+        """Returns a discovery agent of a balancer on a new address; it is not open yet."""
+        return DiscoveryAgent(number, self.network.next(), self.directory, RecordingObserver(self.record))
+
+    def add_server(self, name: str, since_ms: float = 0.0) -> ScriptedServer:
         """Starts a session server and lists it."""
-        server = SessionServer(name, self.net.next(), self.record)
+        server = ScriptedServer(name, self.network.next(), self.record)
         server.start()
         self.servers[name] = server
-        listed = ListedServer(name, server.address, zone="a", group=len(self.servers) % 4, since_ms=since_ms)
+        listed = ListedServer(name, server.address(), zone="a", group=len(self.servers) % 4, since_ms=since_ms)
         self.directory.add(listed)
         return server
 
     def _config(self, number: int) -> dict[str, Any]:
-        peers = [_text(self.net.peer(n)) for n in range(self.shape.balancers)]
+        peers = [format_address(self.network.peer(n)) for n in range(self.shape.balancers)]
         config: dict[str, Any] = {
             "name": f"n{number}",
-            "listen": _text(self.net.balancer(number)),
-            "discovery": _text(self.agents[number].address),
-            "admin": _text(self.net.admin(number)),
+            "listen": format_address(self.network.balancer(number)),
+            "discovery": format_address(self.agents[number].address),
+            "admin": format_address(self.network.admin(number)),
             "seed": f"{number + 1:x}",
             "limits": {"sockets": self.shape.descriptors},
             "settings": settings_of(self.shape, number),
@@ -215,7 +219,7 @@
             "key": number,
             "service": SERVICE,
             "deadline_ms": self.shape.deadline_ms,
-            "effect": self.shape.effect,
+            "idempotency": self.shape.idempotency,
         }
         if self.shape.groups:
             values["group"] = number % self.shape.groups + 1
@@ -233,7 +237,3 @@
                 return False
             await asyncio.sleep(STEP_S)
         return True
-
-
-def _text(address: tuple[str, int]) -> str:
-    return f"{address[0]}:{address[1]}"
--- a/tests/coordination/test_stores.py
+++ b/tests/coordination/test_stores.py
@@ -47,7 +47,7 @@
             for c in rig.clients:
                 await c.close()
             if rig.consul:
-                rig.consul.paused = rig.consul.loses = False
+                rig.consul.is_paused = rig.consul.loses_answers = False
                 await rig.consul.close()
 
     asyncio.run(all_of_it())
@@ -137,7 +137,7 @@
     played("consul", folder, work)
 
 
-@pytest.mark.parametrize("what", ["loses", "refuses", "paused"])
+@pytest.mark.parametrize("what", ["loses_answers", "rejects", "is_paused"])
 def test_no_answer_is_no_answer_and_what_counted_all_the_same_does_no_harm(what, tmp_path, monkeypatch) -> None:
     monkeypatch.setattr("glenrock.coordination.leases.consul_store.CALL_TIMEOUT_S", 0.2)
 
@@ -161,7 +161,7 @@
         a = rig.client("a")
         assert await take(a, "j", 1) == 1 and await take(a, "k", 1) == 1
         state = rig.consul.state
-        state.transaction([{"KV": {"Verb": "set", "Key": "glenrock/jobs/j", "Value": None}}])
+        state.run_transaction([{"KV": {"Verb": "set", "Key": "glenrock/jobs/j", "Value": None}}])
         assert (
             await a.submit([("j", LeaseRequest(2, "renew", 1, 0)), ("k", LeaseRequest(2, "renew", 1, 0))], LEASE)
         ) == {"j": 0, "k": 1}
@@ -173,7 +173,7 @@
     async def work(rig: Rig) -> None:
         a, b = rig.client("a", 400_000), rig.client("b")
         assert await take(a, "j", 1) == 1
-        rig.consul.state.destroy(a.session)
+        rig.consul.state.destroy_session(a.session)
         assert await take(b, "j", 1) == 0, "free, but not given within the delay"
         assert await renew(a, "j", 2, 1) == 0
         await asyncio.sleep(0.5)
@@ -186,11 +186,11 @@
     async def work(rig: Rig) -> None:
         a, b = rig.client("a"), rig.client("b")
         assert await take(a, "j", 1) == 1
-        rig.consul.keep()
+        rig.consul.take_snapshot()
         assert (await a.submit([("j", LeaseRequest(2, "release", 1, 0))], LEASE)) == {"j": 0} and await take(
             b, "j", 1
         ) == 2
-        rig.consul.restart(back=True)
+        rig.consul.restart(to_snapshot=True)
         assert await renew(b, "j", 2, 2) == 0 and not await b.put("j", 2, 1, {"k": "v"})
         await asyncio.sleep(LEASE / 1e6 + 0.1)
         assert await take(b, "j", 3, floor=2) == 3
@@ -201,8 +201,8 @@
 def test_an_old_answer_is_never_read_and_a_client_that_did_would_be_refused(tmp_path, monkeypatch) -> None:
     async def work(rig: Rig) -> None:
         a, b = rig.client("a"), rig.client("b")
-        rig.consul.keep()
-        rig.consul.stale = True
+        rig.consul.take_snapshot()
+        rig.consul.has_stale_reads = True
         assert await take(a, "j", 1) == 1
         assert (await b.leases())["j"].holder == "a"
         read = ConsulStore._call
--- a/tests/test_fleet_of_thousands.py
+++ b/tests/test_fleet_of_thousands.py
@@ -10,8 +10,8 @@
 import pytest
 import uvloop
 
-from glenrock.testbed.bed import BedShape, Testbed
-from glenrock.testbed.endpoint_directory import DELETED, DRAINING
+from glenrock.testbed.endpoint_directory import EndpointStatus
+from glenrock.testbed.testbed import FleetShape, Testbed
 
 THOUSANDS = 3200
 WAVES, WAVE = 3, 320  # of a release: a tenth of the servers each
@@ -21,7 +21,7 @@
 
 def played(descriptors: int, story: Callable[[Testbed], Awaitable[None]], balancers: int = 1) -> None:
     async def play() -> None:
-        async with Testbed(BedShape(balancers=balancers, servers=THOUSANDS, descriptors=descriptors)) as bed:
+        async with Testbed(FleetShape(balancers=balancers, servers=THOUSANDS, descriptors=descriptors)) as bed:
             await bed.start_balancers()
             await story(bed)
 
@@ -32,14 +32,14 @@
 def test_a_release_in_waves_costs_nobody_an_answer_and_nothing_goes_to_what_drains(descriptors: int) -> None:
     async def story(bed: Testbed) -> None:
         names, clients, drained_s = list(bed.servers), [], {}
-        standing = [bed.client(0, standing_at=names[n * 97 % THOUSANDS], stays_s=30.0) for n in range(20)]
+        standing = [bed.client(0, resumes_at=names[n * 97 % THOUSANDS], stays_s=30.0) for n in range(20)]
         assert await bed.until(lambda: all(client.up.is_set() for client in standing), 5.0)
         for wave in range(WAVES):
-            gone = [name for name, row in bed.directory.servers.items() if row.status == DRAINING]
+            gone = [name for name, row in bed.directory.servers.items() if row.status == EndpointStatus.DRAINING]
             if gone:
-                bed.directory.set_status(gone, DELETED)
+                bed.directory.set_status(gone, EndpointStatus.DELETED)
             draining = names[wave * WAVE : (wave + 1) * WAVE]
-            bed.directory.set_status(draining, DRAINING)
+            bed.directory.set_status(draining, EndpointStatus.DRAINING)
             drained_s |= dict.fromkeys(draining, time.monotonic())
             for number in range(10):
                 bed.add_server(f"t-{wave}-{number}", since_ms=time.time() * 1000)
@@ -92,7 +92,7 @@
         else:
             agent.cuts = 3
         calls = agent.calls
-        bed.directory.set_status(names[: THOUSANDS // 2], DRAINING)
+        bed.directory.set_status(names[: THOUSANDS // 2], EndpointStatus.DRAINING)
         told_s = time.monotonic()
         clients = []
         while time.monotonic() < told_s + GRACE_S + 1.0:
@@ -115,7 +115,7 @@
         process.end()
         process.start()
         await bed.until_ready(process)
-        standing = [bed.client(0, standing_at=names[n * 97 % THOUSANDS]) for n in range(10)]
+        standing = [bed.client(0, resumes_at=names[n * 97 % THOUSANDS]) for n in range(10)]
         assert await bed.until(lambda: all(client.up.is_set() for client in standing), takes_s + 3.0)
         clients = [bed.client(0) for _ in range(10)]
         assert await bed.until(lambda: all(client.up.is_set() for client in clients), 3.0)
--- a/tests/test_many_servers.py
+++ b/tests/test_many_servers.py
@@ -7,7 +7,7 @@
 import pytest
 import uvloop
 
-from glenrock.testbed.bed import BedShape, Testbed
+from glenrock.testbed.testbed import FleetShape, Testbed
 
 THOUSANDS = 3200
 STANDING, NEWCOMERS = 30, 10
@@ -17,7 +17,7 @@
 
 async def has_list(bed: Testbed) -> bool:
     """Whether the balancer has taken the whole list: clients that come before are let in whatever follows."""
-    reader, writer = await asyncio.open_connection(*bed.net.admin(0))
+    reader, writer = await asyncio.open_connection(*bed.network.admin(0))
     writer.write(b"GET /v1/metrics HTTP/1.1\r\n\r\n")
     figures = await reader.read()
     writer.close()
@@ -26,12 +26,12 @@
 
 async def answers_of(descriptors: int) -> list[str]:
     """What clients hear whose connections stood before, and others, all at once."""
-    async with Testbed(BedShape(servers=THOUSANDS, descriptors=descriptors)) as bed:
+    async with Testbed(FleetShape(servers=THOUSANDS, descriptors=descriptors)) as bed:
         await bed.start_balancers()
         while not await has_list(bed):
             await asyncio.sleep(STEP_S)
         names = list(bed.servers)
-        clients = [bed.client(0, standing_at=names[n * 97 % len(names)]) for n in range(STANDING)]
+        clients = [bed.client(0, resumes_at=names[n * 97 % len(names)]) for n in range(STANDING)]
         clients += [bed.client(0) for _ in range(NEWCOMERS)]
         await bed.until(lambda: all(client.up.is_set() for client in clients), ANSWER_S)
         return [client.request.answer.partition(" ")[0] or client.request.end.value for client in clients]
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -11,7 +11,8 @@
 from glenrock.net.clock import SetClock
 from glenrock.net.endpoint_rows import EndpointRow
 from glenrock.net.start_times import NEWS_DELAY_MS, StartTimes
-from glenrock.testbed.bed import BedShape, Testbed
+from glenrock.testbed.endpoint_directory import EndpointStatus
+from glenrock.testbed.testbed import FleetShape, Testbed
 
 NOW, SLOW, HOUR = 1_700_000_000_000.0, 5000.0, 3_600_000.0
 
@@ -30,7 +31,10 @@
         self.clock.advance(ms)
 
     def ages(self, **since_ms: float) -> dict[str, float]:
-        rows = [EndpointRow(name, ("127.0.0.1", 9), "SERVING", since_ms=at_ms) for name, at_ms in since_ms.items()]
+        rows = [
+            EndpointRow(name, ("127.0.0.1", 9), EndpointStatus.SERVING, since_ms=at_ms)
+            for name, at_ms in since_ms.items()
+        ]
         return {
             row.name: self.clock.now() - started_ms if started_ms else float("inf")
             for row, started_ms in zip(rows, self.times.take(rows), strict=True)
@@ -80,9 +84,9 @@
 @pytest.mark.parametrize("when", ("before the start", "while it runs"))
 def test_a_real_process_whose_clock_is_stepped_serves_and_ends_in_time(step_s: int, when: str) -> None:
     async def play() -> None:
-        async with Testbed(BedShape(servers=10)) as bed:
+        async with Testbed(FleetShape(servers=10)) as bed:
             faults = bed.call_faults(0)
-            bed.directory.set_status(["s-00000001"], "SERVING", since_ms=time.time() * 1000)
+            bed.directory.set_status(["s-00000001"], EndpointStatus.SERVING, since_ms=time.time() * 1000)
             if when == "before the start":
                 faults.step_clock(step_s)
             await bed.start_balancers()
@@ -90,7 +94,7 @@
             assert await bed.until(lambda: all(client.up.is_set() for client in clients), 5.0)
             if when == "while it runs":
                 faults.step_clock(step_s)
-            bed.directory.set_status(["s-00000002"], "SERVING", since_ms=time.time() * 1000)
+            bed.directory.set_status(["s-00000002"], EndpointStatus.SERVING, since_ms=time.time() * 1000)
             late = [bed.client(0, stays_s=20.0) for _ in range(10)]
             assert await bed.until(lambda: all(client.up.is_set() for client in late), 3.0)
             asked_s = time.monotonic()
--- a/tests/testbed/test_call_faults.py
+++ b/tests/testbed/test_call_faults.py
@@ -11,19 +11,19 @@
 import pytest
 import uvloop
 
-from glenrock.testbed.bed import BedShape, Testbed
 from glenrock.testbed.call_faults import DOCUMENTED, Call, CallFaults
+from glenrock.testbed.testbed import FleetShape, Testbed
 
 if not shutil.which("cc"):
     pytest.skip("no C compiler: system calls cannot be failed here", allow_module_level=True)
 
-SHAPE = BedShape(balancers=2, servers=20, descriptors=256)
+SHAPE = FleetShape(balancers=2, servers=20, descriptors=256)
 ON_SOCKETS = (Call.ACCEPT, Call.SOCKET, Call.CONNECT, Call.RECEIVE, Call.SEND, Call.WAIT)
 SHORT = (Call.SHORT_READ, Call.SHORT_WRITE)
 STANDING, ROUNDS = 10, 40
 
 
-def played(story: Callable[[Testbed, CallFaults], Awaitable[None]], shape: BedShape = SHAPE, seed: int = 1) -> None:
+def played(story: Callable[[Testbed, CallFaults], Awaitable[None]], shape: FleetShape = SHAPE, seed: int = 1) -> None:
     async def play() -> None:
         async with Testbed(shape) as bed:
             faults = bed.call_faults(0, seed)
@@ -36,7 +36,7 @@
 
 async def use(bed: Testbed, faults: CallFaults) -> None:
     """Traffic while calls fail: everybody is answered, whoever stood before stands on, and nothing is left behind."""
-    standing = [bed.client(0, stays_s=60.0, line_every_s=0.1) for _ in range(STANDING)]
+    standing = [bed.client(0, stays_s=60.0, line_interval_s=0.1) for _ in range(STANDING)]
     clients = []
     for _ in range(ROUNDS):
         clients += [bed.client(0, stays_s=0.2), bed.client(0, stays_s=0.2)]
@@ -96,7 +96,7 @@
         faults.clear()
         after = [bed.client(0, stays_s=0.2) for _ in range(20)]
         assert await bed.until(lambda: all(client.up.is_set() for client in after), 2.0)
-        reader, writer = await asyncio.open_connection(*bed.net.admin(0))
+        reader, writer = await asyncio.open_connection(*bed.network.admin(0))
         writer.write(b"GET /v1/metrics HTTP/1.1\r\n\r\n")
         figures = (await reader.read()).decode()
         writer.close()
@@ -108,7 +108,7 @@
 @pytest.mark.parametrize("error", (errno.ECONNRESET, errno.EPIPE, errno.ETIMEDOUT, errno.EHOSTUNREACH))
 def test_an_error_that_ends_a_connection_ends_that_one_alone(error: int) -> None:
     async def story(bed: Testbed, faults: CallFaults) -> None:
-        standing = [bed.client(0, stays_s=60.0, line_every_s=0.1) for _ in range(2 * STANDING)]
+        standing = [bed.client(0, stays_s=60.0, line_interval_s=0.1) for _ in range(2 * STANDING)]
         assert await bed.until(lambda: all(client.up.is_set() for client in standing), 5.0)
         faults.fail(Call.SEND if error == errno.EPIPE else Call.RECEIVE, 0.01, (error,))
         assert await bed.until(lambda: len(faults.injected()) >= 3, 10.0)
--- a/tests/testbed/test_cold_start.py
+++ b/tests/testbed/test_cold_start.py
@@ -81,7 +81,7 @@
     found: list[tuple[int, str]] = []
 
     def live(bed: ScenarioTestbed) -> None:
-        if not found and bed.clients.seconds() > 6:
+        if not found and bed.clients.elapsed_s() > 6:
             at = [f"{host}:{port}" for host, port in map(bed.network.admin, range(3))]
             code = command(["fleet", "start-report", *(word for address in at for word in ("--at", address))])
             found.append((code, capsys.readouterr().out))
--- a/tests/testbed/test_network_faults.py
+++ b/tests/testbed/test_network_faults.py
@@ -7,13 +7,13 @@
 from hypothesis import strategies as st
 
 from glenrock.testbed import network_faults
-from glenrock.testbed.scenario import Way
+from glenrock.testbed.scenario import PathFault
 
 PARTIES = ["clients", "list", "balancer:0", "balancer:12", "instance:0"]
 
 
-def way(source="balancer:0", target="instance:0", **over) -> Way:
-    return Way(at_s=0.0, source=source, target=target, **over)
+def way(source="balancer:0", target="instance:0", **over) -> PathFault:
+    return PathFault(at_s=0.0, source=source, target=target, **over)
 
 
 @pytest.mark.parametrize(
@@ -34,10 +34,10 @@
 def test_a_fault_strikes_its_direction_alone() -> None:
     w = network_faults.NetworkPaths((way(cut=True),))
     w.begin(w.planned[0])
-    assert w.of("balancer:0", "instance:0").cut and not w.of("instance:0", "balancer:0").cut
-    assert w.needs("instance:0", "balancer:0") and not w.needs("balancer:1", "instance:0")
+    assert w.state("balancer:0", "instance:0").is_cut and not w.state("instance:0", "balancer:0").is_cut
+    assert w.needs_relay("instance:0", "balancer:0") and not w.needs_relay("balancer:1", "instance:0")
     w.end(w.planned[0])
-    assert w.of("balancer:0", "instance:0") == network_faults.WHOLE
+    assert w.state("balancer:0", "instance:0") == network_faults.FAULT_FREE
 
 
 faults = st.builds(
@@ -53,15 +53,15 @@
 
 @given(st.lists(faults, max_size=4), faults)
 def test_one_more_fault_never_makes_a_direction_better(some, more) -> None:
-    before, after = network_faults.together(some), network_faults.together([*some, more])
-    assert after.loss >= before.loss - 1e-9 and after.delay >= before.delay and after.cut >= before.cut
-    assert not before.trickle or 0 < after.trickle <= before.trickle
+    before, after = network_faults.combine(some), network_faults.combine([*some, more])
+    assert after.loss >= before.loss - 1e-9 and after.delay_s >= before.delay_s and after.is_cut >= before.is_cut
+    assert not before.bytes_per_s or 0 < after.bytes_per_s <= before.bytes_per_s
 
 
 @given(st.lists(faults, max_size=5), st.randoms())
 def test_whoever_listens_hears_of_each_change_and_all_is_whole_in_the_end(some, draw) -> None:
     w, heard = network_faults.NetworkPaths(tuple(some)), []
-    w.listeners.append(lambda: heard.append(len(w.now)))
+    w.listeners.append(lambda: heard.append(len(w.active)))
     for f in some:
         w.begin(f)
     order = list(some)
@@ -69,4 +69,4 @@
     for f in order:
         w.end(f)
     assert len(heard) == 2 * len(some)
-    assert all(w.of(p, q) == network_faults.WHOLE for p in PARTIES for q in PARTIES)
+    assert all(w.state(p, q) == network_faults.FAULT_FREE for p in PARTIES for q in PARTIES)
--- a/tests/testbed/test_network_relays.py
+++ b/tests/testbed/test_network_relays.py
@@ -10,19 +10,19 @@
 from glenrock.testbed.loopback import Listener, LoopbackNetwork
 from glenrock.testbed.network_faults import NetworkPaths
 from glenrock.testbed.network_relays import DatagramRelays, StreamRelay
-from glenrock.testbed.scenario import Way
+from glenrock.testbed.scenario import PathFault
 
 NUMBERS = itertools.count(3)
 
 
 def net() -> LoopbackNetwork:
     base = LoopbackNetwork()
-    base.ports += 500 * next(NUMBERS)  # beside those of other tests of this process
+    base.next_port += 500 * next(NUMBERS)  # beside those of other tests of this process
     return base
 
 
-def way(source="balancer:0", target="instance:0", **over) -> Way:
-    return Way(at_s=0.0, source=source, target=target, **over)
+def way(source="balancer:0", target="instance:0", **over) -> PathFault:
+    return PathFault(at_s=0.0, source=source, target=target, **over)
 
 
 class Echo:
@@ -50,7 +50,7 @@
             self.ended.set()
 
     async def connect(self):
-        return await asyncio.wait_for(asyncio.open_connection(*self.relay.listener.address), 3)
+        return await asyncio.wait_for(asyncio.open_connection(*self.relay.address), 3)
 
 
 def plays(test):
@@ -97,7 +97,7 @@
     echo.ways.begin(cut)
     with pytest.raises(TimeoutError):
         async with asyncio.timeout(0.5):
-            await asyncio.open_connection(*echo.relay.listener.address)
+            await asyncio.open_connection(*echo.relay.address)
     echo.ways.end(cut)
     reader, writer = await echo.connect()
     writer.write(b"again\n")
@@ -135,7 +135,7 @@
         echo.ways.end(fault)
 
 
-def datagrams(fault: Way | None, count: int) -> list[list[bytes]]:
+def datagrams(fault: PathFault | None, count: int) -> list[list[bytes]]:
     """What two balancers hear of what each sends the other."""
 
     async def run() -> list[list[bytes]]:
--- a/tests/testbed/test_scenario_runner.py
+++ b/tests/testbed/test_scenario_runner.py
@@ -67,9 +67,9 @@
 
 def test_a_kill_that_the_judge_is_not_told_of_is_a_breach(monkeypatch) -> None:
     """Planted: what excuses a killed process is left out, so its clients count as cut off by the program."""
-    strike = scenario_faults.ScenarioFaultPlayer.strike
+    strike = scenario_faults.ScenarioFaultPlayer.note_begin
     monkeypatch.setattr(
-        scenario_faults.ScenarioFaultPlayer, "strike", lambda self, f, *parties, lag_us=0: strike(self, f)
+        scenario_faults.ScenarioFaultPlayer, "note_begin", lambda self, f, *parties, settle_us=0: strike(self, f)
     )
     _, s = played(seed=3, length_s=4.0, faults=[{"kind": "kill", "at_s": 2.0, "balancer": 0, "down_s": 0.5}])
     assert s["rules"]["cut_off"] > 0 and not s["rules"]["repeated"] and not s["excused"]
--- a/tests/testbed/test_soak.py
+++ b/tests/testbed/test_soak.py
@@ -8,8 +8,7 @@
 import pytest
 
 from glenrock.testbed import soak
-from glenrock.testbed.bed import BedShape
-from glenrock.testbed.endpoint_directory import DRAINING, SERVING
+from glenrock.testbed.endpoint_directory import EndpointStatus
 from glenrock.testbed.fault_player import kill_record
 from glenrock.testbed.fault_schedule import FaultKind, draw
 from glenrock.testbed.invariant import NEVER, Invariant
@@ -24,6 +23,7 @@
     RequestRecord,
     RunRecord,
 )
+from glenrock.testbed.testbed import FleetShape
 
 SHORT_SEEDS = (3, 4, 6, 9, 20, 22)  # among them small fleets, 3,200 names, unsafe classes and twelve processes
 
@@ -42,7 +42,7 @@
 
 def rules(one: RequestRecord, *attempts: AttemptRecord, **over) -> list[str]:
     record = RunRecord(requests=[one], attempts=list(attempts), **over)
-    limits = soak.limits_of(BedShape(window_ms=500.0, drain_grace_ms=2500.0))
+    limits = soak.limits_of(FleetShape(window_ms=500.0, drain_grace_ms=2500.0))
     return [violation.invariant for violation in check(record, limits).violations]
 
 
@@ -94,11 +94,11 @@
 
 
 def test_a_send_after_the_grace_is_told_by_when_the_list_came() -> None:
-    told = [ListedRecord(0, "s", SERVING, 1.0), ListedRecord(0, "s", DRAINING, 7.0)]
+    told = [ListedRecord(0, "s", EndpointStatus.SERVING, 1.0), ListedRecord(0, "s", EndpointStatus.DRAINING, 7.0)]
     assert rules(request(), attempt(), listed=told) == [Invariant.DRAIN_GRACE]
-    assert rules(request(), attempt(), listed=[*told, ListedRecord(0, "s", SERVING, 9.0)]) == []
-    assert rules(request(), attempt(), listed=[ListedRecord(0, "s", DRAINING, 8.0)]) == []
-    assert rules(request(), attempt(), listed=[ListedRecord(1, "s", DRAINING, 1.0)]) == []
+    assert rules(request(), attempt(), listed=[*told, ListedRecord(0, "s", EndpointStatus.SERVING, 9.0)]) == []
+    assert rules(request(), attempt(), listed=[ListedRecord(0, "s", EndpointStatus.DRAINING, 8.0)]) == []
+    assert rules(request(), attempt(), listed=[ListedRecord(1, "s", EndpointStatus.DRAINING, 1.0)]) == []
 
 
 def test_half_a_request_that_is_left_open_is_told() -> None:
