--- a/glenrock/cli/simulation_report.py
+++ b/glenrock/cli/simulation_report.py
@@ -1,4 +1,4 @@
-"""`glenrock lab report`: the report of a folder of results, made anew."""
+"""`glenrock simulation report`: regenerates the report of a folder of results."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 @click.command("report")
 @click.argument("folder", type=click.Path(path_type=Path))
 def command(folder: Path) -> None:
-    """Write report.html of a run's or a sweep's folder again.
+    """Regenerate report.html in the folder of a run or a sweep.
 
     \b
     Example:
-      glenrock lab report out/lab/calm-glenrock-1
+      glenrock simulation report out/lab/calm-glenrock-1
     Exit codes: 0 done, 2 bad input.
     """
-    from ..lab import record, report
+    from ..simulation import record, report
 
     if (folder / "sweep.json").is_file():
         try:
--- a/glenrock/program.py
+++ b/glenrock/program.py
@@ -13,13 +13,14 @@
 from glenrock.routing import interface
 
 from .config import TAKEN_AT_START, Config, ConfigError
-from .log import say
+from .log import get_logger
 from .net.acceptor import Acceptor
 from .net.clock import Clock
 from .net.connection_table import ConnectionTable
-from .net.descriptor_budget import DescriptorBudget
+from .net.descriptor_budget import DescriptorBudget, DescriptorBudgetError
 from .net.endpoint_watcher import EndpointWatcher
 from .net.graceful_shutdown import GracefulShutdown
+from .net.listening_socket import listen
 from .net.metrics import ConnectionMetrics
 from .net.peers import Peers
 from .net.poll_backoff import PollBackoff
@@ -34,6 +35,8 @@
 FIRST_LIST_MS = 300.0  # the whole list is awaited this long before clients are; then the known one must do
 POLL_SEED_MASK = 1  # keeps the random numbers of polls apart from those of the routing
 
+logger = get_logger(__name__)
+
 
 def raise_descriptor_limit(descriptors: int) -> None:
     """Raises this process's limit on open descriptors to that number, or as far as the hard limit lets it."""
@@ -97,10 +100,10 @@
         try:
             self._processes.register()
         except OSError as error:
-            say("upgrade", f"the other process does not know of this one: {error}")
+            logger.warning("process mark not written: the descriptor limit may be exceeded", error=error)
         connections = self._program.connections
-        connections.elsewhere = self._processes.count_other_descriptors
-        connections.budget.elsewhere = self._processes.count_other_descriptors()
+        connections.count_other_descriptors = self._processes.count_other_descriptors
+        connections.budget.other_process = self._processes.count_other_descriptors()
 
     def take_relays(self) -> None:
         """From now on relays of the process before can be taken over."""
@@ -167,7 +170,7 @@
         self.acceptor = Acceptor(self.connections, clock)
         self.shutdown = GracefulShutdown(self.connections, self.acceptor, clock)
         self.operators = Operators(self) if config.admin else None
-        self.routing.probe = self.servers.probe
+        self.routing.send_health_check = self.servers.send_health_check
         self.peers = self._peers_of(config)
         self._check_budget()
         self.coordination = _coordination_of(self) if config.fleet else None
@@ -177,8 +180,10 @@
 
     def _check_budget(self) -> None:
         """Raises ConfigError where not a single client could be served."""
-        if shortfall := self.budget.shortfall():
-            raise ConfigError(f"limits.sockets: {shortfall}")
+        try:
+            self.budget.check_limit(self.budget.limit)
+        except DescriptorBudgetError as error:
+            raise ConfigError(f"limits.sockets: {error}") from error
 
     def _report_poll_failure(self) -> None:
         self.routing.post(interface.EndpointList(interface.EndpointListKind.FAILED))
@@ -195,7 +200,7 @@
             config.settings.balancers,
             shared_listener,
         )
-        self.routing.tell = peers.tell
+        self.routing.send_gossip = peers.send_gossip
         return peers
 
     def run(self, work: Coroutine[None, None, None]) -> None:
@@ -214,19 +219,19 @@
             self.operators.start(self)
         if self.coordination:
             self.coordination.start()
-        self.endpoints.remember(self.config.known)
+        self.endpoints.use_cached_list(self.config.known)
         self.run(self.routing.run())
         self.run(self.endpoints.run())
         # Nothing is accepted, and so no PING answered, before there is a list to serve with.
         async with self.clock.limit(FIRST_LIST_MS):
-            await self.endpoints.first.wait()
+            await self.endpoints.has_answered.wait()
         self._accept_clients()
         host, port = self.config.listen
-        say("ready", f"{self.config.name} serves on {host}:{port}")
+        logger.info("ready", balancer=self.config.name, address=f"{host}:{port}")
 
     def _accept_clients(self) -> None:
         inherited = self._upgrade.listener if self._upgrade else None
-        self.acceptor.open(inherited or self.acceptor.listen(self.config.listen))
+        self.acceptor.open(inherited or listen(self.config.listen))
         self.run(self.connections.sweep())
         if self._upgrade:
             self._upgrade.take_relays()
@@ -242,24 +247,26 @@
         try:
             new = read_again(self._config_at_start)
         except ConfigError as error:
-            say("config", f"{error}; the old configuration stays")
+            logger.warning("configuration not reloaded: the previous one stays", error=str(error))
             return
-        if shortfall := self.budget.shortfall_at(new.sockets):
-            say("config", f"limits.sockets: {shortfall}; the old configuration stays")
+        try:
+            self.budget.check_limit(new.sockets)
+        except DescriptorBudgetError as error:
+            logger.warning("configuration not reloaded: descriptor limit too low", error=str(error))
             return
         waiting = [key for key in TAKEN_AT_START if getattr(new, key) != getattr(self.config, key)]
         if waiting:
-            say("config", f"{', '.join(waiting)}: changed, but taken over only at the next start")
-        self.endpoints.move(new.discovery)
+            logger.warning("configuration changes that need a restart", keys=",".join(waiting))
+        self.endpoints.change_address(new.discovery)
         if self.peers:
-            self.peers.move(new.peers, new.peers_all)
+            self.peers.change_addresses(new.peers, new.peers_all)
         raise_descriptor_limit(new.sockets)
         self.budget.limit = effective_descriptor_limit(new.sockets)
         self.config = replace(
             self.config, discovery=new.discovery, peers=new.peers, peers_all=new.peers_all, sockets=new.sockets
         )
         host, port = new.discovery
-        say("config", f"read again: discovery is at {host}:{port}")
+        logger.info("configuration reloaded", discovery=f"{host}:{port}")
 
     async def run_until(self, stop: asyncio.Event) -> None:
         """Serves until that event, then hands all clients back.
@@ -272,14 +279,17 @@
         for task in self._tasks:
             if task.done():
                 raise RuntimeError("an actor ended") from task.exception()
-        say("stopping", f"{len(self.connections.by_id)} clients to hand back")
+        logger.info("stopping", clients=len(self.connections.by_id))
         successor = self._upgrade.successor() if self._upgrade else None
         if self.coordination:
             self.run(self.coordination.stop())
         await self.shutdown.stop(self._upgrade is not None, successor)
         if self._upgrade:
             self._upgrade.leave()
-        say("stopped", f"{len(self.connections.by_id)} clients left")
+        if self.connections.by_id:
+            logger.warning("stopped with clients still connected", clients=len(self.connections.by_id))
+        else:
+            logger.info("stopped")
 
 
 def _poll_backoff_of(config: Config) -> PollBackoff:
--- a/glenrock/testbed/modelled_servers.py
+++ b/glenrock/testbed/modelled_servers.py
@@ -23,7 +23,7 @@
 from .simulation_model import ModelConnection, ModelFigures, PlannedClient, ServerModel, ServerShape, SimulationEngine
 
 if TYPE_CHECKING:
-    from ..lab.model.balancer import Attempt as ModelAttempt
+    from ..simulation.model.balancer import Attempt as ModelAttempt
 
 ERROR_ANSWERS = {"full": b"BUSY\r\n", "error": b"ERR\r\n"}  # by the model's word
 UP = "up"  # the model's word
--- a/glenrock/testbed/scenario_clients.py
+++ b/glenrock/testbed/scenario_clients.py
@@ -24,7 +24,7 @@
 from .simulation_model import ClientHabits, PlannedClient
 
 if TYPE_CHECKING:
-    from ..lab.model.client import Client as ModelClient
+    from ..simulation.model.client import Client as ModelClient
 
 EXTRA_WAIT_S = 2.0  # past the deadline, before an answer counts as lost
 RESUME_TIMEOUT_S = 40.0  # for a connection that was open before the run to be set up again
--- a/glenrock/testbed/simulation_model.py
+++ b/glenrock/testbed/simulation_model.py
@@ -5,23 +5,23 @@
 
 from __future__ import annotations
 
-from ..lab.engine import Engine as SimulationEngine
-from ..lab.measure import Measure, rounded
-from ..lab.measure import told as percentiles
-from ..lab.model import shapes
-from ..lab.model.client import Habits as ClientHabits
-from ..lab.model.instance import Connection as ModelConnection
-from ..lab.model.instance import Figures as ModelFigures
-from ..lab.model.instance import Instance as ServerModel
-from ..lab.model.instance import Shape as ServerShape
-from ..lab.model.plan import Plan as Workload
-from ..lab.model.plan import Row as PlannedClient
-from ..lab.model.plan import plan as draw_workload
-from ..lab.spec import Experiment, drawn, high, low, merge, put, raw_of, settings_of
-from ..lab.spec import check as check_experiment
-from ..lab.spec_faults import Fault, fault_name
-from ..lab.spec_types import Above0R, Least0R, PartR, Strict
-from ..lab.streams import Streams
+from ..simulation.engine import Engine as SimulationEngine
+from ..simulation.measure import Measure, rounded
+from ..simulation.measure import told as percentiles
+from ..simulation.model import shapes
+from ..simulation.model.client import Habits as ClientHabits
+from ..simulation.model.instance import Connection as ModelConnection
+from ..simulation.model.instance import Figures as ModelFigures
+from ..simulation.model.instance import Instance as ServerModel
+from ..simulation.model.instance import Shape as ServerShape
+from ..simulation.model.plan import Plan as Workload
+from ..simulation.model.plan import Row as PlannedClient
+from ..simulation.model.plan import plan as draw_workload
+from ..simulation.spec import Experiment, drawn, high, low, merge, put, raw_of, settings_of
+from ..simulation.spec import check as check_experiment
+from ..simulation.spec_faults import Fault, fault_name
+from ..simulation.spec_types import Above0R, Least0R, PartR, Strict
+from ..simulation.streams import Streams
 
 __all__ = [
     "Above0R",
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -11,44 +11,44 @@
 
 from glenrock.net import endpoint_watcher, peers
 from glenrock.routing import interface
-from glenrock.routing.gossip_codec import decode, encode, fault
+from glenrock.routing.gossip_codec import check_summary, decode, encode
 
 ALL = 9_000_000 + 5 * 25_000  # what the sound tier holds
 A, B, C = ("127.0.0.1", 1), ("127.0.0.1", 2), ("127.0.0.1", 3)
 
 
-@pytest.fixture
-def said(monkeypatch) -> list[str]:
-    lines: list[str] = []
-    for module in (endpoint_watcher, peers):
-        monkeypatch.setattr(module, "say", lambda kind, text: lines.append(f"{kind}: {text}"))
-    return lines
-
-
 def moved(*moves: tuple, balancers: int = 3) -> peers.Peers:
     async def inside() -> peers.Peers:
         p = peers.Peers(("127.0.0.1", 0), moves[0], None, lambda e: True, balancers)
         for more in moves[1:]:
-            p.move(more, None)
+            p.change_addresses(more, None)
         p.close()
         return p
 
     return asyncio.run(inside())
 
 
-def test_peers_that_repeat_an_address_or_are_too_many_leave_the_old_ones(said) -> None:
-    assert moved((A, B, C)).index == {A: 0, B: 1, C: 2} and said == []
-    assert moved((A, B), (B, A, B)).index == {A: 0, B: 1}
-    assert said.pop() == "peers: 127.0.0.1:2 stands for balancers 0 and 2; the old ones stay"
-    assert moved((A, B), (A, B, C, ("127.0.0.1", 4))).index == {A: 0, B: 1}
-    assert said.pop() == "peers: 4 addresses for 3 balancers; the old ones stay"
+def test_peers_that_repeat_an_address_or_are_too_many_leave_the_old_ones(caplog) -> None:
+    assert moved((A, B, C)).number_by_address == {A: 0, B: 1, C: 2} and caplog.messages == []
+    assert moved((A, B), (B, A, B)).number_by_address == {A: 0, B: 1}
+    assert caplog.messages == [
+        'peer addresses invalid: previous addresses stay fault="127.0.0.1:2 stands for balancers 0 and 2"'
+    ]
+    caplog.clear()
+    assert moved((A, B), (A, B, C, ("127.0.0.1", 4))).number_by_address == {A: 0, B: 1}
+    assert caplog.messages == ['peer addresses invalid: previous addresses stay fault="4 addresses for 3 balancers"']
+    caplog.clear()
     p = moved((A, A, B, C))  # at the start there are no old ones
-    assert p.index == {A: 0, B: 2} and p.peers == (A, B) and "the first of each counts" in said[-1]
+    assert (
+        p.number_by_address == {A: 0, B: 2}
+        and p.addresses == (A, B)
+        and "the first balancer of each address counts" in caplog.messages[-1]
+    )
 
 
-def test_an_instance_that_stands_twice_is_told(said) -> None:
+def test_an_instance_that_stands_twice_is_told(caplog) -> None:
     row = {"name": "s1", "status": "SERVING"}
-    _, _, rows = endpoint_watcher.news_of(
+    _, _, rows = endpoint_watcher.parse_answer(
         {
             "index": 1,
             "snapshot": True,
@@ -56,24 +56,28 @@
         }
     )
     assert [r.address for r in rows] == [B]
-    assert said == [f"name table: s1 stands twice, at {A} and {B}: the later row counts"]
+    assert caplog.messages == [
+        f'endpoint listed twice: the later row counts server=s1 ignored_address="{A}" address="{B}"'
+    ]
 
 
 def tier() -> Harness:
-    h = Harness(settings(tenants=(interface.Tenant("t", 600.0),)))
-    h.servers("a:1")
+    harness = Harness(settings(tenants=(interface.Tenant("t", 600.0),)))
+    harness.list_servers("a:1")
     for n in range(5):
-        h.give(interface.OpenConnection(interface.Request(f"o{n}", "read", h.now, n, load=25_000), "a:1"))
-    h.give(interface.GossipReceived(1, encode(1, 9_000_000, 300, [])))
-    assert h.b.gossip.tier_load() == ALL
-    return h
+        harness.deliver(
+            interface.OpenConnection(interface.Request(f"o{n}", "read", harness.now_us, n, load=25_000), "a:1")
+        )
+    harness.deliver(interface.GossipReceived(1, encode(1, 9_000_000, 300, [])))
+    assert harness.balancer.gossip.tier_load() == ALL
+    return harness
 
 
 def test_one_that_holds_little_does_not_measure_others_by_it() -> None:
-    h = Harness(settings(tenants=(interface.Tenant("t", 600.0),)))
-    h.b.connection_loads.mean_load = 1.0  # no connection has told its load yet
-    h.give(interface.GossipReceived(1, encode(1, 9_000_000, 300, [])))
-    assert h.b.gossip.tier_load() == 9_000_000 and not h.b.batch.warnings
+    harness = Harness(settings(tenants=(interface.Tenant("t", 600.0),)))
+    harness.balancer.connection_loads.mean_load = 1.0  # no connection has told its load yet
+    harness.deliver(interface.GossipReceived(1, encode(1, 9_000_000, 300, [])))
+    assert harness.balancer.gossip.tier_load() == 9_000_000 and not harness.balancer.batch.ignored_summaries
 
 
 @pytest.mark.parametrize(
@@ -88,14 +92,17 @@
     ],
 )
 def test_an_unsound_summary_is_told_and_the_one_before_stands(peer: int, data: bytes, told: str) -> None:
-    h = tier()
-    h.give(interface.GossipReceived(peer, data))
+    harness = tier()
+    harness.deliver(interface.GossipReceived(peer, data))
+    (ignored,) = harness.balancer.batch.ignored_summaries
+    assert ignored.peer == peer and told in ignored.reason
     assert (
-        len(h.b.batch.warnings) == 1 and told in h.b.batch.warnings[0] and f"balancer {peer}" in h.b.batch.warnings[0]
+        harness.balancer.gossip.tier_load() == ALL
+        and not harness.balancer.waiting_queue.load_by_bucket()
+        and set(harness.balancer.gossip.peers) == {1}
     )
-    assert h.b.gossip.tier_load() == ALL and not h.b.waiting_queue.load_by_bucket() and set(h.b.gossip.peers) == {1}
-    h.give()
-    assert h.b.batch.warnings == []
+    harness.deliver()
+    assert harness.balancer.batch.ignored_summaries == []
 
 
 @given(
@@ -106,11 +113,13 @@
 )
 def test_what_a_balancer_of_the_tier_says_is_believed(active, clients, line, peer) -> None:
     read = decode(encode(7, active, clients, line))
-    assert fault(peer, 40, read, 25_000.0 * 600) == "" == fault(peer, 40, read, 0.0)
+    assert read is not None
+    assert check_summary(peer, 40, read, 25_000.0 * 600) is read
+    assert check_summary(peer, 40, read, 0.0) is read
 
 
 @given(data=st.binary(max_size=256))
 def test_no_bytes_whatever_change_what_is_known_beyond_measure(data: bytes) -> None:
-    h = tier()
-    h.give(interface.GossipReceived(1, data))
-    assert h.b.gossip.tier_load() <= 100 * 600 * 25_000
+    harness = tier()
+    harness.deliver(interface.GossipReceived(1, data))
+    assert harness.balancer.gossip.tier_load() <= 100 * 600 * 25_000
--- a/tests/test_recorded.py
+++ b/tests/test_recorded.py
@@ -12,7 +12,7 @@
 import pytest
 
 from glenrock.coordination import datagrams, durable_state
-from glenrock.coordination.leases.candidate import LeaseRequest
+from glenrock.coordination.leases.candidate import LeaseRequest, RequestKind
 from glenrock.coordination.leases.consul_store import ConsulStore
 from glenrock.coordination.leases.fence import Fence
 from glenrock.coordination.leases.sqlite_store import SqliteStore
@@ -20,9 +20,9 @@
 from glenrock.coordination.shared_work.override_log import OverrideEntry, OverrideLog
 from glenrock.coordination.warm_start import start_record as start_record
 from glenrock.coordination.warm_start.start_backoff import BackoffPolicy, StartBackoff
-from glenrock.lab import record as lab_record
-from glenrock.lab import spec
 from glenrock.routing.gossip_codec import decode
+from glenrock.simulation import record as lab_record
+from glenrock.simulation import spec
 from glenrock.testbed import scenario as scene_spec
 from glenrock.testbed.consul_server import ConsulServer
 from glenrock.testbed.loopback import LoopbackNetwork
@@ -46,9 +46,9 @@
     assert file.read(fence, board) and fence.is_restored
     assert fence.positions == {"bans": (7, 12), "turn": (3, 0)}
     assert board.entries == {"a:1": OverrideEntry(True, (7, 11)), "b:1": OverrideEntry(False, (6, 2))}
-    assert board.committed_up_to == {"n1.5": 4} and file.tickets == {"turn": ("n2.9", 3)}
+    assert board.committed_up_to == {"n1.5": 4} and file.permits == {"turn": ("n2.9", 3)}
     assert [(i, w.server, w.is_suspended) for i, w in board.pending.items()] == [("n1.5#5", "c:1", True)]
-    written = json.loads(json.dumps(file.snapshot(fence, board)))
+    written = json.loads(json.dumps(file.snapshot(fence, board).to_json()))
     assert written == json.loads((RECORDED / "glenrock-n1.fleet.json").read_bytes())
 
 
@@ -69,7 +69,7 @@
 
 def test_a_lease_store_of_one_machine_is_read(tmp_path) -> None:
     shutil.copy(RECORDED / "owner.sqlite", tmp_path)
-    store = SqliteStore(tmp_path / "owner.sqlite", now=lambda: 2000, boot="boot-one")
+    store = SqliteStore(tmp_path / "owner.sqlite", now_us=lambda: 2000, boot="boot-one")
     lease = store.lease("bans")
     assert (lease.holder, lease.term) == ("n1.5", 7)
     assert store.records("bans") == {"a:1": Record('{"out": true}', 7, 1)}
@@ -89,7 +89,7 @@
             assert (await store.leases(["bans"]))["bans"].term == 7
             assert await store.records("bans") == {"a/1:é": Record('{"out": true}', 7, 1)}
             assert await store.proposals("bans") == {"n1.5#5": '{"server": "c:1", "out": true}'}
-            assert await store.submit([("bans", LeaseRequest(1, "acquire", 0, 0))], 300_000) == {"bans": 8}
+            assert await store.submit([("bans", LeaseRequest(1, RequestKind.ACQUIRE, 0, 0))], 300_000) == {"bans": 8}
         finally:
             await store.close()
             await consul.close()
@@ -107,7 +107,9 @@
 
     known = relay_message.protocol.KnownNames({"look": 1000.0})
     clock = SimpleNamespace(now=lambda: 0.0)
-    server = SimpleNamespace(known=known, knows=lambda id_: False, full=lambda: False, routing=None, clock=clock)
+    server = SimpleNamespace(
+        known_names=known, is_open=lambda id_: False, is_full=lambda: False, routing=None, metrics=None, clock=clock
+    )
     with pytest.MonkeyPatch.context() as patch, socket.create_server(("127.0.0.1", 0)) as listener:
         patch.setattr(relay_message, "ClientConnection", Takes)
         client = socket.create_connection(listener.getsockname())
@@ -115,8 +117,8 @@
         with client, backend:
             found = relay_message.decode_relay(data, server, client, backend)
     assert taken == [("127.0.0.1:9001", backend)]
-    assert (found.opened.id, found.opened.group, found.load) == ("50", 255, 52000)
-    assert (found.gate.splitter.part, found.last_word, found.asked_at) == (b"HALF A", "ACTIVE", None)
+    assert (found.request_line.request_id, found.request_line.group, found.reports.load) == ("50", 255, 52000)
+    assert (found.gate.splitter.part, found.last_word, found.unanswered_since_ms) == (b"HALF A", "ACTIVE", None)
 
 
 def test_datagrams_are_read_and_written_in_the_same_form() -> None:
