--- a/benchmarks/many_servers.py
+++ b/benchmarks/many_servers.py
@@ -54,13 +54,13 @@
         process, agent = bed.processes[0], bed.agents[0]
         names = list(bed.servers)
         first_bytes = agent.bytes_sent
-        standing = [bed.client(0, resumes_at=names[n * 97 % servers], stays_s=seconds) for n in range(STANDING)]
-        await bed.until(lambda: all(client.up.is_set() for client in standing), 5.0)
+        standing = [bed.start_client(0, resumes_at=names[n * 97 % servers], stays_s=seconds) for n in range(STANDING)]
+        await bed.wait_until(lambda: all(client.up.is_set() for client in standing), 5.0)
         most, clients = 0, []
         steps = int(seconds / STEP_S)
         for step in range(steps):
             for _ in range(int(EACH_SECOND * (step + 1) * STEP_S) - int(EACH_SECOND * step * STEP_S)):
-                clients.append(bed.client(0, stays_s=STAYS_S))
+                clients.append(bed.start_client(0, stays_s=STAYS_S))
             if step and step % (steps // (WAVES + 1)) == 0:
                 _release_some(bed, names, step // (steps // (WAVES + 1)))
             most = max(most, process.usage().descriptors)
--- a/glenrock/cli/scenario.py
+++ b/glenrock/cli/scenario.py
@@ -8,5 +8,5 @@
     "glenrock.cli",
     {"run": "scenario_run"},
     name="stage",
-    help=("Run processes of the program on loopback under faults, and check the invariants.\n\nPage: docs/stage.md"),
+    help=("Run processes of the program on loopback under faults, and check the invariants.\n\nPage: docs/testbed.md"),
 )
--- a/glenrock/testbed/call_faults.py
+++ b/glenrock/testbed/call_faults.py
@@ -1,4 +1,4 @@
-"""Builds the library that fails system calls, and steers it in processes that run."""
+"""Builds the library that fails system calls, and controls it in running processes."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class Call(IntEnum):
-    """Which calls a rule is for, in the order of the library's control file."""
+    """Kinds of system calls, in the order of the library's control file."""
 
     ACCEPT = 0
     SOCKET = 1
@@ -53,7 +53,7 @@
     Call.FILE_WRITE: (errno.ENOSPC, errno.EIO),
     Call.STALL: (0,),
 }
-"""Errors that the manual pages name for each call and that end no connection by themselves."""
+"""Errors that the manual pages name for each call, and that end no connection by themselves."""
 
 ENDS_CONNECTION = (errno.ECONNRESET, errno.EPIPE, errno.ETIMEDOUT, errno.EHOSTUNREACH)
 
@@ -63,11 +63,11 @@
 
 
 def build() -> Path:
-    """The library, built once for each text of its source.
+    """Returns the library, built once for each version of its source.
 
     Raises:
-        NoCompilerError: there is no compiler.
-        subprocess.CalledProcessError: it refuses the source.
+        NoCompilerError: there is no C compiler.
+        subprocess.CalledProcessError: the compiler rejects the source.
     """
     compiler = shutil.which("cc") or shutil.which("gcc")
     if compiler is None:
@@ -87,7 +87,7 @@
 
 @dataclass(frozen=True)
 class InjectedFault:
-    """A call that was failed. `at_s`: monotonic. Ports are 0 where the call has none."""
+    """A call that failed. `at_s` is monotonic; ports are 0 where the call has none."""
 
     at_s: float
     call: Call
@@ -97,7 +97,7 @@
 
 
 class CallFaults:
-    """The control file of one process, which may be changed while it runs."""
+    """The control file of one process, which may change while the process runs."""
 
     def __init__(self, folder: Path, seed: int) -> None:
         self._path = folder / "call-faults"
@@ -107,7 +107,7 @@
         self._map = mmap.mmap(self._file.fileno(), 0)
 
     def environment(self) -> dict[str, str]:
-        """Variables of a process under these faults."""
+        """Returns the environment variables of a process under these faults."""
         return {
             "LD_PRELOAD": str(build()),
             "GLENROCK_CALL_FAULTS": str(self._path),
@@ -115,30 +115,30 @@
         }
 
     def fail(self, call: Call, rate: float, errors: tuple[int, ...] | None = None) -> None:
-        """From now on that part of these calls fails, with one of these errors."""
+        """Lets a fraction of the calls of a kind fail from now on, with one of the errors."""
         chosen = DOCUMENTED[call] if errors is None else errors
         padded = [*chosen, *[0] * (MAX_ERRORS - len(chosen))]
         place = HEAD.size + RULE.size * call
         self._map[place : place + RULE.size] = RULE.pack(round(rate * PER_MILLION), len(chosen), *padded)
 
     def stall(self, rate: float, ms: int) -> None:
-        """From now on that part of the calls takes so long."""
+        """Lets a fraction of the calls take `ms` milliseconds from now on."""
         seed, step, _, unused = HEAD.unpack_from(self._map)
         HEAD.pack_into(self._map, 0, seed, step, ms, unused)
         self.fail(Call.STALL, rate)
 
     def step_clock(self, seconds: int) -> None:
-        """The wall clock shows so much more (or less) than the machine's from now on."""
+        """Sets the wall clock of the process this far from the machine's from now on."""
         seed, _, stall_ms, unused = HEAD.unpack_from(self._map)
         HEAD.pack_into(self._map, 0, seed, seconds * 1000, stall_ms, unused)
 
     def clear(self) -> None:
-        """No more calls fail. The clock stays where it is."""
+        """Lets no more calls fail. The clock stays where it is."""
         for call in Call:
             self.fail(call, 0.0, ())
 
     def injected(self) -> list[InjectedFault]:
-        """What was failed so far."""
+        """Returns the calls that failed so far."""
         if not self._log.exists():
             return []
         names = {call.name.lower(): call for call in Call}
@@ -149,6 +149,6 @@
         return found
 
     def close(self) -> None:
-        """Lets go of the file."""
+        """Closes the file."""
         self._map.close()
         self._file.close()
--- a/glenrock/testbed/fault_player.py
+++ b/glenrock/testbed/fault_player.py
@@ -1,4 +1,4 @@
-"""Plays the faults of a plan on a testbed, and lifts them again."""
+"""Plays the faults of a soak's plan on its testbed."""
 
 from __future__ import annotations
 
@@ -18,11 +18,17 @@
 from .session_servers import ScriptedServer, ServerMode
 from .testbed import Testbed
 
-KILL_AFTER_MS = 700.0  # after the longest deadline, which counts as 3 s at least
-SHORTEST_LONGEST_DEADLINE_MS = 3000.0
+KILL_AFTER_MS = 700.0  # after the longest deadline
+MIN_LONGEST_DEADLINE_MS = 3000.0
 STALL_MS = 150
-NOTICE_S = 0.3  # the front sends new connections so long to a balancer that was told to end
+NOTICE_S = 0.3  # for which new connections still go to a balancer that terminates
 RELOAD_GAP_S = 0.15
+SERVER_IDLE_S = 0.5
+PIECE_GAP_S = 0.05
+MAX_NEW_SERVERS = 40
+DELETE_DELAY_S = 7.0  # of a draining server, after its grace
+FLOOD_STAYS_S = 1.0
+LEAVES_AFTER_S = (0.0, 0.001, 0.01, 0.1)
 KILL_VISIBLE_S = 0.3  # around a SIGKILL, in which its effects are seen
 MODES = {
     FaultKind.SERVER_HANG: ServerMode.HANGS,
@@ -51,11 +57,11 @@
     """The faults of one run.
 
     Attributes:
-        taken: balancers that the front sends new connections to.
+        ready: balancers that new connections go to.
     """
 
     def __init__(self, bed: Testbed, plan: SoakPlan, call_faults: list[CallFaults]) -> None:
-        self.taken = set(range(plan.shape.balancers))
+        self.ready = set(range(plan.shape.balancers))
         self._bed = bed
         self._plan = plan
         self._call_faults = call_faults
@@ -88,7 +94,7 @@
         self._handlers = handlers | dict.fromkeys(MODES, self._change_mode)
 
     async def play(self, fault: PlannedFault) -> None:
-        """One fault, from its beginning to its end."""
+        """Plays one fault from its beginning to its end."""
         await asyncio.sleep(fault.at_s)
         began_s = time.monotonic()
         await self._handlers[fault.kind](fault)
@@ -99,18 +105,18 @@
     # -- balancers -------------------------------------------------------------------------------------
 
     async def terminate(self, number: int, restart: bool = True) -> None:
-        """SIGTERM, and SIGKILL at the earliest moment that the protocol allows."""
+        """Sends SIGTERM, and SIGKILL at the earliest time that the protocol allows."""
         if number in self._restarting:
             return
         self._restarting.add(number)
         process = self._bed.processes[number]
-        process.send_signal(signal.SIGTERM)
-        told_s = time.monotonic()
+        process.terminate()
+        terminated_s = time.monotonic()
         await asyncio.sleep(NOTICE_S)
-        self.taken.discard(number)
-        longest_ms = max(SHORTEST_LONGEST_DEADLINE_MS, self._plan.shape.deadline_ms)
-        kill_s = told_s + (longest_ms + KILL_AFTER_MS) / 1000
-        await self._bed.until(lambda: not process.is_running, kill_s - time.monotonic())
+        self.ready.discard(number)
+        longest_ms = max(MIN_LONGEST_DEADLINE_MS, self._plan.shape.deadline_ms)
+        kill_s = terminated_s + (longest_ms + KILL_AFTER_MS) / 1000
+        await self._bed.wait_until(lambda: not process.is_running, kill_s - time.monotonic())
         await self._restart(number, 0.0, restart)
 
     async def _kill(self, fault: PlannedFault) -> None:
@@ -123,23 +129,23 @@
     async def _restart(self, number: int, pause_s: float, restart: bool) -> None:
         process = self._bed.processes[number]
         process.end()
-        self.taken.discard(number)
+        self.ready.discard(number)
         if not restart:
             return
         await asyncio.sleep(pause_s)
         process.start()
-        await self._bed.until_ready(process)
+        await self._bed.wait_until_ready(process)
         self._restarting.discard(number)
-        self.taken.add(number)
+        self.ready.add(number)
 
     async def _pause(self, fault: PlannedFault) -> None:
         process = self._bed.processes[fault.target]
-        process.send_signal(signal.SIGSTOP)
+        process.pause()
         await asyncio.sleep(fault.value)
-        process.send_signal(signal.SIGCONT)
+        process.resume()
 
     async def _reload(self, fault: PlannedFault) -> None:
-        """Discovery moves to another address each time."""
+        """Reloads the configuration, each time with another address of discovery."""
         if fault.target in self._restarting:
             return
         bed, number = self._bed, fault.target
@@ -156,12 +162,12 @@
 
     # -- session servers and discovery -----------------------------------------------------------------
 
-    def _some_servers(self, share: float) -> list[ScriptedServer]:
-        there = [server for name, server in self._bed.servers.items() if name not in self._drained and server.is_up]
-        return self._rng.sample(there, min(len(there), max(1, int(share * len(there) / 2))))
+    def _draw_servers(self, fraction: float) -> list[ScriptedServer]:
+        listed = [server for name, server in self._bed.servers.items() if name not in self._drained and server.is_up]
+        return self._rng.sample(listed, min(len(listed), max(1, int(fraction * len(listed) / 2))))
 
     async def _change_mode(self, fault: PlannedFault) -> None:
-        chosen = self._some_servers(fault.value)
+        chosen = self._draw_servers(fault.value)
         for server in chosen:
             server.set_mode(MODES[fault.kind])
         await asyncio.sleep(fault.lasts_s)
@@ -169,19 +175,19 @@
             server.set_mode(ServerMode.SERVES)
 
     async def _close_idle(self, fault: PlannedFault) -> None:
-        for server in self._some_servers(fault.value):
-            server.idle_timeout_s = 0.5
+        for server in self._draw_servers(fault.value):
+            server.idle_timeout_s = SERVER_IDLE_S
 
     async def _write_in_pieces(self, fault: PlannedFault) -> None:
-        for server in self._some_servers(fault.value):
-            server.piece_gap_s = 0.05
+        for server in self._draw_servers(fault.value):
+            server.piece_gap_s = PIECE_GAP_S
 
     async def _end_connections(self, fault: PlannedFault) -> None:
-        for server in self._some_servers(fault.value):
+        for server in self._draw_servers(fault.value):
             server.end_connections()
 
     async def _crash_servers(self, fault: PlannedFault) -> None:
-        chosen = self._some_servers(fault.value)
+        chosen = self._draw_servers(fault.value)
         for server in chosen:
             server.crash()
         await asyncio.sleep(fault.lasts_s)
@@ -194,14 +200,14 @@
 
     async def _drain(self, fault: PlannedFault) -> None:
         bed = self._bed
-        chosen = self._some_servers(fault.value)
+        chosen = self._draw_servers(fault.value)
         names = [server.name for server in chosen]
         self._drained.update(names)
         bed.directory.set_status(names, EndpointStatus.DRAINING)
-        for _ in chosen[:40]:
+        for _ in chosen[:MAX_NEW_SERVERS]:
             self._new_servers += 1
             bed.add_server(f"t-{self._new_servers:08x}", since_ms=time.time() * 1000)
-        await asyncio.sleep(self._plan.shape.drain_grace_ms / 1000 + 7.0)
+        await asyncio.sleep(self._plan.shape.drain_grace_ms / 1000 + DELETE_DELAY_S)
         bed.directory.set_status(names, EndpointStatus.DELETED)
 
     async def _silence_discovery(self, fault: PlannedFault) -> None:
@@ -231,7 +237,7 @@
 
     # -- clients ---------------------------------------------------------------------------------------
 
-    async def _connections(self, fault: PlannedFault) -> list[tuple[asyncio.StreamReader, asyncio.StreamWriter]]:
+    async def _connect_many(self, fault: PlannedFault) -> list[tuple[asyncio.StreamReader, asyncio.StreamWriter]]:
         address = self._bed.processes[fault.target].address
         found = []
         for _ in range(int(fault.value)):
@@ -240,9 +246,9 @@
         return found
 
     async def _crowd(self, fault: PlannedFault) -> None:
-        there = await self._connections(fault)
+        connections = await self._connect_many(fault)
         await asyncio.sleep(fault.lasts_s)
-        for _, writer in there:
+        for _, writer in connections:
             reset_connection(writer)
 
     async def _half_requests(self, fault: PlannedFault) -> None:
@@ -256,17 +262,17 @@
             self._bed.record.half_requests.append(record)
             writer.close()
 
-        await asyncio.gather(*(stay(reader, writer) for reader, writer in await self._connections(fault)))
+        await asyncio.gather(*(stay(reader, writer) for reader, writer in await self._connect_many(fault)))
 
     async def _flood(self, fault: PlannedFault) -> None:
-        if fault.target in self.taken:
+        if fault.target in self.ready:
             for _ in range(int(fault.value)):
-                self._bed.client(fault.target, stays_s=1.0)
+                self._bed.start_client(fault.target, stays_s=FLOOD_STAYS_S)
 
     async def _leaving(self, fault: PlannedFault) -> None:
-        if fault.target in self.taken:
+        if fault.target in self.ready:
             for _ in range(int(fault.value)):
-                self._bed.client(fault.target, leaves_after_s=self._rng.choice((0.0, 0.001, 0.01, 0.1)))
+                self._bed.start_client(fault.target, leaves_after_s=self._rng.choice(LEAVES_AFTER_S))
 
     # -- the machine -----------------------------------------------------------------------------------
 
--- a/glenrock/testbed/fault_schedule.py
+++ b/glenrock/testbed/fault_schedule.py
@@ -12,38 +12,64 @@
 from .testbed import FleetShape
 
 MAX_FAULTS, MIN_FAULTS = 14, 6
-SETTLE_S = 1.0  # before the first fault
-TO_THE_END, TO_THE_END_S = 0.15, 60.0  # so many faults last through the shutdown
-QUIET_END_S = 2.0  # before the final shutdown no fault begins
+FIRST_FAULT_S = 1.0  # from the beginning of the traffic
+LASTING_PROBABILITY, LASTING_S = 0.15, 60.0  # of faults that last through the shutdown
+LAST_FAULT_S = 2.0  # before the end of the traffic, after which no fault begins
+REQUESTS_PER_BALANCER_S = 8.0
+MAX_RESUMED = 5  # connections at each balancer that were open before the run
 
 
 class FaultKind(Enum):
-    """Kinds of faults; the comment tells what `target` and `value` mean."""
-
-    TERMINATE = "terminate"  # balancer: SIGTERM, SIGKILL at the earliest, start
-    KILL = "kill"  # balancer: SIGKILL, start `value` seconds later
-    PAUSE = "pause"  # balancer: SIGSTOP for `value` seconds, 0.15 at most
-    RELOAD = "reload"  # balancer: `value` new configurations in a row, discovery elsewhere each time
-    SERVER_CRASH = "server crash"  # share `value` of the servers: dies, comes back cold
+    """Kinds of faults. The values are shown to people; each text tells what `target` and `value` mean."""
+
+    TERMINATE = "terminate"
+    """Balancer `target`: SIGTERM, SIGKILL at the earliest, start."""
+    KILL = "kill"
+    """Balancer `target`: SIGKILL, start `value` seconds later."""
+    PAUSE = "pause"
+    """Balancer `target`: SIGSTOP for `value` seconds."""
+    RELOAD = "reload"
+    """Balancer `target`: `value` new configurations in a row, each with another address of discovery."""
+    SERVER_CRASH = "server crash"
+    """Fraction `value` of the servers: the process ends, and starts again."""
     SERVER_HANG = "server hang"
+    """Fraction `value` of the servers: no answers."""
     SERVER_ERRORS = "server errors"
+    """Fraction `value` of the servers: ERR to each request."""
     SERVER_BUSY = "server busy"
+    """Fraction `value` of the servers: BUSY to each request."""
     SERVER_RESETS = "server resets"
+    """Fraction `value` of the servers: a reset for each request."""
     SERVER_IDLE_CLOSE = "server idle close"
-    SERVER_PIECES = "server pieces"  # its lines come in two pieces
-    SERVER_ENDS = "server ends"  # it says BYE to those that stand there, and ends their connections
-    DRAIN = "drain"  # share `value` of the servers: draining, later deleted and stopped; as many new ones
-    DISCOVERY_SILENT = "discovery silent"  # at all balancers
+    """Fraction `value` of the servers: idle connections are closed."""
+    SERVER_PIECES = "server pieces"
+    """Fraction `value` of the servers: lines are sent in two pieces."""
+    SERVER_ENDS = "server ends"
+    """Fraction `value` of the servers: established connections are ended in order."""
+    DRAIN = "drain"
+    """Fraction `value` of the servers: listed as draining, later deleted; as many new ones start."""
+    DISCOVERY_SILENT = "discovery silent"
+    """All agents: calls are not answered."""
     DISCOVERY_REFUSES = "discovery refuses"
-    DISCOVERY_SLOW = "discovery slow"  # an answer takes `value` seconds
-    DISCOVERY_CUTS = "discovery cuts"  # the next `value` answers break off
-    IDLE_CROWD = "idle crowd"  # balancer: `value` connections that say nothing
-    HALF_REQUESTS = "half requests"  # balancer: `value` clients that stop within a request and stay
-    FLOOD = "flood"  # balancer: `value` requests at once
-    LEAVING = "leaving"  # balancer: `value` clients that leave before their answer
-    CALLS_FAIL = "calls fail"  # balancer: calls of one kind fail at the rate `value`
-    STALL = "stall"  # balancer: stalls of 0.15 s at the rate `value`
-    CLOCK_STEP = "clock step"  # balancer, or all with -1: by `value` seconds
+    """All agents: 503."""
+    DISCOVERY_SLOW = "discovery slow"
+    """All agents: an answer takes `value` seconds."""
+    DISCOVERY_CUTS = "discovery cuts"
+    """All agents: the next `value` answers break off."""
+    IDLE_CROWD = "idle crowd"
+    """Balancer `target`: `value` connections that send nothing."""
+    HALF_REQUESTS = "half requests"
+    """Balancer `target`: `value` clients that stop within a request line and stay."""
+    FLOOD = "flood"
+    """Balancer `target`: `value` requests at once."""
+    LEAVING = "leaving"
+    """Balancer `target`: `value` clients that leave before their answer."""
+    CALLS_FAIL = "calls fail"
+    """Balancer `target`: system calls of one kind fail at the rate `value`."""
+    STALL = "stall"
+    """Balancer `target`: system calls stall at the rate `value`."""
+    CLOCK_STEP = "clock step"
+    """Balancer `target`, or all: the wall clock is stepped by `value` seconds."""
 
 
 CALL_KINDS = (
@@ -62,7 +88,14 @@
 
 @dataclass(frozen=True)
 class PlannedFault:
-    """One fault. `at_s` from the beginning of the traffic; `lasts_s` until it is lifted."""
+    """One fault.
+
+    Attributes:
+        at_s: from the beginning of the traffic.
+        lasts_s: until it ends.
+        target, value: see the kind.
+        call: that fails, for CALLS_FAIL.
+    """
 
     at_s: float
     kind: FaultKind
@@ -72,29 +105,36 @@
     call: Call | None = None
 
     def text(self) -> str:
-        """For people."""
+        """Returns the fault in one line."""
         call = f" {self.call.name.lower()}" if self.call is not None else ""
         return f"{self.at_s:5.2f} s {self.kind.value}{call} at {self.target}, {self.lasts_s:.2f} s, {self.value:g}"
 
 
 @dataclass(frozen=True)
 class SoakPlan:
-    """One run."""
+    """One run.
+
+    Attributes:
+        seconds: of traffic.
+        requests_per_s: over all balancers.
+        resumed: connections at each balancer that were open before the run.
+        faults: by their beginning.
+    """
 
     seed: int
     shape: FleetShape
     seconds: float
     requests_per_s: float
-    standing: int  # at each balancer
+    resumed: int
     faults: tuple[PlannedFault, ...]
 
     def without(self, fault: PlannedFault) -> SoakPlan:
-        """The same without that fault."""
-        return replace(self, faults=tuple(one for one in self.faults if one is not fault))
+        """Returns the plan without a fault."""
+        return replace(self, faults=tuple(found for found in self.faults if found is not fault))
 
 
 def draw(seed: int, seconds: float = 10.0) -> SoakPlan:
-    """The plan of a seed."""
+    """Draws the plan of a seed."""
     rng = random.Random(seed)  # noqa: S311 - draws need be repeatable, not secret
     balancers = rng.choice((1, 2, 3, 3, 4, 5, 6, 8, 12))
     deadline_ms = rng.choice((300.0, 600.0, 1200.0, 1800.0, 3000.0))
@@ -112,14 +152,17 @@
         groups=rng.choice((0, 0, 5, 40)),
     )
     faults = [_draw_fault(rng, balancers, seconds) for _ in range(rng.randint(MIN_FAULTS, MAX_FAULTS))]
-    if shape.idempotency is not Idempotency.SAFE:  # only an attempt that may have run tells whether a repeat is right
-        at_s = rng.uniform(SETTLE_S, seconds / 2)
-        faults.append(PlannedFault(at_s, FaultKind.SERVER_HANG, 0, seconds / 2, max(_SHARES)))
+    if (
+        shape.idempotency is not Idempotency.SAFE
+    ):  # without hanging servers, hardly a retry follows an attempt that may have executed
+        at_s = rng.uniform(FIRST_FAULT_S, seconds / 2)
+        faults.append(PlannedFault(at_s, FaultKind.SERVER_HANG, 0, seconds / 2, max(_FRACTIONS)))
     faults.sort(key=lambda fault: fault.at_s)
-    return SoakPlan(seed, shape, seconds, 8.0 * balancers, rng.randint(0, 5), tuple(faults))
+    requests_per_s = REQUESTS_PER_BALANCER_S * balancers
+    return SoakPlan(seed, shape, seconds, requests_per_s, rng.randint(0, MAX_RESUMED), tuple(faults))
 
 
-_SHARES = (0.05, 0.2, 0.5)
+_FRACTIONS = (0.05, 0.2, 0.5)
 _VALUES: dict[FaultKind, Callable[[random.Random], float]] = {
     FaultKind.KILL: lambda rng: rng.uniform(0.1, 1.5),
     FaultKind.PAUSE: lambda rng: rng.uniform(0.02, 0.15),
@@ -134,15 +177,15 @@
     FaultKind.STALL: lambda rng: rng.choice((0.002, 0.01)),
     FaultKind.CLOCK_STEP: lambda rng: rng.choice((-3600, -5, 5, 3600)),
 }
-"""What `value` is drawn from; for all other kinds it is a share of the servers."""
+"""What `value` is drawn from; for all other kinds it is a fraction of the servers."""
 
 
 def _draw_fault(rng: random.Random, balancers: int, seconds: float) -> PlannedFault:
     kind = rng.choice(tuple(FaultKind))
-    at_s = rng.uniform(SETTLE_S, seconds - QUIET_END_S)
+    at_s = rng.uniform(FIRST_FAULT_S, seconds - LAST_FAULT_S)
     target = rng.randrange(balancers)
-    lasts_s = TO_THE_END_S if rng.random() < TO_THE_END else rng.uniform(0.3, 5.0)
-    value = _VALUES[kind](rng) if kind in _VALUES else rng.choice(_SHARES)
+    lasts_s = LASTING_S if rng.random() < LASTING_PROBABILITY else rng.uniform(0.3, 5.0)
+    value = _VALUES[kind](rng) if kind in _VALUES else rng.choice(_FRACTIONS)
     call = rng.choice(CALL_KINDS) if kind is FaultKind.CALLS_FAIL else None
     if kind is FaultKind.CLOCK_STEP:
         target = rng.choice((target, ALL_BALANCERS))
--- a/glenrock/testbed/modelled_servers.py
+++ b/glenrock/testbed/modelled_servers.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 from math import exp
-from typing import TYPE_CHECKING, Any, cast
+from typing import Any, cast
 
 from .balancer_settings import LOAD_REPORT_FIELDS
 from .history import US_PER_S, EventKind, History
@@ -20,10 +20,15 @@
 from .request_line import RequestLine
 from .scenario import Scenario, drawn_number
 from .session_servers import SessionServer
-from .simulation_model import ModelConnection, ModelFigures, PlannedClient, ServerModel, ServerShape, SimulationEngine
-
-if TYPE_CHECKING:
-    from ..simulation.model.balancer import Attempt as ModelAttempt
+from .simulation_model import (
+    ModelAttempt,
+    ModelConnection,
+    ModelFigures,
+    PlannedClient,
+    ServerModel,
+    ServerShape,
+    SimulationEngine,
+)
 
 ERROR_ANSWERS = {"full": b"BUSY\r\n", "error": b"ERR\r\n"}  # by the model's word
 UP = "up"  # the model's word
@@ -48,7 +53,7 @@
 
     def as_model(self) -> ModelAttempt:
         """Returns the attempt as the model keeps it: as a key, without reading it."""
-        return cast("ModelAttempt", self)
+        return cast(ModelAttempt, self)
 
 
 @dataclass(frozen=True, slots=True)
--- a/glenrock/testbed/scenario_clients.py
+++ b/glenrock/testbed/scenario_clients.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Coroutine, MutableMapping
 from dataclasses import dataclass
 from enum import Enum
-from typing import TYPE_CHECKING, Any, cast
+from typing import Any, cast
 
 from .client_io import connect, read_answer
 from .frontend import Frontend
@@ -21,10 +21,7 @@
 from .records import CLIENTS
 from .request_line import MOVE_LINE, RESUME_FIELD, Answer, AnswerKind, RequestLine
 from .scenario import Scenario, drawn_number
-from .simulation_model import ClientHabits, PlannedClient
-
-if TYPE_CHECKING:
-    from ..simulation.model.client import Client as ModelClient
+from .simulation_model import ClientHabits, ModelClient, PlannedClient
 
 EXTRA_WAIT_S = 2.0  # past the deadline, before an answer counts as lost
 RESUME_TIMEOUT_S = 40.0  # for a connection that was open before the run to be set up again
@@ -66,7 +63,7 @@
 
     def as_model(self) -> ModelClient:
         """Returns the client as the simulation's habits read it: its failures alone."""
-        return cast("ModelClient", self)
+        return cast(ModelClient, self)
 
 
 @dataclass(frozen=True, slots=True)
--- a/glenrock/testbed/simulation_model.py
+++ b/glenrock/testbed/simulation_model.py
@@ -9,6 +9,8 @@
 from ..simulation.measure import Measure, rounded
 from ..simulation.measure import told as percentiles
 from ..simulation.model import shapes
+from ..simulation.model.balancer import Attempt as ModelAttempt
+from ..simulation.model.client import Client as ModelClient
 from ..simulation.model.client import Habits as ClientHabits
 from ..simulation.model.instance import Connection as ModelConnection
 from ..simulation.model.instance import Figures as ModelFigures
@@ -17,9 +19,9 @@
 from ..simulation.model.plan import Plan as Workload
 from ..simulation.model.plan import Row as PlannedClient
 from ..simulation.model.plan import plan as draw_workload
-from ..simulation.spec import Experiment, drawn, high, low, merge, put, raw_of, settings_of
+from ..simulation.spec import Experiment, drawn, high, low, put, raw_of, settings_of
 from ..simulation.spec import check as check_experiment
-from ..simulation.spec_faults import Fault, fault_name
+from ..simulation.spec_faults import Fault
 from ..simulation.spec_types import Above0R, Least0R, PartR, Strict
 from ..simulation.streams import Streams
 
@@ -30,6 +32,8 @@
     "Fault",
     "Least0R",
     "Measure",
+    "ModelAttempt",
+    "ModelClient",
     "ModelConnection",
     "ModelFigures",
     "PartR",
@@ -43,10 +47,8 @@
     "check_experiment",
     "draw_workload",
     "drawn",
-    "fault_name",
     "high",
     "low",
-    "merge",
     "percentiles",
     "put",
     "raw_of",
--- a/glenrock/testbed/soak.py
+++ b/glenrock/testbed/soak.py
@@ -1,4 +1,4 @@
-"""Soak runs: a plan drawn from a seed is played on real processes, judged, and shrunk where it fails."""
+"""Soak runs: a plan drawn from a seed is played on real processes, checked, and shrunk where it fails."""
 
 from __future__ import annotations
 
@@ -14,27 +14,37 @@
 
 from .balancer_process import ROOT
 from .call_faults import CallFaults, NoCompilerError, build
-from .clients import Client
 from .fault_player import FaultPlayer
-from .fault_schedule import PlannedFault, SoakPlan, draw
-from .invariant import InvariantLimits, Violation
+from .fault_schedule import SoakPlan, draw
+from .invariant import NEVER, InvariantLimits, Violation
 from .invariants import check
 from .testbed import FleetShape, Testbed
 
-ANSWER_GRACE_S = 0.05  # of the rules on sockets
+ANSWER_GRACE_S = 0.05  # added to each deadline on sockets
 END_VISIBLE_S = 0.15  # one loop runs all stand-ins, so each may see an end this much later
 CUT_OFF_WINDOW_S = 1.0  # an end is passed on within this
-END_S = 12.0  # for the last clients after the shutdown
+SHUTDOWN_S = 12.0  # for the processes to end
 MAX_RUN_S = 90.0
 LOG_LINES_SHOWN = 6
-RESTING_SHARE, RETURN_S = 0.25, 0.05
-CROSSING_SHARE, IDLE_S, CROSSING_S = 0.1, 10.0, 0.02  # requests sent just as the balancer ends a resting connection
-HURRIED_SHARE, SHORTEST_MS, HURRIED_MS = 0.1, 5.0, 100.0  # requests with very little time left
+RESTING_PROBABILITY = 0.25  # of clients that rest before their request
+RETRY_DELAY_S = 0.05
+CROSSING_PROBABILITY = 0.1  # of requests sent close to when the balancer closes an idle connection
+IDLE_TIMEOUT_S, CROSSING_S = 10.0, 0.02
+SHORT_DEADLINE_PROBABILITY, SHORT_DEADLINE_MS = 0.1, (5.0, 100.0)
+STAY_S, REST_S = (0.2, 12.0), (0.1, 6.0)
+RESUMED_STAY_S = 60.0
+MAX_SHOWN_VIOLATIONS = 8
 
 
 @dataclass
 class SoakResult:
-    """What came of a run. `partial`: why it was not played to its end; empty where it was."""
+    """The result of a run.
+
+    Attributes:
+        log_lines: of the balancers at which an invariant was violated.
+        answers: by their first word.
+        partial: why the run was not played to its end; empty where it was.
+    """
 
     plan: SoakPlan
     violations: list[Violation] = field(default_factory=list)
@@ -44,11 +54,11 @@
 
     @property
     def is_clean(self) -> bool:
-        """Whether it was played whole and no rule was broken."""
+        """Whether it was played to its end without a violation."""
         return not self.violations and not self.partial
 
     def text(self) -> str:
-        """A line for a clean run; the first breaches, the plan and the log for another."""
+        """Returns one line for a clean run; else also the first violations, the faults and the log."""
         shape = self.plan.shape
         head = (
             f"seed {self.plan.seed}: {shape.balancers} balancers, {shape.servers} servers, "
@@ -59,16 +69,18 @@
         if self.is_clean:
             return f"{head}; clean"
         lines = [f"{head}; {len(self.violations)} violations {self.partial}".rstrip()]
-        lines += [
-            f"  {one.invariant} at balancer {one.balancer}, {one.request_id}: {one.text}: {' | '.join(one.details)}"
-            for one in self.violations[:8]
-        ]
+        lines += [_violation_text(violation) for violation in self.violations[:MAX_SHOWN_VIOLATIONS]]
         lines += [f"  fault: {fault.text()}" for fault in self.plan.faults]
         for number, log_lines in self.log_lines.items():
             lines += [f"  log of {number}: {line}" for line in log_lines[-LOG_LINES_SHOWN:]]
         return "\n".join(lines)
 
 
+def _violation_text(violation: Violation) -> str:
+    place = f"  {violation.invariant} at balancer {violation.balancer}, {violation.request_id}"
+    return f"{place}: {violation.text}: {' | '.join(violation.details)}"
+
+
 def limits_of(shape: FleetShape) -> InvariantLimits:
     """Returns the limits that a run of that shape is checked against."""
     return InvariantLimits(
@@ -88,10 +100,10 @@
         self._rng = random.Random(plan.seed + 2)  # noqa: S311 - draws need be repeatable, not secret
         self._bed = Testbed(plan.shape, source=source)
         self._result = SoakResult(plan)
-        self._traffic: set[asyncio.Task[None]] = set()
+        self._requests: set[asyncio.Task[None]] = set()
 
     async def play(self) -> SoakResult:
-        """Plays and judges it."""
+        """Plays the plan and checks the invariants."""
         async with self._bed as bed:
             call_faults = self._call_faults()
             await bed.start_balancers()
@@ -99,7 +111,7 @@
             await self._play_faults(player)
             for faults in call_faults:
                 faults.close()
-            self._judge()
+            self._check()
         return self._result
 
     def _call_faults(self) -> list[CallFaults]:
@@ -107,74 +119,73 @@
             build()
         except NoCompilerError:
             return []
-        return [self._bed.call_faults(number, self._plan.seed) for number in range(self._plan.shape.balancers)]
+        return [self._bed.prepare_call_faults(number, self._plan.seed) for number in range(self._plan.shape.balancers)]
 
     async def _play_faults(self, player: FaultPlayer) -> None:
         names = list(self._bed.servers)
         for number in range(self._plan.shape.balancers):
-            for _ in range(self._plan.standing):
-                self._bed.client(number, resumes_at=self._rng.choice(names), stays_s=60.0)
+            for _ in range(self._plan.resumed):
+                self._bed.start_client(number, resumes_at=self._rng.choice(names), stays_s=RESUMED_STAY_S)
         faults = [asyncio.create_task(player.play(fault)) for fault in self._plan.faults]
         await self._send_requests(player)
         await self._shut_down(player)
         for task in faults:
             task.cancel()
-        for task in self._traffic:
+        for task in self._requests:
             task.cancel()
-        outcomes = await asyncio.gather(*faults, *self._traffic, return_exceptions=True)
-        failed = [one for one in outcomes if isinstance(one, Exception)]
+        outcomes = await asyncio.gather(*faults, *self._requests, return_exceptions=True)
+        failed = [outcome for outcome in outcomes if isinstance(outcome, Exception)]
         if failed:
             self._result.partial = f"partial: {failed[0]!r}"
 
     async def _send_requests(self, player: FaultPlayer) -> None:
         until_s = time.monotonic() + self._plan.seconds
         while time.monotonic() < until_s:
-            if player.taken:
-                number = self._rng.choice(sorted(player.taken))
-                task = asyncio.create_task(self._follow(number, player))
-                self._traffic.add(task)
-                task.add_done_callback(self._traffic.discard)
+            if player.ready:
+                number = self._rng.choice(sorted(player.ready))
+                task = asyncio.create_task(self._play_client(number, player))
+                self._requests.add(task)
+                task.add_done_callback(self._requests.discard)
             await asyncio.sleep(self._rng.expovariate(self._plan.requests_per_s))
 
-    async def _follow(self, number: int, player: FaultPlayer) -> None:
-        """A client that comes again when it is moved or cut off, until it has had enough."""
-        rests_s = self._draw_rest()
+    async def _play_client(self, number: int, player: FaultPlayer) -> None:
+        """Plays a client that connects again after a migration or a break, until its time is over."""
+        rest_s = self._draw_rest_s()
         deadline_ms = self._plan.shape.deadline_ms
-        if self._rng.random() < HURRIED_SHARE:
-            deadline_ms = self._rng.uniform(SHORTEST_MS, HURRIED_MS)
-        stays_until_s = time.monotonic() + self._rng.uniform(0.2, 12.0)
-        returns = False
+        if self._rng.random() < SHORT_DEADLINE_PROBABILITY:
+            deadline_ms = self._rng.uniform(*SHORT_DEADLINE_MS)
+        stays_until_s = time.monotonic() + self._rng.uniform(*STAY_S)
+        is_retry = False
         while True:
             left_s = max(0.1, stays_until_s - time.monotonic())
-            client = self._bed.client(number, stays_s=left_s, rest_s=rests_s, is_retry=returns, deadline_ms=deadline_ms)
-            await self._until_ended(client)
+            client = self._bed.start_client(
+                number, stays_s=left_s, rest_s=rest_s, is_retry=is_retry, deadline_ms=deadline_ms
+            )
+            await client.ended.wait()
             request = client.request
             if (
-                not (request.is_up and (request.is_migrated or request.left_s > 1e9))
+                not (request.is_up and (request.is_migrated or request.left_s == NEVER))
                 or time.monotonic() > stays_until_s
             ):
                 return
-            await asyncio.sleep(RETURN_S)
-            if not player.taken:
+            await asyncio.sleep(RETRY_DELAY_S)
+            if not player.ready:
                 return
-            number, rests_s, returns = self._rng.choice(sorted(player.taken)), None, True
+            number, rest_s, is_retry = self._rng.choice(sorted(player.ready)), None, True
 
-    def _draw_rest(self) -> float | None:
+    def _draw_rest_s(self) -> float | None:
         draw = self._rng.random()
-        if draw < CROSSING_SHARE:
-            return IDLE_S + self._rng.uniform(-CROSSING_S, CROSSING_S)
-        return self._rng.uniform(0.1, 6.0) if draw < RESTING_SHARE else None
-
-    async def _until_ended(self, client: Client) -> None:
-        await client.ended.wait()
+        if draw < CROSSING_PROBABILITY:
+            return IDLE_TIMEOUT_S + self._rng.uniform(-CROSSING_S, CROSSING_S)
+        return self._rng.uniform(*REST_S) if draw < RESTING_PROBABILITY else None
 
     async def _shut_down(self, player: FaultPlayer) -> None:
-        """All at once, while clients go on using their connections."""
+        """Terminates all balancers at once, while clients use their connections."""
         numbers = range(self._plan.shape.balancers)
         await asyncio.gather(*(player.terminate(number, restart=False) for number in numbers))
-        await self._bed.until(lambda: not any(one.is_running for one in self._bed.processes), END_S)
+        await self._bed.wait_until(lambda: not any(process.is_running for process in self._bed.processes), SHUTDOWN_S)
 
-    def _judge(self) -> None:
+    def _check(self) -> None:
         record, result = self._bed.record, self._result
         for process in self._bed.processes:
             record.log_lines[process.number] = process.log_lines()
@@ -203,18 +214,20 @@
 
 
 def shrink(result: SoakResult, source: Path, tell: Callable[[str], None]) -> SoakResult:
-    """Leaves out each fault in turn, and keeps it out where the run still fails by the same rule."""
-    rules = {violation.invariant for violation in result.violations}
+    """Leaves out each fault in turn, and for good where the run still violates one of the invariants.
+
+    Args:
+        result: of the whole plan.
+        source: the checkout of the program.
+        tell: is called with a line for each fault.
+    """
+    violated = {violation.invariant for violation in result.violations}
     smallest = result
     for fault in result.plan.faults:
         plan = smallest.plan.without(fault)
-        again = run(plan, source)
-        still = bool(rules & {violation.invariant for violation in again.violations})
-        tell(f"without {_name(fault)}: {'still fails' if still else 'clean'}")
+        shorter = run(plan, source)
+        still = bool(violated & {violation.invariant for violation in shorter.violations})
+        tell(f"without {fault.text().strip()}: {'still fails' if still else 'clean'}")
         if still:
-            smallest = again
+            smallest = shorter
     return smallest
-
-
-def _name(fault: PlannedFault) -> str:
-    return fault.text().strip()
--- a/glenrock/testbed/testbed.py
+++ b/glenrock/testbed/testbed.py
@@ -1,4 +1,4 @@
-"""A testbed: balancer processes, a directory with an agent for each, session servers and clients, on one loop."""
+"""The testbed of soaks and tests: balancer processes among scripted session servers, discovery and clients."""
 
 from __future__ import annotations
 
@@ -21,8 +21,11 @@
 from .records import Idempotency, RunRecord
 from .session_servers import ScriptedServer
 
-READY_S = 30.0
-STEP_S = 0.02
+READY_TIMEOUT_S = 30.0
+PING_TIMEOUT_S = 1.0
+POLL_S = 0.02
+ZONE, SERVER_GROUPS = "a", 4  # of the listed servers
+NETWORK_STEP = 251  # between the networks of one process
 SERVICE = "lookup"
 _networks = itertools.count()
 
@@ -39,9 +42,9 @@
         idempotency: of that class. `window_ms`: in which a keyed request may execute again.
         drain_grace_ms: after which nothing goes to a draining server.
         max_attempts: of a request.
-        health_checks: balancers may ask servers for their load.
-        must_poll: discovery is one service for all, and not an agent on the balancer's machine.
-        groups: clients belong to so many groups; 0: to none.
+        health_checks: balancers may check servers and get load reports.
+        must_poll: discovery is a service that is polled, and no agent on the balancer's machine.
+        groups: that clients belong to; 0: none.
     """
 
     balancers: int = 1
@@ -58,7 +61,7 @@
 
 
 def settings_of(shape: FleetShape, number: int) -> dict[str, Any]:
-    """The settings object of a balancer."""
+    """Returns the settings object of a balancer, in the platform's form."""
     request_class = {
         "name": SERVICE,
         "targetUs": int(shape.deadline_ms * 500),
@@ -67,7 +70,7 @@
         "windowUs": int(shape.window_ms * 1000),
     }
     return {
-        "az": "a",
+        "az": ZONE,
         "slotNo": number,
         "balancers": shape.balancers,
         "tickUs": 2000,
@@ -102,12 +105,12 @@
         servers: by name. `agents`, `processes`: by number.
     """
 
-    __test__ = False  # pytest would take the name for a test's
+    __test__ = False  # pytest collects classes whose names begin with Test
 
     def __init__(self, shape: FleetShape, folder: Path | None = None, source: Path = ROOT) -> None:
         self.shape = shape
         self.record = RunRecord()
-        self.network = LoopbackNetwork(next(_networks) * 251 + os.getpid())
+        self.network = LoopbackNetwork(next(_networks) * NETWORK_STEP + os.getpid())
         self.directory = EndpointDirectory()
         self.servers: dict[str, ScriptedServer] = {}
         self.agents: list[DiscoveryAgent] = []
@@ -152,12 +155,14 @@
         server = ScriptedServer(name, self.network.next(), self.record)
         server.start()
         self.servers[name] = server
-        listed = ListedServer(name, server.address(), zone="a", group=len(self.servers) % 4, since_ms=since_ms)
+        listed = ListedServer(
+            name, server.address(), zone=ZONE, group=len(self.servers) % SERVER_GROUPS, since_ms=since_ms
+        )
         self.directory.add(listed)
         return server
 
     def _config(self, number: int) -> dict[str, Any]:
-        peers = [format_address(self.network.peer(n)) for n in range(self.shape.balancers)]
+        peers = [format_address(self.network.peer(peer)) for peer in range(self.shape.balancers)]
         config: dict[str, Any] = {
             "name": f"n{number}",
             "listen": format_address(self.network.balancer(number)),
@@ -171,8 +176,8 @@
             config |= {"peer_listen": peers[number], "peers": peers}
         return config
 
-    def call_faults(self, number: int, seed: int = 1) -> CallFaults:
-        """Puts the next lives of a process under a library that can fail its calls."""
+    def prepare_call_faults(self, number: int, seed: int = 1) -> CallFaults:
+        """Returns the call faults of a balancer's next incarnations."""
         process = self.processes[number]
         process.write_config()
         faults = CallFaults(process.folder, seed)
@@ -183,19 +188,23 @@
         """Starts all processes, and waits until each answers PING.
 
         Raises:
-            TimeoutError: one does not.
+            TimeoutError: a process does not.
         """
         for process in self.processes:
             process.start()
-        await asyncio.gather(*(self.until_ready(process) for process in self.processes))
+        await asyncio.gather(*(self.wait_until_ready(process) for process in self.processes))
 
-    async def until_ready(self, process: BalancerProcess) -> None:
-        """Waits until a process answers PING. TimeoutError: it does not."""
-        until_s = time.monotonic() + READY_S
+    async def wait_until_ready(self, process: BalancerProcess) -> None:
+        """Waits until a process answers PING.
+
+        Raises:
+            TimeoutError: it does not.
+        """
+        until_s = time.monotonic() + READY_TIMEOUT_S
         while time.monotonic() < until_s:
             if await self._answers_ping(process):
                 return
-            await asyncio.sleep(STEP_S)
+            await asyncio.sleep(POLL_S)
         raise TimeoutError(f"balancer {process.number} is not ready: {process.log_lines()[-5:]}")
 
     async def _answers_ping(self, process: BalancerProcess) -> bool:
@@ -205,14 +214,14 @@
             return False
         try:
             writer.write(b"PING\r\n")
-            return await asyncio.wait_for(reader.readline(), 1.0) == b"PONG\r\n"
+            return await asyncio.wait_for(reader.readline(), PING_TIMEOUT_S) == b"PONG\r\n"
         except (OSError, TimeoutError):
             return False
         finally:
             writer.close()
 
-    def client(self, balancer: int, **plan: Any) -> Client:
-        """A client of that balancer, playing from now on."""
+    def start_client(self, balancer: int, **plan: Any) -> Client:
+        """Starts a client of a balancer; `plan` has the fields of `ClientPlan` that differ from the usual."""
         number = next(self._ids)
         values: dict[str, Any] = {
             "request_id": f"{number:012x}",
@@ -229,11 +238,11 @@
         task.add_done_callback(self._clients.discard)
         return client
 
-    async def until(self, condition: Callable[[], bool], timeout_s: float) -> bool:
-        """Waits for a condition. False where it does not come."""
+    async def wait_until(self, condition: Callable[[], bool], timeout_s: float) -> bool:
+        """Waits until a condition is met. Returns False where it is not met in time."""
         until_s = time.monotonic() + timeout_s
         while not condition():
             if time.monotonic() > until_s:
                 return False
-            await asyncio.sleep(STEP_S)
+            await asyncio.sleep(POLL_S)
         return True
--- a/tests/test_many_servers.py
+++ b/tests/test_many_servers.py
@@ -31,9 +31,9 @@
         while not await has_list(bed):
             await asyncio.sleep(STEP_S)
         names = list(bed.servers)
-        clients = [bed.client(0, resumes_at=names[n * 97 % len(names)]) for n in range(STANDING)]
-        clients += [bed.client(0) for _ in range(NEWCOMERS)]
-        await bed.until(lambda: all(client.up.is_set() for client in clients), ANSWER_S)
+        clients = [bed.start_client(0, resumes_at=names[n * 97 % len(names)]) for n in range(STANDING)]
+        clients += [bed.start_client(0) for _ in range(NEWCOMERS)]
+        await bed.wait_until(lambda: all(client.up.is_set() for client in clients), ANSWER_S)
         return [client.request.answer.partition(" ")[0] or client.request.end.value for client in clients]
 
 
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -85,21 +85,21 @@
 def test_a_real_process_whose_clock_is_stepped_serves_and_ends_in_time(step_s: int, when: str) -> None:
     async def play() -> None:
         async with Testbed(FleetShape(servers=10)) as bed:
-            faults = bed.call_faults(0)
+            faults = bed.prepare_call_faults(0)
             bed.directory.set_status(["s-00000001"], EndpointStatus.SERVING, since_ms=time.time() * 1000)
             if when == "before the start":
                 faults.step_clock(step_s)
             await bed.start_balancers()
-            clients = [bed.client(0, stays_s=20.0) for _ in range(10)]
-            assert await bed.until(lambda: all(client.up.is_set() for client in clients), 5.0)
+            clients = [bed.start_client(0, stays_s=20.0) for _ in range(10)]
+            assert await bed.wait_until(lambda: all(client.up.is_set() for client in clients), 5.0)
             if when == "while it runs":
                 faults.step_clock(step_s)
             bed.directory.set_status(["s-00000002"], EndpointStatus.SERVING, since_ms=time.time() * 1000)
-            late = [bed.client(0, stays_s=20.0) for _ in range(10)]
-            assert await bed.until(lambda: all(client.up.is_set() for client in late), 3.0)
+            late = [bed.start_client(0, stays_s=20.0) for _ in range(10)]
+            assert await bed.wait_until(lambda: all(client.up.is_set() for client in late), 3.0)
             asked_s = time.monotonic()
             bed.processes[0].send_signal(15)
-            assert await bed.until(lambda: not bed.processes[0].is_running, 3.7)
+            assert await bed.wait_until(lambda: not bed.processes[0].is_running, 3.7)
             assert time.monotonic() - asked_s > 2.0 and bed.processes[0].exit_code == 0
             assert all(client.request.is_migrated for client in [*clients, *late])
             faults.close()
--- a/tests/testbed/test_call_faults.py
+++ b/tests/testbed/test_call_faults.py
@@ -26,7 +26,7 @@
 def played(story: Callable[[Testbed, CallFaults], Awaitable[None]], shape: FleetShape = SHAPE, seed: int = 1) -> None:
     async def play() -> None:
         async with Testbed(shape) as bed:
-            faults = bed.call_faults(0, seed)
+            faults = bed.prepare_call_faults(0, seed)
             await bed.start_balancers()
             await story(bed, faults)
             faults.close()
@@ -36,22 +36,22 @@
 
 async def use(bed: Testbed, faults: CallFaults) -> None:
     """Traffic while calls fail: everybody is answered, whoever stood before stands on, and nothing is left behind."""
-    standing = [bed.client(0, stays_s=60.0, line_interval_s=0.1) for _ in range(STANDING)]
+    standing = [bed.start_client(0, stays_s=60.0, line_interval_s=0.1) for _ in range(STANDING)]
     clients = []
     for _ in range(ROUNDS):
-        clients += [bed.client(0, stays_s=0.2), bed.client(0, stays_s=0.2)]
+        clients += [bed.start_client(0, stays_s=0.2), bed.start_client(0, stays_s=0.2)]
         await asyncio.sleep(0.05)
-    assert await bed.until(lambda: all(client.request.answer for client in [*standing, *clients]), 5.0)
+    assert await bed.wait_until(lambda: all(client.request.answer for client in [*standing, *clients]), 5.0)
     answers = [client.request.answer.partition(" ")[0] for client in [*standing, *clients]]
     assert answers == ["UP"] * len(answers)
     assert faults.injected()
     faults.clear()
     before_s = time.monotonic()
-    assert await bed.until(lambda: all(before_s < client.request.last_line_s < 1e18 for client in standing), 3.0)
+    assert await bed.wait_until(lambda: all(before_s < client.request.last_line_s < 1e18 for client in standing), 3.0)
     assert not any(client.request.is_migrated for client in standing)
     # Both sides of the clients that stand, the program's own, and health checks' connections: one a server at most.
     most = 2 * STANDING + 24 + SHAPE.servers
-    assert await bed.until(lambda: bed.processes[0].usage().descriptors <= most, 5.0)
+    assert await bed.wait_until(lambda: bed.processes[0].usage().descriptors <= most, 5.0)
 
 
 @pytest.mark.parametrize("call", [*ON_SOCKETS, *SHORT], ids=lambda call: call.name.lower())
@@ -88,14 +88,14 @@
 
     async def story(bed: Testbed, faults: CallFaults) -> None:
         faults.fail(Call.SOCKET, 1.0, (errno.EMFILE,))
-        clients = [bed.client(0, stays_s=0.2) for _ in range(20)]
+        clients = [bed.start_client(0, stays_s=0.2) for _ in range(20)]
         began = bed.processes[0].usage().cpu_s
-        assert await bed.until(lambda: all(client.request.answer for client in clients), 4.0)
+        assert await bed.wait_until(lambda: all(client.request.answer for client in clients), 4.0)
         assert {client.request.answer.partition(" ")[0] for client in clients} == {"BUSY"}
         assert bed.processes[0].usage().cpu_s - began < 1.0
         faults.clear()
-        after = [bed.client(0, stays_s=0.2) for _ in range(20)]
-        assert await bed.until(lambda: all(client.up.is_set() for client in after), 2.0)
+        after = [bed.start_client(0, stays_s=0.2) for _ in range(20)]
+        assert await bed.wait_until(lambda: all(client.up.is_set() for client in after), 2.0)
         reader, writer = await asyncio.open_connection(*bed.network.admin(0))
         writer.write(b"GET /v1/metrics HTTP/1.1\r\n\r\n")
         figures = (await reader.read()).decode()
@@ -108,17 +108,17 @@
 @pytest.mark.parametrize("error", (errno.ECONNRESET, errno.EPIPE, errno.ETIMEDOUT, errno.EHOSTUNREACH))
 def test_an_error_that_ends_a_connection_ends_that_one_alone(error: int) -> None:
     async def story(bed: Testbed, faults: CallFaults) -> None:
-        standing = [bed.client(0, stays_s=60.0, line_interval_s=0.1) for _ in range(2 * STANDING)]
-        assert await bed.until(lambda: all(client.up.is_set() for client in standing), 5.0)
+        standing = [bed.start_client(0, stays_s=60.0, line_interval_s=0.1) for _ in range(2 * STANDING)]
+        assert await bed.wait_until(lambda: all(client.up.is_set() for client in standing), 5.0)
         faults.fail(Call.SEND if error == errno.EPIPE else Call.RECEIVE, 0.01, (error,))
-        assert await bed.until(lambda: len(faults.injected()) >= 3, 10.0)
+        assert await bed.wait_until(lambda: len(faults.injected()) >= 3, 10.0)
         faults.clear()
         await asyncio.sleep(0.3)
         struck = len(faults.injected())
         before_s = time.monotonic()
         whole = [client for client in standing if client.request.ended_s > before_s and not client.request.is_migrated]
         assert len(whole) >= len(standing) - struck
-        assert await bed.until(lambda: all(client.request.last_line_s > before_s for client in whole), 3.0)
+        assert await bed.wait_until(lambda: all(client.request.last_line_s > before_s for client in whole), 3.0)
         assert bed.processes[0].is_running
 
     played(story)
@@ -129,9 +129,9 @@
         faults.stall(0.02, 150)
         clients = []
         for _ in range(ROUNDS):
-            clients += [bed.client(0, stays_s=0.3)]
+            clients += [bed.start_client(0, stays_s=0.3)]
             await asyncio.sleep(0.05)
-        assert await bed.until(lambda: all(client.request.answer for client in clients), 5.0)
+        assert await bed.wait_until(lambda: all(client.request.answer for client in clients), 5.0)
         assert any(fault.call is Call.STALL for fault in faults.injected())
         for client in clients:
             request = client.request
