--- a/glenrock/coordination/config.py
+++ b/glenrock/coordination/config.py
@@ -1,4 +1,4 @@
-"""The operators' coordination file (`fleet.toml`). Its keys are operators' words and stay. Times are milliseconds."""
+"""The operators' coordination file (`fleet.toml`). Times are milliseconds. Operators' files have these keys."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from msgspec import Meta, Struct
 
 from .. import toml_file
-from ..toml_file import fault
+from ..toml_file import input_error
 
 CONSUL_MIN_TTL_MS = 10_000  # Consul's bound on a session's TTL, unless its own configuration lowers it
 DAY_MS = 86_400_000
@@ -30,7 +30,7 @@
     """The lease store.
 
     Attributes:
-        kind: which one.
+        kind: which store.
         path: of the SQLite file.
         addresses: `host:port` of Consul's servers or agents.
         prefix: of Consul's keys.
@@ -120,7 +120,7 @@
     file: CoordinationFile = toml_file.convert(path, text, raw, CoordinationFile)
     for requirement in _requirements(file):
         if not requirement.is_met:
-            raise fault(path, text, requirement.key, requirement.message)
+            raise input_error(path, text, requirement.key, requirement.message)
     return file
 
 
--- a/glenrock/net/health_probe.py
+++ b/glenrock/net/health_probe.py
@@ -14,10 +14,11 @@
 from .clock import Clock, micros
 from .endpoint_rows import EndpointRow
 from .health_connections import HealthConnections
+from .protocol import ServerWord
 from .socket_io import close_socket, configure_socket
 from .system_errors import is_local
 
-TIMEOUT_MS = 250.0  # for the answer to a health check
+HEALTH_CHECK_TIMEOUT_MS = 250.0  # for the answer to a health check
 UNUSED_TIMEOUT_MS = 8000.0  # an unused connection is closed after this time
 
 
@@ -52,7 +53,7 @@
             self._post(interface.HealthCheckResult(row.name, interface.AttemptOutcome.UNSENT))
             return
         try:
-            async with self._clock.limit(TIMEOUT_MS):
+            async with self._clock.limit(HEALTH_CHECK_TIMEOUT_MS):
                 answer = await self._ask(row)
         except OSError as error:
             answer = NOT_SENT if is_local(error) and not self._is_connected else NO_CONNECTION
@@ -83,8 +84,8 @@
     async def _exchange(self, sock: socket.socket) -> HealthAnswer:
         """Sends the health check and reads its answer. Raises OSError."""
         loop = asyncio.get_running_loop()
-        await loop.sock_sendall(sock, protocol.STATS)
-        buffer = bytearray(protocol.MAX_LINE)
+        await loop.sock_sendall(sock, protocol.HEALTH_CHECK)
+        buffer = bytearray(protocol.MAX_LINE_BYTES)
         splitter = protocol.LineSplitter()
         while True:
             count = await loop.sock_recv_into(sock, buffer)
@@ -92,9 +93,9 @@
                 return NO_CONNECTION
             for line in splitter.feed(bytes(buffer[:count])):
                 word, rest = protocol.split_word(line)
-                if word != "PONG" and "=" not in word:
+                if word != ServerWord.HEALTHY and "=" not in word:
                     return HealthAnswer(interface.AttemptOutcome.ERROR, {})
-                text = rest if word == "PONG" else word
+                text = rest if word == ServerWord.HEALTHY else word
                 if "=" in text:
                     return HealthAnswer(interface.AttemptOutcome.SERVED, protocol.report_of(text))
 
--- a/glenrock/testbed/modelled_servers.py
+++ b/glenrock/testbed/modelled_servers.py
@@ -261,7 +261,6 @@
         client, writer = self._client(attempt), attempt.writer
         worth = float(self._environment.scenario.classes[client.kind].worth) * client.weight
         connection = ModelConnection(
-            None,  # type: ignore[arg-type]  # the model reads it only in simulated time
             attempt.as_model(),
             attempt.balancer,
             client.kind,
--- a/glenrock/testbed/scenario.py
+++ b/glenrock/testbed/scenario.py
@@ -13,7 +13,7 @@
 from msgspec import Meta
 
 from .. import toml_file
-from ..toml_file import InputFileError, fault
+from ..toml_file import InputFileError, input_error
 from .simulation_model import (
     Above0R,
     Experiment,
@@ -336,7 +336,7 @@
 
     def _need(self, is_met: bool, key: str, message: str) -> None:
         if not is_met:
-            raise fault(self._path, self._text, key, message)
+            raise input_error(self._path, self._text, key, message)
 
     def run(self) -> None:
         scenario, fleet = self._scenario, self._scenario.fleet
