--- a/glenrock/testbed/modelled_servers.py
+++ b/glenrock/testbed/modelled_servers.py
@@ -21,17 +21,16 @@
 from .scenario import Scenario, drawn_number
 from .session_servers import SessionServer
 from .simulation_model import (
-    ModelAttempt,
     ModelConnection,
     ModelFigures,
     PlannedClient,
     ServerModel,
     ServerShape,
+    SetupAnswer,
     SimulationEngine,
 )
 
-ERROR_ANSWERS = {"full": b"BUSY\r\n", "error": b"ERR\r\n"}  # by the model's word
-UP = "up"  # the model's word
+ERROR_ANSWERS = {SetupAnswer.FULL: b"BUSY\r\n", SetupAnswer.ERROR: b"ERR\r\n"}
 ENDED_BY_SERVER, ENDED_BY_PEER = "self", "peer"  # words of the history
 MAX_DELAY_S = 30.0  # of an echo or a health check
 
@@ -41,19 +40,15 @@
     """A request line at a server, until its connection ends.
 
     Attributes:
-        outcome: the model's word on it.
+        answer: of the model.
         connection: None until it is up, and after it was settled.
     """
 
     request_id: str
     balancer: int
-    outcome: asyncio.Future[str]
+    answer: asyncio.Future[SetupAnswer]
     writer: asyncio.StreamWriter
-    connection: ModelConnection | None = None
-
-    def as_model(self) -> ModelAttempt:
-        """Returns the attempt as the model keeps it: as a key, without reading it."""
-        return cast(ModelAttempt, self)
+    connection: ModelConnection[ServedAttempt] | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -103,12 +98,12 @@
         self.open_attempts: dict[ServedAttempt, None] = {}
         self._environment = environment
         self._engine, self._history = environment.engine, environment.history
-        self.model = ServerModel(
+        self.model = ServerModel[ServedAttempt](
             self.name,
             number,
             shape,
             environment.figures,
-            self._set_outcome,
+            self._set_answer,
             cast(SimulationEngine, self._engine),
             environment.earn,
         )
@@ -142,9 +137,8 @@
     def advance_second(self) -> None:
         """Lets the model drop the connections whose work exceeds its buffer; is called once a second."""
         for connection in self.model.tick(self._engine.now):
-            attempt = cast(ServedAttempt, connection.attempt)
-            self._end_attempt(attempt, ENDED_BY_SERVER)
-            reset_connection(attempt.writer)
+            self._end_attempt(connection.attempt, ENDED_BY_SERVER)
+            reset_connection(connection.attempt.writer)
 
     def begin_measuring(self) -> None:
         """Leaves what was served until now out of the measures."""
@@ -191,10 +185,10 @@
     def _client(self, attempt: ServedAttempt) -> PlannedClient:
         return self._environment.clients[attempt.request_id]
 
-    def _set_outcome(self, attempt: object, outcome: str) -> None:
+    def _set_answer(self, attempt: ServedAttempt, answer: SetupAnswer) -> None:
         """Is called by the model."""
-        if isinstance(attempt, ServedAttempt) and not attempt.outcome.done():
-            attempt.outcome.set_result(outcome)
+        if not attempt.answer.done():
+            attempt.answer.set_result(answer)
 
     async def _serve_request(
         self,
@@ -204,8 +198,8 @@
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
-        outcome: asyncio.Future[str] = asyncio.get_running_loop().create_future()
-        attempt = ServedAttempt(request.request_id, balancer, outcome, writer)
+        answer: asyncio.Future[SetupAnswer] = asyncio.get_running_loop().create_future()
+        attempt = ServedAttempt(request.request_id, balancer, answer, writer)
         self.open_attempts[attempt] = None
         self.attempts += not request.is_resumed
         self._history.note(
@@ -214,7 +208,7 @@
         try:
             self._submit(attempt, request.is_resumed)
             if await self._peer_left(attempt, reader):
-                self.model.abandon(self._engine.now, attempt.as_model())
+                self.model.abandon(self._engine.now, attempt)
                 return
             await self._answer(attempt, reader)
         finally:
@@ -223,36 +217,36 @@
     def _submit(self, attempt: ServedAttempt, is_resumed: bool) -> None:
         """Gives the attempt to the model. A server that this overloads while it warms up crashes."""
         if is_resumed:
-            self.model.opening[attempt.as_model()] = True
-            attempt.outcome.set_result(UP)
+            self.model.opening[attempt] = True
+            attempt.answer.set_result(SetupAnswer.ESTABLISHED)
             return
         client = self._client(attempt)
         is_listed = self.listed_start_ms.get(attempt.balancer, -1.0) >= self.started_ms
         work_us = self._environment.setup_work_us(client)
-        self.model.arrive(self._engine.now, attempt.as_model(), work_us, client.usual, is_listed)
+        self.model.arrive(self._engine.now, attempt, work_us, client.usual, is_listed)
         if self.model.fallen and self.model.up:
             self._history.note(self.party, EventKind.OVERLOADED, attempt.request_id, balancer=attempt.balancer)
             self.crash()
 
     async def _peer_left(self, attempt: ServedAttempt, reader: asyncio.StreamReader) -> bool:
-        """Waits for the outcome. Returns True where the balancer closes first; it sends nothing before the answer."""
+        """Waits for the model's answer. Returns True where the balancer closes the connection first."""
         closing = asyncio.ensure_future(reader.read(1))
-        awaited: list[asyncio.Future[Any]] = [attempt.outcome, closing]
+        awaited: list[asyncio.Future[Any]] = [attempt.answer, closing]
         await asyncio.wait(awaited, return_when=asyncio.FIRST_COMPLETED)
-        if not attempt.outcome.done():
+        if not attempt.answer.done():
             return True
         closing.cancel()
         await asyncio.wait([closing])  # until then the reader has a reader
         return False
 
     async def _answer(self, attempt: ServedAttempt, reader: asyncio.StreamReader) -> None:
-        outcome, writer = attempt.outcome.result(), attempt.writer
-        if outcome == UP:
+        answer, writer = attempt.answer.result(), attempt.writer
+        if answer is SetupAnswer.ESTABLISHED:
             await self._serve_connection(attempt, reader)
             return
         self._end_attempt(attempt, ENDED_BY_SERVER)
-        if answer := ERROR_ANSWERS.get(outcome):
-            writer.write(answer)
+        if line := ERROR_ANSWERS.get(answer):
+            writer.write(line)
             await writer.drain()
         else:
             reset_connection(writer)
@@ -261,7 +255,7 @@
         client, writer = self._client(attempt), attempt.writer
         worth = float(self._environment.scenario.classes[client.kind].worth) * client.weight
         connection = ModelConnection(
-            attempt.as_model(),
+            attempt,
             attempt.balancer,
             client.kind,
             client.group,
@@ -283,7 +277,7 @@
             changes.cancel()
 
     async def _play_load_changes(
-        self, connection: ModelConnection, client: PlannedClient, writer: asyncio.StreamWriter
+        self, connection: ModelConnection[ServedAttempt], client: PlannedClient, writer: asyncio.StreamWriter
     ) -> None:
         """Changes the client's load in the model as planned, and reports it to the balancer."""
         last = -1.0
--- a/glenrock/testbed/simulation_model.py
+++ b/glenrock/testbed/simulation_model.py
@@ -9,16 +9,16 @@
 from ..simulation.measure import Measure, rounded
 from ..simulation.measure import told as percentiles
 from ..simulation.model import shapes
-from ..simulation.model.balancer import Attempt as ModelAttempt
-from ..simulation.model.client import Client as ModelClient
 from ..simulation.model.client import Habits as ClientHabits
 from ..simulation.model.instance import Connection as ModelConnection
 from ..simulation.model.instance import Figures as ModelFigures
 from ..simulation.model.instance import Instance as ServerModel
+from ..simulation.model.instance import SetupAnswer
 from ..simulation.model.instance import Shape as ServerShape
 from ..simulation.model.plan import Plan as Workload
 from ..simulation.model.plan import Row as PlannedClient
 from ..simulation.model.plan import plan as draw_workload
+from ..simulation.model.requests import Client as ModelClient
 from ..simulation.spec import Experiment, drawn, high, low, put, raw_of, settings_of
 from ..simulation.spec import check as check_experiment
 from ..simulation.spec_faults import Fault
@@ -32,7 +32,6 @@
     "Fault",
     "Least0R",
     "Measure",
-    "ModelAttempt",
     "ModelClient",
     "ModelConnection",
     "ModelFigures",
@@ -40,6 +39,7 @@
     "PlannedClient",
     "ServerModel",
     "ServerShape",
+    "SetupAnswer",
     "SimulationEngine",
     "Streams",
     "Strict",
