--- a/benchmarks/many_servers.py
+++ b/benchmarks/many_servers.py
@@ -19,9 +19,9 @@
 import uvloop
 
 from glenrock.testbed.balancer_process import ROOT
-from glenrock.testbed.bed import BedShape, Testbed
 from glenrock.testbed.clients import Client
-from glenrock.testbed.endpoint_directory import DELETED, DRAINING
+from glenrock.testbed.endpoint_directory import EndpointStatus
+from glenrock.testbed.testbed import FleetShape, Testbed
 
 SIZES = (200, 800, 3200)
 CONNECTIONS_PER_SECOND = 30
@@ -48,23 +48,23 @@
 
 async def measure(servers: int, seconds: float, descriptors: int, source: Path) -> Resources:
     """Returns the resources of a balancer with so many servers."""
-    shape = BedShape(servers=servers, descriptors=descriptors)
+    shape = FleetShape(servers=servers, descriptors=descriptors)
     async with Testbed(shape, source=source) as bed:
         await bed.start_balancers()
         process, agent = bed.processes[0], bed.agents[0]
         names = list(bed.servers)
         first_bytes = agent.bytes_sent
         resumed = [
-            bed.client(0, standing_at=names[n * 97 % servers], stays_s=seconds) for n in range(RESUMED_CONNECTIONS)
+            bed.start_client(0, resumes_at=names[n * 97 % servers], stays_s=seconds) for n in range(RESUMED_CONNECTIONS)
         ]
-        await bed.until(lambda: all(client.up.is_set() for client in resumed), 5.0)
+        await bed.wait_until(lambda: all(client.up.is_set() for client in resumed), 5.0)
         most, clients = 0, []
         steps = int(seconds / STEP_S)
         for step in range(steps):
             for _ in range(
                 int(CONNECTIONS_PER_SECOND * (step + 1) * STEP_S) - int(CONNECTIONS_PER_SECOND * step * STEP_S)
             ):
-                clients.append(bed.client(0, stays_s=STAYS_S))
+                clients.append(bed.start_client(0, stays_s=STAYS_S))
             if step and step % (steps // (WAVES + 1)) == 0:
                 _release_wave(bed, names, step // (steps // (WAVES + 1)))
             most = max(most, process.usage().descriptors)
@@ -75,7 +75,7 @@
             usage.cpu_s,
             usage.peak_mb,
             most,
-            sum(server.connections_taken for server in bed.servers.values()),
+            sum(server.accepted_connections for server in bed.servers.values()),
             agent.bytes_sent - first_bytes,
             _served_fraction(clients),
             sum(client.up.is_set() for client in resumed),
@@ -85,10 +85,10 @@
 def _release_wave(bed: Testbed, names: list[str], wave: int) -> None:
     """Drains a tenth of the servers, and removes those that the wave before has drained."""
     tenth = len(names) // WAVE_DIVISOR
-    gone = [name for name, row in bed.directory.servers.items() if row.status == DRAINING]
+    gone = [name for name, row in bed.directory.servers.items() if row.status == EndpointStatus.DRAINING]
     if gone:
-        bed.directory.set_status(gone, DELETED)
-    bed.directory.set_status(names[wave * tenth : (wave + 1) * tenth], DRAINING)
+        bed.directory.set_status(gone, EndpointStatus.DELETED)
+    bed.directory.set_status(names[wave * tenth : (wave + 1) * tenth], EndpointStatus.DRAINING)
 
 
 def _served_fraction(clients: list[Client]) -> float:
--- a/glenrock/cli/scenario_live_table.py
+++ b/glenrock/cli/scenario_live_table.py
@@ -42,15 +42,15 @@
 
 def table_of(bed: ScenarioTestbed) -> Table:
     """Returns a table with the active faults and one row for each balancer."""
-    title = f"{bed.scenario.name}, {bed.clients.seconds():.0f} of {bed.length_s:.0f} s: {_active_faults(bed)}"
+    title = f"{bed.scenario.name}, {bed.clients.elapsed_s():.0f} of {bed.length_s:.0f} s: {_active_faults(bed)}"
     table = Table(title=title)
     for column in ("balancer", "state", "connections", "life", "last said"):
         table.add_column(column)
     for balancer in bed.balancers:
         state = "asleep" if balancer.is_paused else "up" if balancer.is_running else "down"
-        state += "" if balancer.number in bed.frontend.known else ", left out"
+        state += "" if balancer.number in bed.frontend.ready else ", left out"
         connection_count = sum(
-            attempt.balancer == balancer.number for server in bed.servers for attempt in server.open_now
+            attempt.balancer == balancer.number for server in bed.servers for attempt in server.open_attempts
         )
         last_line = _last_log_line(bed, balancer.party)[:MAX_LOG_LINE_LENGTH]
         table.add_row(balancer.party, state, str(connection_count), str(balancer.incarnation), last_line)
@@ -60,7 +60,7 @@
         else "-"
         for server in bed.servers
     )
-    table.caption = f"{bed.clients.standing()} clients stand, {bed.clients.waiting()} wait; loads {loads}"
+    table.caption = f"{bed.clients.connected()} clients stand, {bed.clients.waiting()} wait; loads {loads}"
     return table
 
 
--- a/tests/coordination/leases/test_consul_store.py
+++ b/tests/coordination/leases/test_consul_store.py
@@ -19,7 +19,7 @@
     run_with_store("consul", folder, scenario, lease_us)
 
 
-@pytest.mark.parametrize("fault", ["loses", "refuses", "paused"])
+@pytest.mark.parametrize("fault", ["loses_answers", "rejects", "is_paused"])
 def test_call_without_an_answer_raises_and_its_late_effect_is_harmless(fault, tmp_path, monkeypatch) -> None:
     monkeypatch.setattr("glenrock.coordination.leases.consul_store.CALL_TIMEOUT_S", 0.2)
 
@@ -43,7 +43,7 @@
         a = fixture.client("a")
         assert await fixture.acquire(a, "j", 1) == 1 and await fixture.acquire(a, "k", 1) == 1
         state = fixture.consul.state
-        state.transaction([{"KV": {"Verb": "set", "Key": "glenrock/jobs/j", "Value": None}}])
+        state.run_transaction([{"KV": {"Verb": "set", "Key": "glenrock/jobs/j", "Value": None}}])
         assert (
             await fixture.submit(
                 a,
@@ -61,7 +61,7 @@
     async def scenario(fixture: StoreFixture) -> None:
         a, b = fixture.client("a", 400_000), fixture.client("b")
         assert await fixture.acquire(a, "j", 1) == 1
-        fixture.consul.state.destroy(a.session)
+        fixture.consul.state.destroy_session(a.session)
         assert await fixture.acquire(b, "j", 1) == 0, "free, but not granted within the lock delay"
         assert await fixture.renew(a, "j", 2, 1) == 0
         await asyncio.sleep(0.5)
@@ -74,10 +74,10 @@
     async def scenario(fixture: StoreFixture) -> None:
         a, b = fixture.client("a"), fixture.client("b")
         assert await fixture.acquire(a, "j", 1) == 1
-        fixture.consul.keep()
+        fixture.consul.take_snapshot()
         released = await fixture.submit(a, [JobRequest("j", LeaseRequest(2, RequestKind.RELEASE, 1, 0))])
         assert released == {"j": 0} and await fixture.acquire(b, "j", 1) == 2
-        fixture.consul.restart(back=True)
+        fixture.consul.restart(to_snapshot=True)
         assert await fixture.renew(b, "j", 2, 2) == 0 and not await b.put("j", 2, 1, {"k": "v"})
         await asyncio.sleep(fixture.lease_us / 1e6 + 0.1)
         assert await fixture.acquire(b, "j", 3, term_floor=2) == 3
@@ -88,8 +88,8 @@
 def test_reads_are_consistent_and_a_stale_read_fails_in_the_transaction(tmp_path, monkeypatch) -> None:
     async def scenario(fixture: StoreFixture) -> None:
         a, b = fixture.client("a"), fixture.client("b")
-        fixture.consul.keep()
-        fixture.consul.stale = True
+        fixture.consul.take_snapshot()
+        fixture.consul.has_stale_reads = True
         assert await fixture.acquire(a, "j", 1) == 1
         assert (await b.leases())["j"].holder == "a"
         read = ConsulStore._call
--- a/tests/net/test_start_times.py
+++ b/tests/net/test_start_times.py
@@ -12,7 +12,8 @@
 from glenrock.net.endpoint_rows import EndpointRow
 from glenrock.net.start_times import REPORT_DELAY_MS, StartTimes
 from glenrock.routing.interface import EndpointState
-from glenrock.testbed.bed import BedShape, Testbed
+from glenrock.testbed.endpoint_directory import EndpointStatus
+from glenrock.testbed.testbed import FleetShape, Testbed
 
 NOW_MS = 1_700_000_000_000.0
 SLOW_START_MS = 5000.0
@@ -86,22 +87,22 @@
 @pytest.mark.parametrize("when", ("before the start", "while it runs"))
 def test_process_serves_and_stops_in_time_after_a_clock_step(step_s: int, when: str) -> None:
     async def play() -> None:
-        async with Testbed(BedShape(servers=10)) as bed:
-            faults = bed.call_faults(0)
-            bed.directory.set_status(["s-00000001"], "SERVING", since_ms=time.time() * 1000)
+        async with Testbed(FleetShape(servers=10)) as bed:
+            faults = bed.prepare_call_faults(0)
+            bed.directory.set_status(["s-00000001"], EndpointStatus.SERVING, since_ms=time.time() * 1000)
             if when == "before the start":
                 faults.step_clock(step_s)
             await bed.start_balancers()
-            clients = [bed.client(0, stays_s=20.0) for _ in range(10)]
-            assert await bed.until(lambda: all(client.up.is_set() for client in clients), 5.0)
+            clients = [bed.start_client(0, stays_s=20.0) for _ in range(10)]
+            assert await bed.wait_until(lambda: all(client.up.is_set() for client in clients), 5.0)
             if when == "while it runs":
                 faults.step_clock(step_s)
-            bed.directory.set_status(["s-00000002"], "SERVING", since_ms=time.time() * 1000)
-            later_clients = [bed.client(0, stays_s=20.0) for _ in range(10)]
-            assert await bed.until(lambda: all(client.up.is_set() for client in later_clients), 3.0)
+            bed.directory.set_status(["s-00000002"], EndpointStatus.SERVING, since_ms=time.time() * 1000)
+            later_clients = [bed.start_client(0, stays_s=20.0) for _ in range(10)]
+            assert await bed.wait_until(lambda: all(client.up.is_set() for client in later_clients), 3.0)
             signal_s = time.monotonic()
             bed.processes[0].send_signal(15)
-            assert await bed.until(lambda: not bed.processes[0].is_running, 3.7)
+            assert await bed.wait_until(lambda: not bed.processes[0].is_running, 3.7)
             assert time.monotonic() - signal_s > 2.0 and bed.processes[0].exit_code == 0
             assert all(client.request.is_migrated for client in [*clients, *later_clients])
             faults.close()
