--- a/tests/net/test_large_endpoint_list.py
+++ b/tests/net/test_large_endpoint_list.py
@@ -7,7 +7,7 @@
 import pytest
 import uvloop
 
-from glenrock.testbed.bed import BedShape, Testbed
+from glenrock.testbed.testbed import FleetShape, Testbed
 
 SERVERS = 3200
 RESUMED_CLIENTS, NEW_CLIENTS = 30, 10
@@ -17,7 +17,7 @@
 
 async def has_list(bed: Testbed) -> bool:
     """Returns whether the balancer has the whole endpoint list; clients before that are always admitted."""
-    reader, writer = await asyncio.open_connection(*bed.net.admin(0))
+    reader, writer = await asyncio.open_connection(*bed.network.admin(0))
     writer.write(b"GET /v1/metrics HTTP/1.1\r\n\r\n")
     metrics = await reader.read()
     writer.close()
@@ -26,14 +26,14 @@
 
 async def answers_of_clients(descriptors: int) -> list[str]:
     """Returns the answers to clients that resume and to new clients, which all connect at once."""
-    async with Testbed(BedShape(servers=SERVERS, descriptors=descriptors)) as bed:
+    async with Testbed(FleetShape(servers=SERVERS, descriptors=descriptors)) as bed:
         await bed.start_balancers()
         while not await has_list(bed):
             await asyncio.sleep(POLL_INTERVAL_S)
         names = list(bed.servers)
-        clients = [bed.client(0, standing_at=names[n * 97 % len(names)]) for n in range(RESUMED_CLIENTS)]
-        clients += [bed.client(0) for _ in range(NEW_CLIENTS)]
-        await bed.until(lambda: all(client.up.is_set() for client in clients), ANSWER_TIMEOUT_S)
+        clients = [bed.start_client(0, resumes_at=names[n * 97 % len(names)]) for n in range(RESUMED_CLIENTS)]
+        clients += [bed.start_client(0) for _ in range(NEW_CLIENTS)]
+        await bed.wait_until(lambda: all(client.up.is_set() for client in clients), ANSWER_TIMEOUT_S)
         return [client.request.answer.partition(" ")[0] or client.request.end.value for client in clients]
 
 
