--- a/glenrock/net/endpoint_rows.py
+++ b/glenrock/net/endpoint_rows.py
@@ -21,7 +21,17 @@
 
 @dataclass
 class EndpointRow:
-    """A server as discovery lists it. `since_ms`: Unix time of its start."""
+    """A server in the endpoint list.
+
+    Attributes:
+        name: the identity of the server, which stays when its address changes or its process restarts.
+        address: where the server accepts connections.
+        state: whether the server is ready, draining or gone.
+        zone: the failure domain of the server; empty if unknown.
+        group: the affinity group of the server.
+        weight: the listed size of the server relative to others.
+        since_ms: the Unix time at which the server's process started; 0 if unknown.
+    """
 
     name: str
     address: Address
@@ -33,12 +43,12 @@
 
     @property
     def status(self) -> str:
-        """The state in discovery's words, as stored files have it."""
+        """Discovery's word for the state, which stored files use too."""
         return STATUS_BY_STATE[self.state]
 
 
 def parse_row(raw: dict[str, Any]) -> EndpointRow:
-    """Returns the row.
+    """Returns the row that a JSON object describes.
 
     Raises:
         KeyError: the row has no name, address or status.
