--- a/tests/testbed/scenarios.py
+++ b/tests/testbed/scenarios.py
@@ -1,4 +1,4 @@
-"""Small scenes for tests, from plain tables."""
+"""Small scenarios for tests, from plain tables."""
 
 from __future__ import annotations
 
--- a/tests/testbed/test_balancer_process.py
+++ b/tests/testbed/test_balancer_process.py
@@ -1,4 +1,4 @@
-"""Processes of the program: paused, killed, and none that outlives the testbed."""
+"""Processes of the program: signals, limits, and their end with the testbed."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
     return found
 
 
-def test_a_process_is_started_paused_resumed_squeezed_and_ended_whatever_its_state(tmp_path) -> None:
+def test_process_is_started_signalled_limited_and_ended_in_any_state(tmp_path) -> None:
     h = History(lambda: 0)
     b = BalancerProcess(0, tmp_path / "b", told(LoopbackNetwork()), memory_mb=512, history=h)
     try:
@@ -74,7 +74,7 @@
     assert [e.kind for e in h.events] == ["started", "paused", "resumed", "squeezed", "loosened", "paused"]
 
 
-def test_no_process_outlives_a_stage_that_is_killed(tmp_path) -> None:
+def test_processes_end_when_the_testbed_is_killed(tmp_path) -> None:
     (tmp_path / "told.json").write_text(json.dumps(told(LoopbackNetwork())))
     code = (
         "import json, sys, time; from pathlib import Path; from glenrock.testbed import balancer_process, history\n"
--- a/tests/testbed/test_call_faults.py
+++ b/tests/testbed/test_call_faults.py
@@ -1,4 +1,4 @@
-"""Calls that fail as Linux documents, on real processes: no request that has nothing to do with it pays for one."""
+"""System calls that fail as Linux documents, on real processes: requests without part in a failure succeed."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 async def use(bed: Testbed, faults: CallFaults) -> None:
-    """Traffic while calls fail: everybody is answered, whoever stood before stands on, and nothing is left behind."""
+    """Sends requests while calls fail: all are answered, open connections stay, and no descriptor leaks."""
     standing = [bed.start_client(0, stays_s=60.0, line_interval_s=0.1) for _ in range(STANDING)]
     clients = []
     for _ in range(ROUNDS):
@@ -55,7 +55,7 @@
 
 
 @pytest.mark.parametrize("call", [*ON_SOCKETS, *SHORT], ids=lambda call: call.name.lower())
-def test_no_request_pays_for_a_call_that_fails_for_a_moment(call: Call) -> None:
+def test_requests_succeed_while_a_system_call_fails_at_times(call: Call) -> None:
     async def story(bed: Testbed, faults: CallFaults) -> None:
         faults.fail(call, 0.25)
         await use(bed, faults)
@@ -64,7 +64,7 @@
 
 
 @pytest.mark.parametrize("error", sorted({error for call in ON_SOCKETS for error in DOCUMENTED[call]}))
-def test_each_error_alone(error: int) -> None:
+def test_requests_succeed_under_each_errno(error: int) -> None:
     async def story(bed: Testbed, faults: CallFaults) -> None:
         for call in ON_SOCKETS:
             if error in DOCUMENTED[call]:
@@ -75,7 +75,7 @@
 
 
 @pytest.mark.parametrize("error", DOCUMENTED[Call.DATAGRAM])
-def test_a_datagram_that_cannot_be_sent_is_lost_and_nothing_else(error: int) -> None:
+def test_failed_datagrams_affect_no_request(error: int) -> None:
     async def story(bed: Testbed, faults: CallFaults) -> None:
         faults.fail(Call.DATAGRAM, 1.0, (error,))
         await use(bed, faults)
@@ -83,8 +83,8 @@
     played(story)
 
 
-def test_a_shortage_of_a_while_is_held_against_no_server_and_spins_nothing() -> None:
-    """For longer than an attempt may take there is no descriptor: refused in time, and served right after."""
+def test_descriptor_shortage_ejects_no_server_and_uses_no_cpu() -> None:
+    """No descriptor is free for longer than an attempt may take: requests are rejected, and served right after."""
 
     async def story(bed: Testbed, faults: CallFaults) -> None:
         faults.fail(Call.SOCKET, 1.0, (errno.EMFILE,))
@@ -106,7 +106,7 @@
 
 
 @pytest.mark.parametrize("error", (errno.ECONNRESET, errno.EPIPE, errno.ETIMEDOUT, errno.EHOSTUNREACH))
-def test_an_error_that_ends_a_connection_ends_that_one_alone(error: int) -> None:
+def test_connection_error_ends_one_connection(error: int) -> None:
     async def story(bed: Testbed, faults: CallFaults) -> None:
         standing = [bed.start_client(0, stays_s=60.0, line_interval_s=0.1) for _ in range(2 * STANDING)]
         assert await bed.wait_until(lambda: all(client.up.is_set() for client in standing), 5.0)
@@ -124,7 +124,7 @@
     played(story)
 
 
-def test_a_process_that_is_held_up_for_150_ms_at_drawn_calls_answers_all_in_time() -> None:
+def test_requests_are_answered_in_time_under_stalls_of_150_ms() -> None:
     async def story(bed: Testbed, faults: CallFaults) -> None:
         faults.stall(0.02, 150)
         clients = []
--- a/tests/testbed/test_cold_start.py
+++ b/tests/testbed/test_cold_start.py
@@ -1,4 +1,4 @@
-"""Processes that start anew while the list service says nothing, with and without what was kept."""
+"""Restarts while discovery is silent, with and without a cached list."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
     ],
     ids=["nothing kept", "killed at once", "cut from the list", "killed in turn, a server gone"],
 )
-def test_all_that_start_while_the_list_is_silent_serve_by_what_was_kept(keep: bool, faults: list) -> None:
+def test_restarts_without_discovery_serve_from_the_cached_list(keep: bool, faults: list) -> None:
     bed, s = played(
         seed=3, length_s=10.0, rig={"known": False}, together={"store": "sqlite", "keep": keep}, faults=faults
     )
@@ -55,7 +55,7 @@
 
 
 @pytest.mark.parametrize("spaced", [False, True])
-def test_one_that_dies_again_and_again_opens_its_door_ever_later_and_once_it_lives_it_serves(spaced: bool) -> None:
+def test_restart_backoff_grows_and_resets_after_success(spaced: bool) -> None:
     bed, s = played(
         seed=5, length_s=17.0, together={"store": "sqlite", "spaced": spaced, "sound_ms": 6000.0}, faults=LOOP
     )
@@ -77,8 +77,8 @@
     assert ups or s["counts"]["set_up"] > 20
 
 
-def test_each_process_tells_what_its_start_came_to_and_the_command_puts_it_together(capsys) -> None:
-    """Two of three are killed while the list is silent, and asked while they serve without it."""
+def test_start_report_command_combines_all_processes(capsys) -> None:
+    """Two of three are killed while discovery is silent, and report while they serve without it."""
     found: list[tuple[int, str]] = []
 
     def live(bed: ScenarioTestbed) -> None:
--- a/tests/testbed/test_coordination.py
+++ b/tests/testbed/test_coordination.py
@@ -1,4 +1,4 @@
-"""Work done together by processes that are paused, killed and cut off; and the judge's rules for it, by histories."""
+"""Coordination of processes that are paused, killed and cut off, and its invariants on written histories."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 @pytest.mark.parametrize("store", RUNS)
-def test_struck_at_drawn_instants_effects_come_in_order_tickets_are_counted_and_all_agree(store) -> None:
+def test_coordination_invariants_hold_under_random_faults(store) -> None:
     together = {**TOGETHER, "store": store, "late": 1.3}
     bed, s = played(seed=4, length_s=11.0, together=together, faults=RUNS[store])
     assert not s["breaches"], [(b["rule"], b["text"], *b["led"]) for b in s["breaches"]]
@@ -49,7 +49,7 @@
     assert t["told"] + t["told_later"] > 0 and t["drained"] + t["drains_refused"] > 0
 
 
-def test_a_ban_reaches_all_through_the_store_where_words_are_cut_and_an_old_owners_words_come_late() -> None:
+def test_overrides_reach_all_by_the_store_and_late_gossip_of_an_old_holder_is_rejected() -> None:
     cut = {"kind": "way", "at_s": 0.0, "source": "balancer:*", "target": "balancer:*", "for_s": 3.0, "cut": True}
     # Later than from an old owner's last mark to a new term.
     late = {**cut, "at_s": 3.0, "for_s": 5.0, "cut": False, "delay_ms": 3000.0}
@@ -70,7 +70,7 @@
     assert s["together"]["late"] > 0, "void unless words of an old term were refused"
 
 
-def test_with_the_store_gone_clients_are_served_a_ban_holds_where_it_was_told_and_reaches_all_later() -> None:
+def test_without_the_store_requests_are_served_and_overrides_apply_locally() -> None:
     bed, s = played(
         seed=2,
         length_s=9.0,
@@ -139,7 +139,7 @@
         ([heard(100, True), (900, "operator", "says", {"instance": "instance:3", "out": False}), (1300, *LINE)], ""),
     ],
 )
-def test_the_judge_sees_what_is_not_kept(events, broken) -> None:
+def test_coordination_invariants_on_written_histories(events, broken) -> None:
     h = history(*sorted(events, key=lambda e: e[0]))
     v = check_history(h, InvariantLimits(2.5, drain_permits=1))
     assert {b.invariant for b in v.violations} == ({broken} if broken else set())
@@ -148,7 +148,7 @@
     )
 
 
-def test_who_says_another_thing_at_the_end_is_told() -> None:
+def test_disagreement_at_the_end_is_a_violation() -> None:
     h = history(effect(1, 5, 1))
     record = records_of(h)
     record.disagreements = ("balancer 2: {}",)
@@ -164,6 +164,6 @@
         ({"kind": "way", "at_s": 1.0, "source": "balancer:0", "target": "store", "cut": True}, "nothing goes from"),
     ],
 )
-def test_what_needs_a_store_is_told_where_there_is_none(fault, said) -> None:
+def test_faults_that_need_a_store_are_rejected_without_one(fault, said) -> None:
     with pytest.raises(InputFileError, match=said):
         scene(faults=[fault])
--- a/tests/testbed/test_history_invariants.py
+++ b/tests/testbed/test_history_invariants.py
@@ -1,4 +1,4 @@
-"""The judge on written histories: each rule broken, kept, and excused by a fault that accounts for it."""
+"""Invariants on written histories: kept, violated, and excused by a fault that accounts for the violation."""
 
 from __future__ import annotations
 
@@ -109,7 +109,7 @@
 
 
 @pytest.mark.parametrize("rule, rows, breaches, excused", CASES)
-def test_what_the_judge_says_of_a_history(rule, rows, breaches, excused) -> None:
+def test_invariants_on_written_histories(rule, rows, breaches, excused) -> None:
     v = check_history(history(*rows), LIMITS)
     of_rule = [b for b in v.violations if b.invariant == rule]
     assert (len(of_rule), v.excused[rule]) == (breaches, excused), [b.text for b in v.violations]
--- a/tests/testbed/test_network_faults.py
+++ b/tests/testbed/test_network_faults.py
@@ -1,4 +1,4 @@
-"""Directions between parties, and the faults that strike them, together."""
+"""States of directions between parties under several faults."""
 
 from __future__ import annotations
 
@@ -27,11 +27,11 @@
         ("list", "clients", False),
     ],
 )
-def test_what_a_pattern_matches(pattern, party, does) -> None:
+def test_party_patterns(pattern, party, does) -> None:
     assert network_faults.matches(pattern, party) is does
 
 
-def test_a_fault_strikes_its_direction_alone() -> None:
+def test_fault_affects_one_direction() -> None:
     w = network_faults.NetworkPaths((way(cut=True),))
     w.begin(w.planned[0])
     assert w.state("balancer:0", "instance:0").is_cut and not w.state("instance:0", "balancer:0").is_cut
@@ -52,14 +52,14 @@
 
 
 @given(st.lists(faults, max_size=4), faults)
-def test_one_more_fault_never_makes_a_direction_better(some, more) -> None:
+def test_additional_fault_never_improves_a_direction(some, more) -> None:
     before, after = network_faults.combine(some), network_faults.combine([*some, more])
     assert after.loss >= before.loss - 1e-9 and after.delay_s >= before.delay_s and after.is_cut >= before.is_cut
     assert not before.bytes_per_s or 0 < after.bytes_per_s <= before.bytes_per_s
 
 
 @given(st.lists(faults, max_size=5), st.randoms())
-def test_whoever_listens_hears_of_each_change_and_all_is_whole_in_the_end(some, draw) -> None:
+def test_listeners_are_notified_and_ended_faults_leave_no_trace(some, draw) -> None:
     w, heard = network_faults.NetworkPaths(tuple(some)), []
     w.listeners.append(lambda: heard.append(len(w.active)))
     for f in some:
--- a/tests/testbed/test_network_relays.py
+++ b/tests/testbed/test_network_relays.py
@@ -1,4 +1,4 @@
-"""Relays on real sockets: each fault, in its direction alone."""
+"""Relays on real sockets: each fault affects its direction alone."""
 
 from __future__ import annotations
 
@@ -70,7 +70,7 @@
 
 
 @plays
-async def test_what_nothing_strikes_goes_through_and_ends_are_passed_on(echo) -> None:
+async def test_relay_without_faults_passes_data_and_ends(echo) -> None:
     reader, writer = await echo.connect()
     writer.write(b"one\n")
     assert await line(reader) == b"one\n"
@@ -79,7 +79,7 @@
 
 
 @plays
-async def test_a_cut_holds_one_direction_still_and_loses_nothing(echo) -> None:
+async def test_cut_holds_one_direction_and_loses_nothing(echo) -> None:
     reader, writer = await echo.connect()
     cut = way("instance:0", "balancer:0", cut=True)
     echo.ways.begin(cut)
@@ -92,7 +92,7 @@
 
 
 @plays
-async def test_no_connection_comes_up_through_a_cut_and_one_does_afterwards(echo) -> None:
+async def test_connections_come_up_only_after_a_cut(echo) -> None:
     cut = way(cut=True)
     echo.ways.begin(cut)
     with pytest.raises(TimeoutError):
@@ -105,7 +105,7 @@
 
 
 @plays
-async def test_a_reset_ends_both_sides_and_refuses_new_ones(echo) -> None:
+async def test_reset_ends_both_sides_and_rejects_new_connections(echo) -> None:
     reader, writer = await echo.connect()
     writer.write(b"one\n")
     await line(reader)
@@ -123,7 +123,7 @@
 
 
 @plays
-async def test_a_delay_and_a_trickle_slow_their_direction(echo) -> None:
+async def test_delay_and_rate_limit_slow_their_direction(echo) -> None:
     loop = asyncio.get_running_loop()
     reader, writer = await echo.connect()
     for fault, least in ((way(delay_ms=300.0), 0.3), (way("instance:0", "balancer:0", trickle=1000.0), 0.3)):
@@ -180,7 +180,7 @@
         ({"disordered": 0.5}, lambda got, sent: got != sent and len(got) >= 0.9 * len(sent)),
     ],
 )
-def test_datagrams_in_one_direction(over, test) -> None:
+def test_datagram_faults_in_one_direction(over, test) -> None:
     sent = [b"%d" % k for k in range(60)]
     zero, one = datagrams(way("balancer:0", "balancer:1", **over), 60)
     assert test(one, sent), one
--- a/tests/testbed/test_scenario.py
+++ b/tests/testbed/test_scenario.py
@@ -1,4 +1,4 @@
-"""Scenario files: what is wrong is told in one line, with file, line and key."""
+"""Scenario files: an error is reported in one line, with file, line and key."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 @pytest.mark.parametrize("file", sorted(SCENES.glob("*.toml")), ids=lambda p: p.stem)
-def test_what_is_shipped_is_sound(file) -> None:
+def test_shipped_scenarios_are_valid(file) -> None:
     assert scenario.load(file).faults
 
 
@@ -34,7 +34,7 @@
         ("[constants]\nCAP_CUT = 0.5\n", "constants: only the laboratory"),
     ],
 )
-def test_a_fault_in_a_stage_file_is_told_in_one_line(tmp_path, capsys, text, told) -> None:
+def test_invalid_scenario_is_reported_in_one_line(tmp_path, capsys, text, told) -> None:
     file = tmp_path / "x.toml"
     file.write_text('name = "x"\n' + text)
     assert run(["stage", "run", str(file), "--out", str(tmp_path / "out")]) == 2
--- a/tests/testbed/test_scenario_runner.py
+++ b/tests/testbed/test_scenario_runner.py
@@ -1,4 +1,4 @@
-"""Whole runs: processes of the program, faults between them, and the rules kept. Verdicts are on invariants."""
+"""Whole runs of scenarios: processes of the program under faults, and the invariants."""
 
 from __future__ import annotations
 
@@ -40,33 +40,33 @@
 
 
 @pytest.mark.parametrize("name", RUNS)
-def test_the_rules_are_kept_through_faults_and_service_comes_back(name) -> None:
+def test_invariants_hold_under_faults_and_service_recovers(name) -> None:
     bed, s = played(seed=3, length_s=9.0, faults=RUNS[name])
     assert not s["breaches"], [(b["rule"], b["text"], *b["led"]) for b in s["breaches"]]
     struck = {e.data["kind"] for e in bed.history.each("fault")}
     assert struck == {f["kind"] for f in RUNS[name]}
-    assert s["seen"]["answered"] > 20 and s["seen"]["repeated"] > 10, "the judge had something to look at"
+    assert s["seen"]["answered"] > 20 and s["seen"]["repeated"] > 10, "there were cases to check"
     assert bed.measure.series["standing"][-1] >= 0.6 * (
         bed.measure.series["standing"][-1] + bed.measure.series["line"][-1]
     )
     assert not any(b.is_running for b in bed.balancers)
     if name == "processes":
         assert [b.incarnation for b in bed.balancers] == [2, 1, 2]
-        assert s["counts"]["moved"] > 0, "the one that was told to go moved its clients"
+        assert s["counts"]["moved"] > 0, "the terminated balancer migrated its clients"
     if name == "ways":
         assert s["counts"]["datagrams_lost"] > 0 and s["counts"]["datagrams"] > 0
     if name == "stand-ins":
         assert s["counts"]["list_refused"] > 0 and s["seen"]["cold"] > 4
 
 
-def test_a_run_without_faults_excuses_nothing_and_loses_nobody() -> None:
+def test_run_without_faults_has_no_violation_and_no_excuse() -> None:
     _, s = played(seed=2, length_s=5.0)
     assert not s["breaches"] and not s["excused"] and not s["counts"]["broken"]
     assert s["worth"]["whole"] > 0.9
 
 
-def test_a_kill_that_the_judge_is_not_told_of_is_a_breach(monkeypatch) -> None:
-    """Planted: what excuses a killed process is left out, so its clients count as cut off by the program."""
+def test_kill_that_is_not_recorded_is_a_violation(monkeypatch) -> None:
+    """The record of a kill is left out, so that its clients count as cut off by the program."""
     strike = scenario_faults.ScenarioFaultPlayer.note_begin
     monkeypatch.setattr(
         scenario_faults.ScenarioFaultPlayer, "note_begin", lambda self, f, *parties, settle_us=0: strike(self, f)
@@ -75,7 +75,7 @@
     assert s["rules"]["cut_off"] > 0 and not s["rules"]["repeated"] and not s["excused"]
 
 
-def test_two_dozen_that_start_at_once_without_a_list_are_all_heard_by_a_service_of_one_call_at_a_time() -> None:
+def test_24_simultaneous_starts_share_a_discovery_service_of_one_call_at_a_time() -> None:
     _, s = played(
         seed=1,
         length_s=6.0,
--- a/tests/testbed/test_soak.py
+++ b/tests/testbed/test_soak.py
@@ -1,4 +1,4 @@
-"""The judge of soak runs on records made by hand, the plans, and a short seeded soak."""
+"""Invariants on records made by hand, plans of soaks, and a short soak."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
     return [violation.invariant for violation in check(record, limits).violations]
 
 
-def test_a_sound_request_breaks_no_rule() -> None:
+def test_valid_request_violates_nothing() -> None:
     assert rules(request(), attempt()) == []
     assert rules(request(answer="BUSY 300"), attempt(end_s=10.05, answer="BUSY")) == []
     assert rules(request(answer="", left_s=10.02, end=ConnectionEnd.LEFT), attempt(end_s=10.05, answer="")) == []
@@ -77,11 +77,11 @@
         (lambda: rules(request(answer="", left_s=10.1), attempt(10.5, 10.6, "")), [Invariant.CLIENT_PRESENT]),
     ],
 )
-def test_each_broken_rule_is_told(broken, expected: list[str]) -> None:
+def test_each_violation_is_reported(broken, expected: list[str]) -> None:
     assert broken() == expected
 
 
-def test_what_a_kill_or_a_server_took_away_is_excused_and_nothing_else() -> None:
+def test_kills_and_ended_servers_excuse_and_nothing_else_does() -> None:
     lost, cut = request(answer="", end=ConnectionEnd.RESET), request(is_migrated=False)
     assert rules(lost, faults=[kill_record(0, 10.5)]) == [] and rules(lost, faults=[kill_record(1, 10.5)]) == [
         Invariant.FINAL_ANSWER
@@ -93,7 +93,7 @@
     assert rules(cut, attempt(hung_s=16.0)) == [Invariant.CONNECTION_KEPT]
 
 
-def test_a_send_after_the_grace_is_told_by_when_the_list_came() -> None:
+def test_drain_grace_counts_from_the_notice() -> None:
     told = [ListedRecord(0, "s", EndpointStatus.SERVING, 1.0), ListedRecord(0, "s", EndpointStatus.DRAINING, 7.0)]
     assert rules(request(), attempt(), listed=told) == [Invariant.DRAIN_GRACE]
     assert rules(request(), attempt(), listed=[*told, ListedRecord(0, "s", EndpointStatus.SERVING, 9.0)]) == []
@@ -101,12 +101,12 @@
     assert rules(request(), attempt(), listed=[ListedRecord(1, "s", EndpointStatus.DRAINING, 1.0)]) == []
 
 
-def test_half_a_request_that_is_left_open_is_told() -> None:
+def test_open_half_request_is_a_violation() -> None:
     kept, closed = HalfRequestRecord(0, 10.0, 14.0), HalfRequestRecord(0, 10.0, 12.0)
     assert rules(request(), attempt(), half_requests=[kept, closed]) == [Invariant.HALF_REQUEST_CLOSED]
 
 
-def test_a_plan_is_its_seeds_and_all_kinds_are_drawn() -> None:
+def test_plan_depends_on_its_seed_and_all_kinds_are_drawn() -> None:
     assert draw(7) == draw(7) != draw(8)
     drawn = {fault.kind for seed in range(60) for fault in draw(seed).faults}
     assert drawn == set(FaultKind)
@@ -114,7 +114,7 @@
     assert len(plan.without(plan.faults[0]).faults) == len(plan.faults) - 1
 
 
-def test_a_short_soak_breaks_no_rule() -> None:
+def test_short_soak_has_no_violation() -> None:
     context = multiprocessing.get_context("spawn")
     with concurrent.futures.ProcessPoolExecutor(2, mp_context=context) as pool:
         results = list(pool.map(soak.run_seed, SHORT_SEEDS, [8.0] * len(SHORT_SEEDS)))
