--- a/tests/routing/test_failure_domains.py
+++ b/tests/routing/test_failure_domains.py
@@ -196,7 +196,7 @@
     class At:
         ms = 1000.0
 
-        def now(self) -> float:
+        def now_ms(self) -> float:
             return self.ms
 
     clock = At()
