--- a/glenrock/net/protocol.py
+++ b/glenrock/net/protocol.py
@@ -130,20 +130,20 @@
         line, _, more = data.partition(b"\r\n")
         if more and OPEN.fullmatch(line + b"\r\n"):
             raise RequestLineError("bytes before the answer")
-        raise RequestLineError("not an OPEN line")
+        raise RequestLineError("not a request line")
     if len(data) > MAX_LINE_BYTES:
-        raise RequestLineError("too long")
+        raise RequestLineError("line too long")
     fields = _fields_of(found[3].decode("ascii"))
     if fields.get("c") not in known.classes:
-        raise RequestLineError("no class that is known")
+        raise RequestLineError("unknown class")
     if known.tenants and fields.get("t") not in known.tenants:
-        raise RequestLineError("no tenant that is known")
+        raise RequestLineError("unknown tenant")
     request_line = RequestLine(found[1].decode(), int(found[2], 16), fields, data)
     if request_line.resumes_at is None:  # a resumed connection has no deadline of its client
         if "d" not in fields:
-            raise RequestLineError("no d")
+            raise RequestLineError("no field d")
         if request_line.wait_ms > known.classes[request_line.class_name]:
-            raise RequestLineError("d too long")
+            raise RequestLineError("wait too long in field d")
     return request_line
 
 
@@ -153,14 +153,14 @@
     for part in text.split(","):
         pair = FIELD.fullmatch(part)
         if pair is None:
-            raise RequestLineError("a field that is not NAME=VALUE")
+            raise RequestLineError("a field is not NAME=VALUE")
         repeated |= pair[1] in fields
         fields[pair[1]] = pair[2]
     if repeated:
-        raise RequestLineError("a field twice")
+        raise RequestLineError("duplicate field")
     for name, form in FORMS.items():
         if name in fields and not form.fullmatch(fields[name]):
-            raise RequestLineError(f"{name} out of form")
+            raise RequestLineError(f"invalid value in field {name}")
     return fields
 
 
@@ -182,7 +182,7 @@
     return line.startswith(REJECTED_PREFIX)
 
 
-def finite_number(text: str) -> float | None:
+def parse_finite_number(text: str) -> float | None:
     """Returns the number; None if the text is no finite number."""
     try:
         value = float(text)
@@ -191,18 +191,18 @@
     return value if isfinite(value) else None
 
 
-def split_word(line: bytes) -> tuple[str, str]:
+def split_first_word(line: bytes) -> tuple[str, str]:
     """Returns the first word and the rest; bytes that are not ASCII become replacement characters."""
     word, _, rest = line.rstrip(b"\r\n").decode("ascii", "replace").partition(" ")
     return word, rest
 
 
-def report_of(text: str) -> dict[str, float]:
+def parse_load_report(text: str) -> dict[str, float]:
     """Returns a load report under the names of the routing interface, without unreadable fields."""
     report: dict[str, float] = {}
     for part in text.strip().split(","):
         name, equals, value_text = part.partition("=")
-        value = finite_number(value_text)
+        value = parse_finite_number(value_text)
         if equals and value is not None:
             report[report_field(name)] = value
     return report
@@ -212,31 +212,31 @@
     """Splits a stream into lines. Memory is bounded: the bytes of an overlong line are dropped.
 
     Attributes:
-        part: the bytes of the line that has not ended yet.
+        partial_line: the bytes of the line that has not ended yet.
         is_overlong: whether that line is too long.
     """
 
     def __init__(self) -> None:
-        self.part = b""
+        self.partial_line = b""
         self.is_overlong = False
 
     @property
     def is_between_lines(self) -> bool:
         """Whether the stream is at the end of a line."""
-        return not self.part and not self.is_overlong
+        return not self.partial_line and not self.is_overlong
 
     def feed(self, chunk: bytes) -> list[bytes]:
         """Returns the lines that end in this chunk, with their line ends."""
         *ended, rest = chunk.split(b"\n")
         lines = []
         for piece in ended:
-            line = self.part + piece
+            line = self.partial_line + piece
             if not self.is_overlong and len(line) < MAX_LINE_BYTES:
                 lines.append(line + b"\n")
-            self.part = b""
+            self.partial_line = b""
             self.is_overlong = False
-        self.part += rest
-        if len(self.part) >= MAX_LINE_BYTES:
-            self.part = b""
+        self.partial_line += rest
+        if len(self.partial_line) >= MAX_LINE_BYTES:
+            self.partial_line = b""
             self.is_overlong = True
         return lines
--- a/tests/coordination/leases/store_fixture.py
+++ b/tests/coordination/leases/store_fixture.py
@@ -60,7 +60,7 @@
             for client in fixture.clients:
                 await client.close()
             if fixture.consul:
-                fixture.consul.paused = fixture.consul.loses = False
+                fixture.consul.is_paused = fixture.consul.loses_answers = False
                 await fixture.consul.close()
 
     asyncio.run(run())
