--- a/glenrock/testbed/__init__.py
+++ b/glenrock/testbed/__init__.py
@@ -1,4 +1,4 @@
-"""Real balancer processes among stand-ins of session servers, discovery and clients, and a judge outside of them.
+"""Balancer processes among stand-ins for session servers, discovery, clients and the store, under faults.
 
-Everything runs on loopback. Balancers are judged by what the stand-ins saw, never by the program's own word.
+Everything runs on loopback. Invariants are checked on what the stand-ins saw, never on a balancer's own statement.
 """
--- a/glenrock/testbed/clients.py
+++ b/glenrock/testbed/clients.py
@@ -9,10 +9,9 @@
 from .client_io import connect, read_answer
 from .loopback import Address, reset_connection
 from .records import ConnectionEnd, Idempotency, RequestRecord, RunRecord
-from .request_line import MOVE_LINE, RESUME_FIELD, AnswerKind, RequestLine
+from .request_line import MOVE_LINE, RESUME_FIELD, RESUME_TIMEOUT_S, AnswerKind, RequestLine
 
-LATE_ANSWER_TIMEOUT_S = 3.0  # past the deadline, so that a late answer is told from none
-RESUME_TIMEOUT_S = 40.0
+LATE_ANSWER_TIMEOUT_S = 3.0  # past the deadline, to distinguish a late answer from none
 BYE_LINE = b"BYE\r\n"
 
 
--- a/glenrock/testbed/request_invariants.py
+++ b/glenrock/testbed/request_invariants.py
@@ -12,10 +12,10 @@
 from .check_context import CheckContext, Disturbance
 from .invariant import NEVER, Invariant, Violation
 from .records import CLIENTS, DISCOVERY, AttemptRecord, ConnectionEnd, Idempotency, RequestRecord, balancer_party
+from .request_line import RESUME_TIMEOUT_S
 
 SLACK_S = 0.05  # added to each time limit on sockets
 LATE_ANSWER_S = 0.5  # an answer that is late by less is late, and no violation
-RESUME_TIMEOUT_S = 40.0  # for a connection that was open before the run to be set up again
 LEFT_NOTICE_S = 0.1  # nothing is forwarded later than this after its client left
 HALF_REQUEST_TIMEOUT_S = 3.0
 ANSWER_WORDS = ("UP", "BUSY", "ERR")
@@ -167,7 +167,7 @@
         context.count_case(Invariant.DRAIN_GRACE)
         if attempt.first_byte_s > since_s + context.limits.drain_grace_s + SLACK_S:
             disturbance = Disturbance(since_s, attempt.first_byte_s, (balancer_party(balancer), DISCOVERY))
-            text = f"sent {attempt.first_byte_s - since_s:.3f} s after discovery told that {attempt.server} drains"
+            text = f"sent {attempt.first_byte_s - since_s:.3f} s after the notice that {attempt.server} drains"
             _report_attempt(context, Invariant.DRAIN_GRACE, attempt, text, disturbance)
 
 
--- a/glenrock/testbed/request_line.py
+++ b/glenrock/testbed/request_line.py
@@ -9,6 +9,7 @@
 PING, STATS, OPEN = b"PING", b"STATS", b"OPEN"
 MOVE_LINE = b"MOVE\r\n"
 RESUME_FIELD = "at"
+RESUME_TIMEOUT_S = 40.0  # for a connection that was open before the run to be set up again
 
 
 @dataclass(frozen=True, slots=True)
--- a/glenrock/testbed/scenario_clients.py
+++ b/glenrock/testbed/scenario_clients.py
@@ -19,12 +19,11 @@
 from .loopback import Address
 from .real_time_engine import RealTimeEngine
 from .records import CLIENTS
-from .request_line import MOVE_LINE, RESUME_FIELD, Answer, AnswerKind, RequestLine
+from .request_line import MOVE_LINE, RESUME_FIELD, RESUME_TIMEOUT_S, Answer, AnswerKind, RequestLine
 from .scenario import Scenario, drawn_number
 from .simulation_model import ClientHabits, ModelClient, PlannedClient
 
 EXTRA_WAIT_S = 2.0  # past the deadline, before an answer counts as lost
-RESUME_TIMEOUT_S = 40.0  # for a connection that was open before the run to be set up again
 
 
 class AttemptEnd(Enum):
--- a/glenrock/testbed/scenario_testbed.py
+++ b/glenrock/testbed/scenario_testbed.py
@@ -19,6 +19,7 @@
 from .network_relays import DatagramRelays, StreamRelay
 from .real_time_engine import RealTimeEngine
 from .records import CLIENTS, DISCOVERY, STORE, balancer_party
+from .request_line import RESUME_TIMEOUT_S
 from .scenario import PathFault, RandomFaultKind, RandomFaults, Scenario, drawn_number
 from .scenario_clients import ClientEnvironment, ScenarioClients
 from .simulation_model import ClientHabits, Measure, PlannedClient, Streams, draw_workload, drawn, settings_of, shapes
@@ -26,7 +27,6 @@
 if TYPE_CHECKING:
     from .coordination_store import CoordinationStore
 
-STANDING_TIMEOUT_S = 40.0  # for connections that were open before the run to be set up again
 MAX_RELAYED_BALANCERS = 40  # above this, gossip that no fault strikes is not relayed: each ordered pair takes a socket
 START_GAP_S = 0.005
 POLL_S = 0.02
@@ -246,7 +246,7 @@
         self.frontend.open()
         await self._wait_until_ready()
         self.clients.resume_connections(self.balancer_count, [server.name for server in self.servers])
-        until_s = asyncio.get_running_loop().time() + STANDING_TIMEOUT_S
+        until_s = asyncio.get_running_loop().time() + RESUME_TIMEOUT_S
         while self.clients.resuming and asyncio.get_running_loop().time() < until_s:  # noqa: ASYNC110 - bounded in time
             await asyncio.sleep(POLL_S)
 
