--- a/glenrock/net/acceptor.py
+++ b/glenrock/net/acceptor.py
@@ -175,7 +175,7 @@
         task = _current_task()
         if self.idle.is_shed(task):
             return data + _received(sock)
-        async with self._clock.limit(self._line_timeout_ms(has_pinged)) as limit:
+        async with self._clock.time_limit(self._line_timeout_ms(has_pinged)) as limit:
             self.idle.start_reading(task, limit)
             try:
                 while not _is_complete(data):
@@ -185,7 +185,7 @@
                     data += buffer[:count]
             finally:
                 self.idle.stop_reading(task)
-        if limit.over:
+        if limit.has_expired:
             # A request may have arrived as the limit was reached.
             data += _received(sock)
         return data
@@ -210,7 +210,7 @@
         try:
             request_line = protocol.parse_request_line(data, self._connections.known_names)
             if self._connections.is_open(request_line.request_id):
-                raise protocol.RequestLineError("the id of a command that is open")  # noqa: TRY301 - answered alike
+                raise protocol.RequestLineError("request id in use")  # noqa: TRY301 - answered alike
         except protocol.RequestLineError as error:
             self._count_malformed(data)
             logger.info("request line rejected", reason=str(error), data=data[:LOGGED_BYTES])
@@ -246,7 +246,7 @@
         left = MAX_LINGER_BYTES
         self._connections.metrics.rejected[reason] += 1
         self.idle.mark_rejected(_current_task())
-        async with self._clock.limit(LINGER_TIMEOUT_MS):
+        async with self._clock.time_limit(LINGER_TIMEOUT_MS):
             await loop.sock_sendall(sock, line)
             sock.shutdown(socket.SHUT_WR)
             while left > 0 and (count := await loop.sock_recv_into(sock, buffer)):
