--- a/benchmarks/engines.py
+++ b/benchmarks/engines.py
@@ -1,4 +1,4 @@
-"""The laboratory's engine against SimPy: the same chains of timed calls, events a second of CPU."""
+"""The engine of the simulation beside SimPy: the same chains of timed calls, events a second of CPU."""
 
 from __future__ import annotations
 
--- a/benchmarks/lab_scale.py
+++ b/benchmarks/lab_scale.py
@@ -1,4 +1,4 @@
-"""The laboratory at three sizes: events a second, requests a core-hour, peak memory, the decisions' part.
+"""The simulation at three sizes: events a second, requests a core-hour, peak memory, the policy's fraction of CPU.
 
 Each size in a process of its own, so that peaks do not add up.
 """
--- a/tests/simulation/test_by_hand.py
+++ b/tests/simulation/test_by_hand.py
@@ -1,4 +1,4 @@
-"""Bans and drains by hand in the laboratory, and instances whose set-ups fail: what they do, and what is a breach."""
+"""Manual suspensions and drains in the simulation, and instances that answer ERR: effects and violations."""
 
 from __future__ import annotations
 
