--- a/glenrock/testbed/call_faults.c
+++ b/glenrock/testbed/call_faults.c
@@ -181,7 +181,12 @@
 {
     REAL(connect);
     perhaps_stall();
-    return address->sa_family == AF_INET && fails(CALL_CONNECT, -1) ? -1 : real(fd, address, length);
+    if (address->sa_family != AF_INET || !fails(CALL_CONNECT, -1))
+        return real(fd, address, length);
+    /* connect(2): an interrupted call establishes the connection in the background, as with EINPROGRESS. */
+    if (errno == EINTR && (real(fd, address, length) == 0 || errno == EINPROGRESS))
+        errno = EINTR;
+    return -1;
 }
 
 ssize_t recv(int fd, void *buffer, size_t size, int flags)
--- a/tests/simulation/test_conservation.py
+++ b/tests/simulation/test_conservation.py
@@ -4,7 +4,7 @@
 
 import json
 
-from hypothesis import HealthCheck, given, settings
+from hypothesis import HealthCheck, example, given, settings
 from hypothesis import strategies as st
 
 from glenrock.simulation import record
@@ -116,7 +116,21 @@
     assert -1e-6 <= earned <= asked * (1 + 1e-9) + 1e-6
 
 
+# Two servers that lose their capacity at once; drawn examples reach this only now and then (KNOWN-RED.txt).
+WITHOUT_CAPACITY = {
+    "fleet": {"balancers": 2, "instances": 2},
+    "traffic": {"load": 0.5, "group_cost": 0.0},
+    "kinds": [{"name": "k", "sheds": "none", "queue_per_core": 0.3, "connections_per_core": 500.0}],
+    "discovery": {"mode": "push", "ask_failures": 0.2, "notice_s": 1.0},
+    "clients": {"impatient": 0.0},
+    "faults": [
+        {"kind": "drains", "at_s": 1.0, "part": 0.6, "batch": 0.3, "every_s": 2.0, "drain_s": 1.5, "down_s": 0.5}
+    ],
+}
+
+
 @settings(max_examples=60, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck))
+@example(case=(WITHOUT_CAPACITY, 0, "glenrock"))
 @given(days())
 def test_requests_work_and_connections_are_conserved(case) -> None:
     over, seed, policy = case
