--- a/glenrock/admin/routes.py
+++ b/glenrock/admin/routes.py
@@ -17,8 +17,8 @@
 class Operations(Protocol):
     """The operations behind the calls.
 
-    An asynchronous operation returns once it is in effect at every balancer. Otherwise it raises
-    `OperationRejectedError` or `OperationPendingError`.
+    An asynchronous operation returns once it is carried out here and, where balancers share overrides, committed for
+    all of them. Otherwise it raises `OperationRejectedError` or `OperationPendingError`.
     """
 
     def unready_reason(self) -> str | None:
--- a/glenrock/coordination/leases/sqlite_store.py
+++ b/glenrock/coordination/leases/sqlite_store.py
@@ -2,7 +2,7 @@
 
 Each call is one IMMEDIATE transaction: processes wait for each other, and a killed process leaves no partial write.
 Leases run on CLOCK_BOOTTIME, which all processes of a machine share and which advances during a suspend; leases of an
-earlier boot are void. Calls block for up to `BUSY_TIMEOUT_S`; `AsyncSqliteStore` makes them in threads.
+earlier boot are void. Calls block for up to the busy timeout; `AsyncSqliteStore` makes them in threads.
 """
 
 from __future__ import annotations
--- a/glenrock/net/client_connection.py
+++ b/glenrock/net/client_connection.py
@@ -165,7 +165,7 @@
     async def _answer_now(self, retry_after_ms: float, resumes_at: str | None) -> None:
         """Answers a waiting client.
 
-        A rejection invites a retry, so it is sent only if no attempt may have executed; otherwise the request fails.
+        A rejection invites a retry, so it is sent only if a retry is harmless; otherwise the request fails.
         """
         may_retry = resumes_at is None and self._routing.may_reject(self.request_line.request_id)
         self.reports.post_disconnected()
--- a/glenrock/net/routing_actor.py
+++ b/glenrock/net/routing_actor.py
@@ -82,7 +82,7 @@
         return self.balancer.load_of(request_id)
 
     def may_reject(self, request_id: str) -> bool:
-        """Returns whether a request may be rejected, as no attempt of it may have executed."""
+        """Returns whether a request may be rejected, as a retry of it would be harmless."""
         return self.balancer.may_reject(request_id)
 
     def post_first(self, event: interface.Event) -> None:
--- a/glenrock/net/start_times.py
+++ b/glenrock/net/start_times.py
@@ -1,15 +1,16 @@
 """Start times of servers on this process's clock, from the Unix times that discovery reports.
 
 The wall clock may be stepped by seconds or an hour, here or on all machines, before this process starts or while it
-runs, and `since_ms` is what the server's clock showed. A server that has just started and counts as warm is overloaded;
-a server that counts as warming up for an hour gets no load. So no age depends on one reading of the clock:
+runs, and `since_ms` is what the clock of the server's machine showed. A server that has just started and counts as warm
+is overloaded; a server that counts as warming up for an hour gets no load. So no age depends on one reading of this
+machine's clock:
 
 - A time is read when it is first reported, and never changed by a later step.
 - While this process runs, a newly reported start is at most as old as the time since discovery's last answer, plus the
   delay of discovery itself. The process's clock and the wall clock bound the age too.
-- In the first list the newest start is the only other evidence of the time: a clock that shows an earlier time is
-  behind. Servers that started within one slow start of the newest may have just started, so they count as warming up,
-  unless they are more than half of all servers, since this balancer would then use too few.
+- In the first list the newest start is the only other evidence of the time: if this machine's clock shows an earlier
+  time, it is behind. Servers that started within one slow start of the newest may have just started, so they count as
+  warming up, unless they are more than half of all servers, since this balancer would then use too few.
 """
 
 from __future__ import annotations
--- a/glenrock/operation_errors.py
+++ b/glenrock/operation_errors.py
@@ -20,4 +20,4 @@
 
 
 class OperationPendingError(OperationError):
-    """The call is in effect at this balancer and stored; the other balancers follow without another call."""
+    """The call is stored and applied at this balancer; the other balancers follow without another call."""
--- a/glenrock/routing/admission.py
+++ b/glenrock/routing/admission.py
@@ -29,7 +29,7 @@
 LAG_US = 4 * SECOND_US  # age of the counts that quotas use: gossip of that age has arrived or is lost
 CAP_CUT_FACTOR = 0.85  # once per feedback delay
 CAP_RISE_FRACTION = 0.25  # per round, of the way to the load that reports show to be bearable
-OPEN_CAP_RATIO = 4  # a cap above this multiple of the active load is lifted
+OPEN_CAP_RATIO = 4  # a cap above this multiple of the active load becomes NO_CAP
 MIN_ROUND_ATTEMPTS = 4  # fewer attempts of a round prove nothing
 MAX_DROPPED_FRACTION = 0.2  # of a round's attempts; more dropped by their servers show a full fleet
 DROPPING_SERVERS_DIVISOR = 3  # one warm server in so many has to drop connections
@@ -251,14 +251,14 @@
         client_fraction = self.client_fraction() or 1.0
         rest = self._open_oldest_buckets(waiting_load, free_load)
         if self.quota > 0 and self.has_rejected_newcomer:
-            # Waiting clients may return at other balancers, and load reserved for their buckets here stays
-            # unused. So twice as many younger buckets may use the quota in each such round.
+            # A part of the quota was not used although clients of younger buckets were rejected: the clients
+            # it was for have retried at other balancers. So more of the younger buckets may use the quota.
             self.extra_buckets = min(2 * self.extra_buckets + 1, MAX_WAITING)
         elif self.quota <= 0:
             self.extra_buckets = 0
         if self.has_rejected_newcomer and free_load < NO_CAP:
-            # Clients of the open buckets are admitted beside the quota. While others are rejected, only the
-            # load that they really brought is reserved for them.
+            # The free load of the open buckets was reserved, but their clients brought only a part of it.
+            # Since others were rejected meanwhile, the quota gets what was not used.
             rest = max(rest, free_load - self._load_admitted_beside_quota / client_fraction)
         self.has_rejected_newcomer = False
         self._load_admitted_beside_quota = 0.0
--- a/glenrock/routing/endpoint_polling.py
+++ b/glenrock/routing/endpoint_polling.py
@@ -1,4 +1,8 @@
-"""When to call service discovery for the endpoint list: at the start, and with backoff after a failure."""
+"""When to call service discovery for the endpoint list: at the start, and with backoff after a failure.
+
+Used by the simulator's adapter and the simulation. The program does not carry out `WatchEndpoints`: it polls
+by `glenrock.net.poll_backoff`.
+"""
 
 from __future__ import annotations
 
--- a/glenrock/routing/interface.py
+++ b/glenrock/routing/interface.py
@@ -70,13 +70,13 @@
     TIMEOUT = "timeout"
     """The server did not answer in time."""
     NO_CONNECTION = "no_connection"
-    """No connection to the server was established, and nothing was sent."""
+    """The server did not get the whole request: no connection, or the request was written in part."""
     BROKEN = "broken"
     """The connection broke."""
     CANCELLED = "cancelled"
     """The client or this balancer ended it."""
     UNSENT = "unsent"
-    """It was not sent, for a reason of this machine."""
+    """It was not sent: the server drains or is gone, or this machine had no resources."""
 
     __hash__ = str.__hash__
 
--- a/glenrock/routing/outlier_ejection.py
+++ b/glenrock/routing/outlier_ejection.py
@@ -25,7 +25,7 @@
 OUTLIER_RATIO = 1.2  # of the mean load; a server above it is overloaded by itself
 FAILURES_TO_EJECT = 2  # in a row
 MAX_FAILURES = 6  # in a row; further ones do not extend the ejection
-FIRST_EJECTION_US = SECOND_US / 4  # doubled for each failure in a row
+FIRST_EJECTION_US = SECOND_US / 4  # doubled for each failure in a row, so 1 s after FAILURES_TO_EJECT
 
 
 @dataclass(eq=False)
--- a/glenrock/routing/slow_start.py
+++ b/glenrock/routing/slow_start.py
@@ -107,10 +107,14 @@
     def headroom(self, server: Server) -> float:
         """Returns the load that this balancer may send to a server now; infinite for a warm server.
 
-        The budget of a window is the load that this balancer has on one full warm server, times the warmth,
-        the part of the slow start that a window is, and `SLOW_START_BUDGET_FRACTION` of the multiple that
-        fails the server. The window slides: in fixed windows the end of one and the start of the next would
-        add up. The unit is that of `reference_load`, microseconds of work per second.
+        The budget of a window is the product of:
+        - this balancer's load on one full warm server: `reference_load` / (warm servers * mean fleet load),
+        - the server's warmth,
+        - the window's length / the slow start's length,
+        - `SLOW_START_BUDGET_FRACTION` * `slow_start_multiple`, the multiple that fails the server.
+
+        The window slides: in fixed windows the end of one and the start of the next would add up. The unit is
+        that of `reference_load`, microseconds of work per second.
         """
         warmth = self.warmth(server)
         if warmth >= 1:
@@ -133,8 +137,8 @@
     def _window_multiple(self, server: Server) -> float:
         """Returns the multiple of its budget that the first connection of this window may have.
 
-        It is drawn for each balancer and window, so that a connection above the budget is sent in the
-        matching fraction of the windows. Budgets saved up over windows would let all balancers send at once.
+        It is drawn for each balancer and window: a connection of n budgets is sent in one of n windows on
+        average. Budgets saved up over windows would let all balancers send at once.
         """
         window = (self._batch.now_us - server.started_us) // self._settings.slow_start_window_us
         draw = max(MIN_DRAW, mix(server.hash ^ self._salt ^ mix(window)) / MASK)
