--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -63,13 +63,13 @@
     def carry_out(self, action: interface.Action) -> None:
         """Adds the event that answers an action."""
         if isinstance(action, interface.SetTimer):
-            heapq.heappush(self.timers, (action.at_us, action.ref))
+            heapq.heappush(self.timers, (action.at_us, action.timer_id))
         elif isinstance(action, interface.StartAttempt):
-            self.events.append(interface.ConnectionEstablished(action.id, 0, action.server, 9000))
-            self.connections.append((action.id, action.server))
+            self.events.append(interface.ConnectionEstablished(action.request_id, 0, action.server_id, 9000))
+            self.connections.append((action.request_id, action.server_id))
         elif isinstance(action, interface.SendHealthCheck):
             report = {"load_ratio": 0.3 + 0.4 * self.rng.random()}
-            result = interface.HealthCheckResult(action.server, interface.AttemptOutcome.SERVED, 900, report)
+            result = interface.HealthCheckResult(action.server_id, interface.AttemptOutcome.SERVED, 900, report)
             self.events.append(result)
 
     def step(self) -> None:
--- a/glenrock/coordination/sharded_health_checks.py
+++ b/glenrock/coordination/sharded_health_checks.py
@@ -59,7 +59,7 @@
         """Posts a server's event to the routing actor, and records the load in the result of a health check."""
         if isinstance(event, interface.HealthCheckResult) and event.outcome == interface.AttemptOutcome.SERVED:
             load = event.report.get(self._load_fields[0])
-            self._shards.record_result(event.server, load, boottime_us())
+            self._shards.record_result(event.server_id, load, boottime_us())
         return self._post(event)
 
     def _on_shared_loads(self, peer: int, message: datagrams.SharedLoads) -> None:
--- a/glenrock/net/connection_reports.py
+++ b/glenrock/net/connection_reports.py
@@ -33,7 +33,7 @@
     def _request(self) -> interface.Request:
         request_line = self._request_line
         return interface.Request(
-            id=request_line.request_id,
+            request_id=request_line.request_id,
             service=request_line.class_name,
             deadline_us=us_from_ms(self._deadline_ms),
             key=request_line.key,
--- a/glenrock/net/routing_actor.py
+++ b/glenrock/net/routing_actor.py
@@ -150,8 +150,8 @@
     def act(self, action: interface.Action) -> None:
         """Carries out an action."""
         match action:
-            case interface.SetTimer(at_us, ref):
-                heapq.heappush(self._timers, (at_us, ref))
+            case interface.SetTimer(at_us, timer_id):
+                heapq.heappush(self._timers, (at_us, timer_id))
             case interface.SendHealthCheck(server):
                 self.send_health_check(server)
             case interface.SendGossip(data):
@@ -159,7 +159,7 @@
             case interface.WatchEndpoints():
                 self.watch_endpoints()
             case _:
-                if connection := self.connection_of(action.id):
+                if connection := self.connection_of(action.request_id):
                     _act_on(connection, action)
 
 
--- a/glenrock/routing/admission.py
+++ b/glenrock/routing/admission.py
@@ -158,7 +158,7 @@
         keep_session = not request.server or is_long_established
         if attempt.outcome in DROP_OUTCOMES and not (request.server and keep_session):
             self._dropped += 1
-            self._dropping_servers.add(attempt.server.id)
+            self._dropping_servers.add(attempt.server.server_id)
         return keep_session
 
     def record_new_peer(self, active_load: float) -> None:
--- a/glenrock/routing/balancer.py
+++ b/glenrock/routing/balancer.py
@@ -275,7 +275,7 @@
         self.endpoints.apply_override(event)
 
     def _on_request(self, event: Request) -> None:
-        if event.id in self.requests:
+        if event.request_id in self.requests:
             return
         request = self._routed(event)
         # The platform counts costs per first attempt, so only those earn tokens.
@@ -285,8 +285,8 @@
         self.lifecycle.start(request)
 
     def _on_open_connection(self, event: OpenConnection) -> None:
-        server = self.servers.get(event.server)
-        if server is None or event.request.id in self.requests:
+        server = self.servers.get(event.server_id)
+        if server is None or event.request.request_id in self.requests:
             return
         self.endpoints.start_draining(server)
         self.lifecycle.adopt(self._routed(event.request), server)
@@ -299,18 +299,18 @@
             self.connection_loads.record(event.service, load)
         else:
             load = self.connection_loads.expected(event.service)
-        key = event.id if event.key is None else event.key
+        key = event.request_id if event.key is None else event.key
         return RoutedRequest(event, request_class, key, load, self.batch.now_us)
 
     def _on_feedback(self, event: ConnectionFeedback) -> None:
-        request = self.requests.get(event.id)
+        request = self.requests.get(event.request_id)
         if request is None:
             return
         if event.load is not None and event.load >= 0:
             # Without load hints, reported loads are the only source of the mean that new requests count as.
             self.connection_loads.record(request.event.service, event.load)
             self.sessions.change_load(request, event.load)
-        server = self.servers.get(event.server)
+        server = self.servers.get(event.server_id)
         if server is None:
             return
         server.last_heard_us = self.batch.now_us
@@ -323,21 +323,21 @@
         self.lifecycle.end_attempt(event, self.is_draining)
 
     def _on_client_disconnected(self, event: ClientDisconnected) -> None:
-        self.lifecycle.client_disconnected(event.id)
+        self.lifecycle.client_disconnected(event.request_id)
 
     def _on_timer(self, event: TimerFired) -> None:
-        match self.batch.pop_timer(event.ref):
+        match self.batch.pop_timer(event.timer_id):
             case RoundTimer():
                 self._run_round()
             case RequestTimer(request_id):
                 self.lifecycle.timer_fired(request_id)
 
     def _on_health_check_result(self, event: HealthCheckResult) -> None:
-        server = self.servers.get(event.server)
+        server = self.servers.get(event.server_id)
         if server is None:
             return
         self.health_checks.record_result(server, event)
-        self.lifecycle.finish_check(server.id)
+        self.lifecycle.finish_check(server.server_id)
 
     def _on_gossip(self, event: GossipReceived) -> None:
         new_peer = self.gossip.receive(event)
--- a/glenrock/routing/capacity_estimation.py
+++ b/glenrock/routing/capacity_estimation.py
@@ -93,8 +93,8 @@
         if warm is self._warm:  # the same list object as a round before: no change
             return
         self._warm = warm
-        present = {server.id for server in warm}
-        added = [self._loads.load(server) for server in warm if server.id not in self._in_reach]
+        present = {server.server_id for server in warm}
+        added = [self._loads.load(server) for server in warm if server.server_id not in self._in_reach]
         missing = [self._servers[id_] for id_ in self._in_reach - present if id_ in self._servers]
         lost = sum(server.is_ready for server in missing)
         if self._in_reach and warm and (added or lost):
--- a/glenrock/routing/connection_concurrency.py
+++ b/glenrock/routing/connection_concurrency.py
@@ -62,24 +62,24 @@
         """Records that a set-up was given up."""
         self.pending -= 1
 
-    def record_established(self, server: str, latency_us: int) -> None:
+    def record_established(self, server_id: str, latency_us: int) -> None:
         """Records a set-up that succeeded."""
         self.pending -= 1
         self._established += 1
         if latency_us > SLOW_FRACTION * self._objective_us:
-            self._record_slow_or_failed(server)
+            self._record_slow_or_failed(server_id)
         else:
             self._in_time += 1
 
-    def record_ended(self, server: str, outcome: AttemptOutcome) -> None:
+    def record_ended(self, server_id: str, outcome: AttemptOutcome) -> None:
         """Records a set-up that failed. Rejections and unreachable servers do not show the store's state."""
         self.pending -= 1
         if outcome in (AttemptOutcome.ERROR, AttemptOutcome.TIMEOUT):
-            self._record_slow_or_failed(server)
+            self._record_slow_or_failed(server_id)
 
-    def _record_slow_or_failed(self, server: str) -> None:
+    def _record_slow_or_failed(self, server_id: str) -> None:
         self._slow_or_failed += 1
-        self._servers_affected.add(server)
+        self._servers_affected.add(server_id)
         is_storm = self._slow_or_failed > STORM_FAILURES + 2 * self._in_time
         if len(self._servers_affected) >= MIN_AFFECTED_SERVERS and is_storm:
             self._cut()
--- a/glenrock/routing/endpoint_table.py
+++ b/glenrock/routing/endpoint_table.py
@@ -59,11 +59,11 @@
         sizes = [entry.size for entry in event.entries]
         mean_size = sum(sizes) / len(sizes) if sizes else 1.0
         for entry in event.entries:
-            server = self.servers.get(entry.server) or self._add(entry, mean_size)
+            server = self.servers.get(entry.server_id) or self._add(entry, mean_size)
             server.zone = entry.zone
             server.cell = entry.cell
             self._set_listed(server, entry.state == EndpointState.READY)
-            started_us = self._overrides.started_us(server.id, entry.started_us)
+            started_us = self._overrides.started_us(server.server_id, entry.started_us)
             if started_us > server.started_us:
                 self._restarted(server, started_us)
         self._change_rings()
@@ -71,9 +71,9 @@
     def apply_override(self, event: OperatorOverride) -> None:
         """Suspends or resumes a server, as an operator demands."""
         changed = self._overrides.apply(event, self._batch.now_us)
-        server = self.servers.get(event.server)
+        server = self.servers.get(event.server_id)
         if changed and server:
-            self._restarted(server, max(server.started_us, self._overrides.started_us(server.id, 0)))
+            self._restarted(server, max(server.started_us, self._overrides.started_us(server.server_id, 0)))
             self._set_listed(server, server.is_listed)
             self._change_rings()
 
@@ -91,29 +91,29 @@
         self.index.add_starting(server)
 
     def _unlist_others(self, event: EndpointList, requests: Mapping[str, RoutedRequest]) -> None:
-        named = {entry.server for entry in event.entries}
-        for server in [server for server in self.servers.values() if server.id not in named]:
+        named = {entry.server_id for entry in event.entries}
+        for server in [server for server in self.servers.values() if server.server_id not in named]:
             self._set_listed(server, False)
             if (
                 event.kind == EndpointListKind.FULL
                 and not server.connections
                 and not _has_attempts(server, requests)
             ):
-                del self.servers[server.id]
+                del self.servers[server.server_id]
 
     def _add(self, entry: Endpoint, mean_size: float) -> Server:
-        server = Server(entry.server, entry.zone, entry.cell, stable_hash(entry.server))
+        server = Server(entry.server_id, entry.zone, entry.cell, stable_hash(entry.server_id))
         if mean_size > 0:
             server.weight = min(MAX_WEIGHT, max(MIN_INITIAL_WEIGHT, entry.size / mean_size))
         server.order = self._added
         server.added_us = self._batch.now_us
         self._added += 1
-        self.servers[entry.server] = server
+        self.servers[entry.server_id] = server
         return server
 
     def _set_listed(self, server: Server, is_listed: bool) -> None:
         server.is_listed = is_listed
-        is_ready = is_listed and self._overrides.allows(server.id)
+        is_ready = is_listed and self._overrides.allows(server.server_id)
         if server.is_ready == is_ready:
             return
         server.is_ready = is_ready
--- a/glenrock/routing/event_batch.py
+++ b/glenrock/routing/event_batch.py
@@ -46,14 +46,14 @@
         ignored_summaries: gossip summaries of the batch that were ignored, for the log.
     """
 
-    __slots__ = ("_next_reference", "actions", "ignored_summaries", "now_us", "timers")
+    __slots__ = ("_next_timer_id", "actions", "ignored_summaries", "now_us", "timers")
 
     def __init__(self) -> None:
         self.now_us = 0
         self.actions: list[Action] = []
         self.ignored_summaries: list[IgnoredSummary] = []
         self.timers: dict[int, Timer] = {}
-        self._next_reference = 1
+        self._next_timer_id = 1
 
     def begin(self, now_us: int) -> None:
         """Starts a batch at that time."""
@@ -67,10 +67,10 @@
 
     def set_timer(self, at_us: int, timer: Timer) -> None:
         """Requests a timer, which `pop_timer` returns once it has fired."""
-        self.timers[self._next_reference] = timer
-        self.emit(SetTimer(at_us, self._next_reference))
-        self._next_reference += 1
+        self.timers[self._next_timer_id] = timer
+        self.emit(SetTimer(at_us, self._next_timer_id))
+        self._next_timer_id += 1
 
-    def pop_timer(self, reference: int) -> Timer | None:
-        """Returns the timer with that reference; None if it was never set or has fired before."""
-        return self.timers.pop(reference, None)
+    def pop_timer(self, timer_id: int) -> Timer | None:
+        """Returns the timer with that id; None if it was never set or has fired before."""
+        return self.timers.pop(timer_id, None)
--- a/glenrock/routing/health_checks.py
+++ b/glenrock/routing/health_checks.py
@@ -57,7 +57,7 @@
         if not self.loads.has_reports or not self._try_spend(server):
             return False
         server.health_check_sent_us = server.last_checked_us = now_us
-        self.batch.emit(SendHealthCheck(server.id))
+        self.batch.emit(SendHealthCheck(server.server_id))
         return True
 
     @property
@@ -81,7 +81,7 @@
             return set()
         fresh_us = self.batch.now_us - FRESH_REPORT_US
         stale = [server for server in request.candidates if server.reported_at_us < fresh_us]
-        return {server.id for server in stale if self.send(server)}
+        return {server.server_id for server in stale if self.send(server)}
 
     def record_broken(self, server: Server) -> None:
         """Records that a connection broke, and checks its server.
--- a/glenrock/routing/interface.py
+++ b/glenrock/routing/interface.py
@@ -249,7 +249,7 @@
         started_us: start of the server's process; 0 if unknown or long ago.
     """
 
-    server: str
+    server_id: str
     state: EndpointState = EndpointState.READY
     zone: str = ""
     cell: int = 0
@@ -278,7 +278,7 @@
         is_midstream: the connection is open already, and its packets are under way.
     """
 
-    id: str
+    request_id: str
     service: str
     deadline_us: int
     key: int | None = None
@@ -294,16 +294,16 @@
     """A connection that was open at a server before this balancer started."""
 
     request: Request
-    server: str
+    server_id: str
 
 
 @dataclass(slots=True)
 class ConnectionEstablished:
     """An attempt succeeded: the client has its first answer."""
 
-    id: str
+    request_id: str
     attempt: int
-    server: str
+    server_id: str
     latency_us: int = 0
 
 
@@ -311,8 +311,8 @@
 class ConnectionFeedback:
     """A server's report on an open connection: its present load, or the present time of a message."""
 
-    id: str
-    server: str
+    request_id: str
+    server_id: str
     load: float | None = None
     message_us: float | None = None
 
@@ -324,9 +324,9 @@
     `is_final`: the client needs no further answer.
     """
 
-    id: str
+    request_id: str
     attempt: int
-    server: str
+    server_id: str
     outcome: AttemptOutcome
     is_final: bool
     latency_us: int = 0
@@ -337,21 +337,21 @@
 class ClientDisconnected:
     """The client closed its connection or cancelled its request."""
 
-    id: str
+    request_id: str
 
 
 @dataclass(slots=True)
 class TimerFired:
-    """The timer that `SetTimer` requested with this reference is due."""
+    """The timer that `SetTimer` requested with this id is due."""
 
-    ref: int
+    timer_id: int
 
 
 @dataclass(slots=True)
 class HealthCheckResult:
     """The result of a health check."""
 
-    server: str
+    server_id: str
     outcome: AttemptOutcome
     latency_us: int = 0
     report: dict[str, float] = field(default_factory=dict)
@@ -364,7 +364,7 @@
     `at_us`: time at which the server was resumed; 0 for now.
     """
 
-    server: str
+    server_id: str
     is_suspended: bool
     at_us: int = 0
 
@@ -407,8 +407,8 @@
 class StartAttempt:
     """Send the request to that server; cancel the attempt after `timeout_us`."""
 
-    id: str
-    server: str
+    request_id: str
+    server_id: str
     timeout_us: int
 
 
@@ -416,7 +416,7 @@
 class CancelAttempt:
     """Cancel that attempt: its outcome is no longer needed."""
 
-    id: str
+    request_id: str
     attempt: int
 
 
@@ -424,7 +424,7 @@
 class Reject:
     """Final answer: the client may retry after `retry_after_us`; 0 if no delay is stated."""
 
-    id: str
+    request_id: str
     retry_after_us: int = 0
 
 
@@ -432,29 +432,29 @@
 class Fail:
     """Final answer: the request could not be served, or its connection broke."""
 
-    id: str
+    request_id: str
 
 
 @dataclass(slots=True)
 class Migrate:
     """Ask the client of an open connection to reconnect elsewhere."""
 
-    id: str
+    request_id: str
 
 
 @dataclass(slots=True)
 class SetTimer:
-    """Deliver `TimerFired` with this reference at that time."""
+    """Deliver `TimerFired` with this id at that time."""
 
     at_us: int
-    ref: int
+    timer_id: int
 
 
 @dataclass(slots=True)
 class SendHealthCheck:
     """Check whether a server answers, and ask for its load report."""
 
-    server: str
+    server_id: str
 
 
 @dataclass(slots=True)
--- a/glenrock/routing/load_estimation.py
+++ b/glenrock/routing/load_estimation.py
@@ -62,8 +62,8 @@
         """
         now_us = self._batch.now_us
         for server in servers:
-            if server.id not in self._with_history:
-                self._with_history[server.id] = server
+            if server.server_id not in self._with_history:
+                self._with_history[server.server_id] = server
                 if server.added_us <= self._last_round_us:
                     server.own_load_history = [TimedLoad(self._last_round_us, 0.0)]
         for server in list(self._with_history.values()):
@@ -72,7 +72,7 @@
             server.own_load_history = history
             if not server.connections and not any(load for _, load in history):
                 server.own_load_history = []
-                del self._with_history[server.id]
+                del self._with_history[server.server_id]
         self._last_round_us = now_us
 
     def record_report(self, server: Server, load: float) -> None:
--- a/glenrock/routing/migration.py
+++ b/glenrock/routing/migration.py
@@ -70,7 +70,7 @@
         its clients, and overloaded servers would not. The bound brings the other servers to the target load,
         by this balancer's part of their load.
         """
-        if not server.is_listed or self.overrides.allows(server.id):
+        if not server.is_listed or self.overrides.allows(server.server_id):
             return float("inf")
         load_elsewhere = sum(
             request.load
@@ -143,9 +143,9 @@
                 break
             excess -= load
             for request in group:
-                self.batch.emit(Migrate(request.event.id))
+                self.batch.emit(Migrate(request.event.request_id))
                 if is_scarce:
-                    self.without_session.add(request.event.id)
+                    self.without_session.add(request.event.request_id)
 
     def _shedding_order(self, server: Server, is_scarce: bool, by_group: bool) -> list[list[RoutedRequest]]:
         """Returns the server's connections in the order in which they migrate.
--- a/glenrock/routing/operator_overrides.py
+++ b/glenrock/routing/operator_overrides.py
@@ -27,25 +27,25 @@
     def apply(self, event: OperatorOverride, now_us: int) -> bool:
         """Suspends or resumes a server. Returns whether that changed anything: calls may be repeated."""
         if event.is_suspended:
-            is_new = event.server not in self.suspended_servers
-            self.suspended_servers.add(event.server)
+            is_new = event.server_id not in self.suspended_servers
+            self.suspended_servers.add(event.server_id)
             return is_new
         at_us = min(now_us, event.at_us or now_us)
         # A resumption that another process received may arrive without a suspension here.
-        is_later_resumption = bool(event.at_us) and at_us > self.resumed_at_us.get(event.server, 0)
-        if event.server not in self.suspended_servers and not is_later_resumption:
+        is_later_resumption = bool(event.at_us) and at_us > self.resumed_at_us.get(event.server_id, 0)
+        if event.server_id not in self.suspended_servers and not is_later_resumption:
             return False
-        self.suspended_servers.discard(event.server)
-        self.resumed_at_us.pop(event.server, None)
-        self.resumed_at_us[event.server] = at_us
+        self.suspended_servers.discard(event.server_id)
+        self.resumed_at_us.pop(event.server_id, None)
+        self.resumed_at_us[event.server_id] = at_us
         if len(self.resumed_at_us) > MAX_REMEMBERED_RESUMPTIONS:
             del self.resumed_at_us[next(iter(self.resumed_at_us))]
         return True
 
-    def allows(self, server: str) -> bool:
+    def allows(self, server_id: str) -> bool:
         """Returns whether the server is not suspended."""
-        return server not in self.suspended_servers
+        return server_id not in self.suspended_servers
 
-    def started_us(self, server: str, listed_us: int) -> int:
+    def started_us(self, server_id: str, listed_us: int) -> int:
         """Returns when the server counts as started, if the endpoint list states `listed_us`."""
-        return max(listed_us, self.resumed_at_us.get(server, 0))
+        return max(listed_us, self.resumed_at_us.get(server_id, 0))
--- a/glenrock/routing/outlier_ejection.py
+++ b/glenrock/routing/outlier_ejection.py
@@ -125,4 +125,4 @@
 
     def _record_evidence(self, server: Server, has_answered: bool) -> None:
         if server.zone != self.settings.zone:
-            self.domains.record(server.zone, server.id, has_answered)
+            self.domains.record(server.zone, server.server_id, has_answered)
--- a/glenrock/routing/request_lifecycle.py
+++ b/glenrock/routing/request_lifecycle.py
@@ -73,19 +73,19 @@
 
     def start(self, request: RoutedRequest) -> None:
         """Handles a request that has just arrived: admits and routes it, or rejects it."""
-        self.requests[request.event.id] = request
+        self.requests[request.event.request_id] = request
         if not self.admission.admit(request):
             self._reject(request)
             return
         answer_at_us = request.event.deadline_us - self.retries.answer_margin_us
-        self.batch.set_timer(answer_at_us, RequestTimer(request.event.id))
+        self.batch.set_timer(answer_at_us, RequestTimer(request.event.request_id))
         self._route(request)
 
     def adopt(self, request: RoutedRequest, server: Server) -> None:
         """Takes over a connection that was open at a server before this balancer started."""
         request.attempts.append(Attempt(server, self.batch.now_us))
         request.server, request.is_answered = server, True
-        self.requests[request.event.id] = request
+        self.requests[request.event.request_id] = request
         self._record_connection(request, server)
         self.sessions.add_connection(request)
 
@@ -105,8 +105,8 @@
         request.pending_checks = self.health_checks.check_candidates(request)
         if not request.pending_checks:
             return False
-        self._awaiting_checks[request.event.id] = request
-        self.batch.set_timer(self.batch.now_us + HEALTH_CHECK_WAIT_US, RequestTimer(request.event.id))
+        self._awaiting_checks[request.event.request_id] = request
+        self.batch.set_timer(self.batch.now_us + HEALTH_CHECK_WAIT_US, RequestTimer(request.event.request_id))
         return True
 
     def finish_check(self, server_id: str) -> None:
@@ -119,7 +119,7 @@
 
     def _send_to_best(self, request: RoutedRequest) -> None:
         request.pending_checks.clear()
-        self._awaiting_checks.pop(request.event.id, None)
+        self._awaiting_checks.pop(request.event.request_id, None)
         server = self.selection.best(request)
         if server is None:
             self._await_server_or_end(request)
@@ -133,13 +133,13 @@
         self.loads.record_sent(server, request.load)
         self.admission.record_attempt()
         self.concurrency.record_sent()
-        self.batch.emit(StartAttempt(request.event.id, server.id, timeout_us))
+        self.batch.emit(StartAttempt(request.event.request_id, server.server_id, timeout_us))
 
     def _await_server_or_end(self, request: RoutedRequest) -> None:
         if request.attempt_is_in_flight:
             return
         if self.retries.may_wait(request):
-            self._awaiting_server[request.event.id] = None
+            self._awaiting_server[request.event.request_id] = None
         else:
             self._end(request)
 
@@ -161,7 +161,7 @@
 
     def establish(self, event: ConnectionEstablished) -> None:
         """Handles an attempt that established its connection."""
-        request = self.requests.get(event.id)
+        request = self.requests.get(event.request_id)
         if request is None or request.is_answered or not 0 <= event.attempt < len(request.attempts):
             return
         server = request.attempts[event.attempt].server
@@ -169,11 +169,11 @@
         self._record_connection(request, server)
         server.consecutive_failures = 0
         self.ejection.record_reachable(server)
-        self.concurrency.record_established(server.id, event.latency_us)
+        self.concurrency.record_established(server.server_id, event.latency_us)
         self._route_next_waiting()
 
     def _record_connection(self, request: RoutedRequest, server: Server) -> None:
-        server.connections[request.event.id] = request
+        server.connections[request.event.request_id] = request
         self.index.add_occupied(server)
         server.last_heard_us = self.batch.now_us
         self.affinity.remember(request.event.group, server)
@@ -185,7 +185,7 @@
             event: how it ended.
             is_draining: this balancer migrates its clients to the others.
         """
-        request = self.requests.get(event.id)
+        request = self.requests.get(event.request_id)
         if request is None or not 0 <= event.attempt < len(request.attempts):
             return
         attempt = request.attempts[event.attempt]
@@ -193,7 +193,7 @@
         server = attempt.server
         self.ejection.record_report(server, event.report)
         if not request.server:
-            self.concurrency.record_ended(server.id, event.outcome)
+            self.concurrency.record_ended(server.server_id, event.outcome)
             self._route_next_waiting()
         # The session of a client that migrates to another balancer would count at both for seconds.
         keep_session = not is_draining
@@ -206,7 +206,7 @@
             self.health_checks.record_broken(server)
         if event.is_final or request.server:
             if not event.is_final and not request.event.is_midstream:
-                self.batch.emit(Fail(event.id))
+                self.batch.emit(Fail(event.request_id))
             self._forget(request, keep_session)
         elif not request.is_answered:
             self._route(request)
@@ -229,8 +229,8 @@
             self._send_to_best(request)
 
     def _reject(self, request: RoutedRequest) -> None:
-        self.batch.emit(Reject(request.event.id, self.retries.retry_after_us()))
-        self.requests.pop(request.event.id, None)
+        self.batch.emit(Reject(request.event.request_id, self.retries.retry_after_us()))
+        self.requests.pop(request.event.request_id, None)
 
     def _end(self, request: RoutedRequest) -> None:
         """Rejects or fails a request that was admitted and could not be served."""
@@ -239,16 +239,16 @@
         if self.settings.may_cancel:
             for number, attempt in enumerate(request.attempts):
                 if attempt.outcome is None:
-                    self.batch.emit(CancelAttempt(request.event.id, number))
+                    self.batch.emit(CancelAttempt(request.event.request_id, number))
         if self.retries.may_reject(request):
             self._reject(request)
         else:
-            self.batch.emit(Fail(request.event.id))
+            self.batch.emit(Fail(request.event.request_id))
         self.waiting_queue.requeue(request)
         self._forget(request, keep_session=False)
 
     def _forget(self, request: RoutedRequest, keep_session: bool) -> None:
-        request_id = request.event.id
+        request_id = request.event.request_id
         if not request.server and request.attempt_is_in_flight:
             self.concurrency.record_abandoned()
         request.is_answered = True
--- a/glenrock/routing/server_index.py
+++ b/glenrock/routing/server_index.py
@@ -29,15 +29,15 @@
 
     def add_occupied(self, server: Server) -> None:
         """Adds a server that holds a connection of this balancer."""
-        self._occupied[server.id] = server
+        self._occupied[server.server_id] = server
 
     def add_suspect(self, server: Server) -> None:
         """Adds a server that has just failed."""
-        self._suspects[server.id] = server
+        self._suspects[server.server_id] = server
 
     def add_starting(self, server: Server) -> None:
         """Adds a server whose process has just started."""
-        self._starting[server.id] = server
+        self._starting[server.server_id] = server
 
     # -- queries ---------------------------------------------------------------------------------------
 
@@ -68,12 +68,14 @@
         for server_id, server in list(self._starting.items()):
             if is_warm(server):
                 del self._starting[server_id]
-        warming = [server for server in servers if server.id in self._starting] if self._starting else []
+        warming = (
+            [server for server in servers if server.server_id in self._starting] if self._starting else []
+        )
         return _without(servers, self._starting), warming
 
 
 def _without(servers: list[Server], excluded: Collection[str]) -> list[Server]:
-    return [server for server in servers if server.id not in excluded] if excluded else servers
+    return [server for server in servers if server.server_id not in excluded] if excluded else servers
 
 
 def _order(server: Server) -> int:
--- a/glenrock/routing/server_selection.py
+++ b/glenrock/routing/server_selection.py
@@ -57,7 +57,12 @@
         if request.is_slow_start_only or not self.endpoints.ring:
             return found[:MAX_CANDIDATES]
         home = self.affinity.server_of(group)
-        if home and home not in found and home.id not in tried and self.retries.may_send(request, home):
+        if (
+            home
+            and home not in found
+            and home.server_id not in tried
+            and self.retries.may_send(request, home)
+        ):
             found.insert(0, home)
         del found[MAX_CANDIDATES - 1 :]
         self._draw(request, seed, tried, found)
@@ -73,7 +78,7 @@
         found = [
             server
             for server in self.slow_start.warming
-            if server.id not in tried and self.retries.may_send(request, server)
+            if server.server_id not in tried and self.retries.may_send(request, server)
         ]
         found.sort(key=lambda server: mix(seed ^ server.hash))
         return found
@@ -86,7 +91,7 @@
             uses_zone = not is_grouped and self.endpoints.zone_ring and (n % 2 == 0 or n > MAX_DRAWS // 2)
             ring = self.endpoints.zone_ring if uses_zone else self.endpoints.ring
             server = ring.at(mix(seed + n))
-            if server in found or server.id in tried or not self.retries.may_send(request, server):
+            if server in found or server.server_id in tried or not self.retries.may_send(request, server):
                 continue
             if mix(seed ^ server.hash) / MASK * scale <= server.weight:
                 found.append(server)
@@ -97,7 +102,7 @@
         """Returns the first server on the ring that may receive the request; tried servers come last."""
         around = self.endpoints.ring.around(mix(seed))
         allowed = [server for server in around if self.retries.may_send(request, server)]
-        return [server for server in allowed if server.id not in tried][:1] or allowed[:1]
+        return [server for server in allowed if server.server_id not in tried][:1] or allowed[:1]
 
     def best(self, request: RoutedRequest) -> Server | None:
         """Returns the least loaded candidate that may still receive the request; None if there is none.
--- a/glenrock/routing/simulator_codec.py
+++ b/glenrock/routing/simulator_codec.py
@@ -154,7 +154,7 @@
 def endpoint_from(fields: Fields) -> Endpoint:
     """Decodes a row of the endpoint list. An unknown state counts as draining."""
     return Endpoint(
-        server=fields.text("server"),
+        server_id=fields.text("server"),
         state=STATES.get(fields.text_or("availability", "Ready"), EndpointState.DRAINING),
         zone=fields.text_or("area", ""),
         cell=fields.number_or("unitGroup", 0),
@@ -183,7 +183,7 @@
 
 def _request_with_deadline(fields: Fields, deadline_us: int) -> Request:
     return Request(
-        id=fields.text("msgId"),
+        request_id=fields.text("msgId"),
         service=fields.text("service"),
         deadline_us=deadline_us,
         key=fields.optional_number("item"),
@@ -197,9 +197,9 @@
 
 def _established_from(fields: Fields) -> ConnectionEstablished:
     return ConnectionEstablished(
-        id=fields.text("msgId"),
+        request_id=fields.text("msgId"),
         attempt=fields.number("shot"),
-        server=fields.text("server"),
+        server_id=fields.text("server"),
         latency_us=fields.number_or("latencyUs", 0),
     )
 
@@ -208,8 +208,8 @@
     amount = _real(fields.text("amount"), "amount")
     sort = fields.number("sort")
     return ConnectionFeedback(
-        id=fields.text("msgId"),
-        server=fields.text("server"),
+        request_id=fields.text("msgId"),
+        server_id=fields.text("server"),
         load=amount if sort == LOAD_NOTE else None,
         message_us=amount * 1000 if sort == DELAY_NOTE else None,
     )
@@ -217,9 +217,9 @@
 
 def _attempt_ended_from(fields: Fields) -> AttemptEnded:
     return AttemptEnded(
-        id=fields.text("msgId"),
+        request_id=fields.text("msgId"),
         attempt=fields.number("shot"),
-        server=fields.text("server"),
+        server_id=fields.text("server"),
         outcome=_outcome_from(fields),
         is_final=fields.flag("doneFlag"),
         latency_us=fields.number_or("latencyUs", 0),
@@ -229,7 +229,7 @@
 
 def _health_check_result_from(fields: Fields) -> HealthCheckResult:
     return HealthCheckResult(
-        server=fields.text("server"),
+        server_id=fields.text("server"),
         outcome=_outcome_from(fields),
         latency_us=fields.number_or("latencyUs", 0),
         report=_report_from(fields),
@@ -283,12 +283,12 @@
 def line_of(balancer: int, action: Action) -> str:
     """Encodes an action as a line of the reply."""
     match action:
-        case StartAttempt(request_id, server, timeout_us):
-            return f"issue balancer={balancer} msgId={request_id} server={server} limitUs={timeout_us}"
-        case SetTimer(at_us, ref):
-            return f"timer balancer={balancer} timeUs={at_us} ref={ref}"
-        case SendHealthCheck(server):
-            return f"inspect balancer={balancer} server={server}"
+        case StartAttempt(request_id, server_id, timeout_us):
+            return f"issue balancer={balancer} msgId={request_id} server={server_id} limitUs={timeout_us}"
+        case SetTimer(at_us, timer_id):
+            return f"timer balancer={balancer} timeUs={at_us} ref={timer_id}"
+        case SendHealthCheck(server_id):
+            return f"inspect balancer={balancer} server={server_id}"
         case Reject(request_id, retry_after_us):
             return f"refuse balancer={balancer} msgId={request_id} stayAwayUs={retry_after_us}"
         case Fail(request_id):
--- a/glenrock/routing/state.py
+++ b/glenrock/routing/state.py
@@ -59,7 +59,7 @@
         capacity_ratio: the fraction of its usual capacity that it still has, at most 1.
     """
 
-    id: str
+    server_id: str
     zone: str
     cell: int
     hash: int
@@ -157,7 +157,7 @@
 
     def tried_servers(self) -> set[str]:
         """Returns the ids of the servers that had an attempt."""
-        return {attempt.server.id for attempt in self.attempts}
+        return {attempt.server.server_id for attempt in self.attempts}
 
 
 class WaitingLoad(NamedTuple):
--- a/glenrock/simulation/model/balancer.py
+++ b/glenrock/simulation/model/balancer.py
@@ -151,9 +151,9 @@
             due_us = -(-self.engine.now // self.tick_us) * self.tick_us
             self.engine.at(due_us, self._handle_batch, self.incarnation)
 
-    def _fire_timer(self, incarnation: int, ref: int) -> None:
+    def _fire_timer(self, incarnation: int, timer_id: int) -> None:
         if incarnation == self.incarnation and self.is_up:
-            self.post(interface.TimerFired(ref))
+            self.post(interface.TimerFired(timer_id))
 
     def _handle_batch(self, incarnation: int) -> None:
         if incarnation != self.incarnation or not self.is_up:
@@ -187,18 +187,18 @@
         """Receives an endpoint list, or a change of it."""
         now = self.engine.now
         if endpoint_list.kind in (EndpointListKind.FULL, EndpointListKind.CACHED):
-            listed = {entry.server for entry in endpoint_list.entries}
+            listed = {entry.server_id for entry in endpoint_list.entries}
             for server in [server for server in self.endpoints if server not in listed]:
                 del self.endpoints[server]
             for server in self.known_servers - listed:
                 self.draining_since_us.setdefault(server, now)
         for entry in endpoint_list.entries:
-            self.endpoints[entry.server] = entry
-            self.known_servers.add(entry.server)
+            self.endpoints[entry.server_id] = entry
+            self.known_servers.add(entry.server_id)
             if entry.state == EndpointState.READY:
-                self.draining_since_us.pop(entry.server, None)
+                self.draining_since_us.pop(entry.server_id, None)
             else:
-                self.draining_since_us.setdefault(entry.server, now)
+                self.draining_since_us.setdefault(entry.server_id, now)
         self.post(endpoint_list)
 
     def override_server(self, server: str, is_suspended: bool) -> None:
@@ -274,16 +274,16 @@
     # -- actions -------------------------------------------------------------------------------------
 
     def _on_start_attempt(self, action: interface.StartAttempt) -> None:
-        request = self.requests.get(action.id)
+        request = self.requests.get(action.request_id)
         if request is None or request.is_over:
             # An end that the policy has read, or decided itself, binds it; one that it has yet to read does not.
             if request is None or request.was_ended_by_policy or request.over_in_batch < self.batches - 1:
-                self.environment.record_violation("answered", "sent after its end", request, action.server)
+                self.environment.record_violation("answered", "sent after its end", request, action.server_id)
             return
-        instance = self.environment.instances.get(action.server)
-        if instance is None or action.server not in self.known_servers:
-            raise PolicyFailedError(f"sends to {action.server!r}, which no list has named")
-        self._check_attempt_allowed(request, action.server)
+        instance = self.environment.instances.get(action.server_id)
+        if instance is None or action.server_id not in self.known_servers:
+            raise PolicyFailedError(f"sends to {action.server_id!r}, which no list has named")
+        self._check_attempt_allowed(request, action.server_id)
         attempt = Attempt(request, len(request.attempts), instance, self.engine.now)
         request.attempts.append(attempt)
         is_unsendable = (
@@ -308,11 +308,11 @@
             self.environment.record_violation("drained", f"sent {late_s:.3f} s after it was told", request, server)
 
     def _on_cancel_attempt(self, action: interface.CancelAttempt) -> None:
-        request = self.requests.get(action.id)
+        request = self.requests.get(action.request_id)
         if request is None:
-            raise PolicyFailedError(f"acts on {action.id!r}, which it does not hold")
+            raise PolicyFailedError(f"acts on {action.request_id!r}, which it does not hold")
         if not 0 <= action.attempt < len(request.attempts):
-            raise PolicyFailedError(f"cancels attempt {action.attempt} of {action.id!r}, which was never made")
+            raise PolicyFailedError(f"cancels attempt {action.attempt} of {action.request_id!r}, which was never made")
         attempt = request.attempts[action.attempt]
         if attempt.is_established and attempt.is_active:
             text = "a standing connection ended without MOVE"
@@ -333,27 +333,27 @@
         return request
 
     def _on_reject(self, action: interface.Reject) -> None:
-        if request := self._answer(action.id, RequestOutcome.REJECTED):
+        if request := self._answer(action.request_id, RequestOutcome.REJECTED):
             self.environment.deliver_rejection(request, action.retry_after_us)
 
     def _on_fail(self, action: interface.Fail) -> None:
-        if request := self._answer(action.id, RequestOutcome.FAILED):
+        if request := self._answer(action.request_id, RequestOutcome.FAILED):
             self.environment.deliver_failure(request)
 
     def _on_migrate(self, action: interface.Migrate) -> None:
-        request = self.requests.get(action.id)
+        request = self.requests.get(action.request_id)
         if request and request.open_attempt():
             self.environment.migrate(request)
 
     def _on_set_timer(self, action: interface.SetTimer) -> None:
         # At least 1 us ahead, so that a timer never fires in the batch that sets it.
         due_us = max(action.at_us, self.engine.now + 1)
-        self.engine.at(due_us, self._fire_timer, self.incarnation, action.ref)
+        self.engine.at(due_us, self._fire_timer, self.incarnation, action.timer_id)
 
     def _on_send_health_check(self, action: interface.SendHealthCheck) -> None:
-        if action.server not in self.known_servers:
-            raise PolicyFailedError(f"probes {action.server!r}, which no list has named")
-        self.environment.send_health_check(self, action.server)
+        if action.server_id not in self.known_servers:
+            raise PolicyFailedError(f"probes {action.server_id!r}, which no list has named")
+        self.environment.send_health_check(self, action.server_id)
 
     def _on_send_gossip(self, action: interface.SendGossip) -> None:
         if len(action.data) > MAX_GOSSIP_BYTES:
--- a/glenrock/simulation/model/feed.py
+++ b/glenrock/simulation/model/feed.py
@@ -43,7 +43,7 @@
 
     def start(self, endpoints: list[interface.Endpoint]) -> None:
         """Sets the list as of the start of the run."""
-        self.endpoints = {endpoint.server: endpoint for endpoint in endpoints}
+        self.endpoints = {endpoint.server_id: endpoint for endpoint in endpoints}
         self.initial_endpoints = dict(self.endpoints)
 
     def report_change(self, delay_s: float, server: str, state: EndpointState, started_us: int | None = None) -> None:
@@ -100,7 +100,7 @@
         endpoints = dict(self.initial_endpoints)
         for at_us, endpoint in self.history:
             if at_us <= as_of_us:
-                endpoints[endpoint.server] = endpoint
+                endpoints[endpoint.server_id] = endpoint
         return interface.EndpointList(EndpointListKind.CACHED, _present(endpoints))
 
     def balancer_started(self, balancer: BalancerProcess) -> None:
--- a/glenrock/simulation/policies/simple.py
+++ b/glenrock/simulation/policies/simple.py
@@ -128,13 +128,13 @@
             self.is_watching = False
             return
         if event.kind != EndpointListKind.CHANGES:
-            listed = {entry.server for entry in event.entries}
+            listed = {entry.server_id for entry in event.entries}
             for server in self.servers.values():
                 if server.id not in listed:
                     server.is_listed = False
                     self._start_draining(server)
         for entry in event.entries:
-            server = self.servers.setdefault(entry.server, KnownServer(entry.server, entry.zone))
+            server = self.servers.setdefault(entry.server_id, KnownServer(entry.server_id, entry.zone))
             server.zone, server.is_listed = entry.zone, entry.state == EndpointState.READY
             if server.is_listed and server.id not in self.suspended:
                 server.is_ready, server.migrate_by_us = True, 0
@@ -144,8 +144,8 @@
 
     def _on_override(self, event: interface.OperatorOverride) -> None:
         """Suspends a server, whatever the endpoint list says, or ends its suspension."""
-        (self.suspended.add if event.is_suspended else self.suspended.discard)(event.server)
-        if server := self.servers.get(event.server):
+        (self.suspended.add if event.is_suspended else self.suspended.discard)(event.server_id)
+        if server := self.servers.get(event.server_id):
             if event.is_suspended:
                 self._start_draining(server)
             elif server.is_listed:
@@ -165,17 +165,17 @@
         return event.deadline_us - MARGIN_TICKS * self.settings.tick_us
 
     def _on_request(self, event: interface.Request) -> None:
-        request = self.requests[event.id] = PendingRequest(event)
-        self._set_timer(self._answer_by_us(event), event.id)
+        request = self.requests[event.request_id] = PendingRequest(event)
+        self._set_timer(self._answer_by_us(event), event.request_id)
         self.on_arrival()
         self._place(request)
 
     def _on_open_connection(self, event: interface.OpenConnection) -> None:
-        server = self.servers.get(event.server)
+        server = self.servers.get(event.server_id)
         if server:
-            self.requests[event.request.id] = PendingRequest(event.request, [server], server, True)
+            self.requests[event.request.request_id] = PendingRequest(event.request, [server], server, True)
             server.active += 1
-            server.connections[event.request.id] = None
+            server.connections[event.request.request_id] = None
 
     def _place(self, request: PendingRequest) -> None:
         """Starts an attempt, or rejects the request if its attempts or its time are used up."""
@@ -194,7 +194,7 @@
         server.active += 1
         is_last = len(request.tried) >= max_attempts
         timeout_us = left_us if is_last else max(left_us * 6 // 10, min(left_us, MIN_ATTEMPT_US))
-        self.actions.append(interface.StartAttempt(request.event.id, server.id, timeout_us))
+        self.actions.append(interface.StartAttempt(request.event.request_id, server.id, timeout_us))
 
     def _candidates(self, request: PendingRequest) -> list[KnownServer]:
         unreachable = self.unreachable_until_us
@@ -209,36 +209,36 @@
     def _reject(self, request: PendingRequest) -> None:
         longest_us = self.settings.max_retry_after_us if self.settings.may_send_retry_after else 0
         retry_after_us = int(longest_us * (0.5 + self.random.random() / 2))
-        self.actions.append(interface.Reject(request.event.id, retry_after_us))
-        self.requests.pop(request.event.id, None)
+        self.actions.append(interface.Reject(request.event.request_id, retry_after_us))
+        self.requests.pop(request.event.request_id, None)
 
     def _on_established(self, event: interface.ConnectionEstablished) -> None:
-        request = self.requests.get(event.id)
+        request = self.requests.get(event.request_id)
         if request and request.server:
             request.is_established = True
-            request.server.connections[event.id] = None
+            request.server.connections[event.request_id] = None
             self.unreachable_until_us.pop(request.server.id, None)
 
     def _on_attempt_ended(self, event: interface.AttemptEnded) -> None:
-        server = self.servers.get(event.server)
-        request = self.requests.get(event.id)
+        server = self.servers.get(event.server_id)
+        request = self.requests.get(event.request_id)
         if server and event.outcome == AttemptOutcome.NO_CONNECTION:
             self.unreachable_until_us[server.id] = self.now_us + UNREACHABLE_FOR_US
         if request is None or request.server is None or server is not request.server:
             return
         request.server.active -= 1
-        request.server.connections.pop(event.id, None)
+        request.server.connections.pop(event.request_id, None)
         request.server = None
         if event.is_final or request.is_established:
-            self.requests.pop(event.id, None)
+            self.requests.pop(event.request_id, None)
         else:
             self._place(request)
 
     def _on_disconnected(self, event: interface.ClientDisconnected) -> None:
-        request = self.requests.pop(event.id, None)
+        request = self.requests.pop(event.request_id, None)
         if request and request.server:
             request.server.active -= 1
-            request.server.connections.pop(event.id, None)
+            request.server.connections.pop(event.request_id, None)
 
     # -- timers --------------------------------------------------------------------------------------
 
@@ -248,9 +248,9 @@
         self.actions.append(interface.SetTimer(at_us, self.timer_count))
 
     def _on_timer(self, event: interface.TimerFired) -> None:
-        if event.ref not in self.timers:
+        if event.timer_id not in self.timers:
             return
-        request_id = self.timers.pop(event.ref)
+        request_id = self.timers.pop(event.timer_id)
         if request_id is None:
             self._round()
         elif request := self.requests.get(request_id):
@@ -262,7 +262,7 @@
             return
         if request.server:
             if self.settings.may_cancel:
-                self.actions.append(interface.CancelAttempt(request.event.id, len(request.tried) - 1))
+                self.actions.append(interface.CancelAttempt(request.event.request_id, len(request.tried) - 1))
             request.server.active -= 1
         self._reject(request)
 
@@ -280,7 +280,7 @@
         self.on_round()
 
     def _on_health_check_result(self, event: interface.HealthCheckResult) -> None:
-        server = self.servers.get(event.server)
+        server = self.servers.get(event.server_id)
         if server is None:
             return
         if event.outcome == AttemptOutcome.SERVED:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -58,7 +58,7 @@
         for action in actions:
             self.action_log.append((self.now_us, action))
             if isinstance(action, interface.SetTimer):
-                self.timers.append((action.at_us, action.ref))
+                self.timers.append((action.at_us, action.timer_id))
         return actions
 
     def advance(self, duration_us: int) -> list[interface.Action]:
@@ -91,7 +91,7 @@
 
     def actions_for(self, request_id: str) -> list[interface.Action]:
         """Returns all actions on that request so far."""
-        return [action for _, action in self.action_log if getattr(action, "id", None) == request_id]
+        return [action for _, action in self.action_log if getattr(action, "request_id", None) == request_id]
 
     def attempts_of(self, request_id: str) -> list[interface.StartAttempt]:
         """Returns the attempts of that request so far."""
@@ -100,13 +100,13 @@
     def establish(self, request_id: str) -> None:
         """Establishes the request's last attempt."""
         attempts = self.attempts_of(request_id)
-        self.deliver(interface.ConnectionEstablished(request_id, len(attempts) - 1, attempts[-1].server, 1000))
+        self.deliver(interface.ConnectionEstablished(request_id, len(attempts) - 1, attempts[-1].server_id, 1000))
 
     def end_attempt(self, request_id: str, outcome: interface.AttemptOutcome, is_final: bool = False) -> None:
         """Ends the request's last attempt, or its connection."""
         attempts = self.attempts_of(request_id)
         last = len(attempts) - 1
-        self.deliver(interface.AttemptEnded(request_id, last, attempts[-1].server, outcome, is_final, 1000))
+        self.deliver(interface.AttemptEnded(request_id, last, attempts[-1].server_id, outcome, is_final, 1000))
 
 
 @pytest.fixture
--- a/tests/routing/scenarios.py
+++ b/tests/routing/scenarios.py
@@ -43,13 +43,13 @@
     report_loads(harness, dict.fromkeys(loads, 0.3))
     for n in range(connections_each * len(loads)):
         harness.establish(harness.send_request(key=n, load=10_000))
-    servers = {server.id: server for server in harness.balancer.servers.values()}
+    servers = {server.server_id: server for server in harness.balancer.servers.values()}
     requests = list(harness.balancer.requests.values())
     for server in servers.values():
         server.connections.clear()
     for n, request in enumerate(requests):
         request.server = servers[list(loads)[n % len(loads)]]
-        request.server.connections[request.event.id] = request
+        request.server.connections[request.event.request_id] = request
     return harness
 
 
--- a/tests/routing/test_admission.py
+++ b/tests/routing/test_admission.py
@@ -153,7 +153,7 @@
         harness.establish(name)
     for _ in range(6):
         harness.deliver(
-            *(interface.ConnectionFeedback(n, harness.attempts_of(n)[0].server, None, 500_000.0) for n in names)
+            *(interface.ConnectionFeedback(n, harness.attempts_of(n)[0].server_id, None, 500_000.0) for n in names)
         )
         harness.advance(SECOND // 2)
     cut_cap = harness.balancer.admission.load_cap
@@ -209,7 +209,7 @@
     harness = make_harness(names=("a:1", "b:1", "c:1", "d:1"))
     names = [harness.send_request(key=n) for n in range(30)]
     for name in names:
-        if harness.attempts_of(name)[-1].server == "a:1":
+        if harness.attempts_of(name)[-1].server_id == "a:1":
             harness.end_attempt(name, interface.AttemptOutcome.BROKEN)
     harness.advance(SECOND)
     assert harness.balancer.admission.load_cap == float("inf")
--- a/tests/routing/test_connection_concurrency.py
+++ b/tests/routing/test_connection_concurrency.py
@@ -98,20 +98,24 @@
     for n, end in enumerate([*ends, *["full"] * 200]):
         now += TICK
         actions = b.handle(now, [interface.Request(f"r{n}", "read", now + SECOND, n)] if n < len(ends) else [])
-        out = {a.id: a for a in actions if isinstance(a, interface.StartAttempt)}
+        out = {a.request_id: a for a in actions if isinstance(a, interface.StartAttempt)}
         for id_, a in out.items():
             tries[id_] = tries.get(id_, -1) + 1
             events = {
-                "up": interface.ConnectionEstablished(id_, tries[id_], a.server, 9000),
+                "up": interface.ConnectionEstablished(id_, tries[id_], a.server_id, 9000),
                 "left": interface.ClientDisconnected(id_),
             }
-            again = b.handle(now, [events.get(end) or interface.AttemptEnded(id_, tries[id_], a.server, end, False)])
+            again = b.handle(now, [events.get(end) or interface.AttemptEnded(id_, tries[id_], a.server_id, end, False)])
             for x in again:
                 if isinstance(x, interface.StartAttempt):
-                    tries[x.id] = tries.get(x.id, -1) + 1
+                    tries[x.request_id] = tries.get(x.request_id, -1) + 1
                     b.handle(
                         now,
-                        [interface.AttemptEnded(x.id, tries[x.id], x.server, interface.AttemptOutcome.ERROR, False)],
+                        [
+                            interface.AttemptEnded(
+                                x.request_id, tries[x.request_id], x.server_id, interface.AttemptOutcome.ERROR, False
+                            )
+                        ],
                     )
         standing = sum(1 for f in b.requests.values() if not f.server and f.attempts and not f.attempts[-1].outcome)
         assert b.concurrency.pending == standing
--- a/tests/routing/test_failure_domains.py
+++ b/tests/routing/test_failure_domains.py
@@ -137,7 +137,7 @@
     harness.advance(10_000)
     names = [harness.send_request(key=n, group=n) for n in range(40)]
     harness.advance(100_000)
-    assert {harness.attempts_of(n)[0].server[0] for n in names} == {"a"}
+    assert {harness.attempts_of(n)[0].server_id[0] for n in names} == {"a"}
     # After one answer no server is ejected for the partition: a part is used at once, and then all.
     harness.deliver(interface.HealthCheckResult("b3:1", interface.AttemptOutcome.SERVED, 1000, {"load_ratio": 0.1}))
     harness.advance(4 * domains.RECOVERY_STEP_US)
@@ -151,7 +151,7 @@
     time_out_checks(harness, "b0:1", "b1:1", "b2:1")
     harness.action_log.clear()
     harness.advance(5 * SECOND)
-    checked = [a for _, a in harness.action_log if isinstance(a, interface.SendHealthCheck) and a.server[0] == "b"]
+    checked = [a for _, a in harness.action_log if isinstance(a, interface.SendHealthCheck) and a.server_id[0] == "b"]
     assert 4 <= len(checked) <= 20
 
 
--- a/tests/routing/test_health_checks.py
+++ b/tests/routing/test_health_checks.py
@@ -27,7 +27,7 @@
     harness.balancer.health_checks.budget.tokens = 60.0
     checked: list[str] = []
     for _ in loads:
-        now = [a.server for a in harness.advance(SECOND // 2) if isinstance(a, interface.SendHealthCheck)]
+        now = [a.server_id for a in harness.advance(SECOND // 2) if isinstance(a, interface.SendHealthCheck)]
         harness.deliver(
             *(
                 interface.HealthCheckResult(name, interface.AttemptOutcome.SERVED, 1000, {"load_ratio": 0.3})
--- a/tests/routing/test_load_estimation.py
+++ b/tests/routing/test_load_estimation.py
@@ -125,7 +125,7 @@
     harness.advance(3 * SECOND)
     name = harness.send_request(key=99, load=100)
     harness.advance(SECOND // 10)  # no health check is answered
-    sent = harness.balancer.servers[harness.attempts_of(name)[0].server]
+    sent = harness.balancer.servers[harness.attempts_of(name)[0].server_id]
     for later, load, observed in ((0, 0.3, 0.4), (2 * SECOND, 0.4, 0.4)):
         harness.now_us += later
         harness.deliver()
@@ -141,7 +141,7 @@
     for n in range(12):
         harness.deliver(interface.OpenConnection(interface.Request(f"o{n}", "read", 0, n), "a:1"))
     harness.advance(SECOND)
-    assert "a:1" in {a.server for _, a in harness.action_log if isinstance(a, interface.SendHealthCheck)}
+    assert "a:1" in {a.server_id for _, a in harness.action_log if isinstance(a, interface.SendHealthCheck)}
 
 
 @given(st.lists(st.tuples(st.integers(0, 4_000_000), st.floats(0, 5e6)), min_size=1, max_size=20))
@@ -185,7 +185,7 @@
     ]
     capacity = CapacityEstimator(
         batch,
-        {s.id: s for s in servers},
+        {s.server_id: s for s in servers},
         LoadEstimator(batch, settings()),
         ClientSessions(batch, SECOND),
         ConnectionLoads(),
--- a/tests/routing/test_many_balancers.py
+++ b/tests/routing/test_many_balancers.py
@@ -49,7 +49,7 @@
     """Sends a request and establishes its attempt. Returns its id."""
     name = harness.send_request(**over)
     harness.advance(50_000)  # the wait for health checks
-    server = [a.server for a in harness.actions_for(name) if isinstance(a, interface.StartAttempt)][-1]
+    server = [a.server_id for a in harness.actions_for(name) if isinstance(a, interface.StartAttempt)][-1]
     harness.deliver(
         interface.ConnectionEstablished(
             name, len([a for a in harness.actions_for(name) if isinstance(a, interface.StartAttempt)]) - 1, server, 1000
@@ -59,7 +59,7 @@
 
 
 def server_of(harness: Harness, name: str) -> str:
-    return harness.balancer.requests[name].server.id
+    return harness.balancer.requests[name].server.server_id
 
 
 @given(group=st.integers(0, 1 << 62), seeds=st.lists(st.integers(0, 999), min_size=2, max_size=5))
@@ -70,7 +70,7 @@
         for s in harness.balancer.servers.values():
             s.weight = 1 + (seed + s.hash) % 3  # weights differ among balancers
         name = harness.send_request(group=group)
-        orders.append([s.id for s in harness.balancer.requests[name].candidates])
+        orders.append([s.server_id for s in harness.balancer.requests[name].candidates])
     assert all(order == orders[0] for order in orders)
 
 
@@ -95,7 +95,7 @@
     out = []
     for n, x in enumerate(NAMES[4:]):
         out += harness.deliver(interface.AttemptEnded(f"o{n}", 0, x, interface.AttemptOutcome.BROKEN, True, 0, {}))
-    assert {a.server for a in out if isinstance(a, interface.SendHealthCheck)} == set(NAMES[4:])
+    assert {a.server_id for a in out if isinstance(a, interface.SendHealthCheck)} == set(NAMES[4:])
     harness.deliver(*(interface.HealthCheckResult(x, interface.AttemptOutcome.NO_CONNECTION) for x in NAMES[4:]))
 
 
@@ -243,8 +243,8 @@
     batch, s = EventBatch(), Server("a:1", "", 0, 7, started_us=T0)
     loads = LoadEstimator(batch, rules)
     loads.fleet_load = 0.6
-    capacity = CapacityEstimator(batch, {s.id: s}, loads, ClientSessions(batch, SECOND), ConnectionLoads())
-    budgets = SlowStart(batch, rules, {s.id: s}, loads, capacity, salt=0)
+    capacity = CapacityEstimator(batch, {s.server_id: s}, loads, ClientSessions(batch, SECOND), ConnectionLoads())
+    budgets = SlowStart(batch, rules, {s.server_id: s}, loads, capacity, salt=0)
     budgets.reference_load = 100_000.0
     sent: list[tuple[int, float]] = []
     for ms in range(begin_ms, 9000, 20):
@@ -275,7 +275,7 @@
     assert len(harness.balancer.slow_start.warming) == 5 and budgets_total > 0
     names = [harness.send_request(key=n, load=1000, group=n) for n in range(400)]
     harness.advance(50_000)
-    to = [a.server for x in names for a in harness.actions_for(x) if isinstance(a, interface.StartAttempt)]
+    to = [a.server_id for x in names for a in harness.actions_for(x) if isinstance(a, interface.StartAttempt)]
     assert to and set(to) <= set(NAMES[4:])  # requests beyond the cap go to warming servers only
     assert 1000 * len(to) <= budgets_total + 1000 * len(NAMES[4:])
     assert sum(isinstance(a, interface.Reject) for x in names for a in harness.actions_for(x)) == 400 - len(to)
@@ -286,14 +286,14 @@
         harness = full_fleet_with_warming_servers(load=load)
         harness.balancer.admission.load_cap = float("inf")
         harness.balancer.admission.may_admit_newcomers = True
-        warming_ids = {s.id for s in harness.balancer.slow_start.warming}
+        warming_ids = {s.server_id for s in harness.balancer.slow_start.warming}
         for s in harness.balancer.slow_start.warming:
             s.slow_start_sends = [TimedLoad(harness.now_us, -1e9)]  # budget for all
         warming_flags = []
         for n in range(20):
             harness.balancer.health_checks.budget.tokens = 0.0
             f = harness.balancer.requests[harness.send_request(key=n, load=1000, group=n)]
-            warming_flags.append([s.id in warming_ids for s in f.candidates])
+            warming_flags.append([s.server_id in warming_ids for s in f.candidates])
         assert all(a[0] for a in warming_flags) == first
 
 
@@ -320,7 +320,7 @@
     for seed in range(40):
         harness = one_of_forty(seed)
         harness.balancer.health_checks.budget.tokens = 60.0
-        first.append(next(a.server for a in harness.advance(SECOND) if isinstance(a, interface.SendHealthCheck)))
+        first.append(next(a.server_id for a in harness.advance(SECOND) if isinstance(a, interface.SendHealthCheck)))
     assert max(map(first.count, NAMES)) <= 14 and len(set(first)) == len(NAMES)
 
 
--- a/tests/routing/test_migration.py
+++ b/tests/routing/test_migration.py
@@ -22,7 +22,7 @@
     moved: list[str] = []
     paces = []
     for _ in range(4):
-        now = [a.id for a in harness.advance(SECOND // 2) if isinstance(a, interface.Migrate)]
+        now = [a.request_id for a in harness.advance(SECOND // 2) if isinstance(a, interface.Migrate)]
         paces.append(len(now))
         moved += now
         for name in now:
@@ -46,7 +46,7 @@
 def test_single_overloaded_server_is_relieved_down_to_the_load_of_the_others(make_harness) -> None:
     loads = {"a:1": 0.3, "b:1": 0.3, "c:1": 0.3, "d:1": 0.3, "e:1": 1.5}
     harness = with_loaded_servers(make_harness, loads, connections_each=10)
-    moved = {a.id for a in run_rounds(harness, loads, 1) if isinstance(a, interface.Migrate)}
+    moved = {a.request_id for a in run_rounds(harness, loads, 1) if isinstance(a, interface.Migrate)}
     assert len(moved) >= 6, "down to half of its capacity"
     assert moved <= set(harness.balancer.servers["e:1"].connections)
 
@@ -55,7 +55,7 @@
     loads = {"a:1": 0.25, "b:1": 0.25, "c:1": 0.25, "d:1": 0.25}
     harness = with_loaded_servers(make_harness, loads, connections_each=10)
     assert not [a for a in run_rounds(harness, loads, ENOUGH_ROUNDS) if isinstance(a, interface.Migrate)]
-    moved = {a.id for a in run_rounds(harness, loads | {"d:1": 0.9}, 3) if isinstance(a, interface.Migrate)}
+    moved = {a.request_id for a in run_rounds(harness, loads | {"d:1": 0.9}, 3) if isinstance(a, interface.Migrate)}
     assert len(moved) >= 6 and moved <= set(harness.balancer.servers["d:1"].connections)
 
 
--- a/tests/routing/test_operator_overrides.py
+++ b/tests/routing/test_operator_overrides.py
@@ -26,11 +26,11 @@
     names = [harness.send_request(key=n) for n in range(40)]
     for name in names:
         harness.establish(name)
-    there = [n for n in names if harness.attempts_of(n)[-1].server == NAMES[0]]
+    there = [n for n in names if harness.attempts_of(n)[-1].server_id == NAMES[0]]
     assert there
     harness.deliver(interface.OperatorOverride(NAMES[0], True), interface.OperatorOverride(NAMES[0], True))
     harness.advance(3 * SECOND)
-    assert sorted({a.id for _, a in harness.action_log if isinstance(a, interface.Migrate)}) == sorted(there)
+    assert sorted({a.request_id for _, a in harness.action_log if isinstance(a, interface.Migrate)}) == sorted(there)
 
 
 def establish_connections(harness: Harness, number: int) -> None:
@@ -50,7 +50,7 @@
                 for name, x in loads.items()
             )
         )
-        migrated |= {a.id for a in harness.advance(SECOND // 2) if isinstance(a, interface.Migrate)}
+        migrated |= {a.request_id for a in harness.advance(SECOND // 2) if isinstance(a, interface.Migrate)}
     return migrated
 
 
@@ -253,9 +253,9 @@
         else:
             harness.advance(rng.choice([10_000, 100_000, SECOND]))
         for _, a in harness.action_log[read:]:
-            assert not (isinstance(a, interface.StartAttempt | interface.SendHealthCheck) and a.server in suspended), (
-                f"{a} while it is suspended"
-            )
+            assert not (
+                isinstance(a, interface.StartAttempt | interface.SendHealthCheck) and a.server_id in suspended
+            ), f"{a} while it is suspended"
         read = len(harness.action_log)
     for name in suspended:
         harness.deliver(interface.OperatorOverride(name, False))
--- a/tests/routing/test_outlier_ejection.py
+++ b/tests/routing/test_outlier_ejection.py
@@ -33,4 +33,4 @@
         harness.balancer.servers[name].ejected_until_us = 0
     again = harness.send_request(key=2)
     harness.advance(SECOND // 10)
-    assert harness.attempts_of(again)[0].server != "c:1", "the server that is still ejected receives nothing"
+    assert harness.attempts_of(again)[0].server_id != "c:1", "the server that is still ejected receives nothing"
--- a/tests/routing/test_random_events.py
+++ b/tests/routing/test_random_events.py
@@ -128,8 +128,8 @@
         before = self.endpoints[self.rng.choice(sorted(self.endpoints))]
         state = self.rng.choice([EndpointState.READY, EndpointState.READY, EndpointState.DRAINING, EndpointState.GONE])
         started_us = self.rng.choice([0, now_us])
-        endpoint = Endpoint(before.server, state, before.zone, before.cell, 1.0, started_us)
-        spans = self.not_ready_spans[before.server]
+        endpoint = Endpoint(before.server_id, state, before.zone, before.cell, 1.0, started_us)
+        spans = self.not_ready_spans[before.server_id]
         if spans and spans[-1][1] > now_us:
             spans[-1][1] = now_us
         if state != EndpointState.READY:
@@ -141,14 +141,14 @@
         rng = self.rng
         for _, action in self.harness.action_log[self._read_count :]:
             if isinstance(action, StartAttempt):
-                ended_count = len(self.outcomes.setdefault(action.id, {}))
-                number = ended_count + sum(pending.request_id == action.id for pending in self._pending)
+                ended_count = len(self.outcomes.setdefault(action.request_id, {}))
+                number = ended_count + sum(pending.request_id == action.request_id for pending in self._pending)
                 ends_at_us = self.harness.now_us + rng.choice([1_000, 90_000, 2 * SECOND])
-                self._pending.append(PendingAttempt(ends_at_us, action.id, number, action.server))
+                self._pending.append(PendingAttempt(ends_at_us, action.request_id, number, action.server_id))
             elif isinstance(action, SendHealthCheck) and rng.random() < 0.8:
                 outcome = rng.choice(ATTEMPT_OUTCOMES)
                 report = {"load_ratio": rng.choice([0.1, 0.5, 0.7, 1.4])}
-                self.harness.deliver(HealthCheckResult(action.server, outcome, 1000, report))
+                self.harness.deliver(HealthCheckResult(action.server_id, outcome, 1000, report))
         self._read_count = len(self.harness.action_log)
 
     def _end_due_attempts(self) -> None:
@@ -191,24 +191,24 @@
 
     def _check_attempt(self, at_us: int, action: StartAttempt) -> None:
         run = self.run
-        assert action.id not in self.answered_at_us, "sent after its final answer"
-        assert at_us < run.established_at_us.get(action.id, FOREVER_US), "sent after it was established"
-        spans = run.not_ready_spans[action.server]
+        assert action.request_id not in self.answered_at_us, "sent after its final answer"
+        assert at_us < run.established_at_us.get(action.request_id, FOREVER_US), "sent after it was established"
+        spans = run.not_ready_spans[action.server_id]
         assert not any(start < at_us < end for start, end in spans), "sent to a draining server"
-        attempts = self.sent.setdefault(action.id, [])
-        outcomes = run.outcomes.get(action.id, {})
+        attempts = self.sent.setdefault(action.request_id, [])
+        outcomes = run.outcomes.get(action.request_id, {})
         assert all(number in outcomes for number in range(len(attempts))), "two attempts in flight"
         executed = [sent for n, sent in enumerate(attempts) if outcomes.get(n) not in NOT_EXECUTED_OUTCOMES]
         if executed and run.idempotency != Idempotency.SAFE:
             self._check_retry(at_us, action, executed[0])
-        attempts.append(SentAttempt(at_us, action.server))
+        attempts.append(SentAttempt(at_us, action.server_id))
         assert len(attempts) <= run.harness.settings.max_attempts
 
     def _check_retry(self, at_us: int, action: StartAttempt, first: SentAttempt) -> None:
         run = self.run
         assert run.idempotency == Idempotency.KEYED, "an unsafe request was retried"
         assert at_us <= first.at_us + WINDOW_US, "outside the window"
-        before, now = run.endpoints[first.server], run.endpoints[action.server]
+        before, now = run.endpoints[first.server], run.endpoints[action.server_id]
         if run.scope == IdempotencyScope.ZONE:
             assert before.zone == now.zone
         elif run.scope == IdempotencyScope.CELL:
@@ -216,12 +216,12 @@
 
     def _check_answer(self, at_us: int, action: Reject | Fail) -> None:
         run = self.run
-        assert action.id not in self.answered_at_us, "two final answers"
-        self.answered_at_us[action.id] = at_us
+        assert action.request_id not in self.answered_at_us, "two final answers"
+        self.answered_at_us[action.request_id] = at_us
         has_global_key = (run.idempotency, run.scope) == (Idempotency.KEYED, IdempotencyScope.ALL)
         if isinstance(action, Reject) and run.idempotency != Idempotency.SAFE and not has_global_key:
-            outcomes = run.outcomes.get(action.id, {})
-            attempt_count = len(self.sent.get(action.id, []))
+            outcomes = run.outcomes.get(action.request_id, {})
+            attempt_count = len(self.sent.get(action.request_id, []))
             assert all(outcomes.get(number) in NOT_EXECUTED_OUTCOMES for number in range(attempt_count))
 
 
--- a/tests/routing/test_server_selection.py
+++ b/tests/routing/test_server_selection.py
@@ -10,7 +10,7 @@
 def test_draining_server_receives_nothing(make_harness) -> None:
     harness = make_harness(names=("a:1", "b:1"))
     harness.list_servers("a:1", kind=interface.EndpointListKind.CHANGES, state=interface.EndpointState.DRAINING)
-    assert {harness.attempts_of(harness.send_request(key=n))[0].server for n in range(20)} == {"b:1"}
+    assert {harness.attempts_of(harness.send_request(key=n))[0].server_id for n in range(20)} == {"b:1"}
 
 
 def test_group_gets_the_same_server_at_every_balancer(make_harness) -> None:
@@ -18,7 +18,7 @@
     picked = set()
     for seed in range(8):
         harness = make_harness(seed=seed, names=names)
-        picked.add(harness.attempts_of(harness.send_request(key=seed, group=77))[0].server)
+        picked.add(harness.attempts_of(harness.send_request(key=seed, group=77))[0].server_id)
     assert len(picked) == 1
 
 
--- a/tests/routing/test_slow_start.py
+++ b/tests/routing/test_slow_start.py
@@ -17,7 +17,7 @@
     sent = 0
     for n in range(100, 200):
         harness.advance(20_000)
-        sent += harness.attempts_of(harness.send_request(key=n))[0].server == "c:1"
+        sent += harness.attempts_of(harness.send_request(key=n))[0].server_id == "c:1"
     # 2 s at some 40 connections a server: a tenth of that over a slow start of 20 s, times 3.
     assert sent <= 3
 
@@ -53,7 +53,7 @@
             harness.now_us = born + 4 * SECOND + step * 40_000
             name = harness.send_request(key=1000 + step, load=load, life_us=SECOND)
             sent = harness.attempts_of(name)
-            if sent and sent[0].server == "cold:1":
+            if sent and sent[0].server_id == "cold:1":
                 at.append(harness.now_us)
             harness.end_attempt(name, interface.AttemptOutcome.CANCELLED, is_final=True) if sent else None
     full = count * 10 / 5 / 0.5  # connections that fill a server
--- a/tests/simulation/days.py
+++ b/tests/simulation/days.py
@@ -54,18 +54,18 @@
             if e.kind in ("full", "remembered"):
                 self.ready = {}
             for x in e.entries:
-                self.ready[x.server] = x.state == "ready"
+                self.ready[x.server_id] = x.state == "ready"
         if isinstance(e, interface.Request):
             return self.on_request(e)
         if isinstance(e, interface.AttemptEnded) and not e.is_final:
-            return [interface.Fail(e.id)]
+            return [interface.Fail(e.request_id)]
         return []
 
     def first(self) -> str:
         return next((s for s, ready in self.ready.items() if ready), next(iter(self.ready)))
 
     def on_request(self, e: interface.Request) -> list[interface.Action]:
-        return [interface.StartAttempt(e.id, self.first(), e.deadline_us - self.now - 10_000)]
+        return [interface.StartAttempt(e.request_id, self.first(), e.deadline_us - self.now - 10_000)]
 
 
 __all__ = ["InputFileError", "FleetSimulation", "PATH", "PolicyFailedError", "Scripted", "SMALL", "day", "experiment"]
--- a/tests/simulation/test_hard_cases.py
+++ b/tests/simulation/test_hard_cases.py
@@ -35,7 +35,7 @@
     at(d, 2.05)
     events = [e for h in d.balancers for e in h.policy.events]
     ends = [e for e in events if isinstance(e, interface.AttemptEnded) and e.outcome == "broken"]
-    assert {e.id for e in ends} >= {a.request.id for a in setting}
+    assert {e.request_id for e in ends} >= {a.request.id for a in setting}
     assert not any(i.opening or i.queue or i.running for i in d.instances.values() if not i.up)
     at(d, 9.0)  # jobs of the old process do not end in the new one
     assert all(i.running >= 0 and i.busy >= 0 for i in d.instances.values())
@@ -122,13 +122,15 @@
         def on(self, e):
             out = super().on(e)
             if isinstance(e, interface.ConnectionEstablished):
-                self.ids.append(e.id)
+                self.ids.append(e.request_id)
             return out + [interface.Migrate(i) for i in self.ids[-3:]]
 
     d = day(make=Mover, clients={"move_ms": 5.0})
     s = d.run()
     assert s["counts"]["moved"] > 50
-    ends = [(e.id, e.attempt) for h in d.balancers for e in h.policy.events if isinstance(e, interface.AttemptEnded)]
+    ends = [
+        (e.request_id, e.attempt) for h in d.balancers for e in h.policy.events if isinstance(e, interface.AttemptEnded)
+    ]
     assert len(ends) == len(set(ends)), "an attempt ended twice"
     assert not any(s["rules"].values())
 
@@ -184,7 +186,7 @@
             exec(f"def act():\n    {broken}", scope)
             out = scope["act"]()
             starts = interface.StartAttempt
-            return [starts(e.id, a.server, 5) if isinstance(a, starts) else a for a in out]
+            return [starts(e.request_id, a.server_id, 5) if isinstance(a, starts) else a for a in out]
 
     s = day(make=Broken).run()
     assert s["failure"] and s["worth"] is None
--- a/tests/simulation/test_rules.py
+++ b/tests/simulation/test_rules.py
@@ -35,7 +35,7 @@
 def test_a_send_after_the_end() -> None:
     class Late(Scripted):
         def on_request(self, e):
-            return [interface.Reject(e.id), interface.StartAttempt(e.id, self.first(), 1000)]
+            return [interface.Reject(e.request_id), interface.StartAttempt(e.request_id, self.first(), 1000)]
 
     assert "after its end" in only(run(Late), "answered")["text"]
 
@@ -43,7 +43,7 @@
 def test_two_attempts_at_once() -> None:
     class Twice(Scripted):
         def on_request(self, e):
-            return [*super().on_request(e), interface.StartAttempt(e.id, list(self.ready)[1], 1000)]
+            return [*super().on_request(e), interface.StartAttempt(e.request_id, list(self.ready)[1], 1000)]
 
     assert only(run(Twice), "repeated")["text"] == "two attempts at once"
 
@@ -70,7 +70,7 @@
             if isinstance(e, interface.EndpointList):
                 for x in e.entries:
                     if x.started_us:
-                        self.latest = x.server if x.state == "ready" else None
+                        self.latest = x.server_id if x.state == "ready" else None
             return super().on(e)
 
         def first(self):
@@ -102,7 +102,7 @@
     class Cutter(Scripted):
         def on(self, e):
             if isinstance(e, interface.ConnectionEstablished):
-                return [interface.CancelAttempt(e.id, e.attempt)]
+                return [interface.CancelAttempt(e.request_id, e.attempt)]
             return super().on(e)
 
     assert "without MOVE" in only(run(Cutter), "cut off")["text"]
