--- /dev/null
+++ b/tests/net/loopback_delivery.py
@@ -0,0 +1,58 @@
+"""Waits for the kernel, so that a clock set by a test does not run ahead of data and connections on loopback.
+
+On a busy machine the kernel delivers loopback packets tens of milliseconds late, while seconds of the manual clock pass.
+"""
+
+from __future__ import annotations
+
+import socket
+import time
+
+import uvloop
+
+MAX_CONNECT_WAIT_S = 1.0  # a connect to a full backlog stays pending, and is not waited for any longer
+
+
+class ConnectTrackingLoop(uvloop.Loop):
+    """An event loop that knows which of its connects are pending.
+
+    Attributes:
+        connects_started: for each socket that is connecting, when it began, in seconds of the monotonic clock.
+    """
+
+    def __init__(self) -> None:
+        super().__init__()
+        self.connects_started: dict[socket.socket, float] = {}
+
+    async def sock_connect(self, sock: socket.socket, address: object) -> None:
+        """Connects a socket as the loop does, and records it until that has ended."""
+        self.connects_started[sock] = time.monotonic()
+        try:
+            await super().sock_connect(sock, address)
+        finally:
+            del self.connects_started[sock]
+
+    def has_pending_connect(self) -> bool:
+        """Returns whether a connect is pending that the kernel may still complete."""
+        oldest = time.monotonic() - MAX_CONNECT_WAIT_S
+        return any(started > oldest for started in self.connects_started.values())
+
+
+class DeliveryBarrier:
+    """A loopback connection of its own, whose data arrives after the data that was sent before."""
+
+    def __init__(self) -> None:
+        with socket.create_server(("127.0.0.1", 0)) as listener:
+            self._sender = socket.create_connection(listener.getsockname())
+            self._receiver = listener.accept()[0]
+        self._sender.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+
+    def wait(self) -> None:
+        """Sends a byte and blocks until it has arrived."""
+        self._sender.send(b".")
+        self._receiver.recv(1)
+
+    def close(self) -> None:
+        """Closes both ends."""
+        self._sender.close()
+        self._receiver.close()
--- a/tests/net/rig.py
+++ b/tests/net/rig.py
@@ -9,13 +9,12 @@
 import struct
 from collections.abc import Awaitable, Callable
 
-import uvloop
-
 from glenrock.config import parse_config
 from glenrock.net.client_connection import ClientConnection
 from glenrock.net.clock import ManualClock
 from glenrock.program import Program
 
+from .loopback_delivery import ConnectTrackingLoop, DeliveryBarrier
 from .settings import SETTINGS
 
 REQUEST_LINE = b"OPEN x1 1 c=look,d=1500\r\n"
@@ -50,6 +49,9 @@
 
     def __init__(self) -> None:
         self.clock, self.listeners, self.open_sockets = ManualClock(), {}, []
+        self.loop = asyncio.get_running_loop()
+        assert isinstance(self.loop, ConnectTrackingLoop)
+        self.delivery = DeliveryBarrier()
 
     async def open(self, *names: str, effect: str = "safe", **over) -> LoopbackRig:
         self.listeners = {name: create_listener() for name in names or ("s1",)}
@@ -156,8 +158,12 @@
         await self.run_loop()
 
     async def run_loop(self) -> None:
+        """Runs the loop ten times, and until the kernel has delivered and connected what is under way."""
         for _ in range(10):
             await asyncio.sleep(0.0002)
+            self.delivery.wait()
+        while self.loop.has_pending_connect():
+            await asyncio.sleep(0)
 
     async def start_request(self) -> tuple[socket.socket, socket.socket, ClientConnection]:
         """Starts a program with a request that waits for the answer of its server."""
@@ -189,6 +195,11 @@
 
 def run_on_rig(scenario: Callable[[LoopbackRig], Awaitable[None]]) -> None:
     async def play() -> None:
-        await asyncio.wait_for(scenario(LoopbackRig()), 20)
+        rig = LoopbackRig()
+        try:
+            await asyncio.wait_for(scenario(rig), 20)
+        finally:
+            rig.delivery.close()
 
-    uvloop.run(play())
+    with asyncio.Runner(loop_factory=ConnectTrackingLoop) as runner:
+        runner.run(play())
