--- a/glenrock/routing/capacity_estimation.py
+++ b/glenrock/routing/capacity_estimation.py
@@ -138,7 +138,12 @@
         self._measure_capacities(observed, tier_load)
         self._update_capacity_ratios(observed)
         weights = self._weights(observed)
-        return sum(weight * load for weight, (_, load) in zip(weights, observed, strict=True)) / sum(weights)
+        total_weight = sum(weights)
+        if (
+            total_weight == 0
+        ):  # the median server reports no load, and no observed server has a usual capacity
+            return sum(load for _, load in observed) / len(observed)
+        return sum(weight * load for weight, (_, load) in zip(weights, observed, strict=True)) / total_weight
 
     def _weights(self, observed: Sequence[ObservedLoad]) -> list[float]:
         """Returns the weight of each server in the mean.
--- a/tests/net/loopback_delivery.py
+++ b/tests/net/loopback_delivery.py
@@ -1,12 +1,14 @@
 """Waits for the kernel, so that a clock set by a test does not run ahead of data and connections on loopback.
 
-On a busy machine the kernel delivers loopback packets tens of milliseconds late, while seconds of the manual clock pass.
+On a busy machine the kernel delivers loopback packets tens of milliseconds late. The manual clock, which a test
+advances, may pass seconds meanwhile.
 """
 
 from __future__ import annotations
 
 import socket
 import time
+from typing import Any
 
 import uvloop
 
@@ -24,7 +26,7 @@
         super().__init__()
         self.connects_started: dict[socket.socket, float] = {}
 
-    async def sock_connect(self, sock: socket.socket, address: object) -> None:
+    async def sock_connect(self, sock: socket.socket, address: Any) -> None:
         """Connects a socket as the loop does, and records it until that has ended."""
         self.connects_started[sock] = time.monotonic()
         try:
--- a/tests/routing/test_capacity_estimation.py
+++ b/tests/routing/test_capacity_estimation.py
@@ -6,8 +6,9 @@
 from conftest import SECOND
 
 from glenrock.routing import interface
+from glenrock.routing.capacity_estimation import ObservedLoad
 
-from .scenarios import run_rounds, with_loaded_servers
+from .scenarios import report_loads, run_rounds, with_loaded_servers
 
 
 def test_unreachable_servers_do_not_count_in_the_mean_load(make_harness) -> None:
@@ -46,3 +47,12 @@
     run_rounds(harness, many, 4)
     run_rounds(harness, {name: 1.1 for name in list(many)[:3]}, 1)
     assert harness.balancer.loads.fleet_load < 0.7, "three of twenty servers do not determine the mean"
+
+
+def test_mean_load_without_any_weight_is_the_plain_mean(make_harness) -> None:
+    """The median server reports no load and is not observed; the observed servers have no usual capacity."""
+    harness = make_harness(may_health_check=True, load_report_fields=("load_ratio",), names=("a:1", "b:1", "c:1"))
+    report_loads(harness, {"a:1": 0.0, "b:1": 2.0, "c:1": 3.0})
+    report_loads(harness, {"b:1": 0.0})
+    observed = [ObservedLoad(harness.balancer.servers[name], load) for name, load in (("b:1", 2.0), ("c:1", 3.0))]
+    assert harness.balancer.capacity.mean_load(observed, tier_load=1.0) == pytest.approx(2.5)
--- a/tests/simulation/test_conservation.py
+++ b/tests/simulation/test_conservation.py
@@ -116,7 +116,7 @@
     assert -1e-6 <= earned <= asked * (1 + 1e-9) + 1e-6
 
 
-# Two servers that lose their capacity at once; drawn examples reach this only now and then (KNOWN-RED.txt).
+# Two servers that lose their capacity at once; drawn examples reach this only now and then.
 WITHOUT_CAPACITY = {
     "fleet": {"balancers": 2, "instances": 2},
     "traffic": {"load": 0.5, "group_cost": 0.0},
