--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -2,7 +2,9 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
+from dataclasses import replace
+from typing import Any, NamedTuple
 
 import pytest
 from known_red import (  # noqa: F401 - hooks
@@ -20,19 +22,34 @@
 SECOND = 1_000_000
 
 
-def settings(**over) -> interface.Settings:
-    """Returns settings of four balancers with one class; `over` replaces fields."""
-    base = dict(
-        classes=(interface.RequestClass("read", 300_000, 1_000_000, 60_000),),
-        balancers=4,
-        tick_us=4000,
-        max_attempts=4,
-        may_cancel=True,
-        may_gossip=True,
-        max_retry_after_us=2 * SECOND,
-    )
-    base.update(over)
-    return interface.Settings(**base)
+BASE_SETTINGS = interface.Settings(
+    classes=(interface.RequestClass("read", 300_000, 1_000_000, 60_000),),
+    balancers=4,
+    tick_us=4000,
+    max_attempts=4,
+    may_cancel=True,
+    may_gossip=True,
+    max_retry_after_us=2 * SECOND,
+)
+
+
+def settings(**fields: Any) -> interface.Settings:
+    """Returns settings of four balancers with one class; `fields` replaces fields of `interface.Settings`."""
+    return replace(BASE_SETTINGS, **fields)
+
+
+class PendingTimer(NamedTuple):
+    """Holds a timer that was set and has not fired."""
+
+    at_us: int
+    ref: int
+
+
+class LoggedAction(NamedTuple):
+    """Holds an action with the time of its batch."""
+
+    at_us: int
+    action: interface.Action
 
 
 class Harness:
@@ -40,25 +57,25 @@
 
     Attributes:
         now_us: simulated time.
-        timers: pending timers, as (time, reference).
-        action_log: all actions, each with its time.
+        timers: pending timers.
+        action_log: all actions so far.
     """
 
     def __init__(self, harness_settings: interface.Settings, seed: int = 1) -> None:
         self.settings = harness_settings
         self.balancer = Balancer(harness_settings, seed)
         self.now_us = T0
-        self.timers: list[tuple[int, int]] = []
-        self.action_log: list[tuple[int, interface.Action]] = []
+        self.timers: list[PendingTimer] = []
+        self.action_log: list[LoggedAction] = []
         self._request_count = 0
 
     def deliver(self, *events: interface.Event) -> list[interface.Action]:
         """Delivers one batch of events. Returns the actions."""
         actions = self.balancer.handle(self.now_us, list(events))
         for action in actions:
-            self.action_log.append((self.now_us, action))
+            self.action_log.append(LoggedAction(self.now_us, action))
             if isinstance(action, interface.SetTimer):
-                self.timers.append((action.at_us, action.ref))
+                self.timers.append(PendingTimer(action.at_us, action.ref))
         return actions
 
     def advance(self, duration_us: int) -> list[interface.Action]:
@@ -67,26 +84,26 @@
         actions: list[interface.Action] = []
         while True:
             due = min(self.timers, default=None)
-            if due is None or due[0] > end_us:
+            if due is None or due.at_us > end_us:
                 break
             self.timers.remove(due)
-            self.now_us = max(self.now_us, due[0])
-            actions += self.deliver(interface.TimerFired(due[1]))
+            self.now_us = max(self.now_us, due.at_us)
+            actions += self.deliver(interface.TimerFired(due.ref))
         self.now_us = end_us
         return actions
 
     def list_servers(
-        self, *names: str, kind: interface.EndpointListKind = interface.EndpointListKind.FULL, **over
+        self, *names: str, kind: interface.EndpointListKind = interface.EndpointListKind.FULL, **fields: Any
     ) -> list[interface.Action]:
-        """Delivers an endpoint list of these servers; `over` has further fields of each row."""
-        return self.deliver(interface.EndpointList(kind, tuple(interface.Endpoint(name, **over) for name in names)))
+        """Delivers an endpoint list of these servers; `fields` has further fields of each `interface.Endpoint`."""
+        return self.deliver(interface.EndpointList(kind, tuple(interface.Endpoint(name, **fields) for name in names)))
 
-    def send_request(self, key: int | None = None, life_us: int = SECOND, **over) -> str:
-        """Delivers a request with a deadline in `life_us`. Returns its id."""
+    def send_request(self, key: int | None = None, life_us: int = SECOND, **fields: Any) -> str:
+        """Delivers a request with a deadline in `life_us` and these `fields`. Returns its id."""
         self._request_count += 1
         request_id = f"r{self._request_count}"
-        over.setdefault("service", "read")
-        self.deliver(interface.Request(request_id, deadline_us=self.now_us + life_us, key=key, **over))
+        fields.setdefault("service", "read")
+        self.deliver(interface.Request(request_id, deadline_us=self.now_us + life_us, key=key, **fields))
         return request_id
 
     def actions_for(self, request_id: str) -> list[interface.Action]:
@@ -109,12 +126,16 @@
         self.deliver(interface.AttemptEnded(request_id, last, attempts[-1].server, outcome, is_final, 1000))
 
 
+HarnessFactory = Callable[..., Harness]
+"""Builds a harness from `seed`, the `names` of its listed servers, and fields of the settings."""
+
+
 @pytest.fixture
-def make_harness() -> Callable[..., Harness]:
+def make_harness() -> HarnessFactory:
     """Returns a function that builds a harness with listed servers."""
 
-    def build(seed: int = 1, names=("a:1", "b:1", "c:1"), **over) -> Harness:
-        harness = Harness(settings(**over), seed)
+    def build(seed: int = 1, names: Sequence[str] = ("a:1", "b:1", "c:1"), **fields: Any) -> Harness:
+        harness = Harness(settings(**fields), seed)
         harness.list_servers(*names)
         return harness
 
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,89 +1,124 @@
-"""Tests that fail for a real fault which is not mended yet: KNOWN-RED.txt at the root, one line each.
+"""Passes over tests that fail for a known fault: KNOWN-RED.txt at the root has a line for each of them.
 
     tests/test_x.py::test_y | the cause | the issue
 
-They run like all others, and their failure is passed over; the run fails where one of them passes, where a line names
-no test, and where there are more than three.
+These tests run like all others, and their failure is passed over. The run fails if one of them passes, if a line names
+no test, and if there are more than three lines. `conftest.py` imports the hooks.
 """
 
 from __future__ import annotations
 
 from pathlib import Path
+from typing import Protocol
 
 import pytest
 
-FILE, MOST = "KNOWN-RED.txt", 3
+FILE_NAME = "KNOWN-RED.txt"
+MAX_TESTS = 3
+COLUMN_COUNT = 3
+
+KNOWN: pytest.StashKey[dict[str, str]] = pytest.StashKey()
+"""Cause and issue of each listed test, by its id."""
+UNKNOWN: pytest.StashKey[set[str]] = pytest.StashKey()
+"""Listed ids that name no test, as the workers of pytest-xdist found them."""
+UNKNOWN_TESTS = "known_red_unknown_tests"
+"""Key of a worker's output."""
+
+
+class WorkerNode(Protocol):
+    """Holds what a hook uses of a worker of pytest-xdist; `workeroutput` is missing if the worker crashed."""
+
+    config: pytest.Config
 
 
-def read(text: str) -> dict[str, str]:
-    """Why each test is known to fail, by its id. ValueError says which line cannot be read."""
+def read_known_tests(text: str) -> dict[str, str]:
+    """Returns the cause and issue of each listed test, by its id.
+
+    Raises:
+        ValueError: a line is malformed or repeated, or there are too many.
+    """
     known: dict[str, str] = {}
     for number, line in enumerate(text.splitlines(), 1):
         if not line.strip() or line.startswith("#"):
             continue
-        parts = [part.strip() for part in line.split("|")]
-        if len(parts) != 3 or not all(parts) or "::" not in parts[0] or parts[0] in known:
-            raise ValueError(f"{FILE}, line {number}: not «test | cause | issue», once: {line!r:.80}")
-        known[parts[0]] = f"{parts[1]} (issue {parts[2]})"
-    if len(known) > MOST:
-        raise ValueError(f"{FILE}: {len(known)} tests, {MOST} at most")
+        columns = [column.strip() for column in line.split("|")]
+        if len(columns) != COLUMN_COUNT or not all(columns) or "::" not in columns[0] or columns[0] in known:
+            raise ValueError(f"{FILE_NAME}, line {number}: not «test | cause | issue», once: {line!r:.80}")
+        test_id, cause, issue = columns
+        known[test_id] = f"{cause} (issue {issue})"
+    if len(known) > MAX_TESTS:
+        raise ValueError(f"{FILE_NAME}: {len(known)} tests, {MAX_TESTS} at most")
     return known
 
 
 def pytest_configure(config: pytest.Config) -> None:
+    """Reads the list; a list that cannot be read is a usage error."""
     # Here and not at the collection: with pytest-xdist only the workers collect, and the controller prints the summary.
-    file = Path(config.rootpath) / FILE
+    file = Path(config.rootpath) / FILE_NAME
     try:
-        config.stash[KNOWN] = read(file.read_text()) if file.exists() else {}
-    except ValueError as bad:
-        raise pytest.UsageError(str(bad)) from None
+        config.stash[KNOWN] = read_known_tests(file.read_text()) if file.exists() else {}
+    except ValueError as error:
+        raise pytest.UsageError(str(error)) from None
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
+    """Marks the listed tests as strictly expected to fail; a listed id that names no test is an error."""
     known = config.stash[KNOWN]
-    seen = set()
-    for item in items:
-        for name in (item.nodeid, item.nodeid.partition("[")[0]):
-            if name in known:
-                seen.add(name)
-                item.add_marker(pytest.mark.xfail(reason=known[name], strict=True))
-                break
-    collected = {item.nodeid.partition("::")[0] for item in items}
-    unknown = []
-    for name in sorted(known.keys() - seen):
-        path = name.partition("::")[0]
-        # Where only some files are run, a test of another one is not unknown.
-        if path in collected or not (Path(config.rootpath) / path).exists() or not config.args_source.name == "ARGS":
-            unknown.append(name)
+    listed_ids = _mark_listed(items, known)
+    unknown = _unknown_ids(config, items, known.keys() - listed_ids)
     if unknown and hasattr(config, "workeroutput"):
         # A usage error in a worker reaches the controller as an internal error without its message.
         config.workeroutput[UNKNOWN_TESTS] = unknown
     elif unknown:
-        raise pytest.UsageError(f"{FILE}: {unknown[0]} is no test")
+        raise pytest.UsageError(f"{FILE_NAME}: {unknown[0]} is no test")
+
+
+def _mark_listed(items: list[pytest.Item], known: dict[str, str]) -> set[str]:
+    """Marks the collected tests that are listed. Returns the listed ids that were found."""
+    found: set[str] = set()
+    for item in items:
+        for test_id in (item.nodeid, item.nodeid.partition("[")[0]):
+            if test_id in known:
+                found.add(test_id)
+                item.add_marker(pytest.mark.xfail(reason=known[test_id], strict=True))
+                break
+    return found
+
+
+def _unknown_ids(config: pytest.Config, items: list[pytest.Item], not_collected: set[str]) -> list[str]:
+    """Returns the ids that name no test, of those that were not collected."""
+    collected_files = {item.nodeid.partition("::")[0] for item in items}
+    is_whole_run = config.args_source.name != "ARGS"
+    unknown = []
+    for test_id in sorted(not_collected):
+        path = test_id.partition("::")[0]
+        # Where only some files are run, a test of another file is not unknown.
+        if path in collected_files or not (Path(config.rootpath) / path).exists() or is_whole_run:
+            unknown.append(test_id)
+    return unknown
 
 
 @pytest.hookimpl(optionalhook=True)
-def pytest_testnodedown(node, error) -> None:
+def pytest_testnodedown(node: WorkerNode, error: object) -> None:
     """Collects the unknown tests of a worker of pytest-xdist, in the controller."""
     found = getattr(node, "workeroutput", {}).get(UNKNOWN_TESTS, ())
     node.config.stash.setdefault(UNKNOWN, set()).update(found)
 
 
 def pytest_sessionfinish(session: pytest.Session) -> None:
+    """Fails the run if a worker found a listed id that names no test."""
     if session.config.stash.get(UNKNOWN, set()):
         session.exitstatus = pytest.ExitCode.USAGE_ERROR
 
 
-def pytest_terminal_summary(terminalreporter) -> None:
-    for name in sorted(terminalreporter.config.stash.get(UNKNOWN, set())):
-        terminalreporter.line(f"ERROR: {FILE}: {name} is no test")
-    known = terminalreporter.config.stash.get(KNOWN, {})
+def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
+    """Prints the listed tests with their causes, and the ids that name no test."""
+    stash = terminalreporter.config.stash
+    unknown: set[str] = stash.get(UNKNOWN, set())
+    for test_id in sorted(unknown):
+        terminalreporter.line(f"ERROR: {FILE_NAME}: {test_id} is no test")
+    known = stash.get(KNOWN, {})
     if known:
         terminalreporter.section("known red")
-        for name, why in known.items():
-            terminalreporter.line(f"{name}: {why}")
-
-
-KNOWN: pytest.StashKey[dict[str, str]] = pytest.StashKey()
-UNKNOWN: pytest.StashKey[set[str]] = pytest.StashKey()
-UNKNOWN_TESTS = "known_red_unknown_tests"  # key of a worker's output
+        for test_id, cause in known.items():
+            terminalreporter.line(f"{test_id}: {cause}")
