--- a/glenrock/admin/operations.py
+++ b/glenrock/admin/operations.py
@@ -49,7 +49,7 @@
             open_requests=self._connections.count_open(),
             registry_entries=len(listed_servers),
             out_of_rotation=self._routing.balancer.count_avoided(listed_servers),
-            rejected=metrics.rejected,
+            final_answers=metrics.final_answers,
             system_errors=metrics.system_errors,
             descriptors=self._connections.descriptors_by_purpose(),
             descriptor_limit=self._connections.budget.limit,
--- a/glenrock/admin/prometheus_text.py
+++ b/glenrock/admin/prometheus_text.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from ..net.metrics import ConnectionOutcome, RejectReason
+from ..net.metrics import ConnectionOutcome, FinalAnswerReason
 
 CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
 # Help texts are part of what scrapers read, so they keep the platform's words.
@@ -36,7 +36,7 @@
         open_requests: connections that are accepted and have not ended.
         registry_entries: servers in the endpoint list.
         out_of_rotation: servers in the endpoint list that get no new connections now.
-        rejected: how many connections got another answer than `UP`, by reason.
+        final_answers: how many connections got another answer than `UP`, by reason.
         system_errors: how many system calls failed for a reason of this machine, by the name of the errno.
         descriptors: reserved or in use, by purpose.
         descriptor_limit: how many descriptors this process may have open.
@@ -47,7 +47,7 @@
     open_requests: int
     registry_entries: int
     out_of_rotation: int
-    rejected: Mapping[RejectReason, int] = field(default_factory=dict)
+    final_answers: Mapping[FinalAnswerReason, int] = field(default_factory=dict)
     system_errors: Mapping[str, int] = field(default_factory=dict)
     descriptors: Mapping[str, int] = field(default_factory=dict)
     descriptor_limit: int = 0
@@ -62,7 +62,7 @@
             ]
         lines += _header_lines("relayed", "counter")
         lines.append(f"app_relayed {self.relayed}")
-        lines += _labelled_lines("rejected", "counter", "reason", self.rejected)
+        lines += _labelled_lines("rejected", "counter", "reason", self.final_answers)
         lines += _labelled_lines("system_errors", "counter", "errno", self.system_errors)
         lines += _labelled_lines("descriptors", "gauge", "purpose", self.descriptors)
         gauges = {
--- a/glenrock/cli/check.py
+++ b/glenrock/cli/check.py
@@ -37,6 +37,6 @@
             config = read_config({"LB_CONFIG": str(file)})
         except ConfigError as error:
             raise InputFileError(f"{file}: {error}") from error
-        click.echo(f"{file}: sound ({config.name or 'no name'}, listens on {config.listen[0]}:{config.listen[1]})")
+        click.echo(f"{file}: sound ({config.name or 'no name'}, listens on {config.listen})")
     else:
         raise InputFileError(f"{file}: neither .toml nor .json")
--- a/glenrock/config.py
+++ b/glenrock/config.py
@@ -10,16 +10,13 @@
 import logging
 from collections.abc import Mapping
 from dataclasses import dataclass, field, replace
-from typing import Any
+from typing import Any, NamedTuple
 
 from glenrock.routing.interface import Settings
 from glenrock.routing.settings_codec import settings_of
 
 from .log import DEFAULT_FORMAT, DEFAULT_LEVEL, LEVELS, LogConfig
 
-Address = tuple[str, int]
-"""Host and port, as `socket` takes them."""
-
 DEFAULT_DESCRIPTOR_LIMIT = 1024
 MIN_DESCRIPTOR_LIMIT = 64
 MAX_PORT = 65_535
@@ -39,6 +36,17 @@
 """Fields of `Config` that a running process does not change."""
 
 
+class Address(NamedTuple):
+    """An address as `socket` takes it. `str` gives `host:port`."""
+
+    host: str
+    port: int
+
+    def __str__(self) -> str:
+        """Returns the address as `host:port`."""
+        return f"{self.host}:{self.port}"
+
+
 class ConfigError(Exception):
     """The configuration cannot be used. The message names the key."""
 
@@ -55,7 +63,8 @@
         descriptor_limit: the number of descriptors that may be open.
         settings: the settings of routing.
         measures_delay: whether slow messages on relays are reported to routing.
-        cached_endpoints: an endpoint list from an earlier run, used until the first poll succeeds.
+        raw_cached_endpoints: an endpoint list from an earlier run as JSON, used until the first poll succeeds. It is
+            parsed when the balancer starts, so that its unreadable rows are logged then and not at each reload.
         peer_listen: the address that receives gossip; None without peers.
         peers: the addresses that gossip is sent to, by balancer number.
         peer_broadcast: an address that forwards a datagram to all peers; None to send to each peer.
@@ -74,7 +83,7 @@
     descriptor_limit: int
     settings: Settings
     measures_delay: bool
-    cached_endpoints: dict[str, Any]
+    raw_cached_endpoints: dict[str, Any]
     peer_listen: Address | None
     peers: tuple[Address, ...]
     peer_broadcast: Address | None
@@ -162,7 +171,7 @@
         # lines at once. The absence of reports must not count as a report of no delay.
         settings=replace(settings, has_message_delay_reports=False),
         measures_delay=settings.has_message_delay_reports,
-        cached_endpoints=_value_of_type(raw, "known", dict, {}),
+        raw_cached_endpoints=_value_of_type(raw, "known", dict, {}),
         peer_listen=_optional_address(raw, "peer_listen"),
         peers=tuple(parse_address(peer, "peers") for peer in _value_of_type(raw, "peers", list, [])),
         peer_broadcast=_optional_address(raw, "peers_all"),
@@ -201,7 +210,7 @@
     host, colon, port = str(value).rpartition(":")
     if not colon or not host or not port.isdecimal() or not 0 <= int(port) <= MAX_PORT:
         raise ConfigError(f"{key}: expected host:port, got {value!r}")
-    return host, int(port)
+    return Address(host, int(port))
 
 
 def _optional_address(raw: dict[str, Any], key: str) -> Address | None:
--- a/glenrock/coordination/agent.py
+++ b/glenrock/coordination/agent.py
@@ -117,10 +117,10 @@
 
     def _load_cached_list(self) -> ListSource:
         """Puts the cached endpoint list into the configuration if it is newer. Returns where the list is from."""
-        configured = self._host.config.cached_endpoints
+        configured = self._host.config.raw_cached_endpoints
         if self._start_cache:
             table = self._start_cache.read(configured)
-            self._host.config = replace(self._host.config, cached_endpoints=table)
+            self._host.config = replace(self._host.config, raw_cached_endpoints=table)
             self._context.tasks.run(self._start_cache.run())
             if table is not configured:
                 return ListSource.CACHED
--- a/glenrock/coordination/warm_start/start_cache.py
+++ b/glenrock/coordination/warm_start/start_cache.py
@@ -81,8 +81,7 @@
         return usable_knowledge(record, configured, self._clock.now_ms(), self._boot, self._discovery(), self._trust)
 
     def _discovery(self) -> str:
-        host, port = self._host.endpoints.address
-        return f"{host}:{port}"
+        return str(self._host.endpoints.address)
 
     def current_record(self) -> StartRecord | None:
         """Returns the record to write; None until discovery has answered, since the file is newer until then."""
@@ -93,7 +92,7 @@
         rows = [
             {
                 "name": entry.name,
-                "address": f"{entry.address[0]}:{entry.address[1]}",
+                "address": str(entry.address),
                 "zone": entry.zone,
                 "group": entry.group,
                 "status": entry.status,
--- a/glenrock/net/acceptor.py
+++ b/glenrock/net/acceptor.py
@@ -1,4 +1,4 @@
-"""Clients' connections until their request: accepted, their first line read, and answered if it is no request."""
+"""Accepts clients' connections and reads their requests. A connection without a request gets its final answer here."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from .clock import Clock
 from .idle_connections import IdleConnections
 from .listening_socket import BACKLOG, ListeningSocket
-from .metrics import ConnectionMetrics, ConnectionOutcome, RejectReason
+from .metrics import ConnectionMetrics, ConnectionOutcome, FinalAnswerReason
 from .socket_io import close_drained, configure_socket, recv_into
 
 FIRST_LINE_TIMEOUT_MS = 2000.0  # a client is owed an answer within 3 s
@@ -68,7 +68,7 @@
     Attributes:
         tasks: one for each connection, those with a request too.
         idle: connections without a request.
-        is_draining: whether this balancer drains; pings are answered with a failure.
+        is_manually_draining: whether an operator drains this balancer; pings are then answered with a failure.
         rejects_requests: whether new requests are rejected.
         drain_permit_check: returns whether the drain permit is valid, and ends the drain if it is not.
     """
@@ -76,7 +76,7 @@
     def __init__(self, connections: Connections, clock: Clock) -> None:
         self.tasks: set[asyncio.Task[None]] = set()
         self.idle = IdleConnections()
-        self.is_draining = False
+        self.is_manually_draining = False
         self.rejects_requests = False
         self.drain_permit_check: Callable[[], bool] | None = None
         self._connections = connections
@@ -89,7 +89,7 @@
 
         The process may have been suspended past the end of its lease, so the permit is checked before each use.
         """
-        return not (self.is_draining and self.drain_permit_check) or self.drain_permit_check()
+        return not (self.is_manually_draining and self.drain_permit_check) or self.drain_permit_check()
 
     # -- the listening socket --------------------------------------------------------------------------
 
@@ -107,9 +107,9 @@
         self._socket.close()
 
     def close_idle(self) -> None:
-        """Rejects all connections without a request, and those that are queued.
+        """Answers all connections without a request, and those that are queued.
 
-        The system has accepted the queued connections, and their requests would be lost with a reset.
+        The system has accepted the queued connections, and a reset would lose their requests.
         """
         self.rejects_requests = self._is_closing = True
         self._socket.accept(BACKLOG)
@@ -137,7 +137,7 @@
         try:
             configure_socket(sock)
             request_line = await self._read_request(sock)
-            if request_line is None:
+            if request_line is None or not await self._admit(sock, request_line):
                 return
             self.idle.remove(_current_task())
             await self._connections.serve(sock, request_line)
@@ -147,7 +147,7 @@
             logger.exception("unexpected error in an idle connection")
 
     async def _read_request(self, sock: socket.socket) -> protocol.RequestLine | None:
-        """Returns the client's request; None if the client has left or was rejected."""
+        """Returns the client's request; None if the client has left or has had its final answer."""
         loop = asyncio.get_running_loop()
         data = b""
         has_pinged = False
@@ -157,13 +157,13 @@
                 return None
             data = received
             if not _is_complete(data):
-                await self._reject_without_request(sock, is_idle=has_pinged and not data)
+                await self._end_without_request(sock, has_only_pinged=has_pinged and not data)
                 return None
             line, end, rest = data.partition(b"\n")
             if line + end != protocol.PING:
                 return await self._parse_request(sock, data)
             self.drain_permit_is_valid()  # ends the drain of an expired permit before the answer
-            await loop.sock_sendall(sock, protocol.FAILED if self.is_draining else protocol.PONG)
+            await loop.sock_sendall(sock, protocol.FAILED if self.is_manually_draining else protocol.PONG)
             self.idle.mark_answered(_current_task())
             data = rest
             has_pinged = True
@@ -197,16 +197,17 @@
 
     # -- answers ---------------------------------------------------------------------------------------
 
-    async def _reject_without_request(self, sock: socket.socket, is_idle: bool) -> None:
-        """Rejects a connection that has sent no whole line. `is_idle`: nothing since its last answer."""
+    async def _end_without_request(self, sock: socket.socket, has_only_pinged: bool) -> None:
+        """Answers a connection that has sent no whole line. `has_only_pinged`: no bytes since the answer to a ping."""
         if self.idle.is_shed(_current_task()):
-            await self._reject(sock, self._busy_line_with_jitter(), RejectReason.SHED)
+            await self._send_final_answer(sock, self._busy_line_with_jitter(), FinalAnswerReason.SHED)
             return
-        line = protocol.busy_line(self._connections.retry_after_ms) if is_idle else protocol.FAILED
-        await self._reject(sock, line, RejectReason.DRAINING if self._is_closing else RejectReason.SILENT)
+        line = protocol.busy_line(self._connections.retry_after_ms) if has_only_pinged else protocol.FAILED
+        reason = FinalAnswerReason.DRAINING if self._is_closing else FinalAnswerReason.SILENT
+        await self._send_final_answer(sock, line, reason)
 
     async def _parse_request(self, sock: socket.socket, data: bytes) -> protocol.RequestLine | None:
-        """Returns the request in a line; None if it was rejected."""
+        """Returns the request in a line. Answers an invalid line, and returns None."""
         try:
             request_line = protocol.parse_request_line(data, self._connections.known_names)
             if self._connections.is_open(request_line.request_id):
@@ -214,16 +215,20 @@
         except protocol.RequestLineError as error:
             self._count_malformed(data)
             logger.info("request line rejected", reason=str(error), data=data[:LOGGED_BYTES])
-            await self._reject(sock, protocol.FAILED, RejectReason.UNSOUND)
+            await self._send_final_answer(sock, protocol.FAILED, FinalAnswerReason.UNSOUND)
             return None
+        return request_line
+
+    async def _admit(self, sock: socket.socket, request_line: protocol.RequestLine) -> bool:
+        """Returns whether the request goes to routing; rejects it while this balancer drains or has no descriptors."""
         if not (self.drain_permit_is_valid() and self.rejects_requests) and not self._connections.is_full():
-            return request_line
+            return True
         if not self.rejects_requests:
             logger.warning("request rejected: descriptor limit reached", request_id=request_line.request_id)
         self._connections.record_outcome(ConnectionOutcome.THROTTLED, request_line.class_name)
-        reason = RejectReason.DRAINING if self.rejects_requests else RejectReason.DESCRIPTORS
-        await self._reject(sock, self._busy_line_with_jitter(), reason)
-        return None
+        reason = FinalAnswerReason.DRAINING if self.rejects_requests else FinalAnswerReason.DESCRIPTORS
+        await self._send_final_answer(sock, self._busy_line_with_jitter(), reason)
+        return False
 
     def _busy_line_with_jitter(self) -> bytes:
         """Returns a rejection with jitter, so that clients rejected together do not retry together."""
@@ -236,16 +241,16 @@
             first = protocol.parse_request_line(data.partition(b"\n")[0] + b"\n", self._connections.known_names)
             self._connections.record_outcome(ConnectionOutcome.FAULTED, first.class_name)
 
-    async def _reject(self, sock: socket.socket, line: bytes, reason: RejectReason) -> None:
+    async def _send_final_answer(self, sock: socket.socket, line: bytes, reason: FinalAnswerReason) -> None:
         """Sends the final answer, and awaits the client's end.
 
-        A close with unread bytes resets the connection, and the client may lose the answer.
+        A close with unread bytes would reset the connection, and the client could lose the answer.
         """
         loop = asyncio.get_running_loop()
         buffer = bytearray(protocol.MAX_LINE_BYTES)
         left = MAX_LINGER_BYTES
-        self._connections.metrics.rejected[reason] += 1
-        self.idle.mark_rejected(_current_task())
+        self._connections.metrics.final_answers[reason] += 1
+        self.idle.mark_ending(_current_task())
         async with self._clock.time_limit(LINGER_TIMEOUT_MS):
             await loop.sock_sendall(sock, line)
             sock.shutdown(socket.SHUT_WR)
--- a/glenrock/net/client_connection.py
+++ b/glenrock/net/client_connection.py
@@ -11,9 +11,9 @@
 from . import protocol
 from .attempt_outcomes import AttemptEnd, AttemptResult, Reach
 from .connection_attempt import ConnectionAttempt
-from .connection_messages import AnswerNow, AttemptAnswered, FinalAnswer, MigrateClient, RelayEnd
+from .connection_messages import AnswerNow, AttemptCompleted, FinalAnswer, MigrateClient, RelayEnd
 from .established_relay import ConnectionOwner, EstablishedRelay
-from .metrics import ConnectionOutcome, RejectReason
+from .metrics import ConnectionOutcome, FinalAnswerReason
 from .socket_io import close_socket
 
 RESUME_TIMEOUT_MS = 38_000.0  # the protocol gives up a connection that is not resumed after 40 s
@@ -46,22 +46,22 @@
         if self.attempt and attempt == self.attempt_number and not self.established.is_set():
             self.attempt.withdraw()
 
-    def reject(self, retry_after_ms: float, reason: RejectReason = RejectReason.ADMISSION) -> None:
+    def reject(self, retry_after_ms: float, reason: FinalAnswerReason = FinalAnswerReason.ADMISSION) -> None:
         """Rejects the request: the client may retry after that time."""
-        self.mailbox.deliver(FinalAnswer(protocol.busy_line(retry_after_ms), reason))
+        self.mailbox.put_unbounded(FinalAnswer(protocol.busy_line(retry_after_ms), reason))
 
     def fail(self) -> None:
         """Fails the request."""
-        self.mailbox.deliver(FinalAnswer(protocol.FAILED, RejectReason.FAILED))
+        self.mailbox.put_unbounded(FinalAnswer(protocol.FAILED, FinalAnswerReason.FAILED))
 
     def migrate(self) -> None:
         """Asks the client to connect elsewhere."""
-        self.mailbox.put(MigrateClient(AttemptOutcome.CANCELLED))
+        self.mailbox.try_put(MigrateClient(AttemptOutcome.CANCELLED))
 
     # -- attempts --------------------------------------------------------------------------------------
 
     def _send_request(self, server: str, timeout_ms: float, ignores_endpoint_state: bool) -> None:
-        if not self._may_attempt:  # the timer of a resumed connection calls whether or not its client is still there
+        if not self._may_attempt:  # the retry timer of a resumed connection runs on after its client has left
             return
         self.server = server
         attempt = ConnectionAttempt(
@@ -74,18 +74,18 @@
         )
         self.attempt = attempt
         actor = self._owner.servers.get(server)
-        if actor is None or not actor.mailbox.put(attempt):
+        if actor is None or not actor.mailbox.try_put(attempt):
             self.on_attempt_result(attempt, AttemptResult(AttemptEnd.NOT_SENT, Reach.NOT_CONNECTED))
 
     def on_attempt_result(self, attempt: ConnectionAttempt, result: AttemptResult) -> None:
         """Takes the result of an attempt."""
-        self.mailbox.deliver(AttemptAnswered(attempt, result))
+        self.mailbox.put_unbounded(AttemptCompleted(attempt, result))
 
     def client_waits(self) -> bool:
         """Returns whether the client still waits, by the state of its socket.
 
-        In a late iteration of the loop the client's end and the server's connection are both ready, and the request
-        would be sent for a client that has left before the upward pump runs.
+        The client's end and the connection to the server may be ready in the same iteration of the loop. If the attempt
+        runs before the upward pump, the pump has not reported the end yet.
         """
         try:
             data = self.sock.recv(1, socket.MSG_PEEK)
@@ -95,7 +95,7 @@
             end = RelayEnd.CLIENT_RST
         else:
             end = RelayEnd.TOO_EARLY if data else RelayEnd.CLIENT_FIN
-        self.mailbox.deliver(end)
+        self.mailbox.put_unbounded(end)
         return False
 
     # -- before the connection is established ----------------------------------------------------------
@@ -103,29 +103,36 @@
     async def run(self) -> None:
         """Handles the request, and relays once the connection is established."""
         self.start_upward_pump()
-        guard = None
         resumes_at = self.request_line.resumes_at
+        decision_timer = None
         try:
-            if resumes_at is not None:
-                self._send_request(resumes_at, RESUME_TIMEOUT_MS, ignores_endpoint_state=True)
+            if resumes_at is None:
+                decision_timer = self._request_decision()
             else:
-                # Answers the client if routing has failed: its own timer answers some milliseconds before `d`.
-                due_ms = self.deadline_ms + DECISION_MARGIN_MS
-                guard = self.clock.call_at(due_ms, self.mailbox.deliver, RelayEnd.OVERDUE)
-                if not self.reports.post_request():
-                    logger.warning("request rejected: routing mailbox full", request_id=self.request_line.request_id)
-                    self.reports.is_forgotten = True
-                    self.reject(self._owner.retry_after_ms, RejectReason.EVENTS)
+                self._send_request(resumes_at, RESUME_TIMEOUT_MS, ignores_endpoint_state=True)
             if await self._establish(resumes_at):
-                if guard:
-                    guard.cancel()
+                if decision_timer:
+                    decision_timer.cancel()
                 self.start_downward_pump()
                 await self.relay()
         finally:
-            if guard:
-                guard.cancel()
+            if decision_timer:
+                decision_timer.cancel()
             await self._close()
 
+    def _request_decision(self) -> asyncio.Handle:
+        """Asks routing for a decision. Returns the timer that answers the client if routing makes none.
+
+        Routing's own timer answers some milliseconds before the client's deadline, unless routing has failed.
+        """
+        due_ms = self.deadline_ms + DECISION_MARGIN_MS
+        timer = self.clock.call_at(due_ms, self.mailbox.put_unbounded, RelayEnd.OVERDUE)
+        if not self.reports.post_request():
+            logger.warning("request rejected: routing mailbox full", request_id=self.request_line.request_id)
+            self.reports.is_forgotten = True
+            self.reject(self._owner.retry_after_ms, FinalAnswerReason.EVENTS)
+        return timer
+
     async def run_taken_over(self) -> None:
         """Relays a connection that was taken over from another process."""
         try:
@@ -148,12 +155,12 @@
                 case RelayEnd.OVERDUE:
                     logger.error("routing made no decision in time", request_id=self.request_line.request_id)
                     self.reports.post_disconnected()
-                    await self._answer(protocol.FAILED, RejectReason.OVERDUE)
+                    await self._answer(protocol.FAILED, FinalAnswerReason.OVERDUE)
                     return False
                 case RelayEnd():
                     await self._handle_client_end(message, resumes_at)
                     return False
-                case AttemptAnswered(attempt, result) if attempt is self.attempt:
+                case AttemptCompleted(attempt, result) if attempt is self.attempt:
                     if result.end is AttemptEnd.ESTABLISHED:
                         self._record_established(attempt, resumes_at)
                         return True
@@ -169,7 +176,8 @@
         """
         may_retry = resumes_at is None and self._routing.may_reject(self.request_line.request_id)
         self.reports.post_disconnected()
-        await self._answer(protocol.busy_line(retry_after_ms) if may_retry else protocol.FAILED, RejectReason.DRAINING)
+        line = protocol.busy_line(retry_after_ms) if may_retry else protocol.FAILED
+        await self._answer(line, FinalAnswerReason.DRAINING)
 
     async def _handle_client_end(self, end: RelayEnd, resumes_at: str | None) -> None:
         self._may_attempt = False
@@ -177,7 +185,7 @@
             self.reports.post_disconnected()
         if end is RelayEnd.TOO_EARLY:
             logger.info("client sent bytes before its answer", request_id=self.request_line.request_id)
-            await self._answer(protocol.FAILED, RejectReason.UNSOUND)
+            await self._answer(protocol.FAILED, FinalAnswerReason.UNSOUND)
         self.reports.count(ConnectionOutcome.LEFT)
 
     async def _retry_resume(self, resumes_at: str) -> bool:
@@ -189,7 +197,7 @@
             logger.warning(
                 "connection could not be resumed", request_id=self.request_line.request_id, server=resumes_at
             )
-            await self._answer(protocol.FAILED, RejectReason.FAILED)
+            await self._answer(protocol.FAILED, FinalAnswerReason.FAILED)
             return False
         at_ms = self.clock.now_ms() + RESUME_RETRY_MS
         self.clock.call_at(at_ms, self._send_request, resumes_at, RESUME_TIMEOUT_MS, True)
@@ -207,13 +215,13 @@
         latency_ms = self.attempt.latency_ms if self.attempt else 0.0
         self.reports.post_attempt_end(self.attempt_number, self.server, result.outcome, latency_ms, result.report)
 
-    async def _answer(self, line: bytes, reason: RejectReason) -> None:
+    async def _answer(self, line: bytes, reason: FinalAnswerReason) -> None:
         """Sends the final answer to a client without a connection.
 
         The attempt in flight ends first, since the client may retry at once.
         """
         self._may_attempt = False
-        self._owner.metrics.rejected[reason] += 1
+        self._owner.metrics.final_answers[reason] += 1
         await self._cancel_attempt_in_flight()
         await self.finish(line)
 
--- a/glenrock/net/connection_attempt.py
+++ b/glenrock/net/connection_attempt.py
@@ -22,15 +22,15 @@
         line: the client's request line.
         timeout_ms: the time for the whole attempt.
         on_result: called once, with the result.
-        ignores_endpoint_state: whether the attempt is made at a server that is draining or not listed, as to resume a
-            connection that is already there.
+        ignores_endpoint_state: whether the attempt is also made at a server that is draining or not listed, as it is to
+            resume a connection that the server has.
         sock: the connection to the server.
         received: bytes that came with the server's answer, that line included.
         reach: how far the attempt has come.
         started_ms: when the server's actor began it; 0 before.
         latency_ms: the time from its start to its result.
         is_withdrawn: whether it was cancelled.
-        client_waits: called before the line is written; False cancels the attempt.
+        client_waits: returns whether the client still waits; called before the line is written.
         task: runs the attempt.
         request_id: for the log.
     """
--- a/glenrock/net/connection_messages.py
+++ b/glenrock/net/connection_messages.py
@@ -10,7 +10,7 @@
 
 from .attempt_outcomes import AttemptResult
 from .connection_attempt import ConnectionAttempt
-from .metrics import RejectReason
+from .metrics import FinalAnswerReason
 
 
 class RelayEnd(Enum):
@@ -40,8 +40,8 @@
 
 
 @dataclass(frozen=True)
-class AttemptAnswered:
-    """An attempt has ended, or its connection is established."""
+class AttemptCompleted:
+    """An attempt has its result: it has ended, or its connection is established."""
 
     attempt: ConnectionAttempt
     result: AttemptResult
@@ -52,7 +52,7 @@
     """Routing has rejected or failed the request: `line` is the client's last line."""
 
     line: bytes
-    reason: RejectReason
+    reason: FinalAnswerReason
 
 
 @dataclass(frozen=True)
@@ -76,4 +76,4 @@
     hand_over: Callable[[], Awaitable[bool]]
 
 
-ConnectionMessage = AttemptAnswered | FinalAnswer | MigrateClient | AnswerNow | HandOverRelay | RelayEnd
+ConnectionMessage = AttemptCompleted | FinalAnswer | MigrateClient | AnswerNow | HandOverRelay | RelayEnd
--- a/glenrock/net/connection_reports.py
+++ b/glenrock/net/connection_reports.py
@@ -1,4 +1,4 @@
-"""What routing and the metrics are told about one client's connection, each fact once."""
+"""Reports one client's connection to routing and to the metrics, each fact once."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     Attributes:
         load: the load of the connection as last known.
         is_counted: whether the metrics have the outcome.
-        is_forgotten: whether routing has been told the connection's end.
+        is_forgotten: whether routing knows that the connection has ended.
     """
 
     def __init__(
@@ -83,7 +83,7 @@
         )
 
     def post_disconnected(self) -> None:
-        """Reports that the client has gone, unless routing knows already."""
+        """Reports that the client has gone, unless routing knows that the connection has ended."""
         if not self.is_forgotten:
             self.is_forgotten = True
             self._routing.post(interface.ClientDisconnected(self._request_line.request_id))
--- a/glenrock/net/connection_table.py
+++ b/glenrock/net/connection_table.py
@@ -157,7 +157,7 @@
                         server=connection.server,
                         request_id=connection.request_line.request_id,
                     )
-                    connection.mailbox.put(MigrateClient(interface.AttemptOutcome.BROKEN))
+                    connection.mailbox.try_put(MigrateClient(interface.AttemptOutcome.BROKEN))
             self.servers.close_unused()
 
 
--- a/glenrock/net/discovery_client.py
+++ b/glenrock/net/discovery_client.py
@@ -146,8 +146,7 @@
 
     async def _send(self, path: str, answer: HttpAnswer, buffer: bytearray) -> None:
         sock = await self._connect()
-        host = f"{self.address[0]}:{self.address[1]}"
-        request = f"GET {path} HTTP/1.1\r\nHost: {host}\r\n\r\n".encode()
+        request = f"GET {path} HTTP/1.1\r\nHost: {self.address}\r\n\r\n".encode()
         await asyncio.get_running_loop().sock_sendall(sock, request)
         await self._read(answer, buffer)
 
--- a/glenrock/net/endpoint_rows.py
+++ b/glenrock/net/endpoint_rows.py
@@ -60,7 +60,7 @@
         raise ValueError(str(error)) from error
     name = str(raw["name"])
     status = str(raw["status"])
-    if not 0 < len(name) <= MAX_NAME_LENGTH or status not in STATES_BY_STATUS or not address[1]:
+    if not 0 < len(name) <= MAX_NAME_LENGTH or status not in STATES_BY_STATUS or not address.port:
         raise ValueError("invalid name, status or port")
     row = EndpointRow(
         name=name,
--- a/glenrock/net/endpoint_watcher.py
+++ b/glenrock/net/endpoint_watcher.py
@@ -106,10 +106,10 @@
         """Whether there is no list, and discovery must be polled for it: no client can be served."""
         return self.backoff.must_poll and self.newest_version < 0 and not self.has_answered.is_set()
 
-    def use_cached_list(self, known: dict[str, Any]) -> None:
+    def use_cached_list(self, raw: dict[str, Any]) -> None:
         """Uses the list of an earlier run until discovery answers. An unusable list is logged and ignored."""
         try:
-            answer = parse_answer(known)
+            answer = parse_answer(raw)
         except (KeyError, TypeError, ValueError) as error:
             logger.warning("cached endpoint list unusable", error=error)
             self._update(EndpointListKind.CACHED, [])
--- a/glenrock/net/established_relay.py
+++ b/glenrock/net/established_relay.py
@@ -143,7 +143,7 @@
         self.migration = outcome
         if self.may_migrate():
             return True
-        self.clock.call_at(self.clock.now_ms() + MIGRATION_TIMEOUT_MS, self.mailbox.deliver, RelayEnd.OVERDUE)
+        self.clock.call_at(self.clock.now_ms() + MIGRATION_TIMEOUT_MS, self.mailbox.put_unbounded, RelayEnd.OVERDUE)
         return False
 
     def may_hand_over(self) -> bool:
--- a/glenrock/net/graceful_shutdown.py
+++ b/glenrock/net/graceful_shutdown.py
@@ -87,7 +87,7 @@
         self._reject_while_stopping()
         if not self._manual_drain:
             logger.info("drain started", clients=len(self._table.by_id))
-            self._acceptor.is_draining = True
+            self._acceptor.is_manually_draining = True
             self._acceptor.drain_permit_check = drain_permit_is_valid
             self._table.routing.post_first(interface.DrainMode(True))
             self._manual_drain = asyncio.get_running_loop().create_task(self._drain())
@@ -112,7 +112,7 @@
             self._manual_drain.cancel()
             self._table.routing.post_first(interface.DrainMode(False))
         self._manual_drain = None
-        self._acceptor.is_draining = False
+        self._acceptor.is_manually_draining = False
         self._acceptor.rejects_requests = False
 
     async def _drain(self) -> None:
@@ -139,20 +139,21 @@
         ]
         steps = max(1.0, left_ms / STEP_MS)
         for connection in connections[: max(1, round(len(connections) / steps + STEP_ROUNDING))]:
-            connection.mailbox.put(MigrateClient(interface.AttemptOutcome.CANCELLED))
+            connection.mailbox.try_put(MigrateClient(interface.AttemptOutcome.CANCELLED))
 
     def _answer_waiting_clients(self) -> None:
         for connection in list(self._table.by_id.values()):
             if not connection.established.is_set() and not connection.has_ended:
-                connection.mailbox.deliver(AnswerNow(self._table.retry_after_ms))
+                connection.mailbox.put_unbounded(AnswerNow(self._table.retry_after_ms))
 
     # -- at SIGTERM ------------------------------------------------------------------------------------
 
     async def stop(self, has_inherited_listener: bool, successor: Successor | None) -> None:
         """Ends the service of this process before SIGKILL.
 
-        Relays are handed over to a successor, and other clients migrate over the time left. The successor accepts from
-        an inherited listening socket at once; without one new connections come here until the end.
+        A successor takes relays over, and the other clients migrate, spread over the time that is left. With an
+        inherited listening socket the successor accepts new connections from now on. Without one they come here until
+        the end.
         """
         self._is_stopping = True
         self._cancel_manual_drain()
@@ -171,11 +172,13 @@
             # No other balancer can serve the clients, so they stay here as long as possible.
             await self._clock.sleep(max(0.0, end_ms - LONE_BALANCER_MIGRATION_MS - self._clock.now_ms()))
         await self._migrate_all(end_ms, has_inherited_listener)
+        await self._answer_last_clients(end_ms + LAST_ANSWERS_MS, has_inherited_listener)
+
+    async def _answer_last_clients(self, last_answer_ms: float, has_inherited_listener: bool) -> None:
+        """Answers idle connections and requests that have just arrived, before the process ends."""
         self._acceptor.close_idle()
         for connection in list(self._table.by_id.values()):
-            connection.mailbox.deliver(AnswerNow(self._table.retry_after_ms))
-        # Idle connections, and requests that have just arrived, get their answer before the process ends.
-        last_answer_ms = end_ms + LAST_ANSWERS_MS
+            connection.mailbox.put_unbounded(AnswerNow(self._table.retry_after_ms))
         while self._clock.now_ms() < last_answer_ms and (
             self._table.by_id or self._acceptor.tasks or not has_inherited_listener
         ):
@@ -198,7 +201,7 @@
             await self._clock.sleep(STEP_MS)
 
     async def _hand_over(self, successor: Successor, end_ms: float) -> None:
-        """Hands relays over, those that are established meanwhile too."""
+        """Hands relays over until the end, also those that are established in the meantime."""
         while successor.is_connected and self._clock.now_ms() < end_ms and self._has_clients():
             ready = [
                 connection
@@ -207,6 +210,6 @@
             ]
             for connection in ready[:MAX_OFFERED_RELAYS]:
                 offer = functools.partial(successor.hand_over, connection)
-                connection.is_offered = connection.mailbox.put(HandOverRelay(offer))
+                connection.is_offered = connection.mailbox.try_put(HandOverRelay(offer))
             await self._clock.sleep(HAND_OVER_STEP_MS)
         logger.info("relays handed over", relays=successor.handed_over_count, connections_left=len(self._table.by_id))
--- a/glenrock/net/idle_connections.py
+++ b/glenrock/net/idle_connections.py
@@ -17,14 +17,14 @@
 
     Attributes:
         unanswered: connections that have had no answer.
-        answered: connections that have had an answer to a ping, or a rejection.
+        answered: connections that have had an answer to a ping, or their final answer.
     """
 
     def __init__(self) -> None:
         self.unanswered: dict[ConnectionTask, None] = {}
         self.answered: dict[ConnectionTask, None] = {}
-        self._rejected: dict[ConnectionTask, None] = {}  # of those answered: the client's end is awaited
-        self._shed: set[ConnectionTask] = set()  # rejected next, unless a request has already arrived
+        self._ending: dict[ConnectionTask, None] = {}  # of those answered, after the final answer
+        self._shed: set[ConnectionTask] = set()  # get their final answer next, unless a request has already arrived
         self._read_limits: dict[ConnectionTask, TimeLimit] = {}
 
     def __len__(self) -> int:
@@ -43,7 +43,7 @@
     def forget(self, task: ConnectionTask) -> None:
         """Removes a connection that has ended."""
         self.remove(task)
-        self._rejected.pop(task, None)
+        self._ending.pop(task, None)
         self._shed.discard(task)
 
     def mark_answered(self, task: ConnectionTask) -> None:
@@ -51,10 +51,10 @@
         self.unanswered.pop(task, None)
         self.answered[task] = None
 
-    def mark_rejected(self, task: ConnectionTask) -> None:
+    def mark_ending(self, task: ConnectionTask) -> None:
         """Records that the connection has had its final answer."""
         self.mark_answered(task)
-        self._rejected[task] = None
+        self._ending[task] = None
 
     def is_shed(self, task: ConnectionTask) -> bool:
         """Returns whether the connection is to be closed to free its descriptor."""
@@ -76,15 +76,15 @@
     def shed_oldest(self) -> bool:
         """Frees a descriptor.
 
-        The oldest connection that was rejected is closed. Without one the oldest idle connection gets its answer now: a
-        request that has already arrived is read, and other connections are rejected.
+        The oldest connection that has had its final answer is closed. If there is none, the oldest idle connection no
+        longer waits for a line: it is rejected, unless its request has already arrived.
 
         Returns:
             False if there is no connection to close.
         """
-        if self._rejected:
-            task = next(iter(self._rejected))
-            del self._rejected[task]
+        if self._ending:
+            task = next(iter(self._ending))
+            del self._ending[task]
             self.answered.pop(task, None)
             task.cancel()
             return True
--- a/glenrock/net/line_gate.py
+++ b/glenrock/net/line_gate.py
@@ -44,7 +44,7 @@
         """Returns the part of a line that is held back."""
         return b"" if self.is_within_line else self.splitter.partial_line
 
-    def release(self) -> bytes:
+    def flush(self) -> bytes:
         """Returns the part that is held back, for a server that has closed the connection within a line."""
         data = self.pending()
         self.is_within_line = True
--- a/glenrock/net/mailbox.py
+++ b/glenrock/net/mailbox.py
@@ -22,15 +22,15 @@
         self.messages: deque[Message] = deque()
         self._waiter: asyncio.Future[None] | None = None
 
-    def put(self, message: Message) -> bool:
+    def try_put(self, message: Message) -> bool:
         """Adds a message. Returns False if the mailbox is full."""
         if len(self.messages) >= self.limit:
             return False
-        self.deliver(message)
+        self.put_unbounded(message)
         return True
 
-    def deliver(self, message: Message) -> None:
-        """Adds a message beyond the limit too, for messages that are rare and must not be lost."""
+    def put_unbounded(self, message: Message) -> None:
+        """Adds a message to a full mailbox too. For messages that are rare and must not be lost."""
         self.messages.append(message)
         self.wake()
 
--- a/glenrock/net/metrics.py
+++ b/glenrock/net/metrics.py
@@ -26,8 +26,8 @@
     __hash__ = str.__hash__
 
 
-class RejectReason(StrEnum):
-    """Why a request was not established. The values are labels of a metric.
+class FinalAnswerReason(StrEnum):
+    """Why a connection got a final answer instead of being established. The values are labels of a metric.
 
     Attributes:
         ADMISSION: routing rejected the request.
@@ -60,7 +60,7 @@
     Attributes:
         outcomes: connections by outcome and class; each connection is counted once.
         relayed: attempts whose request line was written whole to a server.
-        rejected: connections whose request was not established, by reason.
+        final_answers: connections that got a final answer instead of being established, by reason.
         system_errors: system calls that failed because of this machine, by the name of their errno.
     """
 
@@ -68,7 +68,7 @@
         names = tuple(classes)
         self.outcomes = {outcome: dict.fromkeys(names, 0) for outcome in ConnectionOutcome}
         self.relayed = 0
-        self.rejected: Counter[RejectReason] = Counter()
+        self.final_answers: Counter[FinalAnswerReason] = Counter()
         self.system_errors: Counter[str] = Counter()
 
     def add(self, outcome: ConnectionOutcome, class_name: str) -> None:
--- a/glenrock/net/peers.py
+++ b/glenrock/net/peers.py
@@ -60,21 +60,14 @@
     def change_addresses(self, peers: tuple[Address, ...], broadcast: Address | None) -> None:
         """Sets the addresses of the other balancers, in the order of their numbers.
 
-        Invalid addresses are logged, and the previous ones stay. At the start there are none, so the first balancer of
-        each address counts.
+        Invalid addresses are logged, and the previous ones stay. At the start there are no previous ones: then an
+        address that is repeated belongs to its first balancer.
 
         Args:
             peers: one address for each balancer.
             broadcast: an address that reaches all of them; None without one.
         """
-        number_by_address: dict[Address, int] = {}
-        fault = ""
-        if len(peers) > self._balancers:
-            fault = f"{len(peers)} addresses for {self._balancers} balancers"
-        for number, address in enumerate(peers[: self._balancers]):
-            first = number_by_address.setdefault(address, number)
-            if first != number:
-                fault = f"{address[0]}:{address[1]} stands for balancers {first} and {number}"
+        number_by_address, fault = _number_addresses(peers, self._balancers)
         if fault:
             if self.number_by_address:
                 logger.error("peer addresses invalid: previous addresses stay", fault=fault)
@@ -95,7 +88,7 @@
                 continue  # an ICMP error of an earlier send
             peer = self.number_by_address.get(sender)
             if peer is None or len(data) > MAX_DATAGRAM_BYTES:
-                logger.warning("datagram ignored", sender=sender, size_bytes=len(data))
+                logger.warning("datagram ignored", sender=Address(*sender), size_bytes=len(data))
                 continue
             if self.on_datagram:
                 self.on_datagram(peer, data)
@@ -123,3 +116,16 @@
         """Closes the socket."""
         asyncio.get_running_loop().remove_reader(self.sock)
         self.sock.close()
+
+
+def _number_addresses(peers: tuple[Address, ...], balancers: int) -> tuple[dict[Address, int], str]:
+    """Returns the number of the first balancer of each address, and why the addresses are invalid; empty if valid."""
+    number_by_address: dict[Address, int] = {}
+    fault = ""
+    if len(peers) > balancers:
+        fault = f"{len(peers)} addresses for {balancers} balancers"
+    for number, address in enumerate(peers[:balancers]):
+        first = number_by_address.setdefault(address, number)
+        if first != number:
+            fault = f"{address} stands for balancers {first} and {number}"
+    return number_by_address, fault
--- a/glenrock/net/relay_pumps.py
+++ b/glenrock/net/relay_pumps.py
@@ -89,7 +89,7 @@
             end = RelayEnd.CLIENT_RST
         finally:
             if end:  # None for a pump that was stopped: the client is still connected
-                self.mailbox.deliver(end)
+                self.mailbox.put_unbounded(end)
 
     async def _copy_upward(self) -> RelayEnd | None:
         """Copies until an end. Returns None if the server's side failed: the downward pump reports that end."""
@@ -121,7 +121,7 @@
         except OSError:
             end = RelayEnd.SERVER_RST
         if end:
-            self.mailbox.deliver(end)
+            self.mailbox.put_unbounded(end)
 
     async def _copy_downward(self) -> RelayEnd | None:
         """Copies until an end. Returns None if the client's side failed: the upward pump reports that end."""
@@ -146,7 +146,7 @@
             if count:
                 chunk = self.pass_gate(bytes(buffer[:count]))
                 continue
-            chunk = self.gate.release()
+            chunk = self.gate.flush()
             if not chunk:
                 return RelayEnd.SERVER_FIN
 
--- a/glenrock/net/routing_actor.py
+++ b/glenrock/net/routing_actor.py
@@ -75,7 +75,7 @@
 
     def post(self, event: interface.Event) -> bool:
         """Adds an event to the next batch. Returns False if the mailbox is full."""
-        return self.mailbox.put(event)
+        return self.mailbox.try_put(event)
 
     def load_of(self, request_id: str) -> int:
         """Returns the load of a connection as last known; 0 for an unknown connection."""
--- a/glenrock/net/server_actor.py
+++ b/glenrock/net/server_actor.py
@@ -82,8 +82,8 @@
         return self.row.state is interface.EndpointState.READY and not self.is_suspended
 
     @property
-    def is_idle(self) -> bool:
-        """Whether the actor has no work and no connection, so that it can be retired."""
+    def may_retire(self) -> bool:
+        """Whether the actor may be retired: it has no work and no connection."""
         return not (self.tasks or self.mailbox.messages or self._health_check_connection.is_open)
 
     @property
@@ -160,13 +160,7 @@
         except OSError as error:
             if not is_local_error(error):
                 raise
-            logger.warning(
-                "attempt could not start on this machine",
-                request_id=attempt.request_id,
-                server=self.row.name,
-                error=error,
-            )
-            self._metrics.add_system_error(error)
+            self._record_local_error(attempt, error)
             return AttemptResult(AttemptEnd.NOT_SENT, attempt.reach)
         if sock is None:
             return AttemptResult(AttemptEnd.SILENT, attempt.reach)
@@ -176,6 +170,12 @@
             return AttemptResult(AttemptEnd.WITHDRAWN, attempt.reach)
         return await self._send_request(attempt, sock)
 
+    def _record_local_error(self, attempt: ConnectionAttempt, error: OSError) -> None:
+        logger.warning(
+            "attempt could not start on this machine", request_id=attempt.request_id, server=self.row.name, error=error
+        )
+        self._metrics.add_system_error(error)
+
     def _may_send(self, attempt: ConnectionAttempt) -> bool:
         return self.accepts_connections or attempt.ignores_endpoint_state
 
--- a/glenrock/net/server_connections.py
+++ b/glenrock/net/server_connections.py
@@ -25,7 +25,7 @@
 class ServerRegistry:
     """All servers by name. The name is the identity: an address may change, and a process may restart.
 
-    Actors are created at first use and retired when idle, so that memory depends on traffic and not on the length of
+    Actors are created at first use and retired without work, so that memory depends on traffic and not on the length of
     the endpoint list.
 
     Attributes:
@@ -57,8 +57,8 @@
         self._budget = budget
         self._start_times = start_times
         self._pool = HealthCheckPool(lambda: budget.health_connections)
-        self._idle_names: set[str] = set()  # servers whose actors were idle at the last check
-        self._idle_checked_ms = clock.now_ms()
+        self._retirable_names: set[str] = set()  # servers whose actors had no work at the last check
+        self._retirable_checked_ms = clock.now_ms()
 
     def set_suspended(self, name: str, is_suspended: bool) -> None:
         """Takes a server out of rotation, for attempts that wait too, or back into rotation."""
@@ -144,20 +144,20 @@
     def send_health_check(self, name: str) -> None:
         """Sends a health check. Routing gets the result, also if the check cannot be sent."""
         actor = self.get(name)
-        if actor is None or not actor.mailbox.put(ServerJob.HEALTH_CHECK):
+        if actor is None or not actor.mailbox.try_put(ServerJob.HEALTH_CHECK):
             self.post(interface.HealthCheckResult(name, interface.AttemptOutcome.UNSENT))
 
     def close_unused(self) -> None:
         """Closes unused connections for health checks, and retires actors without work."""
         for actor in self.actors.values():
             actor.close_unused_connection()
-        if self._clock.now_ms() - self._idle_checked_ms < RETIRE_AFTER_MS:
+        if self._clock.now_ms() - self._retirable_checked_ms < RETIRE_AFTER_MS:
             return
-        self._idle_checked_ms = self._clock.now_ms()
-        idle_names = {name for name, actor in self.actors.items() if actor.is_idle}
-        for name in idle_names & self._idle_names:
+        self._retirable_checked_ms = self._clock.now_ms()
+        retirable_names = {name for name, actor in self.actors.items() if actor.may_retire}
+        for name in retirable_names & self._retirable_names:
             self._retire(name)
-        self._idle_names = idle_names
+        self._retirable_names = retirable_names
 
     def _retire(self, name: str) -> None:
         if actor := self.actors.pop(name, None):
--- a/glenrock/program.py
+++ b/glenrock/program.py
@@ -253,15 +253,14 @@
             self.operators.start(self)
         if self.coordination:
             self.coordination.start()
-        self.endpoints.use_cached_list(self.config.cached_endpoints)
+        self.endpoints.use_cached_list(self.config.raw_cached_endpoints)
         self.run_task(self.routing.run())
         self.run_task(self.endpoints.run())
         # An accepted client may send PING, and PONG says that this balancer can serve.
         async with self.clock.time_limit(FIRST_LIST_TIMEOUT_MS):
             await self.endpoints.has_answered.wait()
         self._accept_clients()
-        host, port = self.config.listen
-        logger.info("ready", balancer=self.config.name, address=f"{host}:{port}")
+        logger.info("ready", balancer=self.config.name, address=self.config.listen)
 
     def _accept_clients(self) -> None:
         inherited = self._upgrade.listener if self._upgrade else None
@@ -292,8 +291,7 @@
         if deferred_keys:
             logger.warning("configuration changes that need a restart", keys=",".join(deferred_keys))
         self._apply(new)
-        host, port = new.discovery
-        logger.info("configuration reloaded", discovery=f"{host}:{port}")
+        logger.info("configuration reloaded", discovery=new.discovery)
 
     def _apply(self, new: Config) -> None:
         self.endpoints.change_address(new.discovery)
--- a/glenrock/upgrade/relay_receiver.py
+++ b/glenrock/upgrade/relay_receiver.py
@@ -84,7 +84,7 @@
                 answer = self._answer(message)
                 with contextlib.suppress(OSError):
                     sock.send(answer)
-        logger.info("relays taken over", count=self._accepted_count - accepted_before)
+        logger.info("relays taken over", relays=self._accepted_count - accepted_before)
 
     def _answer(self, message: _ReceivedMessage) -> bytes:
         """Takes the relay of a message over, or closes its descriptors. Returns the answer."""
--- a/tests/coordination/warm_start/test_start_cache.py
+++ b/tests/coordination/warm_start/test_start_cache.py
@@ -9,6 +9,7 @@
 
 import pytest
 
+from glenrock.config import Address
 from glenrock.coordination.warm_start.start_cache import StartCache
 from glenrock.coordination.warm_start.start_record import decode
 from glenrock.net.clock import ManualClock
@@ -21,7 +22,7 @@
 
 
 def build_cache(folder: Path, version: int = 3) -> StartCache:
-    entry = EndpointRow("s1", ("127.0.0.1", 9), EndpointState.READY, zone="a", since_ms=5.0)
+    entry = EndpointRow("s1", Address("127.0.0.1", 9), EndpointState.READY, zone="a", since_ms=5.0)
     gone = replace(entry, name="s2", state=EndpointState.GONE)
     heard = asyncio.Event()
     heard.set()
@@ -30,7 +31,7 @@
     program = SimpleNamespace(
         clock=ManualClock(NOW),
         routing=SimpleNamespace(balancer=Balancer(SETTINGS, 1)),
-        endpoints=SimpleNamespace(address=("d", 1), newest_version=version, has_answered=heard),
+        endpoints=SimpleNamespace(address=Address("d", 1), newest_version=version, has_answered=heard),
         servers=servers,
     )
     return StartCache(program, folder, "n0", TRUST)
--- a/tests/net/single_server_rig.py
+++ b/tests/net/single_server_rig.py
@@ -86,6 +86,7 @@
         if behaviour == "early":
             writer.write(b"more\r\n")
         if behaviour == "floods":
+            assert await reader.readline()  # the flood begins after the answer
             await asyncio.sleep(0.2)
             writer.transport.abort()
             return
--- a/tests/net/test_answers_and_decisions.py
+++ b/tests/net/test_answers_and_decisions.py
@@ -81,7 +81,7 @@
                     idle += 1
                     await asyncio.sleep(0.0002)
             assert not rig.connections["x1"].awaits_client
-        rig.connections["x1"].mailbox.put(MigrateClient(interface.AttemptOutcome.CANCELLED))
+        rig.connections["x1"].mailbox.try_put(MigrateClient(interface.AttemptOutcome.CANCELLED))
         received = b""
         async with asyncio.timeout(5):
             while not received.endswith(b"MOVE\r\n"):
@@ -101,7 +101,7 @@
         answered = connection.on_attempt_result
 
         def crossed(x, outcome) -> None:
-            order = [lambda: answered(x, outcome), lambda: connection.mailbox.deliver(AnswerNow(700))]
+            order = [lambda: answered(x, outcome), lambda: connection.mailbox.put_unbounded(AnswerNow(700))]
             for act in order if first == "answer" else reversed(order):
                 act()
 
--- a/tests/net/test_any_order.py
+++ b/tests/net/test_any_order.py
@@ -68,9 +68,9 @@
                 elif what == "client" and not left and connection.established.is_set():
                     client.sendall(b"hello\r\n")
                 elif what == "move" and connection.established.is_set():
-                    connection.mailbox.put(MigrateClient(interface.AttemptOutcome.CANCELLED))
+                    connection.mailbox.try_put(MigrateClient(interface.AttemptOutcome.CANCELLED))
                 elif what == "dismiss":
-                    connection.mailbox.deliver(AnswerNow(700))
+                    connection.mailbox.put_unbounded(AnswerNow(700))
                 elif what == "nack":
                     reject_request(rig, connection)
                 elif what == "turns":
@@ -86,7 +86,7 @@
         await rig.run_loop()
         received = b""
         if not left:
-            connection.mailbox.deliver(
+            connection.mailbox.put_unbounded(
                 MigrateClient(interface.AttemptOutcome.CANCELLED)
                 if connection.established.is_set()
                 else AnswerNow(1000)
--- a/tests/net/test_client_disconnects.py
+++ b/tests/net/test_client_disconnects.py
@@ -11,6 +11,8 @@
 import pytest
 import uvloop
 
+from glenrock.config import Address
+
 from .single_server_rig import SingleServerRig
 
 
@@ -20,7 +22,7 @@
     await rig.open()
     loop, listener = asyncio.get_running_loop(), socket.create_server(("127.0.0.1", 0))
     listener.setblocking(False)
-    rig.program.servers.get("s1").row.address = listener.getsockname()
+    rig.program.servers.get("s1").row.address = Address(*listener.getsockname())
     client = socket.create_connection(("127.0.0.1", rig.port))
     client.sendall(b"OPEN wait-1 1 c=look,d=1000\r\n")
     while not (rig.connections and rig.connections["wait-1"].attempt and rig.connections["wait-1"].attempt.sock):
@@ -68,7 +70,7 @@
         queued.append(sock)
     await asyncio.sleep(0.05)
     servers = rig.program.servers
-    servers.get("s1").row.address = listener.getsockname()
+    servers.get("s1").row.address = Address(*listener.getsockname())
     servers.connect_timeout_ms = servers.get("s1").connect_timeout_ms = 9000.0
     descriptors = len(os.listdir("/proc/self/fd"))
     client = socket.create_connection(("127.0.0.1", rig.port))
--- a/tests/net/test_clients_that_leave.py
+++ b/tests/net/test_clients_that_leave.py
@@ -9,6 +9,7 @@
 
 import pytest
 
+from glenrock.config import Address
 from glenrock.net.client_connection import RelayEnd
 from glenrock.routing import interface
 
@@ -46,7 +47,7 @@
         queue_fillers[-1].setblocking(False)
         queue_fillers[-1].connect_ex(full.getsockname())
     await rig.run_loop()
-    rig.program.servers.get("s1").row.address = full.getsockname()
+    rig.program.servers.get("s1").row.address = Address(*full.getsockname())
     client = rig.connect_client(REQUEST_LINE)
     await rig.wait_until(
         lambda: rig.connections and rig.connections["x1"].attempt and rig.connections["x1"].attempt.sock
--- a/tests/net/test_descriptor_budget.py
+++ b/tests/net/test_descriptor_budget.py
@@ -51,6 +51,6 @@
         assert await rig.wait_until(lambda: rig.read(first)) == b"UP r\r\n"
         for sock in idle[:3]:
             assert (await rig.wait_until(lambda sock=sock: rig.read(sock))).startswith(b"BUSY ")
-        assert rig.program.connections.metrics.rejected["shed"] == 3
+        assert rig.program.connections.metrics.final_answers["shed"] == 3
 
     run_on_rig(scenario)
--- a/tests/net/test_endpoint_watcher.py
+++ b/tests/net/test_endpoint_watcher.py
@@ -2,21 +2,22 @@
 
 from __future__ import annotations
 
-from glenrock.net import endpoint_watcher
+import pytest
 
-A, B = ("127.0.0.1", 1), ("127.0.0.1", 2)
+from glenrock.config import Address
+from glenrock.net.endpoint_watcher import parse_answer
 
 
-def test_server_listed_twice_is_logged_and_its_later_row_counts(caplog) -> None:
+def test_server_listed_twice_is_logged_and_its_later_row_counts(caplog: pytest.LogCaptureFixture) -> None:
     row = {"name": "s1", "status": "SERVING"}
-    answer = endpoint_watcher.parse_answer(
+    answer = parse_answer(
         {
             "index": 1,
             "snapshot": True,
             "endpoints": [{**row, "address": "127.0.0.1:1"}, {**row, "address": "127.0.0.1:2"}],
         }
     )
-    assert [row.address for row in answer.rows] == [B]
+    assert [row.address for row in answer.rows] == [Address("127.0.0.1", 2)]
     assert caplog.messages == [
-        f'endpoint listed twice: the later row counts server=s1 ignored_address="{A}" address="{B}"'
+        "endpoint listed twice: the later row counts server=s1 ignored_address=127.0.0.1:1 address=127.0.0.1:2"
     ]
--- a/tests/net/test_health_checks_and_discovery.py
+++ b/tests/net/test_health_checks_and_discovery.py
@@ -6,6 +6,8 @@
 
 import pytest
 
+from glenrock.config import Address
+
 from .rig import REQUEST_LINE, LoopbackRig, create_listener, run_on_rig
 from .settings import SETTINGS
 
@@ -68,7 +70,7 @@
         if answered:
             rig.report_endpoints(s1="DRAINING")  # no iteration of the loop between
         rig.discovery, rig.version = create_listener(), 0
-        rig.program.endpoints.change_address(rig.discovery.getsockname())
+        rig.program.endpoints.change_address(Address(*rig.discovery.getsockname()))
         rig.discovery_connection = await rig.accept_connection(rig.discovery)
         assert (await rig.wait_until(lambda: rig.read(rig.discovery_connection))).startswith(
             b"GET /discovery/hosts HTTP"
--- a/tests/net/test_idle_connections.py
+++ b/tests/net/test_idle_connections.py
@@ -149,7 +149,7 @@
         client = rig.connect_client(REQUEST_LINE)
         server_side = await rig.accept_request("s1") if sent else None
         await rig.wait_until(lambda: rig.program.routing.balancer.requests)
-        rig.connections["x1"].mailbox.deliver(AnswerNow(1000))
+        rig.connections["x1"].mailbox.put_unbounded(AnswerNow(1000))
         data, end = await rig.read_to_end(client)
         assert data.startswith(word) and data.count(b"\n") == 1 and end == "fin"
         if server_side:
--- a/tests/net/test_server_actor.py
+++ b/tests/net/test_server_actor.py
@@ -7,6 +7,7 @@
 import pytest
 import uvloop
 
+from glenrock.config import Address
 from glenrock.net.attempt_outcomes import AttemptEnd
 from glenrock.net.clock import Clock
 from glenrock.net.connection_attempt import ConnectionAttempt
@@ -33,11 +34,11 @@
     servers = ServerRegistry(
         Clock(), 250, lambda event: True, ConnectionMetrics(["look"]), DescriptorBudget(1024), StartTimes(Clock(), 5000)
     )
-    address = server.sockets[0].getsockname()
+    address = Address(*server.sockets[0].getsockname())
     servers.update(EndpointListKind.FULL, [EndpointRow("s1", address, EndpointState.READY)])
     done = asyncio.get_running_loop().create_future()
     attempt = ConnectionAttempt(b"OPEN 1 1 c=look,d=900\r\n", 900, lambda _, result: done.set_result(result))
-    servers.get("s1").mailbox.put(attempt)
+    servers.get("s1").mailbox.try_put(attempt)
     for _ in range(iterations):
         await asyncio.sleep(0)
     servers.set_suspended("s1", True)
--- a/tests/net/test_start_times.py
+++ b/tests/net/test_start_times.py
@@ -8,6 +8,7 @@
 import pytest
 import uvloop
 
+from glenrock.config import Address
 from glenrock.net.clock import ManualClock
 from glenrock.net.endpoint_rows import EndpointRow
 from glenrock.net.start_times import REPORT_DELAY_MS, StartTimes
@@ -36,7 +37,8 @@
     def ages_ms(self, **since_ms: float) -> dict[str, float]:
         """Returns the ages of listed servers by name; infinite for a server without a known start."""
         rows = [
-            EndpointRow(name, ("127.0.0.1", 9), EndpointState.READY, since_ms=at_ms) for name, at_ms in since_ms.items()
+            EndpointRow(name, Address("127.0.0.1", 9), EndpointState.READY, since_ms=at_ms)
+            for name, at_ms in since_ms.items()
         ]
         return {
             row.name: self.clock.now_ms() - started_ms if started_ms else float("inf")
--- a/tests/upgrade/test_peer_address.py
+++ b/tests/upgrade/test_peer_address.py
@@ -5,6 +5,7 @@
 import asyncio
 import socket
 
+from glenrock.config import Address
 from glenrock.net.peers import Peers
 
 
@@ -13,11 +14,16 @@
         received: list[tuple[str, bytes]] = []
         sender = socket.socket(type=socket.SOCK_DGRAM)
         sender.bind(("127.0.0.1", 0))
-        peers = (("127.0.0.1", 9), sender.getsockname())
+        peers = (Address("127.0.0.1", 9), Address(*sender.getsockname()))
 
         def bind_peer(name: str, port: int) -> Peers:
             return Peers(
-                ("127.0.0.1", port), peers, None, lambda event: bool(received.append((name, event.data))), 2, True
+                Address("127.0.0.1", port),
+                peers,
+                None,
+                lambda event: bool(received.append((name, event.data))),
+                2,
+                True,
             )
 
         async def send_and_await(data: bytes) -> None:
--- a/tests/upgrade/test_processes.py
+++ b/tests/upgrade/test_processes.py
@@ -70,7 +70,7 @@
         assert (await site.call(second, "POST", "session-servers/s3/resume")).startswith("404")
         # Most relays were handed over, and both processes count the same number.
         handed_over = int(re.search(r"relays handed over relays=(\d+) ", site.log(0))[1])
-        assert handed_over >= 25 and f"relays taken over count={handed_over}\n" in site.log(1)
+        assert handed_over >= 25 and f"relays taken over relays={handed_over}\n" in site.log(1)
 
     run_on_site(scenario)
 
