--- a/glenrock/testbed/clients.py
+++ b/glenrock/testbed/clients.py
@@ -6,9 +6,10 @@
 import time
 from dataclasses import dataclass
 
+from ..routing.interface import Idempotency
 from .client_io import connect, read_answer
 from .loopback import Address, reset_connection
-from .records import ConnectionEnd, Idempotency, RequestRecord, RunRecord
+from .records import ConnectionEnd, RequestRecord, RunRecord
 from .request_line import MOVE_LINE, RESUME_FIELD, RESUME_TIMEOUT_S, AnswerKind, RequestLine
 
 LATE_ANSWER_TIMEOUT_S = 3.0  # past the deadline, to distinguish a late answer from none
--- a/glenrock/testbed/fault_schedule.py
+++ b/glenrock/testbed/fault_schedule.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass, replace
 from enum import Enum
 
+from ..routing.interface import Idempotency
 from .call_faults import Call
-from .records import Idempotency
 from .testbed import FleetShape
 
 MAX_FAULTS, MIN_FAULTS = 14, 6
--- a/glenrock/testbed/records.py
+++ b/glenrock/testbed/records.py
@@ -5,8 +5,9 @@
 from collections import defaultdict
 from collections.abc import Iterable
 from dataclasses import dataclass, field
-from enum import Enum, StrEnum
+from enum import Enum
 
+from ..routing.interface import Idempotency
 from .invariant import NEVER, Invariant
 
 CLIENTS, DISCOVERY, STORE = "clients", "list", "store"  # parties of which a run has one
@@ -18,14 +19,6 @@
     return f"balancer:{number}"
 
 
-class Idempotency(StrEnum):
-    """Whether a request may execute again. The values are the settings' words."""
-
-    SAFE = "safe"
-    KEYED = "keyed"
-    UNSAFE = "unsafe"
-
-
 class ConnectionEnd(Enum):
     """How a connection ended, as its client saw it."""
 
--- a/glenrock/testbed/request_invariants.py
+++ b/glenrock/testbed/request_invariants.py
@@ -9,9 +9,10 @@
 import itertools
 from collections import defaultdict
 
+from ..routing.interface import Idempotency
 from .check_context import CheckContext, Disturbance
 from .invariant import NEVER, Invariant, Violation
-from .records import CLIENTS, DISCOVERY, AttemptRecord, ConnectionEnd, Idempotency, RequestRecord, balancer_party
+from .records import CLIENTS, DISCOVERY, AttemptRecord, ConnectionEnd, RequestRecord, balancer_party
 from .request_line import RESUME_TIMEOUT_S
 
 SLACK_S = 0.05  # added to each time limit on sockets
--- a/glenrock/testbed/scenario.py
+++ b/glenrock/testbed/scenario.py
@@ -343,7 +343,7 @@
         self._need(high(fleet.balancers) <= MAX_BALANCERS, "fleet.balancers", f"at most {MAX_BALANCERS}")
         self._need(high(fleet.instances) <= MAX_SERVERS, "fleet.instances", f"at most {MAX_SERVERS}")
         only_simulated = "sweep" if scenario.sweep else "constants"
-        self._need(not scenario.sweep and not scenario.constants, only_simulated, "only the laboratory knows this")
+        self._need(not scenario.sweep and not scenario.constants, only_simulated, "only the simulation knows this")
         for number, found in enumerate(scenario.faults):
             self._check_fault(f"faults[{number}]", found)
 
--- a/glenrock/testbed/scenario_testbed.py
+++ b/glenrock/testbed/scenario_testbed.py
@@ -201,7 +201,7 @@
             "discovery": format_address(discovery),
             "seed": f"{self.seed * 1000 + number:x}",
             "limits": {"sockets": scenario.rig.sockets},
-            "settings": encode_settings(settings, tuple(tenant.name for tenant in scenario.tenants)),
+            "settings": encode_settings(settings),
             "peer_listen": format_address(self.network.peer(number)),
             "peers": self.datagram_relays.peers_of(number),
         }
--- a/glenrock/testbed/testbed.py
+++ b/glenrock/testbed/testbed.py
@@ -12,13 +12,15 @@
 from pathlib import Path
 from typing import Any
 
+from ..routing.interface import LOAD_RATIO, UTILIZATION, Idempotency, RequestClass, Settings
 from .balancer_process import ROOT, BalancerProcess
+from .balancer_settings import encode_settings
 from .call_faults import CallFaults
 from .clients import Client, ClientPlan
 from .discovery_agent import DiscoveryAgent, RecordingObserver
 from .endpoint_directory import EndpointDirectory, ListedServer
 from .loopback import LoopbackNetwork, format_address
-from .records import Idempotency, RunRecord
+from .records import RunRecord
 from .session_servers import ScriptedServer
 
 READY_TIMEOUT_S = 30.0
@@ -27,6 +29,13 @@
 ZONE, SERVER_GROUPS = "a", 4  # of the listed servers
 NETWORK_STEP = 251  # between the networks of one process
 SERVICE = "lookup"
+US_PER_MS = 1000
+TICK_US = 2000  # of routing's timers
+MAX_RETRY_AFTER_US = 1_000_000
+CONNECT_TIMEOUT_US = 200_000
+SLOW_START_INITIAL_FRACTION, SLOW_START_US = 0.4, 5_000_000
+SLOW_START_MULTIPLE, SLOW_START_WINDOW_US = 3.0, 3_000_000
+HEALTH_CHECK_COST = 0.0015  # of the platform's result
 _networks = itertools.count()
 
 
@@ -60,41 +69,37 @@
     groups: int = 0
 
 
-def settings_of(shape: FleetShape, number: int) -> dict[str, Any]:
-    """Returns the settings object of a balancer, in the platform's form."""
-    request_class = {
-        "name": SERVICE,
-        "targetUs": int(shape.deadline_ms * 500),
-        "deadlineUs": int(shape.deadline_ms * 1000),
-        "effect": shape.idempotency,
-        "windowUs": int(shape.window_ms * 1000),
-    }
-    return {
-        "az": ZONE,
-        "slotNo": number,
-        "balancers": shape.balancers,
-        "tickUs": 2000,
-        "caps": {
-            "maxAttempts": shape.max_attempts,
-            "cancel": True,
-            "probes": shape.health_checks,
-            "mayTell": shape.balancers > 1,
-            "retryAfter": True,
-            "maxRetryAfterUs": 1_000_000,
-            "dialTimeoutUs": 200_000,
-        },
-        "registryMode": "ask" if shape.must_poll else "push",
-        "classes": [request_class],
-        "obligations": {
-            "drainGraceUs": int(shape.drain_grace_ms * 1000),
-            "coldShare": 0.4,
-            "coldUs": 5_000_000,
-            "fallMultiple": 3,
-            "overloadForUs": 3_000_000,
-        },
-        "report": {"how": "probe" if shape.health_checks else "none", "names": ["util", "queue", "x0"]},
-        "tariffs": {"probe": 0.0015},
-    }
+def settings_of(shape: FleetShape, number: int) -> Settings:
+    """Returns the settings of a balancer."""
+    deadline_us = int(shape.deadline_ms * US_PER_MS)
+    request_class = RequestClass(
+        SERVICE,
+        latency_objective_us=deadline_us // 2,
+        deadline_us=deadline_us,
+        idempotency=shape.idempotency,
+        idempotency_window_us=int(shape.window_ms * US_PER_MS),
+    )
+    return Settings(
+        classes=(request_class,),
+        zone=ZONE,
+        index=number,
+        balancers=shape.balancers,
+        tick_us=TICK_US,
+        max_attempts=shape.max_attempts,
+        may_cancel=True,
+        may_health_check=shape.health_checks,
+        may_gossip=shape.balancers > 1,
+        max_retry_after_us=MAX_RETRY_AFTER_US,
+        connect_timeout_us=CONNECT_TIMEOUT_US,
+        must_poll_endpoints=shape.must_poll,
+        drain_grace_us=int(shape.drain_grace_ms * US_PER_MS),
+        slow_start_initial_fraction=SLOW_START_INITIAL_FRACTION,
+        slow_start_us=SLOW_START_US,
+        slow_start_multiple=SLOW_START_MULTIPLE,
+        slow_start_window_us=SLOW_START_WINDOW_US,
+        load_report_fields=(UTILIZATION, "backlog", LOAD_RATIO) if shape.health_checks else (),
+        health_check_cost=HEALTH_CHECK_COST,
+    )
 
 
 class Testbed:
@@ -170,7 +175,7 @@
             "admin": format_address(self.network.admin(number)),
             "seed": f"{number + 1:x}",
             "limits": {"sockets": self.shape.descriptors},
-            "settings": settings_of(self.shape, number),
+            "settings": encode_settings(settings_of(self.shape, number)),
         }
         if self.shape.balancers > 1:
             config |= {"peer_listen": peers[number], "peers": peers}
--- a/tests/testbed/test_balancer_process.py
+++ b/tests/testbed/test_balancer_process.py
@@ -27,14 +27,14 @@
         load_report_fields=("load_ratio", "backlog"),
         may_health_check=True,
     )
-    assert settings_of(balancer_settings.encode_settings(s, ("all",))) == s
+    assert settings_of(balancer_settings.encode_settings(s)) == s
     return {
         "name": "n0",
         "listen": f"{host}:{port}",
         "discovery": f"{host}:9",
         "seed": "1",
         "limits": {"sockets": 128},
-        "settings": balancer_settings.encode_settings(s, ("all",)),
+        "settings": balancer_settings.encode_settings(s),
     }
 
 
--- a/tests/testbed/test_scenario.py
+++ b/tests/testbed/test_scenario.py
@@ -31,7 +31,7 @@
         ("[fleet]\nballancers = 3\n", "fleet.ballancers: not a key that is known here"),
         ("[fleet]\nbalancers = 500\n", "fleet.balancers: at most 200"),
         ("[rig]\nsockets = 5\n", "rig.sockets: "),
-        ("[constants]\nCAP_CUT = 0.5\n", "constants: only the laboratory"),
+        ("[constants]\nCAP_CUT = 0.5\n", "constants: only the simulation"),
     ],
 )
 def test_invalid_scenario_is_reported_in_one_line(tmp_path, capsys, text, told) -> None:
--- a/tests/testbed/test_soak.py
+++ b/tests/testbed/test_soak.py
@@ -7,6 +7,7 @@
 
 import pytest
 
+from glenrock.routing.interface import Idempotency
 from glenrock.testbed import soak
 from glenrock.testbed.endpoint_directory import EndpointStatus
 from glenrock.testbed.fault_player import kill_record
@@ -18,7 +19,6 @@
     ConnectionEnd,
     FaultRecord,
     HalfRequestRecord,
-    Idempotency,
     ListedRecord,
     RequestRecord,
     RunRecord,
