--- a/glenrock/cli/scenario_live_table.py
+++ b/glenrock/cli/scenario_live_table.py
@@ -9,6 +9,8 @@
 from rich.live import Live
 from rich.table import Table
 
+from ..testbed.history_events import LineLogged
+
 if TYPE_CHECKING:
     from ..testbed.scenario_testbed import ScenarioTestbed
 
@@ -74,7 +76,6 @@
 
 def _last_log_line(bed: ScenarioTestbed, party: str) -> str:
     for event in reversed(bed.history.events):
-        if event.kind == "log" and event.party == party:
-            text: str = event.data["text"]
-            return text
+        if event.party == party and isinstance(event.data, LineLogged):
+            return event.data.text
     return ""
--- a/glenrock/cli/scenario_run.py
+++ b/glenrock/cli/scenario_run.py
@@ -72,9 +72,10 @@
 def write_results(folder: Path, bed: ScenarioTestbed, summary: dict[str, Any]) -> None:
     """Writes the tables and the history of a run."""
     from ..simulation import record
+    from ..testbed.history_text import encode_event
 
     record.write_tables(folder, bed.measure, bed.scenario, [server.name for server in bed.servers], summary)
-    lines = (event.text(bed.history.measured_from_us) for event in bed.history.events)
+    lines = (encode_event(event, bed.history.measured_from_us) for event in bed.history.events)
     (folder / "history.txt").write_text("".join(f"{line}\n" for line in lines), encoding="utf-8")
 
 
--- a/glenrock/testbed/balancer_process.py
+++ b/glenrock/testbed/balancer_process.py
@@ -16,7 +16,18 @@
 from pathlib import Path
 from typing import Any
 
-from .history import EventKind, History
+from .history import History
+from .history_events import (
+    BalancerKilled,
+    BalancerPaused,
+    BalancerResumed,
+    BalancerStarted,
+    BalancerTerminated,
+    CpuLimited,
+    CpuRestored,
+    EventData,
+    SignalSent,
+)
 from .loopback import Address
 from .records import balancer_party
 
@@ -138,7 +149,7 @@
             )
         self.incarnation += 1
         self.is_paused = False
-        self._note(EventKind.STARTED, life=self.incarnation, pid=self._process.pid)
+        self._note(BalancerStarted(self.incarnation, self._process.pid))
 
     def _limit_child(self) -> None:
         _die_with_parent()
@@ -148,9 +159,9 @@
             memory = self._memory_mb * BYTES_PER_MB
             resource.setrlimit(resource.RLIMIT_AS, (memory, memory))
 
-    def _note(self, kind: EventKind, **data: Any) -> None:
+    def _note(self, data: EventData) -> None:
         if self._history is not None:
-            self._history.note(self.party, kind, **data)
+            self._history.note(self.party, data)
 
     async def wait_ended(self, timeout_s: float) -> bool:
         """Waits for the process to end. Returns False where it runs on."""
@@ -176,29 +187,29 @@
             self._process.send_signal(number)
         return True
 
-    def _send_noted(self, number: signal.Signals, kind: EventKind) -> bool:
+    def _send_noted(self, number: signal.Signals, kind: type[SignalSent]) -> bool:
         if self.is_running:
-            self._note(kind, life=self.incarnation)
+            self._note(kind(self.incarnation))
         return self.send_signal(number)
 
     def kill(self) -> bool:
         """Sends SIGKILL. Returns False where no process runs."""
-        return self._send_noted(signal.SIGKILL, EventKind.KILLED)
+        return self._send_noted(signal.SIGKILL, BalancerKilled)
 
     def terminate(self) -> bool:
         """Sends SIGTERM. Returns False where no process runs."""
-        return self._send_noted(signal.SIGTERM, EventKind.STOPPING)
+        return self._send_noted(signal.SIGTERM, BalancerTerminated)
 
     def pause(self) -> bool:
         """Sends SIGSTOP. Returns False where no process runs."""
-        self.is_paused = self._send_noted(signal.SIGSTOP, EventKind.PAUSED)
+        self.is_paused = self._send_noted(signal.SIGSTOP, BalancerPaused)
         return self.is_paused
 
     def resume(self) -> None:
         """Sends SIGCONT to a paused process."""
         if self.is_paused:
             self.is_paused = False
-            self._send_noted(signal.SIGCONT, EventKind.RESUMED)
+            self._send_noted(signal.SIGCONT, BalancerResumed)
 
     # -- CPU -------------------------------------------------------------------------------------------
 
@@ -215,7 +226,7 @@
             os.sched_setaffinity(0, {core})
 
         self.neighbour = subprocess.Popen([sys.executable, "-S", "-c", BUSY_LOOP], preexec_fn=prepare_child)
-        self._note(EventKind.SQUEEZED, nice=nice, core=core)
+        self._note(CpuLimited(nice, core))
 
     def restore_cpu(self, cores: set[int]) -> None:
         """Gives the cores and the usual priority back."""
@@ -225,7 +236,7 @@
         os.sched_setaffinity(self.process_id, cores)
         with contextlib.suppress(PermissionError):
             os.setpriority(os.PRIO_PROCESS, self.process_id, 0)
-        self._note(EventKind.RELEASED)
+        self._note(CpuRestored())
 
     def _end_neighbour(self) -> None:
         if self.neighbour:
--- a/glenrock/testbed/coordination_figures.py
+++ b/glenrock/testbed/coordination_figures.py
@@ -4,14 +4,15 @@
 
 from collections import defaultdict
 from dataclasses import dataclass
+from http import HTTPStatus
 from typing import Any
 
-from .history import US_PER_S, EventKind, FaultInterval, History
+from .history import US_PER_S, FaultInterval, History
+from .history_events import DrainAnswered, EffectAcknowledged, HeartbeatRejected, OverrideAnswered, TermBegan
 
 COUNTED_FAULTS = ("kill", "pause", "way", "stop", "store_fault")
 HOLDER_FAULTS = ("kill", "pause", "stop")  # that may end a holder's term
 OVERRIDE_JOB = "bans"
-HTTP_OK, HTTP_ACCEPTED, HTTP_UNAVAILABLE = 200, 202, 503
 
 
 @dataclass(frozen=True, slots=True)
@@ -23,28 +24,34 @@
 def coordination_figures(history: History, lease_us: int) -> dict[str, Any]:
     """Returns terms, effects, operators' calls, and the times until the next term after the holder was struck."""
     terms = [
-        _Term(event.at_us, _holder_party(event.data["holder"]))
-        for event in history.each(EventKind.TERM_BEGAN)
-        if event.data["job"] == OVERRIDE_JOB
+        _Term(event.at_us, _holder_party(event.data.holder))
+        for event in history.each(TermBegan)
+        if event.data.job == OVERRIDE_JOB
     ]
-    effects = [event.data for event in history.each(EventKind.EFFECT_ACKNOWLEDGED)]
-    rejected_marks = sum(1 for _ in history.each(EventKind.MARK_REJECTED))
-    override_statuses = [event.data["status"] for event in history.each(EventKind.OVERRIDE_ANSWERED)]
-    drain_statuses = [event.data["status"] for event in history.each(EventKind.DRAIN_ANSWERED)]
+    effects = [event.data for event in history.each(EffectAcknowledged)]
+    rejected_heartbeats = sum(1 for _ in history.each(HeartbeatRejected))
+    override_statuses = [event.data.status for event in history.each(OverrideAnswered)]
+    drain_statuses = [event.data.status for event in history.each(DrainAnswered)]
     return {
         "terms": len(terms),
-        "taken": sum(effect["ok"] for effect in effects),
-        "late": sum(not effect["ok"] and effect["term"] < effect["seen"] for effect in effects) + rejected_marks,
+        "taken": sum(effect.is_accepted for effect in effects),
+        "late": late_effects(history) + rejected_heartbeats,
         "struck": sum(fault.kind in COUNTED_FAULTS for fault in history.faults),
         "until_next_term_s": _times_until_next_term(history.faults, terms, lease_us),
-        "told": override_statuses.count(HTTP_OK),
-        "told_later": override_statuses.count(HTTP_ACCEPTED),
-        "not_heard": sum(status not in (HTTP_OK, HTTP_ACCEPTED) for status in override_statuses),
-        "drained": drain_statuses.count(HTTP_OK),
-        "drains_refused": drain_statuses.count(HTTP_UNAVAILABLE),
+        "told": override_statuses.count(HTTPStatus.OK),
+        "told_later": override_statuses.count(HTTPStatus.ACCEPTED),
+        "not_heard": sum(status not in (HTTPStatus.OK, HTTPStatus.ACCEPTED) for status in override_statuses),
+        "drained": drain_statuses.count(HTTPStatus.OK),
+        "drains_refused": drain_statuses.count(HTTPStatus.SERVICE_UNAVAILABLE),
     }
 
 
+def late_effects(history: History) -> int:
+    """Returns how many effects of an old term were rejected."""
+    effects = (event.data for event in history.each(EffectAcknowledged))
+    return sum(not effect.is_accepted and effect.term < effect.highest_term for effect in effects)
+
+
 def _holder_party(holder: str) -> str:
     """Returns the party of a stored holder, `nN/incarnation`."""
     name, _, _ = holder.partition("/")
--- a/glenrock/testbed/coordination_invariants.py
+++ b/glenrock/testbed/coordination_invariants.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from collections import defaultdict
+from http import HTTPStatus
 
 from .check_context import CheckContext, Disturbance
 from .invariant import Invariant, Violation
@@ -11,7 +12,6 @@
 
 OVERRIDE_PROPAGATION_S = 1.0  # an acknowledged suspension reaches every balancer that can be reached
 DRAIN_LOOK_GAP_S = 0.6  # the front end looks at a draining balancer more often than this
-HTTP_OK = 200
 
 
 def check_term_order(context: CheckContext) -> None:
@@ -86,7 +86,7 @@
                 if not event.is_suspended:
                     suspended_s.pop(event.server, None)
             case OverrideRecord(is_suspended=True):
-                if event.status != HTTP_OK:
+                if event.status != HTTPStatus.OK:
                     # Not acknowledged: it may be applied later, and the check of agreement covers the end.
                     context.result.excused[Invariant.OVERRIDE_APPLIED] += 1
                 elif requested.get(event.server, True):
--- a/glenrock/testbed/coordination_observer.py
+++ b/glenrock/testbed/coordination_observer.py
@@ -6,7 +6,9 @@
 
 from ..coordination import datagrams
 from .coordination_store import CoordinationStore
-from .history import EventKind, History
+from .history import History
+from .history_events import EffectAcknowledged, HeartbeatRejected, TermBegan
+from .records import STORE, balancer_party
 
 LEASE_POLL_S = 0.05
 FIRST_COORDINATION_BYTE = b"\xf1"  # datagrams of coordination begin with this byte or a higher one
@@ -34,7 +36,7 @@
             for job, lease in self._store.leases().items():
                 if lease.term != self._terms.get(job):
                     self._terms[job] = lease.term
-                    self._history.note("store", EventKind.TERM_BEGAN, job=job, term=lease.term, holder=lease.holder)
+                    self._history.note(STORE, TermBegan(job, lease.term, lease.holder))
             await asyncio.sleep(LEASE_POLL_S)
 
     def observe_datagram(self, sender: int, receiver: int, data: bytes) -> None:
@@ -42,19 +44,16 @@
         message = datagrams.decode(data) if data[:1] >= FIRST_COORDINATION_BYTE else None
         if not isinstance(message, datagrams.Acknowledgement):
             return
-        party = f"balancer:{sender}"
+        party = balancer_party(sender)
         if not message.sequence:
-            self._history.note(
-                party, EventKind.MARK_REJECTED, job=message.job, term=message.term, seen=message.highest_term
-            )
+            self._history.note(party, HeartbeatRejected(message.job, message.term, message.highest_term))
             return
-        self._history.note(
-            party,
-            EventKind.EFFECT_ACKNOWLEDGED,
-            job=message.job,
-            term=message.term,
-            number=message.sequence,
-            ok=message.is_accepted,
-            seen=message.highest_term,
-            order=message.verdict_sequence,
+        effect = EffectAcknowledged(
+            message.job,
+            message.term,
+            message.sequence,
+            message.is_accepted,
+            message.highest_term,
+            message.verdict_sequence,
         )
+        self._history.note(party, effect)
--- a/glenrock/testbed/frontend.py
+++ b/glenrock/testbed/frontend.py
@@ -5,7 +5,8 @@
 import asyncio
 import random
 
-from .history import EventKind, History
+from .history import History
+from .history_events import BalancerAdded, BalancerRemoved, DrainObserved
 from .loopback import Address
 
 PING_TIMEOUT_S = 1.0
@@ -51,17 +52,17 @@
         while True:
             answer = await self._ping(number)
             if answer == DRAINING_ANSWER:
-                self._history.note(PARTY, EventKind.BALANCER_DRAINS, balancer=number)
+                self._history.note(PARTY, DrainObserved(number))
             if answer == READY_ANSWER:
                 self._answered_s[number] = loop.time()
                 if number not in self.ready:
                     self.ready.add(number)
-                    self._history.note(PARTY, EventKind.BALANCER_ADDED, balancer=number)
+                    self._history.note(PARTY, BalancerAdded(number))
             elif number in self.ready and (
                 answer == DRAINING_ANSWER or loop.time() - self._answered_s[number] > self._notice_s
             ):
                 self.ready.discard(number)
-                self._history.note(PARTY, EventKind.BALANCER_REMOVED, balancer=number)
+                self._history.note(PARTY, BalancerRemoved(number))
             await asyncio.sleep(self._interval_s)
 
     async def _ping(self, number: int) -> bytes:
--- a/glenrock/testbed/history_records.py
+++ b/glenrock/testbed/history_records.py
@@ -5,11 +5,13 @@
 from collections import Counter
 from dataclasses import replace
 
+from . import history_events as events
 from . import invariants
-from .history import OPEN_END_US, US_PER_S, Event, EventKind, FaultInterval, History
+from .history import OPEN_END_US, US_PER_S, Event, FaultInterval, History
+from .history_events import EndCause, EndedBy, EventData, RequestEvent
+from .history_text import encode_event
 from .invariant import NEVER, CheckResult, InvariantLimits, Violation
 from .records import (
-    CLIENTS,
     AttemptRecord,
     ConnectionEnd,
     DrainObservation,
@@ -23,8 +25,13 @@
 )
 
 MAX_DETAIL_EVENTS = 12
-SERVER_PREFIX, BALANCER_PREFIX = "instance:", "balancer:"
-ENDS = {"eof": ConnectionEnd.FINISHED, "reset": ConnectionEnd.RESET, "moved": ConnectionEnd.FINISHED}
+BALANCER_PREFIX = "balancer:"
+CONNECTION_ENDS = {
+    EndCause.CLOSED_BY_CLIENT: ConnectionEnd.LEFT,
+    EndCause.MIGRATED: ConnectionEnd.FINISHED,
+    EndCause.FINISHED: ConnectionEnd.FINISHED,
+    EndCause.RESET: ConnectionEnd.RESET,
+}
 
 
 def check_history(history: History, limits: InvariantLimits, record: RunRecord | None = None) -> CheckResult:
@@ -37,8 +44,8 @@
 def _with_events(violation: Violation, history: History) -> Violation:
     if not violation.request_id:
         return violation
-    events = history.of_request(violation.request_id)[-MAX_DETAIL_EVENTS:]
-    return replace(violation, details=tuple(event.text(history.measured_from_us) for event in events))
+    shown = history.of_request(violation.request_id)[-MAX_DETAIL_EVENTS:]
+    return replace(violation, details=tuple(encode_event(event, history.measured_from_us) for event in shown))
 
 
 def records_of(history: History) -> RunRecord:
@@ -64,121 +71,123 @@
         self._attempts: dict[str, list[AttemptRecord]] = {}
         self._incarnations: Counter[str] = Counter()
 
-    def read(self, event: Event) -> None:
-        if event.party == CLIENTS:
-            self._read_client(event)
-        elif event.kind in (EventKind.ATTEMPT_RECEIVED, EventKind.ATTEMPT_UP, EventKind.ATTEMPT_ENDED):
-            self._read_attempt(event)
-        elif event.kind in (EventKind.OVERRIDE_REQUESTED, EventKind.OVERRIDE_ANSWERED, EventKind.BALANCER_DRAINS):
-            self._read_operation(event)
-        else:
-            self._read_process(event)
+    def read(self, event: Event[EventData]) -> None:
+        at_s = event.at_us / US_PER_S
+        match event.data:
+            case events.ServerOverloaded() as overload:
+                record = OverloadRecord(event.party, at_s, overload.request_id, overload.balancer)
+                self.record.overloads.append(record)
+            case events.AttemptReceived() | events.AttemptUp() | events.AttemptEnded() as attempt:
+                self._read_attempt(event.party, attempt, at_s)
+            case RequestEvent() as request:
+                self._read_client(request, at_s)
+            case operation:
+                self._read_operation(operation, at_s)
+                self._read_process(event.party, operation, at_s)
 
     # -- clients ---------------------------------------------------------------------------------------
 
-    def _request(self, event: Event) -> RequestRecord:
-        if event.request_id not in self.requests:
-            balancer = int(event.data.get("balancer", -1))
-            self.requests[event.request_id] = RequestRecord(event.request_id, balancer, 0.0)
-        return self.requests[event.request_id]
-
-    def _read_client(self, event: Event) -> None:
-        request, at_s = self._request(event), event.at_us / US_PER_S
-        match event.kind:
-            case EventKind.SENT:
-                request.sent_s, request.deadline_ms = at_s, event.data["d_ms"]
-                request.resumes_at = event.data.get("at", "")
-            case EventKind.ANSWERED:
+    def _request(self, data: RequestEvent) -> RequestRecord:
+        if data.request_id not in self.requests:
+            self.requests[data.request_id] = RequestRecord(data.request_id, data.balancer, 0.0)
+        return self.requests[data.request_id]
+
+    def _read_client(self, data: RequestEvent, at_s: float) -> None:
+        request = self._request(data)
+        match data:
+            case events.RequestSent():
+                request.sent_s, request.deadline_ms = at_s, data.deadline_ms
+                request.resumes_at = data.resumes_at
+            case events.RequestAnswered():
                 request.answers += 1
                 if request.answers == 1:
-                    request.answer, request.answered_s = event.data["answer"], at_s
-                    request.server = event.data.get("instance", "")
-            case EventKind.CLOSED_UNANSWERED:
+                    request.answer, request.answered_s = data.answer, at_s
+                    request.server = data.server or ""
+            case events.ClosedUnanswered():
                 request.end = ConnectionEnd.FINISHED
-            case EventKind.GAVE_UP:
+            case events.RequestGivenUp():
                 request.gave_up_s = at_s
-            case EventKind.LEFT:
+            case events.ClientLeft():
                 request.left_s = at_s
-            case EventKind.CONNECTION_ENDED:
-                self._read_end(request, event.data["how"], at_s)
+            case events.ConnectionEnded():
+                self._read_end(request, data.cause, at_s)
             case _:
                 return
 
-    def _read_end(self, request: RequestRecord, how: str, at_s: float) -> None:
-        request.ended_s, request.is_migrated = at_s, how == "moved"
-        request.end = ENDS.get(how, ConnectionEnd.LEFT)
+    def _read_end(self, request: RequestRecord, cause: EndCause, at_s: float) -> None:
+        request.ended_s, request.is_migrated = at_s, cause is EndCause.MIGRATED
+        request.end = CONNECTION_ENDS[cause]
         if request.end is ConnectionEnd.LEFT:
             request.left_s = at_s
 
     # -- session servers -------------------------------------------------------------------------------
 
-    def _read_attempt(self, event: Event) -> None:
-        at_s = event.at_us / US_PER_S
-        attempts = self._attempts.setdefault(event.request_id, [])
-        if event.kind == EventKind.ATTEMPT_RECEIVED:
-            attempts.append(self._add_attempt(event, at_s))
+    def _read_attempt(
+        self, server: str, data: events.AttemptReceived | events.AttemptUp | events.AttemptEnded, at_s: float
+    ) -> None:
+        attempts = self._attempts.setdefault(data.request_id, [])
+        if isinstance(data, events.AttemptReceived):
+            attempts.append(self._add_attempt(server, data, at_s, data.is_resumed))
             return
-        attempt = next((found for found in attempts if found.server == event.party and found.ended_s == NEVER), None)
-        if event.kind == EventKind.ATTEMPT_UP:
+        attempt = next((found for found in attempts if found.server == server and found.ended_s == NEVER), None)
+        if isinstance(data, events.AttemptUp):
             if attempt is not None:
                 attempt.up_s = at_s
             return
         if attempt is None:  # its request line was not seen
-            attempt = self._add_attempt(event, at_s)
+            attempt = self._add_attempt(server, data, at_s)
             attempt.up_s = at_s
         attempt.ended_s = at_s
         # An end that the client saw before the server's end has another cause.
-        request = self.requests.get(event.request_id)
+        request = self.requests.get(data.request_id)
         is_first = request is None or request.ended_s == NEVER
-        attempt.ended_by_server = event.data.get("by") == "self" and is_first
+        attempt.ended_by_server = data.ended_by is EndedBy.SERVER and is_first
 
-    def _add_attempt(self, event: Event, at_s: float) -> AttemptRecord:
-        balancer = int(event.data.get("balancer", -1))
-        is_resumed = bool(event.data.get("at", False))
-        attempt = AttemptRecord(event.request_id, event.party, is_resumed, at_s, at_s, balancer)
+    def _add_attempt(self, server: str, data: RequestEvent, at_s: float, is_resumed: bool = False) -> AttemptRecord:
+        attempt = AttemptRecord(data.request_id, server, is_resumed, at_s, at_s, data.balancer)
         self.record.attempts.append(attempt)
         return attempt
 
-    # -- operators and the front end -------------------------------------------------------------------
-
-    def _read_operation(self, event: Event) -> None:
-        at_s, data = event.at_us / US_PER_S, event.data
-        if event.kind == EventKind.BALANCER_DRAINS:
-            self.record.drains.append(DrainObservation(data["balancer"], at_s))
-        else:
-            self.record.overrides.append(OverrideRecord(data["instance"], data["out"], at_s, data.get("status")))
-
-    # -- processes and discovery -----------------------------------------------------------------------
-
-    def _read_process(self, event: Event) -> None:
-        at_s, data = event.at_us / US_PER_S, event.data
-        match event.kind:
-            case EventKind.STARTED:
-                self._incarnations[event.party] += 1
-                self.record.server_starts += event.party.startswith(SERVER_PREFIX)
-            case EventKind.OVERLOADED:
-                overload = OverloadRecord(event.party, at_s, event.request_id, int(data.get("balancer", -1)))
-                self.record.overloads.append(overload)
-            case EventKind.LISTED:
-                self.record.listed.append(ListedRecord(data["balancer"], data["instance"], data["status"], at_s))
-            case EventKind.EFFECT_ACKNOWLEDGED:
-                self.record.effects.append(self._effect(event, at_s))
-            case EventKind.LOG_LINE:
-                number = int(event.party.removeprefix(BALANCER_PREFIX))
-                self.record.log_lines[number].append(str(data["text"]))
+    # -- operators, the front end and discovery --------------------------------------------------------
+
+    def _read_operation(self, data: EventData, at_s: float) -> None:
+        match data:
+            case events.DrainObserved():
+                self.record.drains.append(DrainObservation(data.balancer, at_s))
+            case events.OverrideRequested():
+                self.record.overrides.append(OverrideRecord(data.server, data.is_suspended, at_s))
+            case events.OverrideAnswered():
+                self.record.overrides.append(OverrideRecord(data.server, data.is_suspended, at_s, data.status))
+            case events.ServerListed():
+                self.record.listed.append(ListedRecord(data.balancer, data.server, data.status, at_s))
+            case _:
+                return
+
+    # -- processes -------------------------------------------------------------------------------------
+
+    def _read_process(self, party: str, data: EventData, at_s: float) -> None:
+        match data:
+            case events.BalancerStarted():
+                self._incarnations[party] += 1
+            case events.ServerStarted():
+                self.record.server_starts += 1
+            case events.EffectAcknowledged():
+                self.record.effects.append(self._effect(party, data, at_s))
+            case events.LineLogged():
+                number = int(party.removeprefix(BALANCER_PREFIX))
+                self.record.log_lines[number].append(data.text)
             case _:
                 return
 
-    def _effect(self, event: Event, at_s: float) -> EffectRecord:
-        data = event.data
+    def _effect(self, receiver: str, data: events.EffectAcknowledged, at_s: float) -> EffectRecord:
         return EffectRecord(
-            event.party,
-            self._incarnations[event.party],
-            data["job"],
-            data["term"],
-            data["number"],
-            data["ok"],
-            data["seen"],
-            data["order"],
+            receiver,
+            self._incarnations[receiver],
+            data.job,
+            data.term,
+            data.number,
+            data.is_accepted,
+            data.highest_term,
+            data.order,
             at_s,
         )
--- a/glenrock/testbed/modelled_servers.py
+++ b/glenrock/testbed/modelled_servers.py
@@ -14,7 +14,18 @@
 from typing import Any, cast
 
 from .balancer_settings import LOAD_REPORT_FIELDS
-from .history import US_PER_S, EventKind, History
+from .history import US_PER_S, History
+from .history_events import (
+    AttemptEnded,
+    AttemptReceived,
+    AttemptUp,
+    EndedBy,
+    HealthCheckReceived,
+    ServerCrashed,
+    ServerOverloaded,
+    ServerStarted,
+    UnknownLineReceived,
+)
 from .loopback import Address, reset_connection
 from .real_time_engine import RealTimeEngine
 from .request_line import RequestLine
@@ -31,8 +42,8 @@
 )
 
 ERROR_ANSWERS = {SetupAnswer.FULL: b"BUSY\r\n", SetupAnswer.ERROR: b"ERR\r\n"}
-ENDED_BY_SERVER, ENDED_BY_PEER = "self", "peer"  # words of the history
 MAX_DELAY_S = 30.0  # of an echo or a health check
+MAX_NOTED_BYTES = 80  # of an unknown line in the history
 
 
 @dataclass(eq=False, slots=True)
@@ -116,7 +127,7 @@
         if self.started_ms or not self.model.up:
             self.model.begin(self._engine.now)
         self._listen()
-        self._history.note(self.party, EventKind.STARTED, cold=bool(self.started_ms))
+        self._history.note(self.party, ServerStarted(is_warming=bool(self.started_ms)))
 
     def restart(self) -> None:
         """Starts the process again: it warms up."""
@@ -127,17 +138,17 @@
         """Ends the process: connections are reset, new ones refused."""
         if not self.model.up:
             return
-        self._history.note(self.party, EventKind.CRASHED)
+        self._history.note(self.party, ServerCrashed())
         self._refuse()
         self.model.stop(self._engine.now)
         for attempt in list(self.open_attempts):
-            self._end_attempt(attempt, ENDED_BY_SERVER)
+            self._end_attempt(attempt, EndedBy.SERVER)
             reset_connection(attempt.writer)
 
     def advance_second(self) -> None:
         """Lets the model drop the connections whose work exceeds its buffer; is called once a second."""
         for connection in self.model.tick(self._engine.now):
-            self._end_attempt(connection.attempt, ENDED_BY_SERVER)
+            self._end_attempt(connection.attempt, EndedBy.SERVER)
             reset_connection(connection.attempt.writer)
 
     def begin_measuring(self) -> None:
@@ -162,7 +173,7 @@
         reports = self._environment.scenario.reports
         work_us = drawn_number(reports.probe_ms) * 1000
         delay_s = self.model.work(self._engine.now, work_us, reports.probe_waits) / US_PER_S
-        self._history.note(self.party, EventKind.HEALTH_CHECK)
+        self._history.note(self.party, HealthCheckReceived())
         await asyncio.sleep(min(delay_s, MAX_DELAY_S))
         pairs = self._load_report() if wants_report else ""
         writer.write(f"PONG {pairs}\r\n".encode() if pairs else b"PONG\r\n")
@@ -178,7 +189,7 @@
         )
 
     def _note_unknown_line(self, line: bytes) -> None:
-        self._history.note(self.party, EventKind.UNKNOWN_LINE, line=repr(line[:80]))
+        self._history.note(self.party, UnknownLineReceived(repr(line[:MAX_NOTED_BYTES])))
 
     # -- requests --------------------------------------------------------------------------------------
 
@@ -202,9 +213,7 @@
         attempt = ServedAttempt(request.request_id, balancer, answer, writer)
         self.open_attempts[attempt] = None
         self.attempts += not request.is_resumed
-        self._history.note(
-            self.party, EventKind.ATTEMPT_RECEIVED, request.request_id, balancer=balancer, at=request.is_resumed
-        )
+        self._history.note(self.party, AttemptReceived(request.request_id, balancer, request.is_resumed))
         try:
             self._submit(attempt, request.is_resumed)
             if await self._peer_left(attempt, reader):
@@ -212,7 +221,7 @@
                 return
             await self._answer(attempt, reader)
         finally:
-            self._end_attempt(attempt, ENDED_BY_PEER)
+            self._end_attempt(attempt, EndedBy.PEER)
 
     def _submit(self, attempt: ServedAttempt, is_resumed: bool) -> None:
         """Gives the attempt to the model. A server that this overloads while it warms up crashes."""
@@ -225,7 +234,7 @@
         work_us = self._environment.setup_work_us(client)
         self.model.arrive(self._engine.now, attempt, work_us, client.usual, is_listed)
         if self.model.fallen and self.model.up:
-            self._history.note(self.party, EventKind.OVERLOADED, attempt.request_id, balancer=attempt.balancer)
+            self._history.note(self.party, ServerOverloaded(attempt.request_id, attempt.balancer))
             self.crash()
 
     async def _peer_left(self, attempt: ServedAttempt, reader: asyncio.StreamReader) -> bool:
@@ -244,7 +253,7 @@
         if answer is SetupAnswer.ESTABLISHED:
             await self._serve_connection(attempt, reader)
             return
-        self._end_attempt(attempt, ENDED_BY_SERVER)
+        self._end_attempt(attempt, EndedBy.SERVER)
         if line := ERROR_ANSWERS.get(answer):
             writer.write(line)
             await writer.drain()
@@ -265,7 +274,7 @@
         if not self.model.open(self._engine.now, connection, load_now(client, self._engine)):
             reset_connection(writer)
             return
-        self._history.note(self.party, EventKind.ATTEMPT_UP, attempt.request_id, balancer=attempt.balancer)
+        self._history.note(self.party, AttemptUp(attempt.request_id, attempt.balancer))
         writer.write(f"UP {self.name}-{attempt.request_id}\r\n".encode())
         changes = asyncio.ensure_future(self._play_load_changes(connection, client, writer))
         try:
@@ -291,7 +300,7 @@
                 writer.write(f"LOAD {load:.0f}\r\n".encode())
             last = load
 
-    def _end_attempt(self, attempt: ServedAttempt, ended_by: str) -> None:
+    def _end_attempt(self, attempt: ServedAttempt, ended_by: EndedBy) -> None:
         """Notes the end of an attempt's connection; does nothing a second time."""
         if attempt not in self.open_attempts:
             return
@@ -299,9 +308,7 @@
         if attempt.connection is not None:
             self.model.close(self._engine.now, attempt.connection)
             self._environment.credit(self._client(attempt), attempt.connection.earned)
-        self._history.note(
-            self.party, EventKind.ATTEMPT_ENDED, attempt.request_id, by=ended_by, balancer=attempt.balancer
-        )
+        self._history.note(self.party, AttemptEnded(attempt.request_id, attempt.balancer, ended_by))
 
 
 def load_now(client: PlannedClient, engine: RealTimeEngine) -> float:
--- a/glenrock/testbed/operator_calls.py
+++ b/glenrock/testbed/operator_calls.py
@@ -4,17 +4,18 @@
 
 import asyncio
 import json
+from http import HTTPStatus
 from typing import Any
 
 import aiohttp
 
-from .history import EventKind
+from .history_events import ActivateAnswered, DrainAnswered, OverrideAnswered, OverrideRequested
 from .scenario_testbed import ScenarioTestbed
 
 CALL_TIMEOUT_S = 5.0
 AGREEMENT_POLL_S = 0.1
 MAX_TEXT_CHARACTERS = 100  # of an answer in the history
-HTTP_OK = 200
+PARTY = "operator"
 
 
 class Operator:
@@ -29,7 +30,7 @@
         await self._client.close()
 
     async def _call(self, balancer: int, method: str, path: str) -> tuple[int, str]:
-        """Returns status and text; status 0 where no answer came."""
+        """Returns status and text; status 0 and the error where no answer came."""
         host, port = self._bed.network.admin(balancer)
         try:
             async with self._client.request(method, f"http://{host}:{port}{path}") as answer:
@@ -37,32 +38,26 @@
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
             return 0, repr(error)
 
-    def _note(self, kind: EventKind, balancer: int, status: int, text: str, **data: Any) -> None:
-        shown = text.strip()[:MAX_TEXT_CHARACTERS]
-        self._bed.history.note("operator", kind, balancer=balancer, **data, status=status, text=shown)
-
     async def override_server(self, balancer: int, server: int, is_suspended: bool) -> None:
         """Suspends a server at one balancer, or resumes it."""
-        party, action = f"instance:{server}", "suspend" if is_suspended else "resume"
-        self._bed.history.note(
-            "operator", EventKind.OVERRIDE_REQUESTED, balancer=balancer, instance=party, out=is_suspended
-        )
-        name = self._bed.servers[server].name
-        status, text = await self._call(balancer, "POST", f"/v1/session-servers/{name}/{action}")
-        self._note(EventKind.OVERRIDE_ANSWERED, balancer, status, text, instance=party, out=is_suspended)
+        stand_in, action = self._bed.servers[server], "suspend" if is_suspended else "resume"
+        self._bed.history.note(PARTY, OverrideRequested(balancer, stand_in.party, is_suspended))
+        status, text = await self._call(balancer, "POST", f"/v1/session-servers/{stand_in.name}/{action}")
+        answered = OverrideAnswered(balancer, stand_in.party, is_suspended, status, _shown(text))
+        self._bed.history.note(PARTY, answered)
 
     async def drain_balancer(self, balancer: int, lasts_s: float) -> None:
         """Drains a balancer, and ends the drain after `lasts_s` where it was permitted."""
         status, text = await self._call(balancer, "POST", "/v1/balancer/drain")
-        self._note(EventKind.DRAIN_ANSWERED, balancer, status, text)
-        if status == HTTP_OK:
+        self._bed.history.note(PARTY, DrainAnswered(balancer, status, _shown(text)))
+        if status == HTTPStatus.OK:
             await asyncio.sleep(lasts_s)
             status, text = await self._call(balancer, "POST", "/v1/balancer/activate")
-            self._note(EventKind.ACTIVATE_ANSWERED, balancer, status, text)
+            self._bed.history.note(PARTY, ActivateAnswered(balancer, status, _shown(text)))
 
     async def _view(self, balancer: int) -> dict[str, Any]:
         status, text = await self._call(balancer, "GET", "/v1/fleet")
-        return json.loads(text) if status == HTTP_OK else {}
+        return json.loads(text) if status == HTTPStatus.OK else {}
 
     async def disagreements(self, timeout_s: float) -> list[str]:
         """Returns the balancers whose overrides differ from the others' after `timeout_s`, as text; none if all agree.
@@ -91,3 +86,7 @@
             for number, found in overrides.items()
             if found != first or not views[number] or views[number]["wishes"]
         ]
+
+
+def _shown(text: str) -> str:
+    return text.strip()[:MAX_TEXT_CHARACTERS]
--- a/glenrock/testbed/scenario_clients.py
+++ b/glenrock/testbed/scenario_clients.py
@@ -15,7 +15,16 @@
 
 from .client_io import connect, read_answer
 from .frontend import Frontend
-from .history import US_PER_S, EventKind, History
+from .history import US_PER_S, History
+from .history_events import (
+    ClosedUnanswered,
+    ConnectionEnded,
+    EndCause,
+    EventData,
+    RequestAnswered,
+    RequestGivenUp,
+    RequestSent,
+)
 from .loopback import Address
 from .real_time_engine import RealTimeEngine
 from .records import CLIENTS
@@ -26,20 +35,17 @@
 EXTRA_WAIT_S = 2.0  # past the deadline, before an answer counts as lost
 
 
-class AttemptEnd(Enum):
-    """How one connection of a client ended. The values of the last four are words of the history."""
+class SetUpFailure(Enum):
+    """Why a client's connection was not established."""
 
     UNREACHABLE = "unreachable"
     NO_ANSWER = "no answer"
     REJECTED = "rejected"
     FAILED = "failed"
-    CLOSED_BY_CLIENT = "own"
-    MIGRATED = "moved"
-    FINISHED = "eof"
-    RESET = "reset"
 
 
-BROKEN = (AttemptEnd.FINISHED, AttemptEnd.RESET)
+ConnectionResult = SetUpFailure | EndCause
+BROKEN = (EndCause.FINISHED, EndCause.RESET)
 
 
 @dataclass(eq=False, slots=True)
@@ -168,25 +174,25 @@
                 continue
             end, answer = await self._connect_once(client, number, waits_since_us, resumes_at)
             balancer, resumes_at = None, ""
-            if end is AttemptEnd.CLOSED_BY_CLIENT:
+            if end is EndCause.CLOSED_BY_CLIENT:
                 return
-            if end is AttemptEnd.MIGRATED or end in BROKEN:
+            if end is EndCause.MIGRATED or end in BROKEN:
                 client.is_returning, waits_since_us = True, self._engine.now
             await asyncio.sleep(self._retry_delay_us(client, end, answer) / US_PER_S)
 
-    def _retry_delay_us(self, client: WorkloadClient, end: AttemptEnd, answer: Answer | None) -> int:
+    def _retry_delay_us(self, client: WorkloadClient, end: ConnectionResult, answer: Answer | None) -> int:
         habits = self._environment.habits
-        if end is AttemptEnd.MIGRATED:
+        if end is EndCause.MIGRATED:
             return habits.after_move()
         if end in BROKEN:
             return habits.after_break()
-        if end is AttemptEnd.REJECTED and answer is not None:
+        if end is SetUpFailure.REJECTED and answer is not None:
             return habits.after_refusal(client.as_model(), answer.retry_after_us)
         return habits.after_failure(client.as_model())
 
     async def _connect_once(
         self, client: WorkloadClient, balancer: int, waits_since_us: int, resumes_at: str
-    ) -> tuple[AttemptEnd, Answer | None]:
+    ) -> tuple[ConnectionResult, Answer | None]:
         client.tries += 1
         self._counts["tries"] += 1
         request = self._request_line(client, resumes_at)
@@ -197,7 +203,7 @@
             self._counts["unreachable"] += 1
             client.failures += 1
             self.resuming -= bool(resumes_at)
-            return AttemptEnd.UNREACHABLE, None
+            return SetUpFailure.UNREACHABLE, None
         try:
             answer = await self._request(client, balancer, request, reader, writer)
             if answer.kind is AnswerKind.UP:
@@ -205,7 +211,7 @@
                 self._environment.note_wait(client.planned.kind, waited_us)
                 return await self._stay(client, request.request_id, balancer, reader, writer), answer
             client.failures += 1
-            return _attempt_end(answer), answer
+            return _failure_of(answer), answer
         finally:
             writer.close()
 
@@ -234,7 +240,7 @@
         resumes_at = request.fields.get(RESUME_FIELD, "")
         try:
             writer.write(request.encode())
-            self._note(EventKind.SENT, request.request_id, balancer, d_ms=timeout_s * 1000, at=resumes_at)
+            self._note(RequestSent(request.request_id, balancer, timeout_s * 1000, resumes_at))
             return await self._read_answer(request.request_id, balancer, reader, timeout_s)
         finally:
             self.resuming -= request.is_resumed
@@ -248,16 +254,16 @@
             answer = Answer(AnswerKind.CLOSED)
         if answer.kind is AnswerKind.NONE:
             self._counts["overdue"] += 1
-            self._note(EventKind.GAVE_UP, request_id, balancer)
+            self._note(RequestGivenUp(request_id, balancer))
         elif answer.kind is AnswerKind.CLOSED:
             self._counts["broken"] += 1
-            self._note(EventKind.CLOSED_UNANSWERED, request_id, balancer)
+            self._note(ClosedUnanswered(request_id, balancer))
         elif answer.kind is AnswerKind.UP:
             self._counts["set_up"] += 1
-            self._note(EventKind.ANSWERED, request_id, balancer, answer=answer.word, instance=answer.server)
+            self._note(RequestAnswered(request_id, balancer, answer.word, answer.server))
         else:
             self._counts["refused" if answer.kind is AnswerKind.BUSY else "failed"] += 1
-            self._note(EventKind.ANSWERED, request_id, balancer, answer=answer.word)
+            self._note(RequestAnswered(request_id, balancer, answer.word))
             await self._read_further_answers(request_id, balancer, reader)
         return answer
 
@@ -266,7 +272,7 @@
         with contextlib.suppress(OSError, TimeoutError):
             async with asyncio.timeout(EXTRA_WAIT_S):
                 while line := await reader.readline():
-                    self._note(EventKind.ANSWERED, request_id, balancer, answer=repr(line))
+                    self._note(RequestAnswered(request_id, balancer, repr(line)))
 
     async def _stay(
         self,
@@ -275,11 +281,11 @@
         balancer: int,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-    ) -> AttemptEnd:
+    ) -> EndCause:
         """Uses an established connection until one side ends it."""
         client.is_connected, client.failures = True, 0
         sending = asyncio.ensure_future(self._send_lines(writer))
-        end = AttemptEnd.CLOSED_BY_CLIENT
+        end = EndCause.CLOSED_BY_CLIENT
         try:
             async with asyncio.timeout(max(0.0, client.planned.end / US_PER_S - self.elapsed_s())) as timeout:
                 if client.planned.arrival < 0 and not client.is_returning and not self._engine.measured_from_us:
@@ -288,23 +294,23 @@
         except TimeoutError:
             pass
         except OSError:
-            end = AttemptEnd.RESET
+            end = EndCause.RESET
         finally:
             client.is_connected = False
             sending.cancel()
         if end in BROKEN:
             self._counts["broken"] += 1
-        self._note(EventKind.CONNECTION_ENDED, request_id, balancer, how=end.value)
+        self._note(ConnectionEnded(request_id, balancer, end))
         return end
 
-    async def _read_to_end(self, reader: asyncio.StreamReader) -> AttemptEnd:
+    async def _read_to_end(self, reader: asyncio.StreamReader) -> EndCause:
         while True:
             line = await reader.readline()
             if not line.endswith(b"\n"):
-                return AttemptEnd.FINISHED
+                return EndCause.FINISHED
             if line == MOVE_LINE:
                 self._counts["moved"] += 1
-                return AttemptEnd.MIGRATED
+                return EndCause.MIGRATED
 
     async def _send_lines(self, writer: asyncio.StreamWriter) -> None:
         interval_s = drawn_number(self._environment.scenario.rig.ask_s)
@@ -314,16 +320,16 @@
                 writer.write(b"ask\r\n")
                 await writer.drain()
 
-    def _note(self, kind: EventKind, request_id: str, balancer: int, **data: Any) -> None:
-        self._environment.history.note(CLIENTS, kind, request_id, balancer=balancer, **data)
+    def _note(self, data: EventData) -> None:
+        self._environment.history.note(CLIENTS, data)
 
 
-def _attempt_end(answer: Answer) -> AttemptEnd:
-    """Returns how an attempt ended that was not set up."""
+def _failure_of(answer: Answer) -> SetUpFailure:
+    """Returns why an answer other than UP establishes no connection."""
     match answer.kind:
         case AnswerKind.BUSY:
-            return AttemptEnd.REJECTED
+            return SetUpFailure.REJECTED
         case AnswerKind.NONE | AnswerKind.CLOSED:
-            return AttemptEnd.NO_ANSWER
+            return SetUpFailure.NO_ANSWER
         case _:
-            return AttemptEnd.FAILED
+            return SetUpFailure.FAILED
--- a/glenrock/testbed/scenario_runner.py
+++ b/glenrock/testbed/scenario_runner.py
@@ -9,7 +9,8 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
-from .history import US_PER_S, EventKind
+from .history import US_PER_S
+from .history_events import LineLogged
 from .history_records import check_history, records_of
 from .invariant import CheckResult, InvariantLimits
 from .loopback import LoopbackNetwork
@@ -95,7 +96,7 @@
         load = sum(self._measure_server(server_number, second) for server_number in range(len(bed.servers)))
         for balancer in bed.balancers:
             for line in balancer.new_log_lines():
-                bed.history.note(balancer.party, EventKind.LOG_LINE, text=line)
+                bed.history.note(balancer.party, LineLogged(line))
         if second < measure.seconds:
             measure.put(
                 second,
--- a/glenrock/testbed/scenario_summary.py
+++ b/glenrock/testbed/scenario_summary.py
@@ -6,8 +6,9 @@
 from collections import Counter
 from typing import Any
 
-from .coordination_figures import coordination_figures
-from .history import US_PER_S, EventKind
+from .coordination_figures import coordination_figures, late_effects
+from .history import US_PER_S
+from .history_events import EffectAcknowledged, HealthCheckReceived
 from .invariant import CheckResult, Invariant
 from .invariants import INVARIANTS
 from .scenario import drawn_number
@@ -25,7 +26,7 @@
     """Returns the content of `summary.json`. `cpu_s`: of each balancer; `rig_cpu_s`: of this process."""
     measure, counts = bed.measure, bed.measure.counts
     counts["attempts"] = sum(server.attempts for server in bed.servers)
-    counts["probes"] = sum(1 for _ in bed.history.each(EventKind.HEALTH_CHECK))
+    counts["probes"] = sum(1 for _ in bed.history.each(HealthCheckReceived))
     counts["list_calls"], counts["list_refused"] = bed.call_queue.calls, _rejected_calls(bed)
     counts["datagrams"], counts["datagrams_lost"] = bed.datagram_relays.delivered, bed.datagram_relays.lost
     clients = max(1, counts["clients"])
@@ -87,9 +88,8 @@
 def _cases(bed: ScenarioTestbed, check: CheckResult) -> dict[str, int]:
     """Cases by invariant, and under `late` the effects of an old term that were rejected."""
     found = _by_word(check.cases)
-    rejected = [event.data for event in bed.history.each(EventKind.EFFECT_ACKNOWLEDGED) if not event.data["ok"]]
-    if rejected:
-        found["late"] = sum(effect["term"] < effect["seen"] for effect in rejected)
+    if any(not event.data.is_accepted for event in bed.history.each(EffectAcknowledged)):
+        found["late"] = late_effects(bed.history)
     return found
 
 
--- a/glenrock/testbed/scenario_testbed.py
+++ b/glenrock/testbed/scenario_testbed.py
@@ -12,7 +12,8 @@
 from .discovery_agent import DiscoveryAgent
 from .endpoint_directory import EndpointDirectory, EndpointStatus, ListedServer
 from .frontend import Frontend
-from .history import US_PER_S, EventKind, History
+from .history import US_PER_S, History
+from .history_events import DiscoveryCalled, ListChanged, ServerListed
 from .loopback import Address, LoopbackNetwork, format_address
 from .modelled_servers import ModelledServer, ServerEnvironment
 from .network_faults import NetworkPaths
@@ -172,8 +173,7 @@
     def list_server(self, number: int, status: EndpointStatus) -> None:
         """Changes the status of a server in the endpoint list."""
         self.directory.set_status([self.servers[number].name], status)
-        version = self.directory.version
-        self.history.note(DISCOVERY, EventKind.LIST_CHANGED, instance=number, status=status, index=version)
+        self.history.note(DISCOVERY, ListChanged(number, status, self.directory.version))
 
     def restart_server(self, number: int) -> None:
         """Starts a server again; its row tells its new start from the next time that it is sent."""
@@ -293,10 +293,10 @@
         self._servers = {server.name: server for server in servers}
 
     def note_call(self, balancer: int) -> None:
-        self._history.note(DISCOVERY, EventKind.DISCOVERY_CALL, balancer=balancer)
+        self._history.note(DISCOVERY, DiscoveryCalled(balancer))
 
     def note_listed(self, balancer: int, listed: ListedServer) -> None:
         server = self._servers[listed.name]
         if listed.status is not EndpointStatus.DELETED:
             server.listed_start_ms[balancer] = listed.since_ms
-        self._history.note(DISCOVERY, EventKind.LISTED, balancer=balancer, instance=server.party, status=listed.status)
+        self._history.note(DISCOVERY, ServerListed(balancer, server.party, listed.status))
--- a/tests/testbed/scenarios.py
+++ b/tests/testbed/scenarios.py
@@ -1,4 +1,4 @@
-"""Small scenarios for tests, from plain tables."""
+"""Small scenarios for tests, from plain tables, and what tests read from a run."""
 
 from __future__ import annotations
 
@@ -7,11 +7,18 @@
 from typing import Any
 
 from glenrock import toml_file
-from glenrock.simulation import spec as lab
-from glenrock.testbed import scenario, scenario_runner, scenario_testbed
+from glenrock.simulation import spec
+from glenrock.testbed import scenario_runner
+from glenrock.testbed.history import Event
+from glenrock.testbed.history_events import EventData
+from glenrock.testbed.scenario import Scenario, check
+from glenrock.testbed.scenario_testbed import ScenarioTestbed
+
+Table = dict[str, Any]
+"""A table of a scenario file, or a part of `summary.json`."""
 
 PATH = Path("scene.toml")
-SMALL: dict[str, Any] = {
+SMALL: Table = {
     "name": "small",
     "length_s": 7.0,
     "drain_s": 1.0,
@@ -27,12 +34,29 @@
 }
 
 
-def scene(**over: Any) -> scenario.Scenario:
-    found = toml_file.convert(PATH, "", lab.merge(SMALL, over), scenario.Scenario)
-    scenario.check(found, PATH, "")
-    return found
+def small_scenario(**tables: Any) -> Scenario:
+    """Returns the small scenario with the keys of some tables replaced.
+
+    Raises:
+        InputFileError: the result is not valid.
+    """
+    scenario = toml_file.convert(PATH, "", spec.merge(SMALL, tables), Scenario)
+    check(scenario, PATH, "")
+    return scenario
 
 
-def played(seed: int = 1, **over: Any) -> tuple[scenario_testbed.ScenarioTestbed, dict[str, Any]]:
+def play_small(seed: int = 1, **tables: Any) -> tuple[ScenarioTestbed, Table]:
+    """Plays the small scenario with the keys of some tables replaced; returns its testbed and summary."""
     with tempfile.TemporaryDirectory() as folder:
-        return scenario_runner.play(scene(**over), seed, Path(folder))
+        return scenario_runner.play(small_scenario(**tables), seed, Path(folder))
+
+
+def assert_no_violation(summary: Table) -> None:
+    """Asserts that a run kept all invariants; shows the violations with their events."""
+    found = [(violation["rule"], violation["text"], *violation["led"]) for violation in summary["breaches"]]
+    assert not found, found
+
+
+def measured_us(bed: ScenarioTestbed, event: Event[EventData]) -> int:
+    """Returns the time of an event in microseconds from the beginning of the measured part of the run."""
+    return event.at_us - bed.history.measured_from_us
--- a/tests/testbed/test_balancer_process.py
+++ b/tests/testbed/test_balancer_process.py
@@ -8,84 +8,131 @@
 import subprocess
 import sys
 import time
+from collections.abc import Callable
 from pathlib import Path
+from typing import Any
 
 from glenrock.routing import interface
 from glenrock.routing.settings_codec import settings_of
-from glenrock.testbed import balancer_settings
 from glenrock.testbed.balancer_process import BalancerProcess
+from glenrock.testbed.balancer_settings import encode_settings
 from glenrock.testbed.history import History
-from glenrock.testbed.loopback import LoopbackNetwork
+from glenrock.testbed.history_events import (
+    BalancerPaused,
+    BalancerResumed,
+    BalancerStarted,
+    CpuLimited,
+    CpuRestored,
+)
+from glenrock.testbed.loopback import LoopbackNetwork, format_address
 
+NUMBER = 190  # its addresses are beside those of other tests of this process
+SETTINGS = interface.Settings(
+    classes=(interface.RequestClass("browse", 300_000, 1_500_000, 90_000, 2.0),),
+    tenants=(interface.Tenant("all", 40.0),),
+    balancers=2,
+    load_report_fields=("load_ratio", "backlog"),
+    may_health_check=True,
+)
 
-def told(net: LoopbackNetwork) -> dict:
-    host, port = net.balancer(190)
-    s = interface.Settings(
-        classes=(interface.RequestClass("browse", 300_000, 1_500_000, 90_000, 2.0),),
-        tenants=(interface.Tenant("all", 40.0),),
-        balancers=2,
-        load_report_fields=("load_ratio", "backlog"),
-        may_health_check=True,
-    )
-    assert settings_of(balancer_settings.encode_settings(s)) == s
+
+def configuration() -> dict[str, Any]:
+    host, port = LoopbackNetwork().balancer(NUMBER)
     return {
         "name": "n0",
-        "listen": f"{host}:{port}",
-        "discovery": f"{host}:9",
+        "listen": format_address((host, port)),
+        "discovery": format_address((host, 9)),
         "seed": "1",
         "limits": {"sockets": 128},
-        "settings": balancer_settings.encode_settings(s),
+        "settings": encode_settings(SETTINGS),
     }
 
 
-def state(pid: int) -> str:
+def process_state(process_id: int) -> str:
+    """Returns the letter of proc(5), or `gone`."""
     try:
-        return Path(f"/proc/{pid}/stat").read_text().rpartition(") ")[2][0]
+        return Path(f"/proc/{process_id}/stat").read_text().rpartition(") ")[2][0]
     except OSError:
         return "gone"
 
 
-def until(what, seconds: float = 10.0) -> bool:
-    end = time.monotonic() + seconds
-    while not (found := bool(what())) and time.monotonic() < end:
+def wait_until(condition: Callable[[], bool], timeout_s: float = 10.0) -> bool:
+    until_s = time.monotonic() + timeout_s
+    while not (is_met := condition()) and time.monotonic() < until_s:
         time.sleep(0.02)
-    return found
+    return is_met
 
 
-def test_process_is_started_signalled_limited_and_ended_in_any_state(tmp_path) -> None:
-    h = History(lambda: 0)
-    b = BalancerProcess(0, tmp_path / "b", told(LoopbackNetwork()), memory_mb=512, history=h)
+def test_settings_are_read_back_as_they_were() -> None:
+    unusual = interface.RequestClass(
+        "pay", 100, 200, 0, 5.0, interface.Idempotency.KEYED, interface.IdempotencyScope.ZONE, 400
+    )
+    varied = interface.Settings(
+        classes=(unusual, interface.RequestClass("browse", 300_000, 1_500_000, 90_000)),
+        tenants=(interface.Tenant("one", 40.0), interface.Tenant("two")),
+        zone="a",
+        must_poll_endpoints=True,
+        is_weighted_by_work=True,
+        load_report_fields=("load_ratio", "backlog", "utilization", "backlog_s", "inflight"),
+        migration_cost=0.5,
+    )
+    for settings in (SETTINGS, varied):
+        assert settings_of(json.loads(json.dumps(encode_settings(settings)))) == settings
+
+
+def test_process_is_started_signalled_limited_and_ended_in_any_state(tmp_path: Path) -> None:
+    history = History(lambda: 0)
+    balancer = BalancerProcess(0, tmp_path / "b", configuration(), memory_mb=512, history=history)
+    cores = os.sched_getaffinity(0)
     try:
-        b.start()
-        pid = b.process_id
-        assert until(lambda: any("ready" in line for line in b.new_log_lines()))
-        assert b.pause() and until(lambda: state(pid) == "T")
-        b.resume()
-        assert until(lambda: state(pid) in "SR")
-        b.limit_cpu(10, max(os.sched_getaffinity(0)))
-        assert os.sched_getaffinity(pid) == {max(os.sched_getaffinity(0))} and b.neighbour.poll() is None
-        burner = b.neighbour.pid
-        b.restore_cpu(os.sched_getaffinity(0))
-        assert os.sched_getaffinity(pid) == os.sched_getaffinity(0) and state(burner) == "gone"
-        b.pause()
+        balancer.start()
+        process_id = balancer.process_id
+        assert wait_until(lambda: any("ready" in line for line in balancer.new_log_lines()))
+        assert balancer.pause()
+        assert wait_until(lambda: process_state(process_id) == "T")
+        balancer.resume()
+        assert wait_until(lambda: process_state(process_id) in "SR")
+        balancer.limit_cpu(10, max(cores))
+        assert os.sched_getaffinity(process_id) == {max(cores)}
+        neighbour = balancer.neighbour
+        assert neighbour is not None
+        assert neighbour.poll() is None
+        balancer.restore_cpu(cores)
+        assert os.sched_getaffinity(process_id) == cores
+        assert process_state(neighbour.pid) == "gone"
+        balancer.pause()
     finally:
-        b.end()
-    assert state(pid) == "gone" and not b.kill() and not b.pause()
-    assert [e.kind for e in h.events] == ["started", "paused", "resumed", "squeezed", "loosened", "paused"]
-
-
-def test_processes_end_when_the_testbed_is_killed(tmp_path) -> None:
-    (tmp_path / "told.json").write_text(json.dumps(told(LoopbackNetwork())))
-    code = (
-        "import json, sys, time; from pathlib import Path; from glenrock.testbed import balancer_process, history\n"
-        "told = json.loads(Path('told.json').read_text())\n"
-        "b = balancer_process.BalancerProcess(0, Path('b'), told, memory_mb=512, history=history.History(lambda: 0))\n"
-        "b.start(); print(b.process_id, flush=True); time.sleep(60)"
-    )
-    testbed = subprocess.Popen([sys.executable, "-c", code], stdout=subprocess.PIPE, cwd=tmp_path)
-    pid = int(testbed.stdout.readline())
-    assert state(pid) != "gone"
-    testbed.send_signal(signal.SIGKILL)
-    testbed.wait()
-    testbed.stdout.close()
-    assert until(lambda: state(pid) in ("gone", "Z"))
+        balancer.end()
+    assert process_state(process_id) == "gone"
+    assert not balancer.kill()
+    assert not balancer.pause()
+    assert [type(event.data) for event in history.events] == [
+        BalancerStarted,
+        BalancerPaused,
+        BalancerResumed,
+        CpuLimited,
+        CpuRestored,
+        BalancerPaused,
+    ]
+
+
+PARENT = """
+import json, time
+from pathlib import Path
+from glenrock.testbed.balancer_process import BalancerProcess
+configuration = json.loads(Path("configuration.json").read_text())
+balancer = BalancerProcess(0, Path("b"), configuration, memory_mb=512)
+balancer.start()
+print(balancer.process_id, flush=True)
+time.sleep(60)
+"""
+
+
+def test_processes_end_when_the_testbed_is_killed(tmp_path: Path) -> None:
+    (tmp_path / "configuration.json").write_text(json.dumps(configuration()))
+    with subprocess.Popen([sys.executable, "-c", PARENT], stdout=subprocess.PIPE, cwd=tmp_path) as testbed:
+        assert testbed.stdout is not None
+        process_id = int(testbed.stdout.readline())
+        assert process_state(process_id) != "gone"
+        testbed.send_signal(signal.SIGKILL)
+    assert wait_until(lambda: process_state(process_id) in ("gone", "Z"))
--- a/tests/testbed/test_coordination.py
+++ b/tests/testbed/test_coordination.py
@@ -5,33 +5,41 @@
 import pytest
 
 from glenrock.testbed.coordination_figures import coordination_figures
-from glenrock.testbed.history import History
+from glenrock.testbed.history_events import (
+    AttemptReceived,
+    BalancerStarted,
+    DrainObserved,
+    EffectAcknowledged,
+    OverrideAnswered,
+    OverrideRequested,
+)
 from glenrock.testbed.history_records import check_history, records_of
 from glenrock.testbed.invariant import Invariant, InvariantLimits
 from glenrock.toml_file import InputFileError
 
-from .scenarios import played, scene
+from .scenarios import Table, assert_no_violation, measured_us, play_small, small_scenario
+from .written_history import Row, write_history
 
 LEASE_MS = 700.0
 TOGETHER = {"lease_ms": LEASE_MS, "ask_ms": 250.0}
-STRUCK = ["pause", "kill", "cut", "late", "ban", "ban", "ticket"]
+KINDS = ["pause", "kill", "cut", "late", "ban", "ban", "ticket"]
 
 
-def strikes(kinds: list[str]) -> dict:
+def random_faults(kinds: list[str]) -> Table:
     return {"kind": "strikes", "at_s": 5.0, "for_s": 5.0, "each_ms": 150.0, "kinds": kinds}
 
 
-# Whoever owns sleeps past its term once, whatever is drawn afterwards: a new term and a drain there are in any case.
-BEGIN = [
+# Each balancer is paused for more than a lease, so that a new term begins whatever is drawn afterwards.
+FIRST_FAULTS: list[Table] = [
     {"kind": "ban", "at_s": 0.5, "balancer": 1, "instance": 1},
-    *({"kind": "pause", "at_s": 1.0 + 1.3 * n, "balancer": n, "for_s": 1.1} for n in range(3)),
+    *({"kind": "pause", "at_s": 1.0 + 1.3 * number, "balancer": number, "for_s": 1.1} for number in range(3)),
     {"kind": "ticket", "at_s": 0.3, "balancer": 2, "for_s": 0.3},
 ]
-RUNS = {
-    "sqlite": [*BEGIN, strikes(STRUCK)],
+FAULTS_BY_STORE: dict[str, list[Table]] = {
+    "sqlite": [*FIRST_FAULTS, random_faults(KINDS)],
     "consul": [
-        *BEGIN,
-        strikes([*STRUCK, "store_cut"]),
+        *FIRST_FAULTS,
+        random_faults([*KINDS, "store_cut"]),
         {"kind": "store_fault", "at_s": 5.5, "how": "rollback", "for_s": 1.0},
         {"kind": "store_fault", "at_s": 7.0, "how": "loses", "for_s": 0.5},
         {"kind": "store_fault", "at_s": 8.5, "how": "restart", "for_s": 0.4},
@@ -39,21 +47,21 @@
 }
 
 
-@pytest.mark.parametrize("store", RUNS)
-def test_coordination_invariants_hold_under_random_faults(store) -> None:
+@pytest.mark.parametrize("store", FAULTS_BY_STORE)
+def test_coordination_invariants_hold_under_random_faults(store: str) -> None:
     together = {**TOGETHER, "store": store, "late": 1.3}
-    bed, s = played(seed=4, length_s=11.0, together=together, faults=RUNS[store])
-    assert not s["breaches"], [(b["rule"], b["text"], *b["led"]) for b in s["breaches"]]
-    t = s["together"]
-    assert t["terms"] >= 2 and t["struck"] > 8 and s["seen"]["terms"] and s["seen"]["agreed"]
-    assert t["told"] + t["told_later"] > 0 and t["drained"] + t["drains_refused"] > 0
+    _, summary = play_small(seed=4, length_s=11.0, together=together, faults=FAULTS_BY_STORE[store])
+    assert_no_violation(summary)
+    figures = summary["together"]
+    assert figures["terms"] >= 2 and figures["struck"] > 8 and summary["seen"]["terms"] and summary["seen"]["agreed"]
+    assert figures["told"] + figures["told_later"] > 0 and figures["drained"] + figures["drains_refused"] > 0
 
 
 def test_overrides_reach_all_by_the_store_and_late_gossip_of_an_old_holder_is_rejected() -> None:
     cut = {"kind": "way", "at_s": 0.0, "source": "balancer:*", "target": "balancer:*", "for_s": 3.0, "cut": True}
-    # Later than from an old owner's last mark to a new term.
+    # Later than from an old holder's last heartbeat to a new term.
     late = {**cut, "at_s": 3.0, "for_s": 5.0, "cut": False, "delay_ms": 3000.0}
-    bed, s = played(
+    _, summary = play_small(
         seed=1,
         length_s=9.0,
         together={**TOGETHER, "store": "sqlite"},
@@ -62,16 +70,16 @@
             late,
             {"kind": "ban", "at_s": 1.0, "balancer": 0, "instance": 2},
             {"kind": "ban", "at_s": 3.1, "balancer": 0, "instance": 2, "out": False},
-            *({"kind": "pause", "at_s": 4.2 + n % 3, "balancer": n, "for_s": 0.9} for n in range(3)),
+            *({"kind": "pause", "at_s": 4.2 + number, "balancer": number, "for_s": 0.9} for number in range(3)),
         ],
     )
-    assert not s["breaches"], [(b["rule"], b["text"], *b["led"]) for b in s["breaches"]]
-    assert s["together"]["told"] + s["together"]["told_later"] == 2 and not s["seen"].get("banned")
-    assert s["together"]["late"] > 0, "void unless words of an old term were refused"
+    assert_no_violation(summary)
+    assert summary["together"]["told"] + summary["together"]["told_later"] == 2 and not summary["seen"].get("banned")
+    assert summary["together"]["late"] > 0, "no effect of an old term was rejected, so the test shows nothing"
 
 
 def test_without_the_store_requests_are_served_and_overrides_apply_locally() -> None:
-    bed, s = played(
+    bed, summary = play_small(
         seed=2,
         length_s=9.0,
         together={**TOGETHER, "store": "consul"},
@@ -81,89 +89,94 @@
             {"kind": "ticket", "at_s": 3.0, "balancer": 1},
         ],
     )
-    assert not s["breaches"] and s["counts"]["set_up"] > 20, s["breaches"]
-    t = s["together"]
-    assert (t["told"], t["told_later"], t["drained"], t["drains_refused"]) == (0, 1, 0, 1)
-    lines = [
-        e for e in bed.history.each("line") if e.party == "instance:2" and e.at_us > bed.history.measured_from_us + 2e6
+    assert_no_violation(summary)
+    assert summary["counts"]["set_up"] > 20
+    figures = summary["together"]
+    assert (figures["told"], figures["told_later"], figures["drained"], figures["drains_refused"]) == (0, 1, 0, 1)
+    received = [
+        event
+        for event in bed.history.each(AttemptReceived)
+        if event.party == "instance:2" and measured_us(bed, event) > 2e6
     ]
-    assert not [e for e in lines if e.data["balancer"] == 0]
+    assert not [event for event in received if event.data.balancer == 0]
 
 
-def history(*events: tuple) -> History:
-    clock = [0]
-    h = History(lambda: clock[0])
-    for at_ms, who, what, data in events:
-        clock[0] = at_ms * 1000
-        h.note(who, what, "", **data)
-    return h
+SUSPENDED = "instance:3"
 
 
-def effect(at_ms: int, term: int, number: int, ok: bool = True, who: str = "balancer:1", order: int = 0) -> tuple:
-    return (
-        at_ms,
-        who,
-        "effect",
-        {"job": "bans", "term": term, "number": number, "ok": ok, "seen": 5, "order": order or at_ms},
-    )
+def effect(
+    at_ms: int, term: int, number: int, is_accepted: bool = True, receiver: str = "balancer:1", order: int = 0
+) -> Row:
+    data = EffectAcknowledged("bans", term, number, is_accepted, highest_term=5, order=order or at_ms)
+    return Row(at_ms, receiver, data)
+
+
+def drains(balancer: int, *at_ms: int) -> list[Row]:
+    return [Row(at, "front", DrainObserved(balancer)) for at in at_ms]
 
 
-def away(n: int, *at_ms: int) -> list[tuple]:
-    return [(at, "front", "away", {"balancer": n}) for at in at_ms]
+def override_answered(at_ms: int, is_suspended: bool, status: int = 200) -> Row:
+    return Row(at_ms, "operator", OverrideAnswered(0, SUSPENDED, is_suspended, status, ""))
 
 
-def heard(at_ms: int, out: bool, status: int = 200) -> tuple:
-    return at_ms, "operator", "heard", {"balancer": 0, "instance": "instance:3", "out": out, "status": status}
+def override_requested(at_ms: int, is_suspended: bool) -> Row:
+    return Row(at_ms, "operator", OverrideRequested(0, SUSPENDED, is_suspended))
 
 
-LINE = "instance:3", "line", {"balancer": 2, "at": False}
+def restarted(at_ms: int) -> Row:
+    return Row(at_ms, "balancer:1", BalancerStarted(1, 1))
+
+
+def received(at_ms: int) -> Row:
+    return Row(at_ms, SUSPENDED, AttemptReceived("", 2, is_resumed=False))
 
 
 @pytest.mark.parametrize(
-    "events, broken",
+    ("rows", "violated"),
     [
-        ([effect(1, 4, 1), effect(2, 5, 1), effect(3, 5, 2), effect(4, 4, 9, ok=False)], ""),
-        ([effect(1, 5, 1), effect(2, 4, 7)], "terms"),
-        ([effect(1, 5, 1), effect(2, 5, 1)], "terms"),
-        ([effect(1, 5, 1, order=2), effect(2, 4, 7, order=1)], ""),
-        ([effect(1, 4, 1, order=2), effect(2, 5, 1, order=1)], "terms"),
-        ([effect(1, 5, 1), (2, "balancer:1", "started", {}), effect(3, 4, 7, order=1)], "terms"),
-        ([effect(1, 5, 1), effect(2, 4, 7, who="balancer:2")], ""),
-        ([*away(1, 100, 300, 500), *away(2, 900, 1100)], ""),
-        ([*away(1, 100, 300), *away(2, 350, 500)], ""),
-        ([*away(1, 100, 300, 500), *away(2, 400, 600)], "tickets"),
-        ([*away(1, 100), *away(2, 100)], "tickets"),
-        ([heard(100, True), (1000, *LINE)], ""),
-        ([heard(100, True), (1300, *LINE)], "banned"),
-        ([heard(100, True, 202), (1300, *LINE)], ""),
-        ([heard(100, True), (900, "operator", "says", {"instance": "instance:3", "out": False}), (1300, *LINE)], ""),
+        ([effect(1, 4, 1), effect(2, 5, 1), effect(3, 5, 2), effect(4, 4, 9, is_accepted=False)], None),
+        ([effect(1, 5, 1), effect(2, 4, 7)], Invariant.TERM_ORDER),
+        ([effect(1, 5, 1), effect(2, 5, 1)], Invariant.TERM_ORDER),
+        ([effect(1, 5, 1, order=2), effect(2, 4, 7, order=1)], None),
+        ([effect(1, 4, 1, order=2), effect(2, 5, 1, order=1)], Invariant.TERM_ORDER),
+        ([effect(1, 5, 1), restarted(2), effect(3, 4, 7, order=1)], Invariant.TERM_ORDER),
+        ([effect(1, 5, 1), effect(2, 4, 7, receiver="balancer:2")], None),
+        ([*drains(1, 100, 300, 500), *drains(2, 900, 1100)], None),
+        ([*drains(1, 100, 300), *drains(2, 350, 500)], None),
+        ([*drains(1, 100, 300, 500), *drains(2, 400, 600)], Invariant.DRAIN_PERMITS),
+        ([*drains(1, 100), *drains(2, 100)], Invariant.DRAIN_PERMITS),
+        ([override_answered(100, True), received(1000)], None),
+        ([override_answered(100, True), received(1300)], Invariant.OVERRIDE_APPLIED),
+        ([override_answered(100, True, 202), received(1300)], None),
+        ([override_answered(100, True), override_requested(900, False), received(1300)], None),
     ],
 )
-def test_coordination_invariants_on_written_histories(events, broken) -> None:
-    h = history(*sorted(events, key=lambda e: e[0]))
-    v = check_history(h, InvariantLimits(2.5, drain_permits=1))
-    assert {b.invariant for b in v.violations} == ({broken} if broken else set())
-    assert sum(v.cases.values()) > 0 and coordination_figures(h, 1000)["taken"] == sum(
-        e.data["ok"] for e in h.each("effect")
-    )
+def test_coordination_invariants_on_written_histories(rows: list[Row], violated: Invariant | None) -> None:
+    history = write_history(*sorted(rows, key=lambda row: row.at_ms))
+    result = check_history(history, InvariantLimits(2.5, drain_permits=1))
+    assert {violation.invariant for violation in result.violations} == ({violated} if violated else set())
+    assert sum(result.cases.values()) > 0
+    accepted = sum(event.data.is_accepted for event in history.each(EffectAcknowledged))
+    assert coordination_figures(history, 1000)["taken"] == accepted
 
 
 def test_disagreement_at_the_end_is_a_violation() -> None:
-    h = history(effect(1, 5, 1))
-    record = records_of(h)
+    history = write_history(effect(1, 5, 1))
+    record = records_of(history)
     record.disagreements = ("balancer 2: {}",)
-    v = check_history(h, InvariantLimits(2.5), record)
-    assert [b.invariant for b in v.violations] == [Invariant.AGREEMENT] and "balancer 2" in v.violations[0].text
+    [violation] = check_history(history, InvariantLimits(2.5), record).violations
+    assert violation.invariant == Invariant.AGREEMENT
+    assert "balancer 2" in violation.text
 
 
 @pytest.mark.parametrize(
-    "fault, said",
+    ("fault", "message"),
     [
         ({"kind": "ban", "at_s": 1.0}, "names no store"),
-        (strikes(["pause"]), "names no store"),
+        (random_faults(["pause"]), "names no store"),
         ({"kind": "way", "at_s": 1.0, "source": "balancer:0", "target": "store", "cut": True}, "nothing goes from"),
     ],
 )
-def test_faults_that_need_a_store_are_rejected_without_one(fault, said) -> None:
-    with pytest.raises(InputFileError, match=said):
-        scene(faults=[fault])
+def test_faults_that_need_a_store_are_rejected_without_one(fault: Table, message: str) -> None:
+    with pytest.raises(InputFileError, match=message):
+        small_scenario(faults=[fault])
--- a/tests/testbed/test_network_faults.py
+++ b/tests/testbed/test_network_faults.py
@@ -2,22 +2,25 @@
 
 from __future__ import annotations
 
+import random
+from typing import Any
+
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
 
-from glenrock.testbed import network_faults
+from glenrock.testbed.network_faults import FAULT_FREE, NetworkPaths, combine, matches
 from glenrock.testbed.scenario import PathFault
 
 PARTIES = ["clients", "list", "balancer:0", "balancer:12", "instance:0"]
 
 
-def way(source="balancer:0", target="instance:0", **over) -> PathFault:
-    return PathFault(at_s=0.0, source=source, target=target, **over)
+def path_fault(source: str = "balancer:0", target: str = "instance:0", **fields: Any) -> PathFault:
+    return PathFault(at_s=0.0, source=source, target=target, **fields)
 
 
 @pytest.mark.parametrize(
-    "pattern, party, does",
+    ("pattern", "party", "is_match"),
     [
         ("balancer:1", "balancer:1", True),
         ("balancer:1", "balancer:12", False),
@@ -27,21 +30,24 @@
         ("list", "clients", False),
     ],
 )
-def test_party_patterns(pattern, party, does) -> None:
-    assert network_faults.matches(pattern, party) is does
+def test_party_patterns(pattern: str, party: str, is_match: bool) -> None:
+    assert matches(pattern, party) is is_match
 
 
 def test_fault_affects_one_direction() -> None:
-    w = network_faults.NetworkPaths((way(cut=True),))
-    w.begin(w.planned[0])
-    assert w.state("balancer:0", "instance:0").is_cut and not w.state("instance:0", "balancer:0").is_cut
-    assert w.needs_relay("instance:0", "balancer:0") and not w.needs_relay("balancer:1", "instance:0")
-    w.end(w.planned[0])
-    assert w.state("balancer:0", "instance:0") == network_faults.FAULT_FREE
-
-
-faults = st.builds(
-    way,
+    cut = path_fault(cut=True)
+    paths = NetworkPaths((cut,))
+    paths.begin(cut)
+    assert paths.state("balancer:0", "instance:0").is_cut
+    assert not paths.state("instance:0", "balancer:0").is_cut
+    assert paths.needs_relay("instance:0", "balancer:0")
+    assert not paths.needs_relay("balancer:1", "instance:0")
+    paths.end(cut)
+    assert paths.state("balancer:0", "instance:0") == FAULT_FREE
+
+
+path_faults = st.builds(
+    path_fault,
     source=st.sampled_from(["balancer:*", "balancer:0"]),
     target=st.just("instance:*"),
     loss=st.floats(0, 1),
@@ -51,22 +57,24 @@
 )
 
 
-@given(st.lists(faults, max_size=4), faults)
-def test_additional_fault_never_improves_a_direction(some, more) -> None:
-    before, after = network_faults.combine(some), network_faults.combine([*some, more])
-    assert after.loss >= before.loss - 1e-9 and after.delay_s >= before.delay_s and after.is_cut >= before.is_cut
+@given(st.lists(path_faults, max_size=4), path_faults)
+def test_additional_fault_never_improves_a_direction(some: list[PathFault], further: PathFault) -> None:
+    before, after = combine(some), combine([*some, further])
+    assert after.loss >= before.loss - 1e-9
+    assert after.delay_s >= before.delay_s
+    assert after.is_cut >= before.is_cut
     assert not before.bytes_per_s or 0 < after.bytes_per_s <= before.bytes_per_s
 
 
-@given(st.lists(faults, max_size=5), st.randoms())
-def test_listeners_are_notified_and_ended_faults_leave_no_trace(some, draw) -> None:
-    w, heard = network_faults.NetworkPaths(tuple(some)), []
-    w.listeners.append(lambda: heard.append(len(w.active)))
-    for f in some:
-        w.begin(f)
+@given(st.lists(path_faults, max_size=5), st.randoms())
+def test_listeners_are_notified_and_ended_faults_leave_no_trace(some: list[PathFault], rng: random.Random) -> None:
+    paths, active_counts = NetworkPaths(tuple(some)), list[int]()
+    paths.listeners.append(lambda: active_counts.append(len(paths.active)))
+    for fault in some:
+        paths.begin(fault)
     order = list(some)
-    draw.shuffle(order)
-    for f in order:
-        w.end(f)
-    assert len(heard) == 2 * len(some)
-    assert all(w.state(p, q) == network_faults.FAULT_FREE for p in PARTIES for q in PARTIES)
+    rng.shuffle(order)
+    for fault in order:
+        paths.end(fault)
+    assert len(active_counts) == 2 * len(some)
+    assert all(paths.state(party, other) == FAULT_FREE for party in PARTIES for other in PARTIES)
--- a/tests/testbed/test_network_relays.py
+++ b/tests/testbed/test_network_relays.py
@@ -3,7 +3,10 @@
 from __future__ import annotations
 
 import asyncio
+import functools
 import itertools
+from collections.abc import Awaitable, Callable
+from typing import Any
 
 import pytest
 
@@ -12,176 +15,194 @@
 from glenrock.testbed.network_relays import DatagramRelays, StreamRelay
 from glenrock.testbed.scenario import PathFault
 
-NUMBERS = itertools.count(3)
+NETWORK_NUMBERS = itertools.count(3)
+PORTS_PER_NETWORK = 500
+MAX_TEST_S = 20.0
 
 
-def net() -> LoopbackNetwork:
-    base = LoopbackNetwork()
-    base.next_port += 500 * next(NUMBERS)  # beside those of other tests of this process
-    return base
+def new_network() -> LoopbackNetwork:
+    network = LoopbackNetwork()
+    network.next_port += PORTS_PER_NETWORK * next(NETWORK_NUMBERS)  # beside those of other tests of this process
+    return network
 
 
-def way(source="balancer:0", target="instance:0", **over) -> PathFault:
-    return PathFault(at_s=0.0, source=source, target=target, **over)
+def path_fault(source: str = "balancer:0", target: str = "instance:0", **fields: Any) -> PathFault:
+    return PathFault(at_s=0.0, source=source, target=target, **fields)
 
 
-class Echo:
-    """An instance that answers each line, behind a relay."""
+class RelayedEcho:
+    """A server that sends each line back, behind a relay."""
 
-    async def __aenter__(self) -> Echo:
-        self.ways, n = NetworkPaths(()), net()
-        self.there, self.got, self.ended = Listener(n.next(), self.serve), [], asyncio.Event()
-        self.there.open()
-        self.relay = StreamRelay(self.ways, "balancer:0", "instance:0", n.next(), self.there.address)
+    def __init__(self) -> None:
+        network = new_network()
+        self.paths = NetworkPaths(())
+        self.server = Listener(network.next(), self.serve)
+        self.relay = StreamRelay(self.paths, "balancer:0", "instance:0", network.next(), self.server.address)
+        self.received: list[bytes] = []
+        self.ended = asyncio.Event()
+
+    async def __aenter__(self) -> RelayedEcho:
+        self.server.open()
         self.relay.open()
         return self
 
-    async def __aexit__(self, *_) -> None:
+    async def __aexit__(self, *_: object) -> None:
         self.relay.close()
-        self.there.close()
+        self.server.close()
         await asyncio.sleep(0)
 
-    async def serve(self, reader, writer) -> None:
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
             while line := await reader.readline():
-                self.got.append(line)
+                self.received.append(line)
                 writer.write(line)
         finally:
             self.ended.set()
 
-    async def connect(self):
+    async def connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         return await asyncio.wait_for(asyncio.open_connection(*self.relay.address), 3)
 
 
-def plays(test):
-    def run() -> None:
-        async def inside() -> None:
-            async with Echo() as echo:
-                await test(echo)
+def on_relayed_echo(test: Callable[[RelayedEcho], Awaitable[None]]) -> Callable[[], None]:
+    """Returns the test function that runs a coroutine on a relayed echo server of its own."""
+
+    async def run_test() -> None:
+        async with RelayedEcho() as echo:
+            await test(echo)
 
-        asyncio.run(asyncio.wait_for(inside(), 20))
+    def run() -> None:
+        asyncio.run(asyncio.wait_for(run_test(), MAX_TEST_S))
 
-    run.__name__ = test.__name__
     return run
 
 
-async def line(reader, within=3.0) -> bytes:
-    return await asyncio.wait_for(reader.readline(), within)
+async def read_line(reader: asyncio.StreamReader, timeout_s: float = 3.0) -> bytes:
+    return await asyncio.wait_for(reader.readline(), timeout_s)
 
 
-@plays
-async def test_relay_without_faults_passes_data_and_ends(echo) -> None:
+@on_relayed_echo
+async def test_relay_without_faults_passes_data_and_ends(echo: RelayedEcho) -> None:
     reader, writer = await echo.connect()
     writer.write(b"one\n")
-    assert await line(reader) == b"one\n"
+    assert await read_line(reader) == b"one\n"
     writer.write_eof()
-    assert await line(reader) == b"" and echo.ended.is_set()
+    assert await read_line(reader) == b""
+    assert echo.ended.is_set()
 
 
-@plays
-async def test_cut_holds_one_direction_and_loses_nothing(echo) -> None:
+@on_relayed_echo
+async def test_cut_holds_one_direction_and_loses_nothing(echo: RelayedEcho) -> None:
     reader, writer = await echo.connect()
-    cut = way("instance:0", "balancer:0", cut=True)
-    echo.ways.begin(cut)
+    cut = path_fault("instance:0", "balancer:0", cut=True)
+    echo.paths.begin(cut)
     writer.write(b"asked\n")
     with pytest.raises(TimeoutError):
-        await line(reader, 0.3)
-    assert echo.got == [b"asked\n"], "the other direction is whole"
-    echo.ways.end(cut)
-    assert await line(reader) == b"asked\n"
+        await read_line(reader, 0.3)
+    assert echo.received == [b"asked\n"], "the other direction is whole"
+    echo.paths.end(cut)
+    assert await read_line(reader) == b"asked\n"
 
 
-@plays
-async def test_connections_come_up_only_after_a_cut(echo) -> None:
-    cut = way(cut=True)
-    echo.ways.begin(cut)
+@on_relayed_echo
+async def test_connections_come_up_only_after_a_cut(echo: RelayedEcho) -> None:
+    cut = path_fault(cut=True)
+    echo.paths.begin(cut)
     with pytest.raises(TimeoutError):
         async with asyncio.timeout(0.5):
             await asyncio.open_connection(*echo.relay.address)
-    echo.ways.end(cut)
+    echo.paths.end(cut)
     reader, writer = await echo.connect()
     writer.write(b"again\n")
-    assert await line(reader) == b"again\n" and echo.got == [b"again\n"]
+    assert await read_line(reader) == b"again\n"
+    assert echo.received == [b"again\n"]
 
 
-@plays
-async def test_reset_ends_both_sides_and_rejects_new_connections(echo) -> None:
+@on_relayed_echo
+async def test_reset_ends_both_sides_and_rejects_new_connections(echo: RelayedEcho) -> None:
     reader, writer = await echo.connect()
     writer.write(b"one\n")
-    await line(reader)
-    reset = way(reset=True)
-    echo.ways.begin(reset)
+    await read_line(reader)
+    echo.paths.begin(path_fault(reset=True))
     with pytest.raises(ConnectionResetError):
-        await line(reader)
+        await read_line(reader)
     await asyncio.wait_for(echo.ended.wait(), 3)
     with pytest.raises(ConnectionResetError):
         reader, writer = await echo.connect()
         writer.write(b"two\n")
-        assert not await line(reader)
+        assert not await read_line(reader)
         raise ConnectionResetError  # an end at once is as good
-    assert echo.got == [b"one\n"]
+    assert echo.received == [b"one\n"]
 
 
-@plays
-async def test_delay_and_rate_limit_slow_their_direction(echo) -> None:
+@on_relayed_echo
+async def test_delay_and_rate_limit_slow_their_direction(echo: RelayedEcho) -> None:
     loop = asyncio.get_running_loop()
     reader, writer = await echo.connect()
-    for fault, least in ((way(delay_ms=300.0), 0.3), (way("instance:0", "balancer:0", trickle=1000.0), 0.3)):
-        echo.ways.begin(fault)
-        began = loop.time()
+    delay = path_fault(delay_ms=300.0)
+    rate_limit = path_fault("instance:0", "balancer:0", trickle=1000.0)
+    for fault in (delay, rate_limit):
+        echo.paths.begin(fault)
+        began_s = loop.time()
         writer.write(b"x" * 399 + b"\n")
-        assert len(await line(reader, 10)) == 400
-        assert loop.time() - began >= least
-        echo.ways.end(fault)
-
+        assert len(await read_line(reader, 10)) == 400
+        assert loop.time() - began_s >= 0.3
+        echo.paths.end(fault)
 
-def datagrams(fault: PathFault | None, count: int) -> list[list[bytes]]:
-    """What two balancers hear of what each sends the other."""
 
-    async def run() -> list[list[bytes]]:
-        n, heard, ways = net(), [[], []], NetworkPaths(())
-        post = DatagramRelays(ways, n, 2, seed=5)
-        await post.open()
-        if fault:
-            ways.begin(fault)
-        loop = asyncio.get_running_loop()
+class ReceivingPeer(asyncio.DatagramProtocol):
+    """A balancer that keeps what it receives from the only other one."""
 
-        class Peer(asyncio.DatagramProtocol):
-            def __init__(self, number: int) -> None:
-                self.number = number
+    def __init__(self, number: int, relays: DatagramRelays) -> None:
+        self.received: list[bytes] = []
+        self._other_address = relays.peers_of(number)[1 - number]
 
-            def datagram_received(self, data, sender) -> None:
-                assert f"{sender[0]}:{sender[1]}" == post.peers_of(self.number)[1 - self.number], "known by its sender"
-                heard[self.number].append(data)
+    def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
+        """Keeps a datagram. Its sender has the address that this balancer knows the other by."""
+        assert f"{addr[0]}:{addr[1]}" == self._other_address
+        self.received.append(data)
 
-        ends = [(await loop.create_datagram_endpoint(lambda n_=k: Peer(n_), local_addr=n.peer(k)))[0] for k in (0, 1)]
-        for k in range(count):
-            for number, end in enumerate(ends):
-                host, _, port = post.peers_of(number)[1 - number].partition(":")
-                end.sendto(b"%d" % k, (host, int(port)))
-            await asyncio.sleep(0.001)
-        await asyncio.sleep(0.2)
-        for end in ends:
-            end.close()
-        post.close()
-        return heard
 
-    return asyncio.run(run())
+async def exchange_datagrams(fault: PathFault, count: int) -> list[list[bytes]]:
+    """Lets each of two balancers send the other so many numbered datagrams. Returns what each receives."""
+    loop = asyncio.get_running_loop()
+    network, paths = new_network(), NetworkPaths(())
+    relays = DatagramRelays(paths, network, 2, seed=5)
+    await relays.open()
+    paths.begin(fault)
+    transports, peers = [], []
+    for number in range(2):
+        open_peer = functools.partial(ReceivingPeer, number, relays)
+        transport, peer = await loop.create_datagram_endpoint(open_peer, local_addr=network.peer(number))
+        transports.append(transport)
+        peers.append(peer)
+    for datagram in range(count):
+        for number, transport in enumerate(transports):
+            host, _, port = relays.peers_of(number)[1 - number].partition(":")
+            transport.sendto(b"%d" % datagram, (host, int(port)))
+        await asyncio.sleep(0.001)
+    await asyncio.sleep(0.2)
+    for transport in transports:
+        transport.close()
+    relays.close()
+    return [peer.received for peer in peers]
 
 
 @pytest.mark.parametrize(
-    "over, test",
+    ("fields", "is_expected"),
     [
-        ({}, lambda got, sent: got == sent),
-        ({"loss": 1.0}, lambda got, sent: not got),
-        ({"loss": 0.5}, lambda got, sent: 0.2 < len(got) / len(sent) < 0.8),
-        ({"cut": True}, lambda got, sent: not got),
-        ({"doubled": 1.0}, lambda got, sent: len(got) == 2 * len(sent)),
-        ({"disordered": 0.5}, lambda got, sent: got != sent and len(got) >= 0.9 * len(sent)),
+        ({}, lambda received, sent: received == sent),
+        ({"loss": 1.0}, lambda received, sent: not received),
+        ({"loss": 0.5}, lambda received, sent: 0.2 < len(received) / len(sent) < 0.8),
+        ({"cut": True}, lambda received, sent: not received),
+        ({"doubled": 1.0}, lambda received, sent: len(received) == 2 * len(sent)),
+        ({"disordered": 0.5}, lambda received, sent: received != sent and len(received) >= 0.9 * len(sent)),
     ],
 )
-def test_datagram_faults_in_one_direction(over, test) -> None:
-    sent = [b"%d" % k for k in range(60)]
-    zero, one = datagrams(way("balancer:0", "balancer:1", **over), 60)
-    assert test(one, sent), one
-    assert zero == sent, "the way back is whole"
+def test_datagram_faults_in_one_direction(
+    fields: dict[str, Any], is_expected: Callable[[list[bytes], list[bytes]], bool]
+) -> None:
+    sent = [b"%d" % number for number in range(60)]
+    fault = path_fault("balancer:0", "balancer:1", **fields)
+    at_sender, at_receiver = asyncio.run(exchange_datagrams(fault, len(sent)))
+    assert is_expected(at_receiver, sent), at_receiver
+    assert at_sender == sent, "the other direction is whole"
--- a/tests/testbed/test_scenario.py
+++ b/tests/testbed/test_scenario.py
@@ -13,13 +13,13 @@
 FAULT = '[[faults]]\nkind = "{}"\nat_s = 1.0\n'
 
 
-@pytest.mark.parametrize("file", sorted(SCENES.glob("*.toml")), ids=lambda p: p.stem)
-def test_shipped_scenarios_are_valid(file) -> None:
+@pytest.mark.parametrize("file", sorted(SCENES.glob("*.toml")), ids=lambda path: path.stem)
+def test_shipped_scenarios_are_valid(file: Path) -> None:
     assert scenario.load(file).faults
 
 
 @pytest.mark.parametrize(
-    "text, told",
+    ("text", "message"),
     [
         (FAULT.format("crash"), "faults[0].kind: "),
         (FAULT.format("kill") + "balancer = 3\n", "there is no balancer 3"),
@@ -34,10 +34,14 @@
         ("[constants]\nCAP_CUT = 0.5\n", "constants: only the simulation"),
     ],
 )
-def test_invalid_scenario_is_reported_in_one_line(tmp_path, capsys, text, told) -> None:
+def test_invalid_scenario_is_reported_in_one_line(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str], text: str, message: str
+) -> None:
     file = tmp_path / "x.toml"
     file.write_text('name = "x"\n' + text)
     assert run(["stage", "run", str(file), "--out", str(tmp_path / "out")]) == 2
-    err = capsys.readouterr().err
-    assert err.count("\n") == 1 and f"{file}:" in err and told in err, err
+    shown = capsys.readouterr().err
+    assert shown.count("\n") == 1, shown
+    assert f"{file}:" in shown
+    assert message in shown
     assert not (tmp_path / "out").exists()
--- a/tests/testbed/test_soak.py
+++ b/tests/testbed/test_soak.py
@@ -4,6 +4,8 @@
 
 import concurrent.futures
 import multiprocessing
+from collections.abc import Sequence
+from dataclasses import replace
 
 import pytest
 
@@ -28,82 +30,106 @@
 SHORT_SEEDS = (3, 4, 6, 9, 20, 22)  # among them small fleets, 3,200 names, unsafe classes and twelve processes
 
 
-def request(**over) -> RequestRecord:
-    values = {"request_id": "r", "balancer": 0, "deadline_ms": 1000.0, "sent_s": 10.0, "answer": "UP x"}
-    values |= {"answered_s": 10.1, "answers": 1, "is_migrated": True, "end": ConnectionEnd.FINISHED, "ended_s": 15.0}
-    values |= {"answered_s": NEVER, "answers": 0} if over.get("answer") == "" else {}
-    return RequestRecord(**(values | over))
-
-
-def attempt(first_s: float = 10.01, end_s: float = 15.0, answer: str = "UP", **over) -> AttemptRecord:
-    values = {"up_s": first_s + 0.01} if answer == "UP" else {}
-    return AttemptRecord("r", "s", False, first_s, first_s, ended_s=end_s, answer=answer, **(values | over))
-
-
-def rules(one: RequestRecord, *attempts: AttemptRecord, **over) -> list[str]:
-    record = RunRecord(requests=[one], attempts=list(attempts), **over)
+REQUEST = RequestRecord(
+    "r",
+    0,
+    deadline_ms=1000.0,
+    sent_s=10.0,
+    answer="UP x",
+    answered_s=10.1,
+    answers=1,
+    is_migrated=True,
+    end=ConnectionEnd.FINISHED,
+    ended_s=15.0,
+)
+UNANSWERED = replace(REQUEST, answer="", answered_s=NEVER, answers=0)
+
+
+def attempt(first_s: float = 10.01, end_s: float = 15.0, answer: str = "UP") -> AttemptRecord:
+    up_s = first_s + 0.01 if answer == "UP" else NEVER
+    return AttemptRecord("r", "s", False, first_s, first_s, up_s=up_s, ended_s=end_s, answer=answer)
+
+
+def violated(
+    request: RequestRecord,
+    *attempts: AttemptRecord,
+    faults: Sequence[FaultRecord] = (),
+    listed: Sequence[ListedRecord] = (),
+    half_requests: Sequence[HalfRequestRecord] = (),
+) -> list[Invariant]:
+    """Returns the invariants that a run with these records violates."""
+    record = RunRecord(
+        requests=[request],
+        attempts=list(attempts),
+        faults=list(faults),
+        listed=list(listed),
+        half_requests=list(half_requests),
+    )
     limits = soak.limits_of(FleetShape(window_ms=500.0, drain_grace_ms=2500.0))
     return [violation.invariant for violation in check(record, limits).violations]
 
 
 def test_valid_request_violates_nothing() -> None:
-    assert rules(request(), attempt()) == []
-    assert rules(request(answer="BUSY 300"), attempt(end_s=10.05, answer="BUSY")) == []
-    assert rules(request(answer="", left_s=10.02, end=ConnectionEnd.LEFT), attempt(end_s=10.05, answer="")) == []
+    rejected = replace(REQUEST, answer="BUSY 300")
+    left = replace(UNANSWERED, left_s=10.02, end=ConnectionEnd.LEFT)
+    assert violated(REQUEST, attempt()) == []
+    assert violated(rejected, attempt(end_s=10.05, answer="BUSY")) == []
+    assert violated(left, attempt(end_s=10.05, answer="")) == []
+
+
+UNSAFE = replace(REQUEST, idempotency=Idempotency.UNSAFE)
+KEYED = replace(REQUEST, idempotency=Idempotency.KEYED)
 
 
 @pytest.mark.parametrize(
-    ("broken", "expected"),
+    ("request_record", "attempts", "invariant"),
     [
-        (lambda: rules(request(answer="", end=ConnectionEnd.RESET)), [Invariant.FINAL_ANSWER]),
-        (lambda: rules(request(answered_s=11.6), attempt()), [Invariant.FINAL_ANSWER]),
-        (lambda: rules(request(resumes_at="s", answer="BUSY 300")), [Invariant.FINAL_ANSWER]),
-        (lambda: rules(request(answer="HELLO")), [Invariant.PROTOCOL_ANSWER]),
-        (lambda: rules(request(unexpected="b'x'"), attempt()), [Invariant.PROTOCOL_ANSWER]),
-        (lambda: rules(request(is_migrated=False), attempt()), [Invariant.CONNECTION_KEPT]),
-        (lambda: rules(request(), attempt(10.0, 10.9, ""), attempt(10.5)), [Invariant.SINGLE_ATTEMPT]),
-        (
-            lambda: rules(request(idempotency=Idempotency.UNSAFE), attempt(10.0, 10.2, "ERR"), attempt(10.3)),
-            [Invariant.SINGLE_EXECUTION],
-        ),
-        (
-            lambda: rules(request(idempotency=Idempotency.KEYED), attempt(10.0, 10.2, "ERR"), attempt(10.6)),
-            [Invariant.SINGLE_EXECUTION],
-        ),
-        (
-            lambda: rules(request(idempotency=Idempotency.UNSAFE, answer="BUSY 9"), attempt(10.0, 10.2, "ERR")),
-            [Invariant.NO_REJECT_AFTER_EXECUTION],
-        ),
-        (lambda: rules(request(answer="", left_s=10.1), attempt(10.5, 10.6, "")), [Invariant.CLIENT_PRESENT]),
+        (replace(UNANSWERED, end=ConnectionEnd.RESET), [], Invariant.FINAL_ANSWER),
+        (replace(REQUEST, answered_s=11.6), [attempt()], Invariant.FINAL_ANSWER),
+        (replace(REQUEST, resumes_at="s", answer="BUSY 300"), [], Invariant.FINAL_ANSWER),
+        (replace(REQUEST, answer="HELLO"), [], Invariant.PROTOCOL_ANSWER),
+        (replace(REQUEST, unexpected="b'x'"), [attempt()], Invariant.PROTOCOL_ANSWER),
+        (replace(REQUEST, is_migrated=False), [attempt()], Invariant.CONNECTION_KEPT),
+        (REQUEST, [attempt(10.0, 10.9, ""), attempt(10.5)], Invariant.SINGLE_ATTEMPT),
+        (UNSAFE, [attempt(10.0, 10.2, "ERR"), attempt(10.3)], Invariant.SINGLE_EXECUTION),
+        (KEYED, [attempt(10.0, 10.2, "ERR"), attempt(10.6)], Invariant.SINGLE_EXECUTION),
+        (replace(UNSAFE, answer="BUSY 9"), [attempt(10.0, 10.2, "ERR")], Invariant.NO_REJECT_AFTER_EXECUTION),
+        (replace(UNANSWERED, left_s=10.1), [attempt(10.5, 10.6, "")], Invariant.CLIENT_PRESENT),
     ],
 )
-def test_each_violation_is_reported(broken, expected: list[str]) -> None:
-    assert broken() == expected
+def test_each_violation_is_reported(
+    request_record: RequestRecord, attempts: list[AttemptRecord], invariant: Invariant
+) -> None:
+    assert violated(request_record, *attempts) == [invariant]
 
 
 def test_kills_and_ended_servers_excuse_and_nothing_else_does() -> None:
-    lost, cut = request(answer="", end=ConnectionEnd.RESET), request(is_migrated=False)
-    assert rules(lost, faults=[kill_record(0, 10.5)]) == [] and rules(lost, faults=[kill_record(1, 10.5)]) == [
-        Invariant.FINAL_ANSWER
-    ]
-    assert rules(lost, faults=[FaultRecord("terminate", frozenset({"balancer:0"}), 10.0, 15.0, frozenset())]) == [
-        Invariant.FINAL_ANSWER
-    ]
-    assert rules(cut, attempt(ended_by_server=True)) == [] and rules(cut, attempt(hung_s=12.0)) == []
-    assert rules(cut, attempt(hung_s=16.0)) == [Invariant.CONNECTION_KEPT]
+    lost = replace(UNANSWERED, end=ConnectionEnd.RESET)
+    cut_off = replace(REQUEST, is_migrated=False)
+    terminated = FaultRecord("terminate", frozenset({"balancer:0"}), 10.0, 15.0, frozenset())
+    assert violated(lost, faults=[kill_record(0, 10.5)]) == []
+    assert violated(lost, faults=[kill_record(1, 10.5)]) == [Invariant.FINAL_ANSWER]
+    assert violated(lost, faults=[terminated]) == [Invariant.FINAL_ANSWER]
+    assert violated(cut_off, replace(attempt(), ended_by_server=True)) == []
+    assert violated(cut_off, replace(attempt(), hung_s=12.0)) == []
+    assert violated(cut_off, replace(attempt(), hung_s=16.0)) == [Invariant.CONNECTION_KEPT]
+
+
+def listed(balancer: int, status: EndpointStatus, at_s: float) -> ListedRecord:
+    return ListedRecord(balancer, "s", status, at_s)
 
 
 def test_drain_grace_counts_from_the_notice() -> None:
-    told = [ListedRecord(0, "s", EndpointStatus.SERVING, 1.0), ListedRecord(0, "s", EndpointStatus.DRAINING, 7.0)]
-    assert rules(request(), attempt(), listed=told) == [Invariant.DRAIN_GRACE]
-    assert rules(request(), attempt(), listed=[*told, ListedRecord(0, "s", EndpointStatus.SERVING, 9.0)]) == []
-    assert rules(request(), attempt(), listed=[ListedRecord(0, "s", EndpointStatus.DRAINING, 8.0)]) == []
-    assert rules(request(), attempt(), listed=[ListedRecord(1, "s", EndpointStatus.DRAINING, 1.0)]) == []
+    rows = [listed(0, EndpointStatus.SERVING, 1.0), listed(0, EndpointStatus.DRAINING, 7.0)]
+    assert violated(REQUEST, attempt(), listed=rows) == [Invariant.DRAIN_GRACE]
+    assert violated(REQUEST, attempt(), listed=[*rows, listed(0, EndpointStatus.SERVING, 9.0)]) == []
+    assert violated(REQUEST, attempt(), listed=[listed(0, EndpointStatus.DRAINING, 8.0)]) == []
+    assert violated(REQUEST, attempt(), listed=[listed(1, EndpointStatus.DRAINING, 1.0)]) == []
 
 
 def test_open_half_request_is_a_violation() -> None:
-    kept, closed = HalfRequestRecord(0, 10.0, 14.0), HalfRequestRecord(0, 10.0, 12.0)
-    assert rules(request(), attempt(), half_requests=[kept, closed]) == [Invariant.HALF_REQUEST_CLOSED]
+    left_open, closed = HalfRequestRecord(0, 10.0, 14.0), HalfRequestRecord(0, 10.0, 12.0)
+    assert violated(REQUEST, attempt(), half_requests=[left_open, closed]) == [Invariant.HALF_REQUEST_CLOSED]
 
 
 def test_plan_depends_on_its_seed_and_all_kinds_are_drawn() -> None:
