--- a/tests/net/rig.py
+++ b/tests/net/rig.py
@@ -4,202 +4,336 @@
 
 import asyncio
 import contextlib
-import json
 import socket
 import struct
 from collections.abc import Awaitable, Callable
+from enum import Enum
+from typing import NamedTuple, TypeVar
 
 from glenrock.config import parse_config
 from glenrock.net.client_connection import ClientConnection
 from glenrock.net.clock import ManualClock
+from glenrock.net.connection_attempt import ConnectionAttempt
+from glenrock.net.server_actor import ServerActor
 from glenrock.program import Program
 
+from .discovery_answers import endpoint_answer, endpoint_row, http_answer
 from .loopback_delivery import ConnectTrackingLoop, DeliveryBarrier
 from .settings import SETTINGS
 
+REQUEST_ID = "x1"
 REQUEST_LINE = b"OPEN x1 1 c=look,d=1500\r\n"
+ESTABLISHED_LINE = b"UP r\r\n"
+READ_BYTES = 1 << 16
+WAIT_TIMEOUT_S = 5.0
+TEST_TIMEOUT_S = 20.0
+CLOCK_STEP_MS = 10
+ITERATION_S = 0.0002
+
+Polled = TypeVar("Polled")
+
+
+class StreamEnd(Enum):
+    """How the other side has ended a connection."""
+
+    FIN = "fin"
+    RESET = "reset"
+
+
+class StreamRest(NamedTuple):
+    """The bytes that came until the end of a connection, and how it ended."""
+
+    data: bytes
+    end: StreamEnd
+
+
+class PendingRequest(NamedTuple):
+    """A request that waits for the answer of its server: both sockets, and the program's part between them."""
+
+    client: socket.socket
+    server_side: socket.socket
+    connection: ClientConnection
+
+
+class EstablishedSockets(NamedTuple):
+    """The two outer sockets of an established connection."""
+
+    client: socket.socket
+    server_side: socket.socket
 
 
 def close_socket(sock: socket.socket, reset: bool) -> None:
+    """Closes a socket with FIN or with RST."""
     if reset:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     sock.close()
 
 
 def create_listener(backlog: int = 16) -> socket.socket:
+    """Returns a non-blocking socket that listens on a free port of loopback."""
     sock = socket.create_server(("127.0.0.1", 0), backlog=backlog)
     sock.setblocking(False)
     return sock
 
 
+def fill_backlog(listener: socket.socket) -> list[socket.socket]:
+    """Fills the queue of a listener whose backlog is 0. A further connect stays pending until the result is closed."""
+    fillers = [socket.socket() for _ in range(4)]
+    for filler in fillers:
+        filler.setblocking(False)
+        filler.connect_ex(listener.getsockname())
+    return fillers
+
+
 def address_of(sock: socket.socket) -> str:
+    """Returns `host:port` of a socket that is bound to loopback."""
     return f"127.0.0.1:{sock.getsockname()[1]}"
 
 
-def reject_request(rig: LoopbackRig, connection) -> None:
-    """Rejects a request as routing does: it forgets the request, and the answer is in the connection's mailbox."""
-    balancer = rig.program.routing.balancer
-    if connection.request_line.request_id in balancer.requests:
-        balancer.lifecycle.client_disconnected(connection.request_line.request_id)
-        connection.reject(500.0)
+def attempt_of(connection: ClientConnection) -> ConnectionAttempt:
+    """Returns the last attempt of a connection that has made one."""
+    assert connection.attempt is not None
+    return connection.attempt
+
+
+def read_now(sock: socket.socket) -> bytes:
+    """Returns the bytes that have arrived, empty if there are none."""
+    try:
+        return sock.recv(READ_BYTES)
+    except BlockingIOError:
+        return b""
+
+
+async def wait_until(poll: Callable[[], Polled]) -> Polled:
+    """Runs the loop until `poll` returns a true value, and returns that.
+
+    Raises:
+        TimeoutError: it has returned none within `WAIT_TIMEOUT_S`.
+    """
+    async with asyncio.timeout(WAIT_TIMEOUT_S):
+        while not (polled := poll()):  # noqa: ASYNC110 - what is polled may be in the kernel
+            await asyncio.sleep(0)
+    return polled
+
+
+async def receive(sock: socket.socket) -> bytes:
+    """Waits for bytes, and returns those that have arrived."""
+    return await wait_until(lambda: read_now(sock))
+
+
+async def read_to_end(sock: socket.socket) -> StreamRest:
+    """Returns all bytes until the end, and how the connection ends."""
+    data = b""
+    async with asyncio.timeout(WAIT_TIMEOUT_S):
+        while True:
+            await asyncio.sleep(0)
+            try:
+                received = sock.recv(READ_BYTES)
+            except BlockingIOError:
+                continue
+            except ConnectionError:
+                return StreamRest(data, StreamEnd.RESET)
+            if not received:
+                return StreamRest(data, StreamEnd.FIN)
+            data += received
 
 
 class LoopbackRig:
-    """A program whose clock the test advances, with raw sockets for clients, servers and discovery."""
+    """A program whose clock the test advances, with raw sockets for clients, servers and discovery.
+
+    Attributes:
+        clock: the program's clock.
+        listeners: the listening sockets of the servers, by server name.
+        open_sockets: the sockets of the test's side, which stay open until the rig is dropped.
+        discovery: discovery's listening socket.
+        discovery_connection: the connection that the program has to discovery.
+        version: the version of the last endpoint list.
+        program: the program.
+        port: where it accepts clients.
+    """
 
     def __init__(self) -> None:
-        self.clock, self.listeners, self.open_sockets = ManualClock(), {}, []
-        self.loop = asyncio.get_running_loop()
-        assert isinstance(self.loop, ConnectTrackingLoop)
-        self.delivery = DeliveryBarrier()
-
-    async def open(self, *names: str, effect: str = "safe", **over) -> LoopbackRig:
-        self.listeners = {name: create_listener() for name in names or ("s1",)}
-        self.discovery, self.version = create_listener(), 1
+        self.clock = ManualClock()
+        self.listeners: dict[str, socket.socket] = {}
+        self.open_sockets: list[socket.socket] = []
+        self.version = 1
+        loop = asyncio.get_running_loop()
+        assert isinstance(loop, ConnectTrackingLoop)
+        self._loop = loop
+        self._delivery = DeliveryBarrier()
+
+    async def open(self, *server_names: str, effect: str = "safe", **settings: object) -> None:
+        """Starts the program with these servers, `s1` alone by default.
+
+        Args:
+            server_names: names of the servers.
+            effect: whether requests are idempotent, as the settings name it.
+            settings: settings that differ from `SETTINGS`.
+        """
+        self.listeners = {name: create_listener() for name in server_names or ("s1",)}
+        self.discovery = create_listener()
         classes = [{**SETTINGS["classes"][0], "effect": effect}]
-        self.program = Program(
-            parse_config(
-                {
-                    "name": "n0",
-                    "listen": "127.0.0.1:0",
-                    "seed": "7",
-                    "known": self.endpoint_list(),
-                    "discovery": address_of(self.discovery),
-                    "settings": {**SETTINGS, "balancers": 1, "classes": classes, **over},
-                }
-            ),
-            self.clock,
-        )
-        self.acceptor, self.connections = self.program.acceptor, self.program.connections.by_id
+        raw_config = {
+            "name": "n0",
+            "listen": "127.0.0.1:0",
+            "seed": "7",
+            "known": self._endpoint_list({}),
+            "discovery": address_of(self.discovery),
+            "settings": {**SETTINGS, "balancers": 1, "classes": classes, **settings},
+        }
+        self.program = Program(parse_config(raw_config), self.clock)
+        self.acceptor = self.program.acceptor
+        self.connections = self.program.connections.by_id
         starting = asyncio.create_task(self.program.start())
         self.discovery_connection = await self.accept_connection(self.discovery)
-        await self.wait_until(lambda: self.read(self.discovery_connection).startswith(b"GET /discovery/hosts HTTP"))
+        await wait_until(lambda: read_now(self.discovery_connection).startswith(b"GET /discovery/hosts HTTP"))
         self.report_endpoints()
         await starting
-        self.port = self.acceptor.listener.getsockname()[1]
-        return self
+        assert self.acceptor.listener is not None
+        self.port: int = self.acceptor.listener.getsockname()[1]
+
+    def close(self) -> None:
+        """Closes the sockets that the rig waits on. The program ends with the loop."""
+        self._delivery.close()
+
+    # -- discovery -------------------------------------------------------------------------------------
 
-    def endpoint_list(self, **states: str) -> dict:
+    def _endpoint_list(self, statuses: dict[str, str]) -> dict[str, object]:
         rows = [
-            {
-                "name": name,
-                "address": address_of(sock),
-                "zone": "a",
-                "type": "m",
-                "group": 0,
-                "status": states.get(name, "SERVING"),
-                "weight": 1.0,
-                "since_ms": 0,
-            }
-            for name, sock in self.listeners.items()
+            endpoint_row(name, address_of(sock), statuses.get(name, "SERVING")) for name, sock in self.listeners.items()
         ]
-        return {"index": self.version, "snapshot": True, "endpoints": rows}
+        return endpoint_answer(self.version, rows)
 
-    def report_endpoints(self, **states: str) -> None:
+    def report_endpoints(self, **statuses: str) -> None:
+        """Answers the program's call with a list of all servers, which have these statuses, or `SERVING`."""
         self.version += 1
-        body = json.dumps(self.endpoint_list(**states)).encode()
-        self.discovery_connection.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
+        self.discovery_connection.sendall(http_answer(self._endpoint_list(statuses)))
+
+    def server_actor(self, name: str = "s1") -> ServerActor:
+        """Returns the actor of a listed server, created if necessary."""
+        actor = self.program.servers.get(name)
+        assert actor is not None
+        return actor
+
+    # -- sockets ---------------------------------------------------------------------------------------
 
     def connect_client(self, data: bytes = b"") -> socket.socket:
+        """Returns a client's connection, on which these bytes have been sent."""
         sock = socket.create_connection(("127.0.0.1", self.port))
         if data:
             sock.sendall(data)
         return self.keep(sock)
 
     def keep(self, sock: socket.socket) -> socket.socket:
+        """Makes a socket non-blocking, and keeps it open."""
         sock.setblocking(False)
         self.open_sockets.append(sock)
         return sock
 
     async def accept_connection(self, listener: socket.socket) -> socket.socket:
-        async with asyncio.timeout(5):
+        """Waits for the next connection at a listener, and accepts it."""
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             sock, _ = await asyncio.get_running_loop().sock_accept(listener)
         return self.keep(sock)
 
+    def accept_queued(self, listener: socket.socket) -> list[socket.socket]:
+        """Accepts the connections that are queued at a listener now."""
+        accepted = []
+        with contextlib.suppress(BlockingIOError):
+            while True:
+                accepted.append(self.keep(listener.accept()[0]))
+        return accepted
+
     async def accept_request(self, name: str) -> socket.socket:
         """Accepts the next connection at a server, and reads its request line."""
         sock = await self.accept_connection(self.listeners[name])
-        received = await self.wait_until(lambda: self.read(sock))
+        received = await receive(sock)
         assert received.startswith(b"OPEN "), received
         return sock
 
-    def read(self, sock: socket.socket) -> bytes:
-        try:
-            return sock.recv(1 << 16)
-        except BlockingIOError:
-            return b""
-
-    async def wait_until(self, what: Callable[[], object]) -> object:
-        async with asyncio.timeout(5):
-            while not (received := what()):
-                await asyncio.sleep(0)
-        return received
-
-    async def read_to_end(self, sock: socket.socket) -> tuple[bytes, str]:
-        """Returns all bytes until the end, and whether the end is a fin or a reset."""
-        data = b""
-        async with asyncio.timeout(5):
-            while True:
-                await asyncio.sleep(0)
-                try:
-                    received = sock.recv(1 << 16)
-                except BlockingIOError:
-                    continue
-                except ConnectionError:
-                    return data, "reset"
-                if not received:
-                    return data, "fin"
-                data += received
+    # -- time ------------------------------------------------------------------------------------------
 
     async def advance(self, ms: float) -> None:
-        for _ in range(int(ms // 10)):
+        """Advances the program's clock in small steps, and runs the loop between them."""
+        for _ in range(int(ms // CLOCK_STEP_MS)):
             await self.run_loop()
-            self.clock.advance(10)
+            self.clock.advance(CLOCK_STEP_MS)
         await self.run_loop()
 
+    async def advance_until(self, is_reached: Callable[[], bool], timeout_s: float = WAIT_TIMEOUT_S) -> None:
+        """Advances the program's clock until a condition holds.
+
+        Raises:
+            TimeoutError: it does not hold within that real time.
+        """
+        async with asyncio.timeout(timeout_s):
+            while not is_reached():
+                await self.advance(CLOCK_STEP_MS)
+
     async def run_loop(self) -> None:
         """Runs the loop ten times, and until the kernel has delivered and connected what is under way."""
         for _ in range(10):
-            await asyncio.sleep(0.0002)
-            self.delivery.wait()
-        while self.loop.has_pending_connect():
+            await asyncio.sleep(ITERATION_S)
+            self._delivery.wait()
+        while self._loop.has_pending_connect():  # noqa: ASYNC110 - what is polled is in the kernel
             await asyncio.sleep(0)
 
-    async def start_request(self) -> tuple[socket.socket, socket.socket, ClientConnection]:
-        """Starts a program with a request that waits for the answer of its server."""
+    # -- requests --------------------------------------------------------------------------------------
+
+    async def start_request(self) -> PendingRequest:
+        """Starts the program with a request that waits for the answer of its server."""
         await self.open()
         client = self.connect_client(REQUEST_LINE)
-        return client, await self.accept_request("s1"), self.connections["x1"]
+        server_side = await self.accept_request("s1")
+        return PendingRequest(client, server_side, self.connections[REQUEST_ID])
 
-    async def establish(self, data: bytes = REQUEST_LINE) -> tuple[socket.socket, socket.socket]:
-        client = self.connect_client(data)
+    async def establish(self) -> EstablishedSockets:
+        """Establishes a client's connection at `s1`."""
+        client = self.connect_client(REQUEST_LINE)
         server_side = await self.accept_request("s1")
-        server_side.sendall(b"UP r\r\n")
-        assert await self.wait_until(lambda: self.read(client)) == b"UP r\r\n"
-        return client, server_side
+        server_side.sendall(ESTABLISHED_LINE)
+        assert await wait_until(lambda: read_now(client)) == ESTABLISHED_LINE
+        return EstablishedSockets(client, server_side)
+
+    async def wait_for_attempt(self, is_reached: Callable[[ConnectionAttempt], object]) -> None:
+        """Waits until the request has an attempt for which a condition holds."""
+
+        def attempt_has_reached() -> object:
+            connection = self.connections.get(REQUEST_ID)
+            return connection and connection.attempt and is_reached(connection.attempt)
+
+        await wait_until(attempt_has_reached)
+
+    def reject_request(self, connection: ClientConnection) -> None:
+        """Rejects a request as routing does: it forgets the request, and the answer is in the connection's mailbox."""
+        balancer = self.program.routing.balancer
+        request_id = connection.request_line.request_id
+        if request_id in balancer.requests:
+            balancer.lifecycle.client_disconnected(request_id)
+            connection.reject(500.0)
 
     async def check_nothing_was_sent(self) -> None:
         """Checks that no request line was sent to a server, and that the client's connection has ended."""
-        await self.wait_until(lambda: not self.connections and not self.acceptor.tasks)
+        await wait_until(lambda: not self.connections and not self.acceptor.tasks)
         await self.advance(700)
         for listener in self.listeners.values():
-            with contextlib.suppress(BlockingIOError):
-                while True:
-                    sock, _ = listener.accept()
-                    sock.setblocking(False)
-                    data, _ = await self.read_to_end(sock)
+            while accepted := self.accept_queued(listener):
+                for sock in accepted:
+                    received = await read_to_end(sock)
                     sock.close()
-                    assert b"OPEN" not in data
+                    assert b"OPEN" not in received.data
         assert not self.program.routing.balancer.requests
 
 
 def run_on_rig(scenario: Callable[[LoopbackRig], Awaitable[None]]) -> None:
-    async def play() -> None:
+    """Runs a scenario on a rig of its own. For drawn tests, which need a rig for each example."""
+
+    async def run() -> None:
         rig = LoopbackRig()
         try:
-            await asyncio.wait_for(scenario(rig), 20)
+            await asyncio.wait_for(scenario(rig), TEST_TIMEOUT_S)
         finally:
-            rig.delivery.close()
+            rig.close()
 
     with asyncio.Runner(loop_factory=ConnectTrackingLoop) as runner:
-        runner.run(play())
+        runner.run(run())
--- a/tests/net/settings.py
+++ b/tests/net/settings.py
@@ -2,7 +2,9 @@
 
 from __future__ import annotations
 
-SETTINGS = {
+from typing import Any
+
+SETTINGS: dict[str, Any] = {
     "balancers": 2,
     "slotNo": 0,
     "tickUs": 2000,
@@ -23,3 +25,8 @@
         "overloadForUs": 3000000,
     },
 }
+
+
+def caps(**changes: object) -> dict[str, object]:
+    """Returns the part `caps` of the settings, with changes."""
+    return {**SETTINGS["caps"], **changes}
--- a/tests/net/single_server_rig.py
+++ b/tests/net/single_server_rig.py
@@ -1,75 +1,109 @@
-"""A program with one server, whose answer to a request is named in the request's id."""
+"""A program with the real clock and one server, whose answer to a request is named in the request's id."""
 
 from __future__ import annotations
 
 import asyncio
+import contextlib
 import socket
+from enum import StrEnum
 
 from glenrock.config import parse_config
 from glenrock.net.clock import Clock
+from glenrock.net.metrics import ConnectionOutcome
 from glenrock.program import Program
 
-from .settings import SETTINGS
+from .discovery_answers import endpoint_answer, endpoint_row
+from .rig import address_of
+from .settings import SETTINGS, caps
+
+FLOOD_S = 0.2
+FLOOD_BYTES = 1 << 16
+IDLE_POLLS = 300
+IDLE_POLL_S = 0.01
+
+
+class Behaviour(StrEnum):
+    """What a client and its server do. The first word of a request's id names it.
+
+    Attributes:
+        ESTABLISHED: the connection is established, and the server echoes lines.
+        REJECTED: the server rejects the request.
+        FAILED: the server fails the request.
+        EARLY: the client sends a line before its answer.
+        LEAVES: the client resets the connection at about the time of its answer.
+        SILENT: the client resets the connection, and the server does not answer.
+        FLOODS: the server sends without end, and the client resets the connection after a while.
+    """
+
+    ESTABLISHED = "up"
+    REJECTED = "busy"
+    FAILED = "err"
+    EARLY = "early"
+    LEAVES = "leaves"
+    SILENT = "silent"
+    FLOODS = "floods"
 
 
 class SingleServerRig:
     """A program, its server, and clients that end their connections in various ways.
 
-    The first word of a request's id names the behaviour: `up`, `busy`, `err`, `early`, `leaves`, `silent` or `floods`.
+    Attributes:
+        program: the program.
+        port: where it accepts clients.
     """
 
     async def open(self) -> None:
-        self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
-        self.silent_discovery = socket.create_server(("127.0.0.1", 0))
-        port = self.server.sockets[0].getsockname()[1]
-        row = {
-            "name": "s1",
-            "address": f"127.0.0.1:{port}",
-            "zone": "a",
-            "type": "m",
-            "group": 0,
-            "status": "SERVING",
-            "weight": 1.0,
-            "since_ms": 0,
+        """Starts the server and the program. Discovery is silent."""
+        self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
+        self._silent_discovery = socket.create_server(("127.0.0.1", 0))
+        port = self._server.sockets[0].getsockname()[1]
+        raw_config = {
+            "listen": "127.0.0.1:0",
+            "admin": "127.0.0.1:0",
+            "settings": {**SETTINGS, "balancers": 1, "caps": caps(maxAttempts=1)},
+            "seed": "7",
+            "discovery": address_of(self._silent_discovery),
+            "known": endpoint_answer(1, [endpoint_row("s1", f"127.0.0.1:{port}")]),
         }
-        settings = {**SETTINGS, "balancers": 1, "caps": {**SETTINGS["caps"], "maxAttempts": 1}}
-        self.program = Program(
-            parse_config(
-                {
-                    "listen": "127.0.0.1:0",
-                    "admin": "127.0.0.1:0",
-                    "settings": settings,
-                    "seed": "7",
-                    "discovery": f"127.0.0.1:{self.silent_discovery.getsockname()[1]}",
-                    "known": {"index": 1, "snapshot": True, "endpoints": [row]},
-                }
-            ),
-            Clock(),
-        )
+        self.program = Program(parse_config(raw_config), Clock())
         await self.program.start()
-        self.port = self.program.acceptor.listener.getsockname()[1]
-        self.metrics, self.connections = self.program.connections.metrics, self.program.connections.by_id
+        assert self.program.acceptor.listener is not None
+        self.port: int = self.program.acceptor.listener.getsockname()[1]
+        self.metrics = self.program.connections.metrics
+        self.connections = self.program.connections.by_id
+
+    def close(self) -> None:
+        """Closes the listening sockets of the server and of discovery. The program ends with the loop."""
+        self._server.close()
+        self._silent_discovery.close()
+
+    # -- the server ------------------------------------------------------------------------------------
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         line = (await reader.readline()).decode()
-        behaviour = line.split(" ")[1].split("-")[0] if line.startswith("OPEN") else ""
-        if behaviour in ("up", "leaves", "floods"):
-            writer.write(b"UP r\r\n")
-            while (received := await reader.readline()) and behaviour != "floods":
-                writer.write(received)
-            try:
-                while behaviour == "floods":  # the client does not read, so that the write blocks
-                    writer.write(b"x" * 65536)
-                    await writer.drain()
-            except OSError:
-                pass
-        elif behaviour in ("busy", "err"):
-            writer.write(b"BUSY\r\n" if behaviour == "busy" else b"ERR\r\n")
-        else:
-            await reader.read()
+        name = line.split(" ")[1].split("-")[0] if line.startswith("OPEN") else ""
+        match name:
+            case Behaviour.ESTABLISHED | Behaviour.LEAVES:
+                writer.write(b"UP r\r\n")
+                while received := await reader.readline():
+                    writer.write(received)
+            case Behaviour.FLOODS:
+                writer.write(b"UP r\r\n")
+                with contextlib.suppress(OSError):
+                    while True:  # the client does not read, so that the write blocks
+                        writer.write(b"x" * FLOOD_BYTES)
+                        await writer.drain()
+            case Behaviour.REJECTED:
+                writer.write(b"BUSY\r\n")
+            case Behaviour.FAILED:
+                writer.write(b"ERR\r\n")
+            case _:
+                await reader.read()
         writer.close()
 
-    async def run_client(self, behaviour: str, number: int, cuts: list[int]) -> None:
+    # -- clients ---------------------------------------------------------------------------------------
+
+    async def run_client(self, behaviour: Behaviour, number: int, cuts: list[int]) -> None:
         """Sends a request line in pieces that end at `cuts`, and then behaves as named."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
         line = b"OPEN %s-%d %x c=look,d=1000\r\n" % (behaviour.encode(), number, number)
@@ -79,31 +113,38 @@
             position = max(position, cut)
             await asyncio.sleep(0.001)
         writer.write(line[position:])
-        if behaviour == "leaves" or behaviour == "silent":  # before UP, or during it
-            await asyncio.sleep(0 if number % 2 else 0.02)
-            writer.transport.abort()
-            return
-        if behaviour == "early":
+        match behaviour:
+            case Behaviour.LEAVES | Behaviour.SILENT:  # before UP, or during it
+                await asyncio.sleep(0 if number % 2 else 0.02)
+                writer.transport.abort()
+            case Behaviour.FLOODS:
+                assert await reader.readline()  # the flood begins after the answer
+                await asyncio.sleep(FLOOD_S)
+                writer.transport.abort()
+            case _:
+                await self._read_answer(behaviour, reader, writer)
+
+    async def _read_answer(
+        self, behaviour: Behaviour, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
+        if behaviour is Behaviour.EARLY:
             writer.write(b"more\r\n")
-        if behaviour == "floods":
-            assert await reader.readline()  # the flood begins after the answer
-            await asyncio.sleep(0.2)
-            writer.transport.abort()
-            return
         assert await reader.readline()
-        if behaviour == "up":
+        if behaviour is Behaviour.ESTABLISHED:
             writer.write(b"hello\r\n")
             assert await reader.readline() == b"hello\r\n"
         writer.close()
 
+    # -- what is left ----------------------------------------------------------------------------------
+
     async def wait_until_idle(self) -> None:
         """Waits at most 3 s until no connection is left."""
-        for _ in range(300):
+        for _ in range(IDLE_POLLS):
             if not self.connections and not self.program.acceptor.tasks:
                 return
-            await asyncio.sleep(0.01)
+            await asyncio.sleep(IDLE_POLL_S)
         raise AssertionError(f"left: {list(self.connections)}, {len(self.program.acceptor.tasks)} connections")
 
-    def outcome_counts(self) -> dict[str, int]:
+    def outcome_counts(self) -> dict[ConnectionOutcome, int]:
         """Returns the numbers of ended connections by outcome, without zeros."""
         return {outcome: counts["look"] for outcome, counts in self.metrics.outcomes.items() if counts["look"]}
--- a/tests/net/test_answers_and_decisions.py
+++ b/tests/net/test_answers_and_decisions.py
@@ -3,152 +3,141 @@
 from __future__ import annotations
 
 import asyncio
-import contextlib
 
 import pytest
 
-from glenrock.net import server_actor
-from glenrock.net.attempt_outcomes import Reach
-from glenrock.net.client_connection import AnswerNow, MigrateClient
+from glenrock.net import protocol
+from glenrock.net.attempt_outcomes import AttemptResult, Reach
+from glenrock.net.connection_attempt import ConnectionAttempt
+from glenrock.net.connection_messages import AnswerNow, MigrateClient
 from glenrock.routing import interface
 
-from .rig import REQUEST_LINE, LoopbackRig, reject_request, run_on_rig
-from .settings import SETTINGS
-
-
-def test_connection_established_before_its_rejection_stays_and_is_known_to_routing() -> None:
-    async def scenario(rig: LoopbackRig) -> None:
-        client, server_side, connection = await rig.start_request()
-        answered = connection.on_attempt_result
-
-        def crossed(x, outcome) -> None:  # the answer, and directly after it the rejection
-            answered(x, outcome)
-            reject_request(rig, connection)
-
-        connection.attempt.on_result = crossed
-        server_side.sendall(b"UP r\r\n")
-        assert await rig.wait_until(lambda: rig.read(client)) == b"UP r\r\n"
-        await rig.wait_until(lambda: rig.program.routing.balancer.requests)
-        rig.report_endpoints(s1="DRAINING")
-        await rig.advance(2600)
-        assert (await rig.read_to_end(client))[0] == b"MOVE\r\n"
-
-    run_on_rig(scenario)
-
-
-def test_connection_established_after_its_rejection_is_closed() -> None:
-    async def scenario(rig: LoopbackRig) -> None:
-        client, server_side, connection = await rig.start_request()
-        answered = connection.on_attempt_result
-        connection.attempt.on_result = lambda x, outcome: (reject_request(rig, connection), answered(x, outcome))
-        server_side.sendall(b"UP r\r\n")
-        assert await rig.read_to_end(server_side) == (b"", "fin")
-        data, end = await rig.read_to_end(client)
-        assert data == b"BUSY 500\r\n" and end == "fin"
-
-    run_on_rig(scenario)
-
-
-def test_full_mailbox_loses_no_end_of_a_connection() -> None:
-    async def scenario(rig: LoopbackRig) -> None:
-        await rig.open()
-        client, server_side = await rig.establish()
-        rig.connections["x1"].mailbox.limit = 0  # full before its first message
-        client.close()
-        assert await rig.read_to_end(server_side) == (b"", "fin")
-        server_side.close()
-        await rig.wait_until(lambda: not rig.connections)
-
-    run_on_rig(scenario)
-
-
-@pytest.mark.parametrize("reads", [True, False])
-def test_client_migrates_while_its_server_hangs_within_a_line(reads: bool) -> None:
+from .rig import (
+    ESTABLISHED_LINE,
+    ITERATION_S,
+    REQUEST_ID,
+    REQUEST_LINE,
+    LoopbackRig,
+    StreamEnd,
+    attempt_of,
+    read_now,
+    read_to_end,
+    receive,
+    wait_until,
+)
+from .settings import caps
+
+
+async def test_connection_established_before_its_rejection_stays_and_is_known_to_routing(rig: LoopbackRig) -> None:
+    client, server_side, connection = await rig.start_request()
+    post_result = connection.on_attempt_result
+
+    def post_result_then_reject(attempt: ConnectionAttempt, result: AttemptResult) -> None:
+        post_result(attempt, result)
+        rig.reject_request(connection)
+
+    attempt_of(connection).on_result = post_result_then_reject
+    server_side.sendall(ESTABLISHED_LINE)
+    assert await receive(client) == ESTABLISHED_LINE
+    await wait_until(lambda: rig.program.routing.balancer.requests)
+    rig.report_endpoints(s1="DRAINING")
+    await rig.advance(2600)
+    assert (await read_to_end(client)).data == b"MOVE\r\n"
+
+
+async def test_connection_established_after_its_rejection_is_closed(rig: LoopbackRig) -> None:
+    client, server_side, connection = await rig.start_request()
+    post_result = connection.on_attempt_result
+
+    def reject_then_post_result(attempt: ConnectionAttempt, result: AttemptResult) -> None:
+        rig.reject_request(connection)
+        post_result(attempt, result)
+
+    attempt_of(connection).on_result = reject_then_post_result
+    server_side.sendall(ESTABLISHED_LINE)
+    assert await read_to_end(server_side) == (b"", StreamEnd.FIN)
+    assert await read_to_end(client) == (b"BUSY 500\r\n", StreamEnd.FIN)
+
+
+async def test_full_mailbox_loses_no_end_of_a_connection(rig: LoopbackRig) -> None:
+    await rig.open()
+    client, server_side = await rig.establish()
+    rig.connections[REQUEST_ID].mailbox.limit = 0  # full before its first message
+    client.close()
+    assert await read_to_end(server_side) == (b"", StreamEnd.FIN)
+    server_side.close()
+    await wait_until(lambda: not rig.connections)
+
+
+@pytest.mark.parametrize("server_reads", [True, False])
+async def test_client_migrates_while_its_server_hangs_within_a_line(rig: LoopbackRig, server_reads: bool) -> None:
     """Also while the client's bytes fill the buffers to a server that does not read."""
-
-    async def scenario(rig: LoopbackRig) -> None:
-        await rig.open()
-        client, server_side = await rig.establish()
-        server_side.sendall(b"whole\r\nhal")
-        assert await rig.wait_until(lambda: rig.read(client)) == b"whole\r\n"
-        if not reads:
-            idle = 0
-            while idle < 50:
-                try:
-                    client.send(b"k" * 1023 + b"\n")
-                    idle = 0
-                except BlockingIOError:
-                    idle += 1
-                    await asyncio.sleep(0.0002)
-            assert not rig.connections["x1"].awaits_client
-        rig.connections["x1"].mailbox.try_put(MigrateClient(interface.AttemptOutcome.CANCELLED))
-        received = b""
-        async with asyncio.timeout(5):
-            while not received.endswith(b"MOVE\r\n"):
-                received += rig.read(client)
-                await asyncio.sleep(0)
-        assert received == b"MOVE\r\n"
-        client.close()
-        await rig.wait_until(lambda: not rig.connections)
-
-    run_on_rig(scenario)
-
-
-@pytest.mark.parametrize("first", ["answer", "dismissal"])
-def test_connection_established_at_the_end_migrates_or_is_rejected_by_order_of_messages(first: str) -> None:
-    async def scenario(rig: LoopbackRig) -> None:
-        client, server_side, connection = await rig.start_request()
-        answered = connection.on_attempt_result
-
-        def crossed(x, outcome) -> None:
-            order = [lambda: answered(x, outcome), lambda: connection.mailbox.put_unbounded(AnswerNow(700))]
-            for act in order if first == "answer" else reversed(order):
-                act()
-
-        connection.attempt.on_result = crossed
-        server_side.sendall(b"UP r\r\n")
-        assert await rig.read_to_end(server_side) == (b"", "fin")
-        assert await rig.read_to_end(client) == (b"UP r\r\nMOVE\r\n" if first == "answer" else b"BUSY 700\r\n", "fin")
-
-    run_on_rig(scenario)
-
-
-def test_answer_that_arrives_at_the_attempt_timeout_is_ignored() -> None:
-    async def scenario(rig: LoopbackRig) -> None:
-        await rig.open("s1", caps={**SETTINGS["caps"], "maxAttempts": 1})
-        client = rig.connect_client(REQUEST_LINE)
-        server_side = await rig.accept_request("s1")
-        server_side.sendall(b"UP r\r\n")
-        rig.clock.advance(1500)  # no iteration of the loop between
-        assert await rig.read_to_end(server_side) == (b"", "fin")
-        data, end = await rig.read_to_end(client)
-        assert data.split()[0] in (b"BUSY", b"ERR") and data.count(b"\n") == 1 and end == "fin"
-
-    run_on_rig(scenario)
-
-
-def test_partly_written_request_counts_as_possibly_executed(monkeypatch) -> None:
+    await rig.open()
+    client, server_side = await rig.establish()
+    server_side.sendall(b"whole\r\nhal")
+    assert await receive(client) == b"whole\r\n"
+    if not server_reads:
+        blocked_sends = 0
+        while blocked_sends < 50:
+            try:
+                client.send(b"k" * 1023 + b"\n")
+                blocked_sends = 0
+            except BlockingIOError:
+                blocked_sends += 1
+                await asyncio.sleep(ITERATION_S)
+        assert not rig.connections[REQUEST_ID].awaits_client
+    rig.connections[REQUEST_ID].mailbox.try_put(MigrateClient(interface.AttemptOutcome.CANCELLED))
+    received = b""
+    async with asyncio.timeout(5):
+        while not received.endswith(b"MOVE\r\n"):
+            received += read_now(client)
+            await asyncio.sleep(0)
+    assert received == b"MOVE\r\n"
+    client.close()
+    await wait_until(lambda: not rig.connections)
+
+
+@pytest.mark.parametrize(("is_answer_first", "received"), [(True, b"UP r\r\nMOVE\r\n"), (False, b"BUSY 700\r\n")])
+async def test_connection_established_at_the_end_migrates_or_is_rejected_by_order_of_messages(
+    rig: LoopbackRig, is_answer_first: bool, received: bytes
+) -> None:
+    client, server_side, connection = await rig.start_request()
+    post_result = connection.on_attempt_result
+
+    def post_both(attempt: ConnectionAttempt, result: AttemptResult) -> None:
+        if is_answer_first:
+            post_result(attempt, result)
+        connection.mailbox.put_unbounded(AnswerNow(700))
+        if not is_answer_first:
+            post_result(attempt, result)
+
+    attempt_of(connection).on_result = post_both
+    server_side.sendall(ESTABLISHED_LINE)
+    assert await read_to_end(server_side) == (b"", StreamEnd.FIN)
+    assert await read_to_end(client) == (received, StreamEnd.FIN)
+
+
+async def test_answer_that_arrives_at_the_attempt_timeout_is_ignored(rig: LoopbackRig) -> None:
+    await rig.open("s1", caps=caps(maxAttempts=1))
+    client = rig.connect_client(REQUEST_LINE)
+    server_side = await rig.accept_request("s1")
+    server_side.sendall(ESTABLISHED_LINE)
+    rig.clock.advance(1500)  # no iteration of the loop between
+    assert await read_to_end(server_side) == (b"", StreamEnd.FIN)
+    data, end = await read_to_end(client)
+    assert data.split()[0] in (b"BUSY", b"ERR")
+    assert data.count(b"\n") == 1
+    assert end is StreamEnd.FIN
+
+
+async def test_partly_written_request_counts_as_possibly_executed(
+    rig: LoopbackRig, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """Its last byte may have been sent: a request that is not idempotent fails, and no other server gets it."""
-    monkeypatch.setattr(server_actor.protocol, "with_time_left", lambda line, ms: line + b"z" * (16 << 20))
-
-    async def scenario(rig: LoopbackRig) -> None:
-        await rig.open("s1", "s2", effect="unsafe")
-        client = rig.connect_client(REQUEST_LINE)
-        await rig.wait_until(
-            lambda: (
-                rig.connections
-                and rig.connections["x1"].attempt
-                and rig.connections["x1"].attempt.reach == Reach.PARTLY_WRITTEN
-            )
-        )
-        await rig.advance(1600)
-        assert rig.read(client) == b"ERR\r\n"
-        came = 0
-        for listener in rig.listeners.values():
-            with contextlib.suppress(BlockingIOError):
-                while True:
-                    rig.keep(listener.accept()[0])
-                    came += 1
-        assert came == 1
-
-    run_on_rig(scenario)
+    monkeypatch.setattr(protocol, "with_time_left", lambda line, ms: line + b"z" * (16 << 20))
+    await rig.open("s1", "s2", effect="unsafe")
+    client = rig.connect_client(REQUEST_LINE)
+    await rig.wait_for_attempt(lambda attempt: attempt.reach == Reach.PARTLY_WRITTEN)
+    await rig.advance(1600)
+    assert read_now(client) == b"ERR\r\n"
+    assert sum(len(rig.accept_queued(listener)) for listener in rig.listeners.values()) == 1
--- a/tests/net/test_clients_that_leave.py
+++ b/tests/net/test_clients_that_leave.py
@@ -3,107 +3,109 @@
 from __future__ import annotations
 
 import asyncio
-import contextlib
 import socket
-from collections.abc import Callable
+from collections.abc import Awaitable, Callable
 
 import pytest
 
 from glenrock.config import Address
-from glenrock.net.client_connection import RelayEnd
+from glenrock.net.attempt_outcomes import AttemptResult
+from glenrock.net.connection_attempt import ConnectionAttempt
+from glenrock.net.connection_messages import RelayEnd
 from glenrock.routing import interface
 
-from .rig import REQUEST_LINE, LoopbackRig, close_socket, create_listener, run_on_rig
+from .rig import (
+    REQUEST_ID,
+    REQUEST_LINE,
+    WAIT_TIMEOUT_S,
+    LoopbackRig,
+    close_socket,
+    create_listener,
+    fill_backlog,
+    receive,
+    wait_until,
+)
+
+Leave = Callable[[socket.socket], None]
+"""Ends a client's connection."""
+
+
+async def start_request_without_ready_server(rig: LoopbackRig) -> socket.socket:
+    """Starts the program with a server that drains, and a request that routing keeps. Returns the client's socket."""
+    await rig.open()
+    rig.report_endpoints(s1="DRAINING")
+    await rig.run_loop()
+    client = rig.connect_client(REQUEST_LINE)
+    await wait_until(lambda: rig.program.routing.balancer.requests)
+    return client
 
 
-async def leave_while_attempt_is_queued(rig: LoopbackRig, leave: Callable[[socket.socket], None]) -> None:
+async def leave_while_attempt_is_queued(rig: LoopbackRig, leave: Leave, monkeypatch: pytest.MonkeyPatch) -> None:
     """The attempt is in the mailbox of the server's actor; the client's end is handled before its first step."""
     await rig.open()
     client = rig.connect_client(REQUEST_LINE)
-    start_attempt = None
-
-    async def intercept_start() -> None:
-        await rig.wait_until(lambda: rig.connections)
-        connection = rig.connections["x1"]
-        nonlocal start_attempt
-        start_attempt = connection.start_attempt
-        connection.start_attempt = lambda name, ms: (
-            start_attempt(name, ms),
-            connection.mailbox.messages.appendleft(RelayEnd.CLIENT_FIN),
-            connection.mailbox.wake(),
-        )
-
-    await intercept_start()
+    await wait_until(lambda: rig.connections)
+    connection = rig.connections[REQUEST_ID]
+    start_attempt = connection.start_attempt
+
+    def start_attempt_then_end(server: str, timeout_ms: float) -> None:
+        start_attempt(server, timeout_ms)
+        connection.mailbox.messages.appendleft(RelayEnd.CLIENT_FIN)
+        connection.mailbox.wake()
+
+    monkeypatch.setattr(connection, "start_attempt", start_attempt_then_end)
     leave(client)
 
 
-async def leave_while_connecting(rig: LoopbackRig, leave: Callable[[socket.socket], None]) -> None:
+async def leave_while_connecting(rig: LoopbackRig, leave: Leave, _: pytest.MonkeyPatch) -> None:
     """The connection to the server is established after the client has left."""
     await rig.open()
-    full = create_listener(0)
-    queue_fillers = []
-    for _ in range(4):
-        queue_fillers.append(socket.socket())
-        queue_fillers[-1].setblocking(False)
-        queue_fillers[-1].connect_ex(full.getsockname())
+    full_listener = create_listener(backlog=0)
+    fillers = fill_backlog(full_listener)
     await rig.run_loop()
-    rig.program.servers.get("s1").row.address = Address(*full.getsockname())
+    rig.server_actor().row.address = Address(*full_listener.getsockname())
     client = rig.connect_client(REQUEST_LINE)
-    await rig.wait_until(
-        lambda: rig.connections and rig.connections["x1"].attempt and rig.connections["x1"].attempt.sock
-    )
+    await rig.wait_for_attempt(lambda attempt: attempt.sock)
     leave(client)
     await rig.run_loop()
-    for sock in queue_fillers:
-        sock.close()
-    rig.listeners["s1"] = full
+    for filler in fillers:
+        filler.close()
+    rig.listeners["s1"] = full_listener
 
 
-async def leave_between_attempts(rig: LoopbackRig, leave: Callable[[socket.socket], None]) -> None:
+async def leave_between_attempts(rig: LoopbackRig, leave: Leave, _: pytest.MonkeyPatch) -> None:
     """One server rejects the request, and the client's end is in the kernel together with that answer."""
     await rig.open("s1", "s2")
     client = rig.connect_client(REQUEST_LINE)
-    server_side, first = None, ""
-    async with asyncio.timeout(5):
-        while server_side is None:
+    accepted: dict[str, socket.socket] = {}
+    async with asyncio.timeout(WAIT_TIMEOUT_S):
+        while not accepted:
             await asyncio.sleep(0)
-            for name, listener in rig.listeners.items():
-                with contextlib.suppress(BlockingIOError):
-                    server_side, first = rig.keep(listener.accept()[0]), name
-    await rig.wait_until(lambda: rig.read(server_side))
+            accepted = {name: sock for name, listener in rig.listeners.items() for sock in rig.accept_queued(listener)}
+    ((first_server, server_side),) = accepted.items()
+    await receive(server_side)
     server_side.sendall(b"BUSY\r\n")
     leave(client)
-    del rig.listeners[first]
+    del rig.listeners[first_server]
 
 
-async def leave_while_no_server_is_ready(rig: LoopbackRig, leave: Callable[[socket.socket], None]) -> None:
+async def leave_while_no_server_is_ready(rig: LoopbackRig, leave: Leave, _: pytest.MonkeyPatch) -> None:
     """No server is ready; one becomes ready after the client has left."""
-    await rig.open()
-    rig.report_endpoints(s1="DRAINING")
-    await rig.run_loop()
-    client = rig.connect_client(REQUEST_LINE)
-    await rig.wait_until(lambda: rig.program.routing.balancer.requests)
+    client = await start_request_without_ready_server(rig)
     leave(client)
     await rig.run_loop()
-    await rig.wait_until(lambda: rig.read(rig.discovery_connection))
+    await receive(rig.discovery_connection)
     rig.report_endpoints()
 
 
-async def leave_while_resuming(rig: LoopbackRig, leave: Callable[[socket.socket], None]) -> None:
+async def leave_while_resuming(rig: LoopbackRig, leave: Leave, _: pytest.MonkeyPatch) -> None:
     """The connection is resumed at a server that does not listen yet; a timer retries it."""
     await rig.open()
     listener = rig.listeners["s1"]
     address = listener.getsockname()
     listener.close()
     client = rig.connect_client(b"OPEN x1 1 c=look,at=s1\r\n")
-    await rig.wait_until(
-        lambda: (
-            rig.connections
-            and rig.connections["x1"].attempt
-            and rig.connections["x1"].attempt.task
-            and rig.connections["x1"].attempt.task.done()
-        )
-    )
+    await rig.wait_for_attempt(lambda attempt: attempt.task and attempt.task.done())
     await rig.run_loop()
     leave(client)
     await rig.run_loop()
@@ -111,52 +113,49 @@
     rig.listeners["s1"].setblocking(False)
 
 
-async def leave_as_routing_decides(rig: LoopbackRig, leave: Callable[[socket.socket], None]) -> None:
+async def leave_as_routing_decides(rig: LoopbackRig, leave: Leave, monkeypatch: pytest.MonkeyPatch) -> None:
     """Routing starts an attempt in the iteration of the loop in which the connection is closed."""
-    await rig.open()
-    rig.report_endpoints(s1="DRAINING")
-    await rig.run_loop()
-    client = rig.connect_client(REQUEST_LINE)
-    await rig.wait_until(lambda: rig.program.routing.balancer.requests)
-    connection, gone = rig.connections["x1"], rig.connections["x1"].reports.post_disconnected
+    client = await start_request_without_ready_server(rig)
+    reports = rig.connections[REQUEST_ID].reports
+    post_disconnected = reports.post_disconnected
 
-    def crossed() -> None:
-        gone()
-        rig.program.servers.get("s1").row.state = interface.EndpointState.READY
-        rig.program.routing.act(interface.StartAttempt("x1", "s1", 900_000))
+    def post_disconnected_then_start_attempt() -> None:
+        post_disconnected()
+        rig.server_actor().row.state = interface.EndpointState.READY
+        rig.program.routing.act(interface.StartAttempt(REQUEST_ID, "s1", 900_000))
 
-    connection.reports.post_disconnected = crossed
+    monkeypatch.setattr(reports, "post_disconnected", post_disconnected_then_start_attempt)
     leave(client)
 
 
-async def leave_before_accept(rig: LoopbackRig, leave: Callable[[socket.socket], None]) -> None:
+async def leave_before_accept(rig: LoopbackRig, leave: Leave, _: pytest.MonkeyPatch) -> None:
     """The request line and the client's end are both in the kernel before the program accepts."""
     await rig.open()
     leave(rig.connect_client(REQUEST_LINE))
-    await rig.wait_until(lambda: rig.acceptor.tasks)
+    await wait_until(lambda: rig.acceptor.tasks)
 
 
-async def leave_as_the_server_connects(rig: LoopbackRig, leave: Callable[[socket.socket], None]) -> None:
+async def leave_as_the_server_connects(rig: LoopbackRig, leave: Leave, monkeypatch: pytest.MonkeyPatch) -> None:
     """The client's end and the server's connection are ready in one iteration; the server's actor runs first."""
     await rig.open()
-    actor = rig.program.servers.get("s1")
-    attempt = actor.attempt
+    actor = rig.server_actor()
+    make_attempt = actor.attempt
 
-    async def first(x) -> object:
-        pump = rig.connections["x1"].tasks[0]
+    async def leave_then_make_attempt(attempt: ConnectionAttempt) -> AttemptResult:
+        pump = rig.connections[REQUEST_ID].tasks[0]
         pump.cancel()  # the pump does not run before the line is written
         await asyncio.wait([pump])
         leave(client)
-        return await attempt(x)
+        return await make_attempt(attempt)
 
-    actor.attempt = first
+    monkeypatch.setattr(actor, "attempt", leave_then_make_attempt)
     client = rig.connect_client(REQUEST_LINE)
-    await rig.wait_until(lambda: rig.connections)
+    await wait_until(lambda: rig.connections)
 
 
 @pytest.mark.parametrize("reset", [False, True], ids=["fin", "rst"])
 @pytest.mark.parametrize(
-    "place",
+    "leave_at_moment",
     [
         leave_while_attempt_is_queued,
         leave_while_connecting,
@@ -168,9 +167,11 @@
         leave_as_the_server_connects,
     ],
 )
-def test_no_request_line_is_sent_for_a_client_that_has_left(place, reset: bool) -> None:
-    async def scenario(rig: LoopbackRig) -> None:
-        await place(rig, lambda client: close_socket(client, reset))
-        await rig.check_nothing_was_sent()
-
-    run_on_rig(scenario)
+async def test_no_request_line_is_sent_for_a_client_that_has_left(
+    rig: LoopbackRig,
+    monkeypatch: pytest.MonkeyPatch,
+    leave_at_moment: Callable[[LoopbackRig, Leave, pytest.MonkeyPatch], Awaitable[None]],
+    reset: bool,
+) -> None:
+    await leave_at_moment(rig, lambda client: close_socket(client, reset), monkeypatch)
+    await rig.check_nothing_was_sent()
--- a/tests/net/test_connection_ends.py
+++ b/tests/net/test_connection_ends.py
@@ -9,55 +9,74 @@
 from collections import Counter
 
 import pytest
-import uvloop
 
-from .single_server_rig import SingleServerRig
+from glenrock.net.metrics import ConnectionOutcome
+
+from .single_server_rig import Behaviour, SingleServerRig
 
 POSSIBLE_OUTCOMES = {
-    "up": ("fulfilled",),
-    "busy": ("throttled",),
-    "err": ("faulted", "throttled"),
-    "early": ("faulted",),
-    "leaves": ("left", "fulfilled"),
-    "silent": ("left",),
-    "floods": ("fulfilled",),
+    Behaviour.ESTABLISHED: (ConnectionOutcome.FULFILLED,),
+    Behaviour.REJECTED: (ConnectionOutcome.THROTTLED,),
+    Behaviour.FAILED: (ConnectionOutcome.FAULTED, ConnectionOutcome.THROTTLED),
+    Behaviour.EARLY: (ConnectionOutcome.FAULTED,),
+    Behaviour.LEAVES: (ConnectionOutcome.LEFT, ConnectionOutcome.FULFILLED),
+    Behaviour.SILENT: (ConnectionOutcome.LEFT,),
+    Behaviour.FLOODS: (ConnectionOutcome.FULFILLED,),
 }
+FIRST_CLIENTS = 3
 
 
-async def end_connections(seed: int) -> None:
-    rng, rig = random.Random(seed), SingleServerRig()
-    await rig.open()
-    # Health checks and their pool open their connections before the descriptors are counted.
-    await asyncio.gather(*(rig.run_client("up", 900 + n, []) for n in range(3)))
-    await rig.wait_until_idle()
-    before = dict(rig.metrics.outcomes["fulfilled"])
-    tasks, descriptors = len(asyncio.all_tasks()), len(os.listdir("/proc/self/fd"))
+def count_descriptors() -> int:
+    """Returns the number of open descriptors of this process."""
+    return len(os.listdir("/proc/self/fd"))
+
+
+async def run_drawn_clients(rig: SingleServerRig, rng: random.Random) -> Counter[Behaviour]:
+    """Runs 40 clients at once. Returns how many there were of each behaviour."""
     behaviours = [rng.choice(list(POSSIBLE_OUTCOMES)) for _ in range(40)]
     await asyncio.gather(
         *(
-            rig.run_client(behaviour, n, [rng.randrange(40) for _ in range(rng.randrange(4))])
-            for n, behaviour in enumerate(behaviours)
+            rig.run_client(behaviour, number, [rng.randrange(40) for _ in range(rng.randrange(4))])
+            for number, behaviour in enumerate(behaviours)
         )
     )
     await rig.wait_until_idle()
-    counts = Counter({outcome: classes["look"] for outcome, classes in rig.metrics.outcomes.items()})
-    counts -= Counter(fulfilled=before["look"])
-    assert sum(counts.values()) == len(behaviours), (counts, Counter(behaviours))
-    certain = Counter(
-        POSSIBLE_OUTCOMES[behaviour][0] for behaviour in behaviours if len(POSSIBLE_OUTCOMES[behaviour]) == 1
-    )
-    assert all(counts[outcome] >= count for outcome, count in certain.items()), (counts, Counter(behaviours))
-    assert rig.program.connections.count_open() == 0 and not rig.program.routing.balancer.requests
+    return Counter(behaviours)
+
+
+def check_outcomes(counts: Counter[ConnectionOutcome], behaviours: Counter[Behaviour]) -> None:
+    """Checks that each client counts once, under an outcome that its behaviour allows."""
+    assert sum(counts.values()) == sum(behaviours.values()), (counts, behaviours)
+    certain: Counter[ConnectionOutcome] = Counter()
+    for behaviour, count in behaviours.items():
+        if len(POSSIBLE_OUTCOMES[behaviour]) == 1:
+            certain[POSSIBLE_OUTCOMES[behaviour][0]] += count
+    assert all(counts[outcome] >= count for outcome, count in certain.items()), (counts, behaviours)
+
+
+@pytest.mark.parametrize("seed", range(4))
+async def test_each_connection_counts_once_and_releases_its_resources(
+    single_server: SingleServerRig, seed: int
+) -> None:
+    # Health checks and their pool open their connections before the descriptors are counted.
+    first_clients = [
+        single_server.run_client(Behaviour.ESTABLISHED, 900 + number, []) for number in range(FIRST_CLIENTS)
+    ]
+    await asyncio.gather(*first_clients)
+    await single_server.wait_until_idle()
+    counts_before = Counter(single_server.outcome_counts())
+    assert counts_before == {ConnectionOutcome.FULFILLED: FIRST_CLIENTS}
+    tasks = len(asyncio.all_tasks())
+    descriptors = count_descriptors()
+    behaviours = await run_drawn_clients(single_server, random.Random(seed))
+    check_outcomes(Counter(single_server.outcome_counts()) - counts_before, behaviours)
+    assert single_server.program.connections.count_open() == 0
+    assert not single_server.program.routing.balancer.requests
     gc.collect()
     for _ in range(100):  # the server's own connections end a few iterations of the loop later
-        if len(os.listdir("/proc/self/fd")) <= descriptors and len(asyncio.all_tasks()) <= tasks:
+        if count_descriptors() <= descriptors and len(asyncio.all_tasks()) <= tasks:
             return
         await asyncio.sleep(0.02)
     raise AssertionError(
-        f"{len(os.listdir('/proc/self/fd'))} descriptors of {descriptors}, {len(asyncio.all_tasks())} tasks of {tasks}"
+        f"{count_descriptors()} descriptors of {descriptors}, {len(asyncio.all_tasks())} tasks of {tasks}"
     )
-
-
-@pytest.mark.parametrize("seed", range(4))
-def test_each_connection_counts_once_and_releases_its_resources(seed: int) -> None:
-    uvloop.run(end_connections(seed))
--- a/tests/net/test_descriptor_budget.py
+++ b/tests/net/test_descriptor_budget.py
@@ -9,14 +9,15 @@
 from glenrock.config import ConfigError, parse_config
 from glenrock.net.clock import Clock
 from glenrock.net.descriptor_budget import DescriptorBudget
+from glenrock.net.metrics import FinalAnswerReason
 from glenrock.program import Program
 
-from .rig import REQUEST_LINE, LoopbackRig, run_on_rig
+from .rig import ESTABLISHED_LINE, REQUEST_LINE, LoopbackRig, receive
 from .settings import SETTINGS
 
 
-@pytest.mark.parametrize("limit", (64, 128, 256, 512, 1024, 65536))
-@pytest.mark.parametrize("servers", (0, 9, 200, 3200, 100_000))
+@pytest.mark.parametrize("limit", [64, 128, 256, 512, 1024, 65536])
+@pytest.mark.parametrize("servers", [0, 9, 200, 3200, 100_000])
 def test_reserved_descriptors_do_not_grow_with_the_endpoint_list(limit: int, servers: int) -> None:
     budget = DescriptorBudget(limit)
     budget.servers = servers
@@ -25,32 +26,26 @@
     assert budget.free(0) >= limit * 3 // 4 - 24 - 8
 
 
-def test_limit_too_low_for_one_client_is_a_configuration_error() -> None:
-    async def scenario(rig: LoopbackRig) -> None:
-        raw = {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "admin": "127.0.0.1:0", "limits": {"sockets": 64}}
-        with pytest.raises(ConfigError, match=r"limits\.sockets: 64 leave no room for one client, 84 are needed"):
-            Program(parse_config(raw | {"settings": SETTINGS}), Clock())
+@pytest.mark.usefixtures("runner")
+async def test_limit_too_low_for_one_client_is_a_configuration_error() -> None:
+    raw = {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "admin": "127.0.0.1:0", "limits": {"sockets": 64}}
+    with pytest.raises(ConfigError, match=r"limits\.sockets: 64 leave no room for one client, 84 are needed"):
+        Program(parse_config(raw | {"settings": SETTINGS}), Clock())
 
-    run_on_rig(scenario)
 
-
-def test_connection_closed_for_lack_of_descriptors_has_its_buffered_request_answered() -> None:
+async def test_connection_closed_for_lack_of_descriptors_has_its_buffered_request_answered(rig: LoopbackRig) -> None:
     """More idle connections than allowed: the oldest has sent a request that has not been read."""
-
-    async def scenario(rig: LoopbackRig) -> None:
-        await rig.open()
-        acceptor = rig.program.acceptor
-        asyncio.get_running_loop().remove_reader(acceptor.listener)
-        max_idle = rig.program.connections.max_idle_connections()
-        first = rig.connect_client(REQUEST_LINE)
-        idle = [rig.connect_client() for _ in range(max_idle + 3)]
-        acceptor._socket.accept(max_idle + 4)  # at once, before any task has run
-        async with asyncio.timeout(5):  # a lost request would reach no server
-            at = await rig.accept_request("s1")
-        at.sendall(b"UP r\r\n")
-        assert await rig.wait_until(lambda: rig.read(first)) == b"UP r\r\n"
-        for sock in idle[:3]:
-            assert (await rig.wait_until(lambda sock=sock: rig.read(sock))).startswith(b"BUSY ")
-        assert rig.program.connections.metrics.final_answers["shed"] == 3
-
-    run_on_rig(scenario)
+    await rig.open()
+    assert rig.acceptor.listener is not None
+    asyncio.get_running_loop().remove_reader(rig.acceptor.listener)
+    max_idle = rig.program.connections.max_idle_connections()
+    first = rig.connect_client(REQUEST_LINE)
+    idle = [rig.connect_client() for _ in range(max_idle + 3)]
+    rig.acceptor._socket.accept(max_idle + 4)  # at once, before any task has run
+    async with asyncio.timeout(5):  # a lost request would reach no server
+        server_side = await rig.accept_request("s1")
+    server_side.sendall(ESTABLISHED_LINE)
+    assert await receive(first) == ESTABLISHED_LINE
+    for client in idle[:3]:
+        assert (await receive(client)).startswith(b"BUSY ")
+    assert rig.program.connections.metrics.final_answers[FinalAnswerReason.SHED] == 3
--- a/tests/net/test_health_check_pool.py
+++ b/tests/net/test_health_check_pool.py
@@ -5,25 +5,31 @@
 from glenrock.net.health_check_pool import HealthCheckPool
 
 
-class PooledConnection:
+class CountedConnection:
     """Counts how often the pool closes it."""
 
     def __init__(self) -> None:
         self.disconnects = 0
 
     def disconnect(self) -> None:
+        """Counts a close."""
         self.disconnects += 1
 
 
-def test_pool_closes_the_least_recently_used_idle_connection_and_none_in_use() -> None:
-    pool, connections = HealthCheckPool(lambda: 2), [PooledConnection() for _ in range(4)]
-    assert pool.acquire(connections[0]) and pool.acquire(connections[1]) and not pool.acquire(connections[2])
-    pool.release(connections[1])
-    pool.release(connections[0])
-    assert pool.acquire(connections[2])
+def test_pool_closes_the_least_recently_used_connection_and_none_in_use() -> None:
+    pool = HealthCheckPool(lambda: 2)
+    first, second, third, fourth = connections = [CountedConnection() for _ in range(4)]
+    assert pool.acquire(first)
+    assert pool.acquire(second)
+    assert not pool.acquire(third)
+    pool.release(second)
+    pool.release(first)
+    assert pool.acquire(third)
     assert [connection.disconnects for connection in connections] == [1, 0, 0, 0]
-    assert pool.acquire(connections[1]) and not pool.acquire(connections[3]) and len(pool) == 2
-    pool.release(connections[2])
-    pool.remove(connections[2])
-    assert pool.acquire(connections[3])
+    assert pool.acquire(second)
+    assert not pool.acquire(fourth)
+    assert len(pool) == 2
+    pool.release(third)
+    pool.remove(third)
+    assert pool.acquire(fourth)
     assert [connection.disconnects for connection in connections] == [1, 0, 0, 0]
--- a/tests/net/test_health_checks_and_discovery.py
+++ b/tests/net/test_health_checks_and_discovery.py
@@ -2,80 +2,76 @@
 
 from __future__ import annotations
 
-import contextlib
-
 import pytest
 
 from glenrock.config import Address
+from glenrock.routing import interface
 
-from .rig import REQUEST_LINE, LoopbackRig, create_listener, run_on_rig
-from .settings import SETTINGS
-
-PROBES = {**SETTINGS["caps"], "probes": True}
-
-
-def test_health_check_on_a_closed_connection_is_repeated_on_a_new_one() -> None:
-    async def scenario(rig: LoopbackRig) -> None:
-        await rig.open(caps=PROBES, report={"how": "probe", "names": ["x0"]})
-        results = []
-        actor = rig.program.servers.get("s1")
-        actor.post = results.append
-        for _ in range(2):
-            rig.program.servers.send_health_check("s1")
-            server_side = await rig.accept_connection(rig.listeners["s1"])
-            assert await rig.wait_until(lambda server_side=server_side: rig.read(server_side)) == b"STATS\r\n"
-            server_side.sendall(b"PONG x0=0.5\r\n")
-            await rig.wait_until(lambda: actor.health_check_task.done())
-            server_side.close()  # unused: the program does not read from it
-        assert [r.outcome for r in results] == ["served", "served"]
+from .rig import CLOCK_STEP_MS, REQUEST_LINE, LoopbackRig, create_listener, read_now, receive, wait_until
+from .settings import SETTINGS, caps
 
-    run_on_rig(scenario)
+DRAIN_GRACE_MS = 2000.0
 
 
-def test_silent_watch_ends_before_a_missed_change_counts_as_reported() -> None:
-    """The agent lists a draining server from the moment the watch is silent; after the grace it gets no connection."""
+async def test_health_check_on_a_closed_connection_is_repeated_on_a_new_one(rig: LoopbackRig) -> None:
+    await rig.open(caps=caps(probes=True), report={"how": "probe", "names": ["x0"]})
+    results: list[interface.Event] = []
 
-    async def scenario(rig: LoopbackRig) -> None:
-        grace = 2000.0
-        await rig.open(obligations={**SETTINGS["obligations"], "drainGraceUs": grace * 1000})
-        assert b"index=2&wait=1000 " in await rig.wait_until(lambda: rig.read(rig.discovery_connection))
-        spent = 0.0
-        with pytest.raises(BlockingIOError):
-            rig.discovery.accept()
-        while True:
-            await rig.advance(10)
-            spent += 10
-            assert spent < grace
-            with contextlib.suppress(BlockingIOError):
-                rig.discovery_connection = rig.keep(rig.discovery.accept()[0])
-                break
-        assert (await rig.wait_until(lambda: rig.read(rig.discovery_connection))).startswith(
-            b"GET /discovery/hosts HTTP"
-        ), "no watch"
-        rig.report_endpoints(s1="DRAINING")
-        await rig.run_loop()
-        client = rig.connect_client(REQUEST_LINE)
-        assert (await rig.wait_until(lambda: rig.clock.advance(10) or rig.read(client))).startswith(b"BUSY")
+    def record_result(event: interface.Event) -> bool:
+        results.append(event)
+        return True
 
-    run_on_rig(scenario)
+    actor = rig.server_actor()
+    actor.post = record_result
+    for _ in range(2):
+        rig.program.servers.send_health_check("s1")
+        server_side = await rig.accept_connection(rig.listeners["s1"])
+        assert await receive(server_side) == b"STATS\r\n"
+        server_side.sendall(b"PONG x0=0.5\r\n")
+        await wait_until(lambda: actor.health_check_task is not None and actor.health_check_task.done())
+        server_side.close()  # unused: the program does not read from it
+    outcomes = [result.outcome for result in results if isinstance(result, interface.HealthCheckResult)]
+    assert outcomes == [interface.AttemptOutcome.SERVED] * len(results)
+    assert len(results) == 2
 
 
-@pytest.mark.parametrize("answered", [True, False])
-def test_change_of_discovery_address_discards_versions_of_the_earlier_discovery(answered: bool) -> None:
+async def test_silent_watch_ends_before_a_missed_change_counts_as_reported(rig: LoopbackRig) -> None:
+    """The agent lists a draining server from the moment the watch is silent; after the grace it gets no connection."""
+    await rig.open(obligations={**SETTINGS["obligations"], "drainGraceUs": DRAIN_GRACE_MS * 1000})
+    assert b"index=2&wait=1000 " in await receive(rig.discovery_connection)
+    with pytest.raises(BlockingIOError):
+        rig.discovery.accept()
+    spent_ms = 0.0
+    while not (accepted := rig.accept_queued(rig.discovery)):
+        await rig.advance(CLOCK_STEP_MS)
+        spent_ms += CLOCK_STEP_MS
+        assert spent_ms < DRAIN_GRACE_MS
+    (rig.discovery_connection,) = accepted
+    assert (await receive(rig.discovery_connection)).startswith(b"GET /discovery/hosts HTTP"), "no watch"
+    rig.report_endpoints(s1="DRAINING")
+    await rig.run_loop()
+    client = rig.connect_client(REQUEST_LINE)
+
+    def advance_and_read() -> bytes:
+        rig.clock.advance(CLOCK_STEP_MS)
+        return read_now(client)
+
+    assert (await wait_until(advance_and_read)).startswith(b"BUSY")
+
+
+@pytest.mark.parametrize("is_answered", [True, False])
+async def test_change_of_discovery_address_discards_versions_of_the_earlier_discovery(
+    rig: LoopbackRig, is_answered: bool
+) -> None:
     """The new discovery does not know earlier versions: it is polled for the whole list, and its list counts."""
-
-    async def scenario(rig: LoopbackRig) -> None:
-        await rig.open()
-        await rig.wait_until(lambda: b"index=2" in rig.read(rig.discovery_connection))
-        if answered:
-            rig.report_endpoints(s1="DRAINING")  # no iteration of the loop between
-        rig.discovery, rig.version = create_listener(), 0
-        rig.program.endpoints.change_address(Address(*rig.discovery.getsockname()))
-        rig.discovery_connection = await rig.accept_connection(rig.discovery)
-        assert (await rig.wait_until(lambda: rig.read(rig.discovery_connection))).startswith(
-            b"GET /discovery/hosts HTTP"
-        )
-        rig.report_endpoints()
-        await rig.establish()
-
-    run_on_rig(scenario)
+    await rig.open()
+    await wait_until(lambda: b"index=2" in read_now(rig.discovery_connection))
+    if is_answered:
+        rig.report_endpoints(s1="DRAINING")  # no iteration of the loop between
+    rig.discovery = create_listener()
+    rig.version = 0
+    rig.program.endpoints.change_address(Address(*rig.discovery.getsockname()))
+    rig.discovery_connection = await rig.accept_connection(rig.discovery)
+    assert (await receive(rig.discovery_connection)).startswith(b"GET /discovery/hosts HTTP")
+    rig.report_endpoints()
+    await rig.establish()
--- a/tests/net/test_large_endpoint_list.py
+++ b/tests/net/test_large_endpoint_list.py
@@ -10,7 +10,8 @@
 from glenrock.testbed.testbed import FleetShape, Testbed
 
 SERVERS = 3200
-RESUMED_CLIENTS, NEW_CLIENTS = 30, 10
+RESUMED_CLIENTS = 30
+NEW_CLIENTS = 10
 ANSWER_TIMEOUT_S = 5.0
 POLL_INTERVAL_S = 0.05
 
@@ -28,10 +29,10 @@
     """Returns the answers to clients that resume and to new clients, which all connect at once."""
     async with Testbed(FleetShape(servers=SERVERS, descriptors=descriptors)) as bed:
         await bed.start_balancers()
-        while not await has_list(bed):
+        while not await has_list(bed):  # noqa: ASYNC110 - another process has the list
             await asyncio.sleep(POLL_INTERVAL_S)
         names = list(bed.servers)
-        clients = [bed.start_client(0, resumes_at=names[n * 97 % len(names)]) for n in range(RESUMED_CLIENTS)]
+        clients = [bed.start_client(0, resumes_at=names[number * 97 % len(names)]) for number in range(RESUMED_CLIENTS)]
         clients += [bed.start_client(0) for _ in range(NEW_CLIENTS)]
         await bed.wait_until(lambda: all(client.up.is_set() for client in clients), ANSWER_TIMEOUT_S)
         return [client.request.answer.partition(" ")[0] or client.request.end.value for client in clients]
--- a/tests/net/test_large_fleet.py
+++ b/tests/net/test_large_fleet.py
@@ -10,11 +10,13 @@
 import pytest
 import uvloop
 
+from glenrock.testbed.clients import Client
 from glenrock.testbed.endpoint_directory import EndpointStatus
 from glenrock.testbed.testbed import FleetShape, Testbed
 
 SERVERS = 3200
-WAVES, WAVE_SERVERS = 3, 320  # of a release
+WAVES = 3  # of a release
+WAVE_SERVERS = 320  # that drain in each wave
 DRAIN_GRACE_S = 2.5
 MAX_TIMER_DELAY_S = 0.05
 KILL_AFTER_S = 1.8 + 1.2 + 0.7  # 3 s for a longest deadline below that, and 0.7 s
@@ -32,8 +34,10 @@
 @pytest.mark.parametrize("descriptors", (256, 512, 1024))
 def test_release_in_waves_costs_no_answer_and_draining_servers_get_nothing(descriptors: int) -> None:
     async def scenario(bed: Testbed) -> None:
-        names, clients, drained_s = list(bed.servers), [], {}
-        resumed = [bed.start_client(0, resumes_at=names[n * 97 % SERVERS], stays_s=30.0) for n in range(20)]
+        names = list(bed.servers)
+        clients: list[Client] = []
+        drained_s: dict[str, float] = {}
+        resumed = [bed.start_client(0, resumes_at=names[number * 97 % SERVERS], stays_s=30.0) for number in range(20)]
         assert await bed.wait_until(lambda: all(client.up.is_set() for client in resumed), 5.0)
         for wave in range(WAVES):
             drained = [name for name, row in bed.directory.servers.items() if row.status == EndpointStatus.DRAINING]
@@ -88,7 +92,8 @@
 @pytest.mark.parametrize("fault", ("slow", "truncated"))
 def test_slow_or_truncated_list_interrupts_no_service(fault: str) -> None:
     async def scenario(bed: Testbed) -> None:
-        agent, names = bed.agents[0], list(bed.servers)
+        agent = bed.agents[0]
+        names = list(bed.servers)
         if fault == "slow":
             agent.slow_s = 0.3
         else:
@@ -115,11 +120,12 @@
 def test_first_list_may_take_seconds_and_resumed_connections_come_up(answer_s: float) -> None:
     async def scenario(bed: Testbed) -> None:
         bed.agents[0].slow_s = answer_s
-        process, names = bed.processes[0], list(bed.servers)
+        process = bed.processes[0]
+        names = list(bed.servers)
         process.end()
         process.start()
         await bed.wait_until_ready(process)
-        resumed = [bed.start_client(0, resumes_at=names[n * 97 % SERVERS]) for n in range(10)]
+        resumed = [bed.start_client(0, resumes_at=names[number * 97 % SERVERS]) for number in range(10)]
         assert await bed.wait_until(lambda: all(client.up.is_set() for client in resumed), answer_s + 3.0)
         clients = [bed.start_client(0) for _ in range(10)]
         assert await bed.wait_until(lambda: all(client.up.is_set() for client in clients), 3.0)
--- a/tests/net/test_poll_backoff.py
+++ b/tests/net/test_poll_backoff.py
@@ -4,6 +4,7 @@
 
 import heapq
 import random
+from collections.abc import Sequence
 
 import pytest
 from hypothesis import given
@@ -18,7 +19,7 @@
 
 
 def count_unanswered(
-    backoffs: list[PollBackoff],
+    backoffs: Sequence[PollBackoff],
     service_ms: float = SERVICE_MS,
     duration_ms: float = DURATION_MS,
     has_list: bool = True,
@@ -27,7 +28,8 @@
     """Returns the number of balancers without an answer by the end, where a rejected call costs its service too."""
     calls = [(backoff.first_call_delay_ms(has_list), number) for number, backoff in enumerate(backoffs)]
     heapq.heapify(calls)
-    free_at_ms, answered = 0.0, set()
+    free_at_ms = 0.0
+    answered: set[int] = set()
     while calls and calls[0][0] < duration_ms:
         now_ms, number = heapq.heappop(calls)
         wait_ms = max(0.0, free_at_ms - now_ms)
@@ -47,12 +49,30 @@
     """Calls at once and retries within a second, whatever the number of balancers."""
 
     def first_call_delay_ms(self, has_list: bool = True) -> float:
+        """Returns a delay that does not depend on the number of balancers."""
         return self.random_numbers.random() * 300
 
     def overload_delay_ms(self) -> float:
+        """Returns a delay under a second, however many calls were rejected."""
         return 500 + 500 * self.random_numbers.random()
 
 
+class ImmediatePollBackoff(PollBackoff):
+    """Makes the first call at once."""
+
+    def first_call_delay_ms(self, has_list: bool = True) -> float:
+        """Returns no delay."""
+        return 0.0
+
+
+class LongestJitter(random.Random):
+    """Draws 1.0, which gives each delay its full length."""
+
+    def random(self) -> float:
+        """Returns 1.0."""
+        return 1.0
+
+
 @pytest.mark.parametrize("seed", range(20))
 @pytest.mark.parametrize("balancers", [3, 40])
 def test_every_balancer_is_answered(balancers: int, seed: int) -> None:
@@ -62,9 +82,7 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_every_balancer_is_answered_after_simultaneous_first_calls(seed: int) -> None:
-    backoffs = [PollBackoff(40, True, random.Random(seed * 100 + number)) for number in range(40)]
-    for backoff in backoffs:
-        backoff.first_call_delay_ms = lambda has_list: 0.0
+    backoffs = [ImmediatePollBackoff(40, True, random.Random(seed * 100 + number)) for number in range(40)]
     assert count_unanswered(backoffs) == 0
 
 
@@ -74,11 +92,11 @@
 
 @pytest.mark.parametrize("has_list", [True, False])
 @pytest.mark.parametrize(
-    "balancers, service_ms, least_answered",
+    ("balancers", "service_ms", "least_answered"),
     [(3, 300, 3), (200, 5, 200), (200, 20, 200), (200, 100, 200), (200, 300, 120), (300, 100, 295), (1000, 20, 1000)],
 )
 def test_hundreds_of_balancers_are_answered_without_a_bound_on_the_queue(
-    balancers, service_ms, least_answered, has_list
+    balancers: int, service_ms: float, least_answered: int, has_list: bool
 ) -> None:
     """No call is rejected at once: each waits its 2 s, and costs discovery its service."""
     backoffs = [PollBackoff(balancers, True, random.Random(number)) for number in range(balancers)]
@@ -87,7 +105,9 @@
 
 def test_first_call_without_a_list_is_immediate_for_few_balancers_and_spread_for_many() -> None:
     assert PollBackoff(8, True, random.Random(1)).first_call_delay_ms(has_list=False) == 0
-    delays_ms = [PollBackoff(200, True, random.Random(n)).first_call_delay_ms(has_list=False) for n in range(50)]
+    delays_ms = [
+        PollBackoff(200, True, random.Random(number)).first_call_delay_ms(has_list=False) for number in range(50)
+    ]
     assert 0 < max(delays_ms) < 2000
 
 
@@ -97,8 +117,7 @@
 
 
 def test_overload_delay_grows_and_resets_after_an_answer() -> None:
-    backoff = PollBackoff(4, False, random.Random(1))
-    backoff.random_numbers.random = lambda: 1.0
+    backoff = PollBackoff(4, False, LongestJitter())
     delays_ms = [backoff.overload_delay_ms() for _ in range(8)]
     assert delays_ms == [1000, 3000, 9000, 20000, 20000, 20000, 20000, 20000]
     backoff.record_answer()
--- a/tests/net/test_start_times.py
+++ b/tests/net/test_start_times.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import signal
 import time
 
 import pytest
@@ -25,12 +26,14 @@
     """A process's clock, and a wall clock that a test steps."""
 
     def __init__(self, ahead_ms: float = 0.0) -> None:
-        self.true_ms, self.step_ms = NOW_MS, 0.0
+        self.true_ms = NOW_MS
+        self.step_ms = 0.0
         self.clock = ManualClock(NOW_MS + ahead_ms)
         self.ahead_ms = ahead_ms
         self.times = StartTimes(self.clock, SLOW_START_MS, lambda: self.true_ms + self.ahead_ms + self.step_ms)
 
     def advance(self, ms: float) -> None:
+        """Advances both clocks."""
         self.true_ms += ms
         self.clock.advance(ms)
 
@@ -103,7 +106,7 @@
             later_clients = [bed.start_client(0, stays_s=20.0) for _ in range(10)]
             assert await bed.wait_until(lambda: all(client.up.is_set() for client in later_clients), 3.0)
             signal_s = time.monotonic()
-            bed.processes[0].send_signal(15)
+            bed.processes[0].send_signal(signal.SIGTERM)
             assert await bed.wait_until(lambda: not bed.processes[0].is_running, 3.7)
             assert time.monotonic() - signal_s > 2.0 and bed.processes[0].exit_code == 0
             assert all(client.request.is_migrated for client in [*clients, *later_clients])
