--- a/glenrock/admin/listener.py
+++ b/glenrock/admin/listener.py
@@ -9,6 +9,7 @@
 from ..config import Address
 from ..log import get_logger
 from ..net.clock import Clock
+from ..net.listening_socket import listen
 from ..net.socket_io import configure_socket
 from . import routes
 from .http_message import HttpRequest, HttpResponse
@@ -45,11 +46,7 @@
         Raises:
             OSError: the address is in use, or does not belong to this machine.
         """
-        self.listening_socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        self.listening_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        self.listening_socket.setblocking(False)
-        self.listening_socket.bind(address)
-        self.listening_socket.listen(MAX_CALLERS)
+        self.listening_socket = listen(address, MAX_CALLERS)
 
     async def accept(self) -> None:
         """Accepts connections as long as the process runs."""
--- a/glenrock/config.py
+++ b/glenrock/config.py
@@ -107,12 +107,7 @@
     """
     raw = _read_file(environment.get("LB_CONFIG", ""))
     file_values = {key: raw[key] for key in VARIABLES if key in raw}
-    overrides = {}
-    for key, variable in VARIABLES.items():
-        # Variables keep their values from the start of the process, so a later change of the file overrides them.
-        is_unchanged = at_start is None or key not in file_values or file_values[key] == at_start.file_values.get(key)
-        if is_unchanged and (value := environment.get(variable)):
-            overrides[key] = value
+    overrides = _overrides_of(environment, file_values, at_start)
     log_overrides = {key: value for key, variable in LOG_VARIABLES.items() if (value := environment.get(variable))}
     log = {**_value_of_type(raw, "log", dict, {}), **log_overrides}
     return replace(
@@ -123,6 +118,22 @@
     )
 
 
+def _overrides_of(
+    environment: Mapping[str, str], file_values: Mapping[str, Any], at_start: Config | None
+) -> dict[str, str]:
+    """Returns the values of the keys that environment variables override.
+
+    Variables keep their values from the start of the process, so a key that has changed in the file since then is not
+    overridden.
+    """
+    overrides = {}
+    for key, variable in VARIABLES.items():
+        is_unchanged = at_start is None or key not in file_values or file_values[key] == at_start.file_values.get(key)
+        if is_unchanged and (value := environment.get(variable)):
+            overrides[key] = value
+    return overrides
+
+
 def _read_file(path: str) -> dict[str, Any]:
     if not path:
         raise ConfigError("LB_CONFIG: not set; it names the configuration file")
--- a/glenrock/net/acceptor.py
+++ b/glenrock/net/acceptor.py
@@ -89,7 +89,9 @@
 
         The process may have been suspended past the end of its lease, so the permit is checked before each use.
         """
-        return not (self.is_manually_draining and self.drain_permit_check) or self.drain_permit_check()
+        if not self.is_manually_draining or self.drain_permit_check is None:
+            return True
+        return self.drain_permit_check()
 
     # -- the listening socket --------------------------------------------------------------------------
 
@@ -221,7 +223,8 @@
 
     async def _admit(self, sock: socket.socket, request_line: protocol.RequestLine) -> bool:
         """Returns whether the request goes to routing; rejects it while this balancer drains or has no descriptors."""
-        if not (self.drain_permit_is_valid() and self.rejects_requests) and not self._connections.is_full():
+        is_rejecting = self.drain_permit_is_valid() and self.rejects_requests  # the check may end the drain
+        if not is_rejecting and not self._connections.is_full():
             return True
         if not self.rejects_requests:
             logger.warning("request rejected: descriptor limit reached", request_id=request_line.request_id)
--- a/glenrock/net/discovery_client.py
+++ b/glenrock/net/discovery_client.py
@@ -12,7 +12,7 @@
 
 from ..config import Address
 from .clock import Clock, TimeLimit
-from .socket_io import close_socket, configure_socket
+from .socket_io import close_socket, create_socket
 
 OVERLOAD_STATUSES = (429, 503)
 HTTP_OK = 200
@@ -124,8 +124,7 @@
 
     async def _connect(self) -> socket.socket:
         if self._sock is None:
-            self._sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-            configure_socket(self._sock)
+            self._sock = create_socket()
             await asyncio.get_running_loop().sock_connect(self._sock, self.address)
         return self._sock
 
--- a/glenrock/net/endpoint_watcher.py
+++ b/glenrock/net/endpoint_watcher.py
@@ -160,13 +160,14 @@
         else:
             delay_ms = self.backoff.retry_delay_ms(self._failures)
         if has_no_answer and not self.backoff.must_poll:
-            # A watch would wait beyond the return of a silent agent, whose list counts as reported at once.
+            # A silent agent's list counts as reported once it answers again, and a watch could still wait then.
             self._watch_version = None
         logger.warning("endpoint poll failed", error=error, retry_ms=round(delay_ms))
         await self._sleep(delay_ms)
 
     async def _sleep(self, delay_ms: float) -> None:
         """Waits for that time, or until discovery's address changes."""
+        # `change_address` interrupts `run_within`; the sleep in it is longer, so that it never ends first.
         with contextlib.suppress(OSError):
             await self._client.run_within(delay_ms, self._clock.sleep(2 * delay_ms))
 
--- a/glenrock/net/health_check_connection.py
+++ b/glenrock/net/health_check_connection.py
@@ -15,7 +15,7 @@
 from .endpoint_rows import EndpointRow
 from .health_check_pool import HealthCheckPool
 from .protocol import ServerWord
-from .socket_io import close_socket, configure_socket
+from .socket_io import close_socket, create_socket
 from .system_errors import is_local_error
 
 HEALTH_CHECK_TIMEOUT_MS = 250.0  # for the answer to a health check
@@ -75,8 +75,7 @@
                     return answer
             self.disconnect()
         self._is_connected = False
-        self._sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        configure_socket(self._sock)
+        self._sock = create_socket()
         await asyncio.get_running_loop().sock_connect(self._sock, row.address)
         self._is_connected = True
         return await self._exchange(self._sock)
--- a/glenrock/net/listening_socket.py
+++ b/glenrock/net/listening_socket.py
@@ -20,17 +20,17 @@
 logger = get_logger(__name__)
 
 
-def listen(address: Address) -> socket.socket:
-    """Returns a socket that listens at that address.
+def listen(address: Address, backlog: int = BACKLOG) -> socket.socket:
+    """Returns a non-blocking socket that listens at that address.
 
     Raises:
-        OSError: the address cannot be bound.
+        OSError: the address is in use, or does not belong to this machine.
     """
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     sock.setblocking(False)
     sock.bind(address)
-    sock.listen(BACKLOG)
+    sock.listen(backlog)
     return sock
 
 
--- a/glenrock/net/server_actor.py
+++ b/glenrock/net/server_actor.py
@@ -20,7 +20,7 @@
 from .mailbox import Mailbox
 from .metrics import ConnectionMetrics
 from .protocol import ServerWord
-from .socket_io import close_socket, configure_socket
+from .socket_io import close_socket, create_socket
 from .system_errors import is_local_error
 
 MAX_MESSAGES = 1024  # health checks and attempts that wait for one actor
@@ -191,8 +191,7 @@
         deadline_ms = self._clock.now_ms() + min(self.connect_timeout_ms, self._left_ms(attempt))
         while True:
             try:
-                sock = attempt.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-                configure_socket(sock)
+                sock = attempt.sock = create_socket()
                 async with self._clock.time_limit(deadline_ms - self._clock.now_ms()) as limit:
                     await asyncio.get_running_loop().sock_connect(sock, self.row.address)
             except OSError as error:
--- a/glenrock/net/socket_io.py
+++ b/glenrock/net/socket_io.py
@@ -1,7 +1,8 @@
 """Configures, reads and closes sockets; a cancelled read loses no bytes.
 
 uvloop's `sock_recv_into` reads in a callback, and a task that is cancelled between the callback and its own next step
-loses the bytes. A relay that is handed over is cancelled within a read, so it waits for readability and reads itself.
+loses the bytes. A relay that is handed over is cancelled while it waits to read, so relays wait until the socket is
+readable, and then read it themselves.
 """
 
 from __future__ import annotations
@@ -21,6 +22,17 @@
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
 
+def create_socket() -> socket.socket:
+    """Returns a socket for a connection to another process.
+
+    Raises:
+        OSError: the process has no descriptor left.
+    """
+    sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+    configure_socket(sock)
+    return sock
+
+
 def close_socket(sock: socket.socket, reset: bool = False) -> None:
     """Closes a socket with FIN, or with RST. No task may wait on it."""
     with contextlib.suppress(OSError):
--- a/glenrock/program.py
+++ b/glenrock/program.py
@@ -287,11 +287,14 @@
         except DescriptorBudgetError as error:
             logger.warning("configuration not reloaded: descriptor limit too low", error=str(error))
             return
+        self._log_deferred_keys(new)
+        self._apply(new)
+        logger.info("configuration reloaded", discovery=new.discovery)
+
+    def _log_deferred_keys(self, new: Config) -> None:
         deferred_keys = [key for key in RESTART_KEYS if getattr(new, key) != getattr(self.config, key)]
         if deferred_keys:
             logger.warning("configuration changes that need a restart", keys=",".join(deferred_keys))
-        self._apply(new)
-        logger.info("configuration reloaded", discovery=new.discovery)
 
     def _apply(self, new: Config) -> None:
         self.endpoints.change_address(new.discovery)
