--- a/tests/admin/test_idle_callers.py
+++ b/tests/admin/test_idle_callers.py
@@ -7,13 +7,15 @@
 import uvloop
 from net.single_server_rig import SingleServerRig
 
-from glenrock.admin.listener import MAX_CALLERS, Listener
+from glenrock.admin.listener import MAX_CALLERS
 
 
 async def call_beside_idle_callers() -> None:
     rig = SingleServerRig()
     await rig.open()
-    listener: Listener = rig.program.operators.listener
+    assert rig.program.operators
+    listener = rig.program.operators.listener
+    assert listener.listening_socket
     port = listener.listening_socket.getsockname()[1]
     silent = [await asyncio.open_connection("127.0.0.1", port) for _ in range(3 * MAX_CALLERS)]
     unfinished = [await asyncio.open_connection("127.0.0.1", port) for _ in range(MAX_CALLERS)]
--- a/tests/admin/test_metrics.py
+++ b/tests/admin/test_metrics.py
@@ -4,11 +4,13 @@
 
 import time
 
+from conftest import HarnessFactory
 from hypothesis import given
 from hypothesis import strategies as st
 from prometheus_client.parser import text_string_to_metric_families
 
 from glenrock.admin.prometheus_text import MetricsSnapshot
+from glenrock.net.metrics import ConnectionOutcome
 from glenrock.routing import interface
 
 MAX_COUNT_S = 0.1  # a call is answered within 1 s
@@ -17,7 +19,8 @@
 @given(st.dictionaries(st.text(max_size=20), st.integers(0, 1 << 40), max_size=4), st.integers(0, 1 << 40))
 def test_exposition_text_parses_with_the_prometheus_client(classes: dict[str, int], relayed: int) -> None:
     classes = {name: count for name, count in classes.items() if "\r" not in name}
-    text = MetricsSnapshot({"fulfilled": classes, "throttled": {}}, relayed, 14, 5, 1).text()
+    outcomes = {ConnectionOutcome.FULFILLED: classes, ConnectionOutcome.THROTTLED: {}}
+    text = MetricsSnapshot(outcomes, relayed, 14, 5, 1).text()
     parsed = {
         family.name: {sample.labels.get("priority"): sample.value for sample in family.samples}
         for family in text_string_to_metric_families(text)
@@ -31,7 +34,7 @@
     )
 
 
-def test_count_avoided_is_fast_for_the_largest_endpoint_list(make_harness) -> None:
+def test_count_avoided_is_fast_for_the_largest_endpoint_list(make_harness: HarnessFactory) -> None:
     names = [f"s{n}:1" for n in range(4096)]
     balancer = make_harness(names=names).balancer
     for n in range(0, 4096, 4):
@@ -41,7 +44,7 @@
     assert time.process_time() - started_s < MAX_COUNT_S
 
 
-def test_count_avoided_includes_ejected_and_suspended_servers(make_harness) -> None:
+def test_count_avoided_includes_ejected_and_suspended_servers(make_harness: HarnessFactory) -> None:
     harness = make_harness()
     assert harness.balancer.count_avoided(harness.balancer.servers) == 0
     harness.balancer.servers["a:1"].ejected_until_us = harness.balancer.batch.now_us + 1
--- a/tests/admin/test_routes.py
+++ b/tests/admin/test_routes.py
@@ -53,7 +53,7 @@
     ):
         response = call(operations, method, target)
         assert (response.status, response.text) == (503, "not ready: clients are sent away\n")
-    assert operations.calls == ["drain", ("resume", KNOWN_SERVER)]
+    assert operations.calls == ["drain", f"resume {KNOWN_SERVER}"]
 
 
 @pytest.mark.parametrize("action", ["suspend", "resume"])
--- a/tests/cli/conftest.py
+++ b/tests/cli/conftest.py
@@ -1,3 +1,5 @@
+"""A small experiment, and command lines in processes of their own."""
+
 from __future__ import annotations
 
 import subprocess
@@ -26,6 +28,6 @@
     return path
 
 
-def run_process(*arguments: object) -> subprocess.CompletedProcess:
+def run_process(*arguments: object) -> subprocess.CompletedProcess[str]:
     """Runs a command line in a process."""
     return subprocess.run([*COMMAND, *map(str, arguments)], capture_output=True, text=True, cwd=ROOT, timeout=120)
--- a/tests/cli/test_coordination.py
+++ b/tests/cli/test_coordination.py
@@ -23,7 +23,9 @@
     return path
 
 
-def test_jobs_owner_and_history_show_leases_of_the_store(coordination_file: Path, tmp_path: Path, capsys) -> None:
+def test_jobs_owner_and_history_show_leases_of_the_store(
+    coordination_file: Path, tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     option = ["--file", str(coordination_file)]
     assert run(["fleet", "jobs", *option]) == 1 and "no balancer has used it" in capsys.readouterr().err
     store = SqliteStore(tmp_path / "s.db")
@@ -45,9 +47,11 @@
 
 
 @pytest.mark.parametrize(
-    "text, message", [(None, "fleet.toml"), ('folder = "/f"\n[store]\nkind = "x"\n', "store.kind")]
+    ("text", "message"), [(None, "fleet.toml"), ('folder = "/f"\n[store]\nkind = "x"\n', "store.kind")]
 )
-def test_balancer_with_invalid_coordination_file_exits_with_one_line(text, message, tmp_path: Path) -> None:
+def test_balancer_with_invalid_coordination_file_exits_with_one_line(
+    text: str | None, message: str, tmp_path: Path
+) -> None:
     coordination_file, config_file = tmp_path / "fleet.toml", tmp_path / "c.json"
     if text:
         coordination_file.write_text(text)
--- a/tests/cli/test_main.py
+++ b/tests/cli/test_main.py
@@ -15,7 +15,7 @@
 
 
 @pytest.mark.parametrize(
-    "arguments,message",
+    ("arguments", "message"),
     [
         (["lab", "run", "nowhere.toml"], "nowhere.toml: No such file or directory"),
         (["lab", "run", "SMALL", "--policy", "best"], "--policy best: not one of glenrock, random"),
@@ -36,7 +36,12 @@
     ],
 )
 def test_invalid_input_is_reported_in_one_line_with_exit_code_2(
-    experiment: Path, tmp_path: Path, capsys, monkeypatch, arguments, message
+    experiment: Path,
+    tmp_path: Path,
+    capsys: pytest.CaptureFixture[str],
+    monkeypatch: pytest.MonkeyPatch,
+    arguments: list[str],
+    message: str,
 ) -> None:
     monkeypatch.setenv("LB_CONFIG", "")
     full = tmp_path / "full"
@@ -50,7 +55,9 @@
     assert not (tmp_path / "out").exists()
 
 
-def test_check_and_list_accept_valid_files(experiment: Path, tmp_path: Path, capsys) -> None:
+def test_check_and_list_accept_valid_files(
+    experiment: Path, tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     assert run(["check", str(experiment)]) == 0
     config = tmp_path / "c.json"
     config.write_text(
@@ -65,7 +72,7 @@
     assert run(["check", str(config)]) == 2
 
 
-def test_lab_is_a_hidden_alias_of_simulation(capsys) -> None:
+def test_lab_is_a_hidden_alias_of_simulation(capsys: pytest.CaptureFixture[str]) -> None:
     assert run(["--help"]) == 0
     names = {line.split()[0] for line in capsys.readouterr().out.splitlines() if line.startswith("  ")}
     assert "simulation" in names and "lab" not in names
--- a/tests/cli/test_simulation.py
+++ b/tests/cli/test_simulation.py
@@ -7,6 +7,9 @@
 import subprocess
 import time
 from pathlib import Path
+from typing import Any
+
+import pytest
 
 from glenrock.cli.main import run
 
@@ -17,7 +20,9 @@
 START_TIMEOUT_S = 60
 
 
-def test_run_writes_all_results_and_report_is_regenerated(experiment: Path, tmp_path: Path, capsys) -> None:
+def test_run_writes_all_results_and_report_is_regenerated(
+    experiment: Path, tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     out = tmp_path / "deep" / "out"
     assert run(["lab", "run", str(experiment), "--seed", "3", "--out", str(out)]) == 0
     assert sorted(path.name for path in out.iterdir()) == RESULT_FILES
@@ -36,17 +41,20 @@
     assert not [path for path in out.parent.iterdir() if path.name.startswith(".")]
 
 
-def test_violated_invariant_exits_with_1(experiment: Path, tmp_path: Path, monkeypatch, capsys) -> None:
+def test_violated_invariant_exits_with_1(
+    experiment: Path, tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
+) -> None:
     from glenrock.routing import interface
     from glenrock.simulation.policies import simple
 
-    monkeypatch.setitem(simple.HANDLERS, interface.Request, lambda self, e: None)
+    monkeypatch.setitem(simple.HANDLERS, interface.Request, lambda policy, event: None)
     assert run(["lab", "run", str(experiment), "--policy", "random", "--out", str(tmp_path / "o")]) == 1
     assert "rules broken: answered" in capsys.readouterr().err
     assert "no final answer" in (tmp_path / "o" / "report.html").read_text()
 
 
-def read_summaries(out: Path) -> list[dict]:
+def read_summaries(out: Path) -> list[dict[str, Any]]:
+    """Returns the summaries of all runs, without what differs between equal runs."""
     summaries = [json.loads(path.read_text()) for path in sorted((out / "runs").glob("*.json"))]
     return [{key: value for key, value in summary.items() if key not in UNREPEATABLE_KEYS} for summary in summaries]
 
@@ -83,7 +91,7 @@
     assert len(finished) >= 5 and all(json.loads(path.read_text())["format"] == 1 for path in finished)
 
 
-def test_compare_pairs_runs_by_seed(experiment: Path, tmp_path: Path, capsys) -> None:
+def test_compare_pairs_runs_by_seed(experiment: Path, tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     out = tmp_path / "o"
     sources = [f"{experiment}@random", f"{experiment}@random"]
     assert run(["lab", "compare", *sources, "--seeds", "4", "--jobs", "1", "--out", str(out)]) == 0
--- a/tests/upgrade/__init__.py
+++ b/tests/upgrade/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of upgrades: the shared files and sockets, and whole upgrades with real processes."""
--- a/tests/upgrade/conftest.py
+++ b/tests/upgrade/conftest.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import functools
 import json
 import os
 import socket
@@ -21,15 +22,20 @@
 }
 MAX_READY_POLLS = 200
 READY_POLL_S = 0.05
+LOG_MODE = 0o644
+OVERRIDING_VARIABLES = ("LB_NAME", "LB_LISTEN", "LB_DISCOVERY")  # they would replace keys of the configuration
 
 
 def unused_port() -> int:
+    """Returns a port that was free a moment ago."""
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
-        return sock.getsockname()[1]
+        port: int = sock.getsockname()[1]
+        return port
 
 
 def address_of(server: asyncio.Server) -> str:
+    """Returns the address of a server, as `host:port`."""
     return f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
 
 
@@ -37,8 +43,10 @@
     """Two servers that answer UP and echo lines, discovery, the clients' listening socket, and processes.
 
     Attributes:
+        folder: shared by the processes, and the place of their configurations and logs.
+        listening_socket: inherited by all processes.
         client_port: where clients connect.
-        connection_counts: of the connections that each server has had.
+        connection_counts: how many connections each server has had.
         processes: of the program, in the order of their start.
     """
 
@@ -52,11 +60,10 @@
         self._servers: list[asyncio.Server] = []
 
     async def open(self) -> None:
+        """Starts the servers and discovery."""
         rows = []
         for name in self.connection_counts:
-            server = await asyncio.start_server(
-                lambda reader, writer, name=name: self._serve(name, reader, writer), "127.0.0.1", 0
-            )
+            server = await asyncio.start_server(functools.partial(self._serve, name), "127.0.0.1", 0)
             self._servers.append(server)
             rows.append(
                 {
@@ -89,36 +96,8 @@
 
     async def start_process(self) -> int:
         """Starts a further process. Returns its operators' port once it is ready."""
-        admin_port, number = unused_port(), len(self.processes)
-        config_file = self.folder / f"config{number}.json"
-        config_file.write_text(
-            json.dumps(
-                {
-                    "name": "n0",
-                    "listen": f"127.0.0.1:{self.client_port}",
-                    "seed": "7",
-                    "settings": SETTINGS,
-                    "known": self._endpoint_list,
-                    "discovery": address_of(self._servers[-1]),
-                }
-            )
-        )
-        descriptor = self.listening_socket.fileno()
-        env = {
-            **os.environ,
-            "LB_CONFIG": str(config_file),
-            "LB_ADMIN": f"127.0.0.1:{admin_port}",
-            "TMPDIR": str(self.folder),
-            "LB_ACCEPT_FD": str(descriptor),
-        }
-        for name in ("LB_NAME", "LB_LISTEN", "LB_DISCOVERY"):
-            env.pop(name, None)
-        with open(self.folder / f"log{number}", "wb") as log:
-            self.processes.append(
-                await asyncio.create_subprocess_exec(
-                    sys.executable, "-m", "glenrock", cwd=ROOT, env=env, pass_fds=(descriptor,), stderr=log
-                )
-            )
+        number = len(self.processes)
+        admin_port = await self.launch_process()
         for _ in range(MAX_READY_POLLS):
             try:
                 if (await self.call(admin_port, "GET", "readyz")).startswith("200"):
@@ -128,9 +107,51 @@
             await asyncio.sleep(READY_POLL_S)
         raise AssertionError(self.log(number))
 
+    async def launch_process(self) -> int:
+        """Starts a further process, and does not wait until it is ready. Returns its operators' port."""
+        number = len(self.processes)
+        admin_port = unused_port()
+        descriptor = self.listening_socket.fileno()
+        environment = self._environment(self._write_config(number), admin_port, descriptor)
+        log = os.open(self._log_file(number), os.O_WRONLY | os.O_CREAT | os.O_TRUNC, LOG_MODE)
+        try:
+            process = await asyncio.create_subprocess_exec(
+                sys.executable, "-m", "glenrock", cwd=ROOT, env=environment, pass_fds=(descriptor,), stderr=log
+            )
+        finally:
+            os.close(log)
+        self.processes.append(process)
+        return admin_port
+
+    def _write_config(self, number: int) -> Path:
+        config_file = self.folder / f"config{number}.json"
+        config = {
+            "name": "n0",
+            "listen": f"127.0.0.1:{self.client_port}",
+            "seed": "7",
+            "settings": SETTINGS,
+            "known": self._endpoint_list,
+            "discovery": address_of(self._servers[-1]),
+        }
+        config_file.write_text(json.dumps(config))
+        return config_file
+
+    def _environment(self, config_file: Path, admin_port: int, descriptor: int) -> dict[str, str]:
+        inherited = {name: value for name, value in os.environ.items() if name not in OVERRIDING_VARIABLES}
+        return {
+            **inherited,
+            "LB_CONFIG": str(config_file),
+            "LB_ADMIN": f"127.0.0.1:{admin_port}",
+            "TMPDIR": str(self.folder),
+            "LB_ACCEPT_FD": str(descriptor),
+        }
+
+    def _log_file(self, number: int) -> Path:
+        return self.folder / f"log{number}"
+
     def log(self, number: int) -> str:
         """Returns what a process has logged."""
-        return (self.folder / f"log{number}").read_text()
+        return self._log_file(number).read_text()
 
     async def call(self, admin_port: int, method: str, path: str) -> str:
         """Makes an operator's call. Returns status and body."""
@@ -141,6 +162,7 @@
         return f"{head.split()[1].decode()} {body.decode()}"
 
     async def close(self) -> None:
+        """Kills the processes that still run, and closes the servers and the listening socket."""
         for process in self.processes:
             if process.returncode is None:
                 process.kill()
@@ -151,11 +173,12 @@
 
 
 Scenario = Callable[[UpgradeSite], Awaitable[None]]
+RunOnSite = Callable[[Scenario], None]
 
 
 @pytest.fixture
-def run_on_site(tmp_path: Path) -> Callable[[Scenario], None]:
-    """Runs a scenario on an open site, and closes the site."""
+def run_on_site(tmp_path: Path) -> RunOnSite:
+    """Returns a function that runs a scenario on an open site, and closes the site."""
 
     async def run_scenario(scenario: Scenario) -> None:
         site = UpgradeSite(tmp_path)
--- a/tests/upgrade/test_inherited_listener.py
+++ b/tests/upgrade/test_inherited_listener.py
@@ -4,6 +4,7 @@
 
 import os
 import socket
+from collections.abc import Callable
 
 import pytest
 
@@ -20,6 +21,6 @@
         lambda: 999,
     ],
 )
-def test_invalid_inherited_descriptor_is_rejected(open_descriptor) -> None:
-    with pytest.raises(ConfigError, match="^LB_ACCEPT_FD: "):
+def test_invalid_inherited_descriptor_is_rejected(open_descriptor: Callable[[], int]) -> None:
+    with pytest.raises(ConfigError, match=r"^LB_ACCEPT_FD: "):
         inherited_listener.open_inherited(open_descriptor())
--- a/tests/upgrade/test_peer_address.py
+++ b/tests/upgrade/test_peer_address.py
@@ -6,6 +6,7 @@
 import socket
 
 from glenrock.net.peers import Peers
+from glenrock.routing import interface
 
 
 def test_last_process_bound_to_the_peer_address_receives_datagrams() -> None:
@@ -16,9 +17,12 @@
         peers = (("127.0.0.1", 9), sender.getsockname())
 
         def bind_peer(name: str, port: int) -> Peers:
-            return Peers(
-                ("127.0.0.1", port), peers, None, lambda event: bool(received.append((name, event.data))), 2, True
-            )
+            def receive(event: interface.Event) -> bool:
+                assert isinstance(event, interface.GossipReceived)
+                received.append((name, event.data))
+                return True
+
+            return Peers(("127.0.0.1", port), peers, None, receive, 2, True)
 
         async def send_and_await(data: bytes) -> None:
             sender.sendto(data, old.sock.getsockname())
--- a/tests/upgrade/test_process_registry.py
+++ b/tests/upgrade/test_process_registry.py
@@ -14,8 +14,10 @@
     code = "import sys; files = [open('/dev/null') for _ in range(50)]; print(flush=True); sys.stdin.read()"
     other = subprocess.Popen([sys.executable, "-c", code], stdin=subprocess.PIPE, stdout=subprocess.PIPE)
     try:
-        other.stdout.readline()
-        here, there = ProcessRegistry(str(tmp_path), os.getpid()), ProcessRegistry(str(tmp_path), other.pid)
+        assert other.stdout
+        other.stdout.readline()  # its files are open
+        here = ProcessRegistry(str(tmp_path), os.getpid())
+        there = ProcessRegistry(str(tmp_path), other.pid)
         here.register()
         assert here.count_other_descriptors() == 0
         there.register()
@@ -25,6 +27,6 @@
     finally:
         other.communicate()
     assert here.count_other_descriptors() == 0
-    assert [name.name for name in tmp_path.iterdir()] == [here.file_name]
+    assert [file.name for file in tmp_path.iterdir()] == [here.file_name]
     here.unregister()
     assert not list(tmp_path.iterdir())
--- a/tests/upgrade/test_processes.py
+++ b/tests/upgrade/test_processes.py
@@ -8,51 +8,57 @@
 
 from glenrock.upgrade import override_file
 
-from .conftest import UpgradeSite
+from .conftest import RunOnSite, UpgradeSite
 
 STOP_TIMEOUT_S = 5
+LINE_INTERVAL_S = 0.1  # between two lines of a client
 OVERRIDE_DELAY_S = 0.4  # within which the other process has read the shared file
 
 
-async def run_client(site: UpgradeSite, number: int, lines: int, pause_s: float) -> str:
+async def run_client(site: UpgradeSite, number: int, line_count: int) -> str:
     """Sends lines and compares the echoes. Returns `kept`, `migrated`, `rejected`, or what went wrong."""
     try:
-        reader, writer = await asyncio.open_connection("127.0.0.1", site.client_port)
-        writer.write(b"OPEN c%d %x c=look,d=1000\r\n" % (number, number))
-        answer = await reader.readline()
-        if answer.startswith(b"BUSY"):
-            return "rejected"
-        if answer != b"UP r\r\n":
-            return f"was answered {answer!r}"
-        for n in range(lines):
-            # In two pieces, so that some relays are handed over in the middle of a line.
-            writer.write(b"line ")
-            await asyncio.sleep(pause_s / 2)
-            writer.write(b"%d\r\n" % n)
-            echo = await reader.readline()
-            if echo == b"MOVE\r\n":
-                return "migrated"
-            if echo != b"line %d\r\n" % n:
-                return f"line {n} came back as {echo!r}"
-            await asyncio.sleep(pause_s / 2)
-        writer.close()
-        return "kept"
+        return await exchange_lines(site, number, line_count)
     except OSError as error:
         return repr(error)
 
 
-def test_upgrade_keeps_every_connection_and_override(run_on_site) -> None:
+async def exchange_lines(site: UpgradeSite, number: int, line_count: int) -> str:
+    """Returns the same as `run_client`. Raises OSError if the connection breaks."""
+    reader, writer = await asyncio.open_connection("127.0.0.1", site.client_port)
+    writer.write(b"OPEN c%d %x c=look,d=1000\r\n" % (number, number))
+    answer = await reader.readline()
+    if answer.startswith(b"BUSY"):
+        return "rejected"
+    if answer != b"UP r\r\n":
+        return f"was answered {answer!r}"
+    for line_number in range(line_count):
+        # In two pieces, so that some relays are handed over in the middle of a line.
+        writer.write(b"line ")
+        await asyncio.sleep(LINE_INTERVAL_S / 2)
+        writer.write(b"%d\r\n" % line_number)
+        echo = await reader.readline()
+        if echo == b"MOVE\r\n":
+            return "migrated"
+        if echo != b"line %d\r\n" % line_number:
+            return f"line {line_number} came back as {echo!r}"
+        await asyncio.sleep(LINE_INTERVAL_S / 2)
+    writer.close()
+    return "kept"
+
+
+def test_upgrade_keeps_every_connection_and_override(run_on_site: RunOnSite) -> None:
     async def scenario(site: UpgradeSite) -> None:
         first = await site.start_process()
         assert (await site.call(first, "POST", "session-servers/s1/suspend")).startswith("200")
-        established = [asyncio.create_task(run_client(site, n, 40, 0.1)) for n in range(30)]
-        arriving: list[asyncio.Task] = []
+        established = [asyncio.create_task(run_client(site, number, 40)) for number in range(30)]
+        arriving: list[asyncio.Task[str]] = []
         is_stopped = False
-        for n in range(120):
-            arriving.append(asyncio.create_task(run_client(site, 100 + n, 2, 0.1)))
-            if n == 20:
+        for number in range(120):
+            arriving.append(asyncio.create_task(run_client(site, 100 + number, 2)))
+            if number == 20:
                 starting = asyncio.create_task(site.start_process())
-            is_second_ready = n > 20 and starting.done() and len(site.processes) == 2
+            is_second_ready = number > 20 and starting.done() and len(site.processes) == 2
             if is_second_ready and not site.processes[0].returncode and not is_stopped:
                 is_stopped = True
                 site.processes[0].send_signal(signal.SIGTERM)
@@ -69,39 +75,38 @@
         assert (await site.call(second, "POST", "session-servers/s1/resume")).startswith("200")
         assert (await site.call(second, "POST", "session-servers/s3/resume")).startswith("404")
         # Most relays were handed over, and both processes count the same number.
-        handed_over = int(re.search(r"relays handed over relays=(\d+) ", site.log(0))[1])
+        log_line = re.search(r"relays handed over relays=(\d+) ", site.log(0))
+        assert log_line
+        handed_over = int(log_line[1])
         assert handed_over >= 25 and f"relays taken over count={handed_over}\n" in site.log(1)
 
     run_on_site(scenario)
 
 
-def test_clients_migrate_without_a_successor_and_the_backlog_waits(run_on_site) -> None:
+def test_clients_migrate_without_a_successor_and_the_backlog_waits(run_on_site: RunOnSite) -> None:
     async def scenario(site: UpgradeSite) -> None:
         await site.start_process()
-        established = [asyncio.create_task(run_client(site, n, 40, 0.1)) for n in range(10)]
+        established = [asyncio.create_task(run_client(site, number, 40)) for number in range(10)]
         await asyncio.sleep(0.5)
         # A process that dies before it is ready leaves nothing behind that the old one would mistake for a successor.
-        starting = asyncio.create_task(site.start_process())
-        while len(site.processes) < 2:
-            await asyncio.sleep(0.01)
+        await site.launch_process()
         site.processes[1].kill()
-        starting.cancel()
         site.processes[0].send_signal(signal.SIGTERM)
         assert await asyncio.wait_for(site.processes[0].wait(), STOP_TIMEOUT_S) == 0
         assert set(await asyncio.gather(*established)) == {"migrated"}, site.log(0)
         assert "no successor found, migrating clients instead of handing them over" in site.log(0)
         # New connections wait in the listening socket's backlog for the next process.
-        late = asyncio.create_task(run_client(site, 50, 1, 0.1))
+        late = asyncio.create_task(run_client(site, 50, 1))
         await site.start_process()
         assert await late == "kept"
 
     run_on_site(scenario)
 
 
-def test_consecutive_upgrades_and_a_kill(run_on_site) -> None:
+def test_consecutive_upgrades_and_a_kill(run_on_site: RunOnSite) -> None:
     async def scenario(site: UpgradeSite) -> None:
         await site.start_process()
-        clients = [asyncio.create_task(run_client(site, n, 50, 0.1)) for n in range(20)]
+        clients = [asyncio.create_task(run_client(site, number, 50)) for number in range(20)]
         await asyncio.sleep(0.5)
         await site.start_process()
         # The second process is stopped while the first one is still stopping.
@@ -115,14 +120,14 @@
         assert ends.count("kept") == 20, (ends, site.log(0), site.log(1), site.log(2))
         # A killed process loses its clients, but the listening socket stays open.
         site.processes[2].kill()
-        late = asyncio.create_task(run_client(site, 90, 1, 0.1))
+        late = asyncio.create_task(run_client(site, 90, 1))
         await site.start_process()
         assert await late == "kept"
 
     run_on_site(scenario)
 
 
-def test_overrides_reach_both_processes_and_a_damaged_file_is_replaced(run_on_site) -> None:
+def test_overrides_reach_both_processes_and_a_damaged_file_is_replaced(run_on_site: RunOnSite) -> None:
     async def scenario(site: UpgradeSite) -> None:
         shared_file = site.folder / override_file.FILE_NAME
         shared_file.write_text('{"version": 9}')
