--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -8,7 +8,6 @@
 import subprocess
 import sys
 from pathlib import Path
-from typing import Any
 
 import pytest
 
@@ -45,7 +44,7 @@
         ("known", []),
     ],
 )
-def test_error_names_the_invalid_key(key: str, value: Any) -> None:
+def test_error_names_the_invalid_key(key: str, value: object) -> None:
     with pytest.raises(ConfigError, match=key):
         parse_config({**VALID, key: value})
 
@@ -73,8 +72,11 @@
         PROGRAM, cwd=ROOT, text=True, stderr=subprocess.PIPE, env={**os.environ, "LB_CONFIG": str(path)}
     )
 
+    stderr = process.stderr
+    assert stderr
+
     def wait_for_line(text: str) -> None:
-        for line in process.stderr:
+        for line in stderr:
             if text in line:
                 return
         pytest.fail(f"the process ended without {text!r}")
@@ -94,7 +96,7 @@
     finally:
         process.kill()
         process.wait()
-        process.stderr.close()
+        stderr.close()
 
 
 def test_invalid_configuration_exits_2_without_a_traceback(tmp_path: Path) -> None:
--- a/tests/test_durable_file.py
+++ b/tests/test_durable_file.py
@@ -6,7 +6,9 @@
 import json
 import os
 from collections.abc import Callable
+from io import FileIO
 from pathlib import Path
+from typing import Literal
 
 import pytest
 
@@ -14,6 +16,7 @@
 from glenrock.coordination.durable_state import DurableState, DurableStateError
 from glenrock.coordination.leases.fence import Fence
 from glenrock.coordination.shared_work.override_log import OverrideEntry, OverrideLog
+from glenrock.coordination.shared_work.revision import Revision
 from glenrock.upgrade import override_file
 from glenrock.upgrade.override_file import SharedOverrides
 
@@ -21,57 +24,86 @@
 
 
 class FailingCalls:
-    """Makes a system call fail from its n-th use, counted from 0, until `recover`."""
+    """Makes a system call fail from its n-th use, counted from 0, until `recover`.
+
+    Attributes:
+        call_count: uses of the call so far.
+        failure_count: of these, uses that failed.
+    """
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, call: str, nth: int, error: int) -> None:
-        self.count, self.failed = 0, 0
-        self._nth, self._error, self._has_recovered = nth, error, False
-        for name in ("fsync", "replace"):
-            monkeypatch.setattr(durable_file.os, name, self._wrap(name == call, getattr(os, name)))
+        """Patches the call.
+
+        Args:
+            monkeypatch: undoes the patches.
+            call: one of `CALLS`.
+            nth: the first use that fails.
+            error: the errno of the failures.
+        """
+        self.call_count = 0
+        self.failure_count = 0
+        self._nth = nth
+        self._error = error
+        self._has_recovered = False
         if call == "write":
             monkeypatch.setattr(durable_file, "open", self._open, raising=False)
+        else:
+            monkeypatch.setattr(os, call, self._failing(getattr(os, call)))
 
     def recover(self) -> None:
+        """Lets all further uses succeed."""
         self._has_recovered = True
 
-    def _must_fail(self) -> bool:
-        self.count += 1
-        must_fail = self.count > self._nth and not self._has_recovered
-        self.failed += must_fail
+    def must_fail(self) -> bool:
+        """Counts a use. Returns whether it has to fail."""
+        self.call_count += 1
+        must_fail = self.call_count > self._nth and not self._has_recovered
+        self.failure_count += must_fail
         return must_fail
 
-    def _wrap(self, is_chosen: bool, real: Callable) -> Callable:
-        def call(*args):
-            if is_chosen and self._must_fail():
-                raise OSError(self._error, os.strerror(self._error))
-            return real(*args)
+    def failure(self) -> OSError:
+        """Returns the error of a use that fails."""
+        return OSError(self._error, os.strerror(self._error))
+
+    def _failing(self, real_call: Callable[..., None]) -> Callable[..., None]:
+        def call(*arguments: object) -> None:
+            if self.must_fail():
+                raise self.failure()
+            real_call(*arguments)
 
         return call
 
-    def _open(self, path, mode):
-        file = open(path, mode, buffering=0)  # noqa: SIM115 - the caller closes it
-        real = file.write
+    def _open(self, path: Path, mode: Literal["wb"]) -> PartiallyWrittenFile:
+        return PartiallyWrittenFile(open(path, mode, buffering=0), self)
+
+
+class PartiallyWrittenFile:
+    """A file opened for writing; a failing write stores half of its data."""
 
-        class FileWithPartialWrites:
-            def __enter__(inner):
-                return inner
+    def __init__(self, file: FileIO, calls: FailingCalls) -> None:
+        self._file = file
+        self._calls = calls
 
-            def __exit__(inner, *_):
-                file.close()
+    def __enter__(self) -> PartiallyWrittenFile:
+        return self
 
-            def write(inner, data):
-                if self._must_fail():
-                    real(data[: len(data) // 2])
-                    raise OSError(self._error, os.strerror(self._error))
-                return real(data)
+    def __exit__(self, *_: object) -> None:
+        self._file.close()
 
-            def flush(inner):
-                file.flush()
+    def write(self, data: bytes) -> int:
+        """Writes the data, or half of it and raises OSError."""
+        if self._calls.must_fail():
+            self._file.write(data[: len(data) // 2])
+            raise self._calls.failure()
+        return self._file.write(data)
 
-            def fileno(inner):
-                return file.fileno()
+    def flush(self) -> None:
+        """Flushes the file."""
+        self._file.flush()
 
-        return FileWithPartialWrites()
+    def fileno(self) -> int:
+        """Returns the descriptor."""
+        return self._file.fileno()
 
 
 def state_of(folder: Path) -> tuple[int, bool | None]:
@@ -83,13 +115,27 @@
 
 
 def temporary_files(folder: Path) -> list[str]:
+    """Returns the names of the temporary files that this process left."""
     return [path.name for path in folder.iterdir() if str(os.getpid()) in path.name]
 
 
+def suspended_servers(folder: Path) -> set[str]:
+    """Returns the suspended servers of the override file."""
+    shared = override_file.read(str(folder))
+    assert shared
+    return shared.suspended
+
+
+def suspend(folder: Path, server_id: str, fallback: SharedOverrides) -> None:
+    """Suspends a server in the override file; `fallback` counts if there is no valid file."""
+    override_file.exchange(str(folder), lambda shared: shared.suspended.add(server_id), fallback, [], 0.0)
+
+
 def write_state(folder: Path, term: int, is_suspended: bool) -> None:
+    """Writes a durable state with this term and one override."""
     fence, log = Fence(is_restored=True), OverrideLog()
     fence.check_effect("bans", term, 1)
-    log.merge_entry("s", OverrideEntry(is_suspended, (term, 1)))
+    log.merge_entry("s", OverrideEntry(is_suspended, Revision(term, 1)))
     state = DurableState(folder, "n")
     state.write(state.snapshot(fence, log))
 
@@ -109,12 +155,12 @@
                 write_state(tmp_path, term, term % 2 == 1)
             except OSError:
                 # A state whose rename succeeded and whose sync failed may be in place; it was not acknowledged.
-                assert failing.failed and acknowledged <= state_of(tmp_path)[0] <= term
+                assert failing.failure_count and acknowledged <= state_of(tmp_path)[0] <= term
                 assert not temporary_files(tmp_path)
             else:
                 acknowledged = term
             assert state_of(tmp_path)[1] == (state_of(tmp_path)[0] % 2 == 1), "a record is complete"
-        assert failing.failed
+        assert failing.failure_count
         failing.recover()
         write_state(tmp_path, 7, True)
     assert state_of(tmp_path) == (7, True)
@@ -152,29 +198,29 @@
 def test_override_that_cannot_be_written_is_not_accepted(
     call: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    folder, overrides = str(tmp_path), SharedOverrides()
-    override_file.exchange(folder, lambda shared: shared.suspended.add("s1"), overrides, [], 0.0)
+    overrides = SharedOverrides()
+    suspend(tmp_path, "s1", overrides)
     with monkeypatch.context() as patched:
         FailingCalls(patched, call, 0, errno.ENOSPC)
-        with pytest.raises(OSError):
-            override_file.exchange(folder, lambda shared: shared.suspended.add("s2"), overrides, [], 0.0)
-    assert override_file.read(folder).suspended == {"s1"}
-    override_file.exchange(folder, lambda shared: shared.suspended.add("s2"), overrides, [], 0.0)
-    assert override_file.read(folder).suspended == {"s1", "s2"}
+        with pytest.raises(OSError, match=os.strerror(errno.ENOSPC)):
+            suspend(tmp_path, "s2", overrides)
+    assert suspended_servers(tmp_path) == {"s1"}
+    suspend(tmp_path, "s2", overrides)
+    assert suspended_servers(tmp_path) == {"s1", "s2"}
 
 
 def test_previous_override_file_is_readable_if_the_present_one_is_damaged(tmp_path: Path) -> None:
-    folder = str(tmp_path)
-    for name in ("s1", "s2"):
-        override_file.exchange(folder, lambda shared, name=name: shared.suspended.add(name), SharedOverrides(), [], 0.0)
+    for server_id in ("s1", "s2"):
+        suspend(tmp_path, server_id, SharedOverrides())
     path = tmp_path / override_file.FILE_NAME
     path.write_bytes(path.read_bytes().replace(b'"s2"', b'"s3"'))
     with pytest.raises(override_file.OverrideFileError, match="digest"):
-        override_file.read(folder)
-    assert override_file.read_previous(folder).suspended == {"s1"}
+        override_file.read(str(tmp_path))
+    previous = override_file.read_previous(str(tmp_path))
+    assert previous and previous.suspended == {"s1"}
 
 
 def test_file_of_an_earlier_version_without_a_digest_is_read(tmp_path: Path) -> None:
     content = {"version": 1, "out": ["s1"], "back": {}, "seen": ["s1"]}
     (tmp_path / override_file.FILE_NAME).write_text(json.dumps(content))
-    assert override_file.read(str(tmp_path)).suspended == {"s1"}
+    assert suspended_servers(tmp_path) == {"s1"}
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -1,4 +1,4 @@
-"""Imports go one way (docs/architecture.md): which package may import which, and no circles between modules."""
+"""Imports go one way (docs/architecture.md): which package may import which, and no import cycles."""
 
 from __future__ import annotations
 
@@ -32,11 +32,12 @@
     "testbed": ("__main__", "program", "admin", "cli", "net", "upgrade"),
     "simulation": ("__main__", "program", "admin", "cli", "net", "upgrade", "testbed"),
 }
-# Circles that are still there; the list only shrinks.
-KNOWN_CIRCLES: set[frozenset[str]] = set()
+# Import cycles that are still there; the list only shrinks.
+KNOWN_CYCLES: set[frozenset[str]] = set()
 
 
 def name_of(path: Path) -> str:
+    """Returns the name of a module within glenrock."""
     parts = path.relative_to(ROOT / "glenrock").with_suffix("").parts
     return ".".join(part for part in parts if part != "__init__")
 
@@ -44,34 +45,39 @@
 MODULES = {name_of(path): path for path in sorted((ROOT / "glenrock").rglob("*.py"))}
 
 
-def imports_of(name: str) -> set[str]:
-    """Modules of glenrock that a module imports, those for types alone too."""
-    path = MODULES[name]
-    package = name if path.name == "__init__.py" else name.rpartition(".")[0]
+def imports_of(module: str) -> set[str]:
+    """Returns the modules of glenrock that a module imports, those for types alone too."""
+    path = MODULES[module]
+    package = module if path.name == "__init__.py" else module.rpartition(".")[0]
     found: set[str] = set()
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.Import):
             names = {alias.name for alias in node.names if alias.name.startswith("glenrock.")}
             found |= {name.removeprefix("glenrock.") for name in names}
-        elif isinstance(node, ast.ImportFrom):
-            base = (node.module or "").removeprefix("glenrock").removeprefix(".")
-            if node.level:
-                parts = package.split(".")[: len(package.split(".")) - node.level + 1] if package else []
-                base = ".".join([*parts, *([node.module] if node.module else [])])
-            elif not (node.module or "").startswith("glenrock"):
-                continue
+        elif isinstance(node, ast.ImportFrom) and (base := source_of(node, package)) is not None:
             for alias in node.names:
-                whole = f"{base}.{alias.name}" if base else alias.name
-                found.add(whole if whole in MODULES else base)
-    return found & MODULES.keys() - {name}
+                submodule = f"{base}.{alias.name}" if base else alias.name
+                found.add(submodule if submodule in MODULES else base)
+    return found & MODULES.keys() - {module}
 
 
-def circles() -> set[frozenset[str]]:
-    """Sets of modules of which each can be reached from each other."""
+def source_of(node: ast.ImportFrom, package: str) -> str | None:
+    """Returns the module or package that a statement imports from; None if it is not of glenrock."""
+    name = node.module or ""
+    if not node.level:
+        return name.removeprefix("glenrock").removeprefix(".") if name.startswith("glenrock") else None
+    parts = package.split(".") if package else []
+    parents = parts[: len(parts) - node.level + 1]
+    return ".".join([*parents, name] if name else parents)
+
+
+def import_cycles() -> set[frozenset[str]]:
+    """Returns the sets of modules that import each other, directly or by way of others."""
     reached: dict[str, set[str]] = {}
     imports = {name: imports_of(name) for name in MODULES}
     for name in MODULES:
-        seen, todo = set(), [name]
+        seen: set[str] = set()
+        todo = [name]
         while todo:
             for other in imports[todo.pop()] - seen:
                 seen.add(other)
@@ -94,7 +100,7 @@
     assert not wrong, wrong
 
 
-def test_no_module_is_in_a_circle_but_those_that_are_known() -> None:
-    found = circles()
-    assert found <= KNOWN_CIRCLES, sorted(map(sorted, found - KNOWN_CIRCLES))
-    assert KNOWN_CIRCLES <= found, "a circle that is gone goes from the list"
+def test_no_module_is_in_an_import_cycle_but_those_that_are_known() -> None:
+    found = import_cycles()
+    assert found <= KNOWN_CYCLES, sorted(map(sorted, found - KNOWN_CYCLES))
+    assert found >= KNOWN_CYCLES, "a cycle that is gone is removed from the list"
--- a/tests/test_no_names.py
+++ b/tests/test_no_names.py
@@ -1,4 +1,4 @@
-"""The program asks settings, never who runs it: no operator's or site's name stands in it."""
+"""The program depends on settings, never on the site: no operator's or site's name stands in it."""
 
 from __future__ import annotations
 
@@ -11,5 +11,5 @@
     root = Path(__file__).resolve().parents[1]
     files = list((root / "glenrock").rglob("*.py"))
     assert len(files) > 60
-    found = [f"{p}: {name}" for p in files for name in NAMES if name in p.read_text().lower()]
+    found = [f"{path}: {name}" for path in files for name in NAMES if name in path.read_text().lower()]
     assert not found, found
