--- a/tests/admin/conftest.py
+++ b/tests/admin/recording_operations.py
@@ -33,8 +33,9 @@
         return self._reason
 
     def metrics(self) -> MetricsSnapshot:
-        """Returns metrics with three established requests."""
-        return MetricsSnapshot({ConnectionOutcome.FULFILLED: {"look": 3}}, 4, 1, 2, 0)
+        """Returns metrics with five open requests."""
+        outcomes = {ConnectionOutcome.FULFILLED: {"look": 3}}
+        return MetricsSnapshot(outcomes, relayed=4, open_requests=5, registry_entries=2, out_of_rotation=0)
 
     def is_known_server(self, server_id: str) -> bool:
         """Returns whether the server is `KNOWN_SERVER`."""
--- a/tests/admin/test_routes.py
+++ b/tests/admin/test_routes.py
@@ -10,7 +10,7 @@
 from glenrock.admin.routes import respond
 from glenrock.operation_errors import OperationPendingError
 
-from .conftest import KNOWN_SERVER, RecordingOperations
+from .recording_operations import KNOWN_SERVER, RecordingOperations
 
 
 def call(operations: RecordingOperations, method: str, target: str) -> HttpResponse:
--- /dev/null
+++ b/tests/docs/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the pages: names, tables and examples on them agree with the code."""
--- a/tests/test_newcomers.py
+++ b/tests/docs/test_newcomers.py
@@ -8,15 +8,18 @@
 import re
 import textwrap
 from pathlib import Path
+from types import SimpleNamespace
+from typing import Any
 
 import pytest
+from admin.recording_operations import RecordingOperations
+from conftest import HarnessFactory
 
 from glenrock.admin import routes
-from glenrock.admin.prometheus_text import MetricsSnapshot
 from glenrock.routing import admission, interface
 from glenrock.routing.request_lifecycle import RequestLifecycle
 
-ROOT = Path(__file__).resolve().parents[1]
+ROOT = Path(__file__).resolve().parents[2]
 PAGE = (ROOT / "docs/newcomers.md").read_text()
 CODE = re.compile(r"```python\n(.*?)```", re.S)
 RULE, RULE_TEST, METRIC, METRIC_USE, HANDLER, ROUTE = (textwrap.dedent(code) for code in CODE.findall(PAGE))
@@ -30,7 +33,7 @@
     members: dict[str, set[str]] = {}
     for path in [*(ROOT / "glenrock").rglob("*.py"), ROOT / "tests/conftest.py"]:
         module = ast.parse(path.read_text())
-        names |= {name.id for node in module.body for name in ast.walk(node) if is_assigned(name)}
+        names |= {name for statement in module.body for name in assigned_names(statement)}
         for node in ast.walk(module):
             if isinstance(node, ast.FunctionDef | ast.AsyncFunctionDef | ast.ClassDef):
                 names.add(node.name)
@@ -39,14 +42,21 @@
     return names, members
 
 
-def is_assigned(node: ast.AST) -> bool:
-    return isinstance(node, ast.Name) and isinstance(node.ctx, ast.Store)
+def assigned_names(statement: ast.AST) -> set[str]:
+    """Returns the names that are assigned in a statement."""
+    names = [node for node in ast.walk(statement) if isinstance(node, ast.Name)]
+    return {name.id for name in names if isinstance(name.ctx, ast.Store)}
 
 
 def members_of(node: ast.ClassDef) -> set[str]:
-    methods = {item.name for item in node.body if isinstance(item, ast.FunctionDef | ast.AsyncFunctionDef)}
-    fields = {item.target.id for item in node.body if isinstance(item, ast.AnnAssign) and is_assigned(item.target)}
-    return methods | fields
+    """Returns the names of the methods and of the annotated fields of a class."""
+    members: set[str] = set()
+    for item in node.body:
+        if isinstance(item, ast.FunctionDef | ast.AsyncFunctionDef):
+            members.add(item.name)
+        elif isinstance(item, ast.AnnAssign):
+            members |= assigned_names(item.target)
+    return members
 
 
 NAMES, MEMBERS = index_names()
@@ -70,6 +80,7 @@
 
 
 def admit_with_rule() -> str:
+    """Returns the source of `AdmissionController.admit` with the page's rule after the check of the session."""
     source = textwrap.dedent(inspect.getsource(admission.AdmissionController.admit))
     before, check, after = source.partition("    if self._continues_session(request):\n")
     accepted, admitted, rest = after.partition("        return True\n")
@@ -77,8 +88,10 @@
     return before + check + accepted + admitted + textwrap.indent(RULE, "    ") + rest
 
 
-def test_example_of_an_admission_rule_fails_its_test_before_and_passes_after(make_harness, monkeypatch) -> None:
-    namespace = {"interface": interface}
+def test_example_of_an_admission_rule_fails_its_test_before_and_passes_after(
+    make_harness: HarnessFactory, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    namespace: dict[str, Any] = {"interface": interface, "HarnessFactory": HarnessFactory}
     exec(RULE_TEST, namespace)
     run_test = namespace["test_class_of_weight_0_is_rejected_under_a_cap"]
     with pytest.raises(AssertionError):
@@ -89,39 +102,22 @@
     run_test(make_harness)
 
 
-def test_example_of_a_metric_counts_requests_that_wait_for_a_server(make_harness, monkeypatch) -> None:
-    namespace: dict[str, object] = {}
+def test_example_of_a_metric_counts_requests_that_wait_for_a_server(
+    make_harness: HarnessFactory, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    namespace: dict[str, Any] = {}
     exec(METRIC, namespace)
     monkeypatch.setattr(RequestLifecycle, "awaiting_server_count", namespace["awaiting_server_count"], raising=False)
     harness = make_harness(names=())
     harness.send_request()
     waiting = len(harness.balancer.lifecycle._awaiting_server)
-    owner = type("Operations", (), {"_routing": type("Routing", (), {"balancer": harness.balancer})})
-    assert eval(METRIC_USE, {"self": owner}) == waiting == 1
+    operations = SimpleNamespace(_routing=SimpleNamespace(balancer=harness.balancer))
+    assert eval(METRIC_USE, {"self": operations}) == waiting == 1
 
 
-def test_example_of_an_operators_call_is_answered(monkeypatch) -> None:
-    class Operations:
-        def metrics(self) -> MetricsSnapshot:
-            return MetricsSnapshot({}, 0, open_requests=3, registry_entries=0, out_of_rotation=0)
-
+def test_example_of_an_operators_call_is_answered(monkeypatch: pytest.MonkeyPatch) -> None:
     namespace = {**vars(routes), "ROUTES": dict(routes.ROUTES)}
     exec(HANDLER + "\n" + ROUTE, namespace)
     monkeypatch.setattr(routes, "ROUTES", namespace["ROUTES"])
-    response = asyncio.run(routes.respond(Operations(), "GET", b"/v1/balancer/connections"))
-    assert (response.status, response.text) == (200, "3\n")
-
-
-def glossary_identifiers() -> list[str]:
-    """Returns the identifiers of docs/glossary.md, from the third column of its tables of terms."""
-    terms = (ROOT / "docs/glossary.md").read_text().split("## Where the wire")[0]
-    cells = [line.split("|")[3] for line in terms.splitlines() if line.startswith("| ") and "---" not in line]
-    names = {name for cell in cells for name in re.findall(r"`([^`]+)`", cell)}
-    return sorted(name for name in names if not name.startswith("glenrock"))
-
-
-@pytest.mark.parametrize("identifier", glossary_identifiers())
-def test_identifier_of_the_glossary_stands_in_the_code(identifier: str) -> None:
-    code = "\n".join(path.read_text() for path in (ROOT / "glenrock").rglob("*.py"))
-    for word in re.findall(r"[A-Za-z_]+", identifier):
-        assert re.search(rf"(?<![A-Za-z]){re.escape(word.strip('_'))}(?![A-Za-z])", code), word
+    response = asyncio.run(routes.respond(RecordingOperations(), "GET", b"/v1/balancer/connections"))
+    assert (response.status, response.text) == (200, "5\n")
