--- a/glenrock/cli/check.py
+++ b/glenrock/cli/check.py
@@ -20,23 +20,39 @@
       glenrock check experiments/calm.toml
     Exit codes: 0 valid, 2 invalid; one line names the file, the line and the key.
     """
-    if file.suffix == ".toml" and "jobs" in toml_file.read(file)[0]:
-        from ..coordination import config as coordination_config
-
-        coordination = coordination_config.load(file)
-        click.echo(f"{file}: sound (a fleet's work, on {coordination.store.kind})")
-    elif file.suffix == ".toml":
-        from ..simulation import spec
-
-        points = spec.points(file)
-        click.echo(f"{file}: sound ({points[0][1].name}, {len(points)} point{'s' * (len(points) != 1)})")
+    if file.suffix == ".toml":
+        is_coordination_file = "jobs" in toml_file.read(file).content
+        description = _check_coordination_file(file) if is_coordination_file else _check_experiment(file)
     elif file.suffix == ".json":
-        from ..config import ConfigError, read_config
-
-        try:
-            config = read_config({"LB_CONFIG": str(file)})
-        except ConfigError as error:
-            raise InputFileError(f"{file}: {error}") from error
-        click.echo(f"{file}: sound ({config.name or 'no name'}, listens on {config.listen[0]}:{config.listen[1]})")
+        description = _check_configuration(file)
     else:
         raise InputFileError(f"{file}: neither .toml nor .json")
+    click.echo(f"{file}: sound ({description})")
+
+
+def _check_coordination_file(file: Path) -> str:
+    """Returns a description of a coordination file. Raises InputFileError if it is invalid."""
+    from ..coordination import config
+
+    return f"a fleet's work, on {config.load(file).store.kind}"
+
+
+def _check_experiment(file: Path) -> str:
+    """Returns a description of an experiment. Raises InputFileError if it is invalid."""
+    from ..simulation import spec
+
+    points = spec.points(file)
+    experiment = points[0][1]
+    return f"{experiment.name}, {len(points)} point{'' if len(points) == 1 else 's'}"
+
+
+def _check_configuration(file: Path) -> str:
+    """Returns a description of a balancer's configuration. Raises InputFileError if it is invalid."""
+    from ..config import ConfigError, read_config
+
+    try:
+        config = read_config({"LB_CONFIG": str(file)})
+    except ConfigError as error:
+        raise InputFileError(f"{file}: {error}") from error
+    host, port = config.listen
+    return f"{config.name or 'no name'}, listens on {host}:{port}"
--- a/glenrock/cli/coordination_history.py
+++ b/glenrock/cli/coordination_history.py
@@ -2,17 +2,12 @@
 
 from __future__ import annotations
 
-import functools
 from pathlib import Path
-from typing import TYPE_CHECKING
 
 import click
 
 from . import store_queries
 
-if TYPE_CHECKING:
-    from ..coordination.leases.store import LeaseStore, PastTerm
-
 
 @click.command("history")
 @click.argument("job", required=False)
@@ -28,19 +23,23 @@
       glenrock fleet history bans --file deploy/fleet.toml --at 127.0.0.1:9090
     Exit codes: 0 done, 1 the store or a balancer does not answer, 2 bad input.
     """
-    for job_name in [job] if job else sorted(store_queries.query_store(file, lambda store: store.leases())):
-        for past in store_queries.query_store(file, functools.partial(_past_terms, job_name)):
-            click.echo(
-                f"{store_queries.format_local_time(past.started_s)}  {job_name}  term {past.term}  {past.holder}"
-            )
+    jobs = [job] if job else sorted(store_queries.query_store(file, lambda store: store.leases()))
+    for job_name in jobs:
+        _print_past_terms(file, job_name)
     for address in at:
-        seen = store_queries.fetch_view(address)
-        click.echo(f"{seen['name']}: {seen['refused']} refused since its start; the store: {seen['store']}")
-        for r in seen["refusals"]:
-            click.echo(
-                f"  {store_queries.format_local_time(r['at_ms'] / 1000)}  balancer {r['peer']}  {r['job']}  {r['why']}"
-            )
+        _print_rejections(address)
+
+
+def _print_past_terms(file: Path, job: str) -> None:
+    for past in store_queries.query_store(file, lambda store: store.past_terms(job)):
+        started = store_queries.format_local_time(past.started_s)
+        click.echo(f"{started}  {job}  term {past.term}  {past.holder}")
 
 
-async def _past_terms(job: str, store: LeaseStore) -> list[PastTerm]:
-    return await store.past_terms(job)
+def _print_rejections(address: str) -> None:
+    """Prints the messages of old terms that a balancer rejected."""
+    view = store_queries.fetch_view(address)
+    click.echo(f"{view['name']}: {view['refused']} refused since its start; the store: {view['store']}")
+    for rejection in view["refusals"]:
+        rejected_at = store_queries.format_local_time(rejection["at_ms"] / 1000)
+        click.echo(f"  {rejected_at}  balancer {rejection['peer']}  {rejection['job']}  {rejection['why']}")
--- a/glenrock/cli/scenario_live_table.py
+++ b/glenrock/cli/scenario_live_table.py
@@ -10,6 +10,8 @@
 from rich.table import Table
 
 if TYPE_CHECKING:
+    from ..testbed.balancer_process import BalancerProcess
+    from ..testbed.modelled_servers import ModelledServer
     from ..testbed.scenario_testbed import ScenarioTestbed
 
 
@@ -47,23 +49,36 @@
     for column in ("balancer", "state", "connections", "life", "last said"):
         table.add_column(column)
     for balancer in bed.balancers:
-        state = "asleep" if balancer.is_paused else "up" if balancer.is_running else "down"
-        state += "" if balancer.number in bed.frontend.ready else ", left out"
-        connection_count = sum(
-            attempt.balancer == balancer.number for server in bed.servers for attempt in server.open_attempts
-        )
+        state = _state_text(bed, balancer)
+        connection_count = _count_connections(bed, balancer.number)
         last_line = _last_log_line(bed, balancer.party)[:MAX_LOG_LINE_LENGTH]
         table.add_row(balancer.party, state, str(connection_count), str(balancer.incarnation), last_line)
-    loads = " ".join(
-        f"{server.model.demand / max(MIN_CAPACITY, server.model.capacity(bed.engine.now)):.2f}"
-        if server.model.up
-        else "-"
-        for server in bed.servers
-    )
+    loads = " ".join(_load_text(server, bed.engine.now) for server in bed.servers)
     table.caption = f"{bed.clients.connected()} clients stand, {bed.clients.waiting()} wait; loads {loads}"
     return table
 
 
+def _state_text(bed: ScenarioTestbed, balancer: BalancerProcess) -> str:
+    if balancer.is_paused:
+        state = "asleep"
+    elif balancer.is_running:
+        state = "up"
+    else:
+        state = "down"
+    return state if balancer.number in bed.frontend.ready else f"{state}, left out"
+
+
+def _count_connections(bed: ScenarioTestbed, balancer: int) -> int:
+    return sum(attempt.balancer == balancer for server in bed.servers for attempt in server.open_attempts)
+
+
+def _load_text(server: ModelledServer, now_us: int) -> str:
+    """Returns a server's load as a part of its capacity; a dash if it is down."""
+    if not server.model.up:
+        return "-"
+    return f"{server.model.demand / max(MIN_CAPACITY, server.model.capacity(now_us)):.2f}"
+
+
 def _active_faults(bed: ScenarioTestbed) -> str:
     faults = [
         f"{interval.kind} ({', '.join(sorted(interval.parties)) or 'datagrams'})"
--- a/glenrock/cli/scenario_run.py
+++ b/glenrock/cli/scenario_run.py
@@ -8,6 +8,7 @@
 import click
 
 from . import shared_options as options
+from . import summary_text
 from .main import CommandFailedError
 
 if TYPE_CHECKING:
@@ -63,9 +64,9 @@
     record.folder(folder, run_and_write)
     print_summary(summary)
     click.echo(f"results: {folder}/summary.json, history.txt, series.csv, report.html, balancer-N/log")
-    if violations := {rule: count for rule, count in summary["rules"].items() if count}:
+    if message := summary_text.format_violations(summary["rules"], "history.txt"):
         _print_violations(summary["breaches"])
-        raise CommandFailedError(f"rules broken: {options.format_counts(violations)}; see history.txt")
+        raise CommandFailedError(message)
     return summary
 
 
@@ -88,9 +89,7 @@
     )
     click.echo(f"worth: goal {worth['goal']:.3f}, whole {worth['whole']:.3f}, worst 10 s {worth['worst_window']:.3f}")
     for fault in summary["recovery_s"]:
-        recovery = "not back" if fault["recovery_s"] is None else f"back after {fault['recovery_s']} s"
-        lowest = "-" if fault["lowest"] is None else f"{fault['lowest']:.2f}"
-        click.echo(f"{fault['kind']} at {fault['from_s']:.1f} s: lowest {lowest}, {recovery}")
+        click.echo(f"{fault['kind']} at {fault['from_s']:.1f} s: {summary_text.format_recovery(fault)}")
     checked, excused = summary["seen"], summary["excused"]
     rules = [
         f"{rule} {count} of {checked.get(rule, 0)} ({excused.get(rule, 0)} by faults)"
--- a/glenrock/cli/shared_options.py
+++ b/glenrock/cli/shared_options.py
@@ -1,4 +1,4 @@
-"""Options that several sub-commands share, and their parsers."""
+"""Options that several sub-commands share, and parsers of their values."""
 
 from __future__ import annotations
 
@@ -14,7 +14,9 @@
 MAX_SEED = 2**63
 
 file = click.argument("file", type=click.Path(path_type=Path))
-policy = click.option("--policy", default="glenrock", show_default=True, help="Routing policy; see `lab list`.")
+policy = click.option(
+    "--policy", default="glenrock", show_default=True, help="Routing policy; see `glenrock simulation list`."
+)
 policies = click.option("--policy", "policies", multiple=True, help="Routing policy; repeatable.")
 out = click.option("--out", type=click.Path(path_type=Path), help="Folder for the results.")
 jobs = click.option(
@@ -71,8 +73,3 @@
     if not numbers or numbers[-1] > MAX_SEED:
         raise InputFileError(f"--seeds {text}: expected a count such as 10, or a range such as 5-24")
     return numbers
-
-
-def format_counts(counts: dict[str, int]) -> str:
-    """Formats counts of violations by invariant in one line."""
-    return ", ".join(f"{name} {count} times" for name, count in counts.items())
--- a/glenrock/cli/simulation_compare.py
+++ b/glenrock/cli/simulation_compare.py
@@ -21,13 +21,14 @@
     """
     from ..simulation import runner, spec
 
-    name, at, policy = source.rpartition("@")
-    folder = Path(name) if at and Path(name).is_dir() else Path(source)
-    if folder.is_dir():
-        return runner.order(_read_summaries(source, folder, policy if folder != Path(source) else None))
+    path, at, policy = source.rpartition("@")
+    if at and Path(path).is_dir():
+        return runner.order(_read_summaries(source, Path(path), policy))
+    if Path(source).is_dir():
+        return runner.order(_read_summaries(source, Path(source), None))
     if not at:
         raise InputFileError(f"{source}: neither a folder of results nor FILE@POLICY")
-    points = spec.points(Path(name), overrides)
+    points = spec.points(Path(path), overrides)
     return run_tasks(runner.tasks(points, seeds, [options.check_policy(policy)]), jobs, None, False)
 
 
@@ -86,6 +87,7 @@
     from ..simulation import plots, record, report
 
     pairs = [pair for pair in comparison["seeds"] if pair["a"] is not None and pair["b"] is not None]
+    # A single run has no interval: its bar's lower and upper bounds are its value.
     bars = {name: [(pair[side],) * 3 for pair in pairs] for name, side in ((a, "a"), (b, "b"))}
     image = plots.bars("goal, by seed", "goal", [str(pair["seed"]) for pair in pairs], bars)
     page = report.page("compare.html", s=comparison, image=plots.address(image))
--- a/glenrock/cli/simulation_run.py
+++ b/glenrock/cli/simulation_run.py
@@ -8,12 +8,13 @@
 import click
 
 from . import shared_options as options
+from . import summary_text
 from .main import CommandFailedError
 
 
 @click.command("run")
 @options.file
-@click.option("--seed", type=click.IntRange(0, 2**63), default=1, show_default=True)
+@click.option("--seed", type=click.IntRange(0, options.MAX_SEED), default=1, show_default=True)
 @options.policy
 @options.out
 @options.settings
@@ -46,12 +47,12 @@
     click.echo(f"results: {folder}/summary.json, series.csv, report.html")
     if summary["failure"]:
         raise CommandFailedError(f"{policy} failed: {summary['failure']}")
-    if violations := {rule: count for rule, count in summary["rules"].items() if count}:
-        raise CommandFailedError(f"rules broken: {options.format_counts(violations)}; see report.html")
+    if message := summary_text.format_violations(summary["rules"], "report.html"):
+        raise CommandFailedError(message)
 
 
 def _check_replaceable(folder: Path) -> None:
-    """Fails before the simulation starts, in place of after it, if the results cannot be written.
+    """Checks, before the simulation starts, that its results can be written.
 
     Raises:
         InputFileError: no folder can be created beside this one.
@@ -83,7 +84,5 @@
         f"{per_client['broken']:.2f} breaks, {per_client['moved']:.2f} moves, {per_client['probes']:.2f} probes"
     )
     for fault in summary["recovery_s"]:
-        recovery = "not back" if fault["recovery_s"] is None else f"back after {fault['recovery_s']} s"
-        lowest = "-" if fault["lowest"] is None else f"{fault['lowest']:.2f}"
-        click.echo(f"{fault['kind']} at {fault['from_s']:g} s: lowest {lowest}, {recovery}")
+        click.echo(f"{fault['kind']} at {fault['from_s']:g} s: {summary_text.format_recovery(fault)}")
     click.echo("rules: " + ", ".join(f"{rule} {count}" for rule, count in summary["rules"].items()))
--- a/glenrock/cli/simulation_sweep.py
+++ b/glenrock/cli/simulation_sweep.py
@@ -9,6 +9,7 @@
 
 import click
 
+from ..toml_file import InputFileError
 from . import shared_options as options
 from .main import CommandFailedError
 
@@ -25,7 +26,7 @@
         tasks: the simulations.
         jobs: how many run in parallel.
         run_folder: where finished runs are stored; None to store none.
-        resume: skip the runs that the folder has.
+        resume: whether to skip the runs that the folder has.
 
     Returns:
         Their summaries, ordered.
@@ -49,15 +50,16 @@
             transient=True,
         ) as progress:
             bar = progress.add_task("", total=len(tasks))
-            # Closed before the generator is collected: after Ctrl-C the pool would otherwise finish all tasks.
+            # Closed at once after Ctrl-C: the pool would finish all tasks before the generator is collected.
             with closing(
                 runner.run_all(tasks, jobs, run_folder, resume, lambda count: progress.advance(bar, count))
             ) as runs:
                 for summary in runs:
                     summaries.append(summary)
     except KeyboardInterrupt as error:
-        kept_at = f", kept in {run_folder}; --resume goes on" if run_folder else ""
-        raise CommandFailedError(f"stopped with {len(summaries)} of {len(tasks)} runs finished{kept_at}") from error
+        how_to_resume = f", kept in {run_folder}; --resume goes on" if run_folder else ""
+        message = f"stopped with {len(summaries)} of {len(tasks)} runs finished{how_to_resume}"
+        raise CommandFailedError(message) from error
     return runner.order(summaries)
 
 
@@ -79,7 +81,17 @@
         "failures": failures,
         "rows": report.table_of(summaries, measures),
     }
-    temporary = folder / ".sweep.csv"
+    _write_table(folder / "sweep.csv", axes, measures, summaries)
+    record.file(folder / "sweep.json", record.text_of(sweep))
+    record.file(folder / "report.html", report.of_sweep(sweep))
+    return sweep
+
+
+def _write_table(path: Path, axes: list[str], measures: list[str], summaries: list[dict[str, Any]]) -> None:
+    """Writes a CSV table with a row for each run."""
+    from ..simulation import report
+
+    temporary = path.with_name(f".{path.name}")
     with open(temporary, "w", newline="", encoding="utf-8") as file:
         table = csv.writer(file)
         table.writerow([*axes, "policy", "seed", *measures])
@@ -87,10 +99,7 @@
             point = [summary["where"][axis] for axis in axes]
             values = [report.value(summary, measure) for measure in measures]
             table.writerow([*point, summary["policy"], summary["seed"], *values])
-    temporary.replace(folder / "sweep.csv")
-    record.file(folder / "sweep.json", record.text_of(sweep))
-    record.file(folder / "report.html", report.of_sweep(sweep))
-    return sweep
+    temporary.replace(path)
 
 
 @click.command("sweep")
@@ -140,8 +149,6 @@
     Raises:
         InputFileError: the folder cannot be created.
     """
-    from ..toml_file import InputFileError
-
     run_folder = folder / "runs"
     try:
         run_folder.mkdir(parents=True, exist_ok=True)
--- a/glenrock/cli/soak.py
+++ b/glenrock/cli/soak.py
@@ -15,7 +15,7 @@
 
 
 @click.command("soak")
-@click.option("--seeds", default="10", show_default=True, help="A count of seeds, or a range such as 5-24.")
+@options.seeds
 @click.option(
     "--seconds",
     type=click.FloatRange(4.0, 600.0),
--- a/glenrock/cli/store_queries.py
+++ b/glenrock/cli/store_queries.py
@@ -20,7 +20,7 @@
 
 T = TypeVar("T")
 ANSWER_TIMEOUT_S = 5.0
-MICROSECONDS = 1_000_000  # of a second
+US_PER_SECOND = 1_000_000
 
 file_option = click.option(
     "--file",
@@ -80,5 +80,5 @@
 
 
 def format_seconds_left(left_us: int) -> str:
-    """Formats the remaining time of a lease in seconds; a dash if it is negative, which means unknown."""
-    return "-" if left_us < 0 else f"{left_us / MICROSECONDS:.1f} s"
+    """Formats the remaining time of a lease in seconds; a dash if it is unknown, which a negative time means."""
+    return "-" if left_us < 0 else f"{left_us / US_PER_SECOND:.1f} s"
--- a/glenrock/toml_file.py
+++ b/glenrock/toml_file.py
@@ -28,8 +28,15 @@
     """An input file is invalid. The message has one line: file, line number if known, key, and the problem."""
 
 
+class TomlFile(NamedTuple):
+    """The parsed content of a file, and its text, in which errors find the lines of keys."""
+
+    content: dict[str, Any]
+    text: str
+
+
 class _Problem(NamedTuple):
-    """A problem, and the path of the key that has it."""
+    """A problem, and the path of the key that has it; empty if it is the whole file."""
 
     message: str
     key: str
@@ -81,15 +88,15 @@
     return path[: path.rindex("[")]
 
 
-def read(path: Path) -> tuple[dict[str, Any], str]:
-    """Returns the parsed content of a file, and its text.
+def read(path: Path) -> TomlFile:
+    """Reads and parses a file.
 
     Raises:
         InputFileError: the file cannot be read, or its content is not TOML.
     """
     try:
         text = path.read_text(encoding="utf-8")
-        return tomllib.loads(text), text
+        return TomlFile(tomllib.loads(text), text)
     except OSError as error:
         raise InputFileError(f"{path}: {error.strerror or error}") from error
     except UnicodeDecodeError as error:
@@ -120,8 +127,10 @@
 
 def _problem_of(validation_message: str) -> _Problem:
     found = VALIDATION_MESSAGE.match(validation_message)
-    message = found[1] if found else validation_message
-    key = (found[2] or "$" if found else "$").lstrip("$").lstrip(".")
+    if found is None:
+        return _Problem(validation_message, "")
+    message = found[1]
+    key = (found[2] or "").lstrip("$").lstrip(".")
     if unknown := UNKNOWN_FIELD_MESSAGE.match(message):
         return _Problem("not a key that is known here", f"{key}.{unknown[1]}".lstrip("."))
     return _Problem(message, key)
--- a/glenrock/upgrade/override_file.py
+++ b/glenrock/upgrade/override_file.py
@@ -87,17 +87,22 @@
         durable_file.check_digest(content)
     except durable_file.CorruptFileError as error:
         raise OverrideFileError(str(error)) from error
-    out = content.get("out")
-    back = content.get("back")
-    seen = content.get("seen")
-    if not (_are_server_ids(out) and _are_server_ids(seen) and isinstance(back, dict) and _are_server_ids(list(back))):
+    suspended = content.get("out")
+    resumed = content.get("back")
+    known = content.get("seen")
+    if not (
+        _are_server_ids(suspended)
+        and _are_server_ids(known)
+        and isinstance(resumed, dict)
+        and _are_server_ids(list(resumed))
+    ):
         raise OverrideFileError("out, back or seen has an invalid value")
-    if not all(isinstance(at_ms, int | float) and 0 <= at_ms < MAX_TIME_MS for at_ms in back.values()):
+    if not all(isinstance(at_ms, int | float) and 0 <= at_ms < MAX_TIME_MS for at_ms in resumed.values()):
         raise OverrideFileError("back: a time out of range")
     return SharedOverrides(
-        suspended=set(out),
-        resumed_at_ms={server_id: float(at_ms) for server_id, at_ms in back.items()},
-        known_servers=dict.fromkeys(seen),
+        suspended=set(suspended),
+        resumed_at_ms={server_id: float(at_ms) for server_id, at_ms in resumed.items()},
+        known_servers=dict.fromkeys(known),
     )
 
 
--- a/glenrock/upgrade/relay_message.py
+++ b/glenrock/upgrade/relay_message.py
@@ -147,10 +147,10 @@
 
 @contextlib.contextmanager
 def socket_address(folder: str) -> Iterator[str]:
-    """Yields the socket's path; a path by way of the folder's descriptor if it is too long for an address.
+    """Yields the socket's path; if it is too long for an address, a path by way of the folder's descriptor.
 
     Raises:
-        OSError: the folder cannot be request_line.
+        OSError: the folder cannot be opened.
     """
     path = os.path.join(folder, SOCKET_NAME)
     if len(path.encode()) <= MAX_SOCKET_PATH_BYTES:
