--- a/glenrock/cli/check.py
+++ b/glenrock/cli/check.py
@@ -54,5 +54,4 @@
         config = read_config({"LB_CONFIG": str(file)})
     except ConfigError as error:
         raise InputFileError(f"{file}: {error}") from error
-    host, port = config.listen
-    return f"{config.name or 'no name'}, listens on {host}:{port}"
+    return f"{config.name or 'no name'}, listens on {config.listen}"
--- a/tests/upgrade/test_processes.py
+++ b/tests/upgrade/test_processes.py
@@ -78,7 +78,7 @@
         log_line = re.search(r"relays handed over relays=(\d+) ", site.log(0))
         assert log_line
         handed_over = int(log_line[1])
-        assert handed_over >= 25 and f"relays taken over count={handed_over}\n" in site.log(1)
+        assert handed_over >= 25 and f"relays taken over relays={handed_over}\n" in site.log(1)
 
     run_on_site(scenario)
 
