--- a/glenrock/__main__.py
+++ b/glenrock/__main__.py
@@ -28,7 +28,7 @@
     Args:
         config: the configuration at the start.
         clock: the one clock of the process.
-        early_reloads: the signal numbers of each SIGHUP received before the event loop ran.
+        early_reloads: an entry for each SIGHUP received before the event loop ran.
 
     Raises:
         ConfigError: the configuration names something that cannot be used.
--- a/glenrock/admin/coordination_parts.py
+++ b/glenrock/admin/coordination_parts.py
@@ -1,4 +1,7 @@
-"""What operators' calls need of coordination. Coordination implements these protocols; admin never imports it."""
+"""The parts of coordination that operators' calls use.
+
+Coordination implements these protocols; admin never imports it.
+"""
 
 from __future__ import annotations
 
--- a/glenrock/upgrade/inherited_listener.py
+++ b/glenrock/upgrade/inherited_listener.py
@@ -1,4 +1,4 @@
-"""The clients' listening socket where a supervisor opens it and every process of an upgrade inherits it."""
+"""Opens the clients' listening socket that a supervisor created, and that each process of an upgrade inherits."""
 
 from __future__ import annotations
 
--- a/glenrock/upgrade/override_file.py
+++ b/glenrock/upgrade/override_file.py
@@ -1,7 +1,7 @@
 """The file of operators' overrides that both processes of an upgrade read and replace.
 
-The file stands in `$TMPDIR`. A file of another version, or one that cannot be read, counts as missing: the caller logs
-the reason and keeps the overrides that it has.
+The file stands in `$TMPDIR`. A file of another version, or an unreadable file, counts as missing: the caller logs the
+reason and keeps the overrides that it has.
 """
 
 from __future__ import annotations
--- a/tests/upgrade/conftest.py
+++ b/tests/upgrade/conftest.py
@@ -12,6 +12,7 @@
 from pathlib import Path
 
 import pytest
+from endpoint_rows import endpoint_answer, endpoint_row
 
 ROOT = Path(__file__).resolve().parents[2]
 SETTINGS = {
@@ -65,19 +66,8 @@
         for name in self.connection_counts:
             server = await asyncio.start_server(functools.partial(self._serve, name), "127.0.0.1", 0)
             self._servers.append(server)
-            rows.append(
-                {
-                    "name": name,
-                    "address": address_of(server),
-                    "zone": "a",
-                    "type": "m",
-                    "group": 0,
-                    "status": "SERVING",
-                    "weight": 1.0,
-                    "since_ms": 0,
-                }
-            )
-        self._endpoint_list = {"index": 2, "snapshot": True, "endpoints": rows}
+            rows.append(endpoint_row(name, address_of(server)))
+        self._endpoint_list = endpoint_answer(2, rows)
         self._servers.append(await asyncio.start_server(self._discover, "127.0.0.1", 0))
 
     async def _serve(self, name: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
