--- a/glenrock/cli/scenario_live_table.py
+++ b/glenrock/cli/scenario_live_table.py
@@ -76,7 +76,7 @@
 
 def _load_text(server: ModelledServer, now_us: int) -> str:
     """Returns a server's load as a part of its capacity; a dash if it is down."""
-    if not server.model.up:
+    if not server.model.is_up:
         return "-"
     return f"{server.model.demand / max(MIN_CAPACITY, server.model.capacity(now_us)):.2f}"
 
--- a/glenrock/simulation/__init__.py
+++ b/glenrock/simulation/__init__.py
@@ -1,6 +1,6 @@
 """The fleet in simulated time, round the routing decisions that serve.
 
-`engine` keeps time and `streams` draws random numbers. `model` holds balancers, instances, clients, links, the front
+`engine` keeps time and `streams` draws random numbers. `model` holds balancers, servers, clients, links, the front
 and service discovery. `fleet_state` holds the state of one run; `connection_accounting`, `client_requests`,
 `server_attempts` and `process_control` each add a layer of what happens, and `fleet_simulation` runs the whole.
 `faults` injects faults, `policies` holds what the routing decisions are compared with, `invariants` and `measure`
--- a/glenrock/simulation/client_requests.py
+++ b/glenrock/simulation/client_requests.py
@@ -19,29 +19,29 @@
     def schedule_workload(self, client: Client) -> None:
         """Schedules the first change of a client's load, and the end of its connection."""
         row = client.row
-        if row.changes:
-            self.engine.at(self.start_us + row.changes[0][0], self._change_load, client)
-        if row.end > row.arrival:
-            self.engine.at(self.start_us + row.end, self._finish, client)
+        if row.load_changes:
+            self.engine.at(self.start_us + row.load_changes[0][0], self._change_load, client)
+        if row.end_us > row.arrival_us:
+            self.engine.at(self.start_us + row.end_us, self._finish, client)
 
     def load_of(self, client: Client) -> float:
         """Returns the load of a client's connection now, in microseconds of work a second."""
-        return client.row.changes[max(0, client.next_change - 1)][1]
+        return client.row.load_changes[max(0, client.next_change - 1)][1]
 
     def _change_load(self, client: Client) -> None:
         if client.is_done:
             return
         client.next_change += 1
-        changes = client.row.changes
+        changes = client.row.load_changes
         if client.next_change < len(changes):
             self.engine.at(self.start_us + changes[client.next_change][0], self._change_load, client)
         connection = client.connection
         if connection:
             load = changes[client.next_change - 1][1]
-            instance, request = connection.attempt.instance, connection.attempt.request
-            instance.load(self.engine.now, connection, load)
-            if self.experiment.reports.load_told and not connection.muted:
-                request.balancer.post(interface.ConnectionFeedback(request.id, instance.name, load=load))
+            server, request = connection.attempt.server, connection.attempt.request
+            server.change_load(self.engine.now, connection, load)
+            if self.experiment.reports.load_told and not connection.is_unreachable:
+                request.balancer.post(interface.ConnectionFeedback(request.id, server.name, load=load))
 
     def _finish(self, client: Client) -> None:
         client.is_done = True
@@ -60,7 +60,7 @@
         client.request_count += 1
         self.measure.counts["tries"] += 1
         balancer = self.front.pick(row.zone)
-        deadline_us = now + self.request_timeouts_us[row.kind]
+        deadline_us = now + self.request_timeouts_us[row.class_index]
         due_us = now + self.links.client_one_way_us()
         self.engine.at(due_us, self._request_arrives, client, balancer, deadline_us, client.request_count)
 
@@ -75,7 +75,7 @@
         client.request = request
         self.invariants.record_event(self.engine.now, f"arrives at balancer {balancer.index}", request.id, "")
         balancer.receive_request(request, self.request_event(request))
-        gives_up_after_us = self.habits.gives_up_after(self.request_timeouts_us[client.row.kind])
+        gives_up_after_us = self.client_delays.draw_early_end(self.request_timeouts_us[client.row.class_index])
         if gives_up_after_us is not None:
             self.engine.at(self.engine.now + gives_up_after_us, self._give_up_early, request)
 
@@ -84,12 +84,12 @@
         row = request.client.row
         return interface.Request(
             request.id,
-            self.experiment.classes[row.kind].name,
+            self.experiment.classes[row.class_index].name,
             request.deadline_us,
             row.number,
             row.group,
             self.experiment.tenants[row.tenant].name,
-            round(row.usual) if self.experiment.traffic.hints else 0,
+            round(row.usual_load) if self.experiment.traffic.hints else 0,
             request.client.has_connected,
         )
 
@@ -124,13 +124,13 @@
         """Schedules a client's next request after a failure, or after a rejection if `retry_after_us` is set."""
         client.failures += 1
         client.request = None
-        wants_no_time = client.row.end <= client.row.arrival
+        wants_no_time = client.row.end_us <= client.row.arrival_us
         if wants_no_time and client.failures > drawn_count(self.experiment.clients.retries):
             client.is_done = True
         if retry_after_us is None:
-            delay_us = self.habits.after_failure(client)
+            delay_us = self.client_delays.delay_after_failure(client)
         else:
-            delay_us = self.habits.after_refusal(client, retry_after_us)
+            delay_us = self.client_delays.delay_after_rejection(client, retry_after_us)
         self.engine.at(self.engine.now + max(1, delay_us), self._retry, client, client.request_count)
 
     def _retry(self, client: Client, number: int) -> None:
@@ -156,7 +156,7 @@
     def deliver_rejection(self, request: ClientRequest, retry_after_us: int) -> None:
         """Delivers a rejection; the client retries later."""
         took_us = self.engine.now - request.arrived_us
-        self.measure.refusals.record_value(max(1, took_us))
+        self.measure.rejections.record_value(max(1, took_us))
         allowed_us = request.deadline_us - request.arrived_us
         if not request.attempts and took_us > LATE_REJECTION_FRACTION * allowed_us:
             self.measure.counts["held_back"] = self.measure.counts.get("held_back", 0) + 1
@@ -194,10 +194,10 @@
         connection = attempt.connection if attempt else None
         if attempt and connection and attempt.is_active:
             self.measure.counts["moved"] += 1
-            self.invariants.record_event(self.engine.now, "moved", request.id, attempt.instance.name)
+            self.invariants.record_event(self.engine.now, "moved", request.id, attempt.server.name)
             self.close(connection)
             request.balancer.report_attempt_ended(attempt, AttemptOutcome.CANCELLED)
-            self.reconnect_after(connection.attempt.request.client, self.habits.after_move())
+            self.reconnect_after(connection.attempt.request.client, self.client_delays.delay_after_migration())
 
     def cut_off(self, request: ClientRequest) -> None:
         """Closes an open connection without a notice; its client reconnects as after a break."""
@@ -206,7 +206,7 @@
             connection = attempt.connection
             self.close(connection)
             request.balancer.report_attempt_ended(attempt, AttemptOutcome.CANCELLED)
-            self.reconnect_after(connection.attempt.request.client, self.habits.after_break())
+            self.reconnect_after(connection.attempt.request.client, self.client_delays.delay_after_break())
 
     def record_violation(self, rule: str, text: str, request: ClientRequest | None, server: str) -> None:
         """Records a violation of an invariant by the balancer of a request."""
--- a/glenrock/simulation/connection_accounting.py
+++ b/glenrock/simulation/connection_accounting.py
@@ -4,8 +4,8 @@
 
 from .engine import SECOND_US
 from .fleet_state import FleetState
-from .model.instance import Connection
 from .model.requests import Attempt
+from .model.server import Connection
 
 
 class ConnectionAccounting(FleetState):
@@ -15,12 +15,12 @@
         """Credits a tenant with the seconds that its connection was served in time since the last credit."""
         if self.is_over:
             return
-        self.measure.credit(connection.attempt.request.client.row, connection.earned)
-        connection.earned = 0.0
+        self.measure.record_tenant_served(connection.attempt.request.client.row, connection.uncredited_s)
+        connection.uncredited_s = 0.0
 
     def close(self, connection: Connection[Attempt]) -> None:
-        """Closes a connection at its instance, and counts its seconds."""
-        connection.attempt.instance.close(self.engine.now, connection)
+        """Closes a connection at its server, and counts its seconds."""
+        connection.attempt.server.close(self.engine.now, connection)
         self.credit(connection)
         self.count_open_time(connection)
         client = connection.attempt.request.client
@@ -31,9 +31,9 @@
     def count_open_time(self, connection: Connection[Attempt]) -> None:
         """Counts how long a connection was open, and whether it crossed zones."""
         end_us = min(self.engine.now, self.start_us + self.length_us)
-        open_s = (end_us - connection.opened) / SECOND_US
+        open_s = (end_us - connection.opened_us) / SECOND_US
         if open_s > 0:
-            self.measure.standing_s += open_s
+            self.measure.connection_s += open_s
             attempt = connection.attempt
-            if attempt.request.balancer.zone != attempt.instance.shape.zone:
-                self.measure.crossing_s += open_s
+            if attempt.request.balancer.zone != attempt.server.shape.zone:
+                self.measure.cross_zone_s += open_s
--- a/glenrock/simulation/faults.py
+++ b/glenrock/simulation/faults.py
@@ -13,8 +13,8 @@
 from . import spec
 from .engine import SECOND_US
 from .model.balancer import BalancerProcess
-from .model.instance import Instance
 from .model.requests import Attempt
+from .model.server import ServerModel
 from .process_control import ProcessControl
 from .spec_types import drawn_number
 
@@ -35,22 +35,20 @@
     return [candidates[number] for number in draw.permutation(len(candidates))[:count]]
 
 
-def _running_instances(simulation: ProcessControl) -> list[Instance[Attempt]]:
-    return [instance for instance in simulation.instances.values() if instance.up]
+def _running_servers(simulation: ProcessControl) -> list[ServerModel[Attempt]]:
+    return [server for server in simulation.servers.values() if server.is_up]
 
 
 def crash(simulation: ProcessControl, fault: spec.Crash, draw: np.random.Generator) -> None:
-    """Ends drawn instances, and starts them again."""
+    """Ends drawn servers, and starts them again."""
     candidates = [
-        instance
-        for instance in _running_instances(simulation)
-        if fault.zone in ("", simulation.zones[instance.shape.zone])
+        server for server in _running_servers(simulation) if fault.zone in ("", simulation.zones[server.shape.zone])
     ]
     engine = simulation.engine
-    for instance in draw_targets(draw, candidates, fault.part):
-        simulation.stop_instance(instance)
+    for server in draw_targets(draw, candidates, fault.part):
+        simulation.stop_server(server)
         if fault.down_s:
-            engine.at(engine.now + to_us(fault.down_s), simulation.start_instance, instance)
+            engine.at(engine.now + to_us(fault.down_s), simulation.start_server, server)
 
 
 def zone_cut(simulation: ProcessControl, fault: spec.ZoneCut, draw: np.random.Generator) -> None:
@@ -85,34 +83,36 @@
 
 def reconnect(simulation: ProcessControl, fault: spec.Reconnect, draw: np.random.Generator) -> None:
     """Drops drawn connections from the side of their clients."""
-    connections = [connection for instance in simulation.instances.values() for connection in instance.held.values()]
+    connections = [
+        connection for server in simulation.servers.values() for connection in server.open_connections.values()
+    ]
     for connection in draw_targets(draw, connections, fault.part, 0):
         simulation.drop_client_side(connection, round(float(draw.random()) * to_us(fault.within_s)))
 
 
 def slow(simulation: ProcessControl, fault: spec.Slow, draw: np.random.Generator) -> None:
-    """Slows drawn instances down."""
-    targets = draw_targets(draw, _running_instances(simulation), fault.part)
+    """Slows drawn servers down."""
+    targets = draw_targets(draw, _running_servers(simulation), fault.part)
     engine = simulation.engine
-    for instance in targets:
-        instance.set_slow(engine.now, drawn_number(fault.speed))
-    incarnations = [(instance, instance.incarnation) for instance in targets]
+    for server in targets:
+        server.set_speed_fraction(engine.now, drawn_number(fault.speed))
+    incarnations = [(server, server.incarnation) for server in targets]
     engine.at(engine.now + to_us(fault.for_s), _restore_speed, simulation, incarnations)
 
 
-def _restore_speed(simulation: ProcessControl, incarnations: list[tuple[Instance[Attempt], int]]) -> None:
-    for instance, incarnation in incarnations:
-        if instance.incarnation == incarnation:
-            instance.set_slow(simulation.engine.now, 1.0)
+def _restore_speed(simulation: ProcessControl, incarnations: list[tuple[ServerModel[Attempt], int]]) -> None:
+    for server, incarnation in incarnations:
+        if server.incarnation == incarnation:
+            server.set_speed_fraction(simulation.engine.now, 1.0)
 
 
 def errs(simulation: ProcessControl, fault: spec.Errs, draw: np.random.Generator) -> None:
-    """Makes drawn instances answer ERR."""
-    targets = draw_targets(draw, _running_instances(simulation), fault.part)
-    for instance in targets:
-        simulation.error_chances[instance.name] = drawn_number(fault.chance)
+    """Makes drawn servers answer ERR."""
+    targets = draw_targets(draw, _running_servers(simulation), fault.part)
+    for server in targets:
+        simulation.error_chances[server.name] = drawn_number(fault.chance)
     engine = simulation.engine
-    engine.at(engine.now + to_us(fault.for_s), _end_errors, simulation, [instance.name for instance in targets])
+    engine.at(engine.now + to_us(fault.for_s), _end_errors, simulation, [server.name for server in targets])
 
 
 def _end_errors(simulation: ProcessControl, names: list[str]) -> None:
@@ -137,40 +137,40 @@
 
 
 def arrivals(simulation: ProcessControl, fault: spec.FlashCrowd | spec.TenantFlood, draw: np.random.Generator) -> None:
-    """Does nothing: the additional clients are part of the workload (`model.plan`)."""
+    """Does nothing: the additional clients are part of the workload (`model.workload`)."""
 
 
 def drains(simulation: ProcessControl, fault: spec.Drains, draw: np.random.Generator) -> None:
-    """Drains, stops and starts drawn instances in batches, as a deployment does."""
-    order = draw_targets(draw, _running_instances(simulation), fault.part)
-    batch_size = max(1, round(drawn_number(fault.batch) * len(simulation.instances)))
+    """Drains, stops and starts drawn servers in batches, as a deployment does."""
+    order = draw_targets(draw, _running_servers(simulation), fault.part)
+    batch_size = max(1, round(drawn_number(fault.batch) * len(simulation.servers)))
     engine = simulation.engine
     for start in range(0, len(order), batch_size):
         drain_us = engine.now + to_us(fault.every_s) * (start // batch_size)
         stop_us = drain_us + to_us(fault.drain_s)
-        for instance in order[start : start + batch_size]:
-            engine.at(drain_us, simulation.drain_instance, instance)
-            engine.at(stop_us, simulation.stop_if_draining, instance)
-            engine.at(stop_us + to_us(fault.down_s), simulation.start_instance, instance)
+        for server in order[start : start + batch_size]:
+            engine.at(drain_us, simulation.drain_server, server)
+            engine.at(stop_us, simulation.stop_if_draining, server)
+            engine.at(stop_us + to_us(fault.down_s), simulation.start_server, server)
 
 
 def by_hand(simulation: ProcessControl, fault: spec.ByHand, draw: np.random.Generator) -> None:
-    """Suspends the instance with the most connections at each balancer, restarts it, and ends the suspension."""
-    instance = max(
-        _running_instances(simulation),
-        key=lambda candidate: (len(candidate.held), candidate.name),
+    """Suspends the server with the most connections at each balancer, restarts it, and ends the suspension."""
+    server = max(
+        _running_servers(simulation),
+        key=lambda candidate: (len(candidate.open_connections), candidate.name),
         default=None,
     )
-    if instance is None:
+    if server is None:
         return
     engine = simulation.engine
     for number, balancer in enumerate(simulation.balancers):
         call_us = engine.now + to_us(fault.spread_s) * number
-        engine.at(call_us, balancer.override_server, instance.name, True)
-        engine.at(call_us + to_us(fault.for_s), balancer.override_server, instance.name, False)
+        engine.at(call_us, balancer.override_server, server.name, True)
+        engine.at(call_us + to_us(fault.for_s), balancer.override_server, server.name, False)
     stop_us = engine.now + to_us(fault.restart_s)
-    engine.at(stop_us, simulation.stop_instance, instance)
-    engine.at(stop_us + to_us(fault.down_s), simulation.start_instance, instance)
+    engine.at(stop_us, simulation.stop_server, server)
+    engine.at(stop_us + to_us(fault.down_s), simulation.start_server, server)
 
 
 def send_away(simulation: ProcessControl, fault: spec.SendAway, draw: np.random.Generator) -> None:
--- a/glenrock/simulation/fleet_simulation.py
+++ b/glenrock/simulation/fleet_simulation.py
@@ -15,12 +15,12 @@
 from . import faults, policies
 from .engine import SECOND_US, Engine
 from .measure import rounded
-from .model import plan as plans
+from .model import workload as workloads
 from .model.balancer import BalancerProcess, Policy, PolicyFailedError
 from .model.feed import EndpointFeed
 from .model.front import Front
-from .model.instance import Connection, Instance
 from .model.requests import Attempt, Client, ClientRequest, RequestOutcome
+from .model.server import Connection, ServerModel
 from .policies import module
 from .policies.oracle import Oracle
 from .process_control import ProcessControl
@@ -29,8 +29,8 @@
 from .spec import Experiment, settings_of
 from .spec_types import drawn_count, drawn_number
 
-INSTANCES_PER_CELL = 6
-OTHER_ZONE_WEIGHT = 0.3  # of an instance of another zone, for connections that are open when the run starts
+SERVERS_PER_CELL = 6
+OTHER_ZONE_WEIGHT = 0.3  # of a server of another zone, for connections that are open when the run starts
 SLOW_MESSAGE_DIVISOR = 3  # messages slower than this part of the shortest objective are reported to balancers
 MAX_REPORTED_US = 1e9
 MAX_RECORDED_US = 3e9
@@ -50,19 +50,19 @@
     ) -> None:
         super().__init__(experiment, seed, policy, engine)
         self._make_policy = make_policy or policies.make(policy)
-        for number, shape in enumerate(self.shapes):
+        for number, shape in enumerate(self.server_shapes):
             name = f"10.{number >> 16 & 255}.{number >> 8 & 255}.{number & 255}:7000"
-            instance = self.instances[name] = Instance(
+            server = self.servers[name] = ServerModel(
                 name,
                 number,
                 shape,
-                self.figures,
+                self.server_parameters,
                 self.receive_setup_answer,
                 self.engine,
-                self.measure.earn,
-                number // INSTANCES_PER_CELL,
+                self.measure.record_served,
+                number // SERVERS_PER_CELL,
             )
-            instance.last = self.start_us
+            server.computed_until_us = self.start_us
         self._build_balancers()
         self.front = Front(self.experiment.front, self.balancers, len(self.zones), self.engine, self.streams)
         self.feed = EndpointFeed(self.experiment.discovery, self.balancers, self.engine, self.streams)
@@ -80,7 +80,7 @@
 
         def build(index: int, incarnation: int) -> Policy:
             zone = self.zones[index % len(self.zones)]
-            settings = settings_of(self.experiment, index, zone, self.plan.quotas)
+            settings = settings_of(self.experiment, index, zone, self.workload.quotas)
             policy = self._make_policy(settings, seeds[index] + incarnation)
             if isinstance(policy, Oracle):
                 policy.observe(self, self.balancers[index])
@@ -119,16 +119,16 @@
         self.feed.start(
             [
                 interface.Endpoint(
-                    instance.name, interface.EndpointState.READY, self.zones[instance.shape.zone], instance.cell
+                    server.name, interface.EndpointState.READY, self.zones[server.shape.zone], server.cell
                 )
-                for instance in self.instances.values()
+                for server in self.servers.values()
             ]
         )
         endpoints = tuple(self.feed.endpoints.values())
         for balancer in self.balancers:
             balancer.start(interface.EndpointList(interface.EndpointListKind.CACHED, endpoints))
             self.feed.balancer_started(balancer)
-        self._rows = iter(self.plan.rows)
+        self._rows = iter(self.workload.clients)
         self._schedule_arrival(self._place_open_connections())
         self._schedule_faults()
         if self.shared_health_checks:
@@ -146,55 +146,57 @@
             inject = faults.FAULTS[type(fault)]
             self.engine.at(due_us, inject, self, fault, self.streams.of(f"fault {number}"))
 
-    def _place_open_connections(self) -> plans.Row | None:
+    def _place_open_connections(self) -> workloads.PlannedClient | None:
         """Opens the connections of clients that arrived before the run, alike under every policy.
 
         Returns:
             The first row that arrives during the run, if there is one.
         """
         draw = self.streams.uniforms("standing")
-        instances = list(self.instances.values())
-        cumulative_weights = [self._cumulative_weights(instances, zone) for zone in range(len(self.zones))]
+        servers = list(self.servers.values())
+        cumulative_weights = [self._cumulative_weights(servers, zone) for zone in range(len(self.zones))]
         for row in self._rows:
-            if row.arrival >= 0:
+            if row.arrival_us >= 0:
                 return row
             self.measure.counts["clients"] += 1
             weights = cumulative_weights[row.zone]
-            chosen = min(len(instances) - 1, bisect_right(weights, draw() * weights[-1]))
+            chosen = min(len(servers) - 1, bisect_right(weights, draw() * weights[-1]))
             balancer = self.front.pick(row.zone)
             if balancer:
-                self._place_open_connection(row, balancer, instances[chosen])
+                self._place_open_connection(row, balancer, servers[chosen])
         return None
 
     @staticmethod
-    def _cumulative_weights(instances: list[Instance[Attempt]], zone: int) -> list[float]:
+    def _cumulative_weights(servers: list[ServerModel[Attempt]], zone: int) -> list[float]:
         weights = [
-            instance.shape.cores * instance.shape.speed * (1.0 if instance.shape.zone == zone else OTHER_ZONE_WEIGHT)
-            for instance in instances
+            server.shape.cores * server.shape.speed * (1.0 if server.shape.zone == zone else OTHER_ZONE_WEIGHT)
+            for server in servers
         ]
         sums: list[float] = np.cumsum(weights).tolist()
         return sums
 
-    def _place_open_connection(self, row: plans.Row, balancer: BalancerProcess, instance: Instance[Attempt]) -> None:
+    def _place_open_connection(
+        self, row: workloads.PlannedClient, balancer: BalancerProcess, server: ServerModel[Attempt]
+    ) -> None:
         now = self.engine.now
         client = Client(row, request_count=1, has_connected=True)
         request = client.request = ClientRequest(f"{row.number}.1", client, balancer, now, now)
         request.is_answered, request.outcome = True, RequestOutcome.ESTABLISHED
-        attempt = Attempt(request, 0, instance, now, is_established=True)
+        attempt = Attempt(request, 0, server, now, is_established=True)
         request.attempts.append(attempt)
         request.established = attempt
         balancer.requests[request.id] = request
-        balancer.post(interface.OpenConnection(self.request_event(request), instance.name))
-        instance.opening[attempt] = True
+        balancer.post(interface.OpenConnection(self.request_event(request), server.name))
+        server.pending_attempts[attempt] = True
         self.schedule_workload(client)
         self.open_connection(attempt)
 
-    def _schedule_arrival(self, row: plans.Row | None) -> None:
+    def _schedule_arrival(self, row: workloads.PlannedClient | None) -> None:
         """Schedules one arrival; each schedules the next, so that the heap holds one at a time."""
         if row:
-            self.engine.at(self.start_us + row.arrival, self._arrive, row)
+            self.engine.at(self.start_us + row.arrival_us, self._arrive, row)
 
-    def _arrive(self, row: plans.Row) -> None:
+    def _arrive(self, row: workloads.PlannedClient) -> None:
         self._schedule_arrival(next(self._rows, None))
         self.measure.counts["clients"] += 1
         client = Client(row, waiting_since_us=self.engine.now)
@@ -204,40 +206,40 @@
     # -- each second ---------------------------------------------------------------------------------
 
     def _sample(self, second: int) -> None:
-        """Updates all instances, and records the time series of one second."""
+        """Updates all servers, and records the time series of one second."""
         load = 0.0
-        for instance in self.instances.values():
-            for connection in instance.tick(self.engine.now):
+        for server in self.servers.values():
+            for connection in server.bound_backlog(self.engine.now):
                 self.measure.counts["shed"] += 1
                 self.break_connection(connection, interface.AttemptOutcome.BROKEN)
-            load += self._sample_instance(instance, second)
+            load += self._sample_server(server, second)
         if second < self.measure.seconds:
             self._record_series(second, load)
             if second + 1 < self.measure.seconds:
                 self.engine.at(self.engine.now + SECOND_US, self._sample, second + 1)
 
-    def _sample_instance(self, instance: Instance[Attempt], second: int) -> float:
-        """Records the load of an instance. Returns it, in microseconds of work a second."""
+    def _sample_server(self, server: ServerModel[Attempt], second: int) -> float:
+        """Records the load of a server. Returns it, in microseconds of work a second."""
         measure = self.measure
         is_recorded = second < measure.seconds
-        if not instance.up:
+        if not server.is_up:
             if is_recorded:
-                measure.heat[instance.number, second] = -1
+                measure.relative_loads[server.number, second] = -1
             return 0.0
         if is_recorded:
-            capacity = instance.capacity(self.engine.now)
-            measure.heat[instance.number, second] = instance.demand / capacity if capacity > 0 else 0.0
-        if instance.held:
-            message_us = int(min(MAX_RECORDED_US, max(1, instance.message_us)))
-            measure.messages.record_value(message_us, len(instance.held))
-            self._report_slow_messages(instance)
-        return instance.demand
+            capacity = server.capacity(self.engine.now)
+            measure.relative_loads[server.number, second] = server.demand / capacity if capacity > 0 else 0.0
+        if server.open_connections:
+            message_us = int(min(MAX_RECORDED_US, max(1, server.message_us)))
+            measure.messages.record_value(message_us, len(server.open_connections))
+            self._report_slow_messages(server)
+        return server.demand
 
     def _record_series(self, second: int, load: float) -> None:
-        measure, capacity = self.measure, self.plan.capacity
+        measure, capacity = self.measure, self.workload.capacity
         gauges = [gauge for balancer in self.balancers if balancer.is_up and (gauge := module.gauges(balancer.policy))]
         caps = [cap for cap, _ in gauges if cap != float("inf")]
-        measure.put(
+        measure.record_sample(
             second,
             load=load / capacity,
             standing=float(len(self.connected_clients)),
@@ -246,40 +248,42 @@
             refused=float(measure.counts["refused"]),
             attempts=float(measure.counts["attempts"]),
             broken=float(measure.counts["broken"]),
-            up=float(sum(instance.up for instance in self.instances.values())),
+            up=float(sum(server.is_up for server in self.servers.values())),
             balancers=float(sum(balancer.is_up for balancer in self.balancers)),
         )
 
-    def _report_slow_messages(self, instance: Instance[Attempt]) -> None:
+    def _report_slow_messages(self, server: ServerModel[Attempt]) -> None:
         """Reports slow messages over one connection of each balancer, and once that they are fast again."""
         if not self.experiment.reports.delay_told:
             return
-        is_slow = instance.message_us > self.figures.shortest_us / SLOW_MESSAGE_DIVISOR
-        if not is_slow and not any((instance.name, b.index) in self.slow_reported for b in self.balancers):
+        is_slow = server.message_us > self.server_parameters.shortest_objective_us / SLOW_MESSAGE_DIVISOR
+        if not is_slow and not any((server.name, b.index) in self.slow_reported for b in self.balancers):
             return
         by_balancer: dict[int, Connection[Attempt]] = {}
-        for connection in instance.held.values():
-            if not connection.muted:
-                by_balancer.setdefault(connection.host, connection)
+        for connection in server.open_connections.values():
+            if not connection.is_unreachable:
+                by_balancer.setdefault(connection.balancer_index, connection)
         for index, connection in by_balancer.items():
-            key = (instance.name, index)
+            key = (server.name, index)
             if is_slow or key in self.slow_reported:
                 (self.slow_reported.add if is_slow else self.slow_reported.discard)(key)
                 request = connection.attempt.request
-                message_us = min(instance.message_us, MAX_REPORTED_US)
-                request.balancer.post(interface.ConnectionFeedback(request.id, instance.name, message_us=message_us))
+                message_us = min(server.message_us, MAX_REPORTED_US)
+                request.balancer.post(interface.ConnectionFeedback(request.id, server.name, message_us=message_us))
 
     def _end_measuring(self) -> None:
         """Ends the measured time: what is served from now on does not count."""
         now = self.engine.now
-        for instance in self.instances.values():
-            instance.advance(now)
-            for connection in instance.held.values():
-                if not connection.muted:
-                    connection.earned += instance.integrals[connection.kind] - connection.since
-                    connection.since = instance.integrals[connection.kind]
+        for server in self.servers.values():
+            server.advance(now)
+            for connection in server.open_connections.values():
+                if not connection.is_unreachable:
+                    connection.uncredited_s += (
+                        server.served_s_by_class[connection.class_index] - connection.served_s_at_credit
+                    )
+                    connection.served_s_at_credit = server.served_s_by_class[connection.class_index]
                 self.credit(connection)
-                connection.value = 0.0
-            instance.values = [0.0] * len(instance.values)
-        self.measure.ask(self.plan.rows, self.length_us)
+                connection.priority_weight = 0.0
+            server.weight_by_class = [0.0] * len(server.weight_by_class)
+        self.measure.record_tenant_demand(self.workload.clients, self.length_us)
         self.is_over = True
--- a/glenrock/simulation/fleet_state.py
+++ b/glenrock/simulation/fleet_state.py
@@ -6,16 +6,16 @@
 
 from .engine import SECOND_US, Engine, HeapEngine
 from .invariants import InvariantChecker
-from .measure import Measure
-from .model import plan as plans
-from .model import shapes
+from .measure import Measurements
+from .model import server_shapes
+from .model import workload as workloads
 from .model.balancer import BalancerProcess
-from .model.client import Habits
+from .model.client_delays import ClientDelays
 from .model.feed import EndpointFeed
 from .model.front import Front
-from .model.instance import Instance
 from .model.links import Links
 from .model.requests import Attempt, Client
+from .model.server import ServerModel
 from .model.store import Store
 from .shared_health_checks import SharedHealthChecks
 from .spec import Experiment, drawn
@@ -29,8 +29,8 @@
     Attributes:
         experiment: the experiment as drawn for the seed.
         balancers, front, feed: set by `FleetSimulation`, since they call it.
-        error_chances: instances that answer ERR to attempts, by name, and the chance of it.
-        slow_reported: instance and balancer, where the balancer was told of slow messages.
+        error_chances: servers that answer ERR to attempts, by name, and the chance of it.
+        slow_reported: server and balancer, where the balancer was told of slow messages.
         shared_health_checks: None unless the experiment has shards of health checks.
         faults: kind, beginning and end of each fault, as `summary.json` has them.
         connected_clients: clients with an open connection, in the order of their connections.
@@ -50,20 +50,21 @@
         self.engine = engine or HeapEngine(self.start_us)
         self.length_us = round(drawn_number(experiment.length_s) * SECOND_US)
         self.zones = list(experiment.fleet.zones)
-        self.shapes = shapes.shapes(experiment, streams)
-        capacity = sum(shape.cores * shape.speed for shape in self.shapes) * SECOND_US
-        self.plan = plans.plan(experiment, streams, capacity)
+        self.server_shapes = server_shapes.draw_server_shapes(experiment, streams)
+        capacity = sum(shape.cores * shape.speed for shape in self.server_shapes) * SECOND_US
+        self.workload = workloads.draw_workload(experiment, streams, capacity)
         self.invariants = InvariantChecker(self.start_us)
-        self.measure = Measure(experiment, self.plan.asked, self.start_us, len(self.shapes))
+        self.measure = Measurements(experiment, self.workload.demanded, self.start_us, len(self.server_shapes))
         self.links = Links(experiment.network, streams)
-        self.habits = Habits(experiment.clients, streams)
+        self.client_delays = ClientDelays(experiment.clients, streams)
         self.store = Store(
-            drawn_number(experiment.store.headroom) * self.plan.per_s, drawn_number(experiment.store.call_ms) * 1000
+            drawn_number(experiment.store.headroom) * self.workload.clients_per_s,
+            drawn_number(experiment.store.call_ms) * 1000,
         )
-        self.figures = shapes.figures(experiment)
+        self.server_parameters = server_shapes.server_parameters(experiment)
         self._read_limits(experiment)
         self._open_streams(streams)
-        self.instances: dict[str, Instance[Attempt]] = {}
+        self.servers: dict[str, ServerModel[Attempt]] = {}
         self.error_chances: dict[str, float] = {}
         self.slow_reported: set[tuple[str, int]] = set()
         self.shared_health_checks: SharedHealthChecks | None = None
--- a/glenrock/simulation/measure.py
+++ b/glenrock/simulation/measure.py
@@ -17,7 +17,7 @@
 from .spec import Experiment
 
 if TYPE_CHECKING:
-    from .model.plan import Row
+    from .model.workload import PlannedClient
 
 WORST_WINDOW_S = 10
 RECOVERED_FRACTION = 0.95  # of what was served before a fault
@@ -50,7 +50,7 @@
     return HdrHistogram(1, MAX_HISTOGRAM_US, 2)
 
 
-def told(durations: HdrHistogram) -> dict[str, float]:
+def summarize_histogram(durations: HdrHistogram) -> dict[str, float]:
     """Returns count, mean, percentiles and maximum of a histogram, in milliseconds, as summaries have them."""
     if not durations.get_total_count():
         return {"count": 0}
@@ -64,61 +64,61 @@
     return figures
 
 
-class Measure:
+class Measurements:
     """Counts of a run, and what follows from them.
 
     Attributes:
-        asked: priority weight asked for in each second, by class.
-        earned: priority weight served in time in each second, by class.
-        tenant_asked, tenant_earned: the same by tenant, within the quotas.
-        tenant_all: priority weight served by tenant, within and over the quotas.
-        tenant_wanted: priority weight asked for by tenant, within and over the quotas.
-        waits: time until a connection is open, by class.
-        refusals: time until a rejection.
+        demanded: priority weight asked for in each second, by class.
+        served: priority weight served in time in each second, by class.
+        tenant_demanded_in_quota, tenant_served_in_quota: the same by tenant, within the quotas.
+        tenant_served: priority weight served by tenant, within and over the quotas.
+        tenant_demanded: priority weight asked for by tenant, within and over the quotas.
+        setup_waits: time until a connection is open, by class.
+        rejections: time until a rejection.
         counts: by the names in `COUNTS`, and `held_back`.
-        standing_s, crossing_s: seconds of open connections, and of those between zones.
-        heat: load of each instance over its capacity in each second; -1 while it is down.
+        connection_s, cross_zone_s: seconds of open connections, and of those between zones.
+        relative_loads: load of each server over its capacity in each second; -1 while it is down.
         series: time series by name.
     """
 
-    def __init__(self, experiment: Experiment, asked: npt.NDArray[np.float64], start_us: int, instances: int) -> None:
-        self.experiment, self.asked, self.start_us = experiment, asked, start_us
+    def __init__(self, experiment: Experiment, asked: npt.NDArray[np.float64], start_us: int, servers: int) -> None:
+        self.experiment, self.demanded, self.start_us = experiment, asked, start_us
         self.seconds, classes = asked.shape
-        self.earned = [[0.0] * classes for _ in range(self.seconds)]
+        self.served = [[0.0] * classes for _ in range(self.seconds)]
         tenants = len(experiment.tenants)
-        self.tenant_asked, self.tenant_earned = [0.0] * tenants, [0.0] * tenants
-        self.tenant_all, self.tenant_wanted = [0.0] * tenants, [0.0] * tenants
-        self.waits = [histogram() for _ in range(classes)]
+        self.tenant_demanded_in_quota, self.tenant_served_in_quota = [0.0] * tenants, [0.0] * tenants
+        self.tenant_served, self.tenant_demanded = [0.0] * tenants, [0.0] * tenants
+        self.setup_waits = [histogram() for _ in range(classes)]
         self.messages = histogram()
-        self.refusals = histogram()
+        self.rejections = histogram()
         self.counts = dict.fromkeys(COUNTS, 0)
-        self.crossing_s = self.standing_s = 0.0
-        self.heat = np.zeros((instances, self.seconds), dtype=np.float32)
+        self.cross_zone_s = self.connection_s = 0.0
+        self.relative_loads = np.zeros((servers, self.seconds), dtype=np.float32)
         self.series: dict[str, list[float]] = {}
 
-    def earn(self, at_us: int, kind: int, worth: float) -> None:
+    def record_served(self, at_us: int, kind: int, worth: float) -> None:
         """Adds priority weight served in time, of a class."""
         second = (at_us - self.start_us) // SECOND_US
         if 0 <= second < self.seconds:
-            self.earned[second][kind] += worth
+            self.served[second][kind] += worth
 
-    def ask(self, rows: Iterable[Row], length_us: int) -> None:
+    def record_tenant_demand(self, rows: Iterable[PlannedClient], length_us: int) -> None:
         """Adds what tenants asked for during the run, in all and within their quotas."""
         for row in rows:
-            wanted_s = max(0, min(row.end, length_us) - max(0, row.arrival)) / SECOND_US
-            worth = self.experiment.classes[row.kind].worth * wanted_s
-            self.tenant_wanted[row.tenant] += worth
-            if row.weight == 1.0:
-                self.tenant_asked[row.tenant] += worth
+            wanted_s = max(0, min(row.end_us, length_us) - max(0, row.arrival_us)) / SECOND_US
+            worth = self.experiment.classes[row.class_index].worth * wanted_s
+            self.tenant_demanded[row.tenant] += worth
+            if row.quota_factor == 1.0:
+                self.tenant_demanded_in_quota[row.tenant] += worth
 
-    def credit(self, row: Row, seconds: float) -> None:
+    def record_tenant_served(self, row: PlannedClient, seconds: float) -> None:
         """Adds seconds in which a client was served in time to its tenant."""
-        worth = self.experiment.classes[row.kind].worth * seconds
-        self.tenant_all[row.tenant] += worth
-        if row.weight == 1.0:
-            self.tenant_earned[row.tenant] += worth
+        worth = self.experiment.classes[row.class_index].worth * seconds
+        self.tenant_served[row.tenant] += worth
+        if row.quota_factor == 1.0:
+            self.tenant_served_in_quota[row.tenant] += worth
 
-    def put(self, second: int, **values: float) -> None:
+    def record_sample(self, second: int, **values: float) -> None:
         """Sets values of the time series at a second."""
         for name, value in values.items():
             series = self.series.setdefault(name, [])
@@ -129,7 +129,7 @@
 
     def worth(self) -> dict[str, Any]:
         """Returns the worth of the run as `summary.json` has it: whole, worst parts, goal and prices."""
-        earned, asked = np.array(self.earned), self.asked
+        earned, asked = np.array(self.served), self.demanded
         whole = ratio(earned.sum(), asked.sum())
         worst_window = self._worst_window(earned.sum(axis=1), asked.sum(axis=1))
         classes = {
@@ -137,7 +137,7 @@
             for kind, class_ in enumerate(self.experiment.classes)
         }
         tenants = {
-            tenant.name: ratio(self.tenant_earned[number], self.tenant_asked[number])
+            tenant.name: ratio(self.tenant_served_in_quota[number], self.tenant_demanded_in_quota[number])
             for number, tenant in enumerate(self.experiment.tenants)
         }
         worst_class, worst_tenant = min(classes.values()), min(tenants.values())
@@ -173,7 +173,7 @@
         """Returns what the goal loses by crossings, health checks, migrations and gossip."""
         platform, counts = self.experiment.platform, self.counts
         clients = max(1, counts["clients"])
-        crossing_fraction = self.crossing_s / self.standing_s if self.standing_s else 0.0
+        crossing_fraction = self.cross_zone_s / self.connection_s if self.connection_s else 0.0
         return {
             "crossings": platform.price_cross_zone * crossing_fraction,
             "probes": platform.price_probe * counts["probes"] / clients,
@@ -183,14 +183,14 @@
 
     def recovery(self, faults: list[dict[str, Any]]) -> list[dict[str, Any]]:
         """Returns each fault with the seconds from its beginning until service had recovered, or None."""
-        earned, asked = np.array(self.earned).sum(axis=1), self.asked.sum(axis=1)
+        earned, asked = np.array(self.served).sum(axis=1), self.demanded.sum(axis=1)
         served = np.divide(earned, asked, out=np.ones_like(earned), where=asked > 0)
         return [{**fault, **_recovery_of(fault, served)} for fault in faults]
 
     def fairness(self) -> float:
         """Returns Jain's index over the tenants' worth; 1: all alike."""
         worths = np.array(
-            [ratio(served, wanted) for served, wanted in zip(self.tenant_all, self.tenant_wanted, strict=True)]
+            [ratio(served, wanted) for served, wanted in zip(self.tenant_served, self.tenant_demanded, strict=True)]
         )
         squares = (worths**2).sum()
         index: float = rounded(float(worths.sum() ** 2 / (len(worths) * squares))) if squares else 1.0
--- a/glenrock/simulation/model/balancer.py
+++ b/glenrock/simulation/model/balancer.py
@@ -14,8 +14,8 @@
 from glenrock.routing.interface import AttemptOutcome, EndpointListKind, EndpointState
 
 from ..engine import Engine
-from .instance import Instance
 from .requests import Attempt, ClientRequest, RequestOutcome
+from .server import ServerModel
 
 MAX_GOSSIP_BYTES = 256
 
@@ -39,13 +39,13 @@
         drain_grace_us: time after a server was reported as draining in which a new attempt is still allowed.
     """
 
-    instances: dict[str, Instance[Attempt]]
+    servers: dict[str, ServerModel[Attempt]]
     answer_grace_us: int
     drain_grace_us: int
     max_attempts: int
 
     def start_attempt(self, attempt: Attempt, timeout_us: int) -> None:
-        """Sends an attempt to its instance."""
+        """Sends an attempt to its server."""
 
     def abandon_attempt(self, attempt: Attempt) -> None:
         """Closes the balancer's side of an attempt."""
@@ -253,7 +253,7 @@
         request.is_answered, request.established, attempt.is_established = True, attempt, True
         self.record_outcome(request, RequestOutcome.ESTABLISHED)
         took_us = self.engine.now - attempt.sent_us
-        self.post(interface.ConnectionEstablished(request.id, attempt.number, attempt.instance.name, took_us))
+        self.post(interface.ConnectionEstablished(request.id, attempt.number, attempt.server.name, took_us))
 
     def report_attempt_ended(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
         """Tells the policy that an attempt is over; a second call for the attempt has no effect."""
@@ -266,7 +266,7 @@
         is_final = request.is_answered or request.is_over
         took_us = self.engine.now - attempt.sent_us
         self.post(
-            interface.AttemptEnded(request.id, attempt.number, attempt.instance.name, outcome, is_final, took_us, {})
+            interface.AttemptEnded(request.id, attempt.number, attempt.server.name, outcome, is_final, took_us, {})
         )
         if is_final:
             self._close_request(request)
@@ -280,11 +280,11 @@
             if request is None or request.was_ended_by_policy or request.over_in_batch < self.batches - 1:
                 self.environment.record_violation("answered", "sent after its end", request, action.server_id)
             return
-        instance = self.environment.instances.get(action.server_id)
-        if instance is None or action.server_id not in self.known_servers:
+        server = self.environment.servers.get(action.server_id)
+        if server is None or action.server_id not in self.known_servers:
             raise PolicyFailedError(f"sends to {action.server_id!r}, which no list has named")
         self._check_attempt_allowed(request, action.server_id)
-        attempt = Attempt(request, len(request.attempts), instance, self.engine.now)
+        attempt = Attempt(request, len(request.attempts), server, self.engine.now)
         request.attempts.append(attempt)
         is_unsendable = (
             request.is_answered
@@ -316,7 +316,7 @@
         attempt = request.attempts[action.attempt]
         if attempt.is_established and attempt.is_active:
             text = "a standing connection ended without MOVE"
-            self.environment.record_violation("cut off", text, request, attempt.instance.name)
+            self.environment.record_violation("cut off", text, request, attempt.server.name)
             self.environment.cut_off(request)
         elif attempt.is_active:
             self.environment.abandon_attempt(attempt)
--- a/glenrock/simulation/model/client.py
+++ b/glenrock/simulation/model/client_delays.py
@@ -8,12 +8,12 @@
 from .requests import Client
 
 
-class Habits:
+class ClientDelays:
     """Draws the delays of clients, in microseconds.
 
     Attributes:
-        honour: part of the clients that wait as long as a rejection says.
-        impatient: part of the requests that are given up early.
+        honoring_fraction: part of the clients that wait as long as a rejection says.
+        impatient_fraction: part of the requests that are given up early.
     """
 
     def __init__(self, spec: ClientsSpec, streams: Streams) -> None:
@@ -23,30 +23,31 @@
         self.pause_us = drawn_number(spec.pause_ms) * 1000
         self.rejoin_us = drawn_number(spec.rejoin_ms) * 1000
         self.move_us = drawn_number(spec.move_ms) * 1000
-        self.honour, self.impatient = drawn_number(spec.honour), drawn_number(spec.impatient)
+        self.honoring_fraction = drawn_number(spec.honour)
+        self.impatient_fraction = drawn_number(spec.impatient)
         self.fast_retries = drawn_count(spec.retries)
 
-    def after_failure(self, client: Client) -> int:
+    def delay_after_failure(self, client: Client) -> int:
         """Draws the delay until a client retries after a failure: a backoff first, later a longer pause."""
         if client.failures <= self.fast_retries:
             factor = {"double": 2.0 ** (client.failures - 1), "fixed": 1.0, "none": 0.0}[self.spec.backoff]
             return round(self.backoff_us * factor * (0.5 + self.draw()))
         return round(self.pause_us * (0.5 + self.draw()))
 
-    def after_refusal(self, client: Client, retry_after_us: int) -> int:
+    def delay_after_rejection(self, client: Client, retry_after_us: int) -> int:
         """Draws the delay until a client retries after a rejection that asked for `retry_after_us`."""
-        if retry_after_us > 0 and self.draw() < self.honour:
+        if retry_after_us > 0 and self.draw() < self.honoring_fraction:
             return retry_after_us
-        return self.after_failure(client)
+        return self.delay_after_failure(client)
 
-    def after_break(self) -> int:
+    def delay_after_break(self) -> int:
         """Draws the delay until a client reconnects after its connection broke."""
         return round(self.rejoin_us * self.draw_exponential())
 
-    def after_move(self) -> int:
+    def delay_after_migration(self) -> int:
         """Draws the delay until a client reconnects after a migration notice."""
         return round(self.move_us * (0.5 + self.draw()))
 
-    def gives_up_after(self, timeout_us: int) -> int | None:
+    def draw_early_end(self, timeout_us: int) -> int | None:
         """Draws when an impatient client gives a request up; None if the client is patient."""
-        return round(timeout_us * self.draw()) if self.draw() < self.impatient else None
+        return round(timeout_us * self.draw()) if self.draw() < self.impatient_fraction else None
--- a/glenrock/simulation/model/feed.py
+++ b/glenrock/simulation/model/feed.py
@@ -16,7 +16,7 @@
 
 
 class EndpointFeed:
-    """Publishes whether each instance is ready, draining or gone.
+    """Publishes whether each server is ready, draining or gone.
 
     Attributes:
         endpoints: the list as it is published.
--- a/glenrock/simulation/model/requests.py
+++ b/glenrock/simulation/model/requests.py
@@ -1,4 +1,4 @@
-"""What clients, balancers and instances share: a client, its requests, and their attempts at instances."""
+"""What clients, balancers and servers share: a client, its requests, and their attempts at servers."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 from glenrock.routing import interface
 
-from .instance import Connection, Instance
-from .plan import Row
+from .server import Connection, ServerModel
+from .workload import PlannedClient
 
 
 class RequestOutcome(StrEnum):
@@ -64,7 +64,7 @@
         next_change: index of the next change of load in the row.
     """
 
-    row: Row
+    row: PlannedClient
     request_count: int = 0
     failures: int = 0
     waiting_since_us: int = -1
@@ -77,7 +77,7 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """An attempt of a balancer to set up a connection at an instance.
+    """An attempt of a balancer to set up a connection at a server.
 
     Attributes:
         is_active: whether the policy has not been told of the attempt's end.
@@ -86,7 +86,7 @@
 
     request: ClientRequest
     number: int
-    instance: Instance[Attempt]
+    server: ServerModel[Attempt]
     sent_us: int
     is_active: bool = True
     is_established: bool = False
--- /dev/null
+++ b/glenrock/simulation/model/server.py
@@ -0,0 +1,500 @@
+"""A server: attempts through a queue and cores, open connections as a flow of work, slow start, overload.
+
+Attempts are jobs, first come first served, each on one core. Open connections ask for work evenly, at a rate that
+changes with their load; work that is not done is a backlog, and messages wait behind it. While open connections use
+a fraction u of the cores, an attempt proceeds at (1 - u) of a core's speed, at least 0.15 of it, and takes that from
+the connections. The model leaves out the cost of a large table of connections, and pauses of the process.
+
+Times are microseconds, and work is microseconds on a standard core.
+"""
+
+from __future__ import annotations
+
+from collections import deque
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from enum import StrEnum
+from typing import Generic, TypeVar
+
+from ..engine import SECOND_US, Engine
+from . import waits
+
+AttemptT = TypeVar("AttemptT")  # an attempt to set up a connection, as the caller knows it; a key here
+
+MIN_SETUP_SPEED = 0.15  # of a core, for an attempt beside open connections
+MIN_CROWDED_SPEED = 0.2  # of a core, with many attempts at once
+BUDGET_SLACK_LOADS = 5.0  # usual loads added to the slow-start budget, since arrivals vary
+SHED_TO_FRACTION = 0.8  # of its capacity, to which a server that sheds closes connections
+MIN_CAPACITY = 1e-9  # divides in place of 0
+KEPT_REPORTS = 8
+
+
+class SetupAnswer(StrEnum):
+    """A server's answer to an attempt; all but `ESTABLISHED` are values of `AttemptOutcome` too."""
+
+    ESTABLISHED = "up"
+    FULL = "full"
+    NO_CONNECTION = "no_connection"
+    BROKEN = "broken"
+    ERROR = "error"
+
+    __hash__ = str.__hash__
+
+
+@dataclass(slots=True, eq=False)
+class Connection(Generic[AttemptT]):
+    """An open connection.
+
+    Attributes:
+        balancer_index: index of its balancer.
+        class_index: index of its class.
+        priority_weight: priority weight of a second in which it is served in time.
+        load: work a second that it asks for.
+        served_s_at_credit: the server's integral of its class when counting began.
+        uncredited_s: seconds served in time that are not credited yet.
+        opened_us: when it was opened.
+        is_unreachable: whether its link is cut, so that nothing of it arrives.
+    """
+
+    attempt: AttemptT
+    balancer_index: int
+    class_index: int
+    group: int
+    priority_weight: float
+    load: float = 0.0
+    served_s_at_credit: float = 0.0
+    uncredited_s: float = 0.0
+    opened_us: int = 0
+    is_unreachable: bool = False
+
+
+@dataclass(slots=True)
+class ServerShape:
+    """The properties of one server, as drawn for the run; its fields are keys of `[[kinds]]`.
+
+    Attributes:
+        slow_start_us: duration of the slow start.
+        max_waiting_attempts: attempts that may wait.
+        max_connections: connections that it bears.
+    """
+
+    kind: str
+    zone: int
+    cores: int
+    speed: float
+    initial_fraction: float
+    slow_start_us: float
+    crowding_threshold: float
+    crowding_loss: float
+    max_waiting_attempts: int
+    max_connections: int
+    max_backlog_s: float
+    shedding: str
+
+
+@dataclass(slots=True)
+class ServerParameters:
+    """The figures that all servers of a run share.
+
+    Attributes:
+        message_us: work of a message.
+        bursty: factor of waits over those of evenly spread messages.
+        message_objectives_us: message objective of each class.
+        shortest_objective_us: the shortest of them.
+        group_load: load of each group with a connection at the server.
+        usual_load: usual load of a connection.
+        load_report_interval_us: interval of load reports.
+        slow_start_multiple: slow-start budget, as a multiple of the load that fills the server over its slow start.
+        slow_start_window_us: window of the slow-start budget.
+    """
+
+    message_us: float
+    bursty: float
+    message_objectives_us: tuple[float, ...]
+    shortest_objective_us: float
+    group_load: float
+    usual_load: float
+    load_report_interval_us: int
+    slow_start_multiple: float
+    slow_start_window_us: int
+
+
+@dataclass(slots=True)
+class WorkCounts:
+    """Counts of work and attempts. asked + restored = done + backlog + lost, at any time.
+
+    Attributes:
+        attempts: attempts accepted.
+        attempts_set_up: attempts set up for a caller that still waited.
+        attempts_lost: attempts pending when the process ended.
+        attempts_abandoned: attempts abandoned by their caller.
+    """
+
+    demanded: float = 0.0
+    done: float = 0.0
+    lost: float = 0.0
+    attempts: int = 0
+    attempts_set_up: int = 0
+    attempts_lost: int = 0
+    attempts_abandoned: int = 0
+
+
+@dataclass(slots=True, eq=False)
+class ServerModel(Generic[AttemptT]):
+    """A server, over all of its incarnations.
+
+    Attributes:
+        send_answer: called with the answer to an attempt.
+        record_served: called with time, class and priority weight of what was served.
+        cell: failure domain within the zone.
+        started_us: when the process started; 0: before the run.
+        was_overloaded_while_cold: whether it was overloaded while cold; it does not start again.
+        incarnation: number of ends of its process; a callback of an earlier incarnation has no effect.
+        speed_fraction: fraction of its speed that a fault leaves.
+        computed_until_us: time up to which the flow of work is computed.
+        demand: work a second that open connections ask for.
+        backlog: backlog of work.
+        setup_work_rate: work a second that attempts take.
+        running_setups: attempts on a core.
+        queue: attempts that wait for a core, with their work.
+        open_connections: open connections by attempt.
+        pending_attempts: attempts without an open connection, and whether they are set up.
+        connections_by_group: number of open connections by group.
+        weight_by_class: priority weight a second of the open connections, by class.
+        served_s_by_class: seconds served in time, by class.
+        load_reports: load reports and their times.
+        slow_start_arrivals: attempts sent while cold: time, load, and whether the balancer knew of the start.
+        slow_start_load: load of those within the budget's window.
+        message_us: mean time of a message now.
+    """
+
+    name: str
+    number: int
+    shape: ServerShape
+    parameters: ServerParameters
+    send_answer: Callable[[AttemptT, SetupAnswer], None]
+    engine: Engine
+    record_served: Callable[[int, int, float], None]
+    cell: int = 0
+    started_us: int = 0
+    is_up: bool = True
+    was_overloaded_while_cold: bool = False
+    is_draining: bool = False
+    incarnation: int = 0
+    speed_fraction: float = 1.0
+    computed_until_us: int = 0
+    demand: float = 0.0
+    backlog: float = 0.0
+    setup_work_rate: float = 0.0
+    running_setups: int = 0
+    queue: deque[tuple[AttemptT, float]] = field(default_factory=deque)
+    open_connections: dict[AttemptT, Connection[AttemptT]] = field(default_factory=dict)
+    pending_attempts: dict[AttemptT, bool] = field(default_factory=dict)
+    connections_by_group: dict[int, int] = field(default_factory=dict)
+    weight_by_class: list[float] = field(default_factory=list)
+    served_s_by_class: list[float] = field(default_factory=list)
+    load_reports: deque[tuple[int, dict[str, float]]] = field(default_factory=lambda: deque(maxlen=KEPT_REPORTS))
+    work_counts: WorkCounts = field(default_factory=WorkCounts)
+    slow_start_arrivals: deque[tuple[int, float, bool]] = field(default_factory=deque)
+    slow_start_load: float = 0.0
+    message_us: float = 0.0
+
+    def __post_init__(self) -> None:
+        self.weight_by_class = [0.0] * len(self.parameters.message_objectives_us)
+        self.served_s_by_class = [0.0] * len(self.parameters.message_objectives_us)
+        self.message_us = self.parameters.message_us
+
+    # -- capacity ------------------------------------------------------------------------------------
+
+    def warm_fraction(self, now: int) -> float:
+        """Returns the fraction of its capacity that the slow start allows."""
+        if not self.started_us or now - self.started_us >= self.shape.slow_start_us:
+            return 1.0
+        cold = self.shape.initial_fraction
+        return cold + (1 - cold) * (now - self.started_us) / self.shape.slow_start_us
+
+    def core_rate(self, now: int) -> float:
+        """Returns the work a second of one core."""
+        shape = self.shape
+        excess = (self.running_setups + len(self.queue)) / shape.cores - shape.crowding_threshold
+        efficiency = max(MIN_CROWDED_SPEED, 1 - shape.crowding_loss * excess) if excess > 0 else 1.0
+        return SECOND_US * shape.speed * self.speed_fraction * self.warm_fraction(now) * efficiency
+
+    def capacity(self, now: int) -> float:
+        """Returns the work a second of all cores."""
+        return self.core_rate(now) * self.shape.cores
+
+    # -- time ----------------------------------------------------------------------------------------
+
+    def advance(self, now: int) -> None:
+        """Computes the flow of work up to now; since the last call only the slow start has changed anything."""
+        span_us = now - self.computed_until_us
+        if span_us <= 0:
+            return
+        if self.is_up:
+            self._report_load(now)
+            self._flow(now, span_us / SECOND_US)
+        self.computed_until_us = now
+
+    def _flow(self, now: int, seconds: float) -> None:
+        capacity = self.capacity(now)
+        available = max(0.0, capacity - self.setup_work_rate)
+        asked = self.demand * seconds
+        backlog = max(0.0, self.backlog + asked - available * seconds)
+        self.work_counts.demanded += asked
+        self.work_counts.done += self.backlog + asked - backlog
+        if capacity > 0:
+            utilization = self.demand / max(MIN_CAPACITY, available) if self.demand else 0.0
+            mean_backlog_us = (self.backlog + backlog) / 2 / capacity * SECOND_US
+            self._serve_messages(seconds, utilization, mean_backlog_us)
+        else:
+            self.message_us = float("inf")
+        self.backlog = backlog
+
+    def _serve_messages(self, seconds: float, utilization: float, backlog_us: float) -> None:
+        figures, cores = self.parameters, self.shape.cores
+        work_us, bursty = figures.message_us, figures.bursty
+        if utilization > 0 or backlog_us > 0:
+            self.message_us = waits.mean_us(cores, utilization, work_us, bursty, backlog_us)
+        else:
+            self.message_us = work_us
+        for kind, value in enumerate(self.weight_by_class):
+            if value:
+                objective_us = figures.message_objectives_us[kind]
+                fraction = waits.in_time(cores, utilization, work_us, objective_us, bursty, backlog_us)
+                self.served_s_by_class[kind] += fraction * seconds
+                self.record_served(self.computed_until_us, kind, value * fraction * seconds)
+
+    def _report_load(self, now: int) -> None:
+        """Makes a load report, at most one in each interval; the intervals of servers are out of step."""
+        interval_us = self.parameters.load_report_interval_us
+        if (now - self.number) // interval_us == (
+            self.computed_until_us - self.number
+        ) // interval_us and self.load_reports:
+            return
+        capacity = max(MIN_CAPACITY, self.capacity(now))
+        self.load_reports.append(
+            (
+                now,
+                {
+                    "load_ratio": self.demand / capacity,
+                    "utilization": min(1.0, (self.demand + self.setup_work_rate) / capacity),
+                    "backlog": float(len(self.queue)),
+                    "backlog_s": self.backlog / capacity,
+                    "inflight": float(len(self.open_connections)),
+                },
+            )
+        )
+
+    def load_report_at(self, then: int) -> dict[str, float]:
+        """Returns the load report as of a time. Reports survive a restart, so one may describe the old process."""
+        return next((report for at_us, report in reversed(self.load_reports) if at_us <= then), {})
+
+    def bound_backlog(self, now: int) -> list[Connection[AttemptT]]:
+        """Bounds the backlog, once a second. Returns the connections that it sheds for it."""
+        self.advance(now)
+        capacity = self.capacity(now)
+        max_backlog = capacity * self.shape.max_backlog_s
+        if not self.is_up or self.backlog <= max_backlog:
+            return []
+        self.work_counts.lost += self.backlog - max_backlog
+        self.backlog = max_backlog
+        return self._connections_to_shed(capacity)
+
+    def _connections_to_shed(self, capacity: float) -> list[Connection[AttemptT]]:
+        if self.shape.shedding == "none":
+            return []
+        connections = list(self.open_connections.values())
+        if self.shape.shedding == "newest":
+            connections.reverse()
+        else:
+            connections.sort(key=lambda connection: -connection.load)
+        to_shed, demand = [], self.demand
+        for connection in connections:
+            if demand <= SHED_TO_FRACTION * capacity:
+                break
+            demand -= connection.load
+            to_shed.append(connection)
+        return to_shed
+
+    # -- attempts ------------------------------------------------------------------------------------
+
+    def receive_attempt(self, now: int, attempt: AttemptT, work: float, load: float, is_informed: bool) -> None:
+        """Receives an attempt.
+
+        Args:
+            now: the time.
+            attempt: the attempt.
+            work: work of its set-up.
+            load: load of its connection.
+            is_informed: whether its balancer knows of this incarnation's start.
+        """
+        if not self.is_up:
+            self.send_answer(attempt, SetupAnswer.NO_CONNECTION)
+            return
+        self.advance(now)
+        if self._exceeds_slow_start_budget(now, load, is_informed):
+            self.send_answer(attempt, SetupAnswer.BROKEN)
+        elif self.is_draining or len(self.queue) >= self.shape.max_waiting_attempts:
+            self.send_answer(attempt, SetupAnswer.FULL)
+        elif len(self.open_connections) + len(self.pending_attempts) >= self.shape.max_connections:
+            self.send_answer(attempt, SetupAnswer.NO_CONNECTION)
+        else:
+            self.work_counts.attempts += 1
+            self.pending_attempts[attempt] = False
+            if self.running_setups < self.shape.cores and self.speed_fraction > 0:
+                self._start(now, attempt, work)
+            else:
+                self.queue.append((attempt, work))
+
+    def _start(self, now: int, attempt: AttemptT, work: float) -> None:
+        core = self.core_rate(now)
+        capacity = core * self.shape.cores
+        rate = core * max(MIN_SETUP_SPEED, 1 - min(1.0, self.demand / capacity))
+        self.running_setups += 1
+        self.setup_work_rate += rate
+        due_us = now + max(1, round(work / rate * SECOND_US))
+        self.engine.at(due_us, self._finish_setup, attempt, rate, self.incarnation)
+
+    def _finish_setup(self, attempt: AttemptT, rate: float, incarnation: int) -> None:
+        if incarnation != self.incarnation:
+            return
+        now = self.engine.now
+        self.advance(now)
+        self.running_setups -= 1
+        self.setup_work_rate = self.setup_work_rate - rate if self.running_setups else 0.0
+        if attempt in self.pending_attempts:
+            self.pending_attempts[attempt] = True
+            self.work_counts.attempts_set_up += 1
+            self.send_answer(attempt, SetupAnswer.ESTABLISHED)
+        self._start_waiting(now)
+
+    def _start_waiting(self, now: int) -> None:
+        while self.queue and self.running_setups < self.shape.cores and self.speed_fraction > 0:
+            attempt, work = self.queue.popleft()
+            if attempt in self.pending_attempts:  # not abandoned
+                self._start(now, attempt, work)
+
+    def abandon(self, now: int, attempt: AttemptT) -> None:
+        """Forgets an attempt that its caller has given up."""
+        if self.pending_attempts.pop(attempt, True) is False:
+            self.work_counts.attempts_abandoned += 1
+
+    # -- open connections ----------------------------------------------------------------------------
+
+    def open(self, now: int, connection: Connection[AttemptT], load: float) -> bool:
+        """Opens a connection. Returns False if the server has restarted since, and does not know its attempt."""
+        if not self.is_up or connection.attempt not in self.pending_attempts:
+            return False
+        self.advance(now)
+        del self.pending_attempts[connection.attempt]
+        self.open_connections[connection.attempt] = connection
+        self.weight_by_class[connection.class_index] += connection.priority_weight
+        connection.served_s_at_credit = self.served_s_by_class[connection.class_index]
+        count = self.connections_by_group.get(connection.group, 0)
+        self.connections_by_group[connection.group] = count + 1
+        self.demand += load + (0.0 if count else self.parameters.group_load)
+        connection.load = load
+        return True
+
+    def change_load(self, now: int, connection: Connection[AttemptT], load: float) -> None:
+        """Changes the load of a connection."""
+        if connection.attempt in self.open_connections and not connection.is_unreachable:
+            self.advance(now)
+            self.demand += load - connection.load
+            connection.load = load
+
+    def set_unreachable(self, now: int, connection: Connection[AttemptT], muted: bool, load: float) -> None:
+        """Cuts or restores the link of a connection; while it is cut, nothing is asked and nothing is served."""
+        if connection.is_unreachable == muted or connection.attempt not in self.open_connections:
+            return
+        self.advance(now)
+        if muted:
+            connection.uncredited_s += self.served_s_by_class[connection.class_index] - connection.served_s_at_credit
+            self.weight_by_class[connection.class_index] -= connection.priority_weight
+            self.demand -= connection.load
+            connection.load = 0.0
+        else:
+            connection.served_s_at_credit = self.served_s_by_class[connection.class_index]
+            self.weight_by_class[connection.class_index] += connection.priority_weight
+            self.demand += load
+            connection.load = load
+        connection.is_unreachable = muted
+
+    def close(self, now: int, connection: Connection[AttemptT]) -> None:
+        """Closes a connection; its `earned` is complete then."""
+        if connection.attempt not in self.open_connections:
+            return
+        self.advance(now)
+        del self.open_connections[connection.attempt]
+        if not connection.is_unreachable:
+            connection.uncredited_s += self.served_s_by_class[connection.class_index] - connection.served_s_at_credit
+            self.weight_by_class[connection.class_index] -= connection.priority_weight
+        count = self.connections_by_group[connection.group] - 1
+        if count:
+            self.connections_by_group[connection.group] = count
+        else:
+            del self.connections_by_group[connection.group]
+        self.demand -= connection.load + (0.0 if count else self.parameters.group_load)
+        if not self.open_connections:  # rounding errors do not add up
+            self.demand, self.weight_by_class = 0.0, [0.0] * len(self.weight_by_class)
+
+    # -- the process ---------------------------------------------------------------------------------
+
+    def stop(self, now: int) -> tuple[list[Connection[AttemptT]], list[AttemptT]]:
+        """Ends the process. Returns the connections and the pending attempts that it held."""
+        self.advance(now)
+        connections, pending = list(self.open_connections.values()), list(self.pending_attempts)
+        for connection in connections:
+            self.close(now, connection)
+        self.work_counts.lost += self.backlog
+        self.work_counts.attempts_lost += sum(not is_set_up for is_set_up in self.pending_attempts.values())
+        self.is_up, self.incarnation = False, self.incarnation + 1
+        self.queue.clear()
+        self.pending_attempts.clear()
+        self.backlog = self.setup_work_rate = 0.0
+        self.running_setups = 0
+        return connections, pending
+
+    def start(self, now: int) -> None:
+        """Starts a new process in slow start. Load reports of the old one stay until it has made its own."""
+        self.advance(now)
+        self.is_up, self.is_draining, self.started_us = True, False, now
+        self.speed_fraction = 1.0
+        self.slow_start_arrivals.clear()
+        self.slow_start_load = 0.0
+
+    def set_speed_fraction(self, now: int, fraction: float) -> None:
+        """Sets the fraction of its speed that a fault leaves."""
+        self.advance(now)
+        self.speed_fraction = fraction
+        self._start_waiting(now)
+
+    def do_health_check(self, now: int, work: float, waits: bool = True) -> float:
+        """Does the work of a health check. Returns its time in microseconds, behind the backlog if it waits."""
+        self.advance(now)
+        capacity = self.capacity(now)
+        if capacity <= 0:
+            return float("inf")
+        wait_us = self.backlog / capacity * SECOND_US if waits else 0.0
+        self.backlog += work
+        self.work_counts.demanded += work
+        return wait_us + work / self.core_rate(now) * SECOND_US
+
+    def _exceeds_slow_start_budget(self, now: int, load: float, is_informed: bool) -> bool:
+        """Counts load sent to a cold server. Returns whether it overloads the server.
+
+        The budget is a multiple of the load that fills the server evenly over its slow start, in any window of the
+        stated length, with some slack. It covers the load of all balancers.
+        """
+        figures, shape = self.parameters, self.shape
+        if self.warm_fraction(now) >= 1:
+            return False
+        self.slow_start_arrivals.append((now, load, is_informed))
+        self.slow_start_load += load
+        while self.slow_start_arrivals[0][0] <= now - figures.slow_start_window_us:
+            self.slow_start_load -= self.slow_start_arrivals.popleft()[1]
+        rate = SECOND_US * shape.speed * shape.cores * self.warm_fraction(now) / (shape.slow_start_us / SECOND_US)
+        budget = figures.slow_start_multiple * rate * figures.slow_start_window_us / SECOND_US
+        self.was_overloaded_while_cold = self.slow_start_load > budget + BUDGET_SLACK_LOADS * figures.usual_load
+        return self.was_overloaded_while_cold
--- a/glenrock/simulation/model/shapes.py
+++ b/glenrock/simulation/model/server_shapes.py
@@ -1,4 +1,4 @@
-"""The instances of a run, as drawn for it, and the figures that they share."""
+"""The servers of a run, as drawn for it, and the figures that they share."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 from ..spec import Experiment, Kind
 from ..spec_types import drawn_count, drawn_number
 from ..streams import Streams
-from .instance import Figures, Shape
-from .plan import skewed
+from .server import ServerParameters, ServerShape
+from .workload import skewed
 
-MIN_SPEED_FACTOR = 0.2  # of the normal draw of an instance's speed
+MIN_SPEED_FACTOR = 0.2  # of the normal draw of a server's speed
 
 
-def shapes(experiment: Experiment, streams: Streams) -> list[Shape]:
-    """Draws the instances of an experiment that is itself drawn."""
+def draw_server_shapes(experiment: Experiment, streams: Streams) -> list[ServerShape]:
+    """Draws the servers of an experiment that is itself drawn."""
     draw = streams.of("instances")
     count = drawn_count(experiment.fleet.instances)
     shares = np.array([drawn_number(kind.share) for kind in experiment.kinds])
@@ -32,36 +32,36 @@
     return found
 
 
-def _shape(kind: Kind, zone: int, speed: float) -> Shape:
-    return Shape(
+def _shape(kind: Kind, zone: int, speed: float) -> ServerShape:
+    return ServerShape(
         kind=kind.name,
         zone=zone,
         cores=kind.cores,
         speed=speed,
-        cold_part=drawn_number(kind.cold_part),
-        warm_us=drawn_number(kind.warm_s) * SECOND_US,
-        crowd_at=drawn_number(kind.crowd_at),
-        crowd_loss=drawn_number(kind.crowd_loss),
-        queue=max(1, round(drawn_number(kind.queue_per_core) * kind.cores)),
-        connections=max(1, round(drawn_number(kind.connections_per_core) * kind.cores)),
-        buffer_s=drawn_number(kind.buffer_s),
-        sheds=kind.sheds,
+        initial_fraction=drawn_number(kind.cold_part),
+        slow_start_us=drawn_number(kind.warm_s) * SECOND_US,
+        crowding_threshold=drawn_number(kind.crowd_at),
+        crowding_loss=drawn_number(kind.crowd_loss),
+        max_waiting_attempts=max(1, round(drawn_number(kind.queue_per_core) * kind.cores)),
+        max_connections=max(1, round(drawn_number(kind.connections_per_core) * kind.cores)),
+        max_backlog_s=drawn_number(kind.buffer_s),
+        shedding=kind.sheds,
     )
 
 
-def figures(experiment: Experiment) -> Figures:
-    """Returns the figures that the instances of a drawn experiment share."""
+def server_parameters(experiment: Experiment) -> ServerParameters:
+    """Returns the figures that the servers of a drawn experiment share."""
     objectives_us = tuple(drawn_number(class_.message_aim_ms) * 1000 for class_ in experiment.classes)
     shortest_us = min(drawn_number(class_.message_aim_ms) for class_ in experiment.classes) * 1000
     usual_load = SECOND_US / drawn_number(experiment.traffic.connections_per_core)
-    return Figures(
+    return ServerParameters(
         message_us=shortest_us * drawn_number(experiment.traffic.message_part),
         bursty=drawn_number(experiment.traffic.bursty),
-        aims=objectives_us,
-        shortest_us=shortest_us,
+        message_objectives_us=objectives_us,
+        shortest_objective_us=shortest_us,
         group_load=usual_load * drawn_number(experiment.traffic.group_cost),
         usual_load=usual_load,
-        report_us=max(1, round(drawn_number(experiment.reports.period_ms) * 1000)),
-        cold_multiple=experiment.rules.cold_multiple,
-        cold_window_us=round(experiment.rules.cold_window_ms * 1000),
+        load_report_interval_us=max(1, round(drawn_number(experiment.reports.period_ms) * 1000)),
+        slow_start_multiple=experiment.rules.cold_multiple,
+        slow_start_window_us=round(experiment.rules.cold_window_ms * 1000),
     )
--- a/glenrock/simulation/model/store.py
+++ b/glenrock/simulation/model/store.py
@@ -1,4 +1,4 @@
-"""The store that every attempt asks: one queue, first come first served, for all instances together.
+"""The store that every attempt asks: one queue, first come first served, for all servers together.
 
 A call cannot be withdrawn, so the store also serves calls of clients that have disconnected.
 """
--- a/glenrock/simulation/model/waits.py
+++ b/glenrock/simulation/model/waits.py
@@ -1,4 +1,4 @@
-"""The time of messages at an instance: Erlang C for several cores, behind a backlog of work."""
+"""The time of messages at a server: Erlang C for several cores, behind a backlog of work."""
 
 from __future__ import annotations
 
--- a/glenrock/simulation/model/plan.py
+++ b/glenrock/simulation/model/workload.py
@@ -24,49 +24,49 @@
 
 
 @dataclass(slots=True, eq=False)
-class Row:
+class PlannedClient:
     """The workload of one client.
 
     Attributes:
-        arrival: microseconds from the start of the run; below 0: its connection is open at the start.
-        end: microseconds from the start of the run.
-        kind: index of its class.
-        usual: usual load, in microseconds of work a second.
-        weight: factor of its priority weight: 1, or less beyond the quota of its tenant.
-        changes: times from the start of the run, and the load from then on.
+        arrival_us: microseconds from the start of the run; below 0: its connection is open at the start.
+        end_us: microseconds from the start of the run.
+        class_index: index of its class.
+        usual_load: usual load, in microseconds of work a second.
+        quota_factor: factor of its priority weight: 1, or less beyond the quota of its tenant.
+        load_changes: times from the start of the run, and the load from then on.
     """
 
     number: int
-    arrival: int
-    end: int
-    kind: int
+    arrival_us: int
+    end_us: int
+    class_index: int
     tenant: int
     zone: int
     group: int
-    usual: float
-    weight: float
-    changes: tuple[tuple[int, float], ...]
+    usual_load: float
+    quota_factor: float
+    load_changes: tuple[tuple[int, float], ...]
 
 
 @dataclass(slots=True)
-class Plan:
+class Workload:
     """The workload of a run.
 
     Attributes:
-        rows: clients by arrival.
-        asked: priority weight asked for in each second, by class.
+        clients: clients by arrival.
+        demanded: priority weight asked for in each second, by class.
         quotas: connections of each tenant's quota.
         usual_load: mean load of a connection, in microseconds of work a second.
         capacity: of the whole fleet, in microseconds of work a second.
-        per_s: mean rate of new clients.
+        clients_per_s: mean rate of new clients.
     """
 
-    rows: list[Row]
-    asked: Numbers
+    clients: list[PlannedClient]
+    demanded: Numbers
     quotas: tuple[float, ...]
     usual_load: float
     capacity: float
-    per_s: float
+    clients_per_s: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -100,13 +100,13 @@
     return fractions
 
 
-def plan(experiment: Experiment, streams: Streams, capacity: float) -> Plan:
+def draw_workload(experiment: Experiment, streams: Streams, capacity: float) -> Workload:
     """Draws the workload of an experiment that is itself drawn.
 
     Args:
         experiment: the drawn experiment.
         streams: the streams of the run.
-        capacity: of the instances drawn for the run, in microseconds of work a second.
+        capacity: of the servers drawn for the run, in microseconds of work a second.
     """
     rates = _rates(experiment, capacity)
     share_room = drawn_number(experiment.platform.share_room)
@@ -193,7 +193,7 @@
     quotas: tuple[float, ...],
     rates: _Rates,
     capacity: float,
-) -> Plan:
+) -> Workload:
     traffic, classes, zone_count = experiment.traffic, experiment.classes, len(experiment.fleet.zones)
     count, length_s = len(times), drawn_number(experiment.length_s)
     fractions, lives_s = rates.class_fractions, rates.lives_s
@@ -232,9 +232,9 @@
         changes,
         strict=True,
     )
-    rows = [Row(number, *column) for number, column in enumerate(columns)]
+    rows = [PlannedClient(number, *column) for number, column in enumerate(columns)]
     asked = _asked(experiment, times, ends, kinds, weights, length_s)
-    return Plan(rows, asked, quotas, rates.mean_load, capacity, rates.clients_per_s)
+    return Workload(rows, asked, quotas, rates.mean_load, capacity, rates.clients_per_s)
 
 
 def _draw_changes(
--- a/glenrock/simulation/plots.py
+++ b/glenrock/simulation/plots.py
@@ -75,7 +75,7 @@
 
 
 def heat(loads: npt.NDArray[np.float64], faults: list[dict[str, Any]]) -> bytes:
-    """Plots loads, instances by seconds; below 0, where an instance was down, is white."""
+    """Plots loads, servers by seconds; below 0, where a server was down, is white."""
     figure, axes = plt.subplots(figsize=(9, min(8, 1.6 + 0.12 * len(loads))))
     image = axes.imshow(
         np.ma.masked_less(loads, 0),
--- a/glenrock/simulation/policies/oracle.py
+++ b/glenrock/simulation/policies/oracle.py
@@ -1,7 +1,7 @@
-"""An upper reference, not a policy to serve with: it reads the true state of all instances and links.
+"""An upper reference, not a policy to serve with: it reads the true state of all servers and links.
 
-Each request goes to the reachable instance with the least load in relation to its capacity, with attempts in flight
-counted, and to a cold instance only up to half of its slow-start budget. It neither rejects a request nor migrates a
+Each request goes to the reachable server with the least load in relation to its capacity, with attempts in flight
+counted, and to a cold server only up to half of its slow-start budget. It neither rejects a request nor migrates a
 connection for load. A real balancer cannot have this information; the result is a reference, not an upper bound.
 """
 
@@ -12,7 +12,7 @@
 from .simple import KnownServer, PendingRequest, SimplePolicy
 
 ZONE_CROSSING_COST = 0.03  # load that a crossing must save
-NEW_GROUP_FACTOR = 8.0  # times the load of a group, since a group at many instances costs the whole fleet
+NEW_GROUP_FACTOR = 8.0  # times the load of a group, since a group at many servers costs the whole fleet
 BUDGET_FRACTION = 0.5  # of the slow-start budget
 UNREACHABLE_COST, OVER_BUDGET_COST = 1e9, 1e6
 
@@ -32,18 +32,22 @@
         return min(candidates, key=lambda server: self._cost(request, server))
 
     def _cost(self, request: PendingRequest, server: KnownServer) -> float:
-        instance = self.fleet.instances[server.id]
-        figures, zone = instance.figures, self.balancer.zone
-        is_reachable = self.fleet.links.is_open(zone, instance.shape.zone)
-        if not instance.up or instance.draining or not instance.slow or not is_reachable:
+        model = self.fleet.servers[server.id]
+        figures, zone = model.parameters, self.balancer.zone
+        is_reachable = self.fleet.links.is_open(zone, model.shape.zone)
+        if not model.is_up or model.is_draining or not model.speed_fraction or not is_reachable:
             return UNREACHABLE_COST
-        usual_load = self.fleet.plan.usual_load
-        capacity = instance.capacity(self.now_us)
-        if instance.warmth(self.now_us) < 1:
-            rate = capacity / (instance.shape.warm_us / 1e6)
-            budget = BUDGET_FRACTION * figures.cold_multiple * rate * figures.cold_window_us / 1e6
-            if instance.sent_load + usual_load > budget:
+        usual_load = self.fleet.workload.usual_load
+        capacity = model.capacity(self.now_us)
+        if model.warm_fraction(self.now_us) < 1:
+            rate = capacity / (model.shape.slow_start_us / 1e6)
+            budget = BUDGET_FRACTION * figures.slow_start_multiple * rate * figures.slow_start_window_us / 1e6
+            if model.slow_start_load + usual_load > budget:
                 return OVER_BUDGET_COST
-        load = (instance.demand + instance.piled + len(instance.opening) * usual_load) / capacity
-        load += NEW_GROUP_FACTOR * figures.group_load / capacity if request.event.group not in instance.groups else 0.0
-        return load + (ZONE_CROSSING_COST if instance.shape.zone != zone else 0.0)
+        load = (model.demand + model.backlog + len(model.pending_attempts) * usual_load) / capacity
+        load += (
+            NEW_GROUP_FACTOR * figures.group_load / capacity
+            if request.event.group not in model.connections_by_group
+            else 0.0
+        )
+        return load + (ZONE_CROSSING_COST if model.shape.zone != zone else 0.0)
--- a/glenrock/simulation/process_control.py
+++ b/glenrock/simulation/process_control.py
@@ -7,8 +7,8 @@
 
 from .engine import SECOND_US
 from .model.balancer import BalancerProcess
-from .model.instance import Connection, Instance
 from .model.requests import Attempt, ClientRequest, RequestOutcome
+from .model.server import Connection, ServerModel
 from .server_attempts import ServerAttempts
 from .spec_types import drawn_number
 
@@ -25,26 +25,26 @@
 class ProcessControl(ServerAttempts):
     """The part of a simulation that starts and ends processes, and cuts links."""
 
-    def start_instance(self, instance: Instance[Attempt]) -> None:
-        """Starts the process of an instance, unless it runs or was overloaded while cold."""
-        if instance.up or instance.fallen:
+    def start_server(self, server: ServerModel[Attempt]) -> None:
+        """Starts the process of a server, unless it runs or was overloaded while cold."""
+        if server.is_up or server.was_overloaded_while_cold:
             return
-        self.invariants.record_event(self.engine.now, "starts", "", instance.name)
-        instance.begin(self.engine.now)
+        self.invariants.record_event(self.engine.now, "starts", "", server.name)
+        server.start(self.engine.now)
         add_s = drawn_number(self.experiment.discovery.add_s)
-        self.feed.report_change(add_s, instance.name, EndpointState.READY, instance.started)
+        self.feed.report_change(add_s, server.name, EndpointState.READY, server.started_us)
 
-    def drain_instance(self, instance: Instance[Attempt]) -> None:
-        """Reports an instance as draining."""
-        if instance.up and not instance.draining:
-            self.invariants.record_event(self.engine.now, "drains", "", instance.name)
-            instance.draining = True
-            self.feed.report_change(0.0, instance.name, EndpointState.DRAINING)
+    def drain_server(self, server: ServerModel[Attempt]) -> None:
+        """Reports a server as draining."""
+        if server.is_up and not server.is_draining:
+            self.invariants.record_event(self.engine.now, "drains", "", server.name)
+            server.is_draining = True
+            self.feed.report_change(0.0, server.name, EndpointState.DRAINING)
 
-    def stop_if_draining(self, instance: Instance[Attempt]) -> None:
-        """Ends the process of an instance that is still draining."""
-        if instance.draining:
-            self.stop_instance(instance)
+    def stop_if_draining(self, server: ServerModel[Attempt]) -> None:
+        """Ends the process of a server that is still draining."""
+        if server.is_draining:
+            self.stop_server(server)
 
     # -- partitions ----------------------------------------------------------------------------------
 
@@ -53,28 +53,28 @@
         self.invariants.record_event(self.engine.now, f"zone {self.zones[zone]} is cut", "", "")
         self.links.partitioned_zones.add(zone)
         for connection in self._partitioned_connections():
-            connection.attempt.instance.mute(self.engine.now, connection, True, 0.0)
-            delay_us = self.silence_timeout_us + round(HEARTBEAT_S * SECOND_US * self.habits.draw())
+            connection.attempt.server.set_unreachable(self.engine.now, connection, True, 0.0)
+            delay_us = self.silence_timeout_us + round(HEARTBEAT_S * SECOND_US * self.client_delays.draw())
             self.engine.at(self.engine.now + delay_us, self._break_partitioned, connection)
 
     def _break_partitioned(self, connection: Connection[Attempt]) -> None:
-        if connection.muted and connection.attempt.request.client.connection is connection:
+        if connection.is_unreachable and connection.attempt.request.client.connection is connection:
             self.break_connection(connection, AttemptOutcome.BROKEN)
 
     def heal_zone(self, zone: int) -> None:
         """Restores the links of a zone, and the connections over them that are still open."""
         self.links.partitioned_zones.discard(zone)
         for connection in self._partitioned_connections():
-            if connection.muted and self._path_is_open(connection.attempt):
+            if connection.is_unreachable and self._path_is_open(connection.attempt):
                 load = self.load_of(connection.attempt.request.client)
-                connection.attempt.instance.mute(self.engine.now, connection, False, load)
+                connection.attempt.server.set_unreachable(self.engine.now, connection, False, load)
 
     def _partitioned_connections(self) -> list[Connection[Attempt]]:
         return [
             connection
-            for instance in self.instances.values()
-            for connection in instance.held.values()
-            if not self._path_is_open(connection.attempt) or connection.muted
+            for server in self.servers.values()
+            for connection in server.open_connections.values()
+            if not self._path_is_open(connection.attempt) or connection.is_unreachable
         ]
 
     # -- balancers -----------------------------------------------------------------------------------
@@ -135,7 +135,7 @@
             if attempt and attempt.connection:
                 if is_planned:
                     text = "still held at the end of a planned restart"
-                    self.record_violation("cut off", text, request, attempt.instance.name)
+                    self.record_violation("cut off", text, request, attempt.server.name)
                 attempt.is_active = False
                 self.break_connection(attempt.connection, AttemptOutcome.BROKEN, balancer_is_up=False)
             else:
--- a/glenrock/simulation/record.py
+++ b/glenrock/simulation/record.py
@@ -2,7 +2,7 @@
 
 summary.json     the summary (docs/simulation.md lists the keys)
 series.csv       time series, a row a second
-heat.csv         load of each instance, a row a second; -1 while it was down
+heat.csv         load of each server, a row a second; -1 while it was down
 histograms.json  HDR histograms in HdrHistogram's base64 form
 report.html      the same for people
 """
@@ -22,7 +22,7 @@
 
 from ..toml_file import InputFileError
 from .fleet_simulation import FleetSimulation
-from .measure import Measure
+from .measure import Measurements
 from .spec import Experiment
 
 RESULT_FILES = ("summary.json", "sweep.json", "compare.json")  # a folder that holds one of these may be replaced
@@ -79,11 +79,11 @@
 
 def write_run(into: Path, simulation: FleetSimulation, summary: dict[str, Any]) -> None:
     """Writes the results of a run, without its report."""
-    write_tables(into, simulation.measure, simulation.experiment, list(simulation.instances), summary)
+    write_tables(into, simulation.measure, simulation.experiment, list(simulation.servers), summary)
 
 
 def write_tables(
-    into: Path, measure: Measure, experiment: Experiment, instances: list[str], summary: dict[str, Any]
+    into: Path, measure: Measurements, experiment: Experiment, instances: list[str], summary: dict[str, Any]
 ) -> None:
     """Writes summary, time series, loads and histograms."""
     (into / "summary.json").write_text(text_of(summary), encoding="utf-8")
@@ -93,17 +93,19 @@
         writer = csv.writer(file_)
         writer.writerow(["second", *instances])
         for second in range(measure.seconds):
-            writer.writerow([second, *(f"{load:.3f}" for load in measure.heat[:, second])])
-    histograms = {f"setup {name}": waits.encode().decode() for name, waits in zip(classes, measure.waits, strict=True)}
+            writer.writerow([second, *(f"{load:.3f}" for load in measure.relative_loads[:, second])])
+    histograms = {
+        f"setup {name}": waits.encode().decode() for name, waits in zip(classes, measure.setup_waits, strict=True)
+    }
     histograms |= {
         "messages": measure.messages.encode().decode(),
-        "refusals": measure.refusals.encode().decode(),
+        "refusals": measure.rejections.encode().decode(),
     }
     (into / "histograms.json").write_text(text_of(histograms), encoding="utf-8")
 
 
-def _write_series(path: Path, measure: Measure, classes: list[str]) -> None:
-    served = np.array(measure.earned)
+def _write_series(path: Path, measure: Measurements, classes: list[str]) -> None:
+    served = np.array(measure.served)
     names = list(measure.series)
     with open(path, "w", newline="", encoding="utf-8") as file_:
         writer = csv.writer(file_)
@@ -111,9 +113,9 @@
         writer.writerow(["second", "asked", "served", *asked_names, *served_names, *names])
         for second in range(measure.seconds):
             row = [
-                measure.asked[second].sum(),
+                measure.demanded[second].sum(),
                 served[second].sum(),
-                *measure.asked[second],
+                *measure.demanded[second],
                 *served[second],
                 *(measure.series[name][second] if second < len(measure.series[name]) else 0.0 for name in names),
             ]
--- a/glenrock/simulation/run_summary.py
+++ b/glenrock/simulation/run_summary.py
@@ -9,7 +9,7 @@
 
 from .engine import SECOND_US
 from .fleet_state import FleetState
-from .measure import ratio, rounded, told
+from .measure import ratio, rounded, summarize_histogram
 
 SUMMARY_FORMAT = 1
 MIN_CPU_S = 1e-9  # below it a rate would divide by zero
@@ -43,19 +43,19 @@
         "counts": dict(counts),
         "events": events,
         "per_client": {name: rounded(counts[name] / clients) for name in COUNTS_PER_CLIENT},
-        "crossing_part": rounded(ratio(measure.crossing_s, measure.standing_s) if measure.standing_s else 0.0),
+        "crossing_part": rounded(ratio(measure.cross_zone_s, measure.connection_s) if measure.connection_s else 0.0),
         "fairness": measure.fairness(),
         "setup": {
-            class_.name: told(histogram)
-            for class_, histogram in zip(state.experiment.classes, measure.waits, strict=True)
+            class_.name: summarize_histogram(histogram)
+            for class_, histogram in zip(state.experiment.classes, measure.setup_waits, strict=True)
         },
-        "messages": told(measure.messages),
-        "refusals": told(measure.refusals),
+        "messages": summarize_histogram(measure.messages),
+        "refusals": summarize_histogram(measure.rejections),
         "fleet": {
             "balancers": len(state.balancers),
-            "instances": len(state.instances),
-            "capacity_cores": rounded(state.plan.capacity / SECOND_US),
-            "clients_per_s": rounded(state.plan.per_s),
+            "instances": len(state.servers),
+            "capacity_cores": rounded(state.workload.capacity / SECOND_US),
+            "clients_per_s": rounded(state.workload.clients_per_s),
         },
         "events_per_s": round(events / max(MIN_CPU_S, cpu_s - decision_cpu_s)),
         "clock": _clock(state, wall_s, cpu_s, decision_cpu_s),
--- a/glenrock/simulation/server_attempts.py
+++ b/glenrock/simulation/server_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts at instances, open connections, health checks, gossip, and what the end of an instance does to them."""
+"""Attempts at servers, open connections, health checks, gossip, and what the end of a server does to them."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from .engine import SECOND_US
 from .measure import ratio
 from .model.balancer import BalancerProcess
-from .model.instance import Connection, Instance, SetupAnswer
 from .model.requests import Attempt
+from .model.server import Connection, ServerModel, SetupAnswer
 from .spec_types import drawn_number
 
 HANDSHAKE_WAYS = 3  # one-way times until the first line has arrived: two of TCP's handshake, and its own
-INFORMED_FRACTION = 2 / 3  # of a cold instance's load; from here on its overload is the informed balancers' violation
+INFORMED_FRACTION = 2 / 3  # of a cold server's load; from here on its overload is the informed balancers' violation
 
 
 @dataclass(slots=True)
@@ -26,24 +26,24 @@
 
     balancer: BalancerProcess
     incarnation: int
-    instance: Instance[Attempt]
+    server: ServerModel[Attempt]
     sent_us: int
 
 
 class ServerAttempts(ClientRequests):
-    """The part of a simulation between balancers and instances, and between balancers."""
+    """The part of a simulation between balancers and servers, and between balancers."""
 
     def _path_is_open(self, attempt: Attempt) -> bool:
-        return self.links.is_open(attempt.request.balancer.zone, attempt.instance.shape.zone)
+        return self.links.is_open(attempt.request.balancer.zone, attempt.server.shape.zone)
 
     def _draw_one_way_us(self, attempt: Attempt) -> int:
-        return self.links.one_way_us(attempt.request.balancer.zone, attempt.instance.shape.zone)
+        return self.links.one_way_us(attempt.request.balancer.zone, attempt.server.shape.zone)
 
     def start_attempt(self, attempt: Attempt, timeout_us: int) -> None:
         """Sends an attempt; it times out after `timeout_us` (0: none) or at the request's deadline."""
-        now, request, instance = self.engine.now, attempt.request, attempt.instance
+        now, request, server = self.engine.now, attempt.request, attempt.server
         self.measure.counts["attempts"] += 1
-        self.invariants.record_event(now, f"attempt {attempt.number} sent", request.id, instance.name)
+        self.invariants.record_event(now, f"attempt {attempt.number} sent", request.id, server.name)
         limit_us = request.deadline_us - now
         limit_us = max(0, min(limit_us, timeout_us)) if timeout_us else limit_us
         if not limit_us:
@@ -53,27 +53,27 @@
         if not self._path_is_open(attempt):
             self.engine.at(now + self.connect_timeout_us, self._end_attempt, attempt, AttemptOutcome.NO_CONNECTION)
         else:
-            ways = HANDSHAKE_WAYS if instance.up else 1
+            ways = HANDSHAKE_WAYS if server.is_up else 1
             self.engine.at(now + ways * self._draw_one_way_us(attempt), self._attempt_arrives, attempt)
 
     def _attempt_arrives(self, attempt: Attempt) -> None:
-        request, instance = attempt.request, attempt.instance
+        request, server = attempt.request, attempt.server
         if not attempt.is_active or not self._path_is_open(attempt):
             return
         row = request.client.row
-        work_us = self.setup_work_us[row.kind]
-        if self.experiment.classes[row.kind].setup_spread == "exp":
+        work_us = self.setup_work_us[row.class_index]
+        if self.experiment.classes[row.class_index].setup_spread == "exp":
             work_us *= self.draw_setup_work()
-        endpoint = request.balancer.endpoints.get(instance.name)
-        is_informed = endpoint is not None and endpoint.started_us >= instance.started
-        instance.arrive(self.engine.now, attempt, work_us, row.usual, is_informed)
-        if instance.fallen and instance.up:
-            self._fall_over(instance)
+        endpoint = request.balancer.endpoints.get(server.name)
+        is_informed = endpoint is not None and endpoint.started_us >= server.started_us
+        server.receive_attempt(self.engine.now, attempt, work_us, row.usual_load, is_informed)
+        if server.was_overloaded_while_cold and server.is_up:
+            self._fall_over(server)
 
     def receive_setup_answer(self, attempt: Attempt, answer: SetupAnswer) -> None:
-        """Sends an instance's answer to an attempt back to its balancer."""
+        """Sends a server's answer to an attempt back to its balancer."""
         one_way_us = self._draw_one_way_us(attempt)
-        name = attempt.instance.name
+        name = attempt.server.name
         is_established = answer == SetupAnswer.ESTABLISHED
         if is_established and name in self.error_chances and self.draw_error() < self.error_chances[name]:
             answer, is_established = SetupAnswer.ERROR, False
@@ -95,60 +95,60 @@
             self.abandon_attempt(attempt)
             self._end_attempt(attempt, AttemptOutcome.CANCELLED)
             return
-        self.invariants.record_event(self.engine.now, "up", request.id, attempt.instance.name)
+        self.invariants.record_event(self.engine.now, "up", request.id, attempt.server.name)
         self.measure.counts["set_up"] += 1
         request.balancer.report_established(attempt)
         self.open_connection(attempt)
         client = request.client
         if client.request is not request:  # the client disconnected before the answer
             self.close_unwanted(request)
-        elif client.row.end <= client.row.arrival:
+        elif client.row.end_us <= client.row.arrival_us:
             client.is_done = True
             self.close_unwanted(request)
 
     def open_connection(self, attempt: Attempt) -> None:
-        """Opens the connection of an established attempt at its instance."""
+        """Opens the connection of an established attempt at its server."""
         request, client, now = attempt.request, attempt.request.client, self.engine.now
         row = client.row
         is_wanted = client.request is request
-        value = 0.0 if self.is_over else float(self.experiment.classes[row.kind].worth) * row.weight
-        connection = Connection(attempt, request.balancer.index, row.kind, row.group, value)
+        value = 0.0 if self.is_over else float(self.experiment.classes[row.class_index].worth) * row.quota_factor
+        connection = Connection(attempt, request.balancer.index, row.class_index, row.group, value)
         attempt.connection = connection
         if client.waiting_since_us >= 0 and is_wanted:
-            self.measure.waits[row.kind].record_value(max(1, now - client.waiting_since_us))
-        if not attempt.instance.open(now, connection, self.load_of(client)):  # the instance has restarted since
+            self.measure.setup_waits[row.class_index].record_value(max(1, now - client.waiting_since_us))
+        if not attempt.server.open(now, connection, self.load_of(client)):  # the server has restarted since
             attempt.connection = None
             request.balancer.report_attempt_ended(attempt, AttemptOutcome.BROKEN)
             if is_wanted:
-                self.reconnect_after(client, self.habits.after_break())
+                self.reconnect_after(client, self.client_delays.delay_after_break())
             return
-        if request.balancer.zone != attempt.instance.shape.zone:
+        if request.balancer.zone != attempt.server.shape.zone:
             self.measure.counts["crossings"] += 1
         if is_wanted:
             client.connection, client.waiting_since_us, client.failures = connection, -1, 0
             self.connected_clients[client] = None
-        connection.opened = now
+        connection.opened_us = now
 
     def _time_out(self, attempt: Attempt) -> None:
         if attempt.is_active and not attempt.is_established:
-            self.invariants.record_event(self.engine.now, "timed out", attempt.request.id, attempt.instance.name)
+            self.invariants.record_event(self.engine.now, "timed out", attempt.request.id, attempt.server.name)
             self.abandon_attempt(attempt)
             attempt.request.balancer.report_attempt_ended(attempt, AttemptOutcome.TIMEOUT)
 
     def _end_attempt(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
         if attempt.is_active and not attempt.is_established:
             text = f"ends: {outcome}"
-            self.invariants.record_event(self.engine.now, text, attempt.request.id, attempt.instance.name)
+            self.invariants.record_event(self.engine.now, text, attempt.request.id, attempt.server.name)
             attempt.request.balancer.report_attempt_ended(attempt, outcome)
 
     def abandon_attempt(self, attempt: Attempt) -> None:
-        """Closes the balancer's side of an attempt; the instance learns of it one way later."""
+        """Closes the balancer's side of an attempt; the server learns of it one way later."""
         due_us = self.engine.now + self._draw_one_way_us(attempt)
-        self.engine.at(due_us, self._abandon_at_instance, attempt, attempt.instance.incarnation)
+        self.engine.at(due_us, self._abandon_at_instance, attempt, attempt.server.incarnation)
 
     def _abandon_at_instance(self, attempt: Attempt, incarnation: int) -> None:
-        if attempt.instance.incarnation == incarnation:
-            attempt.instance.abandon(self.engine.now, attempt)
+        if attempt.server.incarnation == incarnation:
+            attempt.server.abandon(self.engine.now, attempt)
 
     def break_connection(
         self,
@@ -157,7 +157,7 @@
         delay_us: int | None = None,
         balancer_is_up: bool = True,
     ) -> None:
-        """Ends a connection whose instance, link or client's side is lost; its client reconnects.
+        """Ends a connection whose server, link or client's side is lost; its client reconnects.
 
         Args:
             connection: the open connection.
@@ -168,32 +168,32 @@
         request, client = connection.attempt.request, connection.attempt.request.client
         is_wanted = client.connection is connection
         self.measure.counts["broken"] += 1
-        self.invariants.record_event(self.engine.now, "breaks", request.id, connection.attempt.instance.name)
+        self.invariants.record_event(self.engine.now, "breaks", request.id, connection.attempt.server.name)
         self.close(connection)
         if balancer_is_up:
             request.balancer.report_attempt_ended(connection.attempt, outcome)
         if is_wanted:
-            self.reconnect_after(client, self.habits.after_break() if delay_us is None else delay_us)
+            self.reconnect_after(client, self.client_delays.delay_after_break() if delay_us is None else delay_us)
 
     def drop_client_side(self, connection: Connection[Attempt], delay_us: int) -> None:
         """Ends an open connection from its client's side; the client reconnects after `delay_us`."""
         if connection.attempt.connection is connection and connection.attempt.is_active:
             self.break_connection(connection, AttemptOutcome.SERVED, delay_us)
 
-    # -- ends of instances ---------------------------------------------------------------------------
+    # -- ends of servers ---------------------------------------------------------------------------
 
-    def stop_instance(self, instance: Instance[Attempt]) -> None:
-        """Ends the process of an instance: its connections break, and discovery notices later."""
-        if not instance.up:
+    def stop_server(self, server: ServerModel[Attempt]) -> None:
+        """Ends the process of a server: its connections break, and discovery notices later."""
+        if not server.is_up:
             return
-        self.invariants.record_event(self.engine.now, "stops", "", instance.name)
-        connections, pending_attempts = instance.stop(self.engine.now)
+        self.invariants.record_event(self.engine.now, "stops", "", server.name)
+        connections, pending_attempts = server.stop(self.engine.now)
         for attempt in pending_attempts:
             self.receive_setup_answer(attempt, SetupAnswer.BROKEN)
         for connection in connections:
             self._lose_connection(connection)
         notice_s = drawn_number(self.experiment.discovery.notice_s)
-        self.feed.report_change(notice_s, instance.name, EndpointState.GONE)
+        self.feed.report_change(notice_s, server.name, EndpointState.GONE)
 
     def _lose_connection(self, connection: Connection[Attempt]) -> None:
         if self._path_is_open(connection.attempt):
@@ -205,17 +205,17 @@
         if connection.attempt.is_active and connection.attempt.request.client.connection is connection:
             self.break_connection(connection, AttemptOutcome.BROKEN)
 
-    def _fall_over(self, instance: Instance[Attempt]) -> None:
-        """Ends an overloaded cold instance, a violation if most of its load came from informed balancers."""
-        informed_load = sum(load for _, load, is_informed in instance.sent if is_informed)
-        fraction = ratio(informed_load, instance.sent_load)
-        after_s = (self.engine.now - instance.started) / SECOND_US
-        text = f"{instance.name} fell over {after_s:.2f} s after its start; told sent {fraction:.0%}"
+    def _fall_over(self, server: ServerModel[Attempt]) -> None:
+        """Ends an overloaded cold server, a violation if most of its load came from informed balancers."""
+        informed_load = sum(load for _, load, is_informed in server.slow_start_arrivals if is_informed)
+        fraction = ratio(informed_load, server.slow_start_load)
+        after_s = (self.engine.now - server.started_us) / SECOND_US
+        text = f"{server.name} fell over {after_s:.2f} s after its start; told sent {fraction:.0%}"
         if fraction >= INFORMED_FRACTION:
-            self.invariants.record_violation(self.engine.now, "cold", text, -1, "", instance.name)
+            self.invariants.record_violation(self.engine.now, "cold", text, -1, "", server.name)
         else:
-            self.invariants.record_event(self.engine.now, "falls over, untold", "", instance.name)
-        self.stop_instance(instance)
+            self.invariants.record_event(self.engine.now, "falls over, untold", "", server.name)
+        self.stop_server(server)
 
     # -- health checks, gossip, endpoint lists -------------------------------------------------------
 
@@ -228,8 +228,8 @@
     def send_own_health_check(self, balancer: BalancerProcess, server: str) -> None:
         """Sends a health check to a server."""
         self.measure.counts["probes"] += 1
-        check = _HealthCheck(balancer, balancer.incarnation, self.instances[server], self.engine.now)
-        zones = (balancer.zone, check.instance.shape.zone)
+        check = _HealthCheck(balancer, balancer.incarnation, self.servers[server], self.engine.now)
+        zones = (balancer.zone, check.server.shape.zone)
         if self.links.is_open(*zones):
             self.engine.at(self.engine.now + self.links.one_way_us(*zones), self._health_check_arrives, check)
         else:
@@ -244,33 +244,33 @@
         self.engine.at(due_us, self._health_check_ends, check, outcome, report or {})
 
     def _health_check_arrives(self, check: _HealthCheck) -> None:
-        now, reports, instance = self.engine.now, self.experiment.reports, check.instance
-        back_us = self.links.one_way_us(check.balancer.zone, instance.shape.zone)
-        if not instance.up:
+        now, reports, server = self.engine.now, self.experiment.reports, check.server
+        back_us = self.links.one_way_us(check.balancer.zone, server.shape.zone)
+        if not server.is_up:
             self._schedule_health_check_result(now + back_us, check, AttemptOutcome.NO_CONNECTION)
             return
-        took_us = instance.work(now, drawn_number(reports.probe_ms) * 1000, reports.probe_waits)
+        took_us = server.do_health_check(now, drawn_number(reports.probe_ms) * 1000, reports.probe_waits)
         limit_us = self._health_check_limit_us(check)
         if now + took_us + back_us > limit_us:
             self._schedule_health_check_result(limit_us, check, AttemptOutcome.TIMEOUT)
             return
         sigma = drawn_number(reports.noise)
-        figures = instance.reported(now - round(drawn_number(reports.delay_ms) * 1000))
+        figures = server.load_report_at(now - round(drawn_number(reports.delay_ms) * 1000))
         report: dict[str, float] = {
             name: figures[name] * exp(sigma * self.draw_report_noise()) for name in reports.names if name in figures
         }
         self._schedule_health_check_result(now + round(took_us) + back_us, check, AttemptOutcome.SERVED, report)
 
     def _health_check_ends(self, check: _HealthCheck, outcome: AttemptOutcome, report: dict[str, float]) -> None:
-        balancer, instance = check.balancer, check.instance
+        balancer, server = check.balancer, check.server
         if balancer.incarnation != check.incarnation or not balancer.is_up:
             return
-        if not self.links.is_open(balancer.zone, instance.shape.zone):
+        if not self.links.is_open(balancer.zone, server.shape.zone):
             outcome, report = AttemptOutcome.TIMEOUT, {}
         if self.shared_health_checks and outcome == AttemptOutcome.SERVED:
-            self.shared_health_checks.record_result(balancer, instance.name, report)
+            self.shared_health_checks.record_result(balancer, server.name, report)
         took_us = self.engine.now - check.sent_us
-        balancer.post(interface.HealthCheckResult(instance.name, outcome, took_us, report))
+        balancer.post(interface.HealthCheckResult(server.name, outcome, took_us, report))
 
     def send_gossip(self, balancer: BalancerProcess, data: bytes) -> None:
         """Sends a datagram to all peers of a balancer."""
--- a/glenrock/simulation/spec.py
+++ b/glenrock/simulation/spec.py
@@ -86,7 +86,7 @@
     """A kind of machine. The defaults are from the operators' table of machines."""
 
     name: str
-    share: Above0R = 1.0  # of the instances, relative to the other kinds
+    share: Above0R = 1.0  # of the servers, relative to the other kinds
     cores: Some = 4
     speed: Above0R = 1.0  # of a core, over a standard core
     speed_cv: Least0R = 0.0  # coefficient of variation of the speed between machines
@@ -134,7 +134,7 @@
     instances: SomeR = 12
     zones: tuple[str, ...] = ("a", "b")
     zone_skew: PartR = 0.0  # of clients over zones: 0 evenly, 1 all in the first
-    instance_skew: PartR = 0.0  # of instances over zones: 0 evenly, 1 all in the last
+    instance_skew: PartR = 0.0  # of servers over zones: 0 evenly, 1 all in the last
 
 
 class Traffic(Strict, frozen=True):
@@ -148,7 +148,7 @@
     swing: PartR = 0.0  # amplitude of arrivals about their mean
     hints: bool = False  # requests state their usual load
     group_size: Above0R = 20.0  # mean number of clients in a group
-    group_cost: Least0R = 0.0  # usual loads that an instance bears for each group with a connection there
+    group_cost: Least0R = 0.0  # usual loads that a server bears for each group with a connection there
     message_part: Above0R = 0.07  # work of a message, as a fraction of the shortest message objective
     bursty: Above0R = 2.0  # factor of waits, over those of evenly spread messages
 
@@ -228,7 +228,7 @@
     max_attempts: Some = 5
     may_probe: bool = True
     may_tell: bool = True
-    probe_shards: bool = False  # each instance is checked by one balancer, which shares the result
+    probe_shards: bool = False  # each server is checked by one balancer, which shares the result
     may_cancel: bool = True
     retry_after: bool = True
     max_retry_after_ms: Least0 = 1000.0
--- a/glenrock/simulation/spec_faults.py
+++ b/glenrock/simulation/spec_faults.py
@@ -22,7 +22,7 @@
 
 
 class Crash(Fault, frozen=True):
-    """A part of the instances dies at once; each comes back cold after `down_s` (0: never)."""
+    """A part of the servers dies at once; each comes back cold after `down_s` (0: never)."""
 
     part: PartR = 0.25
     down_s: Least0R = 10.0
@@ -54,7 +54,7 @@
 
 
 class Slow(Fault, frozen=True):
-    """A part of the instances works at `speed` of its own for `for_s`; 0 stands still and answers nothing."""
+    """A part of the servers works at `speed` of its own for `for_s`; 0 stands still and answers nothing."""
 
     part: PartR = 0.1
     speed: PartR = 0.3
@@ -90,7 +90,7 @@
 
 
 class Drains(Fault, frozen=True):
-    """A deploy: instances are drained a part at a time, stop after `drain_s` and start again cold."""
+    """A deploy: servers are drained a part at a time, stop after `drain_s` and start again cold."""
 
     part: PartR = 0.5
     batch: PartR = 0.1  # at a time, of all; at least one
@@ -107,7 +107,7 @@
 
 
 class Errs(Fault, frozen=True):
-    """A part of the instances answers `ERR` to set-ups, with this chance each, for `for_s`."""
+    """A part of the servers answers `ERR` to set-ups, with this chance each, for `for_s`."""
 
     part: PartR = 0.2
     chance: PartR = 1.0
@@ -115,7 +115,7 @@
 
 
 class ByHand(Fault, frozen=True):
-    """The instance that carries most is taken out, restarted `restart_s` later, and called back after `for_s`."""
+    """The server that carries most is taken out, restarted `restart_s` later, and called back after `for_s`."""
 
     for_s: Above0R = 7.4
     restart_s: Above0R = 4.0
--- a/glenrock/testbed/modelled_servers.py
+++ b/glenrock/testbed/modelled_servers.py
@@ -33,9 +33,9 @@
 from .session_servers import SessionServer
 from .simulation_model import (
     ModelConnection,
-    ModelFigures,
     PlannedClient,
     ServerModel,
+    ServerParameters,
     ServerShape,
     SetupAnswer,
     SimulationEngine,
@@ -77,7 +77,7 @@
     scenario: Scenario
     engine: RealTimeEngine
     history: History
-    figures: ModelFigures
+    figures: ServerParameters
     clients: dict[str, PlannedClient]
     report_noise: Callable[[], float]
     setup_work_us: Callable[[PlannedClient], float]
@@ -118,14 +118,14 @@
             cast(SimulationEngine, self._engine),
             environment.earn,
         )
-        self.model.last = self._engine.now
+        self.model.computed_until_us = self._engine.now
 
     # -- the process -----------------------------------------------------------------------------------
 
     def start(self) -> None:
         """Starts the process for the first time: it is warm."""
-        if self.started_ms or not self.model.up:
-            self.model.begin(self._engine.now)
+        if self.started_ms or not self.model.is_up:
+            self.model.start(self._engine.now)
         self._listen()
         self._history.note(self.party, ServerStarted(is_warming=bool(self.started_ms)))
 
@@ -136,7 +136,7 @@
 
     def crash(self) -> None:
         """Ends the process: connections are reset, new ones refused."""
-        if not self.model.up:
+        if not self.model.is_up:
             return
         self._history.note(self.party, ServerCrashed())
         self._refuse()
@@ -147,32 +147,34 @@
 
     def advance_second(self) -> None:
         """Lets the model drop the connections whose work exceeds its buffer; is called once a second."""
-        for connection in self.model.tick(self._engine.now):
+        for connection in self.model.bound_backlog(self._engine.now):
             self._end_attempt(connection.attempt, EndedBy.SERVER)
             reset_connection(connection.attempt.writer)
 
     def begin_measuring(self) -> None:
         """Leaves what was served until now out of the measures."""
         self.model.advance(self._engine.now)
-        for connection in self.model.held.values():
-            connection.since, connection.earned = self.model.integrals[connection.kind], 0.0
+        for connection in self.model.open_connections.values():
+            connection.served_s_at_credit = self.model.served_s_by_class[connection.class_index]
+            connection.uncredited_s = 0.0
 
     def end_measuring(self) -> None:
         """Counts what was served until now, and nothing after it."""
         self.model.advance(self._engine.now)
         for attempt in list(self.open_attempts):
             connection = attempt.connection
-            if connection is not None and connection.attempt in self.model.held:
-                served_s = connection.earned + self.model.integrals[connection.kind] - connection.since
+            if connection is not None and connection.attempt in self.model.open_connections:
+                class_served_s = self.model.served_s_by_class[connection.class_index]
+                served_s = connection.uncredited_s + class_served_s - connection.served_s_at_credit
                 self._environment.credit(self._client(attempt), served_s)
-                attempt.connection, connection.value = None, 0.0
+                attempt.connection, connection.priority_weight = None, 0.0
 
     # -- health checks ---------------------------------------------------------------------------------
 
     async def _answer_health_check(self, wants_report: bool, writer: asyncio.StreamWriter) -> None:
         reports = self._environment.scenario.reports
         work_us = drawn_number(reports.probe_ms) * 1000
-        delay_s = self.model.work(self._engine.now, work_us, reports.probe_waits) / US_PER_S
+        delay_s = self.model.do_health_check(self._engine.now, work_us, reports.probe_waits) / US_PER_S
         self._history.note(self.party, HealthCheckReceived())
         await asyncio.sleep(min(delay_s, MAX_DELAY_S))
         pairs = self._load_report() if wants_report else ""
@@ -180,7 +182,7 @@
 
     def _load_report(self) -> str:
         reports = self._environment.scenario.reports
-        figures = self.model.reported(self._engine.now - round(drawn_number(reports.delay_ms) * 1000))
+        figures = self.model.load_report_at(self._engine.now - round(drawn_number(reports.delay_ms) * 1000))
         spread = drawn_number(reports.noise)
         return ",".join(
             f"{LOAD_REPORT_FIELDS[name]}={figures[name] * exp(spread * self._environment.report_noise()):.5f}"
@@ -226,14 +228,14 @@
     def _submit(self, attempt: ServedAttempt, is_resumed: bool) -> None:
         """Gives the attempt to the model. A server that this overloads while it warms up crashes."""
         if is_resumed:
-            self.model.opening[attempt] = True
+            self.model.pending_attempts[attempt] = True
             attempt.answer.set_result(SetupAnswer.ESTABLISHED)
             return
         client = self._client(attempt)
         is_listed = self.listed_start_ms.get(attempt.balancer, -1.0) >= self.started_ms
         work_us = self._environment.setup_work_us(client)
-        self.model.arrive(self._engine.now, attempt, work_us, client.usual, is_listed)
-        if self.model.fallen and self.model.up:
+        self.model.receive_attempt(self._engine.now, attempt, work_us, client.usual_load, is_listed)
+        if self.model.was_overloaded_while_cold and self.model.is_up:
             self._history.note(self.party, ServerOverloaded(attempt.request_id, attempt.balancer))
             self.crash()
 
@@ -262,11 +264,11 @@
 
     async def _serve_connection(self, attempt: ServedAttempt, reader: asyncio.StreamReader) -> None:
         client, writer = self._client(attempt), attempt.writer
-        worth = float(self._environment.scenario.classes[client.kind].worth) * client.weight
+        worth = float(self._environment.scenario.classes[client.class_index].worth) * client.quota_factor
         connection = ModelConnection(
             attempt,
             attempt.balancer,
-            client.kind,
+            client.class_index,
             client.group,
             worth,
         )
@@ -290,12 +292,12 @@
     ) -> None:
         """Changes the client's load in the model as planned, and reports it to the balancer."""
         last = -1.0
-        for at_us, load in ((0, load_now(client, self._engine)), *client.changes):
+        for at_us, load in ((0, load_now(client, self._engine)), *client.load_changes):
             wait_s = (self._engine.measured_from_us + at_us - self._engine.now) / US_PER_S
             if at_us and wait_s < 0:
                 continue
             await asyncio.sleep(max(0.0, wait_s if at_us else 0.0))
-            self.model.load(self._engine.now, connection, load)
+            self.model.change_load(self._engine.now, connection, load)
             if self._environment.scenario.reports.load_told and load != last:
                 writer.write(f"LOAD {load:.0f}\r\n".encode())
             last = load
@@ -307,15 +309,15 @@
         del self.open_attempts[attempt]
         if attempt.connection is not None:
             self.model.close(self._engine.now, attempt.connection)
-            self._environment.credit(self._client(attempt), attempt.connection.earned)
+            self._environment.credit(self._client(attempt), attempt.connection.uncredited_s)
         self._history.note(self.party, AttemptEnded(attempt.request_id, attempt.balancer, ended_by))
 
 
 def load_now(client: PlannedClient, engine: RealTimeEngine) -> float:
     """Returns the client's load at this time, in microseconds of work a second."""
     now_us = engine.now - engine.measured_from_us
-    load = client.changes[0][1] if client.changes else client.usual
-    for at_us, changed in client.changes:
+    load = client.load_changes[0][1] if client.load_changes else client.usual_load
+    for at_us, changed in client.load_changes:
         if at_us > now_us:
             break
         load = changed
--- a/glenrock/testbed/scenario_clients.py
+++ b/glenrock/testbed/scenario_clients.py
@@ -30,7 +30,7 @@
 from .records import CLIENTS
 from .request_line import MOVE_LINE, RESUME_FIELD, RESUME_TIMEOUT_S, Answer, AnswerKind, RequestLine
 from .scenario import Scenario, drawn_number
-from .simulation_model import ClientHabits, ModelClient, PlannedClient
+from .simulation_model import ClientDelays, ModelClient, PlannedClient
 
 EXTRA_WAIT_S = 2.0  # past the deadline, before an answer counts as lost
 
@@ -86,7 +86,7 @@
     scenario: Scenario
     frontend: Frontend
     addresses: list[Address]
-    habits: ClientHabits
+    habits: ClientDelays
     engine: RealTimeEngine
     history: History
     clients: MutableMapping[str, PlannedClient]
@@ -123,7 +123,7 @@
         """Returns how many clients are there and not connected."""
         now_us = self.elapsed_s() * US_PER_S
         return sum(
-            not client.is_connected and client.planned.arrival <= now_us < client.planned.end
+            not client.is_connected and client.planned.arrival_us <= now_us < client.planned.end_us
             for client in self._clients
         )
 
@@ -131,7 +131,7 @@
 
     def resume_connections(self, balancers: int, servers: list[str]) -> None:
         """Sets the connections up that were open before the run: evenly over the balancers, each at its own server."""
-        resuming = [client for client in self._clients if client.planned.arrival < 0]
+        resuming = [client for client in self._clients if client.planned.arrival_us < 0]
         self.resuming = len(resuming)
         for number, client in enumerate(resuming):
             server = servers[client.planned.group % len(servers)]
@@ -141,10 +141,10 @@
         """Begins the measured part of the run: from now on planned times count, also for resumed connections."""
         for planned, timeout in self._resumed_ends:
             with contextlib.suppress(RuntimeError):  # it has ended meanwhile
-                timeout.reschedule(self._engine.loop_time_s(planned.end))
+                timeout.reschedule(self._engine.loop_time_s(planned.end_us))
         self._resumed_ends.clear()
         for client in self._clients:
-            if client.planned.arrival >= 0:
+            if client.planned.arrival_us >= 0:
                 self._start(self._live(client))
 
     def _start(self, life: Coroutine[Any, Any, None]) -> None:
@@ -162,15 +162,15 @@
     async def _live(self, client: WorkloadClient, balancer: int | None = None, resumes_at: str = "") -> None:
         """Connects until the client's planned end. A balancer and a server are given for a resumed connection."""
         planned, habits = client.planned, self._environment.habits
-        await asyncio.sleep(max(0.0, planned.arrival / US_PER_S - self.elapsed_s()))
+        await asyncio.sleep(max(0.0, planned.arrival_us / US_PER_S - self.elapsed_s()))
         self._counts["clients"] += 1
         waits_since_us = self._engine.now
-        while self.elapsed_s() * US_PER_S < planned.end:
+        while self.elapsed_s() * US_PER_S < planned.end_us:
             number = balancer if balancer is not None else self._environment.frontend.pick()
             if number is None:
                 self._counts["unreachable"] += 1
                 client.failures += 1
-                await asyncio.sleep(habits.after_failure(client.as_model()) / US_PER_S)
+                await asyncio.sleep(habits.delay_after_failure(client.as_model()) / US_PER_S)
                 continue
             end, answer = await self._connect_once(client, number, waits_since_us, resumes_at)
             balancer, resumes_at = None, ""
@@ -183,12 +183,12 @@
     def _retry_delay_us(self, client: WorkloadClient, end: ConnectionResult, answer: Answer | None) -> int:
         habits = self._environment.habits
         if end is EndCause.MIGRATED:
-            return habits.after_move()
+            return habits.delay_after_migration()
         if end in BROKEN:
-            return habits.after_break()
+            return habits.delay_after_break()
         if end is SetUpFailure.REJECTED and answer is not None:
-            return habits.after_refusal(client.as_model(), answer.retry_after_us)
-        return habits.after_failure(client.as_model())
+            return habits.delay_after_rejection(client.as_model(), answer.retry_after_us)
+        return habits.delay_after_failure(client.as_model())
 
     async def _connect_once(
         self, client: WorkloadClient, balancer: int, waits_since_us: int, resumes_at: str
@@ -208,7 +208,7 @@
             answer = await self._request(client, balancer, request, reader, writer)
             if answer.kind is AnswerKind.UP:
                 waited_us = max(1, self._engine.now - waits_since_us)
-                self._environment.note_wait(client.planned.kind, waited_us)
+                self._environment.note_wait(client.planned.class_index, waited_us)
                 return await self._stay(client, request.request_id, balancer, reader, writer), answer
             client.failures += 1
             return _failure_of(answer), answer
@@ -217,7 +217,7 @@
 
     def _request_line(self, client: WorkloadClient, resumes_at: str) -> RequestLine:
         planned, scenario = client.planned, self._environment.scenario
-        kind = scenario.classes[planned.kind]
+        kind = scenario.classes[planned.class_index]
         fields = {"c": kind.name, "t": scenario.tenants[planned.tenant].name, "g": f"{planned.group:x}"}
         if resumes_at:
             fields[RESUME_FIELD] = resumes_at
@@ -235,7 +235,7 @@
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> Answer:
-        kind = self._environment.scenario.classes[client.planned.kind]
+        kind = self._environment.scenario.classes[client.planned.class_index]
         timeout_s = RESUME_TIMEOUT_S if request.is_resumed else drawn_number(kind.give_up_ms) / 1000
         resumes_at = request.fields.get(RESUME_FIELD, "")
         try:
@@ -287,8 +287,8 @@
         sending = asyncio.ensure_future(self._send_lines(writer))
         end = EndCause.CLOSED_BY_CLIENT
         try:
-            async with asyncio.timeout(max(0.0, client.planned.end / US_PER_S - self.elapsed_s())) as timeout:
-                if client.planned.arrival < 0 and not client.is_returning and not self._engine.measured_from_us:
+            async with asyncio.timeout(max(0.0, client.planned.end_us / US_PER_S - self.elapsed_s())) as timeout:
+                if client.planned.arrival_us < 0 and not client.is_returning and not self._engine.measured_from_us:
                     self._resumed_ends.append((client.planned, timeout))
                 end = await self._read_to_end(reader)
         except TimeoutError:
--- a/glenrock/testbed/scenario_runner.py
+++ b/glenrock/testbed/scenario_runner.py
@@ -88,7 +88,7 @@
         await asyncio.sleep(max(0.0, bed.length_s - bed.clients.elapsed_s()))
         for server in bed.servers:
             server.end_measuring()
-        bed.measure.ask(bed.workload.rows, round(bed.length_s * US_PER_S))
+        bed.measure.record_tenant_demand(bed.workload.clients, round(bed.length_s * US_PER_S))
         bed.is_measuring = False
 
     def _measure_second(self, second: int) -> None:
@@ -98,7 +98,7 @@
             for line in balancer.new_log_lines():
                 bed.history.note(balancer.party, LineLogged(line))
         if second < measure.seconds:
-            measure.put(
+            measure.record_sample(
                 second,
                 load=load / bed.workload.capacity,
                 standing=float(bed.clients.connected()),
@@ -107,7 +107,7 @@
                 refused=float(measure.counts["refused"]),
                 attempts=float(sum(server.attempts for server in bed.servers)),
                 broken=float(measure.counts["broken"]),
-                up=float(sum(server.model.up for server in bed.servers)),
+                up=float(sum(server.model.is_up for server in bed.servers)),
                 balancers=float(sum(balancer.is_running and not balancer.is_paused for balancer in bed.balancers)),
             )
         if self._live_view:
@@ -117,16 +117,16 @@
         """Returns the server's load, in microseconds of work a second."""
         bed, measure, server = self._bed, self._bed.measure, self._bed.servers[number]
         server.advance_second()
-        if not server.model.up:
+        if not server.model.is_up:
             if second < measure.seconds:
-                measure.heat[number, second] = -1
+                measure.relative_loads[number, second] = -1
             return 0.0
         capacity = server.model.capacity(bed.engine.now)
         if second < measure.seconds:
-            measure.heat[number, second] = server.model.demand / capacity if capacity > 0 else 0.0
-        if server.model.held:
+            measure.relative_loads[number, second] = server.model.demand / capacity if capacity > 0 else 0.0
+        if server.model.open_connections:
             message_us = int(min(MAX_MESSAGE_US, max(1, server.model.message_us)))
-            measure.messages.record_value(message_us, len(server.model.held))
+            measure.messages.record_value(message_us, len(server.model.open_connections))
         return server.model.demand
 
     async def _close(self) -> None:
--- a/glenrock/testbed/scenario_summary.py
+++ b/glenrock/testbed/scenario_summary.py
@@ -13,7 +13,7 @@
 from .invariants import INVARIANTS
 from .scenario import drawn_number
 from .scenario_testbed import ScenarioTestbed
-from .simulation_model import percentiles, rounded
+from .simulation_model import rounded, summarize_histogram
 
 FORMAT = 1
 MAX_VIOLATIONS = 20
@@ -47,16 +47,16 @@
         "crossing_part": 0.0,
         "fairness": measure.fairness(),
         "setup": {
-            kind.name: percentiles(histogram)
-            for kind, histogram in zip(bed.scenario.classes, measure.waits, strict=True)
+            kind.name: summarize_histogram(histogram)
+            for kind, histogram in zip(bed.scenario.classes, measure.setup_waits, strict=True)
         },
-        "messages": percentiles(measure.messages),
-        "refusals": percentiles(measure.refusals),
+        "messages": summarize_histogram(measure.messages),
+        "refusals": summarize_histogram(measure.rejections),
         "fleet": {
             "balancers": bed.balancer_count,
             "instances": len(bed.servers),
             "capacity_cores": rounded(bed.workload.capacity / US_PER_S),
-            "clients_per_s": rounded(bed.workload.per_s),
+            "clients_per_s": rounded(bed.workload.clients_per_s),
         },
         "list": _discovery(bed),
         "processes": {
--- a/glenrock/testbed/scenario_testbed.py
+++ b/glenrock/testbed/scenario_testbed.py
@@ -23,7 +23,17 @@
 from .request_line import RESUME_TIMEOUT_S
 from .scenario import PathFault, RandomFaultKind, RandomFaults, Scenario, drawn_number
 from .scenario_clients import ClientEnvironment, ScenarioClients
-from .simulation_model import ClientHabits, Measure, PlannedClient, Streams, draw_workload, drawn, settings_of, shapes
+from .simulation_model import (
+    ClientDelays,
+    Measurements,
+    PlannedClient,
+    Streams,
+    draw_server_shapes,
+    draw_workload,
+    drawn,
+    server_parameters,
+    settings_of,
+)
 
 if TYPE_CHECKING:
     from .coordination_store import CoordinationStore
@@ -55,12 +65,12 @@
         self.scenario: Scenario = drawn(scenario, seed)  # type: ignore[assignment]
         self.seed, self.folder, self.network = seed, folder, network
         self.streams = Streams(seed)
-        self.server_shapes = shapes.shapes(self.scenario, self.streams)
+        self.server_shapes = draw_server_shapes(self.scenario, self.streams)
         capacity = sum(shape.cores * shape.speed for shape in self.server_shapes) * US_PER_S
         self.workload = draw_workload(self.scenario, self.streams, capacity)
         self.balancer_count = int(drawn_number(self.scenario.fleet.balancers))
         self.length_s = drawn_number(self.scenario.length_s)
-        self.measure = Measure(self.scenario, self.workload.asked, 0, len(self.server_shapes))
+        self.measure = Measurements(self.scenario, self.workload.demanded, 0, len(self.server_shapes))
         self.clients_by_request: dict[str, PlannedClient] = {}
         self.paths = NetworkPaths(_planned_path_faults(self.scenario))
         self.stream_relays: list[StreamRelay] = []
@@ -90,19 +100,19 @@
         setups = [(drawn_number(kind.setup_ms) * 1000, kind.setup_spread == "exp") for kind in scenario.classes]
 
         def setup_work_us(client: PlannedClient) -> float:
-            mean_us, is_exponential = setups[client.kind]
+            mean_us, is_exponential = setups[client.class_index]
             return mean_us * work() if is_exponential else mean_us
 
         environment = ServerEnvironment(
             scenario,
             self.engine,
             self.history,
-            shapes.figures(scenario),
+            server_parameters(scenario),
             self.clients_by_request,
             noise,
             setup_work_us,
             self._earn,
-            self.measure.credit,
+            self.measure.record_tenant_served,
         )
         return [
             ModelledServer(
@@ -152,21 +162,21 @@
             scenario,
             self.frontend,
             entrances,
-            ClientHabits(scenario.clients, self.streams),
+            ClientDelays(scenario.clients, self.streams),
             self.engine,
             self.history,
             self.clients_by_request,
             self.measure.counts,
             self._note_wait,
         )
-        self.clients = ScenarioClients(self.workload.rows, environment)
+        self.clients = ScenarioClients(self.workload.clients, environment)
 
     def _earn(self, at_us: int, kind: int, worth: float) -> None:
         if self.is_measuring:
-            self.measure.earn(at_us - self.engine.measured_from_us, kind, worth)
+            self.measure.record_served(at_us - self.engine.measured_from_us, kind, worth)
 
     def _note_wait(self, kind: int, waited_us: int) -> None:
-        self.measure.waits[kind].record_value(waited_us)
+        self.measure.setup_waits[kind].record_value(waited_us)
 
     # -- discovery -------------------------------------------------------------------------------------
 
--- a/glenrock/testbed/simulation_model.py
+++ b/glenrock/testbed/simulation_model.py
@@ -6,19 +6,13 @@
 from __future__ import annotations
 
 from ..simulation.engine import Engine as SimulationEngine
-from ..simulation.measure import Measure, rounded
-from ..simulation.measure import told as percentiles
-from ..simulation.model import shapes
-from ..simulation.model.client import Habits as ClientHabits
-from ..simulation.model.instance import Connection as ModelConnection
-from ..simulation.model.instance import Figures as ModelFigures
-from ..simulation.model.instance import Instance as ServerModel
-from ..simulation.model.instance import SetupAnswer
-from ..simulation.model.instance import Shape as ServerShape
-from ..simulation.model.plan import Plan as Workload
-from ..simulation.model.plan import Row as PlannedClient
-from ..simulation.model.plan import plan as draw_workload
+from ..simulation.measure import Measurements, rounded, summarize_histogram
+from ..simulation.model.client_delays import ClientDelays
 from ..simulation.model.requests import Client as ModelClient
+from ..simulation.model.server import Connection as ModelConnection
+from ..simulation.model.server import ServerModel, ServerParameters, ServerShape, SetupAnswer
+from ..simulation.model.server_shapes import draw_server_shapes, server_parameters
+from ..simulation.model.workload import PlannedClient, Workload, draw_workload
 from ..simulation.spec import Experiment, drawn, high, low, put, raw_of, settings_of
 from ..simulation.spec import check as check_experiment
 from ..simulation.spec_faults import Fault
@@ -27,17 +21,17 @@
 
 __all__ = [
     "Above0R",
-    "ClientHabits",
+    "ClientDelays",
     "Experiment",
     "Fault",
     "Least0R",
-    "Measure",
+    "Measurements",
     "ModelClient",
     "ModelConnection",
-    "ModelFigures",
     "PartR",
     "PlannedClient",
     "ServerModel",
+    "ServerParameters",
     "ServerShape",
     "SetupAnswer",
     "SimulationEngine",
@@ -45,14 +39,15 @@
     "Strict",
     "Workload",
     "check_experiment",
+    "draw_server_shapes",
     "draw_workload",
     "drawn",
     "high",
     "low",
-    "percentiles",
     "put",
     "raw_of",
     "rounded",
+    "server_parameters",
     "settings_of",
-    "shapes",
+    "summarize_histogram",
 ]
--- a/tests/simulation/days.py
+++ b/tests/simulation/days.py
@@ -3,13 +3,14 @@
 from __future__ import annotations
 
 from pathlib import Path
+from collections.abc import Callable
 from typing import Any
 
 from glenrock import toml_file
 from glenrock.routing import interface
 from glenrock.simulation import spec
 from glenrock.simulation.fleet_simulation import FleetSimulation
-from glenrock.simulation.model.balancer import PolicyFailedError
+from glenrock.simulation.model.balancer import Policy, PolicyFailedError
 from glenrock.toml_file import InputFileError
 
 SMALL: dict[str, Any] = {
@@ -21,6 +22,7 @@
     "classes": [{"name": "lookup", "worth": 5.0}, {"name": "browse", "load": 2.0, "life": 0.5}],
     "tenants": [{"name": "one", "share": 2.0}, {"name": "two"}],
 }
+PolicyFactory = Callable[[interface.Settings, int], Policy]
 PATH = Path("experiment.toml")
 
 
@@ -30,7 +32,7 @@
     return found
 
 
-def day(seed: int = 1, policy: str = "random", make=None, **over: Any) -> FleetSimulation:
+def day(seed: int = 1, policy: str = "random", make: PolicyFactory | None = None, **over: Any) -> FleetSimulation:
     return FleetSimulation(experiment(**over), seed, policy, make_policy=make)
 
 
--- a/tests/simulation/test_by_hand.py
+++ b/tests/simulation/test_by_hand.py
@@ -16,14 +16,14 @@
     d.prepare()
     d.engine.run(d.start_us + 2_500_000)
     (name,) = d.balancers[0].suspended_since_us
-    most = d.instances[name]
-    assert len(d.balancers[1].suspended_since_us) == 1 and most.up
+    most = d.servers[name]
+    assert len(d.balancers[1].suspended_since_us) == 1 and most.is_up
     d.engine.run(d.start_us + 5_500_000)
-    assert not most.up or not most.held
+    assert not most.is_up or not most.open_connections
     d.engine.run(d.start_us + 7_900_000)
-    assert most.up and most.started and not most.held, "it runs again, and stays out"
+    assert most.is_up and most.started_us and not most.open_connections, "it runs again, and stays out"
     d.engine.run(d.start_us + 11_900_000)
-    assert most.held and not any(h.suspended_since_us for h in d.balancers), (
+    assert most.open_connections and not any(h.suspended_since_us for h in d.balancers), (
         "its end, noticed after its start, keeps nobody away"
     )
     assert not any(d.invariants.counts.values())
--- a/tests/simulation/test_conservation.py
+++ b/tests/simulation/test_conservation.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import json
+from typing import Any
 
 from hypothesis import HealthCheck, example, given, settings
 from hypothesis import strategies as st
@@ -82,7 +83,7 @@
     return over, draw(st.integers(0, 10_000)), draw(st.sampled_from(["glenrock", "random", "least", "prequal"]))
 
 
-def check(d: FleetSimulation, summary: dict) -> None:
+def check(d: FleetSimulation, summary: dict[str, Any]) -> None:
     assert not summary["failure"]
     assert not any(summary["rules"][r] for r in ("repeated", "drained")), summary["breaches"][0]
     for host in d.balancers:
@@ -93,26 +94,26 @@
         for f in host.requests.values():
             if host.is_up:
                 assert sum(a.is_active for a in f.attempts) <= 1
-    for i in d.instances.values():
+    for i in d.servers.values():
         i.advance(d.engine.now)
-        work = i.ledger
-        assert abs(work.asked - work.done - work.lost - i.piled) <= 1e-6 * max(1.0, work.asked) + 1
-        waiting = sum(not ready for ready in i.opening.values())
-        assert work.jobs == work.jobs_done + work.jobs_lost + work.jobs_left + waiting
+        work = i.work_counts
+        assert abs(work.demanded - work.done - work.lost - i.backlog) <= 1e-6 * max(1.0, work.demanded) + 1
+        waiting = sum(not ready for ready in i.pending_attempts.values())
+        assert work.attempts == work.attempts_set_up + work.attempts_lost + work.attempts_abandoned + waiting
         # It holds what its clients hold, and nothing that a client has left.
-        for a, c in i.held.items():
+        for a, c in i.open_connections.items():
             assert (
                 c.attempt.request.client.connection is c
                 and not c.attempt.request.client.is_done
                 and a.is_active
                 and a.request.balancer.is_up
             )
-        want = sum(c.load for c in i.held.values()) + len(i.groups) * i.figures.group_load
+        want = sum(c.load for c in i.open_connections.values()) + len(i.connections_by_group) * i.parameters.group_load
         assert abs(i.demand - want) < 1e-3 * max(1.0, want)
-        assert not i.held or i.up
-    held = sum(len(i.held) for i in d.instances.values())
+        assert not i.open_connections or i.is_up
+    held = sum(len(i.open_connections) for i in d.servers.values())
     assert held == sum(c.connection is not None for c in d.connected_clients)
-    asked, earned = d.measure.asked.sum(), sum(map(sum, d.measure.earned))
+    asked, earned = d.measure.demanded.sum(), sum(map(sum, d.measure.served))
     assert -1e-6 <= earned <= asked * (1 + 1e-9) + 1e-6
 
 
@@ -154,21 +155,21 @@
 def test_policies_meet_the_same_arrivals_and_faults() -> None:
     over = {"faults": [{"kind": "crash", "at_s": 3.0, "part": 0.5}]}
     one, two = (FleetSimulation(experiment(**over), 5, p) for p in ("random", "glenrock"))
-    assert [(r.arrival, r.end, r.kind, r.usual, r.changes) for r in one.plan.rows] == [
-        (r.arrival, r.end, r.kind, r.usual, r.changes) for r in two.plan.rows
+    assert [(r.arrival_us, r.end_us, r.class_index, r.usual_load, r.load_changes) for r in one.workload.clients] == [
+        (r.arrival_us, r.end_us, r.class_index, r.usual_load, r.load_changes) for r in two.workload.clients
     ]
     struck = []
     for d in (one, two):
         d.prepare()
         d.engine.run(d.start_us + 3_100_000)
-        struck.append([i.name for i in d.instances.values() if not i.up])
+        struck.append([i.name for i in d.servers.values() if not i.is_up])
     assert struck[0] == struck[1] and len(struck[0]) == 2
 
 
 def test_a_fault_that_brings_clients_leaves_the_usual_ones_as_they_are() -> None:
-    plain = FleetSimulation(experiment(), 3, "random").plan
+    plain = FleetSimulation(experiment(), 3, "random").workload
     more = FleetSimulation(
         experiment(faults=[{"kind": "flash_crowd", "at_s": 2.0, "times": 4.0, "for_s": 2.0}]), 3, "random"
-    ).plan
-    assert len(more.rows) > len(plain.rows)
-    assert {r.arrival for r in plain.rows if r.arrival >= 0} <= {r.arrival for r in more.rows}
+    ).workload
+    assert len(more.clients) > len(plain.clients)
+    assert {r.arrival_us for r in plain.clients if r.arrival_us >= 0} <= {r.arrival_us for r in more.clients}
--- a/tests/simulation/test_faults.py
+++ b/tests/simulation/test_faults.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from pathlib import Path
+from typing import Any
 
 import pytest
 
@@ -12,15 +13,15 @@
 from glenrock.simulation.fleet_simulation import FleetSimulation
 from glenrock.toml_file import InputFileError
 
-from .days import Scripted, day
+from .days import PolicyFactory, Scripted, day
 
 
-def at(d, second: float):
+def at(d: FleetSimulation, second: float) -> FleetSimulation:
     d.engine.run(d.start_us + round(second * 1e6))
     return d
 
 
-def with_fault(policy: str = "random", make=None, **fault):
+def with_fault(policy: str = "random", make: PolicyFactory | None = None, **fault: Any) -> FleetSimulation:
     over = fault.pop("over", {})
     d = day(policy=policy, make=make, faults=[fault], **over)
     d.prepare()
@@ -34,8 +35,8 @@
 def test_a_crash_of_a_zone_ends_all_of_it_and_nothing_else() -> None:
     d = with_fault(kind="crash", at_s=3.0, part=1.0, down_s=4.0, zone="b")
     at(d, 3.01)
-    assert {i.up for i in d.instances.values() if d.zones[i.shape.zone] == "b"} == {False}
-    assert {i.up for i in d.instances.values() if d.zones[i.shape.zone] == "a"} == {True}
+    assert {i.is_up for i in d.servers.values() if d.zones[i.shape.zone] == "b"} == {False}
+    assert {i.is_up for i in d.servers.values() if d.zones[i.shape.zone] == "a"} == {True}
     with pytest.raises(InputFileError, match=r"faults\[0\].zone: 'c' is not one of fleet.zones"):
         with_fault(kind="crash", at_s=3.0, zone="c")
 
@@ -51,38 +52,43 @@
 def test_a_crash_ends_a_part_which_comes_back_cold_and_is_told_of_late() -> None:
     d = with_fault(kind="crash", at_s=3.0, part=0.5, down_s=4.0, over={"discovery": {"notice_s": 1.0, "add_s": 0.5}})
     at(d, 3.01)
-    down = [i for i in d.instances.values() if not i.up]
-    assert len(down) == 2 and not any(i.held for i in down)
+    down = [i for i in d.servers.values() if not i.is_up]
+    assert len(down) == 2 and not any(i.open_connections for i in down)
     assert all(d.feed.endpoints[i.name].state == "ready" for i in down)
     at(d, 4.2)
     assert all(d.balancers[0].endpoints[i.name].state == "gone" for i in down)
     at(d, 7.1)
-    assert all(i.up and i.started == d.start_us + 7_000_000 and i.warmth(d.engine.now) < 0.5 for i in down)
+    assert all(i.is_up and i.started_us == d.start_us + 7_000_000 and i.warm_fraction(d.engine.now) < 0.5 for i in down)
     at(d, 8.0)
     row = d.balancers[0].endpoints[down[0].name]
-    assert row.state == "ready" and row.started_us == down[0].started
+    assert row.state == "ready" and row.started_us == down[0].started_us
 
 
 def test_a_crash_without_return_stays_down() -> None:
     d = at(with_fault(kind="crash", at_s=3.0, part=1.0, down_s=0.0), 12.0)
-    assert not any(i.up for i in d.instances.values())
+    assert not any(i.is_up for i in d.servers.values())
     assert not d.connected_clients
 
 
 def test_a_cut_zone_is_reached_by_nobody_else_and_its_links_carry_nothing() -> None:
     d = with_fault(kind="zone_cut", at_s=3.0, for_s=4.0, zone="b")
     at(d, 3.0)
-    crossing = [c for i in d.instances.values() for c in i.held.values() if d.balancers[c.host].zone != i.shape.zone]
-    assert crossing and all(c.muted and c.load == 0 for c in crossing)
+    crossing = [
+        c
+        for i in d.servers.values()
+        for c in i.open_connections.values()
+        if d.balancers[c.balancer_index].zone != i.shape.zone
+    ]
+    assert crossing and all(c.is_unreachable and c.load == 0 for c in crossing)
     assert not d.links.is_open(0, 1) and d.links.is_open(1, 1)
-    seen = {c: c.earned for c in crossing}
+    seen = {c: c.uncredited_s for c in crossing}
     at(d, 6.9)
-    for i in d.instances.values():
+    for i in d.servers.values():
         i.advance(d.engine.now)
-    assert all(c.earned == e for c, e in seen.items() if c.attempt in c.attempt.instance.held)
+    assert all(c.uncredited_s == e for c, e in seen.items() if c.attempt in c.attempt.server.open_connections)
     at(d, 7.1)
     assert d.links.is_open(0, 1)
-    assert not any(c.muted for i in d.instances.values() for c in i.held.values())
+    assert not any(c.is_unreachable for i in d.servers.values() for c in i.open_connections.values())
 
 
 def test_attempts_into_a_cut_zone_end_unconnected_after_the_dial_time() -> None:
@@ -132,13 +138,13 @@
 
 def test_a_slow_part_has_its_speed_for_a_while_and_a_frozen_one_answers_nothing() -> None:
     d = with_fault(kind="slow", at_s=2.0, part=0.5, speed=0.25, for_s=3.0)
-    whole = [i.capacity(d.engine.now) for i in d.instances.values()]
+    whole = [i.capacity(d.engine.now) for i in d.servers.values()]
     at(d, 2.1)
-    assert sorted(i.capacity(d.engine.now) / w for i, w in zip(d.instances.values(), whole, strict=True)) == (
+    assert sorted(i.capacity(d.engine.now) / w for i, w in zip(d.servers.values(), whole, strict=True)) == (
         pytest.approx([0.25, 0.25, 1, 1])
     )
     at(d, 5.1)
-    assert [i.capacity(d.engine.now) for i in d.instances.values()] == pytest.approx(whole)
+    assert [i.capacity(d.engine.now) for i in d.servers.values()] == pytest.approx(whole)
 
     d = with_fault(make=Scripted, kind="slow", at_s=2.0, part=1.0, speed=0.0, for_s=20.0)
     at(d, 10.0)
@@ -187,8 +193,8 @@
         plain = day(traffic={"load": 0.6})
         d = day(faults=[{**fault, "at_s": 4.0, "for_s": 4.0}], traffic={"load": 0.6})
 
-        def come(x, tenant, a, b):
-            return sum(a <= r.arrival / 1e6 < b and r.tenant == tenant for r in x.plan.rows)
+        def come(x: FleetSimulation, tenant: int, a: float, b: float) -> int:
+            return sum(a <= r.arrival_us / 1e6 < b and r.tenant == tenant for r in x.workload.clients)
 
         for tenant in (0, 1):
             usual, now = come(plain, tenant, 0, 12) / 12 * 4, come(d, tenant, 4, 8)
@@ -208,10 +214,10 @@
         over={"discovery": {"notice_s": 0.3}},
     )
     at(d, 1.5)
-    (first,) = [i for i in d.instances.values() if i.draining]
-    assert first.up and d.balancers[0].endpoints[first.name].state == "draining"
+    (first,) = [i for i in d.servers.values() if i.is_draining]
+    assert first.is_up and d.balancers[0].endpoints[first.name].state == "draining"
     at(d, 3.1)
-    assert not first.up
+    assert not first.is_up
     at(d, 4.5)
     assert first.up and first.started and sum(i.draining for i in d.instances.values()) == 1
 
--- a/tests/simulation/test_hard_cases.py
+++ b/tests/simulation/test_hard_cases.py
@@ -6,11 +6,12 @@
 
 from glenrock.routing import interface
 from glenrock.simulation.engine import HeapEngine
+from glenrock.simulation.fleet_simulation import FleetSimulation
 
 from .days import Scripted, day
 
 
-def at(d, second: float):
+def at(d: FleetSimulation, second: float) -> FleetSimulation:
     d.engine.run(d.start_us + round(second * 1e6))
     return d
 
@@ -30,15 +31,15 @@
     d = day(make=Scripted, classes=long, faults=[{"kind": "crash", "at_s": 2.0, "part": 1.0, "down_s": 0.5}])
     d.prepare()
     at(d, 1.99)
-    setting = [a for i in d.instances.values() for a, ready in i.opening.items() if not ready]
+    setting = [a for i in d.servers.values() for a, ready in i.pending_attempts.items() if not ready]
     assert setting
     at(d, 2.05)
     events = [e for h in d.balancers for e in h.policy.events]
     ends = [e for e in events if isinstance(e, interface.AttemptEnded) and e.outcome == "broken"]
     assert {e.request_id for e in ends} >= {a.request.id for a in setting}
-    assert not any(i.opening or i.queue or i.running for i in d.instances.values() if not i.up)
+    assert not any(i.pending_attempts or i.queue or i.running_setups for i in d.servers.values() if not i.is_up)
     at(d, 9.0)  # jobs of the old process do not end in the new one
-    assert all(i.running >= 0 and i.busy >= 0 for i in d.instances.values())
+    assert all(i.running_setups >= 0 and i.setup_work_rate >= 0 for i in d.servers.values())
 
 
 def test_an_instance_that_returns_cold_during_a_zone_cut_is_unknown_across_it_until_links_are_whole() -> None:
@@ -54,7 +55,7 @@
     )
     s = d.run()
     assert not s["failure"] and not any(s["rules"].values())
-    assert sum(1 for i in d.instances.values() if i.started) == 3
+    assert sum(1 for i in d.servers.values() if i.started_us) == 3
 
 
 def test_a_balancer_killed_with_clients_in_line_loses_the_line_and_answers_afresh() -> None:
@@ -84,14 +85,14 @@
     )
     d.prepare()
     at(d, 3.15)
-    for i in d.instances.values():
-        told = i.reported(d.engine.now - 300_000)
-        when = next(at for at, r in i.reports if r is told)
-        assert i.up and when < i.started and told["inflight"] > len(i.held)
+    for i in d.servers.values():
+        told = i.load_report_at(d.engine.now - 300_000)
+        when = next(at for at, r in i.load_reports if r is told)
+        assert i.is_up and when < i.started_us and told["inflight"] > len(i.open_connections)
     at(d, 4.5)
-    for i in d.instances.values():
-        told = i.reported(d.engine.now - 300_000)
-        assert next(at for at, r in i.reports if r is told) > i.started
+    for i in d.servers.values():
+        told = i.load_report_at(d.engine.now - 300_000)
+        assert next(at for at, r in i.load_reports if r is told) > i.started_us
 
 
 def test_a_retry_that_meets_the_late_answer_of_its_first_try() -> None:
@@ -105,7 +106,7 @@
     )
     s = d.run()
     assert s["counts"]["left"] > 20
-    held = [c for i in d.instances.values() for c in i.held.values()]
+    held = [c for i in d.servers.values() for c in i.open_connections.values()]
     assert len({c.attempt.request.client for c in held}) == len(held), "a client stands twice"
     assert all(c.attempt.request.client.connection is c for c in held)
     assert not any(s["rules"].values())
--- a/tests/simulation/test_rules.py
+++ b/tests/simulation/test_rules.py
@@ -94,7 +94,7 @@
     }
     d = day(make=Scripted, **{**over, "faults": [{"kind": "crash", "at_s": 1.0, "part": 1.0, "down_s": 0.1}]})
     s = d.run()
-    assert any(i.fallen for i in d.instances.values())
+    assert any(i.was_overloaded_while_cold for i in d.servers.values())
     assert not any(s["rules"].values())
 
 
--- a/tests/simulation/test_store.py
+++ b/tests/simulation/test_store.py
@@ -41,9 +41,12 @@
 @pytest.mark.parametrize("how, times", [("none", (0, 0)), ("fixed", (1, 1)), ("double", (1, 4))])
 def test_clients_space_their_quick_retries_as_the_file_says(how, times) -> None:
     d = day(clients={"backoff": how, "backoff_ms": 100.0, "retries": 3})
-    client = next(iter(d.plan.rows))
+    client = next(iter(d.workload.clients))
     for failures, expected in zip((1, 3), times, strict=True):
-        tries = [d.habits.after_failure(type("C", (), {"failures": failures, "row": client})()) for _ in range(200)]
+        tries = [
+            d.client_delays.delay_after_failure(type("C", (), {"failures": failures, "row": client})())
+            for _ in range(200)
+        ]
         assert sum(tries) / 200 == pytest.approx(expected * 100_000, rel=0.15)
 
 
@@ -51,8 +54,8 @@
     for waits, verdict in ((True, "timeout"), (False, "served")):
         d = day(make=Scripted, reports={"probe_waits": waits})
         d.prepare()
-        host, i = d.balancers[0], next(iter(d.instances.values()))
-        i.piled = 5 * i.capacity(d.engine.now)
+        host, i = d.balancers[0], next(iter(d.servers.values()))
+        i.backlog = 5 * i.capacity(d.engine.now)
         i.advance(d.engine.now)
         d.send_health_check(host, i.name)
         d.engine.run(d.engine.now + S)
@@ -68,5 +71,5 @@
         d = FleetSimulation(spec.load(ROOM / "one-room-slow.toml", over), seed)
         d.prepare()
         d.engine.run(d.start_us + 24 * S)
-        found.append(len(d.connected_clients) / sum(1 for r in d.plan.rows if r.arrival <= 24 * S < r.end))
+        found.append(len(d.connected_clients) / sum(1 for r in d.workload.clients if r.arrival_us <= 24 * S < r.end_us))
     assert sum(found) / 3 > 0.6, found
--- a/tests/simulation/test_theory.py
+++ b/tests/simulation/test_theory.py
@@ -34,7 +34,7 @@
         "random",
     )
     s = d.run()
-    took = d.measure.waits[0].get_mean_value() / 1e6
+    took = d.measure.setup_waits[0].get_mean_value() / 1e6
     want = 0.1 + erlang_c(cores, load) * 0.1 / (cores * (1 - load))
     assert s["counts"]["set_up"] > 30_000
     assert took == pytest.approx(want, rel=0.06)
@@ -64,7 +64,7 @@
         looks = 200
         for n in range(looks):
             d.engine.run(d.start_us + 10_000_000 + n * 250_000)
-            jobs = [len(i.opening) for i in d.instances.values()]
+            jobs = [len(i.pending_attempts) for i in d.servers.values()]
             for k in range(6):
                 seen[k] += sum(j >= k for j in jobs)
         tails[policy] = [x / looks / 100 for x in seen]
