--- a/tests/simulation/test_faults.py
+++ b/tests/simulation/test_faults.py
@@ -219,7 +219,7 @@
     at(d, 3.1)
     assert not first.is_up
     at(d, 4.5)
-    assert first.up and first.started and sum(i.draining for i in d.instances.values()) == 1
+    assert first.is_up and first.started_us and sum(i.is_draining for i in d.servers.values()) == 1
 
 
 def test_peer_messages_are_lost_for_a_while() -> None:
