--- a/tests/coordination/warm_start/__init__.py
+++ b/tests/coordination/warm_start/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of warm starts: the start cache, the start backoff, and the report of a start."""
--- a/tests/coordination/warm_start/records.py
+++ b/tests/coordination/warm_start/records.py
@@ -2,37 +2,26 @@
 
 from __future__ import annotations
 
-from glenrock.coordination.warm_start.start_record import RecordTrust, StartRecord
+from dataclasses import replace
+
+from glenrock.coordination.warm_start.start_record import EndpointTable, RecordTrust, StartRecord, encode_table
+from glenrock.net.endpoint_rows import EndpointRow
 from glenrock.routing import interface
+from glenrock.routing.connection_load import ALL_CLASSES, LoadMean
 
+NOW_MS = 1_000_000.0
 TRUST = RecordTrust(max_list_age_ms=60_000.0, half_life_ms=10_000.0)
+SETTINGS = interface.Settings(
+    classes=(interface.RequestClass("look", 300_000, 1_500_000), interface.RequestClass("write", 1, 2))
+)
+ROW = EndpointRow("s1", ("127.0.0.1", 9), interface.EndpointState.READY, zone="a", since_ms=5.0)
+"""A server in the list, which started at 5 ms."""
 
 
-NOW = 1_000_000.0
-
-
-def row(name: str, since_ms: float = 5.0) -> dict:
-    return {
-        "name": name,
-        "address": "127.0.0.1:9",
-        "zone": "a",
-        "group": 0,
-        "status": "SERVING",
-        "weight": 1.0,
-        "since_ms": since_ms,
-    }
-
-
-def table(index: int = 7, *names: str) -> dict:
-    return {"index": index, "snapshot": True, "endpoints": [row(n) for n in names or ("s1", "s2")]}
-
-
-def record(**over) -> StartRecord:
-    return StartRecord(
-        **{"at_ms": NOW, "boot": "b", "discovery": "d:1", "table": table(), "means": {"": (3.0, 40)}, **over}
-    )
+def table(version: int = 7, *names: str) -> EndpointTable:
+    """Returns an endpoint list with servers of these names; with two servers if none are named."""
+    return encode_table(version, (replace(ROW, name=name) for name in names or ("s1", "s2")))
 
 
-SETTINGS = interface.Settings(
-    classes=(interface.RequestClass("look", 300_000, 1_500_000), interface.RequestClass("write", 1, 2))
-)
+RECORD = StartRecord(NOW_MS, "b", "d:1", table(), {ALL_CLASSES: LoadMean(3.0, 40)})
+"""A record written now, with a list of two servers and a mean load."""
--- a/tests/coordination/warm_start/test_start_backoff.py
+++ b/tests/coordination/warm_start/test_start_backoff.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+from pathlib import Path
 
 import pytest
 from hypothesis import given
@@ -11,13 +12,13 @@
 from glenrock.coordination.warm_start.start_backoff import MAX_STARTS, BackoffPolicy, StartBackoff
 from glenrock.net.clock import ManualClock
 
-from .records import NOW
+from .records import NOW_MS
 
 POLICY = BackoffPolicy(min_lifetime_ms=8000.0, max_delay_ms=5000.0)
 
 
 @pytest.mark.parametrize(
-    "starts_ms,now,wait",
+    "starts_ms, now_ms, delay_ms",
     [
         ([], 0, 0.0),
         ([0], 100, 0.0),
@@ -34,39 +35,45 @@
         ([10_000, 20_000, 30_000], 100, 0.0),  # the clock went back
     ],
 )
-def test_start_delay_after_crashes(starts_ms, now, wait) -> None:
-    assert POLICY.delay_ms([NOW + at for at in starts_ms], NOW + now) == wait
+def test_start_delay_after_crashes(starts_ms: list[int], now_ms: int, delay_ms: float) -> None:
+    assert POLICY.delay_ms([NOW_MS + start_ms for start_ms in starts_ms], NOW_MS + now_ms) == delay_ms
 
 
-whole = st.integers(0, 1_000_000)
+times_ms = st.integers(0, 1_000_000)
+durations_ms = st.integers(1, 100_000)
 
 
-@given(st.lists(whole, max_size=MAX_STARTS), whole, st.integers(1, 100_000), st.integers(1, 100_000))
-def test_delay_is_bounded_and_one_crash_is_free(starts_ms, now, min_lifetime, max_delay) -> None:
-    policy = BackoffPolicy(min_lifetime, max_delay)
-    assert 0 <= policy.delay_ms(starts_ms, now) <= max_delay
-    assert policy.delay_ms(starts_ms[:1], now) == 0.0
-    oldest = min([at for at in starts_ms if at <= now] + [now])
-    crashes = policy.recent_crashes(starts_ms, now)
-    assert policy.recent_crashes([oldest - min_lifetime, *starts_ms], now) == crashes, "a long run ends the row"
-    assert policy.recent_crashes([oldest - min_lifetime + 1, *starts_ms], now) >= crashes
+@given(st.lists(times_ms, max_size=MAX_STARTS), times_ms, durations_ms, durations_ms)
+def test_delay_is_bounded_and_one_crash_is_free(
+    starts_ms: list[int], now_ms: int, min_lifetime_ms: int, max_delay_ms: int
+) -> None:
+    policy = BackoffPolicy(min_lifetime_ms, max_delay_ms)
+    assert 0 <= policy.delay_ms(starts_ms, now_ms) <= max_delay_ms
+    assert policy.delay_ms(starts_ms[:1], now_ms) == 0.0
+    crashes = policy.recent_crashes(starts_ms, now_ms)
+    oldest_ms = min([start_ms for start_ms in starts_ms if start_ms <= now_ms] + [now_ms])
+    long_before_ms = oldest_ms - min_lifetime_ms
+    assert policy.recent_crashes([long_before_ms, *starts_ms], now_ms) == crashes, "a long run ends the row"
+    assert policy.recent_crashes([long_before_ms + 1, *starts_ms], now_ms) >= crashes
 
 
-def test_restart_backoff_grows_and_an_orderly_end_is_no_crash(tmp_path, caplog) -> None:
+def test_restart_backoff_grows_and_an_orderly_end_is_no_crash(tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
     async def scenario() -> None:
-        clock, waited = ManualClock(NOW), []
+        clock = ManualClock(NOW_MS)
+        delays_ms: list[float] = []
         stop = asyncio.Event()
         stop.set()  # no start of this test waits
-        for n in range(5):
+        for number in range(5):
             starts = StartBackoff(tmp_path, "n0", POLICY, clock.now_ms)
-            waited.append(POLICY.delay_ms(starts.read(), clock.now_ms()))
+            delays_ms.append(POLICY.delay_ms(starts.read(), clock.now_ms()))
             await starts.wait(stop)
             clock.time_ms += 100
-            if n == 3:
+            if number == 3:
                 starts.record_orderly_end()
-        assert waited == [0.0, 0.0, 500.0, 1000.0, 1000.0]
+        assert delays_ms == [0.0, 0.0, 500.0, 1000.0, 1000.0]
         prefix = "start delayed after repeated crashes crashes="
-        assert [line.partition(" sound_ms")[0] for line in caplog.messages] == [prefix + n for n in "233"]
+        logged = [line.partition(" sound_ms")[0] for line in caplog.messages]
+        assert logged == [f"{prefix}{crashes}" for crashes in (2, 3, 3)]
         crashing = StartBackoff(tmp_path, "n0", POLICY, clock.now_ms)
         waiting = asyncio.create_task(crashing.wait(asyncio.Event()))
         await asyncio.sleep(0)
@@ -79,16 +86,16 @@
     asyncio.run(scenario())
 
 
-def test_delay_lasts_its_time_and_ends_when_the_process_stops(tmp_path) -> None:
+def test_delay_lasts_its_time_and_ends_when_the_process_stops(tmp_path: Path) -> None:
     async def scenario() -> None:
-        clock, stop = ManualClock(NOW), asyncio.Event()
+        clock, stop = ManualClock(NOW_MS), asyncio.Event()
         starts = StartBackoff(tmp_path, "n0", BackoffPolicy(1600.0, 60_000.0), clock.now_ms)
-        starts.write([NOW - n for n in range(1, 3)])
+        starts.write([NOW_MS - age_ms for age_ms in range(1, 3)])
         loop = asyncio.get_running_loop()
-        began = loop.time()
+        started_s = loop.time()
         await starts.wait(stop)
-        assert loop.time() - began >= 0.099
-        starts.write([NOW - n for n in range(1, 12)])  # 51 s
+        assert loop.time() - started_s >= 0.099
+        starts.write([NOW_MS - age_ms for age_ms in range(1, 12)])  # 51 s
         waiting = asyncio.create_task(starts.wait(stop))
         await asyncio.sleep(0)
         assert not waiting.done()
@@ -99,8 +106,12 @@
 
 
 @pytest.mark.parametrize("data", [b"", b"{}", b'["x"]', b"[1, ", b"\xff"])
-def test_unreadable_start_times_count_as_none_and_are_logged(tmp_path, caplog, data: bytes) -> None:
-    starts = StartBackoff(tmp_path, "n0", POLICY, lambda: NOW)
+def test_unreadable_start_times_count_as_none_and_are_logged(
+    tmp_path: Path, caplog: pytest.LogCaptureFixture, data: bytes
+) -> None:
+    starts = StartBackoff(tmp_path, "n0", POLICY, lambda: NOW_MS)
     starts.path.write_bytes(data)
-    assert starts.read() == [] and len(caplog.messages) == 1
-    assert "start times not readable" in caplog.messages[0] and str(starts.path) in caplog.messages[0]
+    assert starts.read() == []
+    (line,) = caplog.messages
+    assert "start times not readable" in line
+    assert str(starts.path) in line
--- a/tests/coordination/warm_start/test_start_cache.py
+++ b/tests/coordination/warm_start/test_start_cache.py
@@ -3,105 +3,172 @@
 from __future__ import annotations
 
 import asyncio
-from dataclasses import replace
+import random
+from collections.abc import Callable
+from dataclasses import dataclass, replace
 from pathlib import Path
-from types import SimpleNamespace
+from typing import NoReturn
 
 import pytest
 
 from glenrock.coordination.warm_start.start_cache import StartCache
-from glenrock.coordination.warm_start.start_record import decode
+from glenrock.coordination.warm_start.start_record import decode, table_version
 from glenrock.net.clock import ManualClock
-from glenrock.net.endpoint_rows import EndpointRow
+from glenrock.net.descriptor_budget import DescriptorBudget
+from glenrock.net.endpoint_watcher import EndpointWatcher
+from glenrock.net.metrics import ConnectionMetrics
+from glenrock.net.poll_backoff import PollBackoff
+from glenrock.net.routing_actor import RoutingActor
 from glenrock.net.server_connections import ServerRegistry
-from glenrock.routing import Balancer
+from glenrock.net.start_times import StartTimes
 from glenrock.routing.interface import EndpointState
 
-from .records import NOW, SETTINGS, TRUST
-
-
-def build_cache(folder: Path, version: int = 3) -> StartCache:
-    entry = EndpointRow("s1", ("127.0.0.1", 9), EndpointState.READY, zone="a", since_ms=5.0)
-    gone = replace(entry, name="s2", state=EndpointState.GONE)
-    heard = asyncio.Event()
-    heard.set()
-    servers = ServerRegistry.__new__(ServerRegistry)
-    servers.rows = {"s1": entry, "s2": gone}
-    program = SimpleNamespace(
-        clock=ManualClock(NOW),
-        routing=SimpleNamespace(balancer=Balancer(SETTINGS, 1)),
-        endpoints=SimpleNamespace(address=("d", 1), newest_version=version, has_answered=heard),
-        servers=servers,
+from ..rig import HostStandIn
+from .records import NOW_MS, ROW, SETTINGS, TRUST
+
+
+class RecordingCache(StartCache):
+    """A cache that records what it writes.
+
+    Attributes:
+        versions: of the lists written, in order.
+    """
+
+    def __init__(self, host: HostStandIn, folder: Path) -> None:
+        super().__init__(host, folder, "n0", TRUST)
+        self.versions: list[int] = []
+
+    def write(self, data: bytes) -> None:
+        """Writes the file, and records the version of its list."""
+        super().write(data)
+        self.versions.append(table_version(decode(data).table))
+
+
+@dataclass
+class CacheRig:
+    """A cache, and the parts of its balancer that a test changes."""
+
+    clock: ManualClock
+    endpoints: EndpointWatcher
+    cache: RecordingCache
+
+
+def build_cache(folder: Path) -> CacheRig:
+    """Returns the cache of a balancer with a list of version 3: a server that is ready, and one that is gone."""
+    clock = ManualClock(NOW_MS)
+    host = HostStandIn(clock=clock)
+    host.routing = RoutingActor(SETTINGS, 1, clock)
+    host.endpoints = EndpointWatcher(
+        address=("d", 1),
+        clock=clock,
+        update=lambda kind, rows: None,
+        on_failure=lambda: None,
+        backoff=PollBackoff(1, False, random.Random(1)),
+    )
+    host.endpoints.newest_version = 3
+    host.endpoints.has_answered.set()
+    host.servers = ServerRegistry(
+        clock, 100.0, host.routing.post, ConnectionMetrics([]), DescriptorBudget(100), StartTimes(clock, 0.0)
     )
-    return StartCache(program, folder, "n0", TRUST)
+    host.servers.rows = {"s1": ROW, "s2": replace(ROW, name="s2", state=EndpointState.GONE)}
+    return CacheRig(clock, host.endpoints, RecordingCache(host, folder))
 
 
-def test_cache_is_written_on_changes_and_periodically_but_not_before_discovery_answered(tmp_path) -> None:
+def test_cache_is_written_on_changes_and_periodically_but_not_before_discovery_answered(tmp_path: Path) -> None:
     async def scenario() -> None:
-        cache, written = build_cache(tmp_path), []
-        write = cache.write
-        cache.write = lambda data: (write(data), written.append(decode(data).table["index"]))
-        cache._host.endpoints.newest_version = -1
+        rig = build_cache(tmp_path)
+        cache = rig.cache
+        rig.endpoints.newest_version = -1
         await cache.write_if_due()
-        assert not written and not cache.path.exists()
-        for version, later in ((3, 0), (3, 500), (4, 500), (4, 9000), (4, 1000)):
-            cache._host.endpoints.newest_version = version
-            cache._clock.time_ms += later
+        assert not cache.versions
+        assert not cache.path.exists()
+        for version, later_ms in ((3, 0), (3, 500), (4, 500), (4, 9000), (4, 1000)):
+            rig.endpoints.newest_version = version
+            rig.clock.time_ms += later_ms
             await cache.write_if_due()
-        assert written == [3, 4, 4]
-        assert [r["name"] for r in decode(cache.path.read_bytes()).table["endpoints"]] == ["s1"]
-        assert sorted(p.name for p in tmp_path.iterdir()) == ["glenrock-n0.start"]
+        assert cache.versions == [3, 4, 4]
 
     asyncio.run(scenario())
+    (path,) = tmp_path.iterdir()
+    assert path.name == "glenrock-n0.start"
+    assert [row["name"] for row in decode(path.read_bytes()).table["endpoints"]] == ["s1"]
+
+
+def truncate(path: Path) -> None:
+    """Cuts the file's last bytes off."""
+    path.write_bytes(path.read_bytes()[:-3])
+
+
+def fill_with_zeros(path: Path) -> None:
+    """Replaces the file's content by zeros."""
+    path.write_bytes(b"\0" * 50)
+
+
+def replace_by_folder(path: Path) -> None:
+    """Puts a folder in the place of the file."""
+    path.unlink()
+    path.mkdir()
 
 
 @pytest.mark.parametrize(
-    "spoil,why",
+    "spoil, status",
     [
-        (lambda p: p.write_bytes(p.read_bytes()[:-3]), "is put aside: the digest is wrong"),
-        (lambda p: p.write_bytes(b"\0" * 50), "is put aside: not a file of this kind"),
-        (lambda p: (p.unlink(), p.mkdir()), "is put aside"),
-        (lambda p: p.unlink(), "nothing was kept"),
+        (truncate, "is put aside: the digest is wrong"),
+        (fill_with_zeros, "is put aside: not a file of this kind"),
+        (replace_by_folder, "is put aside"),
+        (Path.unlink, "nothing was kept"),
     ],
 )
-def test_unusable_cache_is_renamed_and_the_start_continues_without(tmp_path, caplog, spoil, why) -> None:
+def test_unusable_cache_is_renamed_and_the_start_continues_without(
+    tmp_path: Path, caplog: pytest.LogCaptureFixture, spoil: Callable[[Path], None], status: str
+) -> None:
+    is_unusable = "aside" in status
+
     async def scenario() -> None:
-        cache = build_cache(tmp_path)
+        cache = build_cache(tmp_path).cache
         await cache.write_if_due()
         spoil(cache.path)
-        next_cache = build_cache(tmp_path)
-        assert next_cache.read({"index": 1}) == {"index": 1} and why in next_cache.status
-        assert [entry.levelname for entry in caplog.records] == (["WARNING"] if "aside" in why else [])
+        next_cache = build_cache(tmp_path).cache
+        assert next_cache.read({"index": 1}) == {"index": 1}
+        assert status in next_cache.status
+        assert [record.levelname for record in caplog.records] == (["WARNING"] if is_unusable else [])
         for line in caplog.messages:
-            assert line.startswith("start cache not usable") and str(next_cache.path) in line
-            assert why.partition("aside: ")[2] in line
+            assert line.startswith("start cache not usable")
+            assert str(next_cache.path) in line
+            assert status.partition("aside: ")[2] in line
         await next_cache.write_if_due()
-        assert decode(next_cache.path.read_bytes()).table["index"] == 3, "the file is written again"
-        assert Path(f"{next_cache.path}.spoilt").exists() is ("aside" in why)
+        assert table_version(decode(next_cache.path.read_bytes()).table) == 3, "the file is written again"
 
     asyncio.run(scenario())
+    assert (tmp_path / "glenrock-n0.start.spoilt").exists() is is_unusable
+
+
+def raise_disk_full(*_: object, **__: object) -> NoReturn:
+    """Fails as a call on a full disk."""
+    raise OSError(28, "No space left on device")
 
 
-@pytest.mark.parametrize("how", ["open", "fsync", "replace"])
-def test_failed_write_is_logged_and_keeps_the_file(tmp_path, caplog, monkeypatch, how) -> None:
+@pytest.mark.parametrize("call", ["builtins.open", "os.fsync", "os.replace"])
+def test_failed_write_is_logged_and_keeps_the_file(
+    tmp_path: Path, caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch, call: str
+) -> None:
     """The disk is full at any step; a start still reads the old record."""
 
     async def scenario() -> None:
-        cache = build_cache(tmp_path)
+        rig = build_cache(tmp_path)
+        cache = rig.cache
         await cache.write_if_due()
         before = cache.path.read_bytes()
-        cache._host.endpoints.newest_version = 9
-        with monkeypatch.context() as m:
-
-            def full(*_, **__) -> None:
-                raise OSError(28, "No space left on device")
-
-            m.setattr("builtins.open" if how == "open" else f"os.{how}", full)
+        rig.endpoints.newest_version = 9
+        with monkeypatch.context() as patch:
+            patch.setattr(call, raise_disk_full)
             await cache.write_if_due()
         (line,) = caplog.messages
-        assert "start cache not written" in line and str(cache.path) in line and "28, 'No space left" in line
+        assert "start cache not written" in line
+        assert str(cache.path) in line
+        assert "28, 'No space left" in line
         assert cache.path.read_bytes() == before
         await cache.write_if_due()
-        assert decode(cache.path.read_bytes()).table["index"] == 9, "the write is retried"
+        assert table_version(decode(cache.path.read_bytes()).table) == 9, "the write is retried"
 
     asyncio.run(scenario())
--- a/tests/coordination/warm_start/test_start_record.py
+++ b/tests/coordination/warm_start/test_start_record.py
@@ -3,30 +3,37 @@
 from __future__ import annotations
 
 import random
+from dataclasses import replace
 
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
 
-from glenrock.coordination.warm_start.start_record import MAX_BYTES, StartRecord, decode, encode, usable_knowledge
+from glenrock.coordination.warm_start.start_record import (
+    MAX_BYTES,
+    EndpointTable,
+    MeanLoads,
+    StartRecord,
+    decode,
+    encode,
+    encode_table,
+    usable_knowledge,
+)
 from glenrock.routing import Balancer
+from glenrock.routing.connection_load import ConnectionLoads, LoadMean
 
-from .records import NOW, SETTINGS, TRUST, record, row, table
+from .records import NOW_MS, RECORD, ROW, SETTINGS, TRUST, table
 
+CLASS_NAMES = ["look", "write"]
 numbers = st.floats(0, 1e12)
-
-
+rows = st.builds(replace, st.just(ROW), name=st.text(min_size=1, max_size=8))
 records = st.builds(
     StartRecord,
-    numbers,
-    st.text(max_size=20),
-    st.text(max_size=20),
-    st.builds(
-        lambda i, names: {"index": i, "snapshot": True, "endpoints": [row(n) for n in names]},
-        st.integers(-1, 1 << 53),
-        st.lists(st.text(min_size=1, max_size=8), max_size=5),
-    ),
-    st.dictionaries(st.text(max_size=8), st.tuples(numbers, st.integers(0, 1 << 40)), max_size=4),
+    at_ms=numbers,
+    boot=st.text(max_size=20),
+    discovery=st.text(max_size=20),
+    table=st.builds(encode_table, st.integers(-1, 1 << 53), st.lists(rows, max_size=5)),
+    means=st.dictionaries(st.text(max_size=8), st.builds(LoadMean, numbers, st.integers(0, 1 << 40)), max_size=4),
 )
 
 
@@ -36,24 +43,26 @@
 
 
 @given(records, st.integers(0, 10_000), st.integers(1, 255))
-def test_truncated_or_corrupt_file_raises_value_error_only(written, at: int, change: int) -> None:
+def test_truncated_or_corrupt_file_raises_value_error_only(written: StartRecord, drawn: int, change: int) -> None:
     data = encode(written)
-    at %= len(data)
-    for corrupt in (data[:at], data[:at] + bytes([data[at] ^ change]) + data[at + 1 :]):
+    position = drawn % len(data)
+    truncated = data[:position]
+    corrupt = truncated + bytes([data[position] ^ change]) + data[position + 1 :]
+    for invalid in (truncated, corrupt):
         with pytest.raises(ValueError):
-            decode(corrupt)
+            decode(invalid)
 
 
 @pytest.mark.parametrize(
-    "data,message",
+    "data, message",
     [
         (b"", "not a file of this kind"),
         (b"x" * (MAX_BYTES + 1), "too large"),
-        (encode(record()).replace(b"start 1", b"start 2", 1), "version 2, 1 is known"),
-        (encode(record()) + b" ", "the digest is wrong"),
-        (encode(record(table={"index": "7", "snapshot": True, "endpoints": []})), "not what it should be"),
-        (encode(record(means={"": (float("nan"), 1)})), "not what it should be"),
-        (encode(record(means={"": (-1.0, 1)})), "not what it should be"),
+        (encode(RECORD).replace(b"start 1", b"start 2", 1), "version 2, 1 is known"),
+        (encode(RECORD) + b" ", "the digest is wrong"),
+        (encode(replace(RECORD, table={"index": "7", "snapshot": True, "endpoints": []})), "not what it should be"),
+        (encode(replace(RECORD, means={"": LoadMean(float("nan"), 1)})), "not what it should be"),
+        (encode(replace(RECORD, means={"": LoadMean(-1.0, 1)})), "not what it should be"),
     ],
 )
 def test_unusable_file_raises_with_the_reason(data: bytes, message: str) -> None:
@@ -63,28 +72,34 @@
 
 def test_record_longer_than_a_start_reads_is_not_written() -> None:
     with pytest.raises(ValueError, match="at most"):
-        encode(record(table=table(1, *(f"s{n:060d}" for n in range(30_000)))))
+        encode(replace(RECORD, table=table(1, *(f"s{number:060d}" for number in range(30_000)))))
+
+
+OTHER_DISCOVERY = replace(RECORD, discovery="e:1")
+SECOND_OLD_MEANS = {"": LoadMean(3.0, 37)}
 
 
 @pytest.mark.parametrize(
-    "configured,over,age,names,means",
+    "configured, record, age_ms, names, means",
     [
-        ({}, {}, 1000.0, ["s1", "s2"], {"": (3.0, 37)}),
-        ({}, {}, 20_000.0, ["s1", "s2"], {"": (3.0, 10)}),
-        ({}, {}, 59_000.0, ["s1", "s2"], {"": (3.0, 1)}),
-        ({}, {}, 61_000.0, None, {"": (3.0, 1)}),
-        ({}, {}, 86_400_000.0, None, {}),
-        ({}, {}, -1.0, None, {}),  # the clock went back
-        (table(6, "old"), {}, 1000.0, ["s1", "s2"], {"": (3.0, 37)}),
-        (table(7, "given"), {}, 1000.0, ["given"], {"": (3.0, 37)}),
-        (table(9, "given"), {}, 1000.0, ["given"], {"": (3.0, 37)}),
-        (table(6, "given"), {"discovery": "e:1"}, 1000.0, ["given"], {"": (3.0, 37)}),  # another discovery
-        ({"index": 9, "endpoints": []}, {}, 1000.0, ["s1", "s2"], {"": (3.0, 37)}),
-        ({"index": "x", "endpoints": [1]}, {}, 1000.0, None, {"": (3.0, 37)}),
+        ({}, RECORD, 1000.0, ["s1", "s2"], SECOND_OLD_MEANS),
+        ({}, RECORD, 20_000.0, ["s1", "s2"], {"": LoadMean(3.0, 10)}),
+        ({}, RECORD, 59_000.0, ["s1", "s2"], {"": LoadMean(3.0, 1)}),
+        ({}, RECORD, 61_000.0, None, {"": LoadMean(3.0, 1)}),
+        ({}, RECORD, 86_400_000.0, None, {}),
+        ({}, RECORD, -1.0, None, {}),  # the clock went back
+        (table(6, "old"), RECORD, 1000.0, ["s1", "s2"], SECOND_OLD_MEANS),
+        (table(7, "given"), RECORD, 1000.0, ["given"], SECOND_OLD_MEANS),
+        (table(9, "given"), RECORD, 1000.0, ["given"], SECOND_OLD_MEANS),
+        (table(6, "given"), OTHER_DISCOVERY, 1000.0, ["given"], SECOND_OLD_MEANS),
+        ({"index": 9, "endpoints": []}, RECORD, 1000.0, ["s1", "s2"], SECOND_OLD_MEANS),
+        ({"index": "x", "endpoints": [1]}, RECORD, 1000.0, None, SECOND_OLD_MEANS),
     ],
 )
-def test_knowledge_that_a_start_uses(configured, over, age, names, means) -> None:
-    knowledge = usable_knowledge(record(**over), configured, NOW + age, "b", "d:1", TRUST)
+def test_knowledge_that_a_start_uses(
+    configured: EndpointTable, record: StartRecord, age_ms: float, names: list[str] | None, means: MeanLoads
+) -> None:
+    knowledge = usable_knowledge(record, configured, NOW_MS + age_ms, "b", "d:1", TRUST)
     assert knowledge.means == means
     if names is None:
         assert knowledge.table == configured
@@ -94,27 +109,42 @@
 
 
 def test_servers_of_a_cached_list_count_as_warming_up_after_a_boot() -> None:
-    knowledge = usable_knowledge(record(), {}, NOW + 1000, "another", "d:1", TRUST)
-    assert [r["since_ms"] for r in knowledge.table["endpoints"]] == [NOW + 1000] * 2 and "cold" in knowledge.summary
-    assert [r["since_ms"] for r in record().table["endpoints"]] == [5.0] * 2, "the record is not changed"
+    now_ms = NOW_MS + 1000
+    knowledge = usable_knowledge(RECORD, {}, now_ms, "another", "d:1", TRUST)
+    assert [row["since_ms"] for row in knowledge.table["endpoints"]] == [now_ms] * 2
+    assert "cold" in knowledge.summary
+    assert [row["since_ms"] for row in RECORD.table["endpoints"]] == [5.0] * 2, "the record is not changed"
+
+
+def loads_after_restart(samples: int) -> ConnectionLoads:
+    """Returns the loads of a start with a restored mean of 2.0 for each class, from so many samples."""
+    loads = Balancer(SETTINGS, 1).connection_loads
+    restored = LoadMean(2.0, samples)
+    unusable = {"gone": LoadMean(9.0, 9), "write": LoadMean(0.0, 9)}
+    loads.restore({"": restored, "look": restored, **unusable}, CLASS_NAMES)
+    return loads
+
+
+def test_restored_loads_are_expected_but_not_those_of_classes_that_are_gone() -> None:
+    loads = loads_after_restart(40)
+    assert loads.expected("look") == 2.0
+    assert loads.expected("write") == 2.0, "the mean of all classes, since its own is 0"
+    assert "gone" not in loads.means
 
 
 def test_restored_loads_weigh_less_the_older_they_are() -> None:
     """Fresh restored loads delay the new mean of a class that became three times as heavy; old ones hardly do."""
-    draw, found = random.Random(1), []
-    for count in (40, 4):
-        balancer = Balancer(SETTINGS, 1)
-        balancer.connection_loads.restore(
-            {"": (2.0, count), "look": (2.0, count), "gone": (9.0, 9), "write": (0.0, 9)}, ["look", "write"]
-        )
-        assert balancer.connection_loads.expected("look") == 2.0 and balancer.connection_loads.expected("write") == 2.0
-        assert "gone" not in balancer.connection_loads.means
+    draw = random.Random(1)
+    fresh, old = loads_after_restart(40), loads_after_restart(4)
+    for loads in (fresh, old):
         for _ in range(20):
-            balancer.connection_loads.record("look", 6.0 * (0.9 + draw.random() / 5))
-        found.append(balancer.connection_loads.expected("look"))
-    assert 2.5 < found[0] < 4.0 < found[1] < 6.0
-    balancer = Balancer(SETTINGS, 1)
-    balancer.connection_loads.record("look", 5.0)
-    balancer.connection_loads.restore({"look": (2.0, 9)}, ["look", "write"])
-    assert balancer.connection_loads.expected("look") == 5.0, "loads of this process take precedence"
-    assert balancer.connection_loads.snapshot() == {"": (5.0, 1), "look": (5.0, 1)}
+            loads.record("look", 6.0 * (0.9 + draw.random() / 5))
+    assert 2.5 < fresh.expected("look") < 4.0 < old.expected("look") < 6.0
+
+
+def test_loads_of_this_process_take_precedence_over_restored_ones() -> None:
+    loads = Balancer(SETTINGS, 1).connection_loads
+    loads.record("look", 5.0)
+    loads.restore({"look": LoadMean(2.0, 9)}, CLASS_NAMES)
+    assert loads.expected("look") == 5.0
+    assert loads.snapshot() == {"": LoadMean(5.0, 1), "look": LoadMean(5.0, 1)}
