--- a/glenrock/coordination/warm_start/start_record.py
+++ b/glenrock/coordination/warm_start/start_record.py
@@ -87,10 +87,9 @@
 
 
 def _encode_row(row: EndpointRow) -> dict[str, Any]:
-    host, port = row.address
     return {
         "name": row.name,
-        "address": f"{host}:{port}",
+        "address": str(row.address),
         "zone": row.zone,
         "group": row.group,
         "status": row.status,
--- a/glenrock/routing/capacity_estimation.py
+++ b/glenrock/routing/capacity_estimation.py
@@ -93,8 +93,8 @@
         if warm is self._warm:  # the same list object as a round before: no change
             return
         self._warm = warm
-        present = {server.id for server in warm}
-        added = [self._loads.load(server) for server in warm if server.id not in self._in_reach]
+        present = {server.server_id for server in warm}
+        added = [self._loads.load(server) for server in warm if server.server_id not in self._in_reach]
         missing = [self._servers[id_] for id_ in self._in_reach - present if id_ in self._servers]
         lost = sum(server.is_ready for server in missing)
         if self._in_reach and warm and (added or lost):
@@ -138,7 +138,12 @@
         self._measure_capacities(observed, tier_load)
         self._update_capacity_ratios(observed)
         weights = self._weights(observed)
-        return sum(weight * load for weight, (_, load) in zip(weights, observed, strict=True)) / sum(weights)
+        total_weight = sum(weights)
+        if (
+            total_weight == 0
+        ):  # the median server reports no load, and no observed server has a usual capacity
+            return sum(load for _, load in observed) / len(observed)
+        return sum(weight * load for weight, (_, load) in zip(weights, observed, strict=True)) / total_weight
 
     def _weights(self, observed: Sequence[ObservedLoad]) -> list[float]:
         """Returns the weight of each server in the mean.
--- a/tests/coordination/leases/store_fixture.py
+++ b/tests/coordination/leases/store_fixture.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import errno
 from collections.abc import Awaitable, Callable
 from pathlib import Path
 from typing import Protocol, TypeVar
@@ -16,6 +17,7 @@
 
 SHORT_LEASE_US = 300_000  # for tests that wait for its expiry
 LONG_LEASE_US = 30_000_000  # far above a stall of the disk
+MAX_ADDRESSES = 16  # a run's network follows from its process id, so that two runs may have the same
 
 
 def lease_request(job: str, sequence: int, kind: RequestKind, term: int = 0, term_floor: int = 0) -> JobRequest:
@@ -100,7 +102,8 @@
 
     def __init__(self, lease_us: int) -> None:
         self.lease_us = lease_us
-        self.server = ConsulServer(LoopbackNetwork().next(), 0.0)
+        self._network = LoopbackNetwork()
+        self.server = ConsulServer(self._network.next(), 0.0)
         self._clients: list[ConsulStore] = []
 
     def client(self, holder: str, lock_delay_us: int = 0) -> ConsulStore:
@@ -115,8 +118,18 @@
         return self.server.calls
 
     async def open(self) -> None:
-        """See `StoreFixture`."""
-        await self.server.open()
+        """Starts the service. Another address is tried if a stand-in of another run has the first one."""
+        for _ in range(MAX_ADDRESSES):
+            try:
+                await self.server.open()
+            except OSError as error:
+                if error.errno != errno.EADDRINUSE:
+                    raise
+                await self.server.close()
+                self.server = ConsulServer(self._network.next(), 0.0)
+            else:
+                return
+        raise RuntimeError(f"no free address among {MAX_ADDRESSES}")
 
     async def close(self) -> None:
         """See `StoreFixture`."""
--- a/tests/coordination/warm_start/records.py
+++ b/tests/coordination/warm_start/records.py
@@ -4,6 +4,7 @@
 
 from dataclasses import replace
 
+from glenrock.config import Address
 from glenrock.coordination.warm_start.start_record import EndpointTable, RecordTrust, StartRecord, encode_table
 from glenrock.net.endpoint_rows import EndpointRow
 from glenrock.routing import interface
@@ -14,7 +15,7 @@
 SETTINGS = interface.Settings(
     classes=(interface.RequestClass("look", 300_000, 1_500_000), interface.RequestClass("write", 1, 2))
 )
-ROW = EndpointRow("s1", ("127.0.0.1", 9), interface.EndpointState.READY, zone="a", since_ms=5.0)
+ROW = EndpointRow("s1", Address("127.0.0.1", 9), interface.EndpointState.READY, zone="a", since_ms=5.0)
 """A server in the list, which started at 5 ms."""
 
 
--- a/tests/coordination/warm_start/test_start_cache.py
+++ b/tests/coordination/warm_start/test_start_cache.py
@@ -11,6 +11,7 @@
 
 import pytest
 
+from glenrock.config import Address
 from glenrock.coordination.warm_start.start_cache import StartCache
 from glenrock.coordination.warm_start.start_record import decode, table_version
 from glenrock.net.clock import ManualClock
@@ -59,7 +60,7 @@
     host = HostStandIn(clock=clock)
     host.routing = RoutingActor(SETTINGS, 1, clock)
     host.endpoints = EndpointWatcher(
-        address=("d", 1),
+        address=Address("d", 1),
         clock=clock,
         update=lambda kind, rows: None,
         on_failure=lambda: None,
--- a/tests/net/test_start_times.py
+++ b/tests/net/test_start_times.py
@@ -3,11 +3,13 @@
 from __future__ import annotations
 
 import asyncio
+import signal
 import time
 
 import pytest
 import uvloop
 
+from glenrock.config import Address
 from glenrock.net.clock import ManualClock
 from glenrock.net.endpoint_rows import EndpointRow
 from glenrock.net.start_times import REPORT_DELAY_MS, StartTimes
@@ -24,19 +26,22 @@
     """A process's clock, and a wall clock that a test steps."""
 
     def __init__(self, ahead_ms: float = 0.0) -> None:
-        self.true_ms, self.step_ms = NOW_MS, 0.0
+        self.true_ms = NOW_MS
+        self.step_ms = 0.0
         self.clock = ManualClock(NOW_MS + ahead_ms)
         self.ahead_ms = ahead_ms
         self.times = StartTimes(self.clock, SLOW_START_MS, lambda: self.true_ms + self.ahead_ms + self.step_ms)
 
     def advance(self, ms: float) -> None:
+        """Advances both clocks."""
         self.true_ms += ms
         self.clock.advance(ms)
 
     def ages_ms(self, **since_ms: float) -> dict[str, float]:
         """Returns the ages of listed servers by name; infinite for a server without a known start."""
         rows = [
-            EndpointRow(name, ("127.0.0.1", 9), EndpointState.READY, since_ms=at_ms) for name, at_ms in since_ms.items()
+            EndpointRow(name, Address("127.0.0.1", 9), EndpointState.READY, since_ms=at_ms)
+            for name, at_ms in since_ms.items()
         ]
         return {
             row.name: self.clock.now_ms() - started_ms if started_ms else float("inf")
@@ -101,7 +106,7 @@
             later_clients = [bed.start_client(0, stays_s=20.0) for _ in range(10)]
             assert await bed.wait_until(lambda: all(client.up.is_set() for client in later_clients), 3.0)
             signal_s = time.monotonic()
-            bed.processes[0].send_signal(15)
+            bed.processes[0].send_signal(signal.SIGTERM)
             assert await bed.wait_until(lambda: not bed.processes[0].is_running, 3.7)
             assert time.monotonic() - signal_s > 2.0 and bed.processes[0].exit_code == 0
             assert all(client.request.is_migrated for client in [*clients, *later_clients])
