--- a/glenrock/upgrade/override_file.py
+++ b/glenrock/upgrade/override_file.py
@@ -115,7 +115,7 @@
 
 
 def encode(shared: SharedOverrides) -> bytes:
-    """Returns the file's bytes, with the latest `MAX_SERVERS` of the known servers."""
+    """Returns the content as JSON, with the latest `MAX_SERVERS` of the known servers. `write` adds the digest."""
     content = {
         "version": VERSION,
         "out": sorted(shared.suspended),
--- a/tests/admin/test_metrics.py
+++ b/tests/admin/test_metrics.py
@@ -35,10 +35,10 @@
 
 
 def test_count_avoided_is_fast_for_the_largest_endpoint_list(make_harness: HarnessFactory) -> None:
-    names = [f"s{n}:1" for n in range(4096)]
+    names = [f"s{number}:1" for number in range(4096)]
     balancer = make_harness(names=names).balancer
-    for n in range(0, 4096, 4):
-        balancer.servers[names[n]].is_ready = False
+    for name in names[::4]:
+        balancer.servers[name].is_ready = False
     started_s = time.process_time()
     assert balancer.count_avoided([*names, "never:1"]) == 1025
     assert time.process_time() - started_s < MAX_COUNT_S
--- a/tests/cli/conftest.py
+++ b/tests/cli/conftest.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-ROOT = Path(__file__).resolve().parents[2]
+CHECKOUT = Path(__file__).resolve().parents[2]
 COMMAND = [sys.executable, "-c", "from glenrock.cli import main; main()"]
 SMALL_EXPERIMENT = """name = "small"
 length_s = 10.0
@@ -30,4 +30,4 @@
 
 def run_process(*arguments: object) -> subprocess.CompletedProcess[str]:
     """Runs a command line in a process."""
-    return subprocess.run([*COMMAND, *map(str, arguments)], capture_output=True, text=True, cwd=ROOT, timeout=120)
+    return subprocess.run([*COMMAND, *map(str, arguments)], capture_output=True, text=True, cwd=CHECKOUT, timeout=120)
--- a/tests/cli/test_main.py
+++ b/tests/cli/test_main.py
@@ -1,4 +1,4 @@
-"""Exit codes of invalid input, `check`, `lab list`, and what serving imports."""
+"""Exit codes of invalid input, `check`, `simulation list`, the alias `lab`, and what serving imports."""
 
 from __future__ import annotations
 
@@ -7,29 +7,30 @@
 import sys
 from pathlib import Path
 
+import click
 import pytest
 
-from glenrock.cli.main import run
+from glenrock.cli.main import ROOT, run
 
-from .conftest import ROOT
+from .conftest import CHECKOUT
 
 
 @pytest.mark.parametrize(
     ("arguments", "message"),
     [
-        (["lab", "run", "nowhere.toml"], "nowhere.toml: No such file or directory"),
-        (["lab", "run", "SMALL", "--policy", "best"], "--policy best: not one of glenrock, random"),
-        (["lab", "run", "SMALL", "--seed", "x"], "'x' is not a valid integer"),
-        (["lab", "run", "SMALL", "--seed", "-1"], "-1 is not in the range"),
-        (["lab", "run", "SMALL", "--set", "fleet.balancers=0"], "fleet.balancers: Expected `int` >= 1"),
-        (["lab", "run", "SMALL", "--set", "fleet"], "--set fleet: expected KEY=VALUE"),
-        (["lab", "run", "SMALL", "--out", "/proc/no/such"], "/proc/no/such: "),
-        (["lab", "run", "SMALL", "--out", "FULL"], "holds other things than results"),
-        (["lab", "run", "SMALL", "--out", "SMALL"], "not a folder"),
-        (["lab", "sweep", "SMALL", "--seeds", "none"], "--seeds none: expected a count"),
-        (["lab", "compare", "SMALL", "SMALL"], "neither a folder of results nor FILE@POLICY"),
-        (["lab", "report", "FULL"], "summary.json: No such file or directory"),
-        (["lab", "fly"], "No such command 'fly'"),
+        (["simulation", "run", "nowhere.toml"], "nowhere.toml: No such file or directory"),
+        (["simulation", "run", "SMALL", "--policy", "best"], "--policy best: not one of glenrock, random"),
+        (["simulation", "run", "SMALL", "--seed", "x"], "'x' is not a valid integer"),
+        (["simulation", "run", "SMALL", "--seed", "-1"], "-1 is not in the range"),
+        (["simulation", "run", "SMALL", "--set", "fleet.balancers=0"], "fleet.balancers: Expected `int` >= 1"),
+        (["simulation", "run", "SMALL", "--set", "fleet"], "--set fleet: expected KEY=VALUE"),
+        (["simulation", "run", "SMALL", "--out", "/proc/no/such"], "/proc/no/such: "),
+        (["simulation", "run", "SMALL", "--out", "FULL"], "holds other things than results"),
+        (["simulation", "run", "SMALL", "--out", "SMALL"], "not a folder"),
+        (["simulation", "sweep", "SMALL", "--seeds", "none"], "--seeds none: expected a count"),
+        (["simulation", "compare", "SMALL", "SMALL"], "neither a folder of results nor FILE@POLICY"),
+        (["simulation", "report", "FULL"], "summary.json: No such file or directory"),
+        (["simulation", "fly"], "No such command 'fly'"),
         (["check", "SMALL", "--fast"], "No such option"),
         (["check", "x.yaml"], "neither .toml nor .json"),
         (["serve", "--config", "nowhere.json"], "LB_CONFIG: cannot read nowhere.json"),
@@ -65,7 +66,7 @@
         '{"name": "a", "targetUs": 1, "deadlineUs": 2}]}}'
     )
     assert run(["check", str(config)]) == 0
-    assert run(["lab", "list", "--folder", str(ROOT / "experiments")]) == 0
+    assert run(["simulation", "list", "--folder", str(CHECKOUT / "experiments")]) == 0
     output = capsys.readouterr().out
     assert all(word in output for word in ("sound", "crash-quarter.toml", "prequal", "zone_cut"))
     config.write_text("{}")
@@ -78,9 +79,11 @@
     assert "simulation" in names and "lab" not in names
     outputs = []
     for name in ("simulation", "lab"):
-        assert run([name, "list", "--folder", str(ROOT / "experiments")]) == 0
+        assert run([name, "list", "--folder", str(CHECKOUT / "experiments")]) == 0
         outputs.append(capsys.readouterr().out)
     assert outputs[0] == outputs[1]
+    context = click.Context(ROOT)
+    assert ROOT.get_command(context, "lab") is ROOT.get_command(context, "simulation")
 
 
 def test_serving_imports_no_tools() -> None:
@@ -95,8 +98,8 @@
         [sys.executable, "-c", code],
         capture_output=True,
         text=True,
-        cwd=ROOT,
+        cwd=CHECKOUT,
         timeout=60,
-        env={**os.environ, "PYTHONPATH": str(ROOT)},
+        env={**os.environ, "PYTHONPATH": str(CHECKOUT)},
     )
     assert done.returncode == 0, done.stderr
--- a/tests/cli/test_simulation.py
+++ b/tests/cli/test_simulation.py
@@ -13,7 +13,7 @@
 
 from glenrock.cli.main import run
 
-from .conftest import COMMAND, ROOT, SMALL_EXPERIMENT, run_process
+from .conftest import CHECKOUT, COMMAND, SMALL_EXPERIMENT, run_process
 
 RESULT_FILES = ["heat.csv", "histograms.json", "report.html", "series.csv", "summary.json"]
 UNREPEATABLE_KEYS = ("clock", "events_per_s")
@@ -24,7 +24,7 @@
     experiment: Path, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     out = tmp_path / "deep" / "out"
-    assert run(["lab", "run", str(experiment), "--seed", "3", "--out", str(out)]) == 0
+    assert run(["simulation", "run", str(experiment), "--seed", "3", "--out", str(out)]) == 0
     assert sorted(path.name for path in out.iterdir()) == RESULT_FILES
     summary = json.loads((out / "summary.json").read_text())
     assert (summary["experiment"], summary["seed"], summary["policy"]) == ("small", 3, "glenrock")
@@ -35,9 +35,9 @@
     assert html.count("data:image/png;base64,") >= 6 and "http" not in html.replace("http-equiv", "")
     assert "worth: goal" in capsys.readouterr().out
     # A second run replaces the folder, and the report can be regenerated.
-    assert run(["lab", "run", str(experiment), "--out", str(out), "--policy", "random"]) == 0
+    assert run(["simulation", "run", str(experiment), "--out", str(out), "--policy", "random"]) == 0
     (out / "report.html").unlink()
-    assert run(["lab", "report", str(out)]) == 0 and (out / "report.html").exists()
+    assert run(["simulation", "report", str(out)]) == 0 and (out / "report.html").exists()
     assert not [path for path in out.parent.iterdir() if path.name.startswith(".")]
 
 
@@ -48,7 +48,7 @@
     from glenrock.simulation.policies import simple
 
     monkeypatch.setitem(simple.HANDLERS, interface.Request, lambda policy, event: None)
-    assert run(["lab", "run", str(experiment), "--policy", "random", "--out", str(tmp_path / "o")]) == 1
+    assert run(["simulation", "run", str(experiment), "--policy", "random", "--out", str(tmp_path / "o")]) == 1
     assert "rules broken: answered" in capsys.readouterr().err
     assert "no final answer" in (tmp_path / "o" / "report.html").read_text()
 
@@ -61,7 +61,7 @@
 
 def test_sweep_is_equal_in_one_and_eight_processes_and_resumes(experiment: Path, tmp_path: Path) -> None:
     experiment.write_text(SMALL_EXPERIMENT + '[sweep]\n"fleet.instances" = [3, 5]\n')
-    sweep = ["lab", "sweep", experiment, "--seeds", "2", "--policy", "random", "--policy", "glenrock"]
+    sweep = ["simulation", "sweep", experiment, "--seeds", "2", "--policy", "random", "--policy", "glenrock"]
     one, eight = tmp_path / "one", tmp_path / "eight"
     assert run_process(*sweep, "--jobs", 1, "--out", one).returncode == 0
     done = run_process(*sweep, "--jobs", 8, "--out", eight)
@@ -79,8 +79,8 @@
 
 def test_interrupted_sweep_keeps_finished_runs(experiment: Path, tmp_path: Path) -> None:
     out = tmp_path / "out"
-    sweep = ["lab", "sweep", str(experiment), "--seeds", "3000", "--jobs", "2", "--policy", "random"]
-    process = subprocess.Popen([*COMMAND, *sweep, "--out", str(out)], cwd=ROOT, stderr=subprocess.PIPE, text=True)
+    sweep = ["simulation", "sweep", str(experiment), "--seeds", "3000", "--jobs", "2", "--policy", "random"]
+    process = subprocess.Popen([*COMMAND, *sweep, "--out", str(out)], cwd=CHECKOUT, stderr=subprocess.PIPE, text=True)
     deadline_s = time.monotonic() + START_TIMEOUT_S
     while len(list((out / "runs").glob("*.json"))) < 5 and time.monotonic() < deadline_s:
         time.sleep(0.05)
@@ -94,7 +94,7 @@
 def test_compare_pairs_runs_by_seed(experiment: Path, tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     out = tmp_path / "o"
     sources = [f"{experiment}@random", f"{experiment}@random"]
-    assert run(["lab", "compare", *sources, "--seeds", "4", "--jobs", "1", "--out", str(out)]) == 0
+    assert run(["simulation", "compare", *sources, "--seeds", "4", "--jobs", "1", "--out", str(out)]) == 0
     comparison = json.loads((out / "compare.json").read_text())
     goal = next(row for row in comparison["rows"] if row["measure"] == "worth.goal")
     assert (goal["pairs"], goal["difference"], goal["p"]) == (4, 0.0, 1.0)
