--- a/tests/routing/scenarios.py
+++ b/tests/routing/scenarios.py
@@ -2,61 +2,152 @@
 
 from __future__ import annotations
 
-from conftest import SECOND
+from collections.abc import Iterable, Mapping, Sequence
+from typing import NamedTuple
+
+from conftest import SECOND, Harness, HarnessFactory
 
 from glenrock.routing import interface
 from glenrock.routing.gossip_codec import encode
+from glenrock.routing.state import Server
 
 ENOUGH_ROUNDS = 10
 """Rounds after which usual capacities are known."""
 
+NO_CLIENTS_WAIT: tuple[tuple[int, float], ...] = ()
+
+
+class ConnectedServer(NamedTuple):
+    """A harness, one of its servers, and a request with a connection there."""
+
+    harness: Harness
+    server: Server
+    request_id: str
+
+
+def health_report(server_id: str, load: float) -> interface.HealthCheckResult:
+    """Returns the result of a health check whose report states that load."""
+    return interface.HealthCheckResult(server_id, interface.AttemptOutcome.SERVED, 1000, {"load_ratio": load})
+
+
+def report_loads(harness: Harness, loads: Mapping[str, float]) -> list[interface.Action]:
+    """Delivers a health check result for each server. Returns the actions."""
+    return harness.deliver(*(health_report(server_id, load) for server_id, load in loads.items()))
+
+
+def run_rounds(harness: Harness, loads: Mapping[str, float], rounds: int) -> list[interface.Action]:
+    """Reports these loads and advances, round by round. Returns the actions of the rounds."""
+    actions: list[interface.Action] = []
+    for _ in range(rounds):
+        report_loads(harness, loads)
+        actions += harness.advance(SECOND // 2)
+    return actions
+
+
+def summary_stamp(harness: Harness) -> int:
+    """Returns the stamp of a gossip summary that is sent now."""
+    return harness.now_us // 100_000 & 0xFFFF
+
+
+def receive_summary(
+    harness: Harness,
+    peer: int,
+    active_load: float,
+    clients: int,
+    waiting: Sequence[tuple[int, float]] = NO_CLIENTS_WAIT,
+) -> None:
+    """Delivers a gossip summary of another balancer, stamped now.
+
+    Args:
+        harness: of the balancer that receives it.
+        peer: index of the other balancer.
+        active_load: of the other balancer.
+        clients: of the other balancer.
+        waiting: age and load of each bucket of its waiting queue.
+    """
+    data = encode(summary_stamp(harness), active_load, clients, waiting)
+    harness.deliver(interface.GossipReceived(peer, data))
+
+
+def migrated_requests(actions: Iterable[interface.Action]) -> list[str]:
+    """Returns the ids of the requests whose clients are asked to migrate, in order."""
+    return [action.request_id for action in actions if isinstance(action, interface.Migrate)]
 
-def receive_summary(harness, number: int, active_load: float, clients: int, waiting=()) -> None:
-    """Delivers a gossip summary of another balancer, stamped now."""
-    data = encode(harness.now_us // 100_000 & 0xFFFF, active_load, clients, list(waiting))
-    harness.deliver(interface.GossipReceived(number, data))
 
+def checked_servers(actions: Iterable[interface.Action]) -> list[str]:
+    """Returns the ids of the servers that are health-checked, in order."""
+    return [action.server_id for action in actions if isinstance(action, interface.SendHealthCheck)]
 
-def with_one_connection(make_harness):
-    """Returns a harness with a connection at its only server, which reports its load and slow messages."""
+
+def rejections(actions: Iterable[interface.Action]) -> list[interface.Reject]:
+    """Returns the rejections among these actions."""
+    return [action for action in actions if isinstance(action, interface.Reject)]
+
+
+def is_rejected_at_once(harness: Harness, request_id: str) -> bool:
+    """Returns whether the first action on the request rejects it."""
+    return isinstance(harness.actions_for(request_id)[0], interface.Reject)
+
+
+def first_server(harness: Harness, request_id: str) -> str:
+    """Returns the id of the server of the request's first attempt."""
+    return harness.attempts_of(request_id)[0].server_id
+
+
+def reject_newcomers(harness: Harness, load_cap: float = 0.0, quota: float = 0.0) -> None:
+    """Sets the cap, and a quota that new clients have to share, until the next round."""
+    admission = harness.balancer.admission
+    admission.load_cap, admission.quota = load_cap, quota
+    admission.may_admit_newcomers = False
+
+
+def establish_requests(harness: Harness, count: int, load: int = 0, wait_us: int = 0) -> list[str]:
+    """Establishes a connection for each of so many clients. Returns the ids of the requests.
+
+    Args:
+        harness: of the balancer.
+        count: number of clients; their keys count from 0.
+        load: hint of each connection's load; 0 for none.
+        wait_us: time between the requests and their connections, in which no health check is answered.
+    """
+    request_ids = [harness.send_request(key=key, load=load) for key in range(count)]
+    if wait_us:
+        harness.advance(wait_us)
+    for request_id in request_ids:
+        harness.establish(request_id)
+    return request_ids
+
+
+def open_connection(
+    harness: Harness, request_id: str, server_id: str, key: int, load: int = 0, group: int | None = None
+) -> None:
+    """Delivers a connection that was open at a server before the balancer started."""
+    request = interface.Request(request_id, "read", harness.now_us + SECOND, key, group, load=load)
+    harness.deliver(interface.OpenConnection(request, server_id))
+
+
+def with_one_connection(make_harness: HarnessFactory) -> ConnectedServer:
+    """Returns a harness with one connection at its only server, whose load and slow messages are reported."""
     harness = make_harness(
         may_health_check=True, load_report_fields=("load_ratio",), has_message_delay_reports=True, names=("a:1",)
     )
-    name = harness.send_request(key=1)
-    harness.establish(name)
-    return harness, name, harness.balancer.servers["a:1"]
-
-
-def report_loads(harness, loads: dict[str, float]) -> None:
-    """Delivers a health check result for each server."""
-    harness.deliver(
-        *(
-            interface.HealthCheckResult(name, interface.AttemptOutcome.SERVED, 1000, {"load_ratio": load})
-            for name, load in loads.items()
-        )
-    )
+    request_id = harness.send_request(key=1)
+    harness.establish(request_id)
+    return ConnectedServer(harness, harness.balancer.servers["a:1"], request_id)
 
 
-def with_loaded_servers(make_harness, loads: dict[str, float], connections_each: int = 6):
-    """Returns a harness with that number of connections at each server."""
+def with_loaded_servers(make_harness: HarnessFactory, loads: Mapping[str, float], connections_each: int = 6) -> Harness:
+    """Returns a harness with servers of the names in `loads`, each with that number of connections."""
     harness = make_harness(may_health_check=True, load_report_fields=("load_ratio",), names=tuple(loads))
     report_loads(harness, dict.fromkeys(loads, 0.3))
-    for n in range(connections_each * len(loads)):
-        harness.establish(harness.send_request(key=n, load=10_000))
-    servers = {server.server_id: server for server in harness.balancer.servers.values()}
+    for key in range(connections_each * len(loads)):
+        harness.establish(harness.send_request(key=key, load=10_000))
+    servers = harness.balancer.servers
     requests = list(harness.balancer.requests.values())
     for server in servers.values():
         server.connections.clear()
-    for n, request in enumerate(requests):
-        request.server = servers[list(loads)[n % len(loads)]]
-        request.server.connections[request.event.request_id] = request
+    for number, request in enumerate(requests):
+        server = servers[list(loads)[number % len(loads)]]
+        request.server = server
+        server.connections[request.event.request_id] = request
     return harness
-
-
-def run_rounds(harness, loads: dict[str, float], rounds: int) -> list[interface.Action]:
-    """Reports these loads and advances, round by round. Returns the actions."""
-    actions = []
-    for _ in range(rounds):
-        report_loads(harness, loads)
-        actions += harness.advance(SECOND // 2)
-    return actions
--- a/tests/routing/test_connection_concurrency.py
+++ b/tests/routing/test_connection_concurrency.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from dataclasses import dataclass
+
 import pytest
 from conftest import SECOND, settings
 from hypothesis import given
@@ -9,113 +11,172 @@
 
 from glenrock.routing import Balancer, connection_concurrency, interface
 from glenrock.routing.connection_concurrency import ConcurrencyLimit
-from glenrock.routing.event_batch import EventBatch
+from glenrock.routing.event_batch import ROUND_US, EventBatch
+from glenrock.routing.interface import AttemptOutcome
 
-ROUND, TICK = SECOND // 2, 10_000
+TICK_US = 10_000
 CLIENT_TIMEOUT_US = 600_000
+OBJECTIVE_US = 300_000
+
+
+@dataclass
+class SetUp:
+    """A set-up in the store's queue. `is_awaited` is false once its client has given it up."""
 
+    sent_at_us: int
+    server_id: str
+    is_awaited: bool = True
 
-def storm(rate: float, seconds: int) -> list[int]:
-    """Returns the set-ups established in each second, at a store of that rate.
 
-    Three seconds' work arrives at once, and then as much as the store can do.
+class StoreModel:
+    """A store that works on set-ups in order at a fixed rate, with clients that retry under a concurrency limit.
+
+    Three seconds' work waits at the start; then as much arrives as the store can do.
+
+    Attributes:
+        established: number of set-ups established in each second.
     """
-    batch, established, queue = EventBatch(), [0] * seconds, []
-    limit = ConcurrencyLimit(batch, 300_000)
-    done, waiting = 0.0, 3.0 * rate
-    for now in range(TICK, seconds * SECOND, TICK):
-        batch.now_us = now
-        waiting += rate * TICK / SECOND
-        while waiting >= 1 and limit.may_start():
-            limit.record_sent()
-            waiting -= 1
-            queue.append((now, f"s{round(waiting) % 5}", True))
-        done += rate * TICK / SECOND
-        while done >= 1 and queue:
-            done -= 1
-            since, server, is_awaited = queue.pop(0)
-            if is_awaited:
-                limit.record_established(server, now - since)
-                established[now // SECOND] += 1
-        done = min(done, 1.0)
-        for n, (since, server, is_awaited) in enumerate(queue):
-            if is_awaited and now - since > CLIENT_TIMEOUT_US:
-                queue[n] = (since, server, False)  # the store works on for it
-                limit.record_ended(server, interface.AttemptOutcome.TIMEOUT)
-                waiting += 1
-        if now % ROUND == 0:
-            limit.finish_round()
-    return established
+
+    def __init__(self, rate: float, seconds: int) -> None:
+        self.established = [0] * seconds
+        self._rate = rate
+        self._batch = EventBatch()
+        self._limit = ConcurrencyLimit(self._batch, OBJECTIVE_US)
+        self._queue: list[SetUp] = []
+        self._free_work = 0.0  # set-ups that the store can end now
+        self._waiting = 3.0 * rate  # clients whose set-up is not in flight
+
+    def run(self) -> None:
+        """Runs the store for all its seconds."""
+        for now_us in range(TICK_US, len(self.established) * SECOND, TICK_US):
+            self._batch.now_us = now_us
+            self._start_set_ups()
+            self._work()
+            self._time_out_set_ups()
+            if now_us % ROUND_US == 0:
+                self._limit.finish_round()
+
+    def _start_set_ups(self) -> None:
+        self._waiting += self._rate * TICK_US / SECOND
+        while self._waiting >= 1 and self._limit.may_start():
+            self._limit.record_sent()
+            self._waiting -= 1
+            self._queue.append(SetUp(self._batch.now_us, f"s{round(self._waiting) % 5}"))
+
+    def _work(self) -> None:
+        now_us = self._batch.now_us
+        self._free_work += self._rate * TICK_US / SECOND
+        while self._free_work >= 1 and self._queue:
+            self._free_work -= 1
+            done = self._queue.pop(0)
+            if done.is_awaited:
+                self._limit.record_established(done.server_id, now_us - done.sent_at_us)
+                self.established[now_us // SECOND] += 1
+        self._free_work = min(self._free_work, 1.0)
+
+    def _time_out_set_ups(self) -> None:
+        """Gives up set-ups that took too long. The store works on for them, and their clients retry."""
+        for set_up in self._queue:
+            if set_up.is_awaited and self._batch.now_us - set_up.sent_at_us > CLIENT_TIMEOUT_US:
+                set_up.is_awaited = False
+                self._limit.record_ended(set_up.server_id, AttemptOutcome.TIMEOUT)
+                self._waiting += 1
 
 
 @pytest.mark.parametrize("rate", [5, 20, 50, 200])
-def test_storm_of_set_ups_keeps_the_store_busy(rate) -> None:
-    established = storm(rate, seconds=25)
-    for n in range(8, 25):
-        assert established[n] + established[n - 1] >= 2 * 0.6 * rate, f"seconds {n - 1} and {n}: {established}"
+def test_storm_of_set_ups_keeps_the_store_busy(rate: int) -> None:
+    store = StoreModel(rate, seconds=25)
+    store.run()
+    for second in range(8, 25):
+        established = store.established[second - 1] + store.established[second]
+        assert established >= 2 * 0.6 * rate, f"seconds {second - 1} and {second}: {store.established}"
 
 
 def test_single_slow_server_causes_no_limit() -> None:
     batch = EventBatch()
-    limit = ConcurrencyLimit(batch, 300_000)
-    for n in range(40):
-        batch.now_us += TICK
+    limit = ConcurrencyLimit(batch, OBJECTIVE_US)
+    for number in range(40):
+        batch.now_us += TICK_US
         limit.record_sent()
-        limit.record_ended("slow", interface.AttemptOutcome.TIMEOUT)
+        limit.record_ended("slow", AttemptOutcome.TIMEOUT)
         limit.record_sent()
-        limit.record_established(f"s{n % 7}", 20_000)
+        limit.record_established(f"s{number % 7}", 20_000)
     limit.finish_round()
     assert limit.limit == connection_concurrency.UNLIMITED
 
 
 def test_limit_is_lifted_after_idle_rounds() -> None:
     batch = EventBatch()
-    limit = ConcurrencyLimit(batch, 300_000)
+    limit = ConcurrencyLimit(batch, OBJECTIVE_US)
     limit.limit = 4.0
     for _ in range(connection_concurrency.IDLE_ROUNDS):
-        batch.now_us += ROUND
+        batch.now_us += ROUND_US
         assert limit.limit == 4.0
         limit.finish_round()
     assert limit.limit == connection_concurrency.UNLIMITED
 
 
-ENDS = ("up", "up", "full", "timeout", "error", "no_connection", "left")
+ESTABLISHED = "established"
+DISCONNECTED = "disconnected"
+ENDS = (
+    ESTABLISHED,
+    ESTABLISHED,
+    AttemptOutcome.FULL,
+    AttemptOutcome.TIMEOUT,
+    AttemptOutcome.ERROR,
+    AttemptOutcome.NO_CONNECTION,
+    DISCONNECTED,
+)
+"""How a set-up may end; an outcome is a failed attempt."""
+
+
+class SetUpRun:
+    """A balancer whose attempts are ended at once; a retry fails with an error."""
+
+    def __init__(self, seed: int) -> None:
+        self.balancer = Balancer(settings(balancers=1, max_attempts=2), seed)
+        self._now_us = SECOND
+        self._attempt_counts: dict[str, int] = {}
+        endpoints = tuple(interface.Endpoint(f"s{number}:1") for number in range(4))
+        self.balancer.handle(self._now_us, [interface.EndpointList(interface.EndpointListKind.FULL, endpoints)])
+
+    def advance(self, request: interface.Request | None, end: str) -> None:
+        """Advances by a tick, delivers a request if there is one, and ends each attempt that is sent."""
+        self._now_us += TICK_US
+        for attempt in self._handle([request] if request else []):
+            for retry in self._handle([self._end_event(attempt, end)]):
+                self._handle([self._end_event(retry, AttemptOutcome.ERROR)])
+
+    def request(self, number: int) -> interface.Request:
+        """Returns the request that arrives in the next tick."""
+        return interface.Request(f"r{number}", "read", self._now_us + TICK_US + SECOND, number)
+
+    def set_ups_without_outcome(self) -> int:
+        """Returns how many attempts are in flight and not established."""
+        requests = [request for request in self.balancer.requests.values() if not request.server]
+        return sum(bool(request.attempts and not request.attempts[-1].outcome) for request in requests)
+
+    def _handle(self, events: list[interface.Event]) -> list[interface.StartAttempt]:
+        actions = self.balancer.handle(self._now_us, events)
+        return [action for action in actions if isinstance(action, interface.StartAttempt)]
+
+    def _end_event(self, action: interface.StartAttempt, end: str) -> interface.Event:
+        request_id = action.request_id
+        number = self._attempt_counts.get(request_id, 0)
+        self._attempt_counts[request_id] = number + 1
+        if end == ESTABLISHED:
+            return interface.ConnectionEstablished(request_id, number, action.server_id, 9000)
+        if end == DISCONNECTED:
+            return interface.ClientDisconnected(request_id)
+        return interface.AttemptEnded(request_id, number, action.server_id, AttemptOutcome(end), False)
 
 
 @given(st.lists(st.sampled_from(ENDS), max_size=60), st.integers(0, 9))
-def test_pending_count_equals_set_ups_without_outcome(ends, seed) -> None:
-    b = Balancer(settings(balancers=1, max_attempts=2), seed)
-    b.handle(
-        SECOND,
-        [
-            interface.EndpointList(
-                interface.EndpointListKind.FULL, tuple(interface.Endpoint(f"s{n}:1") for n in range(4))
-            )
-        ],
-    )
-    now = SECOND
-    tries: dict[str, int] = {}
-    for n, end in enumerate([*ends, *["full"] * 200]):
-        now += TICK
-        actions = b.handle(now, [interface.Request(f"r{n}", "read", now + SECOND, n)] if n < len(ends) else [])
-        out = {a.request_id: a for a in actions if isinstance(a, interface.StartAttempt)}
-        for id_, a in out.items():
-            tries[id_] = tries.get(id_, -1) + 1
-            events = {
-                "up": interface.ConnectionEstablished(id_, tries[id_], a.server_id, 9000),
-                "left": interface.ClientDisconnected(id_),
-            }
-            again = b.handle(now, [events.get(end) or interface.AttemptEnded(id_, tries[id_], a.server_id, end, False)])
-            for x in again:
-                if isinstance(x, interface.StartAttempt):
-                    tries[x.request_id] = tries.get(x.request_id, -1) + 1
-                    b.handle(
-                        now,
-                        [
-                            interface.AttemptEnded(
-                                x.request_id, tries[x.request_id], x.server_id, interface.AttemptOutcome.ERROR, False
-                            )
-                        ],
-                    )
-        standing = sum(1 for f in b.requests.values() if not f.server and f.attempts and not f.attempts[-1].outcome)
-        assert b.concurrency.pending == standing
+def test_pending_count_equals_set_ups_without_outcome(ends: list[str], seed: int) -> None:
+    run = SetUpRun(seed)
+    for number, end in enumerate(ends):
+        run.advance(run.request(number), end)
+        assert run.balancer.concurrency.pending == run.set_ups_without_outcome()
+    for _ in range(200):
+        run.advance(None, AttemptOutcome.FULL)
+        assert run.balancer.concurrency.pending == run.set_ups_without_outcome()
--- a/tests/routing/test_failure_domains.py
+++ b/tests/routing/test_failure_domains.py
@@ -3,218 +3,217 @@
 from __future__ import annotations
 
 import random
+from dataclasses import replace
 
 import pytest
-from conftest import SECOND
+from conftest import SECOND, Harness, HarnessFactory
+from conftest import settings as balancer_settings
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from glenrock.routing import failure_domains as domains
-from glenrock.routing import interface
-from glenrock.routing.failure_domains import FailureDomains
+from glenrock.net.clock import ManualClock
+from glenrock.net.routing_actor import RoutingActor
+from glenrock.routing import failure_domains, interface
+from glenrock.routing.failure_domains import DomainState, FailureDomains
 
-EVIDENCE = st.tuples(st.sampled_from(["b", "c"]), st.sampled_from("uvwxyz"), st.booleans())
+from .scenarios import checked_servers, first_server, health_report
 
+DOMAIN = "b"
+MEMBERS = "uvwxyz"
+EVIDENCE = st.tuples(st.sampled_from(["b", "c"]), st.sampled_from(MEMBERS), st.booleans())
+"""Domain, member, and whether the member answered."""
 
-def state(d: FailureDomains) -> dict:
-    return {
-        name: (round(b.score, 9), b.updated_us, b.is_partitioned, b.recovered_us, b.evidence_us)
-        for name, b in d.states.items()
-    }
+
+def rounded_states(domains: FailureDomains) -> dict[str, DomainState]:
+    """Returns the states with scores that can be compared."""
+    return {name: replace(state, score=round(state.score, 9)) for name, state in domains.states.items()}
 
 
 @settings(max_examples=200, deadline=None)
 @given(st.lists(st.tuples(st.integers(0, 3 * SECOND), st.lists(EVIDENCE, max_size=8)), max_size=12), st.randoms())
-def test_result_does_not_depend_on_the_order_within_a_batch(batches, rng) -> None:
-    one, two, now = FailureDomains(), FailureDomains(), 0
-    for span, evidence in batches:
-        now += span
-        mixed = list(evidence)
-        rng.shuffle(mixed)
-        for d, order in ((one, evidence), (two, mixed)):
-            for domain, member, answers in order:
-                d.record(domain, member, answers)
+def test_result_does_not_depend_on_the_order_within_a_batch(
+    batches: list[tuple[int, list[tuple[str, str, bool]]]], rng: random.Random
+) -> None:
+    domains, shuffled_domains, now_us = FailureDomains(), FailureDomains(), 0
+    for span_us, evidence in batches:
+        now_us += span_us
+        shuffled_evidence = list(evidence)
+        rng.shuffle(shuffled_evidence)
+        for domain, member, has_answered in evidence:
+            domains.record(domain, member, has_answered)
+        for domain, member, has_answered in shuffled_evidence:
+            shuffled_domains.record(domain, member, has_answered)
         # An answer adds no state for a domain without failures, whatever the order.
-        assert sorted(one.evaluate(now)) == sorted(two.evaluate(now))
-        assert state(one) == state(two)
-        for b in one.states.values():
-            assert 0 <= b.score <= domains.PARTITION_BOUND and len(b.evidence_us) <= 6
+        assert sorted(domains.evaluate(now_us)) == sorted(shuffled_domains.evaluate(now_us))
+        assert rounded_states(domains) == rounded_states(shuffled_domains)
+        for state in domains.states.values():
+            assert 0 <= state.score <= failure_domains.PARTITION_BOUND and len(state.evidence_us) <= 6
 
 
-def record_failures(d: FailureDomains, now: int, *members: str) -> list[str]:
-    for m in members:
-        d.record("b", m, False)
-    return d.evaluate(now)
+def record_failures(domains: FailureDomains, now_us: int, members: str) -> list[str]:
+    """Records that each of these members of `DOMAIN` failed. Returns the domains whose state changed."""
+    for member in members:
+        domains.record(DOMAIN, member, False)
+    return domains.evaluate(now_us)
 
 
 def test_single_dead_member_causes_no_partition() -> None:
-    d = FailureDomains()
-    for n in range(200):
-        assert record_failures(d, n * 20_000, "u") == []
-        d.record("b", "v", True)  # other members answer
-        d.evaluate(n * 20_000 + 1)
-    assert not d.is_partitioned("b") and d.usable_fraction(5 * SECOND, "b") == 1.0
+    domains = FailureDomains()
+    for number in range(200):
+        assert record_failures(domains, number * 20_000, "u") == []
+        domains.record(DOMAIN, "v", True)  # other members answer
+        domains.evaluate(number * 20_000 + 1)
+    assert not domains.is_partitioned(DOMAIN) and domains.usable_fraction(5 * SECOND, DOMAIN) == 1.0
 
 
 def test_three_failed_members_cause_a_partition_and_an_answer_starts_the_recovery_ramp() -> None:
-    d = FailureDomains()
-    assert record_failures(d, 0, "u") == [] and record_failures(d, 100_000, "v") == []
-    assert record_failures(d, 200_000, "w") == ["b"]
-    assert d.is_partitioned("b") and d.usable_fraction(200_000, "b") == 0.0 and not d.may_use(200_000, "b", 0)
-    d.record("b", "u", True)
-    assert d.evaluate(3 * SECOND) == ["b"]
-    parts = [d.usable_fraction(3 * SECOND + n * domains.RECOVERY_STEP_US, "b") for n in range(4)]
-    assert parts == [0.25, 0.5, 0.75, 1.0]
-    used = [
-        sum(d.may_use(3 * SECOND + n * domains.RECOVERY_STEP_US, "b", code << 8) for code in range(256))
-        for n in range(4)
-    ]
-    assert used == [64, 128, 192, 256]
+    domains = FailureDomains()
+    assert record_failures(domains, 0, "u") == []
+    assert record_failures(domains, 100_000, "v") == []
+    assert record_failures(domains, 200_000, "w") == [DOMAIN]
+    assert domains.is_partitioned(DOMAIN)
+    assert domains.usable_fraction(200_000, DOMAIN) == 0.0 and not domains.may_use(200_000, DOMAIN, 0)
+    domains.record(DOMAIN, "u", True)
+    assert domains.evaluate(3 * SECOND) == [DOMAIN]
+    steps_us = [3 * SECOND + number * failure_domains.RECOVERY_STEP_US for number in range(4)]
+    assert [domains.usable_fraction(at_us, DOMAIN) for at_us in steps_us] == [0.25, 0.5, 0.75, 1.0]
+    hashes = [number << 8 for number in range(256)]
+    usable_counts = [sum(domains.may_use(at_us, DOMAIN, member_hash) for member_hash in hashes) for at_us in steps_us]
+    assert usable_counts == [64, 128, 192, 256]
 
 
 def test_score_and_partition_expire_without_evidence() -> None:
-    d = FailureDomains()
-    record_failures(d, 0, "u", "v")
-    before = d.suspicion(0, "b")
-    assert d.suspicion(20 * SECOND, "b") < before / 20
-    assert record_failures(d, 20 * SECOND, "w") == []
-    record_failures(d, 20 * SECOND + 1, "x", "y")
-    assert d.is_partitioned("b")
-    assert d.evaluate(20 * SECOND + 2 + domains.EVIDENCE_TIMEOUT_US) == ["b"] and not d.is_partitioned("b")
+    domains = FailureDomains()
+    record_failures(domains, 0, "uv")
+    before = domains.suspicion(0, DOMAIN)
+    assert domains.suspicion(20 * SECOND, DOMAIN) < before / 20
+    assert record_failures(domains, 20 * SECOND, "w") == []
+    record_failures(domains, 20 * SECOND + 1, "xy")
+    assert domains.is_partitioned(DOMAIN)
+    assert domains.evaluate(20 * SECOND + 2 + failure_domains.EVIDENCE_TIMEOUT_US) == [DOMAIN]
+    assert not domains.is_partitioned(DOMAIN)
 
 
 def test_partitioned_domain_is_checked_at_the_interval() -> None:
-    d = FailureDomains()
-    record_failures(d, 0, "u", "v", "w")
-    checked = [now for now in range(0, 4 * SECOND, 10_000) if d.due_health_checks(now)]
-    assert len(checked) == 4 * SECOND // domains.HEALTH_CHECK_INTERVAL_US
+    domains = FailureDomains()
+    record_failures(domains, 0, "uvw")
+    checked_at_us = [now_us for now_us in range(0, 4 * SECOND, 10_000) if domains.due_health_checks(now_us)]
+    assert len(checked_at_us) == 4 * SECOND // failure_domains.HEALTH_CHECK_INTERVAL_US
 
 
 def test_stated_error_rates_hold() -> None:
     """Draws healthy and partitioned domains of six members; each error rate stays below twice the stated one."""
-    rng, false_alarms, runs = random.Random(7), 0, 4000
-    for _ in range(runs):
-        d, now = FailureDomains(), 0
+    rng = random.Random(7)
+    healthy_count, partitioned_count = 4000, 2000
+    false_alarms = detected = 0
+    for _ in range(healthy_count):
+        domains, now_us = FailureDomains(), 0
         for _ in range(25):
-            now += 100_000
-            for m in "uvwxyz":
-                d.record("b", m, rng.random() >= domains.HEALTHY_FAILURE_PROBABILITY)
-            false_alarms += d.evaluate(now) == ["b"]
-    assert false_alarms / runs < 2 * domains.FALSE_ALARM_RATE
-    detected = 0
-    for _ in range(2000):  # a partition is detected by the third failing member
-        d = FailureDomains()
-        for n, m in enumerate("uvw"):
-            if rng.random() < domains.PARTITIONED_FAILURE_PROBABILITY:
-                d.record("b", m, False)
-            else:
-                d.record("b", m, True)
-            d.evaluate(n * 50_000)
-        detected += d.is_partitioned("b")
-    assert detected / 2000 > 1 - 2 * domains.MISSED_RATE
-
-
-# -- effects on requests and checks --------------------------------------------------------------------
-
-
-def with_two_zones(make_harness, **over):
+            now_us += 100_000
+            for member in MEMBERS:
+                domains.record(DOMAIN, member, rng.random() >= failure_domains.HEALTHY_FAILURE_PROBABILITY)
+            false_alarms += domains.evaluate(now_us) == [DOMAIN]
+    assert false_alarms / healthy_count < 2 * failure_domains.FALSE_ALARM_RATE
+    for _ in range(partitioned_count):  # a partition is detected by the third failing member
+        domains = FailureDomains()
+        for number, member in enumerate("uvw"):
+            has_failed = rng.random() < failure_domains.PARTITIONED_FAILURE_PROBABILITY
+            domains.record(DOMAIN, member, not has_failed)
+            domains.evaluate(number * 50_000)
+        detected += domains.is_partitioned(DOMAIN)
+    assert detected / partitioned_count > 1 - 2 * failure_domains.MISSED_RATE
+
+
+# -- effects on requests and checks ------------------------------------------------------------------
+
+TWO_ZONES = tuple(
+    interface.Endpoint(f"{zone}{number}:1", interface.EndpointState.READY, zone) for zone in "ab" for number in range(4)
+)
+
+
+def with_two_zones(make_harness: HarnessFactory) -> Harness:
+    """Returns a harness of a balancer in zone a, with four servers there and four in zone b."""
     harness = make_harness(
-        zone="a", names=(), may_health_check=True, load_report_fields=("load_ratio",), health_check_cost=0.0001, **over
+        zone="a", names=(), may_health_check=True, load_report_fields=("load_ratio",), health_check_cost=0.0001
     )
-    entries = [interface.Endpoint(f"{z}{n}:1", interface.EndpointState.READY, z) for z in "ab" for n in range(4)]
-    harness.deliver(interface.EndpointList(interface.EndpointListKind.FULL, tuple(entries)))
+    harness.deliver(interface.EndpointList(interface.EndpointListKind.FULL, TWO_ZONES))
     return harness
 
 
-def time_out_checks(harness, *servers: str) -> None:
-    for s in servers:
-        harness.deliver(interface.HealthCheckResult(s, interface.AttemptOutcome.TIMEOUT))
+def time_out_checks(harness: Harness, *server_ids: str) -> None:
+    """Delivers, one by one, health checks of these servers that timed out."""
+    for server_id in server_ids:
+        harness.deliver(interface.HealthCheckResult(server_id, interface.AttemptOutcome.TIMEOUT))
 
 
-def test_partitioned_zone_gets_no_requests_and_recovers_as_a_whole(make_harness) -> None:
+def test_partitioned_zone_gets_no_requests_and_recovers_as_a_whole(make_harness: HarnessFactory) -> None:
     harness = with_two_zones(make_harness)
     time_out_checks(harness, "b0:1", "b1:1", "b2:1")
     harness.advance(10_000)
-    names = [harness.send_request(key=n, group=n) for n in range(40)]
+    request_ids = [harness.send_request(key=key, group=key) for key in range(40)]
     harness.advance(100_000)
-    assert {harness.attempts_of(n)[0].server_id[0] for n in names} == {"a"}
+    assert {first_server(harness, request_id)[0] for request_id in request_ids} == {"a"}
     # After one answer no server is ejected for the partition: a part is used at once, and then all.
-    harness.deliver(interface.HealthCheckResult("b3:1", interface.AttemptOutcome.SERVED, 1000, {"load_ratio": 0.1}))
-    harness.advance(4 * domains.RECOVERY_STEP_US)
-    assert all(harness.balancer.ejection.is_usable(s) for s in harness.balancer.servers.values())
-    assert not any(s.consecutive_failures for s in harness.balancer.servers.values())
+    harness.deliver(health_report("b3:1", 0.1))
+    harness.advance(4 * failure_domains.RECOVERY_STEP_US)
+    servers = harness.balancer.servers.values()
+    assert all(harness.balancer.ejection.is_usable(server) for server in servers)
+    assert not any(server.consecutive_failures for server in servers)
 
 
-def test_partitioned_zone_is_checked_few_times_a_second(make_harness) -> None:
+def test_partitioned_zone_is_checked_few_times_a_second(make_harness: HarnessFactory) -> None:
     harness = with_two_zones(make_harness)
     harness.send_request(key=1)
     time_out_checks(harness, "b0:1", "b1:1", "b2:1")
     harness.action_log.clear()
     harness.advance(5 * SECOND)
-    checked = [a for _, a in harness.action_log if isinstance(a, interface.SendHealthCheck) and a.server_id[0] == "b"]
-    assert 4 <= len(checked) <= 20
+    checked = checked_servers(action for _, action in harness.action_log)
+    assert 4 <= sum(server_id[0] == "b" for server_id in checked) <= 20
 
 
-def test_single_dead_server_of_another_zone_is_ejected_alone(make_harness) -> None:
+def test_single_dead_server_of_another_zone_is_ejected_alone(make_harness: HarnessFactory) -> None:
     harness = with_two_zones(make_harness)
     for _ in range(6):
         time_out_checks(harness, "b0:1")
         harness.advance(300_000)
-    assert not harness.balancer.domains.is_partitioned("b")
-    assert not harness.balancer.ejection.is_usable(
-        harness.balancer.servers["b0:1"]
-    ) and harness.balancer.ejection.is_usable(harness.balancer.servers["b1:1"])
+    balancer = harness.balancer
+    assert not balancer.domains.is_partitioned("b")
+    assert not balancer.ejection.is_usable(balancer.servers["b0:1"])
+    assert balancer.ejection.is_usable(balancer.servers["b1:1"])
 
 
-def test_servers_are_tried_when_all_are_partitioned(make_harness) -> None:
+def test_servers_are_tried_when_all_are_partitioned(make_harness: HarnessFactory) -> None:
     harness = with_two_zones(make_harness)
-    harness.deliver(
-        interface.EndpointList(
-            interface.EndpointListKind.FULL,
-            tuple(interface.Endpoint(f"b{n}:1", interface.EndpointState.READY, "b") for n in range(4)),
-        )
-    )
+    harness.list_servers(*(f"b{number}:1" for number in range(4)), zone="b")
     time_out_checks(harness, "b0:1", "b1:1", "b2:1")
-    name = harness.send_request(key=1)
+    request_id = harness.send_request(key=1)
     harness.advance(100_000)
-    assert harness.attempts_of(name)
+    assert harness.attempts_of(request_id)
 
 
 @pytest.mark.parametrize("zone", ["a", ""])
-def test_own_zone_is_never_partitioned(make_harness, zone: str) -> None:
+def test_own_zone_is_never_partitioned(make_harness: HarnessFactory, zone: str) -> None:
     harness = with_two_zones(make_harness)
     time_out_checks(harness, "a0:1", "a1:1", "a2:1", "a3:1")
     assert not harness.balancer.domains.states.get(zone)
 
 
-def test_partition_is_logged_once_at_its_start_and_once_at_its_end(caplog) -> None:
+def test_partition_is_logged_once_at_its_start_and_once_at_its_end(caplog: pytest.LogCaptureFixture) -> None:
     caplog.set_level("INFO", logger="glenrock")
-    from conftest import settings as usual
-
-    from glenrock.net.routing_actor import RoutingActor
-
-    class At:
-        ms = 1000.0
-
-        def now_ms(self) -> float:
-            return self.ms
-
-    clock = At()
-    d = RoutingActor(usual(zone="a", may_health_check=True, load_report_fields=("load_ratio",)), 1, clock)
-    entries = tuple(interface.Endpoint(f"{z}{n}:1", interface.EndpointState.READY, z) for z in "ab" for n in range(4))
-    d.handle_batch([interface.EndpointList(interface.EndpointListKind.FULL, entries)])
-    for events in (
-        [interface.HealthCheckResult(f"b{n}:1", interface.AttemptOutcome.TIMEOUT) for n in range(3)],
-        [],
-        [],
-        [interface.HealthCheckResult("b0:1", interface.AttemptOutcome.SERVED)],
-        [],
-        [],
-    ):
-        clock.ms += 10
-        d.handle_batch(events)
-    said = [line for line in caplog.messages if line.startswith("zone ")]
-    assert said == [
+    clock = ManualClock(1000.0)
+    actor = RoutingActor(
+        balancer_settings(zone="a", may_health_check=True, load_report_fields=("load_ratio",)), 1, clock
+    )
+    timed_out: list[interface.Event] = [
+        interface.HealthCheckResult(f"b{number}:1", interface.AttemptOutcome.TIMEOUT) for number in range(3)
+    ]
+    answered: list[interface.Event] = [interface.HealthCheckResult("b0:1", interface.AttemptOutcome.SERVED)]
+    actor.handle_batch([interface.EndpointList(interface.EndpointListKind.FULL, TWO_ZONES)])
+    for events in (timed_out, [], [], answered, [], []):
+        clock.advance(10)
+        actor.handle_batch(events)
+    logged = [message for message in caplog.messages if message.startswith("zone ")]
+    assert logged == [
         "zone believed partitioned: no new connections to it zone=b",
         "zone no longer believed partitioned: recovery ramp begins zone=b",
     ]
--- a/tests/routing/test_hash_ring.py
+++ b/tests/routing/test_hash_ring.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from bisect import bisect_left
+from collections.abc import Sequence
 from dataclasses import dataclass
 
 from hypothesis import given, settings
@@ -14,6 +15,8 @@
 
 @dataclass(eq=False)
 class Member:
+    """A member of a ring."""
+
     hash: int
 
 
@@ -23,7 +26,8 @@
     def __init__(self) -> None:
         self.points: dict[int, Member] = {}
 
-    def change(self, changes) -> None:
+    def change(self, changes: Sequence[RingChange[Member]]) -> None:
+        """Adds each member that is present and removes the others, in the given order."""
         for member, points, is_present in changes:
             for point in points:
                 if is_present:
@@ -32,14 +36,15 @@
                     self.points.pop(point, None)
 
     def around(self, position: int) -> list[Member]:
+        """Returns each member once, in the order of their first points from that position on."""
         order = sorted(self.points)
-        n = bisect_left(order, position)
-        return list(dict.fromkeys(self.points[p] for p in order[n:] + order[:n]))
+        first = bisect_left(order, position)
+        return list(dict.fromkeys(self.points[point] for point in order[first:] + order[:first]))
 
 
 @given(st.integers(0, MASK))
-def test_ring_points_equal_single_mix_calls(code: int) -> None:
-    assert list(ring_points(code)) == [mix(code + n) for n in range(POINTS)]
+def test_ring_points_equal_single_mix_calls(member_hash: int) -> None:
+    assert list(ring_points(member_hash)) == [mix(member_hash + number) for number in range(POINTS)]
 
 
 @settings(max_examples=60, deadline=None)
@@ -47,30 +52,36 @@
     st.lists(st.lists(st.tuples(st.integers(0, 300), st.booleans()), max_size=120), max_size=6),
     st.lists(st.integers(0, MASK), min_size=1, max_size=20),
 )
-def test_ring_equals_a_sorted_list(lists: list[list[tuple[int, bool]]], positions: list[int]) -> None:
-    members = [Member(stable_hash(f"10.0.0.{n}:80")) for n in range(301)]
+def test_ring_equals_a_sorted_list(batches: list[list[tuple[int, bool]]], positions: list[int]) -> None:
+    members = [Member(stable_hash(f"10.0.0.{number}:80")) for number in range(301)]
     members[7].hash = members[8].hash  # they share every point, which the first keeps
-    ring, expected_ring = HashRing(), SortedListRing()
-    for n, changes in enumerate(lists):
-        ring_changes = [RingChange(members[m], ring_points(members[m].hash), is_present) for m, is_present in changes]
-        ring.change(ring_changes)
-        expected_ring.change(ring_changes)
+    ring: HashRing[Member] = HashRing()
+    expected_ring = SortedListRing()
+    for batch_number, batch in enumerate(batches):
+        changes = []
+        for member_number, is_present in batch:
+            member = members[member_number]
+            changes.append(RingChange(member, ring_points(member.hash), is_present))
+        ring.change(changes)
+        expected_ring.change(changes)
         assert len(ring) == len(expected_ring.points)
         # Only some positions are queried in between, so that sorted and unsorted buckets are changed.
-        for position in [*positions[: n + 1], 0, MASK]:
-            want = expected_ring.around(position)
-            if want:
-                assert ring.at(position) is want[0]
-            assert ring.around(position) == want
+        for position in [*positions[: batch_number + 1], 0, MASK]:
+            expected = expected_ring.around(position)
+            if expected:
+                assert ring.at(position) is expected[0]
+            assert ring.around(position) == expected
 
 
 def test_ring_resizes_for_a_large_list() -> None:
-    ring, expected_ring = HashRing(), SortedListRing()
-    ring_changes = [
-        RingChange(Member(stable_hash(str(n))), ring_points(stable_hash(str(n))), True) for n in range(3000)
-    ]
-    for part in (ring_changes, [RingChange(s, p, False) for s, p, _ in ring_changes[5:]], ring_changes[:50]):
-        ring.change(part)
-        expected_ring.change(part)
-        assert all(ring.at(mix(n)) is expected_ring.around(mix(n))[0] for n in range(20))
+    ring: HashRing[Member] = HashRing()
+    expected_ring = SortedListRing()
+    hashes = [stable_hash(str(number)) for number in range(3000)]
+    additions = [RingChange(Member(member_hash), ring_points(member_hash), True) for member_hash in hashes]
+    removals = [RingChange(member, points, False) for member, points, _ in additions[5:]]
+    for changes in (additions, removals, additions[:50]):
+        ring.change(changes)
+        expected_ring.change(changes)
+        positions = [mix(number) for number in range(20)]
+        assert all(ring.at(position) is expected_ring.around(position)[0] for position in positions)
     assert ring.bucket_count < 50  # the buckets of the large list are gone
--- a/tests/routing/test_invalid_summaries.py
+++ b/tests/routing/test_invalid_summaries.py
@@ -10,16 +10,17 @@
 from glenrock.routing import interface
 from glenrock.routing.gossip_codec import check_summary, decode, encode
 
+from .scenarios import open_connection
+
 TIER_LOAD = 9_000_000 + 5 * 25_000  # of the peer's summary and of this balancer's connections
 
 
 def harness_with_a_peer() -> Harness:
+    """Returns a harness with five connections, after a summary of balancer 1."""
     harness = Harness(settings(tenants=(interface.Tenant("t", 600.0),)))
     harness.list_servers("a:1")
-    for n in range(5):
-        harness.deliver(
-            interface.OpenConnection(interface.Request(f"o{n}", "read", harness.now_us, n, load=25_000), "a:1")
-        )
+    for key in range(5):
+        open_connection(harness, f"o{key}", "a:1", key=key, load=25_000)
     harness.deliver(interface.GossipReceived(1, encode(1, 9_000_000, 300, [])))
     assert harness.balancer.gossip.tier_load() == TIER_LOAD
     return harness
@@ -63,7 +64,9 @@
     waiting=st.lists(st.tuples(st.integers(0, 60), st.floats(0, 1e7)), max_size=20),
     peer=st.integers(0, 39),
 )
-def test_possible_summary_is_accepted(active_load, clients, waiting, peer) -> None:
+def test_possible_summary_is_accepted(
+    active_load: float, clients: int, waiting: list[tuple[int, float]], peer: int
+) -> None:
     summary = decode(encode(7, active_load, clients, waiting))
     assert summary is not None
     assert check_summary(peer, 40, summary, 25_000.0 * 600) is summary
--- a/tests/routing/test_load_estimation.py
+++ b/tests/routing/test_load_estimation.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from conftest import SECOND, settings
+from conftest import SECOND, Harness, HarnessFactory, settings
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -11,15 +11,23 @@
 from glenrock.routing.capacity_estimation import CapacityEstimator, ObservedLoad
 from glenrock.routing.client_sessions import ClientSessions
 from glenrock.routing.connection_load import ConnectionLoads
-from glenrock.routing.event_batch import EventBatch
+from glenrock.routing.event_batch import NEVER_US, EventBatch
+from glenrock.routing.interface import AttemptOutcome
 from glenrock.routing.load_estimation import LoadEstimator
 from glenrock.routing.state import DelaySample, Server
 
-from .scenarios import with_one_connection
+from .scenarios import (
+    ConnectedServer,
+    checked_servers,
+    establish_requests,
+    health_report,
+    open_connection,
+    with_one_connection,
+)
 
 
-def with_delay_reports(make_harness, count: int = 20):
-    """Returns a harness, a server with connections and delay reports, and a request there."""
+def with_delay_reports(make_harness: HarnessFactory, connections: int = 20) -> ConnectedServer:
+    """Returns a harness with that number of connections at two servers, whose slow messages are reported."""
     harness = make_harness(
         names=("a:1", "b:1"),
         may_health_check=True,
@@ -27,24 +35,37 @@
         has_message_delay_reports=True,
         balancers=1,
     )
-    names = [harness.send_request(key=n, load=10) for n in range(count)]
-    harness.advance(SECOND // 10)
-    for name in names:
-        harness.establish(name)
-    s = harness.balancer.servers["a:1"]
-    return harness, s, next(iter(s.connections))
+    establish_requests(harness, connections, load=10, wait_us=SECOND // 10)
+    server = harness.balancer.servers["a:1"]
+    return ConnectedServer(harness, server, next(iter(server.connections)))
+
+
+def report_delay(harness: Harness, request_id: str, delay_ms: float) -> None:
+    """Reports the time of a message of that connection at server a:1."""
+    harness.deliver(interface.ConnectionFeedback(request_id, "a:1", None, delay_ms * 1000.0))
 
 
-def report_delays(harness, id_: str, waits_ms: list[int]) -> None:
+def report_delays(harness: Harness, request_id: str, delays_ms: list[int]) -> None:
     """Reports message delays, a second apart; health checks stay unanswered."""
-    for n, ms in enumerate(waits_ms):
-        if n:
+    for number, delay_ms in enumerate(delays_ms):
+        if number:
             harness.advance(SECOND)
-        harness.deliver(interface.ConnectionFeedback(id_, "a:1", None, ms * 1000.0))
+        report_delay(harness, request_id, delay_ms)
+
+
+def time_out_check(harness: Harness) -> None:
+    """Delivers a health check of server a:1 that timed out."""
+    harness.deliver(interface.HealthCheckResult("a:1", AttemptOutcome.TIMEOUT))
+
+
+def cancel_connections(harness: Harness, request_ids: list[str]) -> None:
+    """Ends these connections, as cancelled."""
+    for request_id in request_ids:
+        harness.end_attempt(request_id, AttemptOutcome.CANCELLED, is_final=True)
 
 
 @pytest.mark.parametrize(
-    "delays_ms, load",
+    ("delays_ms", "load"),
     [
         ([500], 1.5 + 0.25),  # a first delay: the backlog grew within a second
         ([500, 1000], 1.5 + 0.5),  # the delay grows by 0.5 s a second, with a backlog of 1 s
@@ -53,122 +74,126 @@
         ([100, 9000], load_estimation.MAX_DELAY_GROWTH_LOAD + 4.5),
     ],
 )
-def test_load_of_a_late_server_follows_the_growth_of_its_delay(make_harness, delays_ms, load) -> None:
-    harness, s, id_ = with_delay_reports(make_harness)
-    harness.balancer.ejection.record_load(s, 0.5)
-    report_delays(harness, id_, delays_ms)
-    assert harness.balancer.loads.load(s) == pytest.approx(load, abs=0.01)
-
-
-def test_connections_ended_since_delay_reports_lower_the_load(make_harness) -> None:
-    harness, s, id_ = with_delay_reports(make_harness)
-    report_delays(harness, id_, [500, 1000])
-    before = harness.balancer.loads.load(s)
-    for name in list(s.connections)[1 : len(s.connections) // 2 + 1]:
-        harness.end_attempt(name, interface.AttemptOutcome.CANCELLED, is_final=True)
+def test_load_of_a_late_server_follows_the_growth_of_its_delay(
+    make_harness: HarnessFactory, delays_ms: list[int], load: float
+) -> None:
+    harness, server, request_id = with_delay_reports(make_harness)
+    harness.balancer.ejection.record_load(server, 0.5)
+    report_delays(harness, request_id, delays_ms)
+    assert harness.balancer.loads.load(server) == pytest.approx(load, abs=0.01)
+
+
+def test_connections_ended_since_delay_reports_lower_the_load(make_harness: HarnessFactory) -> None:
+    harness, server, request_id = with_delay_reports(make_harness)
+    loads = harness.balancer.loads
+    report_delays(harness, request_id, [500, 1000])
+    before = loads.load(server)
+    cancel_connections(harness, list(server.connections)[1 : len(server.connections) // 2 + 1])
     backlog = 1.0 * SECOND / load_estimation.FEEDBACK_DELAY_US
-    assert harness.balancer.loads.load(s) - backlog == pytest.approx((before - backlog) * 0.5, rel=0.15)
+    assert loads.load(server) - backlog == pytest.approx((before - backlog) * 0.5, rel=0.15)
 
 
-def test_connections_ended_since_a_report_lower_the_remaining_fraction(make_harness) -> None:
-    harness, s, _ = with_delay_reports(make_harness)
+def test_connections_ended_since_a_report_lower_the_remaining_fraction(make_harness: HarnessFactory) -> None:
+    harness, server, _ = with_delay_reports(make_harness)
+    loads = harness.balancer.loads
     harness.advance(3 * SECOND)
-    harness.balancer.ejection.record_load(s, 1.4)
-    assert harness.balancer.loads.remaining_load_fraction(s) == 1.0
-    there = list(s.connections)
-    for name in there[: len(there) // 2]:
-        harness.end_attempt(name, interface.AttemptOutcome.CANCELLED, is_final=True)
-    assert harness.balancer.loads.remaining_load_fraction(s) == pytest.approx(1 - len(there) // 2 / len(there))
+    harness.balancer.ejection.record_load(server, 1.4)
+    assert loads.remaining_load_fraction(server) == 1.0
+    connections = list(server.connections)
+    ended = connections[: len(connections) // 2]
+    cancel_connections(harness, ended)
+    assert loads.remaining_load_fraction(server) == pytest.approx(1 - len(ended) / len(connections))
 
 
-def test_few_ended_connections_do_not_lower_the_load(make_harness) -> None:
-    harness, s, id_ = with_delay_reports(make_harness, count=8)
+def test_few_ended_connections_do_not_lower_the_load(make_harness: HarnessFactory) -> None:
+    harness, server, request_id = with_delay_reports(make_harness, connections=8)
+    loads = harness.balancer.loads
     harness.advance(3 * SECOND)
-    harness.balancer.ejection.record_load(s, 1.4)
-    report_delays(harness, id_, [500])
-    before = harness.balancer.loads.load(s)
-    for name in list(s.connections)[1:]:
-        harness.end_attempt(name, interface.AttemptOutcome.CANCELLED, is_final=True)
-    assert len(s.connections) == 1 and harness.balancer.loads.load(s) == before
-    s.objective_missed_us = -1 << 40
-    assert harness.balancer.loads.remaining_load_fraction(s) == 1.0
-
-
-def test_timed_out_check_of_a_late_server_counts_as_load(make_harness) -> None:
-    harness, s, id_ = with_delay_reports(make_harness)
-    harness.balancer.ejection.record_load(s, 0.5)
-    report_delays(harness, id_, [400])
+    harness.balancer.ejection.record_load(server, 1.4)
+    report_delays(harness, request_id, [500])
+    before = loads.load(server)
+    cancel_connections(harness, list(server.connections)[1:])
+    assert len(server.connections) == 1 and loads.load(server) == before
+    server.objective_missed_us = NEVER_US
+    assert loads.remaining_load_fraction(server) == 1.0
+
+
+def test_timed_out_check_of_a_late_server_counts_as_load(make_harness: HarnessFactory) -> None:
+    harness, server, request_id = with_delay_reports(make_harness)
+    ejection = harness.balancer.ejection
+    ejection.record_load(server, 0.5)
+    report_delays(harness, request_id, [400])
     for _ in range(3):
-        harness.deliver(interface.HealthCheckResult("a:1", interface.AttemptOutcome.TIMEOUT))
-    assert (
-        not s.consecutive_failures
-        and harness.balancer.ejection.is_usable(s)
-        and s.reported_load >= load_estimation.MIN_LATE_LOAD
-    )
+        time_out_check(harness)
+    assert not server.consecutive_failures and ejection.is_usable(server)
+    assert server.reported_load >= load_estimation.MIN_LATE_LOAD
     harness.advance(3 * SECOND)  # nothing is heard of the server
     for _ in range(3):
-        harness.deliver(interface.HealthCheckResult("a:1", interface.AttemptOutcome.TIMEOUT))
-    assert s.consecutive_failures and not harness.balancer.ejection.is_usable(s)
+        time_out_check(harness)
+    assert server.consecutive_failures and not ejection.is_usable(server)
 
 
-def test_answered_check_ends_an_ejection(make_harness) -> None:
-    harness, s, _ = with_delay_reports(make_harness)
+def test_answered_check_ends_an_ejection(make_harness: HarnessFactory) -> None:
+    harness, server, _ = with_delay_reports(make_harness)
+    ejection = harness.balancer.ejection
     for _ in range(6):
-        harness.deliver(interface.HealthCheckResult("a:1", interface.AttemptOutcome.NO_CONNECTION))
-    assert not harness.balancer.ejection.is_usable(s)
-    harness.deliver(interface.HealthCheckResult("a:1", interface.AttemptOutcome.SERVED, 1000, {"load_ratio": 0.2}))
-    assert harness.balancer.ejection.is_usable(s)
+        harness.deliver(interface.HealthCheckResult("a:1", AttemptOutcome.NO_CONNECTION))
+    assert not ejection.is_usable(server)
+    harness.deliver(health_report("a:1", 0.2))
+    assert ejection.is_usable(server)
 
 
-def test_load_sent_after_a_report_counts_beside_it(make_harness) -> None:
+def test_load_sent_after_a_report_counts_beside_it(make_harness: HarnessFactory) -> None:
     harness, _, _ = with_delay_reports(make_harness)
+    balancer = harness.balancer
     harness.advance(3 * SECOND)
-    name = harness.send_request(key=99, load=100)
+    request_id = harness.send_request(key=99, load=100)
     harness.advance(SECOND // 10)  # no health check is answered
-    sent = harness.balancer.servers[harness.attempts_of(name)[0].server_id]
-    for later, load, observed in ((0, 0.3, 0.4), (2 * SECOND, 0.4, 0.4)):
-        harness.now_us += later
+    server = balancer.servers[harness.attempts_of(request_id)[0].server_id]
+    for later_us, reported_load, expected_load in ((0, 0.3, 0.4), (2 * SECOND, 0.4, 0.4)):
+        harness.now_us += later_us
         harness.deliver()
-        harness.balancer.ejection.record_load(sent, load)
-        harness.balancer.capacity.server_capacity, sent.health_check_sent_us, sent.capacity_ratio = 1000.0, -1, 1.0
-        assert harness.balancer.selection.expected_load(sent) == pytest.approx(observed)
+        balancer.ejection.record_load(server, reported_load)
+        balancer.capacity.server_capacity = 1000.0
+        server.health_check_sent_us, server.capacity_ratio = -1, 1.0
+        assert balancer.selection.expected_load(server) == pytest.approx(expected_load)
 
 
-def test_servers_with_inherited_connections_are_checked_at_once(make_harness) -> None:
+def test_servers_with_inherited_connections_are_checked_at_once(make_harness: HarnessFactory) -> None:
     harness = make_harness(
         names=("a:1", "b:1"), may_health_check=True, load_report_fields=("load_ratio",), has_message_delay_reports=True
     )
-    for n in range(12):
-        harness.deliver(interface.OpenConnection(interface.Request(f"o{n}", "read", 0, n), "a:1"))
+    for key in range(12):
+        open_connection(harness, f"o{key}", "a:1", key=key)
     harness.advance(SECOND)
-    assert "a:1" in {a.server_id for _, a in harness.action_log if isinstance(a, interface.SendHealthCheck)}
+    assert "a:1" in checked_servers(action for _, action in harness.action_log)
 
 
 @given(st.lists(st.tuples(st.integers(0, 4_000_000), st.floats(0, 5e6)), min_size=1, max_size=20))
-def test_load_from_delays_is_bounded_and_grows_with_the_delay(delays) -> None:
-    batch, s = EventBatch(), Server("a", "", 0, 1)
+def test_load_from_delays_is_bounded_and_grows_with_the_delay(delays: list[tuple[int, float]]) -> None:
+    batch, server = EventBatch(), Server("a", "", 0, 1)
     loads = LoadEstimator(batch, settings())
-    for gap, wait in delays:
-        batch.now_us += gap
-        loads.record_delay(s, wait, 60_000)
-    low = loads.load_from_delays(s)
-    at, wait, own_load = s.delay_samples[-1]
-    assert 0 < low <= load_estimation.MAX_DELAY_GROWTH_LOAD + wait
-    s.delay_samples[-1] = DelaySample(at, wait + 0.5, own_load)
-    assert loads.load_from_delays(s) > low
-
-
-def test_timed_out_check_of_a_server_just_heard_is_no_failure(make_harness) -> None:
-    harness, s, id_ = with_delay_reports(make_harness)
+    for gap_us, delay_us in delays:
+        batch.now_us += gap_us
+        loads.record_delay(server, delay_us, 60_000)
+    load = loads.load_from_delays(server)
+    last = server.delay_samples[-1]
+    assert 0 < load <= load_estimation.MAX_DELAY_GROWTH_LOAD + last.delay_s
+    server.delay_samples[-1] = DelaySample(last.at_us, last.delay_s + 0.5, last.own_load)
+    assert loads.load_from_delays(server) > load
+
+
+def test_timed_out_check_of_a_server_just_heard_is_no_failure(make_harness: HarnessFactory) -> None:
+    harness, server, request_id = with_delay_reports(make_harness)
     for _ in range(3):
         harness.deliver(
-            interface.ConnectionFeedback(id_, "a:1", 10.0),
-            interface.HealthCheckResult("a:1", interface.AttemptOutcome.TIMEOUT),
+            interface.ConnectionFeedback(request_id, "a:1", 10.0),
+            interface.HealthCheckResult("a:1", AttemptOutcome.TIMEOUT),
         )
-    assert not s.consecutive_failures
+    assert not server.consecutive_failures
     harness.advance(2 * SECOND)
-    harness.deliver(interface.HealthCheckResult("a:1", interface.AttemptOutcome.TIMEOUT))
-    assert s.consecutive_failures
+    time_out_check(harness)
+    assert server.consecutive_failures
 
 
 @given(st.integers(2, 40), st.data())
@@ -179,53 +204,51 @@
     hanging_count = data.draw(st.integers(0, server_count // 2))
     load = data.draw(st.floats(0.2, 0.6))
     batch = EventBatch()
-    servers = [
-        Server(f"s{n}", "", 0, n, is_ready=True, reported_load=8.0 if n < hanging_count else load)
-        for n in range(server_count)
-    ]
+    reported_loads = [8.0] * hanging_count + [load] * (server_count - hanging_count)
+    servers = {
+        f"s{number}": Server(f"s{number}", "", 0, number, is_ready=True, reported_load=reported_load)
+        for number, reported_load in enumerate(reported_loads)
+    }
     capacity = CapacityEstimator(
-        batch,
-        {s.server_id: s for s in servers},
-        LoadEstimator(batch, settings()),
-        ClientSessions(batch, SECOND),
-        ConnectionLoads(),
+        batch, servers, LoadEstimator(batch, settings()), ClientSessions(batch, SECOND), ConnectionLoads()
     )
-    observed = [ObservedLoad(s, min(3.0, s.reported_load)) for s in servers]
+    observed = [ObservedLoad(server, min(3.0, server.reported_load)) for server in servers.values()]
     most = load * server_count / (server_count - hanging_count)  # the others bear the whole load
     assert capacity.mean_load(observed, 1.0) <= most + 1e-9
-    assert capacity.mean_load([ObservedLoad(s, 1.2) for s in servers], 1.0) == pytest.approx(1.2), (
-        "all servers are full"
-    )
+    all_full = [ObservedLoad(server, 1.2) for server in servers.values()]
+    assert capacity.mean_load(all_full, 1.0) == pytest.approx(1.2)
 
 
-def test_old_high_report_of_a_silent_server_loses_its_effect(make_harness) -> None:
+def test_old_high_report_of_a_silent_server_loses_its_effect(make_harness: HarnessFactory) -> None:
     # The server was checked while overloaded and not since; slow messages are no longer reported.
-    harness, name, s = with_one_connection(make_harness)
-    harness.balancer.ejection.record_load(s, 1.8)
-    assert harness.balancer.loads.load(s) == 1.8
+    harness, server, request_id = with_one_connection(make_harness)
+    loads = harness.balancer.loads
+    harness.balancer.ejection.record_load(server, 1.8)
+    assert loads.load(server) == 1.8
     harness.advance(3 * SECOND)
-    assert harness.balancer.loads.load(s) < 0.9
-    harness.deliver(interface.ConnectionFeedback(name, "a:1", None, 90_000.0))
-    assert harness.balancer.loads.load(s) > 1
+    assert loads.load(server) < 0.9
+    report_delay(harness, request_id, 90)
+    assert loads.load(server) > 1
 
 
-def test_late_messages_outweigh_an_earlier_report(make_harness) -> None:
+def test_late_messages_outweigh_an_earlier_report(make_harness: HarnessFactory) -> None:
     # Reports describe the past: at the onset of an overload they are low while messages are late.
-    harness, name, s = with_one_connection(make_harness)
-    harness.balancer.ejection.record_load(s, 0.4)
+    harness, server, request_id = with_one_connection(make_harness)
+    loads = harness.balancer.loads
+    harness.balancer.ejection.record_load(server, 0.4)
     harness.advance(100_000)
-    harness.deliver(interface.ConnectionFeedback(name, "a:1", None, 90_000.0))
-    assert harness.balancer.loads.load(s) > 1
+    report_delay(harness, request_id, 90)
+    assert loads.load(server) > 1
     harness.advance(100_000)
-    harness.deliver(interface.HealthCheckResult("a:1", interface.AttemptOutcome.SERVED, 1000, {"load_ratio": 0.4}))
-    assert harness.balancer.loads.load(s) > 1, "the report may describe a time before the delay"
+    harness.deliver(health_report("a:1", 0.4))
+    assert loads.load(server) > 1, "the report may describe a time before the delay"
     harness.advance(SECOND)
-    harness.deliver(interface.HealthCheckResult("a:1", interface.AttemptOutcome.SERVED, 1000, {"load_ratio": 0.4}))
-    assert harness.balancer.loads.load(s) == 0.4
+    harness.deliver(health_report("a:1", 0.4))
+    assert loads.load(server) == 0.4
 
 
-def test_negative_load_report_is_ignored(make_harness) -> None:
+def test_negative_load_report_is_ignored(make_harness: HarnessFactory) -> None:
     harness = make_harness(may_health_check=True, load_report_fields=("load_ratio",), names=("a:1",))
-    harness.deliver(interface.HealthCheckResult("a:1", interface.AttemptOutcome.SERVED, 1000, {"load_ratio": 0.7}))
-    harness.deliver(interface.HealthCheckResult("a:1", interface.AttemptOutcome.SERVED, 1000, {"load_ratio": -5.0}))
+    harness.deliver(health_report("a:1", 0.7))
+    harness.deliver(health_report("a:1", -5.0))
     assert harness.balancer.servers["a:1"].reported_load == 0.7
--- a/tests/routing/test_migration.py
+++ b/tests/routing/test_migration.py
@@ -2,75 +2,75 @@
 
 from __future__ import annotations
 
-from conftest import SECOND
+from conftest import SECOND, HarnessFactory
 
 from glenrock.routing import interface
 
-from .scenarios import ENOUGH_ROUNDS, receive_summary, run_rounds, with_loaded_servers
+from .scenarios import (
+    ENOUGH_ROUNDS,
+    establish_requests,
+    migrated_requests,
+    receive_summary,
+    run_rounds,
+    with_loaded_servers,
+)
 
+FOUR_SERVERS = ("a:1", "b:1", "c:1", "d:1")
 
-def test_clients_of_a_draining_server_migrate_in_parts(make_harness) -> None:
+
+def test_clients_of_a_draining_server_migrate_in_parts(make_harness: HarnessFactory) -> None:
     harness = make_harness(names=("a:1",))
-    names = [harness.send_request(key=n) for n in range(8)]
-    for name in names:
-        harness.establish(name)
-    harness.deliver(
-        interface.EndpointList(
-            interface.EndpointListKind.CHANGES, (interface.Endpoint("a:1", interface.EndpointState.DRAINING),)
-        )
-    )
-    moved: list[str] = []
-    paces = []
+    request_ids = establish_requests(harness, 8)
+    harness.list_servers("a:1", kind=interface.EndpointListKind.CHANGES, state=interface.EndpointState.DRAINING)
+    migrated: list[str] = []
+    counts = []
     for _ in range(4):
-        now = [a.request_id for a in harness.advance(SECOND // 2) if isinstance(a, interface.Migrate)]
-        paces.append(len(now))
-        moved += now
-        for name in now:
-            harness.end_attempt(name, interface.AttemptOutcome.CANCELLED, is_final=True)
-    assert sorted(moved) == sorted(names)
-    assert max(paces) <= 4, "not all at once"
+        migrated_in_round = migrated_requests(harness.advance(SECOND // 2))
+        counts.append(len(migrated_in_round))
+        migrated += migrated_in_round
+        for request_id in migrated_in_round:
+            harness.end_attempt(request_id, interface.AttemptOutcome.CANCELLED, is_final=True)
+    assert sorted(migrated) == sorted(request_ids)
+    assert max(counts) <= 4, "not all at once"
 
 
-def test_server_that_is_ready_again_keeps_its_clients(make_harness) -> None:
+def test_server_that_is_ready_again_keeps_its_clients(make_harness: HarnessFactory) -> None:
     harness = make_harness(names=("a:1",))
     harness.establish(harness.send_request(key=1))
-    harness.deliver(
-        interface.EndpointList(
-            interface.EndpointListKind.CHANGES, (interface.Endpoint("a:1", interface.EndpointState.DRAINING),)
-        )
-    )
+    harness.list_servers("a:1", kind=interface.EndpointListKind.CHANGES, state=interface.EndpointState.DRAINING)
     harness.list_servers("a:1")
-    assert not [a for a in harness.advance(3 * SECOND) if isinstance(a, interface.Migrate)]
+    assert not migrated_requests(harness.advance(3 * SECOND))
 
 
-def test_single_overloaded_server_is_relieved_down_to_the_load_of_the_others(make_harness) -> None:
-    loads = {"a:1": 0.3, "b:1": 0.3, "c:1": 0.3, "d:1": 0.3, "e:1": 1.5}
+def test_single_overloaded_server_is_relieved_down_to_the_load_of_the_others(make_harness: HarnessFactory) -> None:
+    loads = {**dict.fromkeys(FOUR_SERVERS, 0.3), "e:1": 1.5}
     harness = with_loaded_servers(make_harness, loads, connections_each=10)
-    moved = {a.request_id for a in run_rounds(harness, loads, 1) if isinstance(a, interface.Migrate)}
-    assert len(moved) >= 6, "down to half of its capacity"
-    assert moved <= set(harness.balancer.servers["e:1"].connections)
+    migrated = set(migrated_requests(run_rounds(harness, loads, 1)))
+    assert len(migrated) >= 6, "down to half of its capacity"
+    assert migrated <= set(harness.balancer.servers["e:1"].connections)
 
 
-def test_server_that_lost_capacity_is_emptied_before_it_is_full(make_harness) -> None:
-    loads = {"a:1": 0.25, "b:1": 0.25, "c:1": 0.25, "d:1": 0.25}
+def test_server_that_lost_capacity_is_emptied_before_it_is_full(make_harness: HarnessFactory) -> None:
+    loads = dict.fromkeys(FOUR_SERVERS, 0.25)
     harness = with_loaded_servers(make_harness, loads, connections_each=10)
-    assert not [a for a in run_rounds(harness, loads, ENOUGH_ROUNDS) if isinstance(a, interface.Migrate)]
-    moved = {a.request_id for a in run_rounds(harness, loads | {"d:1": 0.9}, 3) if isinstance(a, interface.Migrate)}
-    assert len(moved) >= 6 and moved <= set(harness.balancer.servers["d:1"].connections)
+    assert not migrated_requests(run_rounds(harness, loads, ENOUGH_ROUNDS))
+    migrated = set(migrated_requests(run_rounds(harness, loads | {"d:1": 0.9}, 3)))
+    assert len(migrated) >= 6 and migrated <= set(harness.balancer.servers["d:1"].connections)
 
 
-def test_reports_from_before_a_start_do_not_make_servers_slow(make_harness) -> None:
-    loads = {name: 0.75 for name in ("a:1", "b:1", "c:1", "d:1")}
+def test_reports_from_before_a_start_do_not_make_servers_slow(make_harness: HarnessFactory) -> None:
+    loads = dict.fromkeys(FOUR_SERVERS, 0.75)
     harness = with_loaded_servers(make_harness, loads, connections_each=10)
-    run_rounds(harness, {name: 0.15 for name in loads}, 2)
-    assert not [a for a in run_rounds(harness, loads, 12) if isinstance(a, interface.Migrate)]
-    assert min(s.capacity_ratio for s in harness.balancer.servers.values()) > 0.8
+    run_rounds(harness, dict.fromkeys(FOUR_SERVERS, 0.15), 2)
+    assert not migrated_requests(run_rounds(harness, loads, 12))
+    assert min(server.capacity_ratio for server in harness.balancer.servers.values()) > 0.8
 
 
-def test_clients_of_a_drained_balancer_do_not_make_servers_slow(make_harness) -> None:
-    loads = {name: 0.75 for name in ("a:1", "b:1", "c:1", "d:1")}
+def test_clients_of_a_drained_balancer_do_not_make_servers_slow(make_harness: HarnessFactory) -> None:
+    loads = dict.fromkeys(FOUR_SERVERS, 0.75)
     harness = with_loaded_servers(make_harness, loads, connections_each=10)
-    for active in [harness.balancer.sessions.active_load] * ENOUGH_ROUNDS + [0.0] * ENOUGH_ROUNDS:
-        receive_summary(harness, 1, active, 10)
-        assert not [a for a in run_rounds(harness, loads, 1) if isinstance(a, interface.Migrate)]
-    assert min(s.capacity_ratio for s in harness.balancer.servers.values()) > 0.8
+    own_load = harness.balancer.sessions.active_load
+    for peer_load in [own_load] * ENOUGH_ROUNDS + [0.0] * ENOUGH_ROUNDS:
+        receive_summary(harness, 1, peer_load, 10)
+        assert not migrated_requests(run_rounds(harness, loads, 1))
+    assert min(server.capacity_ratio for server in harness.balancer.servers.values()) > 0.8
--- a/tests/routing/test_random_events.py
+++ b/tests/routing/test_random_events.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import random
+from dataclasses import dataclass
 from typing import NamedTuple
 
 import pytest
@@ -26,7 +27,7 @@
     StartAttempt,
 )
 
-KINDS = [
+IDEMPOTENCIES = [
     (Idempotency.SAFE, IdempotencyScope.ALL),
     (Idempotency.KEYED, IdempotencyScope.ALL),
     (Idempotency.KEYED, IdempotencyScope.ZONE),
@@ -43,21 +44,29 @@
     ends_at_us: int
     request_id: str
     number: int
-    server: str
+    server_id: str
 
 
 class SentAttempt(NamedTuple):
     """An attempt as the log has it."""
 
     at_us: int
-    server: str
+    server_id: str
+
+
+@dataclass
+class NotReadySpan:
+    """A time in which a server was not ready. It is open until the server's state changes."""
+
+    start_us: int
+    end_us: int = FOREVER_US
 
 
 class RandomRun:
     """Delivers random events to one balancer, and records what the rules are checked against.
 
     Attributes:
-        not_ready_spans: start and end of each time in which a server was not ready.
+        not_ready_spans: by server, each time in which it was not ready.
         outcomes: by request and number of the attempt.
         deadlines_us: deadline of each request.
         established_at_us: when a request was established.
@@ -79,9 +88,11 @@
             ),
             seed,
         )
-        names = [f"s{n}:1" for n in range(12)]
-        self.endpoints = {name: Endpoint(name, EndpointState.READY, f"z{n % 3}", n % 4) for n, name in enumerate(names)}
-        self.not_ready_spans: dict[str, list[list[int]]] = {name: [] for name in names}
+        endpoints = [
+            Endpoint(f"s{number}:1", EndpointState.READY, f"z{number % 3}", number % 4) for number in range(12)
+        ]
+        self.endpoints = {endpoint.server_id: endpoint for endpoint in endpoints}
+        self.not_ready_spans: dict[str, list[NotReadySpan]] = {server_id: [] for server_id in self.endpoints}
         self.outcomes: dict[str, dict[int, AttemptOutcome]] = {}
         self.deadlines_us: dict[str, int] = {}
         self.established_at_us: dict[str, int] = {}
@@ -130,10 +141,10 @@
         started_us = self.rng.choice([0, now_us])
         endpoint = Endpoint(before.server_id, state, before.zone, before.cell, 1.0, started_us)
         spans = self.not_ready_spans[before.server_id]
-        if spans and spans[-1][1] > now_us:
-            spans[-1][1] = now_us
+        if spans and spans[-1].end_us > now_us:
+            spans[-1].end_us = now_us
         if state != EndpointState.READY:
-            spans.append([now_us, FOREVER_US])
+            spans.append(NotReadySpan(now_us))
         self.harness.deliver(EndpointList(EndpointListKind.CHANGES, (endpoint,)))
 
     def _answer_actions(self) -> None:
@@ -156,17 +167,17 @@
         harness = self.harness
         for due in [pending for pending in self._pending if pending.ends_at_us <= harness.now_us]:
             self._pending.remove(due)
-            _, request_id, number, server = due
+            request_id = due.request_id
             is_answered = any(isinstance(action, Reject | Fail) for action in harness.actions_for(request_id))
             if not is_answered and self.rng.random() < 0.6:
                 self.established_at_us[request_id] = harness.now_us
-                harness.deliver(interface.ConnectionEstablished(request_id, number, server, 1000))
+                harness.deliver(interface.ConnectionEstablished(request_id, due.number, due.server_id, 1000))
                 self._pending.append(due._replace(ends_at_us=harness.now_us + 3 * SECOND))
                 continue
             outcome = self.rng.choice(ATTEMPT_OUTCOMES[1:])
-            self.outcomes.setdefault(request_id, {})[number] = outcome
+            self.outcomes.setdefault(request_id, {})[due.number] = outcome
             is_final = is_answered or request_id in self.established_at_us
-            harness.deliver(interface.AttemptEnded(request_id, number, server, outcome, is_final, 1000))
+            harness.deliver(interface.AttemptEnded(request_id, due.number, due.server_id, outcome, is_final, 1000))
 
 
 class RuleChecker:
@@ -194,11 +205,11 @@
         assert action.request_id not in self.answered_at_us, "sent after its final answer"
         assert at_us < run.established_at_us.get(action.request_id, FOREVER_US), "sent after it was established"
         spans = run.not_ready_spans[action.server_id]
-        assert not any(start < at_us < end for start, end in spans), "sent to a draining server"
+        assert not any(span.start_us < at_us < span.end_us for span in spans), "sent to a draining server"
         attempts = self.sent.setdefault(action.request_id, [])
         outcomes = run.outcomes.get(action.request_id, {})
         assert all(number in outcomes for number in range(len(attempts))), "two attempts in flight"
-        executed = [sent for n, sent in enumerate(attempts) if outcomes.get(n) not in NOT_EXECUTED_OUTCOMES]
+        executed = [sent for number, sent in enumerate(attempts) if outcomes.get(number) not in NOT_EXECUTED_OUTCOMES]
         if executed and run.idempotency != Idempotency.SAFE:
             self._check_retry(at_us, action, executed[0])
         attempts.append(SentAttempt(at_us, action.server_id))
@@ -208,7 +219,7 @@
         run = self.run
         assert run.idempotency == Idempotency.KEYED, "an unsafe request was retried"
         assert at_us <= first.at_us + WINDOW_US, "outside the window"
-        before, now = run.endpoints[first.server], run.endpoints[action.server_id]
+        before, now = run.endpoints[first.server_id], run.endpoints[action.server_id]
         if run.scope == IdempotencyScope.ZONE:
             assert before.zone == now.zone
         elif run.scope == IdempotencyScope.CELL:
@@ -225,7 +236,7 @@
             assert all(outcomes.get(number) in NOT_EXECUTED_OUTCOMES for number in range(attempt_count))
 
 
-@pytest.mark.parametrize(("idempotency", "scope"), KINDS)
+@pytest.mark.parametrize(("idempotency", "scope"), IDEMPOTENCIES)
 @pytest.mark.parametrize("seed", range(12))
 def test_rules_hold_over_random_events(idempotency: Idempotency, scope: IdempotencyScope, seed: int) -> None:
     run = RandomRun(idempotency, scope, seed)
--- a/tests/routing/test_retries.py
+++ b/tests/routing/test_retries.py
@@ -3,45 +3,58 @@
 from __future__ import annotations
 
 import pytest
-from conftest import SECOND
+from conftest import SECOND, HarnessFactory
 
 from glenrock.routing import interface
 
+from .scenarios import reject_newcomers
 
-def test_retry_after_of_rejections_is_spread(make_harness) -> None:
-    harness = make_harness()
-    (
-        harness.balancer.admission.load_cap,
-        harness.balancer.admission.may_admit_newcomers,
-        harness.balancer.admission.quota,
-    ) = 0.0, False, 0.0
-    waits = {harness.actions_for(harness.send_request(key=n))[0].retry_after_us for n in range(20)}
-    assert len(waits) > 15 and min(waits) >= SECOND and max(waits) <= 2 * SECOND
+WINDOW_US = 400_000
 
 
-@pytest.mark.parametrize("scope", ["all", "zone", "cell"])
-def test_attempt_of_keyed_request_times_out_within_its_idempotency_window(make_harness, scope: str) -> None:
-    """A connection established after the window could execute the request twice."""
-    kind = interface.RequestClass(
-        "read", 300_000, 2_000_000, 60_000, idempotency="keyed", idempotency_scope=scope, idempotency_window_us=400_000
+def keyed_class(scope: interface.IdempotencyScope) -> interface.RequestClass:
+    """Returns a class of keyed requests with a window of `WINDOW_US`."""
+    return interface.RequestClass(
+        "read",
+        300_000,
+        2_000_000,
+        60_000,
+        idempotency=interface.Idempotency.KEYED,
+        idempotency_scope=scope,
+        idempotency_window_us=WINDOW_US,
     )
-    harness = make_harness(classes=(kind,))
-    name = harness.send_request(life_us=2 * SECOND)
+
+
+def test_retry_after_of_rejections_is_spread(make_harness: HarnessFactory) -> None:
+    harness = make_harness()
+    reject_newcomers(harness)
+    delays_us = set()
+    for key in range(20):
+        first_action = harness.actions_for(harness.send_request(key=key))[0]
+        assert isinstance(first_action, interface.Reject)
+        delays_us.add(first_action.retry_after_us)
+    assert len(delays_us) > 15 and min(delays_us) >= SECOND and max(delays_us) <= 2 * SECOND
+
+
+@pytest.mark.parametrize("scope", list(interface.IdempotencyScope))
+def test_attempt_of_keyed_request_times_out_within_its_idempotency_window(
+    make_harness: HarnessFactory, scope: interface.IdempotencyScope
+) -> None:
+    """A connection established after the window could execute the request twice."""
+    harness = make_harness(classes=(keyed_class(scope),))
+    request_id = harness.send_request(life_us=2 * SECOND)
     harness.advance(200_000)
-    harness.end_attempt(name, interface.AttemptOutcome.BROKEN)
+    harness.end_attempt(request_id, interface.AttemptOutcome.BROKEN)
     harness.advance(20_000)
-    first, again = harness.attempts_of(name)
+    first, retry = harness.attempts_of(request_id)
     # The process may be paused for 150 ms between this decision and the write.
-    assert 0 < again.timeout_us <= 50_000 < first.timeout_us
+    assert 0 < retry.timeout_us <= 50_000 < first.timeout_us
 
 
-def test_no_retry_that_a_paused_process_could_write_after_the_window(make_harness) -> None:
-    kind = interface.RequestClass(
-        "read", 300_000, 2_000_000, 60_000, idempotency="keyed", idempotency_scope="all", idempotency_window_us=400_000
-    )
-    harness = make_harness(classes=(kind,))
-    name = harness.send_request(life_us=2 * SECOND)
+def test_no_retry_that_a_paused_process_could_write_after_the_window(make_harness: HarnessFactory) -> None:
+    harness = make_harness(classes=(keyed_class(interface.IdempotencyScope.ALL),))
+    request_id = harness.send_request(life_us=2 * SECOND)
     harness.advance(300_000)
-    harness.end_attempt(name, interface.AttemptOutcome.BROKEN)
+    harness.end_attempt(request_id, interface.AttemptOutcome.BROKEN)
     harness.advance(2 * SECOND)
-    assert len(harness.attempts_of(name)) == 1 and len(harness.actions_for(name)) == 2
+    assert len(harness.attempts_of(request_id)) == 1 and len(harness.actions_for(request_id)) == 2
--- a/tests/routing/test_settings.py
+++ b/tests/routing/test_settings.py
@@ -2,14 +2,18 @@
 
 from __future__ import annotations
 
+from typing import Any, cast
+
 import pytest
-from conftest import SECOND
+from conftest import SECOND, HarnessFactory
 
 from glenrock.routing import interface
 
+ODD_IDEMPOTENCY = cast("interface.Idempotency", "odd")
+
 
 @pytest.mark.parametrize(
-    "field,value",
+    ("field", "value"),
     [
         ("balancers", 0),
         ("index", -1),
@@ -25,37 +29,42 @@
         ("max_retry_after_us", -1),
         ("classes", (interface.RequestClass("x", 0, 5),)),
         ("classes", (interface.RequestClass("x", 9, 5),)),
-        ("classes", (interface.RequestClass("x", 1, 5, idempotency="odd"),)),
+        ("classes", (interface.RequestClass("x", 1, 5, idempotency=ODD_IDEMPOTENCY),)),
     ],
 )
-def test_impossible_settings_raise_an_error_that_names_the_field(make_harness, field: str, value) -> None:
+def test_impossible_settings_raise_an_error_that_names_the_field(
+    make_harness: HarnessFactory, field: str, value: object
+) -> None:
     with pytest.raises(ValueError, match=field):
         make_harness(**{field: value})
 
 
 @pytest.mark.parametrize(
-    "over",
+    "fields",
     [
-        dict(balancers=1),
-        dict(may_gossip=False),
-        dict(may_cancel=False),
-        dict(may_send_retry_after=False),
-        dict(max_attempts=1),
-        dict(may_health_check=True, load_report_fields=("utilization",)),
-        dict(must_poll_endpoints=True),
-        dict(slow_start_us=0),
-        dict(max_retry_after_us=0),
-        dict(zone="z", cross_zone_cost=0.1),
-        dict(tenants=(interface.Tenant("t", 5.0),)),
-        dict(balancers=500, index=499, gossip_cost=0.01),
+        {"balancers": 1},
+        {"may_gossip": False},
+        {"may_cancel": False},
+        {"may_send_retry_after": False},
+        {"max_attempts": 1},
+        {"may_health_check": True, "load_report_fields": ("utilization",)},
+        {"must_poll_endpoints": True},
+        {"slow_start_us": 0},
+        {"max_retry_after_us": 0},
+        {"zone": "z", "cross_zone_cost": 0.1},
+        {"tenants": (interface.Tenant("t", 5.0),)},
+        {"balancers": 500, "index": 499, "gossip_cost": 0.01},
     ],
 )
-def test_requests_are_answered_under_unusual_settings(make_harness, over: dict) -> None:
-    harness = make_harness(names=("a:1",), **over)
-    names = [harness.send_request(key=n if n % 2 else None, group=n % 3 or None, tenant="t") for n in range(20)]
+def test_requests_are_answered_under_unusual_settings(make_harness: HarnessFactory, fields: dict[str, Any]) -> None:
+    harness = make_harness(names=("a:1",), **fields)
+    request_ids = []
+    for number in range(20):
+        key = number if number % 2 else None
+        request_ids.append(harness.send_request(key=key, group=number % 3 or None, tenant="t"))
     harness.advance(200_000)
-    for n in names[::2]:
-        if harness.attempts_of(n):
-            harness.establish(n)
+    for request_id in request_ids[::2]:
+        if harness.attempts_of(request_id):
+            harness.establish(request_id)
     harness.advance(5 * SECOND)
-    assert all(harness.actions_for(n) for n in names)
+    assert all(harness.actions_for(request_id) for request_id in request_ids)
--- a/tests/routing/test_simulator_adapter.py
+++ b/tests/routing/test_simulator_adapter.py
@@ -7,10 +7,13 @@
 import subprocess
 import sys
 import tomllib
+from collections.abc import Sequence
 from pathlib import Path
 
 import pytest
 
+from glenrock.routing import Balancer, interface, simulator_adapter
+
 ROOT = Path(__file__).resolve().parents[2]
 PROFILE = {
     "az": "z1",
@@ -44,76 +47,100 @@
 }
 
 
-def script(number: int = 3) -> list[str]:
-    lines = [
+def start_lines(balancer: int) -> list[str]:
+    """Returns a batch that starts a balancer with three servers."""
+    servers = [
+        f"item server=10.0.0.{number}:9 area=z{1 + number % 2} flavor=k unitGroup=0 availability=Ready units=1"
+        for number in range(3)
+    ]
+    return [
         "begin_batch wallUs=1000000",
-        f"start balancer={number} seed=5 profileData={json.dumps(PROFILE)}",
+        f"start balancer={balancer} seed=5 profileData={json.dumps(PROFILE)}",
         "list bank=0 membersList=3",
+        *servers,
+        f"topology balancer={balancer} kind=Persisted seqNo=1 bank=0",
+        "go",
     ]
-    lines += [
-        f"item server=10.0.0.{n}:9 area=z{1 + n % 2} flavor=k unitGroup=0 availability=Ready units=1" for n in range(3)
+
+
+def request_lines(balancer: int, number: int) -> list[str]:
+    """Returns a batch with a request, a malformed gossip summary, an unknown line, and in some batches a timer."""
+    now_us = 1000000 + number * 20000
+    lines = [
+        f"begin_batch wallUs={now_us}",
+        f"call balancer={balancer} msgId=m{balancer}-{number} service=c deadlineUs={now_us + 900000} item={number % 9}"
+        f" channel={number % 4} sizeHintUs={5000 + number} odd_field=7",
+        f"message balancer={balancer} src=1 raw=68692037",
+        f"something_new balancer={balancer} x=1",
     ]
-    lines += [f"topology balancer={number} kind=Persisted seqNo=1 bank=0", "go"]
-    for n in range(1, 80):
-        now = 1000000 + n * 20000
-        lines += [
-            f"begin_batch wallUs={now}",
-            f"call balancer={number} msgId=m{number}-{n} service=c deadlineUs={now + 900000} item={n % 9}"
-            f" channel={n % 4} sizeHintUs={5000 + n} odd_field=7",
-            f"message balancer={number} src=1 raw=68692037",
-            f"something_new balancer={number} x=1",
-        ]
-        if n % 3 == 0:
-            lines.append(f"reminder balancer={number} ref={n // 3}")
-        lines.append("go")
+    if number % 3 == 0:
+        lines.append(f"reminder balancer={balancer} ref={number // 3}")
+    return [*lines, "go"]
+
+
+def input_lines(balancer: int = 3) -> list[str]:
+    """Returns the input of 80 batches for a balancer."""
+    lines = start_lines(balancer)
+    for number in range(1, 80):
+        lines += request_lines(balancer, number)
     return lines
 
 
-def play(lines: list[str], **env: str) -> subprocess.CompletedProcess:
-    sim = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["sim"]
-    sim = sim.replace(".venv/bin/python", sys.executable)
+def run_adapter(lines: list[str], **environment: str) -> subprocess.CompletedProcess[str]:
+    """Runs the adapter by the command of the deploy file on these lines, with further environment variables."""
+    command = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["sim"]
+    command = command.replace(".venv/bin/python", sys.executable)
     return subprocess.run(
-        ["/bin/sh", "-c", sim],
+        ["/bin/sh", "-c", command],
         input="\n".join(lines) + "\n",
         text=True,
         cwd=ROOT,
         capture_output=True,
         timeout=60,
-        env={**os.environ, **env},
+        env={**os.environ, **environment},
     )
 
 
 def test_adapter_replies_to_each_batch_and_exits_0() -> None:
-    done = play(script())
-    assert (done.returncode, done.stderr) == (0, "")
-    out = done.stdout.splitlines()
-    assert out.count("ready") == 80
-    assert any(x.startswith("issue balancer=3 ") for x in out)
-    assert {x.split()[0] for x in out} <= {"issue", "timer", "inspect", "refuse", "error", "revoke", "notify", "ready"}
+    process = run_adapter(input_lines())
+    assert (process.returncode, process.stderr) == (0, "")
+    reply = process.stdout.splitlines()
+    assert reply.count("ready") == 80
+    assert any(line.startswith("issue balancer=3 ") for line in reply)
+    words = {line.split()[0] for line in reply}
+    assert words <= {"issue", "timer", "inspect", "refuse", "error", "revoke", "notify", "ready"}
 
 
 def test_hash_seed_changes_nothing() -> None:
-    assert play(script(), PYTHONHASHSEED="1").stdout == play(script(), PYTHONHASHSEED="77").stdout
+    replies = {run_adapter(input_lines(), PYTHONHASHSEED=seed).stdout for seed in ("1", "77")}
+    assert len(replies) == 1
+
+
+def split_batches(lines: list[str]) -> list[list[str]]:
+    """Returns the lines of each batch, without the line that ends it."""
+    batches: list[list[str]] = [[]]
+    for line in lines:
+        if line == "go":
+            batches.append([])
+        else:
+            batches[-1].append(line)
+    return batches[:-1]
 
 
 def test_balancers_of_one_process_are_independent() -> None:
-    def of(text: str, number: int) -> list[str]:
-        return [x for x in text.splitlines() if f"balancer={number} " in x]
+    def replies_of(reply: str, balancer: int) -> list[str]:
+        return [line for line in reply.splitlines() if f"balancer={balancer} " in line]
 
-    three, four = script(3), script(4)
-    both: list[str] = []
-    split = [[i for i, x in enumerate(s) if x == "go"] for s in (three, four)]
-    a = b = 0
-    for i, j in zip(*split, strict=True):
-        both += three[a:i] + [x for x in four[b:j] if not x.startswith("begin_batch")] + ["go"]
-        a, b = i + 1, j + 1
-    together = play(both).stdout
-    assert of(together, 3) == of(play(three).stdout, 3)
-    assert of(together, 4) == of(play(four).stdout, 4)
+    lines_of_both: list[str] = []
+    for batch, other_batch in zip(split_batches(input_lines(3)), split_batches(input_lines(4)), strict=True):
+        lines_of_both += [*batch, *(line for line in other_batch if not line.startswith("begin_batch")), "go"]
+    reply = run_adapter(lines_of_both).stdout
+    for balancer in (3, 4):
+        assert replies_of(reply, balancer) == replies_of(run_adapter(input_lines(balancer)).stdout, balancer)
 
 
 @pytest.mark.parametrize(
-    "line,fault",
+    ("line", "message"),
     [
         ("call balancer=3 service=c deadlineUs=5", "missing field msgId"),
         ("call balancer=3 msgId=m service=c deadlineUs=soon", "deadlineUs is not a whole number"),
@@ -129,21 +156,19 @@
         ("list bank=0 membersList=2\ngo", "item lines were announced"),
     ],
 )
-def test_malformed_line_ends_the_adapter_with_one_message(line: str, fault: str) -> None:
-    done = play([*script()[:8], "begin_batch wallUs=2000000", *line.split("\n"), "go"])
-    assert done.returncode != 0
-    assert len(done.stderr.splitlines()) == 1 and fault in done.stderr and "Traceback" not in done.stderr
-    assert "line " in done.stderr
+def test_malformed_line_ends_the_adapter_with_one_message(line: str, message: str) -> None:
+    process = run_adapter([*start_lines(3), "begin_batch wallUs=2000000", *line.split("\n"), "go"])
+    assert process.returncode != 0
+    assert len(process.stderr.splitlines()) == 1 and message in process.stderr and "Traceback" not in process.stderr
+    assert "line " in process.stderr
 
 
 def test_error_of_a_balancer_is_reported_on_the_wire(monkeypatch: pytest.MonkeyPatch) -> None:
-    from glenrock.routing import simulator_adapter
-
-    class Broken(simulator_adapter.Balancer):
-        def handle(self, now_us, events):
+    class BrokenBalancer(Balancer):
+        def handle(self, now_us: int, events: Sequence[interface.Event]) -> list[interface.Action]:
             raise RuntimeError("broken inside")
 
-    monkeypatch.setattr(simulator_adapter, "Balancer", Broken)
-    d = simulator_adapter.SimulatorAdapter()
-    replies = [r for x in script()[:8] if (r := d.feed(x)) is not None]
+    monkeypatch.setattr(simulator_adapter, "Balancer", BrokenBalancer)
+    adapter = simulator_adapter.SimulatorAdapter()
+    replies = [reply for line in start_lines(3) if (reply := adapter.feed(line)) is not None]
     assert replies[0][0].startswith("give_in balancer=3 message=") and "broken inside" in replies[0][0]
--- a/tests/routing/test_slow_start.py
+++ b/tests/routing/test_slow_start.py
@@ -2,63 +2,81 @@
 
 from __future__ import annotations
 
-from conftest import SECOND, Harness, settings
+from conftest import SECOND, Harness, HarnessFactory, settings
 
 from glenrock.routing import interface
 
+from .scenarios import first_server
 
-def test_warming_server_gets_a_fraction_of_a_warm_servers_load(make_harness) -> None:
+BALANCERS = 40
+CONNECTIONS_EACH = 10
+CONNECTION_LOAD = 1000
+WARM_SERVERS = 5
+FLEET_LOAD = 0.5
+INITIAL_FRACTION = 0.1
+MULTIPLE = 3.0
+WINDOW_US = SECOND
+SLOW_START_US = 20 * SECOND
+
+
+def test_warming_server_gets_a_fraction_of_a_warm_servers_load(make_harness: HarnessFactory) -> None:
     harness = make_harness(
-        names=("a:1", "b:1"), slow_start_us=20 * SECOND, slow_start_initial_fraction=0.1, slow_start_multiple=3.0
+        names=("a:1", "b:1"),
+        slow_start_us=SLOW_START_US,
+        slow_start_initial_fraction=INITIAL_FRACTION,
+        slow_start_multiple=MULTIPLE,
     )
-    for n in range(40):
-        harness.establish(harness.send_request(key=n))
+    for key in range(40):
+        harness.establish(harness.send_request(key=key))
     harness.list_servers("c:1", kind=interface.EndpointListKind.CHANGES, started_us=harness.now_us)
-    sent = 0
-    for n in range(100, 200):
+    sent_count = 0
+    for key in range(100, 200):
         harness.advance(20_000)
-        sent += harness.attempts_of(harness.send_request(key=n))[0].server_id == "c:1"
+        sent_count += first_server(harness, harness.send_request(key=key)) == "c:1"
     # 2 s at some 40 connections a server: a tenth of that over a slow start of 20 s, times 3.
-    assert sent <= 3
+    assert sent_count <= 3
+
+
+def balancer_before_a_cold_start(index: int) -> Harness:
+    """Returns the harness of one of `BALANCERS`, with clients, when a server has just started."""
+    harness = Harness(
+        settings(
+            balancers=BALANCERS,
+            index=index,
+            slow_start_us=SLOW_START_US,
+            slow_start_initial_fraction=INITIAL_FRACTION,
+            slow_start_multiple=MULTIPLE,
+            slow_start_window_us=WINDOW_US,
+            max_attempts=1,
+        ),
+        seed=index,
+    )
+    harness.list_servers(*(f"w{number}:1" for number in range(WARM_SERVERS)))
+    for key in range(CONNECTIONS_EACH):
+        harness.establish(harness.send_request(key=key, load=CONNECTION_LOAD))
+    harness.advance(2 * SECOND)
+    harness.balancer.loads.fleet_load = FLEET_LOAD
+    harness.list_servers("cold:1", kind=interface.EndpointListKind.CHANGES, started_us=harness.now_us)
+    return harness
 
 
 def test_budgets_of_many_balancers_together_do_not_overload_a_warming_server() -> None:
     # Clients arrive at all balancers at the same time, after some seconds without requests.
-    count, load, multiple, window, cold = 40, 1000, 3.0, SECOND, 20 * SECOND
-    harnesses = []
-    for n in range(count):
-        harness = Harness(
-            settings(
-                balancers=count,
-                index=n,
-                slow_start_us=cold,
-                slow_start_initial_fraction=0.1,
-                slow_start_multiple=multiple,
-                slow_start_window_us=window,
-                max_attempts=1,
-            ),
-            seed=n,
-        )
-        harness.list_servers(*(f"w{k}:1" for k in range(5)))
-        for k in range(10):
-            harness.establish(harness.send_request(key=k, load=load))
-        harness.advance(2 * SECOND)
-        harness.balancer.loads.fleet_load = 0.5
-        harness.list_servers("cold:1", kind=interface.EndpointListKind.CHANGES, started_us=harness.now_us)
-        harnesses.append(harness)
-    born = harnesses[0].now_us
-    at: list[int] = []
+    harnesses = [balancer_before_a_cold_start(index) for index in range(BALANCERS)]
+    started_us = harnesses[0].now_us
+    sent_at_us: list[int] = []
     for step in range(100):
         for harness in harnesses:
-            harness.now_us = born + 4 * SECOND + step * 40_000
-            name = harness.send_request(key=1000 + step, load=load, life_us=SECOND)
-            sent = harness.attempts_of(name)
-            if sent and sent[0].server_id == "cold:1":
-                at.append(harness.now_us)
-            harness.end_attempt(name, interface.AttemptOutcome.CANCELLED, is_final=True) if sent else None
-    full = count * 10 / 5 / 0.5  # connections that fill a server
-    for t in at:
-        share = 0.1 + 0.9 * (t - born) / cold
-        inside = sum(t <= x < t + window for x in at)
-        assert inside <= multiple * share * full * window / cold + 2
-    assert len(at) >= 4
+            harness.now_us = started_us + 4 * SECOND + step * 40_000
+            request_id = harness.send_request(key=1000 + step, load=CONNECTION_LOAD, life_us=SECOND)
+            attempts = harness.attempts_of(request_id)
+            if attempts and attempts[0].server_id == "cold:1":
+                sent_at_us.append(harness.now_us)
+            if attempts:
+                harness.end_attempt(request_id, interface.AttemptOutcome.CANCELLED, is_final=True)
+    full_connections = BALANCERS * CONNECTIONS_EACH / WARM_SERVERS / FLEET_LOAD  # that fill a server
+    for begin_us in sent_at_us:
+        warmth = INITIAL_FRACTION + (1 - INITIAL_FRACTION) * (begin_us - started_us) / SLOW_START_US
+        sent_in_window = sum(begin_us <= at_us < begin_us + WINDOW_US for at_us in sent_at_us)
+        assert sent_in_window <= MULTIPLE * warmth * full_connections * WINDOW_US / SLOW_START_US + 2
+    assert len(sent_at_us) >= 4
