--- a/tests/net/exchange_player.py
+++ b/tests/net/exchange_player.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import contextlib
 import fnmatch
 import json
 import socket
@@ -12,15 +13,14 @@
 from typing import Any, NamedTuple
 
 from glenrock.config import parse_config
-from glenrock.net.clock import ManualClock
 from glenrock.program import Program
 
 from .discovery_answers import endpoint_answer, endpoint_row, http_answer
-from .rig import ITERATION_S, StreamEnd
+from .loopback_delivery import ManualTime
+from .rig import StreamEnd
 from .settings import SETTINGS
 
 STEP_TIMEOUT_S = 5
-CLOCK_STEP_MS = 10
 ACCEPT_POLL_S = 0.001
 DISCOVERIES = ("discovery", "elsewhere")
 LINGER_ON_FOR_ZERO_S = b"\1\0\0\0\0\0\0\0"
@@ -112,7 +112,7 @@
     def __init__(self, server_names: list[str]) -> None:
         self._server_names = server_names
         self._ports: dict[str, int] = {}
-        self._clock = ManualClock()
+        self._time = ManualTime()
         self._connections: dict[str, ScriptedConnection] = {}  # by their names in the script
         self._accepted: dict[str, list[ScriptedConnection]] = {name: [] for name in [*server_names, *DISCOVERIES]}
         self._accepted_by_servers: list[ScriptedConnection] = []
@@ -138,11 +138,11 @@
             **config,
             "settings": {**SETTINGS, **config.get("settings", {})},
         }
-        self._program = Program(parse_config(raw_config), self._clock)
+        self._program = Program(parse_config(raw_config), self._time.clock)
         starting = asyncio.create_task(self._program.start())
         if discovery_is_silent:
             while not starting.done():
-                await self._advance(50)
+                await self._time.advance(50)
         else:
             await self._expect_line("discovery", "GET /discovery/hosts HTTP/1.1")
             self._answer_discovery("discovery", endpoint_answer(2, rows))
@@ -164,6 +164,11 @@
 
         return accept
 
+    def close(self) -> None:
+        """Closes the sockets that the player waits on. The program ends with the loop."""
+        self._peer.close()
+        self._time.close()
+
     # -- parties ---------------------------------------------------------------------------------------
 
     async def _connection(self, name: str) -> ScriptedConnection:
@@ -211,19 +216,6 @@
         if not fnmatch.fnmatchcase(line, pattern):
             raise AssertionError(f"{name} got {line!r}, not {pattern!r}")
 
-    # -- time ------------------------------------------------------------------------------------------
-
-    async def _advance(self, ms: float) -> None:
-        while ms > 0:
-            await self._run_loop()
-            self._clock.advance(min(ms, CLOCK_STEP_MS))
-            ms -= CLOCK_STEP_MS
-        await self._run_loop()
-
-    async def _run_loop(self) -> None:
-        for _ in range(10):  # iterations of the loop in which bytes on loopback arrive
-            await asyncio.sleep(ITERATION_S)
-
     # -- steps -----------------------------------------------------------------------------------------
 
     async def play(self, step: ExchangeStep) -> None:
@@ -247,10 +239,10 @@
             await party_steps[step.party](step.text)
         else:
             await self._play_on_connection(step)
-        await self._run_loop()
+        await self._time.run_loop()
 
     async def _play_clock(self, text: str) -> None:
-        await self._advance(float(text))
+        await self._time.advance(float(text))
 
     async def _play_signal(self, _: str) -> None:
         stop = asyncio.Event()
@@ -326,7 +318,7 @@
 
 
 async def play_exchange(exchange: Exchange) -> None:
-    """Plays all steps.
+    """Plays all steps, on a `ConnectTrackingLoop`.
 
     Raises:
         AssertionError: the program did something else, or not in time; the message names the line.
@@ -335,6 +327,11 @@
     player = ExchangePlayer(config.pop("instances", ["s1"]))
     discovery_is_silent = config.pop("silent", False)
     await asyncio.wait_for(player.open(config, discovery_is_silent), STEP_TIMEOUT_S)
+    with contextlib.closing(player):
+        await _play_steps(player, exchange)
+
+
+async def _play_steps(player: ExchangePlayer, exchange: Exchange) -> None:
     for step in exchange.steps:
         try:
             await asyncio.wait_for(player.play(step), STEP_TIMEOUT_S)
--- a/tests/net/loopback_delivery.py
+++ b/tests/net/loopback_delivery.py
@@ -6,12 +6,17 @@
 
 from __future__ import annotations
 
+import asyncio
 import socket
 import time
 from typing import Any
 
 import uvloop
 
+from glenrock.net.clock import ManualClock
+
+CLOCK_STEP_MS = 10
+ITERATION_S = 0.0002
 MAX_CONNECT_WAIT_S = 1.0  # a connect to a full backlog stays pending, and is not waited for any longer
 
 
@@ -58,3 +63,38 @@
         """Closes both ends."""
         self._sender.close()
         self._receiver.close()
+
+
+class ManualTime:
+    """Advances a manual clock no faster than the kernel delivers on loopback. Needs a `ConnectTrackingLoop`.
+
+    Attributes:
+        clock: the clock.
+    """
+
+    def __init__(self) -> None:
+        self.clock = ManualClock()
+        loop = asyncio.get_running_loop()
+        assert isinstance(loop, ConnectTrackingLoop)
+        self._loop = loop
+        self._delivery = DeliveryBarrier()
+
+    async def advance(self, ms: float) -> None:
+        """Advances the clock in small steps, and runs the loop between them."""
+        while ms > 0:
+            await self.run_loop()
+            self.clock.advance(min(ms, CLOCK_STEP_MS))
+            ms -= CLOCK_STEP_MS
+        await self.run_loop()
+
+    async def run_loop(self) -> None:
+        """Runs the loop ten times, and until the kernel has delivered and connected what is under way."""
+        for _ in range(10):
+            await asyncio.sleep(ITERATION_S)
+            self._delivery.wait()
+        while self._loop.has_pending_connect():  # noqa: ASYNC110 - what is polled is in the kernel
+            await asyncio.sleep(0)
+
+    def close(self) -> None:
+        """Closes the barrier's connection."""
+        self._delivery.close()
--- a/tests/net/rig.py
+++ b/tests/net/rig.py
@@ -12,13 +12,12 @@
 
 from glenrock.config import parse_config
 from glenrock.net.client_connection import ClientConnection
-from glenrock.net.clock import ManualClock
 from glenrock.net.connection_attempt import ConnectionAttempt
 from glenrock.net.server_actor import ServerActor
 from glenrock.program import Program
 
 from .discovery_answers import endpoint_answer, endpoint_row, http_answer
-from .loopback_delivery import ConnectTrackingLoop, DeliveryBarrier
+from .loopback_delivery import CLOCK_STEP_MS, ConnectTrackingLoop, ManualTime
 from .settings import SETTINGS
 
 REQUEST_ID = "x1"
@@ -27,8 +26,6 @@
 READ_BYTES = 1 << 16
 WAIT_TIMEOUT_S = 5.0
 TEST_TIMEOUT_S = 20.0
-CLOCK_STEP_MS = 10
-ITERATION_S = 0.0002
 
 Polled = TypeVar("Polled")
 
@@ -153,14 +150,11 @@
     """
 
     def __init__(self) -> None:
-        self.clock = ManualClock()
+        self._time = ManualTime()
+        self.clock = self._time.clock
         self.listeners: dict[str, socket.socket] = {}
         self.open_sockets: list[socket.socket] = []
         self.version = 1
-        loop = asyncio.get_running_loop()
-        assert isinstance(loop, ConnectTrackingLoop)
-        self._loop = loop
-        self._delivery = DeliveryBarrier()
 
     async def open(self, *server_names: str, effect: str = "safe", **settings: object) -> None:
         """Starts the program with these servers, `s1` alone by default.
@@ -194,7 +188,7 @@
 
     def close(self) -> None:
         """Closes the sockets that the rig waits on. The program ends with the loop."""
-        self._delivery.close()
+        self._time.close()
 
     # -- discovery -------------------------------------------------------------------------------------
 
@@ -255,10 +249,7 @@
 
     async def advance(self, ms: float) -> None:
         """Advances the program's clock in small steps, and runs the loop between them."""
-        for _ in range(int(ms // CLOCK_STEP_MS)):
-            await self.run_loop()
-            self.clock.advance(CLOCK_STEP_MS)
-        await self.run_loop()
+        await self._time.advance(ms)
 
     async def advance_until(self, is_reached: Callable[[], bool], timeout_s: float = WAIT_TIMEOUT_S) -> None:
         """Advances the program's clock until a condition holds.
@@ -272,11 +263,7 @@
 
     async def run_loop(self) -> None:
         """Runs the loop ten times, and until the kernel has delivered and connected what is under way."""
-        for _ in range(10):
-            await asyncio.sleep(ITERATION_S)
-            self._delivery.wait()
-        while self._loop.has_pending_connect():  # noqa: ASYNC110 - what is polled is in the kernel
-            await asyncio.sleep(0)
+        await self._time.run_loop()
 
     # -- requests --------------------------------------------------------------------------------------
 
--- a/tests/net/test_answers_and_decisions.py
+++ b/tests/net/test_answers_and_decisions.py
@@ -12,9 +12,9 @@
 from glenrock.net.connection_messages import AnswerNow, MigrateClient
 from glenrock.routing import interface
 
+from .loopback_delivery import ITERATION_S
 from .rig import (
     ESTABLISHED_LINE,
-    ITERATION_S,
     REQUEST_ID,
     REQUEST_LINE,
     LoopbackRig,
--- a/tests/net/test_exchanges.py
+++ b/tests/net/test_exchanges.py
@@ -5,7 +5,6 @@
 from pathlib import Path
 
 import pytest
-import uvloop
 
 from .exchange_player import play_exchange, read_exchange
 
@@ -16,6 +15,7 @@
     assert EXCHANGES
 
 
+@pytest.mark.usefixtures("runner")
 @pytest.mark.parametrize("path", EXCHANGES, ids=lambda path: path.stem)
-def test_exchange_is_answered_as_recorded(path: Path) -> None:
-    uvloop.run(play_exchange(read_exchange(path)))
+async def test_exchange_is_answered_as_recorded(path: Path) -> None:
+    await play_exchange(read_exchange(path))
--- a/tests/net/test_health_checks_and_discovery.py
+++ b/tests/net/test_health_checks_and_discovery.py
@@ -7,7 +7,8 @@
 from glenrock.config import Address
 from glenrock.routing import interface
 
-from .rig import CLOCK_STEP_MS, REQUEST_LINE, LoopbackRig, create_listener, read_now, receive, wait_until
+from .loopback_delivery import CLOCK_STEP_MS
+from .rig import REQUEST_LINE, LoopbackRig, create_listener, read_now, receive, wait_until
 from .settings import SETTINGS, caps
 
 DRAIN_GRACE_MS = 2000.0
