--- a/glenrock/testbed/balancer_process.py
+++ b/glenrock/testbed/balancer_process.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-import asyncio
 import contextlib
 import ctypes
 import json
@@ -30,12 +29,12 @@
 )
 from .loopback import Address
 from .records import balancer_party
+from .waiting import wait_until
 
 ROOT = Path(__file__).resolve().parents[2]
 VARIABLES = ("LB_NAME", "LB_LISTEN", "LB_DISCOVERY", "LB_ADMIN", "LB_ACCEPT_FD", "LB_FLEET", "LD_PRELOAD")
 BYTES_PER_MB = 1 << 20
 PR_SET_PDEATHSIG = 1
-POLL_S = 0.02
 BUSY_LOOP = "while True: pass"
 _LIBC = ctypes.CDLL(None, use_errno=True)
 
@@ -165,10 +164,7 @@
 
     async def wait_ended(self, timeout_s: float) -> bool:
         """Waits for the process to end. Returns False where it runs on."""
-        until_s = asyncio.get_running_loop().time() + timeout_s
-        while self.is_running and asyncio.get_running_loop().time() < until_s:  # noqa: ASYNC110 - no event tells of it
-            await asyncio.sleep(POLL_S)
-        return not self.is_running
+        return await wait_until(lambda: not self.is_running, timeout_s)
 
     def end(self) -> None:
         """Kills the process, whatever state it is in."""
--- a/glenrock/testbed/client_io.py
+++ b/glenrock/testbed/client_io.py
@@ -1,13 +1,18 @@
-"""A client's side of the platform's protocol: connecting, and reading the answer to a request line."""
+"""A client's side of the platform's protocol, which all clients of the testbed share.
+
+The lines are those of `request_line`. What a client does with a connection is its own module's: `clients`,
+`scenario_clients`, `frontend`.
+"""
 
 from __future__ import annotations
 
 import asyncio
 
 from .loopback import Address
-from .request_line import Answer, AnswerKind
+from .request_line import PING_LINE, Answer, AnswerKind
 
 CONNECT_TIMEOUT_S = 1.0
+PING_TIMEOUT_S = 1.0
 
 
 async def connect(address: Address) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
@@ -31,3 +36,17 @@
     except TimeoutError:
         return Answer(AnswerKind.NONE)
     return Answer.decode(line)
+
+
+async def ping(address: Address) -> bytes:
+    """Returns a balancer's answer to PING on a connection of its own; empty where none comes in time."""
+    try:
+        async with asyncio.timeout(PING_TIMEOUT_S):
+            reader, writer = await asyncio.open_connection(*address)
+            try:
+                writer.write(PING_LINE)
+                return await reader.readline()
+            finally:
+                writer.close()
+    except (OSError, TimeoutError):
+        return b""
--- a/glenrock/testbed/clients.py
+++ b/glenrock/testbed/clients.py
@@ -1,4 +1,9 @@
-"""Clients whose behaviour a test or a soak sets: one request on one connection each."""
+"""Clients whose behaviour a test or a soak sets: one request on one connection each.
+
+They check every line that comes back, and may rest, leave, or resume a connection at a given server. The clients of
+`scenario_clients` are others: they live as the simulation's workload says, over many connections, and are counted in
+its measures. Both speak `request_line` by way of `client_io`.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +15,7 @@
 from .client_io import connect, read_answer
 from .loopback import Address, reset_connection
 from .records import ConnectionEnd, RequestRecord, RunRecord
-from .request_line import MOVE_LINE, RESUME_FIELD, RESUME_TIMEOUT_S, AnswerKind, RequestLine
+from .request_line import MOVE_LINE, PING_LINE, READY_LINE, RESUME_TIMEOUT_S, AnswerKind, RequestLine
 
 LATE_ANSWER_TIMEOUT_S = 3.0  # past the deadline, to distinguish a late answer from none
 BYE_LINE = b"BYE\r\n"
@@ -51,14 +56,15 @@
 
     def request_line(self) -> RequestLine:
         """Returns the request."""
-        fields = {"c": self.service, "d": f"{self.deadline_ms:.0f}"}
-        if self.group:
-            fields["g"] = f"{self.group:x}"
-        if self.is_retry:
-            fields["again"] = "1"
-        if self.resumes_at:
-            fields[RESUME_FIELD] = self.resumes_at
-        return RequestLine(self.request_id, f"{self.key:016x}", fields)
+        return RequestLine(
+            self.request_id,
+            f"{self.key:016x}",
+            self.service,
+            group=self.group or None,
+            deadline_ms=self.deadline_ms,
+            is_retry=self.is_retry,
+            resumes_at=self.resumes_at,
+        )
 
 
 class Client:
@@ -107,8 +113,8 @@
     async def _talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         plan, request = self.plan, self.request
         if plan.rest_s is not None:
-            writer.write(b"PING\r\n")
-            if await reader.readline() != b"PONG\r\n":
+            writer.write(PING_LINE)
+            if await reader.readline() != READY_LINE:
                 return
             if await self._is_ended_while_resting(reader, plan.rest_s):
                 return
--- a/glenrock/testbed/frontend.py
+++ b/glenrock/testbed/frontend.py
@@ -5,12 +5,12 @@
 import asyncio
 import random
 
+from .client_io import ping
 from .history import History
 from .history_events import BalancerAdded, BalancerRemoved, DrainObserved
 from .loopback import Address
+from .request_line import DRAINING_LINE, READY_LINE
 
-PING_TIMEOUT_S = 1.0
-READY_ANSWER, DRAINING_ANSWER = b"PONG", b"ERR"
 PARTY = "front"
 
 
@@ -50,30 +50,17 @@
     async def _watch(self, number: int) -> None:
         loop = asyncio.get_running_loop()
         while True:
-            answer = await self._ping(number)
-            if answer == DRAINING_ANSWER:
+            answer = await ping(self._addresses[number])
+            if answer == DRAINING_LINE:
                 self._history.note(PARTY, DrainObserved(number))
-            if answer == READY_ANSWER:
+            if answer == READY_LINE:
                 self._answered_s[number] = loop.time()
                 if number not in self.ready:
                     self.ready.add(number)
                     self._history.note(PARTY, BalancerAdded(number))
             elif number in self.ready and (
-                answer == DRAINING_ANSWER or loop.time() - self._answered_s[number] > self._notice_s
+                answer == DRAINING_LINE or loop.time() - self._answered_s[number] > self._notice_s
             ):
                 self.ready.discard(number)
                 self._history.note(PARTY, BalancerRemoved(number))
             await asyncio.sleep(self._interval_s)
-
-    async def _ping(self, number: int) -> bytes:
-        """Returns the answer without its end of line; empty where none comes."""
-        try:
-            async with asyncio.timeout(PING_TIMEOUT_S):
-                reader, writer = await asyncio.open_connection(*self._addresses[number])
-                try:
-                    writer.write(b"PING\r\n")
-                    return (await reader.readline()).strip()
-                finally:
-                    writer.close()
-        except (OSError, TimeoutError):
-            return b""
--- a/glenrock/testbed/modelled_servers.py
+++ b/glenrock/testbed/modelled_servers.py
@@ -28,9 +28,9 @@
 )
 from .loopback import Address, reset_connection
 from .real_time_engine import RealTimeEngine
-from .request_line import RequestLine
+from .request_line import READY_LINE
 from .scenario import Scenario, drawn_number
-from .session_servers import SessionServer
+from .session_servers import ReceivedRequest, SessionServer
 from .simulation_model import (
     ModelConnection,
     ModelFigures,
@@ -176,7 +176,7 @@
         self._history.note(self.party, HealthCheckReceived())
         await asyncio.sleep(min(delay_s, MAX_DELAY_S))
         pairs = self._load_report() if wants_report else ""
-        writer.write(f"PONG {pairs}\r\n".encode() if pairs else b"PONG\r\n")
+        writer.write(f"PONG {pairs}\r\n".encode() if pairs else READY_LINE)
 
     def _load_report(self) -> str:
         reports = self._environment.scenario.reports
@@ -201,25 +201,19 @@
         if not attempt.answer.done():
             attempt.answer.set_result(answer)
 
-    async def _serve_request(
-        self,
-        balancer: int,
-        request: RequestLine,
-        first_byte_s: float,
-        reader: asyncio.StreamReader,
-        writer: asyncio.StreamWriter,
-    ) -> None:
+    async def _serve_request(self, request: ReceivedRequest) -> None:
+        line, balancer = request.line, request.balancer
         answer: asyncio.Future[SetupAnswer] = asyncio.get_running_loop().create_future()
-        attempt = ServedAttempt(request.request_id, balancer, answer, writer)
+        attempt = ServedAttempt(line.request_id, balancer, answer, request.writer)
         self.open_attempts[attempt] = None
-        self.attempts += not request.is_resumed
-        self._history.note(self.party, AttemptReceived(request.request_id, balancer, request.is_resumed))
+        self.attempts += not line.is_resumed
+        self._history.note(self.party, AttemptReceived(line.request_id, balancer, line.is_resumed))
         try:
-            self._submit(attempt, request.is_resumed)
-            if await self._peer_left(attempt, reader):
+            self._submit(attempt, line.is_resumed)
+            if await self._peer_left(attempt, request.reader):
                 self.model.abandon(self._engine.now, attempt)
                 return
-            await self._answer(attempt, reader)
+            await self._answer(attempt, request.reader)
         finally:
             self._end_attempt(attempt, EndedBy.PEER)
 
--- a/glenrock/testbed/request_line.py
+++ b/glenrock/testbed/request_line.py
@@ -2,13 +2,12 @@
 
 from __future__ import annotations
 
-from collections.abc import Mapping
 from dataclasses import dataclass
 from enum import Enum
 
 PING, STATS, OPEN = b"PING", b"STATS", b"OPEN"
 MOVE_LINE = b"MOVE\r\n"
-RESUME_FIELD = "at"
+PING_LINE, READY_LINE, DRAINING_LINE = b"PING\r\n", b"PONG\r\n", b"ERR\r\n"
 RESUME_TIMEOUT_S = 40.0  # for a connection that was open before the run to be set up again
 
 
@@ -18,23 +17,41 @@
 
     Attributes:
         request_id: new with every connection.
-        key: of the client.
-        fields: class, deadline and so on, by the wire's names.
+        key: of the client, in hexadecimal digits.
+        service: the request's class.
+        tenant: of the client; empty where the platform has none.
+        group: that the client belongs to; None: it belongs to none.
+        deadline_ms: how long the client waits for its answer; None: as long as the protocol says.
+        is_retry: the client's connection was migrated or broke before.
+        resumes_at: the server that its connection was open at before the run; empty for a new connection.
     """
 
     request_id: str
     key: str
-    fields: Mapping[str, str]
+    service: str
+    tenant: str = ""
+    group: int | None = None
+    deadline_ms: float | None = None
+    is_retry: bool = False
+    resumes_at: str = ""
 
     @property
     def is_resumed(self) -> bool:
         """Whether it asks for a connection that was open before the run."""
-        return RESUME_FIELD in self.fields
+        return bool(self.resumes_at)
 
     def encode(self) -> bytes:
         """Returns the line."""
-        fields = ",".join(f"{name}={value}" for name, value in self.fields.items())
-        return f"OPEN {self.request_id} {self.key} {fields}\r\n".encode()
+        fields = {
+            "c": self.service,
+            "t": self.tenant,
+            "g": "" if self.group is None else f"{self.group:x}",
+            "d": "" if self.deadline_ms is None else f"{self.deadline_ms:.0f}",
+            "again": "1" if self.is_retry else "",
+            "at": self.resumes_at,
+        }
+        text = ",".join(f"{name}={value}" for name, value in fields.items() if value)
+        return f"OPEN {self.request_id} {self.key} {text}\r\n".encode()
 
     @classmethod
     def decode(cls, line: bytes) -> RequestLine:
@@ -43,9 +60,19 @@
         Raises:
             ValueError: it is no request line.
         """
-        _, request_id, key, fields = line.decode().split()
-        pairs = (field.partition("=") for field in fields.split(","))
-        return cls(request_id, key, {name: value for name, _, value in pairs})
+        _, request_id, key, text = line.decode().split()
+        pairs = (field.partition("=") for field in text.split(","))
+        fields = {name: value for name, _, value in pairs}
+        return cls(
+            request_id,
+            key,
+            fields.get("c", ""),
+            tenant=fields.get("t", ""),
+            group=int(fields["g"], 16) if "g" in fields else None,
+            deadline_ms=float(fields["d"]) if "d" in fields else None,
+            is_retry=fields.get("again") == "1",
+            resumes_at=fields.get("at", ""),
+        )
 
 
 class AnswerKind(Enum):
--- a/glenrock/testbed/scenario_clients.py
+++ b/glenrock/testbed/scenario_clients.py
@@ -1,6 +1,8 @@
 """Clients of a scenario: an open loop of connections, drawn ahead as the simulation's workload.
 
-Each client arrives and leaves at its planned times, whatever it was answered, and retries as the scenario says.
+Each client arrives and leaves at its planned times, whatever it was answered, and retries as the scenario says. It
+notes what it sees in the history, and counts in the simulation's measures. The clients of `clients` are others: one
+connection each, with the behaviour that a test or a soak sets. Both speak `request_line` by way of `client_io`.
 """
 
 from __future__ import annotations
@@ -28,7 +30,7 @@
 from .loopback import Address
 from .real_time_engine import RealTimeEngine
 from .records import CLIENTS
-from .request_line import MOVE_LINE, RESUME_FIELD, RESUME_TIMEOUT_S, Answer, AnswerKind, RequestLine
+from .request_line import MOVE_LINE, RESUME_TIMEOUT_S, Answer, AnswerKind, RequestLine
 from .scenario import Scenario, drawn_number
 from .simulation_model import ClientHabits, ModelClient, PlannedClient
 
@@ -218,14 +220,16 @@
     def _request_line(self, client: WorkloadClient, resumes_at: str) -> RequestLine:
         planned, scenario = client.planned, self._environment.scenario
         kind = scenario.classes[planned.kind]
-        fields = {"c": kind.name, "t": scenario.tenants[planned.tenant].name, "g": f"{planned.group:x}"}
-        if resumes_at:
-            fields[RESUME_FIELD] = resumes_at
-        else:
-            fields["d"] = f"{drawn_number(kind.give_up_ms):.0f}"
-            if client.is_returning:
-                fields["again"] = "1"
-        return RequestLine(f"{planned.number}.{client.tries}", f"{planned.number:x}", fields)
+        return RequestLine(
+            f"{planned.number}.{client.tries}",
+            f"{planned.number:x}",
+            kind.name,
+            tenant=scenario.tenants[planned.tenant].name,
+            group=planned.group,
+            deadline_ms=None if resumes_at else drawn_number(kind.give_up_ms),
+            is_retry=client.is_returning and not resumes_at,
+            resumes_at=resumes_at,
+        )
 
     async def _request(
         self,
@@ -237,10 +241,9 @@
     ) -> Answer:
         kind = self._environment.scenario.classes[client.planned.kind]
         timeout_s = RESUME_TIMEOUT_S if request.is_resumed else drawn_number(kind.give_up_ms) / 1000
-        resumes_at = request.fields.get(RESUME_FIELD, "")
         try:
             writer.write(request.encode())
-            self._note(RequestSent(request.request_id, balancer, timeout_s * 1000, resumes_at))
+            self._note(RequestSent(request.request_id, balancer, timeout_s * 1000, request.resumes_at))
             return await self._read_answer(request.request_id, balancer, reader, timeout_s)
         finally:
             self.resuming -= request.is_resumed
--- a/glenrock/testbed/scenario_faults.py
+++ b/glenrock/testbed/scenario_faults.py
@@ -36,6 +36,7 @@
     fault_word,
 )
 from .scenario_testbed import ScenarioTestbed
+from .waiting import wait_until
 
 if TYPE_CHECKING:
     from .consul_server import ConsulServer
@@ -44,7 +45,6 @@
 PROCESS_SETTLE_US = 1 * US_PER_S  # effects of a fault of a process show this long after its end
 PATH_SETTLE_US = 4 * US_PER_S  # of a path: the kernel retransmits after up to some seconds
 KILL_TIMEOUT_S = 5.0
-READY_POLL_S = 0.02
 SUSPENDED_FRACTION = 4  # random overrides suspend a fourth of the servers at most
 LATE_LEASES = 1.5  # delay of late gossip, in leases
 
@@ -158,8 +158,7 @@
         await asyncio.sleep(down_s)
         frontend.ready.discard(target)
         self._bed.balancers[target].start()
-        while target not in frontend.ready:  # noqa: ASYNC110 - the front end polls too
-            await asyncio.sleep(READY_POLL_S)
+        await wait_until(lambda: target in frontend.ready)
         self._note_end(interval)
 
     async def _pause(self, fault: PauseBalancer, target: int) -> None:
--- a/glenrock/testbed/scenario_testbed.py
+++ b/glenrock/testbed/scenario_testbed.py
@@ -24,13 +24,13 @@
 from .scenario import PathFault, RandomFaultKind, RandomFaults, Scenario, drawn_number
 from .scenario_clients import ClientEnvironment, ScenarioClients
 from .simulation_model import ClientHabits, Measure, PlannedClient, Streams, draw_workload, drawn, settings_of, shapes
+from .waiting import wait_until
 
 if TYPE_CHECKING:
     from .coordination_store import CoordinationStore
 
 MAX_RELAYED_BALANCERS = 40  # above this, gossip that no fault strikes is not relayed: each ordered pair takes a socket
 START_GAP_S = 0.005
-POLL_S = 0.02
 
 
 class BalancersNotReadyError(Exception):
@@ -246,19 +246,16 @@
         self.frontend.open()
         await self._wait_until_ready()
         self.clients.resume_connections(self.balancer_count, [server.name for server in self.servers])
-        until_s = asyncio.get_running_loop().time() + RESUME_TIMEOUT_S
-        while self.clients.resuming and asyncio.get_running_loop().time() < until_s:  # noqa: ASYNC110 - bounded in time
-            await asyncio.sleep(POLL_S)
+        await wait_until(lambda: not self.clients.resuming, RESUME_TIMEOUT_S)
 
     async def _wait_until_ready(self) -> None:
-        until_s = asyncio.get_running_loop().time() + drawn_number(self.scenario.rig.ready_s)
-        while len(self.frontend.ready) < self.balancer_count:
-            if asyncio.get_running_loop().time() > until_s:
-                missing = min(set(range(self.balancer_count)) - self.frontend.ready)
-                raise BalancersNotReadyError(
-                    f"balancer {missing} did not answer PING in time; its log: {self.balancers[missing].log_path}"
-                )
-            await asyncio.sleep(POLL_S)
+        ready = self.frontend.ready
+        if await wait_until(lambda: len(ready) == self.balancer_count, drawn_number(self.scenario.rig.ready_s)):
+            return
+        missing = min(set(range(self.balancer_count)) - ready)
+        raise BalancersNotReadyError(
+            f"balancer {missing} did not answer PING in time; its log: {self.balancers[missing].log_path}"
+        )
 
     def close(self) -> None:
         """Ends all processes and sockets. Clients end first, so that none sees the end of its balancer."""
--- a/glenrock/testbed/session_servers.py
+++ b/glenrock/testbed/session_servers.py
@@ -7,16 +7,33 @@
 import time
 from abc import ABC, abstractmethod
 from collections.abc import Mapping
+from dataclasses import dataclass
 from enum import Enum
 
 from .invariant import NEVER
 from .loopback import Address, Listener, reset_connection
 from .records import AttemptRecord, RunRecord
-from .request_line import OPEN, PING, STATS, RequestLine
+from .request_line import OPEN, PING, READY_LINE, STATS, RequestLine
 
 ANY_BALANCER = -1  # the address of a server that does not tell its balancers apart
 
 
+@dataclass(frozen=True, slots=True)
+class ReceivedRequest:
+    """A request line that reached a session server, and its connection.
+
+    Attributes:
+        balancer: whose address it came to; ANY_BALANCER where the server does not tell them apart.
+        first_byte_s: of the line, monotonic.
+    """
+
+    line: RequestLine
+    balancer: int
+    first_byte_s: float
+    reader: asyncio.StreamReader
+    writer: asyncio.StreamWriter
+
+
 class SessionServer(ABC):
     """Reads request lines and health checks; a subclass answers them.
 
@@ -73,7 +90,8 @@
             line = first + await reader.readline()
             word = line.split(b" ", 1)[0].strip()
             if word == OPEN:
-                await self._serve_request(balancer, RequestLine.decode(line), first_byte_s, reader, writer)
+                request = ReceivedRequest(RequestLine.decode(line), balancer, first_byte_s, reader, writer)
+                await self._serve_request(request)
                 return
             if word not in (PING, STATS):
                 self._note_unknown_line(line)
@@ -88,14 +106,7 @@
         """Answers PING, or STATS with a load report."""
 
     @abstractmethod
-    async def _serve_request(
-        self,
-        balancer: int,
-        request: RequestLine,
-        first_byte_s: float,
-        reader: asyncio.StreamReader,
-        writer: asyncio.StreamWriter,
-    ) -> None:
+    async def _serve_request(self, request: ReceivedRequest) -> None:
         """Serves a request to the end of its connection."""
 
 
@@ -179,21 +190,15 @@
         if self.hangs:
             return
         self.health_checks += 1
-        writer.write(LOAD_REPORT if wants_report else b"PONG\r\n")
-
-    async def _serve_request(
-        self,
-        balancer: int,
-        request: RequestLine,
-        first_byte_s: float,
-        reader: asyncio.StreamReader,
-        writer: asyncio.StreamWriter,
-    ) -> None:
-        attempt = AttemptRecord(request.request_id, self.name, request.is_resumed, first_byte_s, time.monotonic())
+        writer.write(LOAD_REPORT if wants_report else READY_LINE)
+
+    async def _serve_request(self, request: ReceivedRequest) -> None:
+        line = request.line
+        attempt = AttemptRecord(line.request_id, self.name, line.is_resumed, request.first_byte_s, time.monotonic())
         self._record.attempts.append(attempt)
-        self._open[attempt] = writer
+        self._open[attempt] = request.writer
         try:
-            await self._answer(attempt, reader, writer)
+            await self._answer(attempt, request.reader, request.writer)
         finally:
             del self._open[attempt]
             attempt.ended_s = time.monotonic()
--- a/glenrock/testbed/testbed.py
+++ b/glenrock/testbed/testbed.py
@@ -16,16 +16,17 @@
 from .balancer_process import ROOT, BalancerProcess
 from .balancer_settings import encode_settings
 from .call_faults import CallFaults
+from .client_io import ping
 from .clients import Client, ClientPlan
 from .discovery_agent import DiscoveryAgent, RecordingObserver
 from .endpoint_directory import EndpointDirectory, ListedServer
 from .loopback import LoopbackNetwork, format_address
 from .records import RunRecord
+from .request_line import READY_LINE
 from .session_servers import ScriptedServer
+from .waiting import POLL_S, wait_until
 
 READY_TIMEOUT_S = 30.0
-PING_TIMEOUT_S = 1.0
-POLL_S = 0.02
 ZONE, SERVER_GROUPS = "a", 4  # of the listed servers
 NETWORK_STEP = 251  # between the networks of one process
 SERVICE = "lookup"
@@ -207,24 +208,11 @@
         """
         until_s = time.monotonic() + READY_TIMEOUT_S
         while time.monotonic() < until_s:
-            if await self._answers_ping(process):
+            if await ping(process.address) == READY_LINE:
                 return
             await asyncio.sleep(POLL_S)
         raise TimeoutError(f"balancer {process.number} is not ready: {process.log_lines()[-5:]}")
 
-    async def _answers_ping(self, process: BalancerProcess) -> bool:
-        try:
-            reader, writer = await asyncio.open_connection(*process.address)
-        except OSError:
-            return False
-        try:
-            writer.write(b"PING\r\n")
-            return await asyncio.wait_for(reader.readline(), PING_TIMEOUT_S) == b"PONG\r\n"
-        except (OSError, TimeoutError):
-            return False
-        finally:
-            writer.close()
-
     def start_client(self, balancer: int, **plan: Any) -> Client:
         """Starts a client of a balancer; `plan` has the fields of `ClientPlan` that differ from the usual."""
         number = next(self._ids)
@@ -245,9 +233,4 @@
 
     async def wait_until(self, condition: Callable[[], bool], timeout_s: float) -> bool:
         """Waits until a condition is met. Returns False where it is not met in time."""
-        until_s = time.monotonic() + timeout_s
-        while not condition():
-            if time.monotonic() > until_s:
-                return False
-            await asyncio.sleep(POLL_S)
-        return True
+        return await wait_until(condition, timeout_s)
--- a/tests/testbed/scenarios.py
+++ b/tests/testbed/scenarios.py
@@ -11,7 +11,7 @@
 from glenrock.testbed import scenario_runner
 from glenrock.testbed.history import Event
 from glenrock.testbed.history_events import EventData
-from glenrock.testbed.scenario import Scenario, check
+from glenrock.testbed.scenario import PathFault, Scenario, check
 from glenrock.testbed.scenario_testbed import ScenarioTestbed
 
 Table = dict[str, Any]
@@ -60,3 +60,8 @@
 def measured_us(bed: ScenarioTestbed, event: Event[EventData]) -> int:
     """Returns the time of an event in microseconds from the beginning of the measured part of the run."""
     return event.at_us - bed.history.measured_from_us
+
+
+def path_fault(source: str = "balancer:0", target: str = "instance:0", **fields: Any) -> PathFault:
+    """Returns a fault of the path from one party to another."""
+    return PathFault(at_s=0.0, source=source, target=target, **fields)
--- a/tests/testbed/test_network_faults.py
+++ b/tests/testbed/test_network_faults.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import random
-from typing import Any
 
 import pytest
 from hypothesis import given
@@ -12,11 +11,9 @@
 from glenrock.testbed.network_faults import FAULT_FREE, NetworkPaths, combine, matches
 from glenrock.testbed.scenario import PathFault
 
-PARTIES = ["clients", "list", "balancer:0", "balancer:12", "instance:0"]
-
+from .scenarios import path_fault
 
-def path_fault(source: str = "balancer:0", target: str = "instance:0", **fields: Any) -> PathFault:
-    return PathFault(at_s=0.0, source=source, target=target, **fields)
+PARTIES = ["clients", "list", "balancer:0", "balancer:12", "instance:0"]
 
 
 @pytest.mark.parametrize(
--- a/tests/testbed/test_network_relays.py
+++ b/tests/testbed/test_network_relays.py
@@ -15,6 +15,8 @@
 from glenrock.testbed.network_relays import DatagramRelays, StreamRelay
 from glenrock.testbed.scenario import PathFault
 
+from .scenarios import path_fault
+
 NETWORK_NUMBERS = itertools.count(3)
 PORTS_PER_NETWORK = 500
 MAX_TEST_S = 20.0
@@ -26,10 +28,6 @@
     return network
 
 
-def path_fault(source: str = "balancer:0", target: str = "instance:0", **fields: Any) -> PathFault:
-    return PathFault(at_s=0.0, source=source, target=target, **fields)
-
-
 class RelayedEcho:
     """A server that sends each line back, behind a relay."""
 
