--- a/glenrock/testbed/fault_schedule.py
+++ b/glenrock/testbed/fault_schedule.py
@@ -17,6 +17,7 @@
 LAST_FAULT_S = 2.0  # before the end of the traffic, after which no fault begins
 REQUESTS_PER_BALANCER_S = 8.0
 MAX_RESUMED = 5  # connections at each balancer that were open before the run
+SERVER_FRACTIONS = (0.05, 0.2, 0.5)  # of the servers, for a fault that strikes some
 
 
 class FaultKind(Enum):
@@ -152,17 +153,15 @@
         groups=rng.choice((0, 0, 5, 40)),
     )
     faults = [_draw_fault(rng, balancers, seconds) for _ in range(rng.randint(MIN_FAULTS, MAX_FAULTS))]
-    if (
-        shape.idempotency is not Idempotency.SAFE
-    ):  # without hanging servers, hardly a retry follows an attempt that may have executed
+    if shape.idempotency is not Idempotency.SAFE:
+        # Without hanging servers, hardly a retry follows an attempt that may have executed.
         at_s = rng.uniform(FIRST_FAULT_S, seconds / 2)
-        faults.append(PlannedFault(at_s, FaultKind.SERVER_HANG, 0, seconds / 2, max(_FRACTIONS)))
+        faults.append(PlannedFault(at_s, FaultKind.SERVER_HANG, 0, seconds / 2, max(SERVER_FRACTIONS)))
     faults.sort(key=lambda fault: fault.at_s)
     requests_per_s = REQUESTS_PER_BALANCER_S * balancers
     return SoakPlan(seed, shape, seconds, requests_per_s, rng.randint(0, MAX_RESUMED), tuple(faults))
 
 
-_FRACTIONS = (0.05, 0.2, 0.5)
 _VALUES: dict[FaultKind, Callable[[random.Random], float]] = {
     FaultKind.KILL: lambda rng: rng.uniform(0.1, 1.5),
     FaultKind.PAUSE: lambda rng: rng.uniform(0.02, 0.15),
@@ -185,7 +184,7 @@
     at_s = rng.uniform(FIRST_FAULT_S, seconds - LAST_FAULT_S)
     target = rng.randrange(balancers)
     lasts_s = LASTING_S if rng.random() < LASTING_PROBABILITY else rng.uniform(0.3, 5.0)
-    value = _VALUES[kind](rng) if kind in _VALUES else rng.choice(_FRACTIONS)
+    value = _VALUES[kind](rng) if kind in _VALUES else rng.choice(SERVER_FRACTIONS)
     call = rng.choice(CALL_KINDS) if kind is FaultKind.CALLS_FAIL else None
     if kind is FaultKind.CLOCK_STEP:
         target = rng.choice((target, ALL_BALANCERS))
--- a/glenrock/testbed/scenario_faults.py
+++ b/glenrock/testbed/scenario_faults.py
@@ -45,7 +45,7 @@
 PROCESS_SETTLE_US = 1 * US_PER_S  # effects of a fault of a process show this long after its end
 PATH_SETTLE_US = 4 * US_PER_S  # of a path: the kernel retransmits after up to some seconds
 KILL_TIMEOUT_S = 5.0
-SUSPENDED_FRACTION = 4  # random overrides suspend a fourth of the servers at most
+SUSPENDED_DIVISOR = 4  # random overrides suspend a fourth of the servers at most
 LATE_LEASES = 1.5  # delay of late gossip, in leases
 
 TimedFault = PauseBalancer | LimitBalancerCpu | DiscoveryFault | PathFault | StoreFault
@@ -329,7 +329,7 @@
         assert self.operator is not None, "the scenario has a store"
         count = len(self._bed.servers)
         server = self._rng.randrange(count)
-        if server not in self._suspended and len(self._suspended) < max(1, count // SUSPENDED_FRACTION):
+        if server not in self._suspended and len(self._suspended) < max(1, count // SUSPENDED_DIVISOR):
             self._suspended[server] = None
             await self.operator.override_server(balancer, server, True)
         elif self._suspended:
