--- a/glenrock/testbed/check_context.py
+++ b/glenrock/testbed/check_context.py
@@ -36,7 +36,7 @@
         return self.attempts.get(request_id, [])
 
     def balancer_of(self, attempt: AttemptRecord) -> int:
-        """Returns the number of the balancer that sent an attempt; -1 where no record tells."""
+        """Returns the number of the balancer that sent an attempt; -1 where no record has it."""
         request = self.requests.get(attempt.request_id)
         return request.balancer if request is not None else attempt.balancer
 
--- a/glenrock/testbed/consul_server.py
+++ b/glenrock/testbed/consul_server.py
@@ -155,7 +155,7 @@
 
     def run_transaction(self, operations: list[JsonObject]) -> TransactionResult:
         """Runs all operations or none, and reports each that fails."""
-        kept = copy.copy(self.entries), self.index
+        before = copy.copy(self.entries), self.index
         results: list[JsonObject] = []
         errors: list[JsonObject] = []
         for number, operation in enumerate(operations):
@@ -165,7 +165,7 @@
             elif outcome.entry:
                 results.append({"KV": outcome.entry})
         if errors:
-            self.entries, self.index = kept
+            self.entries, self.index = before
             return TransactionResult([], errors)
         return TransactionResult(results, [])
 
--- a/glenrock/testbed/coordination_figures.py
+++ b/glenrock/testbed/coordination_figures.py
@@ -22,7 +22,7 @@
 
 
 def coordination_figures(history: History, lease_us: int) -> dict[str, Any]:
-    """Returns terms, effects, operators' calls, and the times until the next term after the holder was struck."""
+    """Returns terms, effects, operators' calls, and the times from a fault of a lease holder to the next term."""
     terms = [
         _Term(event.at_us, _holder_party(event.data.holder))
         for event in history.each(TermBegan)
--- a/glenrock/testbed/fault_schedule.py
+++ b/glenrock/testbed/fault_schedule.py
@@ -17,11 +17,11 @@
 LAST_FAULT_S = 2.0  # before the end of the traffic, after which no fault begins
 REQUESTS_PER_BALANCER_S = 8.0
 MAX_RESUMED = 5  # connections at each balancer that were open before the run
-SERVER_FRACTIONS = (0.05, 0.2, 0.5)  # of the servers, for a fault that strikes some
+SERVER_FRACTIONS = (0.05, 0.2, 0.5)  # of the servers, for a fault that affects some of them
 
 
 class FaultKind(Enum):
-    """Kinds of faults. The values are shown to people; each text tells what `target` and `value` mean."""
+    """Kinds of faults. The values are shown to people; each text says what `target` and `value` mean."""
 
     TERMINATE = "terminate"
     """Balancer `target`: SIGTERM, SIGKILL at the earliest, start."""
--- a/glenrock/testbed/history.py
+++ b/glenrock/testbed/history.py
@@ -36,7 +36,7 @@
     """A fault that was on.
 
     Attributes:
-        parties: struck by it.
+        parties: affected by it.
         begin_us, end_us: on the history's clock.
         settle_us: for which its effects may show after its end.
     """
--- a/glenrock/testbed/network_faults.py
+++ b/glenrock/testbed/network_faults.py
@@ -1,4 +1,4 @@
-"""What is wrong on the paths between parties, direction by direction. Pure: relays ask for it.
+"""The state of the paths between parties, direction by direction, under the faults that are on. Pure.
 
 Parties are `clients`, `list`, `store`, `balancer:N` and `instance:N`; `*` for N stands for all of a kind.
 """
@@ -42,7 +42,7 @@
 
 
 def affects(fault: PathFault, source: str, target: str) -> bool:
-    """Whether a fault strikes the direction from one party to another."""
+    """Whether a fault affects the direction from one party to another."""
     return matches(fault.source, source) and matches(fault.target, target) and source != target
 
 
@@ -72,7 +72,7 @@
     """All directions.
 
     Attributes:
-        planned: all faults that may come; a pair that none of them strikes needs no relay.
+        planned: all faults that may come; a pair that none of them affects needs no relay.
         active: the faults that are on now.
         listeners: called after each change, to act on connections that are open.
     """
@@ -86,7 +86,7 @@
         return combine([fault for fault in self.active if affects(fault, source, target)])
 
     def needs_relay(self, party: str, other: str) -> bool:
-        """Whether a planned fault strikes this pair, in either direction."""
+        """Whether a planned fault affects this pair, in either direction."""
         return any(affects(fault, party, other) or affects(fault, other, party) for fault in self.planned)
 
     def begin(self, fault: PathFault) -> None:
--- a/glenrock/testbed/network_relays.py
+++ b/glenrock/testbed/network_relays.py
@@ -1,4 +1,4 @@
-"""Relays on the paths between parties, which do to streams and datagrams what `NetworkPaths` says of a direction.
+"""Relays on the paths between parties, which apply the faults of each direction to streams and datagrams.
 
 TCP delivers every byte or none: a cut direction holds its bytes until it is restored, and no connection comes up
 meanwhile. Datagrams are lost, duplicated, delayed and reordered one by one.
@@ -57,7 +57,7 @@
             due_s, chunk = await queue.get()
             if (wait_s := due_s - loop.time()) > 0:
                 await asyncio.sleep(wait_s)
-            while (state := self.state()).is_cut:  # noqa: ASYNC110 - the state is computed, and no event tells of it
+            while (state := self.state()).is_cut:  # noqa: ASYNC110 - the state is computed, and no event reports it
                 await asyncio.sleep(POLL_S)
             if not chunk:
                 if writer.can_write_eof():
@@ -156,7 +156,7 @@
     def __init__(
         self, paths: NetworkPaths, network: LoopbackNetwork, balancers: int, seed: int, is_relayed: bool = True
     ) -> None:
-        """With `is_relayed` False, balancers have each other's own addresses, and nothing can strike datagrams."""
+        """With `is_relayed` False, balancers have each other's own addresses, and no fault can affect datagrams."""
         self.delivered = self.lost = 0
         self.observer: DatagramObserver | None = None
         self._paths, self._network, self._count, self._is_relayed = paths, network, balancers, is_relayed
--- a/glenrock/testbed/records.py
+++ b/glenrock/testbed/records.py
@@ -15,7 +15,7 @@
 
 
 def balancer_party(number: int) -> str:
-    """Returns the name of a balancer among the parties that faults strike."""
+    """Returns the name of a balancer among the parties of a run."""
     return f"balancer:{number}"
 
 
@@ -70,7 +70,7 @@
         sent_s: its last byte was written; NEVER where that was not seen.
         answer: the first line that came; empty where none did.
         answered_s: the time of the answer. `answers`: how many came.
-        server: that the answer names; empty where the record does not tell.
+        server: that the answer names; empty where it names none.
         unexpected: received, and neither an answer of the protocol nor a line of the session server.
         is_migrated: MOVE came.
         left_s: the client closed the connection; NEVER where it did not.
@@ -109,7 +109,7 @@
 
     Attributes:
         kind: its word.
-        parties: struck by it.
+        parties: affected by it.
         began_s, ended_s: the time in which it may show, effects after its end included.
         excuses: invariants whose violation it accounts for.
     """
@@ -215,12 +215,12 @@
     log_lines: dict[int, list[str]] = field(default_factory=lambda: defaultdict(list))
 
     def is_disturbed(self, invariant: Invariant, from_s: float, to_s: float, parties: Iterable[str]) -> bool:
-        """Whether a fault that excuses the invariant struck one of the parties in that time."""
-        struck = frozenset(parties)
+        """Whether a fault that excuses the invariant affected one of the parties in that time."""
+        concerned = frozenset(parties)
         return any(
             invariant in fault.excuses
             and fault.began_s <= to_s
             and from_s <= fault.ended_s
-            and not struck.isdisjoint(fault.parties)
+            and not concerned.isdisjoint(fault.parties)
             for fault in self.faults
         )
--- a/glenrock/testbed/request_invariants.py
+++ b/glenrock/testbed/request_invariants.py
@@ -1,7 +1,7 @@
 """Invariants of requests, connections and servers. Pure.
 
-A violation that an injected fault accounts for is excused: the fault struck one of the parties while the request was
-affected. A fault elsewhere excuses nothing.
+A violation that an injected fault accounts for is excused: the fault affected one of the parties during the
+request. A fault elsewhere excuses nothing.
 """
 
 from __future__ import annotations
--- a/glenrock/testbed/scenario.py
+++ b/glenrock/testbed/scenario.py
@@ -1,4 +1,4 @@
-"""Scenario files: the simulation's experiment format, with faults that strike processes and the paths between them.
+"""Scenario files: the simulation's experiment format, with faults of processes and of the paths between them.
 
 The fields of the tables are the keys of the files, and ranges are drawn by their names, so they keep the files' words.
 """
--- a/glenrock/testbed/scenario_clients.py
+++ b/glenrock/testbed/scenario_clients.py
@@ -149,8 +149,8 @@
             if client.planned.arrival >= 0:
                 self._start(self._live(client))
 
-    def _start(self, life: Coroutine[Any, Any, None]) -> None:
-        task = asyncio.get_running_loop().create_task(life)
+    def _start(self, client: Coroutine[Any, Any, None]) -> None:
+        task = asyncio.get_running_loop().create_task(client)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
--- a/glenrock/testbed/scenario_faults.py
+++ b/glenrock/testbed/scenario_faults.py
@@ -1,4 +1,4 @@
-"""Plays the faults of a scenario on its testbed. What each strikes is drawn by the run's seed."""
+"""Plays the faults of a scenario on its testbed. The target of each is drawn by the run's seed."""
 
 from __future__ import annotations
 
@@ -94,7 +94,7 @@
         self._tasks.append(asyncio.get_running_loop().create_task(work))
 
     def _target(self, fault: AnyFault) -> int:
-        """Returns the number of the balancer or the server that a fault strikes; -1 where it names neither."""
+        """Returns the number of the balancer or the server that a fault affects; -1 where it names neither."""
         for kind, count in (("balancer", self._bed.balancer_count), ("instance", len(self._bed.servers))):
             given: int | None = getattr(fault, kind, None)
             if given is not None:
@@ -108,7 +108,7 @@
     # -- intervals -------------------------------------------------------------------------------------
 
     def note_begin(self, fault: AnyFault, *parties: str, settle_us: int = PROCESS_SETTLE_US) -> FaultInterval:
-        """Notes that a fault is on, and the parties that it strikes."""
+        """Notes that a fault is on, and the parties that it affects."""
         interval = self._bed.history.begin_fault(fault_word(fault), parties, settle_us)
         self._active.append(interval)
         return interval
@@ -227,19 +227,19 @@
         bed = self._bed
         balancers = {process.party for process in bed.balancers}
         parties = [CLIENTS, DISCOVERY, STORE, *balancers, *(server.party for server in bed.servers)]
-        struck = {
+        affected = {
             party
             for party in parties
             for other in parties
             if affects(fault, party, other) or affects(fault, other, party)
         }
-        if struck <= balancers:
-            struck = set()  # no invariant depends on gossip, so its loss excuses nothing
+        if affected <= balancers:
+            affected = set()  # no invariant depends on gossip, so its loss excuses nothing
         await self._hold(
             fault,
             lambda: bed.paths.begin(fault),
             lambda: bed.paths.end(fault),
-            *struck,
+            *affected,
             settle_us=PATH_SETTLE_US,
         )
 
@@ -286,10 +286,10 @@
             await asyncio.sleep(drawn_number(fault.each_ms) / 1000 * self._rng.uniform(0.5, 1.5))
 
     def _is_free(self, process: BalancerProcess) -> bool:
-        is_struck = any(
+        is_affected = any(
             process.party in interval.parties and interval.kind in ("pause", "kill") for interval in self._active
         )
-        return process.is_running and not process.is_paused and not is_struck
+        return process.is_running and not process.is_paused and not is_affected
 
     def _random_fault(self, kind: RandomFaultKind, chosen: int, other: int) -> Coroutine[Any, Any, None]:
         """Draws the rest of a fault, and returns it, ready to be played."""
--- a/glenrock/testbed/scenario_testbed.py
+++ b/glenrock/testbed/scenario_testbed.py
@@ -29,7 +29,7 @@
 if TYPE_CHECKING:
     from .coordination_store import CoordinationStore
 
-MAX_RELAYED_BALANCERS = 40  # above this, gossip that no fault strikes is not relayed: each ordered pair takes a socket
+MAX_RELAYED_BALANCERS = 40  # above this, gossip that no fault affects is not relayed: each ordered pair takes a socket
 START_GAP_S = 0.005
 
 
@@ -176,7 +176,7 @@
         self.history.note(DISCOVERY, ListChanged(number, status, self.directory.version))
 
     def restart_server(self, number: int) -> None:
-        """Starts a server again; its row tells its new start from the next time that it is sent."""
+        """Starts a server again; its row has the new start from the next time that it is sent."""
         server = self.servers[number]
         server.restart()
         self.directory.servers[server.name].since_ms = server.started_ms
@@ -277,7 +277,7 @@
 def _planned_path_faults(scenario: Scenario) -> tuple[PathFault, ...]:
     planned = tuple(fault for fault in scenario.faults if isinstance(fault, PathFault))
     if any(isinstance(fault, RandomFaults) and RandomFaultKind.STORE_CUT in fault.kinds for fault in scenario.faults):
-        # The struck balancer is drawn later, so each of them needs a relay to the store.
+        # The affected balancer is drawn later, so each of them needs a relay to the store.
         planned += (PathFault(at_s=0.0, source="balancer:*", target=STORE, cut=True),)
     return planned
 
--- a/glenrock/testbed/session_servers.py
+++ b/glenrock/testbed/session_servers.py
@@ -15,7 +15,7 @@
 from .records import AttemptRecord, RunRecord
 from .request_line import OPEN, PING, READY_LINE, STATS, RequestLine
 
-ANY_BALANCER = -1  # the address of a server that does not tell its balancers apart
+ANY_BALANCER = -1  # the address of a server that does not distinguish its balancers
 
 
 @dataclass(frozen=True, slots=True)
@@ -23,7 +23,7 @@
     """A request line that reached a session server, and its connection.
 
     Attributes:
-        balancer: whose address it came to; ANY_BALANCER where the server does not tell them apart.
+        balancer: whose address it came to; ANY_BALANCER where the server does not distinguish them.
         first_byte_s: of the line, monotonic.
     """
 
--- a/glenrock/testbed/soak.py
+++ b/glenrock/testbed/soak.py
@@ -191,8 +191,8 @@
             record.log_lines[process.number] = process.log_lines()
         result.violations = check(record, limits_of(self._plan.shape)).violations
         result.answers = Counter(request.answer.split(" ")[0] or "none" for request in record.requests)
-        struck = {violation.balancer for violation in result.violations}
-        result.log_lines = {number: lines for number, lines in record.log_lines.items() if number in struck}
+        violating = {violation.balancer for violation in result.violations}
+        result.log_lines = {number: lines for number, lines in record.log_lines.items() if number in violating}
 
 
 def run(plan: SoakPlan, source: Path = ROOT) -> SoakResult:
@@ -213,13 +213,13 @@
     return run(draw(seed, seconds), source)
 
 
-def shrink(result: SoakResult, source: Path, tell: Callable[[str], None]) -> SoakResult:
+def shrink(result: SoakResult, source: Path, show: Callable[[str], None]) -> SoakResult:
     """Leaves out each fault in turn, and for good where the run still violates one of the invariants.
 
     Args:
         result: of the whole plan.
         source: the checkout of the program.
-        tell: is called with a line for each fault.
+        show: is called with a line for each fault.
     """
     violated = {violation.invariant for violation in result.violations}
     smallest = result
@@ -227,7 +227,7 @@
         plan = smallest.plan.without(fault)
         shorter = run(plan, source)
         still = bool(violated & {violation.invariant for violation in shorter.violations})
-        tell(f"without {fault.text().strip()}: {'still fails' if still else 'clean'}")
+        show(f"without {fault.text().strip()}: {'still fails' if still else 'clean'}")
         if still:
             smallest = shorter
     return smallest
--- a/glenrock/testbed/waiting.py
+++ b/glenrock/testbed/waiting.py
@@ -1,4 +1,4 @@
-"""Waiting for a condition that no event tells of, such as the end of a process."""
+"""Waiting for a condition that no event reports, such as the end of a process."""
 
 from __future__ import annotations
 
--- a/tests/testbed/scenarios.py
+++ b/tests/testbed/scenarios.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from glenrock import toml_file
-from glenrock.simulation import spec
+from glenrock.simulation.spec import merge
 from glenrock.testbed import scenario_runner
 from glenrock.testbed.history import Event
 from glenrock.testbed.history_events import EventData
@@ -40,7 +40,7 @@
     Raises:
         InputFileError: the result is not valid.
     """
-    scenario = toml_file.convert(PATH, "", spec.merge(SMALL, tables), Scenario)
+    scenario = toml_file.convert(PATH, "", merge(SMALL, tables), Scenario)
     check(scenario, PATH, "")
     return scenario
 
--- a/tests/testbed/test_coordination.py
+++ b/tests/testbed/test_coordination.py
@@ -53,8 +53,12 @@
     _, summary = play_small(seed=4, length_s=11.0, together=together, faults=FAULTS_BY_STORE[store])
     assert_no_violation(summary)
     figures = summary["together"]
-    assert figures["terms"] >= 2 and figures["struck"] > 8 and summary["seen"]["terms"] and summary["seen"]["agreed"]
-    assert figures["told"] + figures["told_later"] > 0 and figures["drained"] + figures["drains_refused"] > 0
+    assert figures["terms"] >= 2
+    assert figures["struck"] > 8
+    assert summary["seen"]["terms"]
+    assert summary["seen"]["agreed"]
+    assert figures["told"] + figures["told_later"] > 0
+    assert figures["drained"] + figures["drains_refused"] > 0
 
 
 def test_overrides_reach_all_by_the_store_and_late_gossip_of_an_old_holder_is_rejected() -> None:
@@ -74,7 +78,8 @@
         ],
     )
     assert_no_violation(summary)
-    assert summary["together"]["told"] + summary["together"]["told_later"] == 2 and not summary["seen"].get("banned")
+    assert summary["together"]["told"] + summary["together"]["told_later"] == 2
+    assert not summary["seen"].get("banned")
     assert summary["together"]["late"] > 0, "no effect of an old term was rejected, so the test shows nothing"
 
 
--- a/tests/testbed/written_history.py
+++ b/tests/testbed/written_history.py
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True)
 class WrittenFault:
-    """A fault that struck one party."""
+    """A fault that affected one party."""
 
     from_ms: int
     to_ms: int
