--- a/glenrock/testbed/clients.py
+++ b/glenrock/testbed/clients.py
@@ -124,7 +124,8 @@
         if not await self._await_answer(reader, writer):
             return
         if not request.is_up:
-            await reader.read()
+            further = await reader.read()
+            request.unexpected = repr(further) if further else ""
             self._note_end(ConnectionEnd.FINISHED)
             return
         self.up.set()
--- a/glenrock/testbed/coordination_invariants.py
+++ b/glenrock/testbed/coordination_invariants.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from collections import defaultdict
+from dataclasses import dataclass
 from http import HTTPStatus
 
 from .check_context import CheckContext, Disturbance
@@ -47,28 +48,47 @@
     spans = _drain_spans(context)
     context.result.cases[Invariant.DRAIN_PERMITS] += len(spans)
     # At one instant, beginnings come before ends: a span of one look has both.
-    edges = sorted(
-        [(from_s, 0, balancer) for balancer, from_s, _ in spans] + [(to_s, 1, balancer) for balancer, _, to_s in spans],
-        key=lambda edge: edge[:2],
-    )
+    edges = [_DrainEdge(span.from_s, False, span.balancer) for span in spans]
+    edges += [_DrainEdge(span.to_s, True, span.balancer) for span in spans]
     draining: set[int] = set()
-    for at_s, is_end, balancer in edges:
-        (draining.discard if is_end else draining.add)(balancer)
+    for edge in sorted(edges, key=lambda edge: (edge.at_s, edge.is_end)):
+        if edge.is_end:
+            draining.discard(edge.balancer)
+        else:
+            draining.add(edge.balancer)
         if len(draining) > permits:
             text = f"balancers {sorted(draining)} drain at a time, {permits} may"
-            context.report(Violation(Invariant.DRAIN_PERMITS, at_s, text))
+            context.report(Violation(Invariant.DRAIN_PERMITS, edge.at_s, text))
+
+
+@dataclass(slots=True)
+class _DrainSpan:
+    """A drain as the front end saw it: sightings without a gap."""
+
+    balancer: int
+    from_s: float
+    to_s: float
+
+
+@dataclass(frozen=True, slots=True)
+class _DrainEdge:
+    """The beginning or the end of a drain."""
+
+    at_s: float
+    is_end: bool
+    balancer: int
 
 
-def _drain_spans(context: CheckContext) -> list[tuple[int, float, float]]:
-    """Returns balancer, beginning and end of each drain: a row of looks without a gap."""
-    spans: dict[int, list[tuple[float, float]]] = defaultdict(list)
-    for seen in context.record.drains:
-        found = spans[seen.balancer]
-        if found and seen.at_s - found[-1][1] < DRAIN_LOOK_GAP_S:
-            found[-1] = found[-1][0], seen.at_s
+def _drain_spans(context: CheckContext) -> list[_DrainSpan]:
+    """Returns the drains, by balancer."""
+    spans: dict[int, list[_DrainSpan]] = defaultdict(list)
+    for sighting in context.record.drains:
+        found = spans[sighting.balancer]
+        if found and sighting.at_s - found[-1].to_s < DRAIN_LOOK_GAP_S:
+            found[-1].to_s = sighting.at_s
         else:
-            found.append((seen.at_s, seen.at_s))
-    return [(balancer, from_s, to_s) for balancer, found in spans.items() for from_s, to_s in found]
+            found.append(_DrainSpan(sighting.balancer, sighting.at_s, sighting.at_s))
+    return [span for found in spans.values() for span in found]
 
 
 def check_override_applied(context: CheckContext) -> None:
--- a/glenrock/testbed/operator_calls.py
+++ b/glenrock/testbed/operator_calls.py
@@ -4,6 +4,7 @@
 
 import asyncio
 import json
+from dataclasses import dataclass
 from http import HTTPStatus
 from typing import Any
 
@@ -16,6 +17,20 @@
 AGREEMENT_POLL_S = 0.1
 MAX_TEXT_CHARACTERS = 100  # of an answer in the history
 PARTY = "operator"
+NO_ANSWER = 0  # in place of a status
+
+
+@dataclass(frozen=True, slots=True)
+class CallAnswer:
+    """The answer to a call: status and text; NO_ANSWER and the error where none came."""
+
+    status: int
+    text: str
+
+    @property
+    def shown(self) -> str:
+        """The beginning of the text, for the history."""
+        return self.text.strip()[:MAX_TEXT_CHARACTERS]
 
 
 class Operator:
@@ -29,35 +44,34 @@
         """Ends all calls."""
         await self._client.close()
 
-    async def _call(self, balancer: int, method: str, path: str) -> tuple[int, str]:
-        """Returns status and text; status 0 and the error where no answer came."""
+    async def _call(self, balancer: int, method: str, path: str) -> CallAnswer:
         host, port = self._bed.network.admin(balancer)
         try:
             async with self._client.request(method, f"http://{host}:{port}{path}") as answer:
-                return answer.status, await answer.text()
+                return CallAnswer(answer.status, await answer.text())
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
-            return 0, repr(error)
+            return CallAnswer(NO_ANSWER, repr(error))
 
     async def override_server(self, balancer: int, server: int, is_suspended: bool) -> None:
         """Suspends a server at one balancer, or resumes it."""
         stand_in, action = self._bed.servers[server], "suspend" if is_suspended else "resume"
         self._bed.history.note(PARTY, OverrideRequested(balancer, stand_in.party, is_suspended))
-        status, text = await self._call(balancer, "POST", f"/v1/session-servers/{stand_in.name}/{action}")
-        answered = OverrideAnswered(balancer, stand_in.party, is_suspended, status, _shown(text))
+        answer = await self._call(balancer, "POST", f"/v1/session-servers/{stand_in.name}/{action}")
+        answered = OverrideAnswered(balancer, stand_in.party, is_suspended, answer.status, answer.shown)
         self._bed.history.note(PARTY, answered)
 
     async def drain_balancer(self, balancer: int, lasts_s: float) -> None:
         """Drains a balancer, and ends the drain after `lasts_s` where it was permitted."""
-        status, text = await self._call(balancer, "POST", "/v1/balancer/drain")
-        self._bed.history.note(PARTY, DrainAnswered(balancer, status, _shown(text)))
-        if status == HTTPStatus.OK:
+        answer = await self._call(balancer, "POST", "/v1/balancer/drain")
+        self._bed.history.note(PARTY, DrainAnswered(balancer, answer.status, answer.shown))
+        if answer.status == HTTPStatus.OK:
             await asyncio.sleep(lasts_s)
-            status, text = await self._call(balancer, "POST", "/v1/balancer/activate")
-            self._bed.history.note(PARTY, ActivateAnswered(balancer, status, _shown(text)))
+            answer = await self._call(balancer, "POST", "/v1/balancer/activate")
+            self._bed.history.note(PARTY, ActivateAnswered(balancer, answer.status, answer.shown))
 
     async def _view(self, balancer: int) -> dict[str, Any]:
-        status, text = await self._call(balancer, "GET", "/v1/fleet")
-        return json.loads(text) if status == HTTPStatus.OK else {}
+        answer = await self._call(balancer, "GET", "/v1/fleet")
+        return json.loads(answer.text) if answer.status == HTTPStatus.OK else {}
 
     async def disagreements(self, timeout_s: float) -> list[str]:
         """Returns the balancers whose overrides differ from the others' after `timeout_s`, as text; none if all agree.
@@ -86,7 +100,3 @@
             for number, found in overrides.items()
             if found != first or not views[number] or views[number]["wishes"]
         ]
-
-
-def _shown(text: str) -> str:
-    return text.strip()[:MAX_TEXT_CHARACTERS]
--- a/glenrock/testbed/request_invariants.py
+++ b/glenrock/testbed/request_invariants.py
@@ -12,7 +12,15 @@
 from ..routing.interface import Idempotency
 from .check_context import CheckContext, Disturbance
 from .invariant import NEVER, Invariant, Violation
-from .records import CLIENTS, DISCOVERY, AttemptRecord, ConnectionEnd, RequestRecord, balancer_party
+from .records import (
+    CLIENTS,
+    DISCOVERY,
+    AttemptRecord,
+    ConnectionEnd,
+    ListedRecord,
+    RequestRecord,
+    balancer_party,
+)
 from .request_line import RESUME_TIMEOUT_S
 
 SLACK_S = 0.05  # added to each time limit on sockets
@@ -157,12 +165,12 @@
 
 def check_drain_grace(context: CheckContext) -> None:
     """Nothing new goes to a draining server after its grace period, counted from when the balancer was notified."""
-    listed: dict[tuple[int, str], list[tuple[float, str]]] = defaultdict(list)
+    listed: dict[tuple[int, str], list[ListedRecord]] = defaultdict(list)
     for row in context.record.listed:
-        listed[row.balancer, row.server].append((row.at_s, row.status))
+        listed[row.balancer, row.server].append(row)
     for attempt in context.record.attempts:
         balancer = context.balancer_of(attempt)
-        since_s = _draining_since_s(listed.get((balancer, attempt.server), ()), attempt.first_byte_s)
+        since_s = _draining_since_s(listed.get((balancer, attempt.server), []), attempt.first_byte_s)
         if since_s == NEVER:
             continue
         context.count_case(Invariant.DRAIN_GRACE)
@@ -172,12 +180,13 @@
             _report_attempt(context, Invariant.DRAIN_GRACE, attempt, text, disturbance)
 
 
-def _draining_since_s(rows: list[tuple[float, str]] | tuple[()], at_s: float) -> float:
+def _draining_since_s(rows: list[ListedRecord], at_s: float) -> float:
+    """Returns since when a server was not serving at a time, as its balancer was notified; NEVER where it was."""
     since_s = NEVER
-    for row_s, status in rows:
-        if row_s > at_s:
+    for row in rows:
+        if row.at_s > at_s:
             break
-        since_s = NEVER if status == SERVING else min(since_s, row_s)
+        since_s = NEVER if row.status == SERVING else min(since_s, row.at_s)
     return since_s
 
 
--- a/glenrock/testbed/scenario_clients.py
+++ b/glenrock/testbed/scenario_clients.py
@@ -46,10 +46,32 @@
     FAILED = "failed"
 
 
-ConnectionResult = SetUpFailure | EndCause
 BROKEN = (EndCause.FINISHED, EndCause.RESET)
 
 
+@dataclass(frozen=True, slots=True)
+class ConnectionOutcome:
+    """How one connection of a client went.
+
+    Attributes:
+        result: why it was not established, or how it ended.
+        retry_after_us: the delay of a rejection; 0 where it has none.
+    """
+
+    result: SetUpFailure | EndCause
+    retry_after_us: int = 0
+
+
+@dataclass(frozen=True, slots=True)
+class SentRequest:
+    """A request line, and the connection that it is sent on. `balancer`: number."""
+
+    line: RequestLine
+    balancer: int
+    reader: asyncio.StreamReader
+    writer: asyncio.StreamWriter
+
+
 @dataclass(eq=False, slots=True)
 class WorkloadClient:
     """A client of the workload.
@@ -174,46 +196,47 @@
                 client.failures += 1
                 await asyncio.sleep(habits.after_failure(client.as_model()) / US_PER_S)
                 continue
-            end, answer = await self._connect_once(client, number, waits_since_us, resumes_at)
+            outcome = await self._connect_once(client, number, waits_since_us, resumes_at)
             balancer, resumes_at = None, ""
-            if end is EndCause.CLOSED_BY_CLIENT:
+            if outcome.result is EndCause.CLOSED_BY_CLIENT:
                 return
-            if end is EndCause.MIGRATED or end in BROKEN:
+            if isinstance(outcome.result, EndCause):
                 client.is_returning, waits_since_us = True, self._engine.now
-            await asyncio.sleep(self._retry_delay_us(client, end, answer) / US_PER_S)
+            await asyncio.sleep(self._retry_delay_us(client, outcome) / US_PER_S)
 
-    def _retry_delay_us(self, client: WorkloadClient, end: ConnectionResult, answer: Answer | None) -> int:
+    def _retry_delay_us(self, client: WorkloadClient, outcome: ConnectionOutcome) -> int:
         habits = self._environment.habits
-        if end is EndCause.MIGRATED:
+        if outcome.result is EndCause.MIGRATED:
             return habits.after_move()
-        if end in BROKEN:
+        if outcome.result in BROKEN:
             return habits.after_break()
-        if end is SetUpFailure.REJECTED and answer is not None:
-            return habits.after_refusal(client.as_model(), answer.retry_after_us)
+        if outcome.result is SetUpFailure.REJECTED:
+            return habits.after_refusal(client.as_model(), outcome.retry_after_us)
         return habits.after_failure(client.as_model())
 
     async def _connect_once(
         self, client: WorkloadClient, balancer: int, waits_since_us: int, resumes_at: str
-    ) -> tuple[ConnectionResult, Answer | None]:
+    ) -> ConnectionOutcome:
         client.tries += 1
         self._counts["tries"] += 1
-        request = self._request_line(client, resumes_at)
-        self._environment.clients[request.request_id] = client.planned
+        line = self._request_line(client, resumes_at)
+        self._environment.clients[line.request_id] = client.planned
         try:
             reader, writer = await connect(self._environment.addresses[balancer])
         except (OSError, TimeoutError):
             self._counts["unreachable"] += 1
             client.failures += 1
             self.resuming -= bool(resumes_at)
-            return SetUpFailure.UNREACHABLE, None
+            return ConnectionOutcome(SetUpFailure.UNREACHABLE)
+        request = SentRequest(line, balancer, reader, writer)
         try:
-            answer = await self._request(client, balancer, request, reader, writer)
+            answer = await self._request(client, request)
             if answer.kind is AnswerKind.UP:
                 waited_us = max(1, self._engine.now - waits_since_us)
                 self._environment.note_wait(client.planned.kind, waited_us)
-                return await self._stay(client, request.request_id, balancer, reader, writer), answer
+                return ConnectionOutcome(await self._stay(client, request))
             client.failures += 1
-            return _failure_of(answer), answer
+            return ConnectionOutcome(_failure_of(answer), answer.retry_after_us)
         finally:
             writer.close()
 
@@ -231,28 +254,21 @@
             resumes_at=resumes_at,
         )
 
-    async def _request(
-        self,
-        client: WorkloadClient,
-        balancer: int,
-        request: RequestLine,
-        reader: asyncio.StreamReader,
-        writer: asyncio.StreamWriter,
-    ) -> Answer:
+    async def _request(self, client: WorkloadClient, request: SentRequest) -> Answer:
+        line = request.line
         kind = self._environment.scenario.classes[client.planned.kind]
-        timeout_s = RESUME_TIMEOUT_S if request.is_resumed else drawn_number(kind.give_up_ms) / 1000
+        timeout_s = RESUME_TIMEOUT_S if line.is_resumed else drawn_number(kind.give_up_ms) / 1000
         try:
-            writer.write(request.encode())
-            self._note(RequestSent(request.request_id, balancer, timeout_s * 1000, request.resumes_at))
-            return await self._read_answer(request.request_id, balancer, reader, timeout_s)
+            request.writer.write(line.encode())
+            self._note(RequestSent(line.request_id, request.balancer, timeout_s * 1000, line.resumes_at))
+            return await self._read_answer(request, timeout_s)
         finally:
-            self.resuming -= request.is_resumed
+            self.resuming -= line.is_resumed
 
-    async def _read_answer(
-        self, request_id: str, balancer: int, reader: asyncio.StreamReader, timeout_s: float
-    ) -> Answer:
+    async def _read_answer(self, request: SentRequest, timeout_s: float) -> Answer:
+        request_id, balancer = request.line.request_id, request.balancer
         try:
-            answer = await read_answer(reader, timeout_s + EXTRA_WAIT_S)
+            answer = await read_answer(request.reader, timeout_s + EXTRA_WAIT_S)
         except OSError:
             answer = Answer(AnswerKind.CLOSED)
         if answer.kind is AnswerKind.NONE:
@@ -267,44 +283,37 @@
         else:
             self._counts["refused" if answer.kind is AnswerKind.BUSY else "failed"] += 1
             self._note(RequestAnswered(request_id, balancer, answer.word))
-            await self._read_further_answers(request_id, balancer, reader)
+            await self._read_further_answers(request)
         return answer
 
-    async def _read_further_answers(self, request_id: str, balancer: int, reader: asyncio.StreamReader) -> None:
+    async def _read_further_answers(self, request: SentRequest) -> None:
         """Notes each line after the answer, up to the end of the connection: there should be none."""
         with contextlib.suppress(OSError, TimeoutError):
             async with asyncio.timeout(EXTRA_WAIT_S):
-                while line := await reader.readline():
-                    self._note(RequestAnswered(request_id, balancer, repr(line)))
-
-    async def _stay(
-        self,
-        client: WorkloadClient,
-        request_id: str,
-        balancer: int,
-        reader: asyncio.StreamReader,
-        writer: asyncio.StreamWriter,
-    ) -> EndCause:
+                while line := await request.reader.readline():
+                    self._note(RequestAnswered(request.line.request_id, request.balancer, repr(line)))
+
+    async def _stay(self, client: WorkloadClient, request: SentRequest) -> EndCause:
         """Uses an established connection until one side ends it."""
         client.is_connected, client.failures = True, 0
-        sending = asyncio.ensure_future(self._send_lines(writer))
-        end = EndCause.CLOSED_BY_CLIENT
+        sending = asyncio.ensure_future(self._send_lines(request.writer))
+        cause = EndCause.CLOSED_BY_CLIENT
         try:
             async with asyncio.timeout(max(0.0, client.planned.end / US_PER_S - self.elapsed_s())) as timeout:
                 if client.planned.arrival < 0 and not client.is_returning and not self._engine.measured_from_us:
                     self._resumed_ends.append((client.planned, timeout))
-                end = await self._read_to_end(reader)
+                cause = await self._read_to_end(request.reader)
         except TimeoutError:
             pass
         except OSError:
-            end = EndCause.RESET
+            cause = EndCause.RESET
         finally:
             client.is_connected = False
             sending.cancel()
-        if end in BROKEN:
+        if cause in BROKEN:
             self._counts["broken"] += 1
-        self._note(ConnectionEnded(request_id, balancer, end))
-        return end
+        self._note(ConnectionEnded(request.line.request_id, request.balancer, cause))
+        return cause
 
     async def _read_to_end(self, reader: asyncio.StreamReader) -> EndCause:
         while True:
