--- a/glenrock/net/routing_actor.py
+++ b/glenrock/net/routing_actor.py
@@ -75,7 +75,7 @@
 
     def post(self, event: interface.Event) -> bool:
         """Adds an event to the next batch. Returns False if the mailbox is full."""
-        return self.mailbox.put(event)
+        return self.mailbox.try_put(event)
 
     def load_of(self, request_id: str) -> int:
         """Returns the load of a connection as last known; 0 for an unknown connection."""
@@ -150,8 +150,8 @@
     def act(self, action: interface.Action) -> None:
         """Carries out an action."""
         match action:
-            case interface.SetTimer(at_us, ref):
-                heapq.heappush(self._timers, (at_us, ref))
+            case interface.SetTimer(at_us, timer_id):
+                heapq.heappush(self._timers, (at_us, timer_id))
             case interface.SendHealthCheck(server):
                 self.send_health_check(server)
             case interface.SendGossip(data):
@@ -159,7 +159,7 @@
             case interface.WatchEndpoints():
                 self.watch_endpoints()
             case _:
-                if connection := self.connection_of(action.id):
+                if connection := self.connection_of(action.request_id):
                     _act_on(connection, action)
 
 
