--- a/glenrock/testbed/consul_server.py
+++ b/glenrock/testbed/consul_server.py
@@ -1,9 +1,8 @@
 """A stand-in for Consul, written from its public API: sessions, keys and values, transactions, blocking queries.
 
-Sessions end at their TTL times a factor (the service promises never early, and up to twice the TTL); their locks are
-released, and not given again within the lock delay. Faults: pauses, errors, slow calls, a restart (all TTLs begin
-anew), a return to a snapshot, calls that are executed and not answered, and old data in reads that do not ask for
-consistency.
+A session ends after its TTL times a factor of 1 to 2, which is what the service promises. Its locks are released, and
+are not given again within the lock delay. Faults: pauses, errors, slow calls, a restart (all TTLs begin anew), a return
+to a snapshot, calls that are executed and not answered, and old data in reads that do not ask for consistency.
 """
 
 from __future__ import annotations
--- a/glenrock/testbed/loopback.py
+++ b/glenrock/testbed/loopback.py
@@ -82,7 +82,7 @@
         return self._socket is not None
 
     def open(self) -> None:
-        """Accepts connections; does nothing where it does already."""
+        """Accepts connections; does nothing if it already does."""
         if self._socket is None:
             self._socket = socket.create_server(self.address, backlog=BACKLOG)
             self._socket.setblocking(False)
--- a/glenrock/testbed/request_invariants.py
+++ b/glenrock/testbed/request_invariants.py
@@ -24,7 +24,7 @@
 from .request_line import RESUME_TIMEOUT_S
 
 SLACK_S = 0.05  # added to each time limit on sockets
-LATE_ANSWER_S = 0.5  # an answer that is late by less is late, and no violation
+LATE_ANSWER_S = 0.5  # an answer that is late by no more than this is no violation
 LEFT_NOTICE_S = 0.1  # nothing is forwarded later than this after its client left
 HALF_REQUEST_TIMEOUT_S = 3.0
 ANSWER_WORDS = ("UP", "BUSY", "ERR")
--- a/glenrock/testbed/scenario.py
+++ b/glenrock/testbed/scenario.py
@@ -98,11 +98,14 @@
 
 
 class DiscoveryFaultMode(StrEnum):
-    """What is wrong with discovery: no answer, 503, or `call_ms` for each call."""
+    """What is wrong with discovery."""
 
     SILENT = "silent"
+    """Calls are not answered."""
     REJECTS = "refuses"
+    """Calls are answered 503."""
     SLOW = "slow"
+    """A call takes `call_ms`."""
 
 
 class DiscoveryFault(Fault, frozen=True, tag="list_fault"):
@@ -137,19 +140,22 @@
 
 
 class StoreFaultMode(StrEnum):
-    """What is wrong with the store.
-
-    It answers nothing; answers 500; is slow; restarts after `for_s`; returns to its state at `at_s`; executes calls
-    without an answer; answers reads that need not be consistent with old data.
-    """
+    """What is wrong with the store."""
 
     PAUSED = "paused"
+    """Calls wait until the fault ends."""
     REJECTS = "refuses"
+    """Calls are answered 500."""
     SLOW = "slow"
+    """A call takes `call_ms`."""
     RESTART = "restart"
+    """Calls wait, and at the end of the fault all sessions begin anew."""
     ROLLBACK = "rollback"
+    """At the end of the fault, the store has its state of `at_s` again."""
     LOSES_ANSWERS = "loses"
+    """Calls are executed and not answered."""
     STALE_READS = "stale"
+    """Reads that do not ask for consistency get the state of `at_s`."""
 
 
 class StoreFault(Fault, frozen=True, tag="store_fault"):
@@ -350,7 +356,7 @@
     def _check_fault(self, key: str, found: AnyFault) -> None:
         for kind, count in self._counts.items():
             number = getattr(found, kind, -1)
-            self._need(number < count, f"{key}.{kind}", f"there is no {kind} {number} on every day")
+            self._need(number < count, f"{key}.{kind}", f"there is no {kind} {number} in every run")
         has_store = bool(self._scenario.together.store)
         self._need(has_store or not isinstance(found, NEEDS_STORE), key, "[together] names no store")
         if isinstance(found, PathFault):
@@ -360,7 +366,7 @@
         for end in ("source", "target"):
             kind, _, number = getattr(found, end).partition(":")
             is_there = not number or number == "*" or int(number) < self._counts[kind]
-            self._need(is_there, f"{key}.{end}", f"there is no {kind} {number} on every day")
+            self._need(is_there, f"{key}.{end}", f"there is no {kind} {number} in every run")
         kinds = {re.sub(":.*", "", party) for party in (found.source, found.target)}
         has_service = "store" not in kinds or self._scenario.together.store == StoreKind.CONSUL
         self._need(kinds in PATH_KINDS and has_service, key, f"nothing goes from {found.source} to {found.target}")
--- a/glenrock/testbed/scenario_summary.py
+++ b/glenrock/testbed/scenario_summary.py
@@ -24,40 +24,23 @@
     bed: ScenarioTestbed, check: CheckResult, cpu_s: dict[int, float], wall_s: float, rig_cpu_s: float
 ) -> dict[str, Any]:
     """Returns the content of `summary.json`. `cpu_s`: of each balancer; `rig_cpu_s`: of this process."""
-    measure, counts = bed.measure, bed.measure.counts
-    counts["attempts"] = sum(server.attempts for server in bed.servers)
-    counts["probes"] = sum(1 for _ in bed.history.each(HealthCheckReceived))
-    counts["list_calls"], counts["list_refused"] = bed.call_queue.calls, _rejected_calls(bed)
-    counts["datagrams"], counts["datagrams_lost"] = bed.datagram_relays.delivered, bed.datagram_relays.lost
-    clients = max(1, counts["clients"])
+    clients = max(1, bed.measure.counts["clients"])
+    counts = _counts(bed)
     found: dict[str, Any] = {
         "format": FORMAT,
         "experiment": bed.scenario.name,
         "seed": bed.seed,
         "policy": "processes",
         "failure": "",
-        "worth": measure.worth(),
+        "worth": bed.measure.worth(),
         "rules": _rules(check),
         "excused": _by_word(check.excused),
         "seen": _cases(bed, check),
         "breaches": _violations(bed, check),
-        "recovery_s": measure.recovery(_faults(bed)),
-        "counts": dict(counts),
+        "recovery_s": bed.measure.recovery(_faults(bed)),
+        "counts": counts,
         "per_client": {key: rounded(counts[key] / clients) for key in PER_CLIENT_COUNTS},
-        "crossing_part": 0.0,
-        "fairness": measure.fairness(),
-        "setup": {
-            kind.name: percentiles(histogram)
-            for kind, histogram in zip(bed.scenario.classes, measure.waits, strict=True)
-        },
-        "messages": percentiles(measure.messages),
-        "refusals": percentiles(measure.refusals),
-        "fleet": {
-            "balancers": bed.balancer_count,
-            "instances": len(bed.servers),
-            "capacity_cores": rounded(bed.workload.capacity / US_PER_S),
-            "clients_per_s": rounded(bed.workload.per_s),
-        },
+        **_service(bed),
         "list": _discovery(bed),
         "processes": {
             balancer.party: {"lives": balancer.incarnation, "cpu_s": rounded(cpu_s.get(balancer.number, 0.0))}
@@ -76,6 +59,37 @@
     return found
 
 
+def _counts(bed: ScenarioTestbed) -> dict[str, int]:
+    """Returns the counts of the measures, with those that the stand-ins have."""
+    counts = bed.measure.counts
+    counts["attempts"] = sum(server.attempts for server in bed.servers)
+    counts["probes"] = sum(1 for _ in bed.history.each(HealthCheckReceived))
+    counts["list_calls"], counts["list_refused"] = bed.call_queue.calls, _rejected_calls(bed)
+    counts["datagrams"], counts["datagrams_lost"] = bed.datagram_relays.delivered, bed.datagram_relays.lost
+    return dict(counts)
+
+
+def _service(bed: ScenarioTestbed) -> dict[str, Any]:
+    """Returns how clients were served, and the size of the fleet, in the simulation's form."""
+    measure, workload = bed.measure, bed.workload
+    return {
+        "crossing_part": 0.0,
+        "fairness": measure.fairness(),
+        "setup": {
+            kind.name: percentiles(histogram)
+            for kind, histogram in zip(bed.scenario.classes, measure.waits, strict=True)
+        },
+        "messages": percentiles(measure.messages),
+        "refusals": percentiles(measure.refusals),
+        "fleet": {
+            "balancers": bed.balancer_count,
+            "instances": len(bed.servers),
+            "capacity_cores": rounded(workload.capacity / US_PER_S),
+            "clients_per_s": rounded(workload.per_s),
+        },
+    }
+
+
 def _rules(check: CheckResult) -> dict[str, int]:
     found = Counter(violation.invariant for violation in check.violations)
     return {invariant.value: found[invariant] for invariant in INVARIANTS}
