--- a/tests/endpoint_rows.py
+++ b/tests/endpoint_rows.py
@@ -1,7 +1,8 @@
-"""Endpoint lists in the form in which service discovery answers, for stand-ins of discovery."""
+"""Endpoint lists in the form in which service discovery answers, as JSON and HTTP, for stand-ins of discovery."""
 
 from __future__ import annotations
 
+import json
 from collections.abc import Iterable
 from typing import TypedDict
 
@@ -20,7 +21,7 @@
 
 
 class EndpointAnswer(TypedDict):
-    """Holds an answer of discovery with a whole list."""
+    """Holds an answer of discovery: a whole list, or changes to it."""
 
     index: int
     snapshot: bool
@@ -36,6 +37,12 @@
     )
 
 
-def endpoint_answer(version: int, rows: Iterable[EndpointRow]) -> EndpointAnswer:
-    """Returns an answer with a whole list of that version."""
-    return EndpointAnswer(index=version, snapshot=True, endpoints=list(rows))
+def endpoint_answer(version: int, rows: Iterable[EndpointRow], is_full: bool = True) -> EndpointAnswer:
+    """Returns an answer of that version: a whole list, or changes to it."""
+    return EndpointAnswer(index=version, snapshot=is_full, endpoints=list(rows))
+
+
+def http_answer(body: object) -> bytes:
+    """Returns an HTTP answer with this JSON as its body."""
+    data = json.dumps(body).encode()
+    return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(data), data)
--- a/tests/net/exchange_player.py
+++ b/tests/net/exchange_player.py
@@ -12,10 +12,11 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
+from endpoint_rows import EndpointRow, endpoint_answer, endpoint_row, http_answer
+
 from glenrock.config import parse_config
 from glenrock.program import Program
 
-from .discovery_answers import endpoint_answer, endpoint_row, http_answer
 from .loopback_delivery import ManualTime
 from .rig import StreamEnd
 from .settings import SETTINGS
@@ -198,10 +199,10 @@
         port: int = operators.listener.listening_socket.getsockname()[1]
         return port
 
-    def _row(self, name: str, status: str = "SERVING") -> dict[str, object]:
+    def _row(self, name: str, status: str = "SERVING") -> EndpointRow:
         return endpoint_row(name, f"127.0.0.1:{self._ports[name]}", status)
 
-    def _rows(self, text: str) -> list[dict[str, object]]:
+    def _rows(self, text: str) -> list[EndpointRow]:
         return [self._row(*part.split("=")) for part in text.split()]
 
     def _answer_discovery(self, name: str, body: object) -> None:
--- a/tests/net/rig.py
+++ b/tests/net/rig.py
@@ -10,13 +10,14 @@
 from enum import Enum
 from typing import NamedTuple, TypeVar
 
+from endpoint_rows import EndpointAnswer, endpoint_answer, endpoint_row, http_answer
+
 from glenrock.config import parse_config
 from glenrock.net.client_connection import ClientConnection
 from glenrock.net.connection_attempt import ConnectionAttempt
 from glenrock.net.server_actor import ServerActor
 from glenrock.program import Program
 
-from .discovery_answers import endpoint_answer, endpoint_row, http_answer
 from .loopback_delivery import CLOCK_STEP_MS, ConnectTrackingLoop, ManualTime
 from .settings import SETTINGS
 
@@ -192,7 +193,7 @@
 
     # -- discovery -------------------------------------------------------------------------------------
 
-    def _endpoint_list(self, statuses: dict[str, str]) -> dict[str, object]:
+    def _endpoint_list(self, statuses: dict[str, str]) -> EndpointAnswer:
         rows = [
             endpoint_row(name, address_of(sock), statuses.get(name, "SERVING")) for name, sock in self.listeners.items()
         ]
--- a/tests/net/single_server_rig.py
+++ b/tests/net/single_server_rig.py
@@ -7,12 +7,13 @@
 import socket
 from enum import StrEnum
 
+from endpoint_rows import endpoint_answer, endpoint_row
+
 from glenrock.config import parse_config
 from glenrock.net.clock import Clock
 from glenrock.net.metrics import ConnectionOutcome
 from glenrock.program import Program
 
-from .discovery_answers import endpoint_answer, endpoint_row
 from .rig import address_of
 from .settings import SETTINGS, caps
 
--- a/tests/upgrade/conftest.py
+++ b/tests/upgrade/conftest.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 
 import pytest
-from endpoint_rows import endpoint_answer, endpoint_row
+from endpoint_rows import endpoint_answer, endpoint_row, http_answer
 
 ROOT = Path(__file__).resolve().parents[2]
 SETTINGS = {
@@ -81,8 +81,7 @@
     async def _discover(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while line := await reader.readline():
             if line.startswith(b"GET /discovery/hosts HTTP"):
-                body = json.dumps(self._endpoint_list).encode()
-                writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
+                writer.write(http_answer(self._endpoint_list))
 
     async def start_process(self) -> int:
         """Starts a further process. Returns its operators' port once it is ready."""
