--- a/tests/net/exchange_player.py
+++ b/tests/net/exchange_player.py
@@ -12,11 +12,10 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from endpoint_rows import EndpointRow, endpoint_answer, endpoint_row, http_answer
-
 from glenrock.config import parse_config
 from glenrock.program import Program
 
+from .discovery_answers import EndpointRow, endpoint_answer, endpoint_row, http_answer
 from .loopback_delivery import ManualTime
 from .rig import StreamEnd
 from .settings import SETTINGS
--- a/tests/net/rig.py
+++ b/tests/net/rig.py
@@ -10,14 +10,13 @@
 from enum import Enum
 from typing import NamedTuple, TypeVar
 
-from endpoint_rows import EndpointAnswer, endpoint_answer, endpoint_row, http_answer
-
 from glenrock.config import parse_config
 from glenrock.net.client_connection import ClientConnection
 from glenrock.net.connection_attempt import ConnectionAttempt
 from glenrock.net.server_actor import ServerActor
 from glenrock.program import Program
 
+from .discovery_answers import EndpointAnswer, endpoint_answer, endpoint_row, http_answer
 from .loopback_delivery import CLOCK_STEP_MS, ConnectTrackingLoop, ManualTime
 from .settings import SETTINGS
 
--- a/tests/upgrade/conftest.py
+++ b/tests/upgrade/conftest.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 
 import pytest
-from endpoint_rows import endpoint_answer, endpoint_row, http_answer
+from net.discovery_answers import endpoint_answer, endpoint_row, http_answer
 
 ROOT = Path(__file__).resolve().parents[2]
 SETTINGS = {
