--- a/tests/net/exchange_player.py
+++ b/tests/net/exchange_player.py
@@ -13,6 +13,7 @@
 from typing import Any, NamedTuple
 
 from glenrock.config import parse_config
+from glenrock.net.socket_io import LINGER_ON_FOR_ZERO_S
 from glenrock.program import Program
 
 from .discovery_answers import EndpointRow, endpoint_answer, endpoint_row, http_answer
@@ -23,7 +24,6 @@
 STEP_TIMEOUT_S = 5
 ACCEPT_POLL_S = 0.001
 DISCOVERIES = ("discovery", "elsewhere")
-LINGER_ON_FOR_ZERO_S = b"\1\0\0\0\0\0\0\0"
 MORE_BYTES = "more bytes"
 
 
--- a/tests/net/rig.py
+++ b/tests/net/rig.py
@@ -4,8 +4,8 @@
 
 import asyncio
 import contextlib
+import os
 import socket
-import struct
 from collections.abc import Awaitable, Callable
 from enum import Enum
 from typing import NamedTuple, TypeVar
@@ -14,6 +14,7 @@
 from glenrock.net.client_connection import ClientConnection
 from glenrock.net.connection_attempt import ConnectionAttempt
 from glenrock.net.server_actor import ServerActor
+from glenrock.net.socket_io import LINGER_ON_FOR_ZERO_S
 from glenrock.program import Program
 
 from .discovery_answers import EndpointAnswer, endpoint_answer, endpoint_row, http_answer
@@ -59,10 +60,15 @@
     server_side: socket.socket
 
 
+def count_descriptors() -> int:
+    """Returns the number of open descriptors of this process."""
+    return len(os.listdir("/proc/self/fd"))
+
+
 def close_socket(sock: socket.socket, reset: bool) -> None:
     """Closes a socket with FIN or with RST."""
     if reset:
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_ON_FOR_ZERO_S)
     sock.close()
 
 
--- a/tests/net/test_any_order.py
+++ b/tests/net/test_any_order.py
@@ -5,7 +5,6 @@
 import asyncio
 import contextlib
 import gc
-import os
 import socket
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -25,6 +24,7 @@
     REQUEST_LINE,
     LoopbackRig,
     close_socket,
+    count_descriptors,
     read_to_end,
     run_on_rig,
     wait_until,
@@ -37,11 +37,6 @@
 STOP_TIMEOUT_S = 10.0
 
 
-def count_descriptors() -> int:
-    """Returns the number of open descriptors of this process."""
-    return len(os.listdir("/proc/self/fd"))
-
-
 # -- one connection, from its first attempt to its end -----------------------------------------------------
 
 
--- a/tests/net/test_client_disconnects.py
+++ b/tests/net/test_client_disconnects.py
@@ -4,7 +4,6 @@
 
 import asyncio
 import contextlib
-import os
 import socket
 import time
 
@@ -16,7 +15,7 @@
 from glenrock.net.metrics import ConnectionOutcome
 from glenrock.net.server_actor import ServerActor
 
-from .rig import close_socket, create_listener, fill_backlog, wait_until
+from .rig import close_socket, count_descriptors, create_listener, fill_backlog, wait_until
 from .single_server_rig import SingleServerRig
 
 MAX_OUTLIVED_S = 2.0  # the attempt's own timeout is 5 s
@@ -71,7 +70,7 @@
     actor = actor_of(single_server)
     actor.row.address = Address(*listener.getsockname())
     single_server.program.servers.connect_timeout_ms = actor.connect_timeout_ms = 9000.0
-    descriptors = len(os.listdir("/proc/self/fd"))
+    descriptors = count_descriptors()
     client = socket.create_connection(("127.0.0.1", single_server.port))
     client.sendall(b"OPEN wait-1 1 c=look,d=5000\r\n")
     attempt = await wait_for_attempt(single_server)
@@ -85,7 +84,7 @@
     assert time.monotonic() - closed_s < MAX_OUTLIVED_S
     assert attempt.task.done()
     assert attempt.sock is None
-    assert len(os.listdir("/proc/self/fd")) <= descriptors
+    assert count_descriptors() <= descriptors
     assert not single_server.program.routing.balancer.requests
     assert single_server.outcome_counts() == {ConnectionOutcome.LEFT: 1}
     for sock in [*fillers, listener]:
--- a/tests/net/test_connection_ends.py
+++ b/tests/net/test_connection_ends.py
@@ -4,7 +4,6 @@
 
 import asyncio
 import gc
-import os
 import random
 from collections import Counter
 
@@ -12,6 +11,7 @@
 
 from glenrock.net.metrics import ConnectionOutcome
 
+from .rig import count_descriptors
 from .single_server_rig import Behaviour, SingleServerRig
 
 POSSIBLE_OUTCOMES = {
@@ -26,11 +26,6 @@
 FIRST_CLIENTS = 3
 
 
-def count_descriptors() -> int:
-    """Returns the number of open descriptors of this process."""
-    return len(os.listdir("/proc/self/fd"))
-
-
 async def run_drawn_clients(rig: SingleServerRig, rng: random.Random) -> Counter[Behaviour]:
     """Runs 40 clients at once. Returns how many there were of each behaviour."""
     behaviours = [rng.choice(list(POSSIBLE_OUTCOMES)) for _ in range(40)]
