--- a/glenrock/coordination/warm_start/start_record.py
+++ b/glenrock/coordination/warm_start/start_record.py
@@ -190,8 +190,8 @@
 
 def _faded(means: MeanLoads, fraction: float) -> MeanLoads:
     """Returns the means with a fraction of their samples, without those that have none left."""
-    faded = {name: LoadMean(mean.load, round(mean.samples * fraction)) for name, mean in means.items()}
-    return {name: mean for name, mean in faded.items() if mean.samples > 0}
+    faded = {name: LoadMean(mean.load, round(mean.sample_count * fraction)) for name, mean in means.items()}
+    return {name: mean for name, mean in faded.items() if mean.sample_count > 0}
 
 
 def _is_configured_list_as_new(record: StartRecord, configured: EndpointTable, discovery: str) -> bool:
--- a/glenrock/net/routing_actor.py
+++ b/glenrock/net/routing_actor.py
@@ -140,7 +140,7 @@
 
     def _log_changes(self) -> None:
         for ignored in self.balancer.batch.ignored_summaries:
-            logger.warning("gossip summary ignored", peer=ignored.peer, reason=ignored.reason)
+            logger.warning("gossip summary ignored", peer=ignored.peer_index, reason=ignored.reason)
         for zone, is_partitioned in self.balancer.domains.changes:
             if is_partitioned:
                 logger.warning("zone believed partitioned: no new connections to it", zone=zone)
--- a/glenrock/routing/admission.py
+++ b/glenrock/routing/admission.py
@@ -49,7 +49,7 @@
         partial_bucket: the bucket that exceeds the free load; its clients are admitted within the quota.
         extra_buckets: how many buckets younger than `partial_bucket` may use the quota too.
         may_admit_newcomers: no client waits, and the cap leaves ample free load.
-        has_rejected_newcomer: a client was rejected this round because its bucket may not use the quota.
+        has_rejected_young_bucket: a client was rejected this round because its bucket is too young.
     """
 
     batch: EventBatch
@@ -70,7 +70,7 @@
     last_open_bucket: int = field(init=False, default=-NO_BUCKET)
     partial_bucket: int = field(init=False, default=NO_BUCKET)
     may_admit_newcomers: bool = field(init=False, default=True)
-    has_rejected_newcomer: bool = field(init=False, default=False)
+    has_rejected_young_bucket: bool = field(init=False, default=False)
     extra_buckets: int = field(init=False, default=0)
     _cap_cut_us: int = field(init=False, default=NEVER_US)
     _load_admitted_beside_quota: float = field(init=False, default=0.0)
@@ -123,7 +123,7 @@
             self._load_admitted_beside_quota += request.load
             return True
         if bucket > self.partial_bucket + self.extra_buckets:
-            self.has_rejected_newcomer = True
+            self.has_rejected_young_bucket = True
             return False
         # A quota below one client's load admits a client with the matching probability.
         is_admitted = self.quota >= request.load or self.rng.random() * request.load < self.quota
@@ -250,17 +250,17 @@
         free_load = max(0.0, self.load_cap + self.slow_start_load_cap - tier_load)
         client_fraction = self.client_fraction() or 1.0
         rest = self._open_oldest_buckets(waiting_load, free_load)
-        if self.quota > 0 and self.has_rejected_newcomer:
+        if self.quota > 0 and self.has_rejected_young_bucket:
             # A part of the quota was not used although clients of younger buckets were rejected: the clients
             # it was for have retried at other balancers. So more of the younger buckets may use the quota.
             self.extra_buckets = min(2 * self.extra_buckets + 1, MAX_WAITING)
         elif self.quota <= 0:
             self.extra_buckets = 0
-        if self.has_rejected_newcomer and free_load < NO_CAP:
+        if self.has_rejected_young_bucket and free_load < NO_CAP:
             # The free load of the open buckets was reserved, but their clients brought only a part of it.
             # Since others were rejected meanwhile, the quota gets what was not used.
             rest = max(rest, free_load - self._load_admitted_beside_quota / client_fraction)
-        self.has_rejected_newcomer = False
+        self.has_rejected_young_bucket = False
         self._load_admitted_beside_quota = 0.0
         self.quota = rest * client_fraction
 
--- a/glenrock/routing/balancer.py
+++ b/glenrock/routing/balancer.py
@@ -288,7 +288,7 @@
         server = self.servers.get(event.server_id)
         if server is None or event.request.request_id in self.requests:
             return
-        self.endpoints.start_draining(server)
+        self.endpoints.schedule_migration(server)
         self.lifecycle.adopt(self._routed(event.request), server)
         self.health_checks.earn()  # the connection began with a first attempt
 
@@ -382,6 +382,6 @@
             client_fraction=self.admission.client_fraction(),
             peers=peers,
             balancers=self.settings.balancers,
-            is_draining=self.is_draining,
+            is_balancer_draining=self.is_draining,
         )
         self.slow_start.update_reference_load(load, self.is_draining)
--- a/glenrock/routing/connection_concurrency.py
+++ b/glenrock/routing/connection_concurrency.py
@@ -20,7 +20,7 @@
 MIN_CUT_INTERVAL_US = SECOND_US  # set-ups in flight at a cut have nearly all ended by then
 MIN_AFFECTED_SERVERS = 3  # fewer slow servers are not the store's fault
 STORM_FAILURES = 6  # in a round; beyond them the limit is cut before the round ends
-IDLE_ROUNDS = 20  # rounds below the limit until it is lifted
+LIFT_AFTER_ROUNDS = 20  # rounds below the limit until it is lifted
 RATE_DECAY = 0.98  # of the best rate, per round
 
 
@@ -41,7 +41,7 @@
         self._slow_or_failed = self._in_time = self._established = 0  # in this round
         self._servers_affected: set[str] = set()
         self._cut_at_us = NEVER_US
-        self._idle_rounds = 0
+        self._rounds_below_limit = 0
         self._best_rate = 0.0  # established per second
 
     @property
@@ -58,8 +58,8 @@
         self.pending += 1
         self._peak = max(self._peak, self.pending)
 
-    def record_abandoned(self) -> None:
-        """Records that a set-up was given up."""
+    def record_cancelled(self) -> None:
+        """Records that a set-up in flight was cancelled."""
         self.pending -= 1
 
     def record_established(self, server_id: str, latency_us: int) -> None:
@@ -72,7 +72,7 @@
             self._in_time += 1
 
     def record_ended(self, server_id: str, outcome: AttemptOutcome) -> None:
-        """Records a set-up that failed. Rejections and unreachable servers do not show the store's state."""
+        """Records a set-up that failed. Full and unreachable servers do not show the store's state."""
         self.pending -= 1
         if outcome in (AttemptOutcome.ERROR, AttemptOutcome.TIMEOUT):
             self._record_slow_or_failed(server_id)
@@ -93,7 +93,7 @@
             limit = max(self._best_rate, 1.0) * SLOW_FRACTION * self._objective_us / SECOND_US
         self.limit = max(MIN_LIMIT, CUT_FACTOR * limit)
         self._cut_at_us = self._batch.now_us
-        self._idle_rounds = 0
+        self._rounds_below_limit = 0
 
     def finish_round(self) -> None:
         """Ends a round: cuts, raises or lifts the limit, and starts new counts."""
@@ -103,10 +103,10 @@
         elif self.is_limited and self._peak >= self.limit - 1:
             if self._in_time > self._slow_or_failed:
                 self.limit = self.limit * RISE_FACTOR + RISE_STEP
-            self._idle_rounds = 0
+            self._rounds_below_limit = 0
         elif self.is_limited:
-            self._idle_rounds += 1
-            if self._idle_rounds >= IDLE_ROUNDS:
+            self._rounds_below_limit += 1
+            if self._rounds_below_limit >= LIFT_AFTER_ROUNDS:
                 self.limit = UNLIMITED
         self._slow_or_failed = self._in_time = self._established = 0
         self._peak = self.pending
--- a/glenrock/routing/connection_load.py
+++ b/glenrock/routing/connection_load.py
@@ -16,10 +16,10 @@
 
 
 class LoadMean(NamedTuple):
-    """Mean load of a connection, and the number of loads in the mean."""
+    """Mean load of a connection. `sample_count` is the number of loads in the mean."""
 
     load: float
-    samples: int
+    sample_count: int
 
 
 class ConnectionLoads:
@@ -41,9 +41,9 @@
         mean of a balancer with few clients.
         """
         for name in (ALL_CLASSES, class_name):
-            mean, samples = self.means.get(name, LoadMean(0.0, 0))
-            gain = max(MEAN_LOAD_GAIN, 1 / (samples + 1))
-            self.means[name] = LoadMean(mean + (load - mean) * gain, samples + 1)
+            mean, sample_count = self.means.get(name, LoadMean(0.0, 0))
+            gain = max(MEAN_LOAD_GAIN, 1 / (sample_count + 1))
+            self.means[name] = LoadMean(mean + (load - mean) * gain, sample_count + 1)
         self.mean_load = self.means[ALL_CLASSES].load
 
     def expected(self, class_name: str) -> float:
@@ -53,14 +53,14 @@
     def snapshot(self) -> dict[str, LoadMean]:
         """Returns the means in the form that `restore` accepts."""
         return {
-            name: LoadMean(mean, min(samples, MAX_RESTORED_SAMPLES))
-            for name, (mean, samples) in self.means.items()
+            name: LoadMean(mean, min(sample_count, MAX_RESTORED_SAMPLES))
+            for name, (mean, sample_count) in self.means.items()
         }
 
     def restore(self, snapshot: Mapping[str, tuple[float, int]], class_names: Iterable[str]) -> None:
         """Restores the means of the named classes that have no samples yet."""
         known = {ALL_CLASSES, *class_names}
-        for name, (mean, samples) in snapshot.items():
+        for name, (mean, sample_count) in snapshot.items():
             if name in known and name not in self.means and mean > 0:
-                self.means[name] = LoadMean(mean, min(samples, MAX_RESTORED_SAMPLES))
+                self.means[name] = LoadMean(mean, min(sample_count, MAX_RESTORED_SAMPLES))
         self.mean_load = self.means.get(ALL_CLASSES, LoadMean(self.mean_load, 0)).load
--- a/glenrock/routing/endpoint_table.py
+++ b/glenrock/routing/endpoint_table.py
@@ -77,8 +77,8 @@
             self._set_listed(server, server.is_listed)
             self._change_rings()
 
-    def start_draining(self, server: Server) -> None:
-        """Starts the migration off a server that was not ready when its connection was adopted."""
+    def schedule_migration(self, server: Server) -> None:
+        """Sets the deadline to migrate off a server that is not ready, when a connection there is adopted."""
         if not server.is_ready and not server.migrate_by_us:
             server.migrate_by_us = self._batch.now_us + self._migration_us
 
--- a/glenrock/routing/event_batch.py
+++ b/glenrock/routing/event_batch.py
@@ -18,7 +18,7 @@
 class IgnoredSummary:
     """A gossip summary that was ignored, and the reason."""
 
-    peer: int
+    peer_index: int
     reason: str
 
 
--- a/glenrock/routing/failure_domains.py
+++ b/glenrock/routing/failure_domains.py
@@ -27,7 +27,7 @@
 RECOVERY_FRACTIONS = (0.25, 0.5, 0.75)  # of the members, in the steps of the recovery ramp
 
 FAILURE_LOG_RATIO = log(PARTITIONED_FAILURE_PROBABILITY / HEALTHY_FAILURE_PROBABILITY)
-ANSWER_LOG_RATIO = log((1 - PARTITIONED_FAILURE_PROBABILITY) / (1 - HEALTHY_FAILURE_PROBABILITY))
+REACHABLE_LOG_RATIO = log((1 - PARTITIONED_FAILURE_PROBABILITY) / (1 - HEALTHY_FAILURE_PROBABILITY))
 PARTITION_BOUND = log((1 - MISSED_RATE) / FALSE_ALARM_RATE)
 NEVER_US = -(1 << 60)
 
@@ -38,7 +38,7 @@
 
     Attributes:
         score: log of the likelihood ratio, partitioned over healthy; at least 0.
-        is_partitioned: the score has passed the bound, and no member has answered since.
+        is_partitioned: the score has passed the bound, and no member has been reached since.
         recovered_us: end of the last partition; the recovery ramp starts then.
         checked_us: time of the last health check during the partition.
         evidence_us: members whose failures counted, and when.
@@ -63,7 +63,7 @@
     """The failure domains that one balancer sees, by name.
 
     Evidence is collected until `evaluate`, which runs once a batch. The order within a batch does not matter:
-    one answer outweighs all failures of the batch.
+    one member that is reached outweighs all failures of the batch.
 
     Attributes:
         states: domains with evidence.
@@ -72,13 +72,13 @@
 
     def __init__(self) -> None:
         self.states: dict[str, DomainState] = {}
-        # By domain: the members that failed; None if a member answered.
+        # By domain: the members that failed; None if a member was reached.
         self._evidence: dict[str, dict[str, None] | None] = {}
         self.changes: list[DomainChange] = []
 
-    def record(self, domain: str, member: str, has_answered: bool) -> None:
-        """Records that a member answered, or that it was unreachable."""
-        if has_answered:
+    def record(self, domain: str, member: str, is_reachable: bool) -> None:
+        """Records that a member was reached or not."""
+        if is_reachable:
             self._evidence[domain] = None
             return
         members = self._evidence.setdefault(domain, {})
@@ -146,14 +146,14 @@
         """Evaluates the evidence of one domain. Returns whether its partition started or ended."""
         if members is None:
             state = self.states.get(domain)
-            return state is not None and _record_answer(state, now_us)
+            return state is not None and _record_reachable(state, now_us)
         state = self.states.setdefault(domain, DomainState(updated_us=now_us))
         return _record_failures(state, now_us, members)
 
 
-def _record_answer(state: DomainState, now_us: int) -> bool:
-    """Ends a partition, since any answer proves that the link works. Returns whether there was one."""
-    state.score = max(0.0, state.score + ANSWER_LOG_RATIO)
+def _record_reachable(state: DomainState, now_us: int) -> bool:
+    """Ends a partition: a reached member proves that the link works. Returns whether there was one."""
+    state.score = max(0.0, state.score + REACHABLE_LOG_RATIO)
     state.updated_us = now_us
     state.evidence_us.clear()
     if not state.is_partitioned:
--- a/glenrock/routing/gossip.py
+++ b/glenrock/routing/gossip.py
@@ -15,8 +15,8 @@
 from .token_budget import gossip_budget
 from .waiting_queue import WaitingQueue
 
-IDLE_GOSSIP_INTERVAL_US = 5 * SECOND_US  # while no client waits
-MAX_PEER_SILENCE_US = 3 * IDLE_GOSSIP_INTERVAL_US
+CALM_GOSSIP_INTERVAL_US = 5 * SECOND_US  # while no client waits
+MAX_PEER_SILENCE_US = 3 * CALM_GOSSIP_INTERVAL_US
 STAMP_US = SECOND_US // 10  # unit of a summary's stamp
 MAX_STAMP_ADVANCE = 0x7FFF  # a larger advance of the wrapping counter is an old summary
 MIN_JITTER = 0.9  # of an interval
@@ -72,23 +72,23 @@
 
     def receive(self, event: GossipReceived) -> Peer | None:
         """Handles a summary. Returns the peer if it was not known before; an invalid summary is ignored."""
-        if event.peer == self._settings.index:
+        if event.peer_index == self._settings.index:
             return None
         decoded = gossip_codec.decode(event.data)
         try:
             summary = gossip_codec.check_summary(
-                event.peer, self._settings.balancers, decoded, self._tenant_load()
+                event.peer_index, self._settings.balancers, decoded, self._tenant_load()
             )
         except gossip_codec.InvalidSummaryError as error:
-            self._batch.ignored_summaries.append(IgnoredSummary(event.peer, str(error)))
+            self._batch.ignored_summaries.append(IgnoredSummary(event.peer_index, str(error)))
             return None
-        known = self.peers.get(event.peer)
+        known = self.peers.get(event.peer_index)
         if known and not 0 < (summary.stamp - known.stamp & gossip_codec.MAX_STAMP) <= MAX_STAMP_ADVANCE:
             return None  # delayed or duplicated
         bucket = self._waiting_queue.current_bucket()
         waiting = [WaitingLoad(bucket - age, load) for age, load in summary.waiting]
         peer = Peer(summary.stamp, self._batch.now_us, summary.active_load, summary.clients, waiting)
-        self.peers[event.peer] = peer
+        self.peers[event.peer_index] = peer
         return None if known else peer
 
     def _tenant_load(self) -> float:
@@ -98,20 +98,20 @@
         quota = sum(tenant.connections for tenant in self._settings.tenants)
         return self._connection_loads.mean_load * quota
 
-    def send_if_due(self, clients: int, is_cap_open: bool, is_draining: bool) -> None:
+    def send_if_due(self, clients: int, is_cap_open: bool, is_balancer_draining: bool) -> None:
         """Sends a summary if it is due and the budget allows.
 
         Args:
             clients: number of clients seen here, `LAG_US` ago.
             is_cap_open: the cap does not bind.
-            is_draining: this balancer migrates its clients; the others divide its quota meanwhile.
+            is_balancer_draining: this balancer migrates its clients; the others divide its quota meanwhile.
         """
         settings, now_us = self._settings, self._batch.now_us
         if not settings.may_gossip or settings.balancers <= 1 or now_us < self.next_us:
             return
         waiting = _ages(self._waiting_queue.load_by_bucket(), self._waiting_queue.current_bucket())
         stamp = now_us // STAMP_US & gossip_codec.MAX_STAMP
-        shared_clients = 0 if is_draining else clients
+        shared_clients = 0 if is_balancer_draining else clients
         data = gossip_codec.encode(stamp, self._sessions.active_load, shared_clients, waiting)
         cost = len(data) * (settings.balancers - 1)
         if not self.budget.try_spend(cost):
@@ -119,10 +119,10 @@
         # While no client waits, quotas need few summaries, and tokens are saved for times of scarcity.
         is_calm = not waiting and is_cap_open
         interval_us = 2 * ROUND_US
-        if is_draining:
+        if is_balancer_draining:
             interval_us = ROUND_US // 2
         elif is_calm:
-            interval_us = IDLE_GOSSIP_INTERVAL_US
+            interval_us = CALM_GOSSIP_INTERVAL_US
         self.next_us = now_us + int(interval_us * (MIN_JITTER + self._rng.random() / JITTER_DIVISOR))
         self._batch.emit(SendGossip(data))
 
--- a/glenrock/routing/health_checks.py
+++ b/glenrock/routing/health_checks.py
@@ -19,7 +19,7 @@
 from .outlier_ejection import OutlierEjection
 from .server_selection import ServerSelection
 from .state import RoutedRequest, Server
-from .token_budget import IDLE_HEALTH_CONNECTION_US, LARGE_FLEET, MAX_HEALTH_CHECKS, TokenBudget
+from .token_budget import HEALTH_CONNECTION_LIFETIME_US, LARGE_FLEET, MAX_HEALTH_CHECKS, TokenBudget
 
 HEALTH_CHECK_RESEND_US = SECOND_US  # a check without a result may be repeated after this time
 
@@ -66,7 +66,7 @@
 
     def _try_spend(self, server: Server) -> bool:
         """Spends a token for the check, and in a large fleet another for a new connection."""
-        is_connected = self.batch.now_us - server.last_checked_us < IDLE_HEALTH_CONNECTION_US
+        is_connected = self.batch.now_us - server.last_checked_us < HEALTH_CONNECTION_LIFETIME_US
         needs_connection = self._is_large_fleet and not is_connected
         if needs_connection and self.connection_budget.tokens < 1:
             return False
--- a/glenrock/routing/interface.py
+++ b/glenrock/routing/interface.py
@@ -66,7 +66,7 @@
     ERROR = "error"
     """The server reported an error."""
     FULL = "full"
-    """The server rejected the attempt."""
+    """The server was full, and did not accept the attempt."""
     TIMEOUT = "timeout"
     """The server did not answer in time."""
     NO_CONNECTION = "no_connection"
@@ -74,7 +74,7 @@
     BROKEN = "broken"
     """The connection broke."""
     CANCELLED = "cancelled"
-    """The client or this balancer ended it."""
+    """The client or this balancer cancelled it, or closed its connection."""
     UNSENT = "unsent"
     """It was not sent: the server drains or is gone, or this machine had no resources."""
 
@@ -302,7 +302,7 @@
     """An attempt succeeded: the client has its first answer."""
 
     request_id: str
-    attempt: int
+    attempt_number: int
     server_id: str
     latency_us: int = 0
 
@@ -325,7 +325,7 @@
     """
 
     request_id: str
-    attempt: int
+    attempt_number: int
     server_id: str
     outcome: AttemptOutcome
     is_final: bool
@@ -378,9 +378,9 @@
 
 @dataclass(slots=True)
 class GossipReceived:
-    """A gossip summary from another balancer."""
+    """A gossip summary from the balancer with index `peer_index`."""
 
-    peer: int
+    peer_index: int
     data: bytes
 
 
@@ -417,7 +417,7 @@
     """Cancel that attempt: its outcome is no longer needed."""
 
     request_id: str
-    attempt: int
+    attempt_number: int
 
 
 @dataclass(slots=True)
--- a/glenrock/routing/load_estimation.py
+++ b/glenrock/routing/load_estimation.py
@@ -179,7 +179,7 @@
     def remaining_load_fraction(self, server: Server) -> float:
         """Returns the fraction of this balancer's load at the server that remains since its last report.
 
-        The other balancers shed load alike, so the fraction holds for the whole server. It is 1 where this
+        The other balancers migrate load alike, so the fraction holds for the whole server. It is 1 where this
         balancer has few of the server's connections.
         """
         own_load = server.own_load
--- a/glenrock/routing/migration.py
+++ b/glenrock/routing/migration.py
@@ -111,7 +111,7 @@
             load = max(load, self.loads.fleet_load)
         server.migrated_at_us = self.batch.now_us
         excess = (load - self._relieved_load(is_scarce, is_slow)) / load * server.own_load
-        self._shed(server, excess, is_scarce, by_group=is_slow)
+        self._migrate_load(server, excess, is_scarce, by_group=is_slow)
 
     def _is_due(self, server: Server, is_slow: bool, is_late: bool, waits_for_backlog: bool) -> bool:
         wait_us = FEEDBACK_DELAY_US
@@ -135,9 +135,9 @@
             return EMPTIED_LOAD
         return min(load_targets.TARGET_LOAD, max(SPARE_LOAD, self.loads.fleet_load))
 
-    def _shed(self, server: Server, excess: float, is_scarce: bool, by_group: bool) -> None:
+    def _migrate_load(self, server: Server, excess: float, is_scarce: bool, by_group: bool) -> None:
         """Migrates connections of that total load; if capacity is scarce the clients lose their sessions."""
-        for group in self._shedding_order(server, is_scarce, by_group):
+        for group in self._migration_order(server, is_scarce, by_group):
             load = sum(request.load for request in group)
             if excess < load and self.rng.random() * load > excess:
                 break
@@ -147,11 +147,11 @@
                 if is_scarce:
                     self.without_session.add(request.event.request_id)
 
-    def _shedding_order(self, server: Server, is_scarce: bool, by_group: bool) -> list[list[RoutedRequest]]:
+    def _migration_order(self, server: Server, is_scarce: bool, by_group: bool) -> list[list[RoutedRequest]]:
         """Returns the server's connections in the order in which they migrate.
 
         If capacity is scarce the order is drawn by priority weight: in strict order the lowest class would
-        not be served at all. Otherwise the heaviest come first. A slow server sheds whole groups, since it
+        not be served at all. Otherwise the heaviest come first. Whole groups leave a slow server, since it
         bears a group's common work while it holds any connection of the group.
         """
         groups: dict[object, list[RoutedRequest]] = {}
--- a/glenrock/routing/outlier_ejection.py
+++ b/glenrock/routing/outlier_ejection.py
@@ -98,12 +98,12 @@
             server.weight = max(MIN_WEIGHT, server.weight * WEIGHT_CUT_FACTOR)
 
     def record_reachable(self, server: Server) -> None:
-        """Records that the server answered, which shows that the link to its zone works."""
-        self._record_evidence(server, has_answered=True)
+        """Records that the server was reached, which shows that the link to its zone works."""
+        self._record_evidence(server, is_reachable=True)
 
     def record_unreachable(self, server: Server) -> None:
         """Records a failed connection. A second one in a row ejects the server for a time that doubles."""
-        self._record_evidence(server, has_answered=False)
+        self._record_evidence(server, is_reachable=False)
         self.index.add_suspect(server)
         server.consecutive_failures = min(server.consecutive_failures + 1, MAX_FAILURES)
         is_outlier = server.consecutive_failures >= FAILURES_TO_EJECT
@@ -123,6 +123,6 @@
                 if server.zone == zone:
                     server.consecutive_failures = server.ejected_until_us = 0
 
-    def _record_evidence(self, server: Server, has_answered: bool) -> None:
+    def _record_evidence(self, server: Server, is_reachable: bool) -> None:
         if server.zone != self.settings.zone:
-            self.domains.record(server.zone, server.server_id, has_answered)
+            self.domains.record(server.zone, server.server_id, is_reachable)
--- a/glenrock/routing/request_lifecycle.py
+++ b/glenrock/routing/request_lifecycle.py
@@ -162,9 +162,9 @@
     def establish(self, event: ConnectionEstablished) -> None:
         """Handles an attempt that established its connection."""
         request = self.requests.get(event.request_id)
-        if request is None or request.is_answered or not 0 <= event.attempt < len(request.attempts):
+        if request is None or request.is_answered or not 0 <= event.attempt_number < len(request.attempts):
             return
-        server = request.attempts[event.attempt].server
+        server = request.attempts[event.attempt_number].server
         request.server, request.is_answered = server, True
         self._record_connection(request, server)
         server.consecutive_failures = 0
@@ -178,17 +178,17 @@
         server.last_heard_us = self.batch.now_us
         self.affinity.remember(request.event.group, server)
 
-    def end_attempt(self, event: AttemptEnded, is_draining: bool) -> None:
+    def end_attempt(self, event: AttemptEnded, is_balancer_draining: bool) -> None:
         """Handles the end of an attempt, or of the connection that it established.
 
         Args:
             event: how it ended.
-            is_draining: this balancer migrates its clients to the others.
+            is_balancer_draining: this balancer migrates its clients to the others, on an operator's call.
         """
         request = self.requests.get(event.request_id)
-        if request is None or not 0 <= event.attempt < len(request.attempts):
+        if request is None or not 0 <= event.attempt_number < len(request.attempts):
             return
-        attempt = request.attempts[event.attempt]
+        attempt = request.attempts[event.attempt_number]
         attempt.outcome = event.outcome
         server = attempt.server
         self.ejection.record_report(server, event.report)
@@ -196,7 +196,7 @@
             self.concurrency.record_ended(server.server_id, event.outcome)
             self._route_next_waiting()
         # The session of a client that migrates to another balancer would count at both for seconds.
-        keep_session = not is_draining
+        keep_session = not is_balancer_draining
         if event.outcome in SERVER_FAULT_OUTCOMES:
             self.ejection.cut_weight(server)
             keep_session = self.admission.record_fault(request, attempt)
@@ -250,7 +250,7 @@
     def _forget(self, request: RoutedRequest, keep_session: bool) -> None:
         request_id = request.event.request_id
         if not request.server and request.attempt_is_in_flight:
-            self.concurrency.record_abandoned()
+            self.concurrency.record_cancelled()
         request.is_answered = True
         self.requests.pop(request_id, None)
         self._awaiting_server.pop(request_id, None)
--- a/glenrock/routing/retries.py
+++ b/glenrock/routing/retries.py
@@ -49,7 +49,7 @@
         """Returns whether the request may be sent to that server now. Every send is subject to this rule."""
         if not self.may_attempt(request) or not self.ejection.may_receive(server, request.load):
             return False
-        first = request.first_executed
+        first = request.first_possibly_executed
         return first is None or self._is_safe_to_retry(request.request_class, first, server)
 
     def _is_safe_to_retry(self, request_class: RequestClass, first: Attempt, server: Server) -> bool:
@@ -75,7 +75,7 @@
             and request_class.idempotency_scope == IdempotencyScope.ALL
         )
         is_harmless = request_class.idempotency == Idempotency.SAFE or has_global_key
-        return is_harmless or not request.first_executed
+        return is_harmless or not request.first_possibly_executed
 
     def may_wait(self, request: RoutedRequest) -> bool:
         """Returns whether a request that no server may receive now waits for a server.
@@ -102,7 +102,7 @@
         if len(request.attempts) + 1 < self.settings.max_attempts:
             least_us = MIN_CONNECT_TIMEOUTS * self.settings.connect_timeout_us
             timeout_us = min(left_us, max(left_us * ATTEMPT_TIMEOUT_PERCENT // 100, least_us))
-        first = request.first_executed
+        first = request.first_possibly_executed
         if first and request.request_class.idempotency == Idempotency.KEYED:
             last_us = _last_retry_us(first, request.request_class)
             timeout_us = max(1, min(timeout_us, last_us - self.batch.now_us))
--- a/glenrock/routing/simulator_codec.py
+++ b/glenrock/routing/simulator_codec.py
@@ -198,7 +198,7 @@
 def _established_from(fields: Fields) -> ConnectionEstablished:
     return ConnectionEstablished(
         request_id=fields.text("msgId"),
-        attempt=fields.number("shot"),
+        attempt_number=fields.number("shot"),
         server_id=fields.text("server"),
         latency_us=fields.number_or("latencyUs", 0),
     )
@@ -218,7 +218,7 @@
 def _attempt_ended_from(fields: Fields) -> AttemptEnded:
     return AttemptEnded(
         request_id=fields.text("msgId"),
-        attempt=fields.number("shot"),
+        attempt_number=fields.number("shot"),
         server_id=fields.text("server"),
         outcome=_outcome_from(fields),
         is_final=fields.flag("doneFlag"),
--- a/glenrock/routing/slow_start.py
+++ b/glenrock/routing/slow_start.py
@@ -25,7 +25,7 @@
     client_fraction: float | None,
     peers: Collection[Peer],
     balancers: int,
-    is_draining: bool,
+    is_balancer_draining: bool,
 ) -> float:
     """Returns the load from which this balancer's slow-start budgets are computed.
 
@@ -38,12 +38,12 @@
         client_fraction: this balancer's fraction of all clients; None if it is not known.
         peers: the last summaries of the other balancers.
         balancers: number of balancers in the settings.
-        is_draining: this balancer migrates its clients.
+        is_balancer_draining: this balancer migrates its clients.
     """
     if not peers:
-        return 0.0 if is_draining else own_load
+        return 0.0 if is_balancer_draining else own_load
     unassigned = sum(peer.active_load for peer in peers if not peer.clients)
-    if client_fraction is not None and not is_draining:
+    if client_fraction is not None and not is_balancer_draining:
         return own_load + unassigned * client_fraction
     if any(peer.clients for peer in peers):
         return 0.0
@@ -95,13 +95,13 @@
         mean_warmth = (settings.slow_start_initial_fraction + self.warmth(server)) / 2
         return SLOW_START_BUDGET_FRACTION * settings.slow_start_multiple * age_fraction * mean_warmth
 
-    def update_reference_load(self, load: float, is_draining: bool) -> None:
+    def update_reference_load(self, load: float, is_balancer_draining: bool) -> None:
         """Updates the reference load, once a round.
 
         While no server is warm the last load is kept: after a loss of all servers no connections are left,
         and budgets of 0 would last until the first server is warm.
         """
-        if is_draining or not self._capacity.has_no_warm_server:
+        if is_balancer_draining or not self._capacity.has_no_warm_server:
             self.reference_load = load
 
     def headroom(self, server: Server) -> float:
--- a/glenrock/routing/state.py
+++ b/glenrock/routing/state.py
@@ -143,8 +143,8 @@
     candidates: list[Server] = field(default_factory=list)
 
     @property
-    def first_executed(self) -> Attempt | None:
-        """The first attempt that may have executed, which includes one in flight; None if there is none."""
+    def first_possibly_executed(self) -> Attempt | None:
+        """The first attempt without proof that it did not execute; one in flight counts. None without one."""
         for attempt in self.attempts:
             if attempt.outcome not in NOT_EXECUTED_OUTCOMES:
                 return attempt
--- a/glenrock/simulation/model/balancer.py
+++ b/glenrock/simulation/model/balancer.py
@@ -311,9 +311,11 @@
         request = self.requests.get(action.request_id)
         if request is None:
             raise PolicyFailedError(f"acts on {action.request_id!r}, which it does not hold")
-        if not 0 <= action.attempt < len(request.attempts):
-            raise PolicyFailedError(f"cancels attempt {action.attempt} of {action.request_id!r}, which was never made")
-        attempt = request.attempts[action.attempt]
+        if not 0 <= action.attempt_number < len(request.attempts):
+            raise PolicyFailedError(
+                f"cancels attempt {action.attempt_number} of {action.request_id!r}, which was never made"
+            )
+        attempt = request.attempts[action.attempt_number]
         if attempt.is_established and attempt.is_active:
             text = "a standing connection ended without MOVE"
             self.environment.record_violation("cut off", text, request, attempt.instance.name)
--- a/glenrock/simulation/policies/module.py
+++ b/glenrock/simulation/policies/module.py
@@ -34,7 +34,7 @@
 # By the name in experiment files: the constant's name in `glenrock.routing`, and the modules that hold it.
 CONSTANTS: dict[str, tuple[str, tuple[ModuleType, ...]]] = {
     "ROUND_US": ("ROUND_US", ROUND_MODULES),
-    "CALM_US": ("IDLE_GOSSIP_INTERVAL_US", (gossip,)),
+    "CALM_US": ("CALM_GOSSIP_INTERVAL_US", (gossip,)),
     "LAG_US": ("LAG_US", (admission, balancer_module)),
     "PROBE_WAIT_US": ("HEALTH_CHECK_WAIT_US", (server_selection, request_lifecycle)),
     "TARGET": ("TARGET_LOAD", (load_targets,)),
--- a/tests/routing/test_admission.py
+++ b/tests/routing/test_admission.py
@@ -95,9 +95,9 @@
     admission.load_cap, balancer.sessions.active_load = 20.0, 5.0
     admission.update_quota()
     assert admission.partial_bucket == 1 - 9 and not admission.may_admit_newcomers
-    admission.has_rejected_newcomer, admission.quota = False, 10.0
+    admission.has_rejected_young_bucket, admission.quota = False, 10.0
     assert not harness.attempts_of(harness.send_request(key=1, load=1))
-    assert admission.has_rejected_newcomer
+    assert admission.has_rejected_young_bucket
 
 
 def test_clients_not_seen_lately_reserve_no_load(make_harness: HarnessFactory) -> None:
--- a/tests/routing/test_connection_concurrency.py
+++ b/tests/routing/test_connection_concurrency.py
@@ -109,7 +109,7 @@
     batch = EventBatch()
     limit = ConcurrencyLimit(batch, OBJECTIVE_US)
     limit.limit = 4.0
-    for _ in range(connection_concurrency.IDLE_ROUNDS):
+    for _ in range(connection_concurrency.LIFT_AFTER_ROUNDS):
         batch.now_us += ROUND_US
         assert limit.limit == 4.0
         limit.finish_round()
--- a/tests/routing/test_failure_domains.py
+++ b/tests/routing/test_failure_domains.py
@@ -39,10 +39,10 @@
         now_us += span_us
         shuffled_evidence = list(evidence)
         rng.shuffle(shuffled_evidence)
-        for domain, member, has_answered in evidence:
-            domains.record(domain, member, has_answered)
-        for domain, member, has_answered in shuffled_evidence:
-            shuffled_domains.record(domain, member, has_answered)
+        for domain, member, is_reachable in evidence:
+            domains.record(domain, member, is_reachable)
+        for domain, member, is_reachable in shuffled_evidence:
+            shuffled_domains.record(domain, member, is_reachable)
         # An answer adds no state for a domain without failures, whatever the order.
         assert sorted(domains.evaluate(now_us)) == sorted(shuffled_domains.evaluate(now_us))
         assert rounded_states(domains) == rounded_states(shuffled_domains)
--- a/tests/routing/test_invalid_summaries.py
+++ b/tests/routing/test_invalid_summaries.py
@@ -50,7 +50,7 @@
     harness = harness_with_a_peer()
     harness.deliver(interface.GossipReceived(peer, data))
     (ignored,) = harness.balancer.batch.ignored_summaries
-    assert ignored.peer == peer and reason in ignored.reason
+    assert ignored.peer_index == peer and reason in ignored.reason
     assert harness.balancer.gossip.tier_load() == TIER_LOAD
     assert not harness.balancer.waiting_queue.load_by_bucket()
     assert set(harness.balancer.gossip.peers) == {1}
--- a/tests/routing/test_operator_overrides.py
+++ b/tests/routing/test_operator_overrides.py
@@ -218,7 +218,9 @@
     own_clients = 0 if own.state == "new" else own.clients
     clients_of_others = sum(member.reported_clients for member in others)
     client_fraction = own_clients / (own_clients + clients_of_others) if own_clients else None
-    return reference_load(own.active_load, client_fraction, peers, len(tier), is_draining=own.state == "draining")
+    return reference_load(
+        own.active_load, client_fraction, peers, len(tier), is_balancer_draining=own.state == "draining"
+    )
 
 
 @given(st.lists(TIER_MEMBERS, min_size=2, max_size=8))
--- a/tests/simulation/test_hard_cases.py
+++ b/tests/simulation/test_hard_cases.py
@@ -129,7 +129,10 @@
     s = d.run()
     assert s["counts"]["moved"] > 50
     ends = [
-        (e.request_id, e.attempt) for h in d.balancers for e in h.policy.events if isinstance(e, interface.AttemptEnded)
+        (e.request_id, e.attempt_number)
+        for h in d.balancers
+        for e in h.policy.events
+        if isinstance(e, interface.AttemptEnded)
     ]
     assert len(ends) == len(set(ends)), "an attempt ended twice"
     assert not any(s["rules"].values())
@@ -152,7 +155,7 @@
     at(d, 5.39)
     gossip = [e for e in alive.policy.events if isinstance(e, interface.GossipReceived)]
     late = [e for e in gossip if int(e.data) > d.start_us + 4_620_000]
-    assert late and all(e.peer == dead.index for e in late)
+    assert late and all(e.peer_index == dead.index for e in late)
 
 
 def test_all_instances_gone() -> None:
--- a/tests/simulation/test_rules.py
+++ b/tests/simulation/test_rules.py
@@ -102,7 +102,7 @@
     class Cutter(Scripted):
         def on(self, e):
             if isinstance(e, interface.ConnectionEstablished):
-                return [interface.CancelAttempt(e.request_id, e.attempt)]
+                return [interface.CancelAttempt(e.request_id, e.attempt_number)]
             return super().on(e)
 
     assert "without MOVE" in only(run(Cutter), "cut off")["text"]
