--- a/glenrock/testbed/consul_server.py
+++ b/glenrock/testbed/consul_server.py
@@ -1,9 +1,8 @@
 """A stand-in for Consul, written from its public API: sessions, keys and values, transactions, blocking queries.
 
-Sessions end at their TTL times a factor (the service promises never early, and up to twice the TTL); their locks are
-released, and not given again within the lock delay. Faults: pauses, errors, slow calls, a restart (all TTLs begin
-anew), a return to a snapshot, calls that are executed and not answered, and old data in reads that do not ask for
-consistency.
+A session ends after its TTL times a factor of 1 to 2, which is what the service promises. Its locks are released, and
+are not given again within the lock delay. Faults: pauses, errors, slow calls, a restart (all TTLs begin anew), a return
+to a snapshot, calls that are executed and not answered, and old data in reads that do not ask for consistency.
 """
 
 from __future__ import annotations
@@ -155,7 +154,7 @@
 
     def run_transaction(self, operations: list[JsonObject]) -> TransactionResult:
         """Runs all operations or none, and reports each that fails."""
-        kept = copy.copy(self.entries), self.index
+        before = copy.copy(self.entries), self.index
         results: list[JsonObject] = []
         errors: list[JsonObject] = []
         for number, operation in enumerate(operations):
@@ -165,7 +164,7 @@
             elif outcome.entry:
                 results.append({"KV": outcome.entry})
         if errors:
-            self.entries, self.index = kept
+            self.entries, self.index = before
             return TransactionResult([], errors)
         return TransactionResult(results, [])
 
--- a/glenrock/testbed/scenario_faults.py
+++ b/glenrock/testbed/scenario_faults.py
@@ -1,4 +1,4 @@
-"""Plays the faults of a scenario on its testbed. What each strikes is drawn by the run's seed."""
+"""Plays the faults of a scenario on its testbed. The target of each is drawn by the run's seed."""
 
 from __future__ import annotations
 
@@ -36,6 +36,7 @@
     fault_word,
 )
 from .scenario_testbed import ScenarioTestbed
+from .waiting import wait_until
 
 if TYPE_CHECKING:
     from .consul_server import ConsulServer
@@ -44,8 +45,7 @@
 PROCESS_SETTLE_US = 1 * US_PER_S  # effects of a fault of a process show this long after its end
 PATH_SETTLE_US = 4 * US_PER_S  # of a path: the kernel retransmits after up to some seconds
 KILL_TIMEOUT_S = 5.0
-READY_POLL_S = 0.02
-SUSPENDED_FRACTION = 4  # random overrides suspend a fourth of the servers at most
+SUSPENDED_DIVISOR = 4  # random overrides suspend a fourth of the servers at most
 LATE_LEASES = 1.5  # delay of late gossip, in leases
 
 TimedFault = PauseBalancer | LimitBalancerCpu | DiscoveryFault | PathFault | StoreFault
@@ -94,7 +94,7 @@
         self._tasks.append(asyncio.get_running_loop().create_task(work))
 
     def _target(self, fault: AnyFault) -> int:
-        """Returns the number of the balancer or the server that a fault strikes; -1 where it names neither."""
+        """Returns the number of the balancer or the server that a fault affects; -1 where it names neither."""
         for kind, count in (("balancer", self._bed.balancer_count), ("instance", len(self._bed.servers))):
             given: int | None = getattr(fault, kind, None)
             if given is not None:
@@ -108,7 +108,7 @@
     # -- intervals -------------------------------------------------------------------------------------
 
     def note_begin(self, fault: AnyFault, *parties: str, settle_us: int = PROCESS_SETTLE_US) -> FaultInterval:
-        """Notes that a fault is on, and the parties that it strikes."""
+        """Notes that a fault is on, and the parties that it affects."""
         interval = self._bed.history.begin_fault(fault_word(fault), parties, settle_us)
         self._active.append(interval)
         return interval
@@ -158,8 +158,7 @@
         await asyncio.sleep(down_s)
         frontend.ready.discard(target)
         self._bed.balancers[target].start()
-        while target not in frontend.ready:  # noqa: ASYNC110 - the front end polls too
-            await asyncio.sleep(READY_POLL_S)
+        await wait_until(lambda: target in frontend.ready)
         self._note_end(interval)
 
     async def _pause(self, fault: PauseBalancer, target: int) -> None:
@@ -228,19 +227,19 @@
         bed = self._bed
         balancers = {process.party for process in bed.balancers}
         parties = [CLIENTS, DISCOVERY, STORE, *balancers, *(server.party for server in bed.servers)]
-        struck = {
+        affected = {
             party
             for party in parties
             for other in parties
             if affects(fault, party, other) or affects(fault, other, party)
         }
-        if struck <= balancers:
-            struck = set()  # no invariant depends on gossip, so its loss excuses nothing
+        if affected <= balancers:
+            affected = set()  # no invariant depends on gossip, so its loss excuses nothing
         await self._hold(
             fault,
             lambda: bed.paths.begin(fault),
             lambda: bed.paths.end(fault),
-            *struck,
+            *affected,
             settle_us=PATH_SETTLE_US,
         )
 
@@ -287,10 +286,10 @@
             await asyncio.sleep(drawn_number(fault.each_ms) / 1000 * self._rng.uniform(0.5, 1.5))
 
     def _is_free(self, process: BalancerProcess) -> bool:
-        is_struck = any(
+        is_affected = any(
             process.party in interval.parties and interval.kind in ("pause", "kill") for interval in self._active
         )
-        return process.is_running and not process.is_paused and not is_struck
+        return process.is_running and not process.is_paused and not is_affected
 
     def _random_fault(self, kind: RandomFaultKind, chosen: int, other: int) -> Coroutine[Any, Any, None]:
         """Draws the rest of a fault, and returns it, ready to be played."""
@@ -330,7 +329,7 @@
         assert self.operator is not None, "the scenario has a store"
         count = len(self._bed.servers)
         server = self._rng.randrange(count)
-        if server not in self._suspended and len(self._suspended) < max(1, count // SUSPENDED_FRACTION):
+        if server not in self._suspended and len(self._suspended) < max(1, count // SUSPENDED_DIVISOR):
             self._suspended[server] = None
             await self.operator.override_server(balancer, server, True)
         elif self._suspended:
--- a/glenrock/testbed/scenario_testbed.py
+++ b/glenrock/testbed/scenario_testbed.py
@@ -34,13 +34,13 @@
     server_parameters,
     settings_of,
 )
+from .waiting import wait_until
 
 if TYPE_CHECKING:
     from .coordination_store import CoordinationStore
 
-MAX_RELAYED_BALANCERS = 40  # above this, gossip that no fault strikes is not relayed: each ordered pair takes a socket
+MAX_RELAYED_BALANCERS = 40  # above this, gossip that no fault affects is not relayed: each ordered pair takes a socket
 START_GAP_S = 0.005
-POLL_S = 0.02
 
 
 class BalancersNotReadyError(Exception):
@@ -186,7 +186,7 @@
         self.history.note(DISCOVERY, ListChanged(number, status, self.directory.version))
 
     def restart_server(self, number: int) -> None:
-        """Starts a server again; its row tells its new start from the next time that it is sent."""
+        """Starts a server again; its row has the new start from the next time that it is sent."""
         server = self.servers[number]
         server.restart()
         self.directory.servers[server.name].since_ms = server.started_ms
@@ -256,19 +256,16 @@
         self.frontend.open()
         await self._wait_until_ready()
         self.clients.resume_connections(self.balancer_count, [server.name for server in self.servers])
-        until_s = asyncio.get_running_loop().time() + RESUME_TIMEOUT_S
-        while self.clients.resuming and asyncio.get_running_loop().time() < until_s:  # noqa: ASYNC110 - bounded in time
-            await asyncio.sleep(POLL_S)
+        await wait_until(lambda: not self.clients.resuming, RESUME_TIMEOUT_S)
 
     async def _wait_until_ready(self) -> None:
-        until_s = asyncio.get_running_loop().time() + drawn_number(self.scenario.rig.ready_s)
-        while len(self.frontend.ready) < self.balancer_count:
-            if asyncio.get_running_loop().time() > until_s:
-                missing = min(set(range(self.balancer_count)) - self.frontend.ready)
-                raise BalancersNotReadyError(
-                    f"balancer {missing} did not answer PING in time; its log: {self.balancers[missing].log_path}"
-                )
-            await asyncio.sleep(POLL_S)
+        ready = self.frontend.ready
+        if await wait_until(lambda: len(ready) == self.balancer_count, drawn_number(self.scenario.rig.ready_s)):
+            return
+        missing = min(set(range(self.balancer_count)) - ready)
+        raise BalancersNotReadyError(
+            f"balancer {missing} did not answer PING in time; its log: {self.balancers[missing].log_path}"
+        )
 
     def close(self) -> None:
         """Ends all processes and sockets. Clients end first, so that none sees the end of its balancer."""
@@ -290,7 +287,7 @@
 def _planned_path_faults(scenario: Scenario) -> tuple[PathFault, ...]:
     planned = tuple(fault for fault in scenario.faults if isinstance(fault, PathFault))
     if any(isinstance(fault, RandomFaults) and RandomFaultKind.STORE_CUT in fault.kinds for fault in scenario.faults):
-        # The struck balancer is drawn later, so each of them needs a relay to the store.
+        # The affected balancer is drawn later, so each of them needs a relay to the store.
         planned += (PathFault(at_s=0.0, source="balancer:*", target=STORE, cut=True),)
     return planned
 
