--- a/glenrock/coordination/shared_work/health_check_shards.py
+++ b/glenrock/coordination/shared_work/health_check_shards.py
@@ -86,7 +86,8 @@
         server_ids = set(server_ids)
         if server_ids == self._codes.keys():
             return
-        self._codes = {server_id: server_code(server_id) for server_id in server_ids}
+        # Sorted: the order of a set of names, and with it the order of checks, would change with PYTHONHASHSEED.
+        self._codes = {server_id: server_code(server_id) for server_id in sorted(server_ids)}
         self._server_ids = _unique_codes(self._codes)
         self._members = []
         self._checked_us = _of_servers(server_ids, self._checked_us)
