--- a/glenrock/testbed/call_queue.py
+++ b/glenrock/testbed/call_queue.py
@@ -6,10 +6,11 @@
 
 
 class CallQueue:
-    """Calls wait in line, and each takes a time of the service.
+    """The queue of a service that serves one call at a time, and takes some time for each.
 
     Attributes:
-        call_s: time of a call. `slow_call_s`: in its place while it is above 0.
+        call_s: time of a call.
+        slow_call_s: the same while the service is slow; 0 while it is not.
         calls: made so far.
         longest: the most calls that waited or were served at a time.
     """
@@ -25,7 +26,7 @@
         self._served: set[asyncio.Task[None]] = set()
 
     async def wait_turn(self) -> bool:
-        """Waits for the service. Returns False after too long a wait in line; the call is still served."""
+        """Waits until the call is served. Returns False if that takes too long; the service still serves the call."""
         has_begun = asyncio.Event()
         self.calls += 1
         self._waiting += 1
--- a/glenrock/testbed/consul_server.py
+++ b/glenrock/testbed/consul_server.py
@@ -90,7 +90,7 @@
 
 @dataclass(slots=True)
 class ConsulState:
-    """What the service keeps. Pure but for its clock.
+    """Sessions, keys and locks of the service. Pure but for its clock.
 
     Attributes:
         now_s: the clock.
--- a/glenrock/testbed/coordination_invariants.py
+++ b/glenrock/testbed/coordination_invariants.py
@@ -12,7 +12,7 @@
 from .request_invariants import SLACK_S
 
 OVERRIDE_PROPAGATION_S = 1.0  # an acknowledged suspension reaches every balancer that can be reached
-DRAIN_LOOK_GAP_S = 0.6  # the front end looks at a draining balancer more often than this
+DRAIN_SIGHTING_GAP_S = 0.6  # the front end sends PING more often than this
 
 
 def check_term_order(context: CheckContext) -> None:
@@ -47,7 +47,7 @@
         return
     spans = _drain_spans(context)
     context.result.cases[Invariant.DRAIN_PERMITS] += len(spans)
-    # At one instant, beginnings come before ends: a span of one look has both.
+    # At one instant, beginnings come before ends: a drain that was seen once has both.
     edges = [_DrainEdge(span.from_s, False, span.balancer) for span in spans]
     edges += [_DrainEdge(span.to_s, True, span.balancer) for span in spans]
     draining: set[int] = set()
@@ -84,7 +84,7 @@
     spans: dict[int, list[_DrainSpan]] = defaultdict(list)
     for sighting in context.record.drains:
         found = spans[sighting.balancer]
-        if found and sighting.at_s - found[-1].to_s < DRAIN_LOOK_GAP_S:
+        if found and sighting.at_s - found[-1].to_s < DRAIN_SIGHTING_GAP_S:
             found[-1].to_s = sighting.at_s
         else:
             found.append(_DrainSpan(sighting.balancer, sighting.at_s, sighting.at_s))
--- a/glenrock/testbed/discovery_agent.py
+++ b/glenrock/testbed/discovery_agent.py
@@ -49,7 +49,7 @@
     Attributes:
         rejects: answers 503.
         slow_s: an answer takes this long from its first byte to its last.
-        cuts: this many answers are still to be cut in their middle.
+        cuts: so many of the next answers break off in their middle.
         calls: accepted so far. `rejected_calls`: answered 503. `bytes_sent`: of all answers.
         first_answer_s: on the loop's clock; None before.
     """
@@ -70,8 +70,8 @@
         self.bytes_sent = 0
         self.first_answer_s: float | None = None
         self._last_answer_s = float("-inf")
-        self._speaks = asyncio.Event()
-        self._speaks.set()
+        self._answers_calls = asyncio.Event()
+        self._answers_calls.set()
         self._balancer = balancer
         self._directory = directory
         self._observer = observer
@@ -86,14 +86,14 @@
     @property
     def is_silent(self) -> bool:
         """Whether calls are accepted and not answered."""
-        return not self._speaks.is_set()
+        return not self._answers_calls.is_set()
 
     def set_silent(self, is_silent: bool) -> None:
         """Leaves calls unanswered from now on, or answers all that wait."""
         if is_silent:
-            self._speaks.clear()
+            self._answers_calls.clear()
         else:
-            self._speaks.set()
+            self._answers_calls.set()
 
     def open(self) -> None:
         """Listens from now on."""
@@ -114,27 +114,33 @@
 
     async def _answer(self, query: dict[str, list[str]], writer: asyncio.StreamWriter) -> bool:
         """Returns False where the connection was ended."""
-        loop = asyncio.get_running_loop()
         self._observer.note_call(self._balancer)
         since = int(query["index"][0]) if "index" in query else None
-        continues_watch = since is not None and loop.time() - self._last_answer_s < WATCH_GAP_S
-        has_turn = continues_watch or self._queue is None or await self._queue.wait_turn()
-        if not has_turn or self.rejects:
+        if not await self._is_served(since) or self.rejects:
             self.rejected_calls += 1
             return await self._send(writer, 503, b"{}")
         if self.first_answer_s is None:
-            self.first_answer_s = loop.time()
+            self.first_answer_s = asyncio.get_running_loop().time()
         if since is not None and since >= self._directory.version:
             wait_ms = float(query.get("wait", ["0"])[0])
             await self._directory.wait_for_change(min(MAX_WATCH_S, wait_ms / 1000))
-        await self._speaks.wait()
+        await self._answers_calls.wait()
         if self.rejects:
             reset_connection(writer)
             return False
+        return await self._send_list(writer, since)
+
+    async def _is_served(self, since: int | None) -> bool:
+        """Waits in the service's queue, where there is one. A call that continues a watch does not wait."""
+        continues_watch = since is not None and asyncio.get_running_loop().time() - self._last_answer_s < WATCH_GAP_S
+        return continues_watch or self._queue is None or await self._queue.wait_turn()
+
+    async def _send_list(self, writer: asyncio.StreamWriter, since: int | None) -> bool:
+        """Sends the list or its changes, and notes them as sent. Returns False where the answer was cut off."""
         if not await self._send(writer, 200, self._directory.answer_bytes(self._balancer, since)):
             return False
-        self._last_answer_s = loop.time()
-        # A change that the agent holds counts as sent, also one since the answer was made.
+        self._last_answer_s = asyncio.get_running_loop().time()
+        # A change that the agent has counts as sent, even if it came after the answer was made.
         for server in self._directory.changed_since(since):
             self._observer.note_listed(self._balancer, server)
         return True
--- a/glenrock/testbed/frontend.py
+++ b/glenrock/testbed/frontend.py
@@ -1,4 +1,4 @@
-"""The tier before the balancers: spreads clients over those that answer PING, and notices a dead one late."""
+"""The tier before the balancers: spreads clients over those that answer PING, and removes a silent one late."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Frontend:
-    """Looks at each balancer, and picks one for each client.
+    """Sends PING to each balancer, and picks a ready one for each client.
 
     Attributes:
         ready: numbers of the balancers that clients are sent to.
@@ -24,7 +24,7 @@
     def __init__(
         self, addresses: list[Address], notice_s: float, interval_s: float, history: History, seed: int
     ) -> None:
-        """Takes the balancers' addresses, the time until a silent one is removed, and the time between two looks."""
+        """Takes the balancers' addresses, the time until a silent one is removed, and the time between two PINGs."""
         self.ready: set[int] = set()
         self._addresses = addresses
         self._notice_s, self._interval_s = notice_s, interval_s
@@ -34,12 +34,12 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     def open(self) -> None:
-        """Looks at all balancers from now on."""
+        """Sends PING to all balancers from now on."""
         loop = asyncio.get_running_loop()
         self._tasks = [loop.create_task(self._watch(number)) for number in range(len(self._addresses))]
 
     def close(self) -> None:
-        """Stops looking."""
+        """Sends no more."""
         for task in self._tasks:
             task.cancel()
 
--- a/glenrock/testbed/history_events.py
+++ b/glenrock/testbed/history_events.py
@@ -202,16 +202,16 @@
 
 @dataclass(frozen=True, slots=True)
 class ListChanged(EventData):
-    """The status of a server in the endpoint list changed. `server`: number."""
+    """The status of a server in the endpoint list changed."""
 
-    server: int
+    server_number: int
     status: EndpointStatus
     version: int
 
 
 @dataclass(frozen=True, slots=True)
 class ServerListed(EventData):
-    """A balancer was sent the status of a server. `server`: party."""
+    """A balancer was sent the status of a server. `server`: its name as a party."""
 
     balancer: int
     server: str
@@ -280,7 +280,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OverrideRequested(EventData):
-    """An operator suspends a server at one balancer, or resumes it. `server`: party."""
+    """An operator suspends a server at one balancer, or resumes it. `server`: its name as a party."""
 
     balancer: int
     server: str
@@ -321,7 +321,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultBegan(EventData):
-    """A fault is on. `kind`: its word in scenario files."""
+    """A fault became active. `kind`: its word in scenario files."""
 
     kind: str
     parties: frozenset[str]
@@ -329,7 +329,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultEnded(EventData):
-    """A fault is over."""
+    """A fault ended."""
 
     kind: str
     parties: frozenset[str]
--- a/glenrock/testbed/history_text.py
+++ b/glenrock/testbed/history_text.py
@@ -57,7 +57,7 @@
     events.CpuRestored: LineFormat("loosened"),
     events.LineLogged: LineFormat("log", {"text": "text"}),
     events.DiscoveryCalled: LineFormat("call", BALANCER),
-    events.ListChanged: LineFormat("changed", {"server": "instance", "status": "status", "version": "index"}),
+    events.ListChanged: LineFormat("changed", {"server_number": "instance", "status": "status", "version": "index"}),
     events.ServerListed: LineFormat("told", BALANCER | {"server": "instance", "status": "status"}),
     events.DrainObserved: LineFormat("away", BALANCER),
     events.BalancerAdded: LineFormat("takes in", BALANCER),
--- a/glenrock/testbed/scenario.py
+++ b/glenrock/testbed/scenario.py
@@ -188,12 +188,12 @@
     """What `RandomFaults` draws from."""
 
     PAUSE = "pause"
-    """Of 0.02 to 2 leases, half of them close to one lease."""
+    """A pause of 0.02 to 2 leases; half of the pauses are close to one lease."""
     KILL = "kill"
     GOSSIP_CUT = "cut"
     STORE_CUT = "store_cut"
     GOSSIP_LATE = "late"
-    """By more than a lease."""
+    """Gossip is delayed by more than a lease."""
     OVERRIDE = "ban"
     DRAIN = "ticket"
 
@@ -274,7 +274,7 @@
     Attributes:
         sockets: descriptor limit of a process. `memory_mb`: limit of its address space.
         ready_s: all processes answer PING within this, or the run fails.
-        admit_s: between two looks of the front end at a balancer.
+        admit_s: between two PINGs of the front end to a balancer.
         ask_s: between two lines of a client.
         call_ms: of discovery for a call; calls wait in line. `line_s`: a call waits no longer than this.
         known: each process starts with the endpoint list as it is when the run begins.
