--- a/glenrock/coordination/agent.py
+++ b/glenrock/coordination/agent.py
@@ -181,7 +181,7 @@
         membership=membership,
         overrides=overrides,
         fence=fence,
-        state=StateWriter(host, DurableState(folder, name), fence, overrides),
+        state=StateWriter(DurableState(folder, name), fence, overrides, host.clock, host.connections.metrics),
         transport=transport,
         leases=LeaseRunner(store, manager, timing, fence, transport, tasks),
         tasks=tasks,
--- a/glenrock/coordination/state_writer.py
+++ b/glenrock/coordination/state_writer.py
@@ -6,8 +6,9 @@
 from collections.abc import Callable, Sequence
 
 from ..log import get_logger
+from ..net.clock import Clock
+from ..net.metrics import ConnectionMetrics
 from .durable_state import DurableState, DurableStateError
-from .host import BalancerHost
 from .leases.fence import Fence
 from .shared_work.override_log import OverrideChange, OverrideLog
 
@@ -27,12 +28,15 @@
         change_listeners: called for each write that merged changes of overrides from the file.
     """
 
-    def __init__(self, host: BalancerHost, file: DurableState, fence: Fence, overrides: OverrideLog) -> None:
+    def __init__(
+        self, file: DurableState, fence: Fence, overrides: OverrideLog, clock: Clock, metrics: ConnectionMetrics
+    ) -> None:
         self.file = file
         self.change_listeners: list[ChangeListener] = []
-        self._host = host
         self._fence = fence
         self._overrides = overrides
+        self._clock = clock
+        self._metrics = metrics
         self._is_failing = False  # the last write failed
         self._write_lock = asyncio.Lock()
 
@@ -51,10 +55,9 @@
         Returns:
             False if the file cannot be written; then what has changed must not be acted on.
         """
-        clock = self._host.clock
         async with self._write_lock:
             snapshot = self.file.snapshot(self._fence, self._overrides)
-            started_ms = clock.now_ms()
+            started_ms = self._clock.now_ms()
             try:
                 is_merged = await asyncio.to_thread(self.file.write, snapshot)
             except OSError as error:
@@ -67,7 +70,7 @@
             changes = self.file.merge(snapshot, self._fence, self._overrides)
             for listener in self.change_listeners:
                 listener(changes)
-        duration_ms = clock.now_ms() - started_ms
+        duration_ms = self._clock.now_ms() - started_ms
         if duration_ms > SLOW_WRITE_MS:
             logger.warning("slow write of the coordination state", path=self.file.path, duration_ms=duration_ms)
         return True
@@ -76,4 +79,4 @@
         if not self._is_failing:  # logged at the first failure, since the write is retried each half second
             logger.error("coordination state not writable", path=self.file.path, error=error)
         self._is_failing = True
-        self._host.connections.metrics.add_system_error(error)
+        self._metrics.add_system_error(error)
--- a/tests/coordination/rig.py
+++ b/tests/coordination/rig.py
@@ -28,6 +28,7 @@
 from glenrock.net.connection_table import ConnectionTable
 from glenrock.net.endpoint_watcher import EndpointWatcher
 from glenrock.net.graceful_shutdown import GracefulShutdown
+from glenrock.net.metrics import ConnectionMetrics
 from glenrock.net.peers import Peers
 from glenrock.net.routing_actor import RoutingActor
 from glenrock.net.server_connections import ServerRegistry
@@ -113,7 +114,7 @@
         membership=membership,
         overrides=overrides,
         fence=fence,
-        state=StateWriter(host, DurableState(folder, "n1"), fence, overrides),
+        state=StateWriter(DurableState(folder, "n1"), fence, overrides, host.clock, ConnectionMetrics([])),
         transport=transport,
         leases=LeaseRunner(store, manager, TIMING, fence, transport, tasks),
         tasks=tasks,
