--- a/glenrock/coordination/datagrams.py
+++ b/glenrock/coordination/datagrams.py
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SyncRequest:
-    """Asks a lease holder for missing overrides, after a heartbeat with a different digest.
+    """Requests missing overrides from a lease holder, after a heartbeat with a different digest.
 
     Attributes:
         job: the job.
--- a/glenrock/coordination/leases/consul_store.py
+++ b/glenrock/coordination/leases/consul_store.py
@@ -236,14 +236,14 @@
 
     async def _check_renewals(self, renewals: list[JobRequest], answers: LeaseAnswers, is_renewed: bool) -> None:
         """Adds to `answers` the renewals of locks that are still held."""
-        held = []
+        renewable = []
         for renewal in renewals:
             if is_renewed and self._held.get(renewal.job, NOT_HELD).term == renewal.request.term:
-                held.append(renewal)
+                renewable.append(renewal)
             else:
                 answers.add(renewal.job, NOT_GRANTED)
-        for start in range(0, len(held), MAX_OPERATIONS):
-            batch = held[start : start + MAX_OPERATIONS]
+        for start in range(0, len(renewable), MAX_OPERATIONS):
+            batch = renewable[start : start + MAX_OPERATIONS]
             checks = [self._index_check(job, self._held[job].modify_index) for job, _ in batch]
             result = await self.transaction(checks)
             for position, (job, request) in enumerate(batch):
--- a/glenrock/coordination/transport.py
+++ b/glenrock/coordination/transport.py
@@ -73,7 +73,7 @@
             call()
 
     def send(self, peer: int, message: datagrams.Message) -> None:
-        """Sends a message to a peer. One that is too long for a datagram is dropped; the store replicates it."""
+        """Sends a message to a peer. A message that is too long for a datagram is dropped; the store replicates it."""
         data = datagrams.encode(message)
         if data is not None and self._peers:
             self._peers.send_to(peer, data)
