--- a/tests/net/discovery_answers.py
+++ b/tests/net/discovery_answers.py
@@ -1,28 +1,45 @@
-"""Answers of discovery as JSON objects, and as HTTP."""
+"""Endpoint lists in the form in which service discovery answers, as JSON and HTTP, for stand-ins of discovery."""
 
 from __future__ import annotations
 
 import json
-from collections.abc import Iterable, Mapping
-
-
-def endpoint_row(name: str, address: str, status: str = "SERVING") -> dict[str, object]:
-    """Returns the row of a server at `host:port`."""
-    return {
-        "name": name,
-        "address": address,
-        "zone": "a",
-        "type": "m",
-        "group": 0,
-        "status": status,
-        "weight": 1.0,
-        "since_ms": 0,
-    }
-
-
-def endpoint_answer(version: int, rows: Iterable[Mapping[str, object]], is_full: bool = True) -> dict[str, object]:
-    """Returns an answer of discovery: a whole list, or changes to it."""
-    return {"index": version, "snapshot": is_full, "endpoints": list(rows)}
+from collections.abc import Iterable
+from typing import TypedDict
+
+
+class EndpointRow(TypedDict):
+    """Holds the fields of a server's row, under the names that discovery gives them."""
+
+    name: str
+    address: str
+    zone: str
+    type: str
+    group: int
+    status: str
+    weight: float
+    since_ms: float
+
+
+class EndpointAnswer(TypedDict):
+    """Holds an answer of discovery: a whole list, or changes to it."""
+
+    index: int
+    snapshot: bool
+    endpoints: list[EndpointRow]
+
+
+def endpoint_row(
+    name: str, address: str, status: str = "SERVING", zone: str = "a", group: int = 0, since_ms: float = 0
+) -> EndpointRow:
+    """Returns the row of a server; `status` as discovery states it, `since_ms` its start in Unix ms."""
+    return EndpointRow(
+        name=name, address=address, zone=zone, type="m", group=group, status=status, weight=1.0, since_ms=since_ms
+    )
+
+
+def endpoint_answer(version: int, rows: Iterable[EndpointRow], is_full: bool = True) -> EndpointAnswer:
+    """Returns an answer of that version: a whole list, or changes to it."""
+    return EndpointAnswer(index=version, snapshot=is_full, endpoints=list(rows))
 
 
 def http_answer(body: object) -> bytes:
