--- a/glenrock/config.py
+++ b/glenrock/config.py
@@ -56,7 +56,8 @@
     """A balancer's configuration.
 
     Attributes:
-        name: the balancer's name in log lines.
+        name: the balancer's name in log lines, in its leases, and in the names of its coordination files, which a start
+            under another name does not find.
         listen: the address that accepts clients.
         discovery: the address of service discovery.
         seed: the seed of all random numbers.
--- a/glenrock/coordination/agent.py
+++ b/glenrock/coordination/agent.py
@@ -138,7 +138,7 @@
 
     def view(self) -> str:
         """Returns the operators' view, as JSON."""
-        cache_status = self._start_cache.status if self._start_cache else "nothing is kept"
+        cache_status = self._start_cache.status if self._start_cache else "disabled"
         return build_view(
             self._context,
             rejections=self.overrides.receiver.rejections if self.overrides else [],
--- a/glenrock/coordination/config.py
+++ b/glenrock/coordination/config.py
@@ -136,11 +136,11 @@
         _Requirement(
             not is_consul or lease.lease_ms >= store.shortest_ms,
             "lease.lease_ms",
-            f"the service takes no TTL under {store.shortest_ms:g} ms (store.shortest_ms)",
+            f"Consul accepts no TTL under {store.shortest_ms:g} ms (store.shortest_ms)",
         ),
         _Requirement(
             lease.ask_ms * 2 <= lease.lease_ms,
             "lease.ask_ms",
-            "at most half of lease_ms, or no renewal could be lost",
+            "at most half of lease_ms, so that one renewal may be lost",
         ),
     ]
--- a/glenrock/coordination/datagrams.py
+++ b/glenrock/coordination/datagrams.py
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LeaderHeartbeat:
+class HolderHeartbeat:
     """Sent by a lease holder each second: its term, and the digest of its override log."""
 
     job: str
@@ -80,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Acknowledgement:
-    """Answers an `OverrideUpdate`, or rejects a `LeaderHeartbeat`.
+    """Answers an `OverrideUpdate`, or rejects a `HolderHeartbeat`.
 
     Attributes:
         job: the job.
@@ -128,7 +128,7 @@
     server_id: str
 
 
-Message = KnownOverride | LeaderHeartbeat | SyncRequest | OverrideUpdate | Acknowledgement | SharedLoads | LeaseReleased
+Message = KnownOverride | HolderHeartbeat | SyncRequest | OverrideUpdate | Acknowledgement | SharedLoads | LeaseReleased
 
 
 def _clamp(*numbers: int) -> list[int]:
@@ -157,10 +157,10 @@
 
 
 def _body_of(
-    message: KnownOverride | LeaderHeartbeat | SyncRequest | OverrideUpdate | Acknowledgement | LeaseReleased,
+    message: KnownOverride | HolderHeartbeat | SyncRequest | OverrideUpdate | Acknowledgement | LeaseReleased,
 ) -> _Body:
     match message:
-        case LeaderHeartbeat(_, term, digest):
+        case HolderHeartbeat(_, term, digest):
             return _Body(HEARTBEAT, BODIES[HEARTBEAT].pack(*_clamp(term, digest)))
         case SyncRequest(_, term, up_to, wants_all):
             return _Body(SYNC_REQUEST, BODIES[SYNC_REQUEST].pack(*_clamp(term, *up_to), wants_all))
@@ -204,7 +204,7 @@
 def _message_of(kind: int, job: str, values: tuple[int, ...], server_id: str) -> Message:
     """Builds the message of a kind from the numbers of its body."""
     if kind == HEARTBEAT:
-        return LeaderHeartbeat(job, *values)
+        return HolderHeartbeat(job, *values)
     if kind == SYNC_REQUEST:
         term, up_to_term, up_to_sequence, wants_all = values
         return SyncRequest(job, term, Revision(up_to_term, up_to_sequence), bool(wants_all))
--- a/glenrock/coordination/drain_limiter.py
+++ b/glenrock/coordination/drain_limiter.py
@@ -97,13 +97,16 @@
         except (StoreUnavailableError, TimeoutError) as error:
             self._leases.record_store_error(error)
             raise OperationRejectedError(
-                f"not done: the store of tickets does not answer: {error or 'no answer in time'}"
+                f"not done: the lease store does not answer: {error or 'no answer in time'}"
             ) from error
 
     def _rejection_reason(self, leases: dict[str, Lease]) -> str:
         names = {lease.holder.partition("/")[0] for lease in leases.values() if lease.holder}
-        holders = ", ".join(sorted(names)) or "just taken by others"
-        return f"not done: {len(self._jobs)} may be drained at a time, and are: {holders}"
+        if not names:
+            return "not done: no drain permit was acquired"
+        return (
+            f"not done: at most {len(self._jobs)} may drain at a time; permits are held by {', '.join(sorted(names))}"
+        )
 
     async def _acquire(self, job: str, timeout_s: float) -> bool:
         """Acquires a permit and stores it. Returns whether it is held."""
@@ -138,7 +141,7 @@
 
     def _lose_permit(self, reason: LossReason) -> None:
         """Ends the drain, since another balancer may drain now."""
-        logger.warning("drain permit lost, accepting clients again", job=self.permit, reason=reason)
+        logger.warning("drain permit lost", job=self.permit, reason=reason)
         self._leases.stop_requesting(self.permit)
         self.permit = ""
         with contextlib.suppress(OperationRejectedError):  # a stopping process ends no drain
--- a/glenrock/coordination/durable_state.py
+++ b/glenrock/coordination/durable_state.py
@@ -2,7 +2,7 @@
 
 Each balancer has one file, which is replaced as a whole before the new state is acted on. The two processes of an
 upgrade have one name and share the file: under a lock, each merges what the other has written. The keys of the file are
-those of earlier versions; this module alone knows them.
+those of earlier versions; this module alone knows them, but for those of a pending override (`override_log`).
 """
 
 from __future__ import annotations
@@ -125,21 +125,18 @@
             self._merge_previous(fence, overrides)
             raise
         is_complete = bool(content.boot == self.boot)
-        was_restored = fence.is_restored
         self._merge_content(content, fence, overrides)
-        fence.is_restored = was_restored or is_complete
+        fence.is_restored |= is_complete
         return is_complete
 
     def _merge_previous(self, fence: Fence, overrides: OverrideLog) -> None:
         """Merges the previous version of the file, if it can be read."""
         with contextlib.suppress(OSError, DurableStateError):
-            was_restored = fence.is_restored
             content = _decode(durable_file.previous_path(self.path).read_bytes()[: MAX_BYTES + 1])
             self._merge_content(content, fence, overrides)
-            fence.is_restored = was_restored
 
     def _merge_content(self, content: StateSnapshot, fence: Fence, overrides: OverrideLog) -> None:
-        fence.restore(content.positions)
+        fence.merge(content.positions)
         _merge_overrides(content, overrides)
         for pending_id, pending in content.pending.items():
             if pending and pending_id not in overrides.pending:
--- a/glenrock/coordination/lease_runner.py
+++ b/glenrock/coordination/lease_runner.py
@@ -42,7 +42,7 @@
         timing: durations of a lease.
         event_listeners: called for each lease that is acquired or lost.
         answer_listeners: called for each request that is answered or timed out.
-        store_error: why the last call to the store failed; empty if it did not.
+        store_error: why the last failed call to the store failed; empty once a lease request is answered after it.
     """
 
     def __init__(
@@ -100,7 +100,7 @@
             self._tasks.run(self._submit(actions.requests))
 
     def handle_rejection(self, job: str, highest_term: int) -> None:
-        """Applies that a receiver has seen `highest_term` of a job."""
+        """Handles a rejection by a receiver that has seen `highest_term` of a job."""
         self.publish(self.manager.handle_rejection(job, boottime_us(), highest_term))
 
     def record_work(self, job: str) -> None:
--- a/glenrock/coordination/leases/candidate.py
+++ b/glenrock/coordination/leases/candidate.py
@@ -203,7 +203,7 @@
         return self._handle_acquisition(now_us, granted_term, expires_us)
 
     def handle_timeout(self, now_us: int, sequence: int) -> None:
-        """Applies that a request got no answer. The store may have carried the request out."""
+        """Handles the timeout of a request. The store may have carried the request out."""
         if sequence != self.last_sequence or not self.pending_kind:
             return
         kind, self.pending_kind = self.pending_kind, None
@@ -214,7 +214,7 @@
             self.next_request_us = now_us + self.timing.unreachable_backoff_us
 
     def handle_rejection(self, now_us: int, highest_term: int) -> list[CandidateAction]:
-        """Applies that a receiver has seen `highest_term`: another holder is newer, or the store lost its state."""
+        """Handles a rejection by a receiver: another holder is newer, or the store lost its state."""
         self.term_floor = max(self.term_floor, highest_term)
         if self.state is CandidateState.HOLDER and highest_term > self.term:
             return self._end_term(now_us, LossReason.SUPERSEDED)
--- a/glenrock/coordination/leases/fence.py
+++ b/glenrock/coordination/leases/fence.py
@@ -20,6 +20,7 @@
 
 
 NO_POSITION = FencePosition(0, 0)
+NOT_RESTORED_REASON = "the fence is not restored yet"
 
 
 @dataclass(frozen=True, slots=True)
@@ -73,11 +74,11 @@
         position = self.position(job)
         reason = ""
         if not self.is_restored:
-            reason = "what was seen before the start is not known yet"
+            reason = NOT_RESTORED_REASON
         elif term < position.term:
             reason = _past_term_reason(term, position)
         elif term == position.term and sequence <= position.sequence:
-            reason = f"number {sequence} of term {term} was taken before"
+            reason = f"sequence number {sequence} of term {term} is not above the last one"
         if reason:
             self.rejected_count += 1
             return FenceVerdict(False, position.term, reason)
@@ -85,14 +86,14 @@
         return FenceVerdict(True, term)
 
     def check_heartbeat(self, job: str, term: int) -> FenceVerdict:
-        """Checks a holder's heartbeat. A higher term fences all lower ones off, without an effect."""
+        """Checks a holder's heartbeat. A higher term raises the position: lower terms are rejected from then on."""
         position = self.position(job)
         if self.is_restored and term >= position.term:
             if term > position.term:
                 self.positions[job] = FencePosition(term, 0)
             return FenceVerdict(True, term)
         self.rejected_count += 1
-        reason = _past_term_reason(term, position) if self.is_restored else "not known yet"
+        reason = _past_term_reason(term, position) if self.is_restored else NOT_RESTORED_REASON
         return FenceVerdict(False, position.term, reason)
 
 
--- a/glenrock/coordination/leases/lease_manager.py
+++ b/glenrock/coordination/leases/lease_manager.py
@@ -66,8 +66,8 @@
     free_since_us: int = TIME_UNKNOWN
 
     @property
-    def may_become_free(self) -> bool:
-        """Whether the time is known at which the lease is free."""
+    def is_free_time_known(self) -> bool:
+        """Whether the time at which the lease becomes free is known."""
         return self.free_since_us != TIME_UNKNOWN
 
 
@@ -98,7 +98,7 @@
         self._last_work_us: dict[str, int] = {}
         self._acquired_us: dict[str, int] = {}
         self._rebalanced_us = 0
-        self._patience_leases: dict[str, int] = {}  # how long a misplaced job is held before it is released
+        self._patience_leases: dict[str, int] = {}  # lease durations for which a misplaced job is held
 
     # -- leases held -----------------------------------------------------------------------------------
 
@@ -121,7 +121,7 @@
             self.candidates[job].term_floor = max(self.candidates[job].term_floor, term)
 
     def handle_rejection(self, job: str, now_us: int, highest_term: int) -> list[JobEvent]:
-        """Applies that a receiver has seen `highest_term`."""
+        """Handles a rejection by a receiver that has seen `highest_term`."""
         candidate = self.candidates.get(job)
         return self._collect(job, candidate.handle_rejection(now_us, highest_term)).events if candidate else []
 
@@ -168,8 +168,8 @@
         """Applies the passage of time to one candidate, or removes a job on which nothing can happen."""
         candidate = self.candidates[job]
         is_active = candidate.state is not CandidateState.IDLE or candidate.pending_kind
-        may_become_free = self._observed.get(job, ObservedLease()).may_become_free
-        if not is_active and job not in self._requested_jobs and not may_become_free:
+        is_free_time_known = self._observed.get(job, ObservedLease()).is_free_time_known
+        if not is_active and job not in self._requested_jobs and not is_free_time_known:
             self._active_jobs.discard(job)
         elif (is_active and candidate.state is not CandidateState.BACKING_OFF) or self._may_request(job, now_us):
             return self._collect(job, candidate.tick(now_us))
@@ -198,13 +198,13 @@
             return True
         observed = self._observed.get(job)
         is_penalized = now_us < self._penalty_until_us.get(job, 0)
-        if job not in self.jobs or is_penalized or observed is None or not observed.may_become_free:
+        if job not in self.jobs or is_penalized or observed is None or not observed.is_free_time_known:
             return False
         steps = rank(job, self.membership.me, self.membership.members(now_us), MAX_STEPS)
         return now_us >= observed.free_since_us + steps * self._step_us
 
     def _rebalance(self, now_us: int) -> LeaseActions:
-        """Releases some of the jobs that another member is preferred for; after a start one member may hold all."""
+        """Releases some of the jobs that another member is preferred for, since after a start one member may do all."""
         actions = LeaseActions()
         if now_us - self._rebalanced_us < self.timing.lease_us:
             return actions
@@ -212,7 +212,7 @@
         members = list(self.membership.members(now_us))
         misplaced = [job for job in self.jobs if self._is_misplaced(job, members, now_us)]
         for job in misplaced[: 1 + len(misplaced) // REBALANCE_DIVISOR]:
-            # Backs off: a preferred member that does not acquire the lease costs an interval without a holder.
+            # The time is longer at each release: a job has no holder while the preferred member does not acquire it.
             patience_leases = PATIENCE_FACTOR * self._patience_leases.get(job, 1)
             self._patience_leases[job] = min(MAX_PATIENCE_LEASES, patience_leases)
             actions.add(self._collect(job, self.candidates[job].step_down(now_us)))
@@ -249,10 +249,10 @@
                 observed.holder = lease.holder
                 is_time_known = lease.remaining_us != TIME_UNKNOWN
                 observed.free_since_us = now_us + lease.remaining_us if is_time_known else TIME_UNKNOWN
-            elif not observed.may_become_free or observed.holder:
+            elif not observed.is_free_time_known or observed.holder:
                 observed.holder = ""
                 observed.free_since_us = now_us
-            if observed.may_become_free:
+            if observed.is_free_time_known:
                 self._active_jobs.add(job)
 
     def handle_answers(self, requests: Iterable[JobRequest], answers: LeaseAnswers, now_us: int) -> LeaseActions:
@@ -270,7 +270,7 @@
         return actions
 
     def handle_timeouts(self, requests: Iterable[JobRequest], now_us: int) -> None:
-        """Applies that requests got no answer."""
+        """Handles the timeout of requests."""
         for job, request in requests:
             self.candidates[job].handle_timeout(now_us, request.sequence)
 
--- a/glenrock/coordination/membership.py
+++ b/glenrock/coordination/membership.py
@@ -1,7 +1,7 @@
 """Which balancers are alive, as far as this one knows, and the order of members for a piece of work.
 
-Pure. Times are whole microseconds. Membership serves liveness and cost only: if it is wrong, work is done twice or
-late, but never by two lease holders. The order is rendezvous hashing (Thaler and Ravishankar, Using Name-Based Mappings
+Pure. Times are whole microseconds. Safety does not depend on membership: if it is wrong, work is done twice or late,
+but never by two lease holders. The order is rendezvous hashing (Thaler and Ravishankar, Using Name-Based Mappings
 to Increase Hit Rates, 1998): a member that joins or leaves does not change the order of the others.
 """
 
--- a/glenrock/coordination/override_applier.py
+++ b/glenrock/coordination/override_applier.py
@@ -20,7 +20,7 @@
 
 
 class OverrideApplier:
-    """The only writer of the overrides that are in effect at this balancer.
+    """Applies the overrides of the log; `OverrideSync` applies those that the other process of an upgrade has written.
 
     Attributes:
         has_changes: set when there is something to store, put into effect or reply to.
@@ -90,7 +90,8 @@
     def _start_applying(self, changes: Mapping[str, bool]) -> None:
         async def apply_all() -> None:
             for server_id, is_suspended in changes.items():
-                if self._applied.get(server_id, False) != is_suspended or is_suspended:
+                is_in_rotation = not self._applied.get(server_id, False)
+                if is_suspended or not is_in_rotation:
                     await self.apply(server_id, is_suspended)
 
         self._context.tasks.run(apply_all())
--- a/glenrock/coordination/override_holder.py
+++ b/glenrock/coordination/override_holder.py
@@ -107,7 +107,7 @@
 
     async def _commit_proposals(self, term: int) -> None:
         """Commits all proposals. Each record is in the store before any peer gets the override."""
-        if not await self._prepare(term):
+        if not await self._begin_term(term):
             return
         for proposal_id, value in (await self._leases.store.proposals(OVERRIDES_JOB)).items():
             proposal = decode_pending(value)
@@ -119,8 +119,12 @@
                 return
         self._send_due_updates()
 
-    async def _prepare(self, term: int) -> bool:
-        """Reads all records at the start of a term, and repairs the store. Returns False if the lease is lost."""
+    async def _begin_term(self, term: int) -> bool:
+        """Reads all records and repairs the store, once in each term and after a loss.
+
+        Returns:
+            False if the lease is lost.
+        """
         if self._is_ready and not self._must_repair_store:
             return True
         await read_records(self._leases.store, self._applier)
@@ -190,7 +194,7 @@
             term = self._leases.current_term(OVERRIDES_JOB)
             if term is not None:
                 digest = self._context.overrides.digest
-                self._context.transport.send(peer, datagrams.LeaderHeartbeat(OVERRIDES_JOB, term, digest))
+                self._context.transport.send(peer, datagrams.HolderHeartbeat(OVERRIDES_JOB, term, digest))
 
     def _send_due_updates(self) -> None:
         for peer, server_id in self._retransmissions.start_due_sends(boottime_us()):
--- a/glenrock/coordination/override_receiver.py
+++ b/glenrock/coordination/override_receiver.py
@@ -50,10 +50,10 @@
         self._applier = applier
         self._verdict_count = 0
         self._synced_digests: _Digests | None = None  # at the last sync request
-        context.transport.register(datagrams.LeaderHeartbeat, self._on_heartbeat)
+        context.transport.register(datagrams.HolderHeartbeat, self._on_heartbeat)
         context.transport.register(datagrams.OverrideUpdate, self._on_update)
 
-    def _on_heartbeat(self, peer: int, message: datagrams.LeaderHeartbeat) -> None:
+    def _on_heartbeat(self, peer: int, message: datagrams.HolderHeartbeat) -> None:
         fence = self._context.fence
         before = fence.positions.get(message.job)
         verdict = fence.check_heartbeat(message.job, message.term)
@@ -66,7 +66,7 @@
         if message.digest != self._context.overrides.digest:
             self._request_sync(peer, message)
 
-    def _request_sync(self, peer: int, message: datagrams.LeaderHeartbeat) -> None:
+    def _request_sync(self, peer: int, message: datagrams.HolderHeartbeat) -> None:
         """Requests the overrides after the last known revision; all of them if the digests still differ after that."""
         overrides = self._context.overrides
         digests = _Digests(message.digest, overrides.digest)
--- a/glenrock/coordination/override_replication.py
+++ b/glenrock/coordination/override_replication.py
@@ -1,4 +1,4 @@
-"""Replicates operators' overrides: each takes effect at all balancers, in one order, and is never lost."""
+"""Replicates operators' overrides: each takes effect at all balancers, in one order, and outlives restarts."""
 
 from __future__ import annotations
 
@@ -61,13 +61,13 @@
         overrides.add_pending(pending_id, server_id, is_suspended)
         if not await self._context.state.write():
             overrides.pending.pop(pending_id, None)
-            raise OperationRejectedError("not done: what must not be forgotten cannot be written")
+            raise OperationRejectedError(f"not done: the state file {self._context.state.file.path} cannot be written")
         await self.applier.apply(server_id, is_suspended)
         self._has_proposals.set()
         if not await self._wait_for_commit(pending_id):
-            reason = self._leases.store_error or "no owner has numbered it yet"
+            reason = self._leases.store_error or "not committed by a lease holder yet"
             raise OperationPendingError(
-                f"done here and kept; the other balancers hear of it once the store answers: {reason}"
+                f"accepted and stored here; the other balancers get it once it is in the lease store: {reason}"
             )
 
     async def _wait_for_commit(self, pending_id: str) -> bool:
--- a/glenrock/coordination/shared_work/override_log.py
+++ b/glenrock/coordination/shared_work/override_log.py
@@ -5,9 +5,10 @@
 with the same result.
 
 An override that an operator has submitted at this balancer and that is not committed yet is pending. It is in effect
-here, regardless of entries with lower revisions. Pending overrides are numbered by the incarnation that submits them,
-and the log records up to which number each incarnation's are committed. Without that record, a proposal posted a second
-time would undo later overrides, and a pending override whose entry was superseded would stay in effect here forever.
+here, whatever committed entries arrive, until it is committed itself or replaced by a later call here. Pending
+overrides are numbered by the incarnation that submits them, and the log records up to which number each incarnation's
+are committed. Without that record, a proposal posted a second time would undo later overrides, and a pending override
+whose entry was superseded would stay in effect here forever.
 """
 
 from __future__ import annotations
@@ -25,7 +26,10 @@
 
 
 class PendingId(NamedTuple):
-    """Identifies a pending override: the incarnation that submitted it, and its number there, from 1; 0 if unknown."""
+    """Identifies a pending override: the incarnation that submitted it, and its number there, from 1; 0 if unknown.
+
+    The lease holder counts a number of 0 as committed, and deletes the proposal.
+    """
 
     incarnation: str
     sequence: int
--- a/glenrock/coordination/state_writer.py
+++ b/glenrock/coordination/state_writer.py
@@ -53,7 +53,7 @@
         """Writes the state to its file, in a thread.
 
         Returns:
-            False if the file cannot be written; then what has changed must not be acted on.
+            False if the file cannot be written; the caller must then not apply what has changed.
         """
         async with self._write_lock:
             snapshot = self.file.snapshot(self._fence, self._overrides)
--- a/glenrock/coordination/status_view.py
+++ b/glenrock/coordination/status_view.py
@@ -1,6 +1,7 @@
 """The operators' view of one balancer's coordination, as JSON.
 
-This module alone writes the view's keys and words; `warm_start/start_report` reads those of a start.
+This module alone writes the view's keys and the words of states; `warm_start/start_report` and
+`cli/coordination_history` read them. The texts of `says`, `store` and `why` are from the modules that know the cause.
 """
 
 from __future__ import annotations
--- a/glenrock/coordination/warm_start/start_cache.py
+++ b/glenrock/coordination/warm_start/start_cache.py
@@ -47,7 +47,7 @@
 
     def __init__(self, host: BalancerHost, folder: Path, name: str, trust: RecordTrust) -> None:
         self.path = folder / f"glenrock-{name}.start"
-        self.status = "nothing was kept"
+        self.status = "no cache file"
         self._host = host
         self._clock = host.clock
         self._trust = trust
@@ -66,7 +66,7 @@
         except FileNotFoundError:
             return configured
         except (OSError, ValueError) as error:
-            self.status = f"{self.path} is put aside: {error}"
+            self.status = f"{self.path} is not usable and is renamed: {error}"
             logger.warning("start cache not usable", path=self.path, error=error)
             with contextlib.suppress(OSError):
                 os.replace(self.path, f"{self.path}.spoilt")
--- a/glenrock/coordination/warm_start/start_record.py
+++ b/glenrock/coordination/warm_start/start_record.py
@@ -169,21 +169,21 @@
     """
     age_ms = now_ms - record.at_ms
     if age_ms < 0:
-        return StartKnowledge(configured, {}, f"written {-age_ms / SECOND_MS:.0f} s from now: left aside")
+        return StartKnowledge(configured, {}, f"written {-age_ms / SECOND_MS:.0f} s in the future: not used")
     means = _faded(record.means, 0.5 ** (age_ms / trust.half_life_ms))
     if age_ms > trust.max_list_age_ms:
         summary = f"{age_ms / SECOND_MS:.0f} s old: its list is not used, loads of {len(means)} classes are"
         return StartKnowledge(configured, means, summary)
     age = f"{age_ms / SECOND_MS:.1f} s old"
     if _is_configured_list_as_new(record, configured, discovery):
-        summary = f"{age}: the list that was given is as new; loads of {len(means)} classes are used"
+        summary = f"{age}: the configured list is as new; loads of {len(means)} classes are used"
         return StartKnowledge(configured, means, summary)
     table = record.table
     is_after_boot = record.boot != boot
     if is_after_boot:
         # The power failure that this machine had may have hit the servers too: all count as warming up from now.
         table = {**table, "endpoints": [{**row, "since_ms": now_ms} for row in table["endpoints"]]}
-    note = ", its servers held for cold after a boot" if is_after_boot else ""
+    note = ", its servers count as warming up after a boot" if is_after_boot else ""
     summary = f"{age}: its list of {len(table['endpoints'])} servers is used{note}"
     return StartKnowledge(table, means, summary)
 
--- a/glenrock/coordination/warm_start/start_report.py
+++ b/glenrock/coordination/warm_start/start_report.py
@@ -23,8 +23,8 @@
 
 
 MILESTONES = (
-    Milestone("ready_ms", "all doors are open"),
-    Milestone("heard_ms", "all have heard the list"),
+    Milestone("ready_ms", "all accept clients"),
+    Milestone("heard_ms", "all have the list from discovery"),
     Milestone("served_ms", "all have served"),
 )
 
--- a/tests/coordination/test_config.py
+++ b/tests/coordination/test_config.py
@@ -21,7 +21,7 @@
         (VALID + "[lease]\nlease_ms = 500\nask_ms = 400\n", "fleet.toml:7: lease.ask_ms: at most half"),
         (
             VALID.replace('"sqlite"', '"consul"\naddresses = ["h:1"]') + "[lease]\nlease_ms = 900\nask_ms = 100\n",
-            "lease.lease_ms: the service takes no TTL under 10000 ms",
+            "lease.lease_ms: Consul accepts no TTL under 10000 ms",
         ),
         (VALID + "[jobs]\nturnstyle = 1\n", "fleet.toml:6: jobs.turnstyle: not a key"),
         ("[store]\nkind = 'sqlite'\n", "folder"),
--- a/tests/coordination/test_datagrams.py
+++ b/tests/coordination/test_datagrams.py
@@ -16,7 +16,7 @@
 servers = st.text(min_size=1, max_size=60).filter(str.isprintable)
 jobs = st.sampled_from(["bans", "j", "x" * datagrams.MAX_JOB_BYTES])
 messages: st.SearchStrategy[datagrams.Message] = st.one_of(
-    st.builds(datagrams.LeaderHeartbeat, jobs, numbers, numbers),
+    st.builds(datagrams.HolderHeartbeat, jobs, numbers, numbers),
     st.builds(datagrams.LeaseReleased, jobs),
     st.builds(datagrams.KnownOverride, jobs, revisions, st.booleans(), servers),
     st.builds(datagrams.SyncRequest, jobs, numbers, revisions, st.booleans()),
--- a/tests/coordination/warm_start/test_start_cache.py
+++ b/tests/coordination/warm_start/test_start_cache.py
@@ -114,16 +114,16 @@
 @pytest.mark.parametrize(
     "spoil, status",
     [
-        (truncate, "is put aside: the digest is wrong"),
-        (fill_with_zeros, "is put aside: not a file of this kind"),
-        (replace_by_folder, "is put aside"),
-        (Path.unlink, "nothing was kept"),
+        (truncate, "is renamed: the digest is wrong"),
+        (fill_with_zeros, "is renamed: not a file of this kind"),
+        (replace_by_folder, "is renamed"),
+        (Path.unlink, "no cache file"),
     ],
 )
 def test_unusable_cache_is_renamed_and_the_start_continues_without(
     tmp_path: Path, caplog: pytest.LogCaptureFixture, spoil: Callable[[Path], None], status: str
 ) -> None:
-    is_unusable = "aside" in status
+    is_unusable = "renamed" in status
 
     async def scenario() -> None:
         cache = build_cache(tmp_path).cache
@@ -136,7 +136,7 @@
         for line in caplog.messages:
             assert line.startswith("start cache not usable")
             assert str(next_cache.path) in line
-            assert status.partition("aside: ")[2] in line
+            assert status.partition("renamed: ")[2] in line
         await next_cache.write_if_due()
         assert table_version(decode(next_cache.path.read_bytes()).table) == 3, "the file is written again"
 
--- a/tests/coordination/warm_start/test_start_record.py
+++ b/tests/coordination/warm_start/test_start_record.py
@@ -112,7 +112,7 @@
     now_ms = NOW_MS + 1000
     knowledge = usable_knowledge(RECORD, {}, now_ms, "another", "d:1", TRUST)
     assert [row["since_ms"] for row in knowledge.table["endpoints"]] == [now_ms] * 2
-    assert "cold" in knowledge.summary
+    assert "warming up" in knowledge.summary
     assert [row["since_ms"] for row in RECORD.table["endpoints"]] == [5.0] * 2, "the record is not changed"
 
 
--- a/tests/coordination/warm_start/test_start_report.py
+++ b/tests/coordination/warm_start/test_start_report.py
@@ -35,13 +35,13 @@
         "n1 0.50 s 1.25 s none 0.30 s 0.20 s 0.90 s 1 and 5 not 9 8 1 0",
     ]
     assert lines[3:] == [
-        "all doors are open: 0.80 s after the first process began",
-        "all have heard the list: 0.70 s after the first process began",
+        "all accept clients: 0.80 s after the first process began",
+        "all have the list from discovery: 0.70 s after the first process began",
         "all have served: 1.40 s after the first process began",
         "calls for the list: 4.0 a balancer, 2 refused, 3 failed",
     ]
     late = format_report(
         [view("n0", NOW_MS), *(view(f"m{number}", NOW_MS, heard_ms=0, served_ms=0) for number in range(6))]
     )
-    assert "all have heard the list: not yet: m0, m1, m2, m3, m4 and more" in late
-    assert "all doors are open: 0.30 s after the first process began" in late
+    assert "all have the list from discovery: not yet: m0, m1, m2, m3, m4 and more" in late
+    assert "all accept clients: 0.30 s after the first process began" in late
--- a/tests/test_recorded.py
+++ b/tests/test_recorded.py
@@ -140,7 +140,7 @@
     found = json.loads((RECORDED / "datagrams.json").read_bytes())
     assert gossip_codec.decode(bytes.fromhex(found["gossip"])) == (513, 123456.0, 77, [(1, 60.0), (2, 50.0), (3, 2.0)])
     expected: list[datagrams.Message] = [
-        datagrams.LeaderHeartbeat("bans", 7, 0xABCDEF),
+        datagrams.HolderHeartbeat("bans", 7, 0xABCDEF),
         datagrams.SyncRequest("bans", 7, Revision(6, 2), True),
         datagrams.OverrideUpdate("bans", 7, 12, Revision(7, 11), True, "a:1"),
         datagrams.Acknowledgement("bans", True, 7, 7, 12, Revision(7, 11), 3, "a:1"),
--- a/tests/testbed/test_cold_start.py
+++ b/tests/testbed/test_cold_start.py
@@ -112,9 +112,9 @@
     assert " kept " in rows["n0"], text
     assert " kept " in rows["n1"], text
     assert " none " in rows["n2"], text
-    missing = text.partition("all have heard the list: not yet: ")[2].partition("\n")[0]
+    missing = text.partition("all have the list from discovery: not yet: ")[2].partition("\n")[0]
     calls = float(text.partition("calls for the list: ")[2].split()[0])  # of n2; the others wait in vain
     assert set(missing.split(", ")) == {"n0", "n1"}, text
     assert 0.3 <= calls < 3, text
-    assert "all doors are open: not yet" not in text
+    assert "all accept clients: not yet" not in text
     assert not rows["n2"].endswith(" 0  0   0        0"), text
