--- a/glenrock/routing/admission.py
+++ b/glenrock/routing/admission.py
@@ -184,7 +184,7 @@
         # load, clients that left would be cut again, and clients under way would be admitted again.
         sample = self.history.oldest_within(FEEDBACK_DELAY_US)
         past_load = sample.tier_load if sample else self.gossip.tier_load()
-        bearable_load = past_load * load_targets.TARGET_LOAD / self.capacity.bounded_fleet_load
+        bearable_load = past_load * load_targets.TARGET_LOAD / self.loads.bounded_fleet_load
         self._update_slow_start_load_cap(past_load, len(warm))
         if self.loads.fleet_load > load_targets.HIGH_LOAD or is_dropping:
             self._cut_cap(past_load, bearable_load)
@@ -213,7 +213,7 @@
         """
         filled = sum(self.slow_start.filled_fraction(server) for server in self.slow_start.warming)
         full_load = filled * load_targets.TARGET_LOAD * past_load
-        self.slow_start_load_cap = full_load / self.capacity.bounded_fleet_load / max(1, warm_count)
+        self.slow_start_load_cap = full_load / self.loads.bounded_fleet_load / max(1, warm_count)
 
     def _cut_cap(self, past_load: float, bearable_load: float) -> None:
         if self.batch.now_us - self._cap_cut_us < FEEDBACK_DELAY_US:
--- a/glenrock/routing/balancer.py
+++ b/glenrock/routing/balancer.py
@@ -75,10 +75,12 @@
         self._rng = random.Random(seed)  # noqa: S311 - draws need be repeatable, not secret
         salt = self._rng.getrandbits(64)
         self._classes = {request_class.name: request_class for request_class in settings.classes}
-        objectives = [c.message_objective_us for c in settings.classes if c.message_objective_us]
-        self._message_objective_us = min(objectives, default=0)
+        objectives_us = [kind.message_objective_us for kind in settings.classes if kind.message_objective_us]
+        self._message_objective_us = min(objectives_us, default=0)
         self._build_state(salt)
-        self._build_policies(salt)
+        self._build_server_policies()
+        self._build_load_policies(salt)
+        self._build_lifecycle()
         self.servers = self.endpoints.servers
         self.requests = self.lifecycle.requests
         self._handlers: dict[type, Callable[[Any], None]] = {
@@ -102,7 +104,7 @@
         # A client whose connection broke returns within about the longest Retry-After.
         session_us = max(MIN_SESSION_US, 2 * settings.max_retry_after_us)
         bucket_us = max(MIN_BUCKET_US, settings.max_retry_after_us)
-        shortest_objective_us = min(c.latency_objective_us for c in settings.classes)
+        shortest_objective_us = min(kind.latency_objective_us for kind in settings.classes)
         self.sessions = ClientSessions(batch, session_us)
         self.waiting_queue = WaitingQueue(batch, bucket_us)
         self.connection_loads = ConnectionLoads()
@@ -137,8 +139,8 @@
         )
         self.concurrency = ConcurrencyLimit(batch, shortest_objective_us)
 
-    def _build_policies(self, salt: int) -> None:
-        """Builds the policies, each with the state that it reads."""
+    def _build_server_policies(self) -> None:
+        """Builds the policies that select a server for a request."""
         settings, batch, rng = self.settings, self.batch, self._rng
         self.ejection = OutlierEjection(
             batch=batch,
@@ -158,31 +160,35 @@
             overrides=self.overrides,
             ejection=self.ejection,
         )
-        self.admission = AdmissionController(
+        self.selection = ServerSelection(
             batch=batch,
             settings=settings,
             rng=rng,
-            index=self.endpoints.index,
-            sessions=self.sessions,
-            waiting_queue=self.waiting_queue,
-            gossip=self.gossip,
+            endpoints=self.endpoints,
             loads=self.loads,
             capacity=self.capacity,
             slow_start=self.slow_start,
             ejection=self.ejection,
-            history=ActivityHistory(batch, LAG_US),
+            retries=self.retries,
+            affinity=self.affinity,
         )
-        self.selection = ServerSelection(
+
+    def _build_load_policies(self, salt: int) -> None:
+        """Builds the policies that observe and bound the load of the servers."""
+        settings, batch, rng = self.settings, self.batch, self._rng
+        self.admission = AdmissionController(
             batch=batch,
             settings=settings,
             rng=rng,
-            endpoints=self.endpoints,
+            index=self.endpoints.index,
+            sessions=self.sessions,
+            waiting_queue=self.waiting_queue,
+            gossip=self.gossip,
             loads=self.loads,
             capacity=self.capacity,
             slow_start=self.slow_start,
             ejection=self.ejection,
-            retries=self.retries,
-            affinity=self.affinity,
+            history=ActivityHistory(batch, LAG_US),
         )
         self.health_checks = HealthChecker(
             batch=batch,
@@ -204,9 +210,12 @@
             loads=self.loads,
             health_checks=self.health_checks,
         )
+
+    def _build_lifecycle(self) -> None:
+        """Builds the handling of requests, which uses all policies."""
         self.lifecycle = RequestLifecycle(
-            batch=batch,
-            settings=settings,
+            batch=self.batch,
+            settings=self.settings,
             sessions=self.sessions,
             waiting_queue=self.waiting_queue,
             concurrency=self.concurrency,
@@ -259,7 +268,9 @@
     def count_avoided(self, server_ids: Iterable[str]) -> int:
         """Returns how many of these servers are suspended, ejected, not ready or not known."""
         found = (self.servers.get(server_id) for server_id in server_ids)
-        return sum(s is None or not s.is_ready or not self.ejection.is_usable(s) for s in found)
+        return sum(
+            server is None or not server.is_ready or not self.ejection.is_usable(server) for server in found
+        )
 
     # -- events --------------------------------------------------------------------------------------
 
--- a/glenrock/routing/capacity_estimation.py
+++ b/glenrock/routing/capacity_estimation.py
@@ -13,7 +13,7 @@
 from .client_sessions import ClientSessions
 from .connection_load import ConnectionLoads
 from .event_batch import NEVER_US, SECOND_US, EventBatch
-from .load_estimation import ENOUGH_CONNECTIONS, FEEDBACK_DELAY_US, LoadEstimator
+from .load_estimation import FEEDBACK_DELAY_US, LoadEstimator, has_representative_load
 from .state import Server, TimedLoad
 
 CAPACITY_GAIN = 0.4  # per round, of the present capacity
@@ -27,7 +27,6 @@
 CLIENTS_RETURN_US = 1 * SECOND_US  # time in which the clients of lost servers reconnect
 MAX_OBSERVED_LOAD = 3.0  # of one server, in the mean
 ENOUGH_SERVERS = 12  # observed servers that determine the mean load; in a smaller fleet all of them
-MIN_FLEET_LOAD = 0.1  # bounds a division
 
 
 class ObservedLoad(NamedTuple):
@@ -70,14 +69,9 @@
         self._tier_fraction = 0.0  # of this balancer, while usual capacities were learned
         self._tier_fraction_since_us = 0
 
-    @property
-    def bounded_fleet_load(self) -> float:
-        """The mean load, bounded from below for divisions."""
-        return max(MIN_FLEET_LOAD, self._loads.fleet_load)
-
     def update_server_capacity(self, tier_load: float, ready_servers: int) -> None:
         """Updates the capacity of an average server, once a round, from the active load of the tier."""
-        self.server_capacity = tier_load / max(1, ready_servers) / self.bounded_fleet_load
+        self.server_capacity = tier_load / max(1, ready_servers) / self._loads.bounded_fleet_load
 
     # -- the mean load -------------------------------------------------------------------------------
 
@@ -154,7 +148,8 @@
         """
         if all(server.usual_capacity or load <= 1 for server, load in observed):
             return [server.capacity_ratio for server, _ in observed]
-        known = [s.reported_load for s in self._servers.values() if s.is_ready and s.reported_load >= 0]
+        ready = [server for server in self._servers.values() if server.is_ready]
+        known = [server.reported_load for server in ready if server.reported_load >= 0]
         loads = sorted(known) or [1.0]
         median = loads[(len(loads) - 1) // 2]
         return [
@@ -173,7 +168,7 @@
             # One or two of a server's many connections do not represent its load: a full server would seem
             # slow, get a low weight in the mean, and leave the cap open.
             has_several = own_load > 2 * self._connection_loads.mean_load
-            is_representative = has_several and len(server.connections) >= ENOUGH_CONNECTIONS
+            is_representative = has_several and has_representative_load(server)
             if is_steady and load > MIN_MEASURED_LOAD and is_representative:
                 observed_capacity = own_load / tier_fraction / load
                 server.capacity = _moved(server.capacity, observed_capacity, CAPACITY_GAIN)
--- a/glenrock/routing/failure_domains.py
+++ b/glenrock/routing/failure_domains.py
@@ -15,6 +15,8 @@
 from math import log
 from typing import NamedTuple
 
+from .event_batch import NEVER_US
+
 HEALTHY_FAILURE_PROBABILITY = 0.03  # of a member of a healthy domain
 PARTITIONED_FAILURE_PROBABILITY = 0.97  # of a member of a partitioned domain
 FALSE_ALARM_RATE = 0.0005  # wanted chance that a healthy domain passes the bound
@@ -29,7 +31,6 @@
 FAILURE_LOG_RATIO = log(PARTITIONED_FAILURE_PROBABILITY / HEALTHY_FAILURE_PROBABILITY)
 REACHABLE_LOG_RATIO = log((1 - PARTITIONED_FAILURE_PROBABILITY) / (1 - HEALTHY_FAILURE_PROBABILITY))
 PARTITION_BOUND = log((1 - MISSED_RATE) / FALSE_ALARM_RATE)
-NEVER_US = -(1 << 60)
 
 
 @dataclass(slots=True)
@@ -95,9 +96,7 @@
         self._evidence.clear()
         for domain, state in self.states.items():
             if state.is_partitioned and now_us - state.updated_us >= EVIDENCE_TIMEOUT_US:
-                state.is_partitioned = False
-                state.recovered_us = now_us
-                state.score = 0.0
+                _end_partition(state, now_us)
                 changed.append(domain)
         self.changes = [DomainChange(domain, self.states[domain].is_partitioned) for domain in changed]
         return changed
@@ -158,10 +157,15 @@
     state.evidence_us.clear()
     if not state.is_partitioned:
         return False
+    _end_partition(state, now_us)
+    return True
+
+
+def _end_partition(state: DomainState, now_us: int) -> None:
+    """Ends the partition, and starts the recovery ramp."""
     state.is_partitioned = False
     state.recovered_us = now_us
     state.score = 0.0
-    return True
 
 
 def _record_failures(state: DomainState, now_us: int, members: dict[str, None]) -> bool:
--- a/glenrock/routing/gossip.py
+++ b/glenrock/routing/gossip.py
@@ -27,7 +27,7 @@
     """The last summaries of the other balancers.
 
     Attributes:
-        peers: by number.
+        peers: by index.
         next_us: earliest time of the next summary of this balancer.
         budget: tokens for the bytes of summaries.
     """
@@ -66,9 +66,9 @@
     def forget_lost_peers(self) -> None:
         """Forgets silent balancers: the clients of a balancer that is gone reconnect to the others."""
         now_us = self._batch.now_us
-        lost = [n for n, peer in self.peers.items() if now_us - peer.heard_us > MAX_PEER_SILENCE_US]
-        for number in lost:
-            del self.peers[number]
+        lost = [index for index, peer in self.peers.items() if now_us - peer.heard_us > MAX_PEER_SILENCE_US]
+        for index in lost:
+            del self.peers[index]
 
     def receive(self, event: GossipReceived) -> Peer | None:
         """Handles a summary. Returns the peer if it was not known before; an invalid summary is ignored."""
--- a/glenrock/routing/gossip_codec.py
+++ b/glenrock/routing/gossip_codec.py
@@ -71,7 +71,8 @@
     values = _numbers(data[HEADER_BYTES:])
     if values is None or len(values) < 2 or len(values) % 2 or max(values) > MAX_VALUE:
         return None
-    waiting = [WaitingLoad(values[n], float(values[n + 1])) for n in range(2, len(values), 2)]
+    pairs = zip(values[2::2], values[3::2], strict=True)
+    waiting = [WaitingLoad(age, float(load)) for age, load in pairs]
     return GossipSummary(data[1] << 8 | data[2], float(values[0]), values[1], waiting)
 
 
@@ -91,19 +92,19 @@
 
 
 def check_summary(
-    peer: int, balancers: int, summary: GossipSummary | None, tenant_load: float
+    peer_index: int, balancers: int, summary: GossipSummary | None, tenant_load: float
 ) -> GossipSummary:
     """Returns the summary if it is plausible. Raises InvalidSummaryError otherwise.
 
     An excessive load would count as known active load at every balancer, and close every cap.
 
     Args:
-        peer: number of the sender.
+        peer_index: index of the sender.
         balancers: number of balancers in the settings.
         summary: as decoded; None if that failed.
         tenant_load: load of all connections that tenants may hold; 0 if it is not known.
     """
-    if not 0 <= peer < balancers:
+    if not 0 <= peer_index < balancers:
         raise InvalidSummaryError(f"the settings name {balancers} balancers")
     if summary is None:
         raise InvalidSummaryError("the summary cannot be read")
--- a/glenrock/routing/hash_ring.py
+++ b/glenrock/routing/hash_ring.py
@@ -27,9 +27,9 @@
 # One large integer holds a number per point, each in a lane of twice its width, so that products do not
 # overlap: a single pass of integer arithmetic mixes all points of a member.
 LANE_BITS = 2 * BITS
-ONES = sum(1 << LANE_BITS * n for n in range(POINTS))
+ONES = sum(1 << LANE_BITS * index for index in range(POINTS))
 LOW_BITS = ONES * MASK
-STEPS = sum((n + STEP & MASK) << LANE_BITS * n for n in range(POINTS))
+STEPS = sum((index + STEP & MASK) << LANE_BITS * index for index in range(POINTS))
 _unpack_lanes = Struct("<" + "Q8x" * POINTS).unpack
 
 
@@ -50,20 +50,20 @@
     is_present: bool
 
 
-def mix(x: int) -> int:
+def mix(number: int) -> int:
     """Mixes a 64-bit number by splitmix64; the same at every balancer."""
-    x = (x + STEP) & MASK
-    x = ((x ^ (x >> 30)) * FIRST_MULTIPLIER) & MASK
-    x = ((x ^ (x >> 27)) * SECOND_MULTIPLIER) & MASK
-    return x ^ (x >> 31)
+    number = (number + STEP) & MASK
+    number = ((number ^ (number >> 30)) * FIRST_MULTIPLIER) & MASK
+    number = ((number ^ (number >> 27)) * SECOND_MULTIPLIER) & MASK
+    return number ^ (number >> 31)
 
 
 def ring_points(hash_: int) -> tuple[int, ...]:
-    """Returns `mix(hash_ + n)` for each n below POINTS, faster than by single calls."""
-    x = (hash_ * ONES + STEPS) & LOW_BITS
-    x = ((x ^ (x >> 30 & LOW_BITS)) * FIRST_MULTIPLIER) & LOW_BITS
-    x = ((x ^ (x >> 27 & LOW_BITS)) * SECOND_MULTIPLIER) & LOW_BITS
-    return _unpack_lanes((x ^ (x >> 31 & LOW_BITS)).to_bytes(POINTS * LANE_BITS // 8, "little"))
+    """Returns `mix(hash_ + index)` for each index below POINTS, faster than by single calls."""
+    lanes = (hash_ * ONES + STEPS) & LOW_BITS
+    lanes = ((lanes ^ (lanes >> 30 & LOW_BITS)) * FIRST_MULTIPLIER) & LOW_BITS
+    lanes = ((lanes ^ (lanes >> 27 & LOW_BITS)) * SECOND_MULTIPLIER) & LOW_BITS
+    return _unpack_lanes((lanes ^ (lanes >> 31 & LOW_BITS)).to_bytes(POINTS * LANE_BITS // 8, "little"))
 
 
 class HashRing(Generic[Member]):
--- a/glenrock/routing/health_checks.py
+++ b/glenrock/routing/health_checks.py
@@ -10,16 +10,16 @@
 from .hash_ring import MASK
 from .interface import AttemptOutcome, HealthCheckResult, SendHealthCheck, Settings
 from .load_estimation import (
-    ENOUGH_CONNECTIONS,
     FRESH_REPORT_US,
     MIN_LATE_LOAD,
     QUIET_LOAD,
     LoadEstimator,
+    has_representative_load,
 )
 from .outlier_ejection import OutlierEjection
 from .server_selection import ServerSelection
 from .state import RoutedRequest, Server
-from .token_budget import HEALTH_CONNECTION_LIFETIME_US, LARGE_FLEET, MAX_HEALTH_CHECKS, TokenBudget
+from .token_budget import HEALTH_CONNECTION_LIFETIME_US, MAX_HEALTH_CHECKS, TokenBudget
 
 HEALTH_CHECK_RESEND_US = SECOND_US  # a check without a result may be repeated after this time
 
@@ -60,14 +60,10 @@
         self.batch.emit(SendHealthCheck(server.server_id))
         return True
 
-    @property
-    def _is_large_fleet(self) -> bool:
-        return len(self.endpoints.index.ready) > LARGE_FLEET
-
     def _try_spend(self, server: Server) -> bool:
         """Spends a token for the check, and in a large fleet another for a new connection."""
         is_connected = self.batch.now_us - server.last_checked_us < HEALTH_CONNECTION_LIFETIME_US
-        needs_connection = self._is_large_fleet and not is_connected
+        needs_connection = self.endpoints.index.is_large and not is_connected
         if needs_connection and self.connection_budget.tokens < 1:
             return False
         return self.budget.try_spend(1) and (not needs_connection or self.connection_budget.try_spend(1))
@@ -99,7 +95,7 @@
         server.health_check_sent_us = -1
         has_timed_out = event.outcome == AttemptOutcome.TIMEOUT
         if event.outcome == AttemptOutcome.SERVED:
-            server.consecutive_failures = server.ejected_until_us = 0
+            server.clear_failures()
             self.ejection.record_reachable(server)
             self.ejection.record_report(server, event.report)
         elif has_timed_out and self.loads.was_slow_recently(server):
@@ -129,7 +125,7 @@
         if self.budget.tokens <= reserved or not self.endpoints.ring:
             return
         ready = self.endpoints.ready_servers()
-        if self._is_large_fleet:  # a rotation, since a search would visit every server
+        if self.endpoints.index.is_large:  # a rotation, since a search would visit every server
             self._rotation += 1
             self.send(ready[self._rotation % len(ready)])
         else:
@@ -145,7 +141,7 @@
     def _check_inherited_load(self) -> None:
         """Checks servers without a report that hold connections from before this balancer started."""
         for server in self.endpoints.index.with_connections():
-            if server.is_ready and server.reported_load < 0 and len(server.connections) >= ENOUGH_CONNECTIONS:
+            if server.is_ready and server.reported_load < 0 and has_representative_load(server):
                 self.send(server)
 
     def _check_silent_servers(self) -> None:
--- a/glenrock/routing/load_estimation.py
+++ b/glenrock/routing/load_estimation.py
@@ -26,6 +26,7 @@
 MIN_DELAY_GROWTH_LOAD = 0.3  # bounds of the load that the growth of a delay shows
 MAX_DELAY_GROWTH_LOAD = 3.0
 INITIAL_FLEET_LOAD = 0.5
+MIN_FLEET_LOAD = 0.1  # bounds a division
 ENOUGH_CONNECTIONS = 5  # own connections at a server that represent all connections there
 
 
@@ -35,6 +36,11 @@
     return load if load is not None and load >= 0 else None
 
 
+def has_representative_load(server: Server) -> bool:
+    """Returns whether this balancer's connections at the server represent all connections there."""
+    return len(server.connections) >= ENOUGH_CONNECTIONS
+
+
 class LoadEstimator:
     """Estimates of the present loads of the servers.
 
@@ -53,6 +59,11 @@
         self._with_history: dict[str, Server] = {}
         self._last_round_us = NEVER_US
 
+    @property
+    def bounded_fleet_load(self) -> float:
+        """The mean load, bounded from below for divisions."""
+        return max(MIN_FLEET_LOAD, self.fleet_load)
+
     def record_own_load(self, servers: Iterable[Server]) -> None:
         """Records this balancer's load at each server, once a round, to compare with later reports.
 
@@ -152,7 +163,7 @@
             growth = (delay_s - first.delay_s) * SECOND_US / (at_us - first.at_us)
             own_load = (own_load + first.own_load) / 2
         remaining = 1.0
-        if own_load > 0 and len(server.connections) >= ENOUGH_CONNECTIONS:
+        if own_load > 0 and has_representative_load(server):
             remaining = min(1.0, server.own_load / own_load)
         offered_load = min(MAX_DELAY_GROWTH_LOAD, max(MIN_DELAY_GROWTH_LOAD, 1 + growth))
         return offered_load * remaining + delay_s * SECOND_US / FEEDBACK_DELAY_US
@@ -184,7 +195,7 @@
         """
         own_load = server.own_load
         age_us = self._batch.now_us - server.reported_at_us
-        is_representative = len(server.connections) >= ENOUGH_CONNECTIONS and age_us < VALID_REPORT_US
+        is_representative = has_representative_load(server) and age_us < VALID_REPORT_US
         if (
             is_representative
             and not self.misses_message_objective(server)
--- a/glenrock/routing/migration.py
+++ b/glenrock/routing/migration.py
@@ -23,7 +23,6 @@
 SPARE_LOAD = 0.5  # least load left at a relieved server if the others have free capacity
 EMPTIED_LOAD = 0.3  # load left at a slow server
 BACKLOG_US = 6 * SECOND_US  # time in which a server works off its backlog
-MIN_FLEET_LOAD = 0.1  # bounds a division
 
 
 @dataclass(eq=False)
@@ -80,8 +79,7 @@
         )
         if not load_elsewhere:
             return float("inf")
-        fleet_load = max(MIN_FLEET_LOAD, self.loads.fleet_load)
-        return load_elsewhere * (load_targets.TARGET_LOAD / fleet_load - 1)
+        return load_elsewhere * (load_targets.TARGET_LOAD / self.loads.bounded_fleet_load - 1)
 
     # -- overloaded servers --------------------------------------------------------------------------
 
--- a/glenrock/routing/outlier_ejection.py
+++ b/glenrock/routing/outlier_ejection.py
@@ -121,7 +121,7 @@
         for zone in self.domains.evaluate(self.batch.now_us):
             for server in self.servers.values():
                 if server.zone == zone:
-                    server.consecutive_failures = server.ejected_until_us = 0
+                    server.clear_failures()
 
     def _record_evidence(self, server: Server, is_reachable: bool) -> None:
         if server.zone != self.settings.zone:
--- a/glenrock/routing/request_lifecycle.py
+++ b/glenrock/routing/request_lifecycle.py
@@ -77,8 +77,7 @@
         if not self.admission.admit(request):
             self._reject(request)
             return
-        answer_at_us = request.event.deadline_us - self.retries.answer_margin_us
-        self.batch.set_timer(answer_at_us, RequestTimer(request.event.request_id))
+        self.batch.set_timer(self.retries.answer_due_us(request), RequestTimer(request.event.request_id))
         self._route(request)
 
     def adopt(self, request: RoutedRequest, server: Server) -> None:
@@ -111,7 +110,8 @@
 
     def finish_check(self, server_id: str) -> None:
         """Handles the end of a health check: sends the requests that waited for no other check."""
-        waiting = [r for r in self._awaiting_checks.values() if server_id in r.pending_checks]
+        requests = self._awaiting_checks.values()
+        waiting = [request for request in requests if server_id in request.pending_checks]
         for request in waiting:
             request.pending_checks.discard(server_id)
             if not request.pending_checks:
--- a/glenrock/routing/retries.py
+++ b/glenrock/routing/retries.py
@@ -14,9 +14,8 @@
 
 ATTEMPT_TIMEOUT_PERCENT = 60  # of the time left, while a further attempt is allowed
 MIN_CONNECT_TIMEOUTS = 2  # the shortest attempt timeout, in connect timeouts
-MAX_PROCESS_PAUSE_US = (
-    150_000  # longest pause of this process between reading the clock and writing the request
-)
+MAX_PROCESS_PAUSE_US = 150_000  # longest pause of this process between a decision and the write to the server
+ANSWER_MARGIN_TICKS = 2  # between the final answer and the deadline
 
 
 @dataclass(eq=False)
@@ -30,14 +29,13 @@
     overrides: OperatorOverrides
     ejection: OutlierEjection
 
-    @property
-    def answer_margin_us(self) -> int:
-        """How long before its deadline a request gets its final answer."""
-        return 2 * self.settings.tick_us
+    def answer_due_us(self, request: RoutedRequest) -> int:
+        """Returns when a request without a connection gets its final answer, shortly before its deadline."""
+        return request.event.deadline_us - ANSWER_MARGIN_TICKS * self.settings.tick_us
 
     def is_overdue(self, request: RoutedRequest) -> bool:
         """Returns whether the final answer is due now."""
-        return self.batch.now_us >= request.event.deadline_us - self.answer_margin_us
+        return self.batch.now_us >= self.answer_due_us(request)
 
     def may_attempt(self, request: RoutedRequest) -> bool:
         """Returns whether a further attempt is allowed at any server."""
@@ -97,7 +95,7 @@
 
         It leaves time for a further attempt, and an attempt of a keyed request ends within the key's window.
         """
-        left_us = request.event.deadline_us - self.answer_margin_us - self.batch.now_us
+        left_us = self.answer_due_us(request) - self.batch.now_us
         timeout_us = left_us
         if len(request.attempts) + 1 < self.settings.max_attempts:
             least_us = MIN_CONNECT_TIMEOUTS * self.settings.connect_timeout_us
--- a/glenrock/routing/server_index.py
+++ b/glenrock/routing/server_index.py
@@ -10,6 +10,8 @@
 
 from .state import Server
 
+LARGE_FLEET = 128  # servers; in a larger fleet connections for health checks are closed after a while
+
 
 class ServerIndex:
     """Servers by the state that a round needs. All lists are in the order of the first listing."""
@@ -48,6 +50,11 @@
             self._ready = [server for server in self._servers.values() if server.is_ready]
         return self._ready
 
+    @property
+    def is_large(self) -> bool:
+        """Whether so many servers are ready that each is checked rarely, on a new connection."""
+        return len(self.ready) > LARGE_FLEET
+
     def with_connections(self) -> list[Server]:
         """Returns the servers that hold connections of this balancer."""
         for server_id in [id_ for id_, server in self._occupied.items() if not server.connections]:
--- a/glenrock/routing/server_selection.py
+++ b/glenrock/routing/server_selection.py
@@ -17,7 +17,6 @@
 from .retries import RetryPolicy
 from .slow_start import SlowStart
 from .state import RoutedRequest, Server
-from .token_budget import LARGE_FLEET
 
 HEALTH_CHECK_WAIT_US = 40_000  # a request's longest wait for health checks
 MAX_CANDIDATES = 5  # compared for one request
@@ -87,10 +86,11 @@
         """Adds candidates from the rings, each server with a probability proportional to its weight."""
         is_grouped = request.event.group is not None
         scale = 1 if is_grouped else MAX_WEIGHT / 2
-        for n in range(MAX_DRAWS):
-            uses_zone = not is_grouped and self.endpoints.zone_ring and (n % 2 == 0 or n > MAX_DRAWS // 2)
+        for draw in range(MAX_DRAWS):
+            is_zone_draw = draw % 2 == 0 or draw > MAX_DRAWS // 2
+            uses_zone = not is_grouped and self.endpoints.zone_ring and is_zone_draw
             ring = self.endpoints.zone_ring if uses_zone else self.endpoints.ring
-            server = ring.at(mix(seed + n))
+            server = ring.at(mix(seed + draw))
             if server in found or server.server_id in tried or not self.retries.may_send(request, server):
                 continue
             if mix(seed ^ server.hash) / MASK * scale <= server.weight:
@@ -130,6 +130,6 @@
             return load
         # A slow server reports little load once it is emptied, and few clients fill it again.
         slowness = min(1.0, server.capacity_ratio / load_targets.SLOW_CAPACITY_RATIO)
-        is_large_fleet = len(self.endpoints.index.ready) > LARGE_FLEET
+        is_large_fleet = self.endpoints.index.is_large
         unreported = self.loads.recently_sent_load(server) if is_large_fleet else server.unreported_load
         return load + unreported / self.capacity.server_capacity / slowness
--- a/glenrock/routing/settings_codec.py
+++ b/glenrock/routing/settings_codec.py
@@ -85,7 +85,7 @@
             name=row["name"],
             latency_objective_us=int(row["targetUs"]),
             deadline_us=int(row["deadlineUs"]),
-            message_objective_us=int(message_objectives[n]) if n < len(message_objectives) else 0,
+            message_objective_us=int(message_objectives[index]) if index < len(message_objectives) else 0,
             priority_weight=float(row.get("worth", 1)),
             idempotency=_member_of(Idempotency, row.get("effect", "safe"), "classes.idempotency"),
             idempotency_scope=_member_of(
@@ -93,7 +93,7 @@
             ),
             idempotency_window_us=int(row.get("windowUs", 0)),
         )
-        for n, row in enumerate(rows)
+        for index, row in enumerate(rows)
     )
 
 
@@ -106,7 +106,8 @@
 
 def _tenants_of(rows: Any, quotas: Any) -> tuple[Tenant, ...]:
     return tuple(
-        Tenant(row["name"], float(quotas[n]) if n < len(quotas) else 0.0) for n, row in enumerate(rows)
+        Tenant(row["name"], float(quotas[index]) if index < len(quotas) else 0.0)
+        for index, row in enumerate(rows)
     )
 
 
--- a/glenrock/routing/slow_start.py
+++ b/glenrock/routing/slow_start.py
@@ -16,7 +16,7 @@
 from .state import Peer, Server, TimedLoad
 
 SLOW_START_BUDGET_FRACTION = 0.45  # of the load that fails a warming server; the rest covers random peaks
-MIN_FLEET_LOAD = 0.5  # bounds a division
+MIN_BUDGET_FLEET_LOAD = 0.5  # bounds a division
 MIN_DRAW = 1e-9
 
 
@@ -73,6 +73,7 @@
         self._loads = loads
         self._capacity = capacity
         self._salt = salt
+        self._budget_multiple = SLOW_START_BUDGET_FRACTION * settings.slow_start_multiple
         self.warming: list[Server] = []
         self.reference_load = 0.0
 
@@ -93,7 +94,7 @@
         settings = self._settings
         age_fraction = max(0, self._batch.now_us - server.started_us) / max(1, settings.slow_start_us)
         mean_warmth = (settings.slow_start_initial_fraction + self.warmth(server)) / 2
-        return SLOW_START_BUDGET_FRACTION * settings.slow_start_multiple * age_fraction * mean_warmth
+        return self._budget_multiple * age_fraction * mean_warmth
 
     def update_reference_load(self, load: float, is_balancer_draining: bool) -> None:
         """Updates the reference load, once a round.
@@ -121,14 +122,14 @@
             return float("inf")
         settings, now_us = self._settings, self._batch.now_us
         window_us = settings.slow_start_window_us
-        fraction = min(1.0, window_us / max(1, settings.slow_start_us))
-        fraction = SLOW_START_BUDGET_FRACTION * settings.slow_start_multiple * warmth * fraction
+        window_fraction = min(1.0, window_us / max(1, settings.slow_start_us))
         server_count = self._capacity.warm_server_count or max(1, len(self._servers))
-        fraction /= server_count * max(MIN_FLEET_LOAD, self._loads.fleet_load)
+        fleet_load = max(MIN_BUDGET_FLEET_LOAD, self._loads.fleet_load)
+        budget_fraction = self._budget_multiple * warmth * window_fraction / (server_count * fleet_load)
         server.slow_start_sends = [
             sent for sent in server.slow_start_sends if now_us - sent.at_us < window_us
         ]
-        budget = fraction * self.reference_load
+        budget = budget_fraction * self.reference_load
         left = budget - sum(load for _, load in server.slow_start_sends)
         if not server.slow_start_sends:
             left = max(left, budget * self._window_multiple(server))
--- a/glenrock/routing/state.py
+++ b/glenrock/routing/state.py
@@ -97,11 +97,15 @@
         """Total load of this balancer's connections there."""
         return sum(request.load for request in self.connections.values())
 
+    def clear_failures(self) -> None:
+        """Forgets failures in a row, and ends the ejection that they caused."""
+        self.consecutive_failures = 0
+        self.ejected_until_us = 0
+
     def reset_for_restart(self, at_us: int) -> None:
         """Discards what was observed of the server's previous process."""
         self.started_us = at_us
-        self.ejected_until_us = 0
-        self.consecutive_failures = 0
+        self.clear_failures()
         self.reported_load = -1.0
         self.slow_start_sends.clear()
 
--- a/tests/routing/test_admission.py
+++ b/tests/routing/test_admission.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from conftest import SECOND, HarnessFactory
+from conftest import SECOND, Harness, HarnessFactory
 
 from glenrock.routing import interface
 from glenrock.routing.activity_history import ActivitySample
@@ -21,11 +21,18 @@
 )
 
 
+def set_loads(harness: Harness, load_cap: float, active_load: float) -> None:
+    """Sets the cap and this balancer's active load, as of now."""
+    harness.balancer.batch.now_us = harness.now_us
+    harness.balancer.admission.load_cap = load_cap
+    harness.balancer.sessions.active_load = active_load
+
+
 def test_quota_is_free_load_times_lagged_client_fraction(make_harness: HarnessFactory) -> None:
     # This balancer had 50 of 100 clients, the cap is 1000 and the active load 800, so its quota is 100.
     harness = make_harness()
-    balancer, admission = harness.balancer, harness.balancer.admission
-    balancer.batch.now_us, admission.load_cap, balancer.sessions.active_load = harness.now_us, 1000.0, 300.0
+    admission = harness.balancer.admission
+    set_loads(harness, load_cap=1000.0, active_load=300.0)
     admission.history.samples = [ActivitySample(harness.now_us, 50, 500.0)]
     receive_summary(harness, 1, 200.0, 20)
     receive_summary(harness, 2, 300.0, 30)
@@ -37,10 +44,10 @@
 
 
 def test_new_clients_are_admitted_below_half_the_cap_without_waiting_clients(make_harness: HarnessFactory) -> None:
-    balancer = make_harness().balancer
-    balancer.admission.load_cap, balancer.sessions.active_load = 1000.0, 400.0
-    balancer.admission.update_quota()
-    assert balancer.admission.may_admit_newcomers
+    harness = make_harness()
+    set_loads(harness, load_cap=1000.0, active_load=400.0)
+    harness.balancer.admission.update_quota()
+    assert harness.balancer.admission.may_admit_newcomers
 
 
 def test_admitted_clients_use_up_the_quota_of_the_round(make_harness: HarnessFactory) -> None:
@@ -57,7 +64,7 @@
     # 52 of the load is free; 2 wait in the oldest bucket, 50 in the next one, 60 in the last.
     harness = make_harness()
     balancer, admission = harness.balancer, harness.balancer.admission
-    balancer.batch.now_us, admission.load_cap, balancer.sessions.active_load = harness.now_us, 200.0, 148.0
+    set_loads(harness, load_cap=200.0, active_load=148.0)
     current_bucket = harness.now_us // balancer.waiting_queue.bucket_us
     receive_summary(harness, 1, 0.0, 0, [(1, 60), (2, 50), (3, 2)])
     admission.load_cap = 200.0
@@ -89,10 +96,10 @@
 
 def test_negative_buckets_of_a_young_clock_are_handled(make_harness: HarnessFactory) -> None:
     harness = make_harness()
-    balancer, admission = harness.balancer, harness.balancer.admission
-    balancer.batch.now_us = harness.now_us = 3 * SECOND
+    admission = harness.balancer.admission
+    harness.balancer.batch.now_us = harness.now_us = 3 * SECOND
     receive_summary(harness, 1, 5.0, 5, [(9, 30)])
-    admission.load_cap, balancer.sessions.active_load = 20.0, 5.0
+    set_loads(harness, load_cap=20.0, active_load=5.0)
     admission.update_quota()
     assert admission.partial_bucket == 1 - 9 and not admission.may_admit_newcomers
     admission.has_rejected_young_bucket, admission.quota = False, 10.0
