--- a/glenrock/net/routing_actor.py
+++ b/glenrock/net/routing_actor.py
@@ -57,7 +57,7 @@
         connection_of: finds the connection of a request; set by the table of connections.
         send_health_check: sends a health check to a server.
         send_gossip: sends a gossip summary to the peers.
-        watch_endpoints: subscribes to the endpoint list.
+        watch_endpoints: subscribes to the endpoint list; the program polls by itself and does not set it.
     """
 
     def __init__(self, settings: interface.Settings, seed: int, clock: Clock) -> None:
@@ -68,7 +68,7 @@
         self.send_gossip: Callable[[bytes], None] = _ignore_data
         self.watch_endpoints: Callable[[], None] = _ignore
         self._clock = clock
-        self._timers: list[tuple[int, int]] = []  # a heap of times in microseconds and references
+        self._timers: list[tuple[int, int]] = []  # a heap of times in microseconds and timer ids
         self._last_us = 0
         self._first_events: list[interface.Event] = []  # of the next batch, however full the mailbox is
         self._batch_waiters: list[asyncio.Future[None]] = []
--- a/glenrock/routing/admission.py
+++ b/glenrock/routing/admission.py
@@ -44,7 +44,7 @@
     Attributes:
         load_cap: bound on the active load of all balancers; `NO_CAP` while it does not bind.
         slow_start_load_cap: active load allowed beside it, for servers that are warming up.
-        quota: load that `partial_bucket`, or new clients if no client waits, may still bring this round.
+        quota: load that may still be admitted this round, for `partial_bucket`; for all if no client waits.
         last_open_bucket: clients of this bucket and of older ones are admitted.
         partial_bucket: the bucket that exceeds the free load; its clients are admitted within the quota.
         extra_buckets: how many buckets younger than `partial_bucket` may use the quota too.
@@ -243,7 +243,12 @@
         return own / total if own and (self.gossip.peers or self.settings.balancers == 1) else None
 
     def update_quota(self) -> None:
-        """Opens the oldest buckets as far as the free load goes, and takes a quota of the rest."""
+        """Opens the oldest buckets as far as the free load goes, and takes a quota of the rest.
+
+        With 72 of free load, and 2, 50 and 60 waiting in buckets from old to young, the first two are open,
+        the third is partial, and 20 is left. The quotas of all balancers divide it by their fractions of the
+        clients.
+        """
         tier_load = self.gossip.tier_load()
         waiting_load = self.gossip.tier_waiting_load()
         self.may_admit_newcomers = not waiting_load and tier_load < self.load_cap / 2
@@ -251,14 +256,14 @@
         client_fraction = self.client_fraction() or 1.0
         rest = self._open_oldest_buckets(waiting_load, free_load)
         if self.quota > 0 and self.has_rejected_young_bucket:
-            # A part of the quota was not used although clients of younger buckets were rejected: the clients
-            # it was for have retried at other balancers. So more of the younger buckets may use the quota.
+            # Quota is left over while clients of younger buckets were rejected: those of the partial bucket
+            # retry at other balancers. So more of the younger buckets may use the quota.
             self.extra_buckets = min(2 * self.extra_buckets + 1, MAX_WAITING)
         elif self.quota <= 0:
             self.extra_buckets = 0
         if self.has_rejected_young_bucket and free_load < NO_CAP:
-            # The free load of the open buckets was reserved, but their clients brought only a part of it.
-            # Since others were rejected meanwhile, the quota gets what was not used.
+            # The open buckets reserve free load, and only a part of their clients came. What they left unused
+            # goes to the quota, since others were rejected meanwhile.
             rest = max(rest, free_load - self._load_admitted_beside_quota / client_fraction)
         self.has_rejected_young_bucket = False
         self._load_admitted_beside_quota = 0.0
--- a/glenrock/routing/balancer.py
+++ b/glenrock/routing/balancer.py
@@ -289,7 +289,7 @@
         if event.request_id in self.requests:
             return
         request = self._routed(event)
-        # The platform counts costs per first attempt, so only those earn tokens.
+        # The platform counts costs per first attempt, so only first attempts add tokens to the budgets.
         if not event.is_returning and request.key not in self.waiting_queue:
             self.health_checks.earn()
             self.gossip.budget.earn()
@@ -357,9 +357,9 @@
 
     def _on_drain_mode(self, event: DrainMode) -> None:
         self.is_draining = event.is_draining
-        self.gossip.next_us = self.batch.now_us
+        self.gossip.send_at_next_round()
         if event.is_draining:
-            self.slow_start.reference_load = 0.0  # the other balancers serve these clients from now on
+            self.slow_start.clear_reference_load()  # the other balancers serve these clients from now on
 
     # -- the round -----------------------------------------------------------------------------------
 
@@ -384,7 +384,7 @@
     def _update_estimates(self) -> None:
         peers = self.gossip.peers.values()
         # Balancers carry unequal loads, most of all while one drains, so capacity follows the whole tier's
-        # load, scaled up for balancers that were not heard.
+        # load, scaled up for balancers that were not heard from.
         tier_load = self.gossip.tier_load() * self.settings.balancers / (1 + len(peers))
         self.capacity.update_server_capacity(tier_load, len(self.endpoints.index.ready))
         own_load = sum(request.load for request in self.requests.values() if request.server)
--- a/glenrock/routing/capacity_estimation.py
+++ b/glenrock/routing/capacity_estimation.py
@@ -42,7 +42,7 @@
     Attributes:
         server_capacity: load that fills an average server; 0 while it is not known.
         warm_server_count: number of warm servers in reach, at the last time when there were any.
-        has_no_warm_server: no server in reach is warm now.
+        has_warm_server: a server in reach is warm now; true before the first round.
         servers_lost_us: when warm servers were last lost.
     """
 
@@ -61,7 +61,7 @@
         self._connection_loads = connection_loads
         self.server_capacity = 0.0
         self.warm_server_count = 0
-        self.has_no_warm_server = False
+        self.has_warm_server = True
         self.servers_lost_us = NEVER_US
         self._in_reach: set[str] = set()
         self._warm: Sequence[Server] | None = None
@@ -83,7 +83,7 @@
         list, do not count as lost: their clients leave gradually, as reports show.
         """
         self.warm_server_count = len(warm) or self.warm_server_count
-        self.has_no_warm_server = not warm
+        self.has_warm_server = bool(warm)
         if warm is self._warm:  # the same list object as a round before: no change
             return
         self._warm = warm
@@ -142,9 +142,9 @@
     def _weights(self, observed: Sequence[ObservedLoad]) -> list[float]:
         """Returns the weight of each server in the mean.
 
-        A server without a known usual capacity and with a load above 1 is assumed to have the median server's
-        demand, and to have lost the rest of its capacity. With full weight, a few hanging servers would cut
-        the cap again and again.
+        The weight is the server's `capacity_ratio`. Without a known usual capacity and with a load above 1 it
+        is the median reported load / its load, at most 1, as if the server had the median demand and had lost
+        capacity. With full weight, a few hanging servers would cut the cap again and again.
         """
         if all(server.usual_capacity or load <= 1 for server, load in observed):
             return [server.capacity_ratio for server, _ in observed]
--- a/glenrock/routing/connection_concurrency.py
+++ b/glenrock/routing/connection_concurrency.py
@@ -1,9 +1,9 @@
 """A limit on concurrent connection set-ups, in force only while many set-ups fail or are slow.
 
-All servers call one session store for a set-up. After a mass return a slow store times out everywhere, failed
-set-ups are retried at once, and the store works for attempts that were given up. A bound on the number in
-flight keeps a store of any rate busy and its queue short (Little's law); a bound on the rate would follow the
-low rate of the overload.
+All servers call one session store for a set-up; it is part of the platform, not the lease store. After a mass
+return a slow store times out everywhere, failed set-ups are retried at once, and the store works for attempts
+that were given up. A bound on the number in flight keeps a store of any rate busy and its queue short
+(Little's law); a bound on the rate would follow the low rate of the overload.
 """
 
 from __future__ import annotations
--- a/glenrock/routing/endpoint_table.py
+++ b/glenrock/routing/endpoint_table.py
@@ -62,7 +62,7 @@
             server = self.servers.get(entry.server_id) or self._add(entry, mean_size)
             server.zone = entry.zone
             server.cell = entry.cell
-            self._set_listed(server, entry.state == EndpointState.READY)
+            self._set_listed_ready(server, entry.state == EndpointState.READY)
             started_us = self._overrides.started_us(server.server_id, entry.started_us)
             if started_us > server.started_us:
                 self._restarted(server, started_us)
@@ -74,7 +74,7 @@
         server = self.servers.get(event.server_id)
         if changed and server:
             self._restarted(server, max(server.started_us, self._overrides.started_us(server.server_id, 0)))
-            self._set_listed(server, server.is_listed)
+            self._set_listed_ready(server, server.is_listed_ready)
             self._change_rings()
 
     def schedule_migration(self, server: Server) -> None:
@@ -93,7 +93,7 @@
     def _unlist_others(self, event: EndpointList, requests: Mapping[str, RoutedRequest]) -> None:
         named = {entry.server_id for entry in event.entries}
         for server in [server for server in self.servers.values() if server.server_id not in named]:
-            self._set_listed(server, False)
+            self._set_listed_ready(server, False)
             if (
                 event.kind == EndpointListKind.FULL
                 and not server.connections
@@ -111,14 +111,14 @@
         self.servers[entry.server_id] = server
         return server
 
-    def _set_listed(self, server: Server, is_listed: bool) -> None:
-        server.is_listed = is_listed
-        is_ready = is_listed and self._overrides.allows(server.server_id)
+    def _set_listed_ready(self, server: Server, is_listed_ready: bool) -> None:
+        server.is_listed_ready = is_listed_ready
+        is_ready = is_listed_ready and self._overrides.allows(server.server_id)
         if server.is_ready == is_ready:
             return
         server.is_ready = is_ready
         self.index.invalidate_ready()
-        # A server that is gone has clients to migrate too: its machine may have left connections open.
+        # The clients of a server that is gone migrate too: half-open connections to it may remain.
         server.migrate_by_us = 0 if is_ready else self._batch.now_us + self._migration_us
         is_in_zone = server.zone == self._settings.zone and self._settings.cross_zone_cost > 0
         change = RingChange(server, ring_points(server.hash), is_ready)
--- a/glenrock/routing/failure_domains.py
+++ b/glenrock/routing/failure_domains.py
@@ -5,12 +5,14 @@
 the error rates. (Wald 1945, Sequential Tests of Statistical Hypotheses; Page 1954, Continuous Inspection
 Schemes.)
 
-The evidence of a member counts once per window, so that repeated failures of one dead member do not add up to
-a partition. Without evidence a score decays. Times are microseconds.
+The evidence of a member counts once per window, so that failures of one dead member in quick succession do
+not add up to a partition; over several windows they do, unless another member is reached. Without evidence a
+score decays. Times are microseconds.
 """
 
 from __future__ import annotations
 
+from collections.abc import Iterable
 from dataclasses import dataclass, field
 from math import log
 from typing import NamedTuple
@@ -53,6 +55,14 @@
     evidence_us: dict[str, int] = field(default_factory=dict)
 
 
+@dataclass(slots=True)
+class BatchEvidence:
+    """What a batch shows of one domain: whether any member was reached, and otherwise which ones failed."""
+
+    was_reached: bool = False
+    failed: dict[str, None] = field(default_factory=dict)
+
+
 class DomainChange(NamedTuple):
     """The start or the end of a partition."""
 
@@ -73,25 +83,23 @@
 
     def __init__(self) -> None:
         self.states: dict[str, DomainState] = {}
-        # By domain: the members that failed; None if a member was reached.
-        self._evidence: dict[str, dict[str, None] | None] = {}
+        self._evidence: dict[str, BatchEvidence] = {}
         self.changes: list[DomainChange] = []
 
     def record(self, domain: str, member: str, is_reachable: bool) -> None:
         """Records that a member was reached or not."""
+        evidence = self._evidence.setdefault(domain, BatchEvidence())
         if is_reachable:
-            self._evidence[domain] = None
-            return
-        members = self._evidence.setdefault(domain, {})
-        if members is not None:
-            members[member] = None
+            evidence.was_reached = True
+        else:
+            evidence.failed[member] = None
 
     def evaluate(self, now_us: int) -> list[str]:
         """Evaluates the evidence since the last call. Returns the domains whose state changed."""
         changed = [
             domain
-            for domain, members in self._evidence.items()
-            if self._evaluate_domain(domain, members, now_us)
+            for domain, evidence in self._evidence.items()
+            if self._evaluate_domain(domain, evidence, now_us)
         ]
         self._evidence.clear()
         for domain, state in self.states.items():
@@ -141,13 +149,13 @@
         state = self.states.get(domain)
         return decayed_score(state.score, now_us - state.updated_us) / PARTITION_BOUND if state else 0.0
 
-    def _evaluate_domain(self, domain: str, members: dict[str, None] | None, now_us: int) -> bool:
+    def _evaluate_domain(self, domain: str, evidence: BatchEvidence, now_us: int) -> bool:
         """Evaluates the evidence of one domain. Returns whether its partition started or ended."""
-        if members is None:
+        if evidence.was_reached:
             state = self.states.get(domain)
             return state is not None and _record_reachable(state, now_us)
         state = self.states.setdefault(domain, DomainState(updated_us=now_us))
-        return _record_failures(state, now_us, members)
+        return _record_failures(state, now_us, evidence.failed)
 
 
 def _record_reachable(state: DomainState, now_us: int) -> bool:
@@ -168,7 +176,7 @@
     state.score = 0.0
 
 
-def _record_failures(state: DomainState, now_us: int, members: dict[str, None]) -> bool:
+def _record_failures(state: DomainState, now_us: int, members: Iterable[str]) -> bool:
     """Adds failures to the score. Returns whether a partition starts."""
     fresh = [member for member in members if now_us - state.evidence_us.get(member, -WINDOW_US) >= WINDOW_US]
     if not fresh:
--- a/glenrock/routing/gossip.py
+++ b/glenrock/routing/gossip.py
@@ -98,6 +98,10 @@
         quota = sum(tenant.connections for tenant in self._settings.tenants)
         return self._connection_loads.mean_load * quota
 
+    def send_at_next_round(self) -> None:
+        """Makes the next summary due now, after a change that the other balancers need to know."""
+        self.next_us = self._batch.now_us
+
     def send_if_due(self, clients: int, is_cap_open: bool, is_balancer_draining: bool) -> None:
         """Sends a summary if it is due and the budget allows.
 
@@ -127,7 +131,8 @@
         self._batch.emit(SendGossip(data))
 
 
-def _ages(load_by_bucket: Mapping[int, float], current: int) -> list[WaitingLoad]:
+def _ages(load_by_bucket: Mapping[int, float], current: int) -> list[gossip_codec.AgedLoad]:
     return [
-        WaitingLoad(current - bucket, load) for bucket, load in sorted(load_by_bucket.items(), reverse=True)
+        gossip_codec.AgedLoad(current - bucket, load)
+        for bucket, load in sorted(load_by_bucket.items(), reverse=True)
     ]
--- a/glenrock/routing/gossip_codec.py
+++ b/glenrock/routing/gossip_codec.py
@@ -8,8 +8,6 @@
 from collections.abc import Sequence
 from typing import NamedTuple
 
-from .state import WaitingLoad
-
 VERSION = 1
 MAX_BYTES = 256
 HEADER_BYTES = 3
@@ -25,13 +23,20 @@
     """A summary is malformed or implausible; the message is the reason."""
 
 
+class AgedLoad(NamedTuple):
+    """Load of a bucket of the waiting queue, and the bucket's age, in buckets."""
+
+    age: int
+    load: float
+
+
 class GossipSummary(NamedTuple):
-    """The state that a balancer shares. `waiting` has the ages of its buckets, youngest first."""
+    """The state that a balancer shares. `waiting` has its buckets, youngest first."""
 
     stamp: int
     active_load: float
     clients: int
-    waiting: list[WaitingLoad]
+    waiting: list[AgedLoad]
 
 
 def encode(stamp: int, active_load: float, clients: int, waiting: Sequence[tuple[int, float]]) -> bytes:
@@ -72,7 +77,7 @@
     if values is None or len(values) < 2 or len(values) % 2 or max(values) > MAX_VALUE:
         return None
     pairs = zip(values[2::2], values[3::2], strict=True)
-    waiting = [WaitingLoad(age, float(load)) for age, load in pairs]
+    waiting = [AgedLoad(age, float(load)) for age, load in pairs]
     return GossipSummary(data[1] << 8 | data[2], float(values[0]), values[1], waiting)
 
 
--- a/glenrock/routing/hash_ring.py
+++ b/glenrock/routing/hash_ring.py
@@ -25,7 +25,7 @@
 USUAL_BUCKET_POINTS = 64
 
 # One large integer holds a number per point, each in a lane of twice its width, so that products do not
-# overlap: a single pass of integer arithmetic mixes all points of a member.
+# overlap: a single pass of integer arithmetic mixes all points of a member (benchmarks/ring_lists.py).
 LANE_BITS = 2 * BITS
 ONES = sum(1 << LANE_BITS * index for index in range(POINTS))
 LOW_BITS = ONES * MASK
--- a/glenrock/routing/health_checks.py
+++ b/glenrock/routing/health_checks.py
@@ -117,8 +117,8 @@
     def _check_longest_unheard(self, is_cap_open: bool) -> None:
         """Checks the server with the oldest report, if the budget allows.
 
-        Half of the tokens are reserved for requests while the fleet is lightly loaded. In a busy fleet with
-        thin traffic reserved tokens would stay unused, and overload unseen.
+        Half of the tokens are reserved for requests while the fleet is lightly loaded. In a busy fleet all of
+        them are used: with few requests the reserved ones would be left, and overload would go unnoticed.
         """
         is_calm = self.loads.fleet_load < QUIET_LOAD and is_cap_open
         reserved = MAX_HEALTH_CHECKS / 2 if is_calm else 1
--- a/glenrock/routing/interface.py
+++ b/glenrock/routing/interface.py
@@ -115,9 +115,9 @@
     """Properties that all requests of a class share.
 
     Attributes:
-        latency_objective_us: wanted time to set up a connection.
+        latency_objective_us: target for the time to set up a connection.
         deadline_us: longest time from a request's arrival to its final answer.
-        message_objective_us: wanted time of one message on an open connection; 0 if there is no objective.
+        message_objective_us: target for the time of one message on an open connection; 0 if there is none.
         priority_weight: weight of the class relative to the others.
         idempotency_window_us: how long servers in the scope drop the duplicate of a keyed request.
     """
@@ -148,7 +148,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """A tenant of the servers. `connections` is its quota over all balancers; 0 for no limit."""
+    """A tenant of the servers.
+
+    Attributes:
+        connections: its quota over all balancers; 0 for no limit. Routing does not enforce it: it only bounds
+            the load that a gossip summary may plausibly state.
+    """
 
     name: str
     connections: float = 0.0
@@ -177,6 +182,7 @@
         has_message_delay_reports: servers report connections whose messages are slow.
         cross_zone_cost: cost of one connection to another zone, as a part of the platform's result; the other
             costs are in the same unit.
+        migration_cost: cost of one migration. Routing does not use it.
     """
 
     classes: tuple[RequestClass, ...]
@@ -267,7 +273,7 @@
 
 @dataclass(slots=True)
 class Request:
-    """A client's wish for a connection.
+    """A client's request to open a connection.
 
     Attributes:
         service: name of the request's class.
@@ -275,7 +281,7 @@
         group: affinity group, whose connections share servers where possible; None for no group.
         load: hint of the connection's usual load; 0 if there is none.
         is_returning: the client reconnects after a break or a migration.
-        is_midstream: the connection is open already, and its packets are under way.
+        is_midstream: the connection is open already, and its packets are under way; only in the simulator.
     """
 
     request_id: str
--- a/glenrock/routing/load_estimation.py
+++ b/glenrock/routing/load_estimation.py
@@ -20,7 +20,7 @@
 MIN_DELAY_SAMPLE_INTERVAL_US = SECOND_US // 2  # closer samples do not show how a delay grows
 OWN_LOAD_HISTORY_US = 4 * SECOND_US  # more than the largest delay of a report
 
-BUSY_LOAD = 0.82  # assumed of a server with slow messages
+DELAYED_LOAD = 0.82  # assumed of a server with slow messages
 MIN_LATE_LOAD = 1.1  # least load of a server whose messages miss their objective
 QUIET_LOAD = 0.58  # assumed of a silent server without load reports; lets the cap rise
 MIN_DELAY_GROWTH_LOAD = 0.3  # bounds of the load that the growth of a delay shows
@@ -153,8 +153,10 @@
     def load_from_delays(server: Server) -> float:
         """Returns the load of a server with late messages, from the growth of their delay.
 
-        Older reports would cause the same excess to migrate twice. The growth also distinguishes a backlog
-        that shrinks from one that grows.
+        A server with a load of 1 + g falls behind by g seconds of work a second, so its delay grows by g a
+        second. To work off the delay within a feedback delay takes another delay / `FEEDBACK_DELAY_US` of its
+        capacity, which is added. The growth also distinguishes a backlog that shrinks from one that grows;
+        older reports would cause the same excess to migrate twice.
         """
         at_us, delay_s, own_load = server.delay_samples[-1]
         growth = delay_s  # no delay was reported a second before the first sample
@@ -180,11 +182,11 @@
         if age_us < FRESH_REPORT_US:
             return load
         if now_us - server.delayed_at_us < DELAY_REPORT_VALID_US:
-            return max(load, BUSY_LOAD)
+            return max(load, DELAYED_LOAD)
         if server.connections and self.is_silence_healthy:
             # Mostly servers with faults are checked again, and their old high loads would keep the cap low. A
             # server with connections here and no reports of slow messages is not busy.
-            return min(load, BUSY_LOAD if self.has_reports else QUIET_LOAD)
+            return min(load, DELAYED_LOAD if self.has_reports else QUIET_LOAD)
         return load
 
     def remaining_load_fraction(self, server: Server) -> float:
--- a/glenrock/routing/migration.py
+++ b/glenrock/routing/migration.py
@@ -69,7 +69,7 @@
         its clients, and overloaded servers would not. The bound brings the other servers to the target load,
         by this balancer's part of their load.
         """
-        if not server.is_listed or self.overrides.allows(server.server_id):
+        if not server.is_listed_ready or self.overrides.allows(server.server_id):
             return float("inf")
         load_elsewhere = sum(
             request.load
--- a/glenrock/routing/outlier_ejection.py
+++ b/glenrock/routing/outlier_ejection.py
@@ -47,7 +47,7 @@
     is_panicking: bool = field(init=False, default=False)
 
     def may_receive(self, server: Server, load: float) -> bool:
-        """Returns whether the server may receive new work of that load now. Every send obeys this rule.
+        """Returns whether the server may receive new work of that load now, of any request.
 
         A server that is draining, or suspended by an operator, is not ready and receives nothing.
         """
--- a/glenrock/routing/request_lifecycle.py
+++ b/glenrock/routing/request_lifecycle.py
@@ -147,7 +147,8 @@
         """Routes, once a round, the requests that wait for a server."""
         for request_id in list(self._awaiting_server):
             # The end of one request may have routed or ended another of this list.
-            if self._awaiting_server.pop(request_id, 0) is None:
+            if request_id in self._awaiting_server:
+                del self._awaiting_server[request_id]
                 self._route(self.requests[request_id])
 
     def _route_next_waiting(self) -> None:
@@ -205,6 +206,7 @@
         elif event.outcome == AttemptOutcome.BROKEN and request.server:
             self.health_checks.record_broken(server)
         if event.is_final or request.server:
+            # The client of a connection that broke has no final answer yet.
             if not event.is_final and not request.event.is_midstream:
                 self.batch.emit(Fail(event.request_id))
             self._forget(request, keep_session)
--- a/glenrock/routing/retries.py
+++ b/glenrock/routing/retries.py
@@ -44,7 +44,7 @@
         return not request.attempt_is_in_flight and not self.is_overdue(request)
 
     def may_send(self, request: RoutedRequest, server: Server) -> bool:
-        """Returns whether the request may be sent to that server now. Every send is subject to this rule."""
+        """Returns whether the request may be sent to that server now. Every send obeys this rule."""
         if not self.may_attempt(request) or not self.ejection.may_receive(server, request.load):
             return False
         first = request.first_possibly_executed
@@ -64,7 +64,7 @@
         return request_class.idempotency_scope == IdempotencyScope.ALL or server.cell == first.server.cell
 
     def may_reject(self, request: RoutedRequest) -> bool:
-        """Returns whether the request may be rejected: the retry that this invites must be harmless."""
+        """Returns whether the request may be rejected: the client retries then, so this must be safe."""
         if request.is_answered or request.server:
             return False
         request_class = request.request_class
@@ -78,7 +78,8 @@
     def may_wait(self, request: RoutedRequest) -> bool:
         """Returns whether a request that no server may receive now waits for a server.
 
-        If operators have suspended the last server, no server will become available soon.
+        It waits until its latency objective, even if it is not safe to retry at any server. If operators have
+        suspended the last server, no server will become available soon.
         """
         if not self.endpoints.ring and self.overrides.suspended_servers:
             return False
--- a/glenrock/routing/server_index.py
+++ b/glenrock/routing/server_index.py
@@ -10,7 +10,7 @@
 
 from .state import Server
 
-LARGE_FLEET = 128  # servers; in a larger fleet connections for health checks are closed after a while
+LARGE_FLEET = 128  # servers; in a larger fleet a new connection for health checks costs a token
 
 
 class ServerIndex:
--- a/glenrock/routing/server_selection.py
+++ b/glenrock/routing/server_selection.py
@@ -70,7 +70,7 @@
     def _warming_candidates(self, request: RoutedRequest, seed: int, tried: set[str]) -> list[Server]:
         """Returns servers that are warming up, if the request is only for them or the others are full.
 
-        As ordinary candidates they would stay nearly empty: each of many balancers may rarely send to them.
+        As ordinary candidates they would stay nearly empty: each of many balancers rarely draws them.
         """
         if not request.is_slow_start_only and self.loads.fleet_load <= load_targets.TARGET_LOAD:
             return []
--- a/glenrock/routing/slow_start.py
+++ b/glenrock/routing/slow_start.py
@@ -29,9 +29,9 @@
 ) -> float:
     """Returns the load from which this balancer's slow-start budgets are computed.
 
-    Load at balancers without clients of their own, which are draining or have just started, is divided among
-    the balancers that have clients: counted at both it would be sent twice, counted at neither a warming
-    server would stay empty beside full ones.
+    A balancer without clients of its own is draining or has just started. Its load is divided among the
+    balancers that have clients. If it counted at its own balancer too it would be sent twice; if it counted
+    at none, a warming server would stay empty beside full ones.
 
     Args:
         own_load: load of the connections here.
@@ -99,12 +99,16 @@
     def update_reference_load(self, load: float, is_balancer_draining: bool) -> None:
         """Updates the reference load, once a round.
 
-        While no server is warm the last load is kept: after a loss of all servers no connections are left,
-        and budgets of 0 would last until the first server is warm.
+        While no server is warm the last load stays, unless this balancer drains: after a loss of all servers
+        no connections are left, and budgets of 0 would last until the first server is warm.
         """
-        if is_balancer_draining or not self._capacity.has_no_warm_server:
+        if is_balancer_draining or self._capacity.has_warm_server:
             self.reference_load = load
 
+    def clear_reference_load(self) -> None:
+        """Sets the reference load to 0 until the next round."""
+        self.reference_load = 0.0
+
     def headroom(self, server: Server) -> float:
         """Returns the load that this balancer may send to a server now; infinite for a warm server.
 
@@ -138,8 +142,9 @@
     def _window_multiple(self, server: Server) -> float:
         """Returns the multiple of its budget that the first connection of this window may have.
 
-        It is drawn for each balancer and window: a connection of n budgets is sent in one of n windows on
-        average. Budgets saved up over windows would let all balancers send at once.
+        It is 1 / u, at most half the number of balancers, with u drawn evenly from 0 to 1 for each balancer
+        and window. It reaches n with probability 1 / n, so that a connection of n budgets is sent in one of n
+        windows on average. Budgets saved up over windows would let all balancers send at once.
         """
         window = (self._batch.now_us - server.started_us) // self._settings.slow_start_window_us
         draw = max(MIN_DRAW, mix(server.hash ^ self._salt ^ mix(window)) / MASK)
--- a/glenrock/routing/state.py
+++ b/glenrock/routing/state.py
@@ -39,7 +39,7 @@
 
     Attributes:
         is_ready: listed as ready, and not suspended by an operator.
-        is_listed: listed as ready, so neither draining nor gone.
+        is_listed_ready: listed as ready, so neither draining nor gone.
         reported_load: last reported load; below 0 if it is not known.
         unreported_load: load sent there that no report can show yet, in total; `recent_sends` has its parts.
         own_load_history: this balancer's load there, round by round.
@@ -64,7 +64,7 @@
     cell: int
     hash: int
     is_ready: bool = False
-    is_listed: bool = False
+    is_listed_ready: bool = False
     started_us: int = 0
     weight: float = 1.0
     reported_load: float = -1.0
--- a/glenrock/routing/waiting_queue.py
+++ b/glenrock/routing/waiting_queue.py
@@ -61,7 +61,7 @@
             self.clients[request.key] = WaitingClient(bucket, request.load, self._batch.now_us)
 
     def requeue(self, request: RoutedRequest) -> None:
-        """Adds an admitted client that no server accepted, to the bucket of its arrival."""
+        """Adds an admitted client whose request was rejected or failed, to the bucket of its arrival."""
         bucket = request.arrived_us // self.bucket_us
         self.clients.setdefault(request.key, WaitingClient(bucket, request.load, self._batch.now_us))
 
