--- a/glenrock/coordination/agent.py
+++ b/glenrock/coordination/agent.py
@@ -138,7 +138,7 @@
 
     def view(self) -> str:
         """Returns the operators' view, as JSON."""
-        cache_status = self._start_cache.status if self._start_cache else "nothing is kept"
+        cache_status = self._start_cache.status if self._start_cache else "disabled"
         return build_view(
             self._context,
             rejections=self.overrides.receiver.rejections if self.overrides else [],
@@ -181,7 +181,7 @@
         membership=membership,
         overrides=overrides,
         fence=fence,
-        state=StateWriter(host, DurableState(folder, name), fence, overrides),
+        state=StateWriter(DurableState(folder, name), fence, overrides, host.clock, host.connections.metrics),
         transport=transport,
         leases=LeaseRunner(store, manager, timing, fence, transport, tasks),
         tasks=tasks,
--- a/glenrock/coordination/leases/lease_manager.py
+++ b/glenrock/coordination/leases/lease_manager.py
@@ -22,7 +22,7 @@
     LeaseTiming,
     RequestKind,
 )
-from .store import JobRequest, Lease, LeaseAnswers
+from .store import TIME_UNKNOWN, JobRequest, Lease, LeaseAnswers
 
 MAX_WATCHERS = 3  # members that watch a job's lease; the others read it at a full watch only
 MAX_STEPS = 10  # bound on the steps that a member waits for the members before it
@@ -30,7 +30,6 @@
 PATIENCE_FACTOR = 4
 IDLE_PENALTY_LEASES = 3  # a job whose lease was held without work is not requested for this many leases
 REBALANCE_DIVISOR = 10  # the misplaced jobs over those released at a time
-TIME_NOT_KNOWN = -1
 NO_LEASE = Lease("", 0, 0)
 
 
@@ -60,16 +59,16 @@
 
     Attributes:
         holder: the process that held it; empty if it was free.
-        free_since_us: when it became free, or will; TIME_NOT_KNOWN if the store did not report it.
+        free_since_us: when it became free, or will; TIME_UNKNOWN if the store did not report it.
     """
 
     holder: str = ""
-    free_since_us: int = TIME_NOT_KNOWN
+    free_since_us: int = TIME_UNKNOWN
 
     @property
-    def may_become_free(self) -> bool:
-        """Whether the time is known at which the lease is free."""
-        return self.free_since_us >= 0
+    def is_free_time_known(self) -> bool:
+        """Whether the time at which the lease becomes free is known."""
+        return self.free_since_us != TIME_UNKNOWN
 
 
 class LeaseManager:
@@ -99,7 +98,7 @@
         self._last_work_us: dict[str, int] = {}
         self._acquired_us: dict[str, int] = {}
         self._rebalanced_us = 0
-        self._patience_leases: dict[str, int] = {}  # how long a misplaced job is held before it is released
+        self._patience_leases: dict[str, int] = {}  # lease durations for which a misplaced job is held
 
     # -- leases held -----------------------------------------------------------------------------------
 
@@ -122,7 +121,7 @@
             self.candidates[job].term_floor = max(self.candidates[job].term_floor, term)
 
     def handle_rejection(self, job: str, now_us: int, highest_term: int) -> list[JobEvent]:
-        """Applies that a receiver has seen `highest_term`."""
+        """Handles a rejection by a receiver that has seen `highest_term`."""
         candidate = self.candidates.get(job)
         return self._collect(job, candidate.handle_rejection(now_us, highest_term)).events if candidate else []
 
@@ -158,49 +157,54 @@
         """Applies the passage of time."""
         actions = LeaseActions()
         for job in sorted(self._active_jobs):
-            self._tick_job(job, now_us, actions)
+            actions.add(self._tick_job(job, now_us))
+            actions.add(self._step_down_if_not_working(job, now_us))
         actions.add(self._rebalance(now_us))
         if any(request.kind is RequestKind.RENEW for _, request in actions.requests):
-            self._renew_all(now_us, actions)
+            actions.add(self._renew_all(now_us))
         return actions
 
-    def _tick_job(self, job: str, now_us: int, actions: LeaseActions) -> None:
+    def _tick_job(self, job: str, now_us: int) -> LeaseActions:
+        """Applies the passage of time to one candidate, or removes a job on which nothing can happen."""
         candidate = self.candidates[job]
         is_active = candidate.state is not CandidateState.IDLE or candidate.pending_kind
-        may_become_free = self._observed.get(job, ObservedLease()).may_become_free
-        if not is_active and job not in self._requested_jobs and not may_become_free:
+        is_free_time_known = self._observed.get(job, ObservedLease()).is_free_time_known
+        if not is_active and job not in self._requested_jobs and not is_free_time_known:
             self._active_jobs.discard(job)
         elif (is_active and candidate.state is not CandidateState.BACKING_OFF) or self._may_request(job, now_us):
-            actions.add(self._collect(job, candidate.tick(now_us)))
-        self._step_down_if_not_working(job, now_us, actions)
+            return self._collect(job, candidate.tick(now_us))
+        return LeaseActions()
 
-    def _step_down_if_not_working(self, job: str, now_us: int, actions: LeaseActions) -> None:
+    def _step_down_if_not_working(self, job: str, now_us: int) -> LeaseActions:
         """Lets another member take over from a holder that renews the lease and does not do the work."""
         candidate = self.candidates[job]
         idle_us = now_us - self._last_work_us.get(job, now_us)
-        if candidate.state is CandidateState.HOLDER and idle_us > self.timing.lease_us:
-            self._penalty_until_us[job] = now_us + IDLE_PENALTY_LEASES * self.timing.lease_us
-            actions.add(self._collect(job, candidate.step_down(now_us)))
+        if candidate.state is not CandidateState.HOLDER or idle_us <= self.timing.lease_us:
+            return LeaseActions()
+        self._penalty_until_us[job] = now_us + IDLE_PENALTY_LEASES * self.timing.lease_us
+        return self._collect(job, candidate.step_down(now_us))
 
-    def _renew_all(self, now_us: int, actions: LeaseActions) -> None:
+    def _renew_all(self, now_us: int) -> LeaseActions:
         """Renews all leases in the call that renews one of them."""
+        actions = LeaseActions()
         for job in sorted(self._active_jobs):
             candidate = self.candidates[job]
             if candidate.state is CandidateState.HOLDER and not candidate.pending_kind:
                 actions.add(self._collect(job, candidate.renew(now_us)))
+        return actions
 
     def _may_request(self, job: str, now_us: int) -> bool:
         if job in self._requested_jobs:
             return True
         observed = self._observed.get(job)
         is_penalized = now_us < self._penalty_until_us.get(job, 0)
-        if job not in self.jobs or is_penalized or observed is None or not observed.may_become_free:
+        if job not in self.jobs or is_penalized or observed is None or not observed.is_free_time_known:
             return False
         steps = rank(job, self.membership.me, self.membership.members(now_us), MAX_STEPS)
         return now_us >= observed.free_since_us + steps * self._step_us
 
     def _rebalance(self, now_us: int) -> LeaseActions:
-        """Releases some of the jobs that another member is preferred for; after a start one member may hold all."""
+        """Releases some of the jobs that another member is preferred for, since after a start one member may do all."""
         actions = LeaseActions()
         if now_us - self._rebalanced_us < self.timing.lease_us:
             return actions
@@ -208,7 +212,7 @@
         members = list(self.membership.members(now_us))
         misplaced = [job for job in self.jobs if self._is_misplaced(job, members, now_us)]
         for job in misplaced[: 1 + len(misplaced) // REBALANCE_DIVISOR]:
-            # Backs off: a preferred member that does not acquire the lease costs an interval without a holder.
+            # The time is longer at each release: a job has no holder while the preferred member does not acquire it.
             patience_leases = PATIENCE_FACTOR * self._patience_leases.get(job, 1)
             self._patience_leases[job] = min(MAX_PATIENCE_LEASES, patience_leases)
             actions.add(self._collect(job, self.candidates[job].step_down(now_us)))
@@ -243,12 +247,12 @@
             observed = self._observed.setdefault(job, ObservedLease())
             if lease.holder:
                 observed.holder = lease.holder
-                is_known = lease.remaining_us >= 0
-                observed.free_since_us = now_us + lease.remaining_us if is_known else TIME_NOT_KNOWN
-            elif not observed.may_become_free or observed.holder:
+                is_time_known = lease.remaining_us != TIME_UNKNOWN
+                observed.free_since_us = now_us + lease.remaining_us if is_time_known else TIME_UNKNOWN
+            elif not observed.is_free_time_known or observed.holder:
                 observed.holder = ""
                 observed.free_since_us = now_us
-            if observed.may_become_free:
+            if observed.is_free_time_known:
                 self._active_jobs.add(job)
 
     def handle_answers(self, requests: Iterable[JobRequest], answers: LeaseAnswers, now_us: int) -> LeaseActions:
@@ -261,12 +265,12 @@
                 continue
             granted_term = answers.granted_term(job)
             if request.kind is RequestKind.ACQUIRE and not granted_term and job in self._observed:
-                self._observed[job].free_since_us = TIME_NOT_KNOWN  # another member has acquired it
+                self._observed[job].free_since_us = TIME_UNKNOWN  # another member has acquired it
             actions.add(self._collect(job, candidate.handle_answer(now_us, request.sequence, granted_term)))
         return actions
 
     def handle_timeouts(self, requests: Iterable[JobRequest], now_us: int) -> None:
-        """Applies that requests got no answer."""
+        """Handles the timeout of requests."""
         for job, request in requests:
             self.candidates[job].handle_timeout(now_us, request.sequence)
 
@@ -284,5 +288,5 @@
                     pass
             collected.events.append(JobEvent(job, action))
             if job in self._observed:
-                self._observed[job].free_since_us = TIME_NOT_KNOWN  # reported before the change
+                self._observed[job].free_since_us = TIME_UNKNOWN  # reported before the change
         return collected
--- a/glenrock/routing/admission.py
+++ b/glenrock/routing/admission.py
@@ -44,12 +44,12 @@
     Attributes:
         load_cap: bound on the active load of all balancers; `NO_CAP` while it does not bind.
         slow_start_load_cap: active load allowed beside it, for servers that are warming up.
-        quota: load that `partial_bucket`, or new clients if no client waits, may still bring this round.
+        quota: load that may still be admitted this round, for `partial_bucket`; for all if no client waits.
         last_open_bucket: clients of this bucket and of older ones are admitted.
         partial_bucket: the bucket that exceeds the free load; its clients are admitted within the quota.
         extra_buckets: how many buckets younger than `partial_bucket` may use the quota too.
         may_admit_newcomers: no client waits, and the cap leaves ample free load.
-        has_rejected_newcomer: a client was rejected this round because its bucket may not use the quota.
+        has_rejected_young_bucket: a client was rejected this round because its bucket is too young.
     """
 
     batch: EventBatch
@@ -70,7 +70,7 @@
     last_open_bucket: int = field(init=False, default=-NO_BUCKET)
     partial_bucket: int = field(init=False, default=NO_BUCKET)
     may_admit_newcomers: bool = field(init=False, default=True)
-    has_rejected_newcomer: bool = field(init=False, default=False)
+    has_rejected_young_bucket: bool = field(init=False, default=False)
     extra_buckets: int = field(init=False, default=0)
     _cap_cut_us: int = field(init=False, default=NEVER_US)
     _load_admitted_beside_quota: float = field(init=False, default=0.0)
@@ -123,7 +123,7 @@
             self._load_admitted_beside_quota += request.load
             return True
         if bucket > self.partial_bucket + self.extra_buckets:
-            self.has_rejected_newcomer = True
+            self.has_rejected_young_bucket = True
             return False
         # A quota below one client's load admits a client with the matching probability.
         is_admitted = self.quota >= request.load or self.rng.random() * request.load < self.quota
@@ -184,7 +184,7 @@
         # load, clients that left would be cut again, and clients under way would be admitted again.
         sample = self.history.oldest_within(FEEDBACK_DELAY_US)
         past_load = sample.tier_load if sample else self.gossip.tier_load()
-        bearable_load = past_load * load_targets.TARGET_LOAD / self.capacity.bounded_fleet_load
+        bearable_load = past_load * load_targets.TARGET_LOAD / self.loads.bounded_fleet_load
         self._update_slow_start_load_cap(past_load, len(warm))
         if self.loads.fleet_load > load_targets.HIGH_LOAD or is_dropping:
             self._cut_cap(past_load, bearable_load)
@@ -213,7 +213,7 @@
         """
         filled = sum(self.slow_start.filled_fraction(server) for server in self.slow_start.warming)
         full_load = filled * load_targets.TARGET_LOAD * past_load
-        self.slow_start_load_cap = full_load / self.capacity.bounded_fleet_load / max(1, warm_count)
+        self.slow_start_load_cap = full_load / self.loads.bounded_fleet_load / max(1, warm_count)
 
     def _cut_cap(self, past_load: float, bearable_load: float) -> None:
         if self.batch.now_us - self._cap_cut_us < FEEDBACK_DELAY_US:
@@ -243,24 +243,29 @@
         return own / total if own and (self.gossip.peers or self.settings.balancers == 1) else None
 
     def update_quota(self) -> None:
-        """Opens the oldest buckets as far as the free load goes, and takes a quota of the rest."""
+        """Opens the oldest buckets as far as the free load goes, and takes a quota of the rest.
+
+        With 72 of free load, and 2, 50 and 60 waiting in buckets from old to young, the first two are open,
+        the third is partial, and 20 is left. The quotas of all balancers divide it by their fractions of the
+        clients.
+        """
         tier_load = self.gossip.tier_load()
         waiting_load = self.gossip.tier_waiting_load()
         self.may_admit_newcomers = not waiting_load and tier_load < self.load_cap / 2
         free_load = max(0.0, self.load_cap + self.slow_start_load_cap - tier_load)
         client_fraction = self.client_fraction() or 1.0
         rest = self._open_oldest_buckets(waiting_load, free_load)
-        if self.quota > 0 and self.has_rejected_newcomer:
-            # A part of the quota was not used although clients of younger buckets were rejected: the clients
-            # it was for have retried at other balancers. So more of the younger buckets may use the quota.
+        if self.quota > 0 and self.has_rejected_young_bucket:
+            # Quota is left over while clients of younger buckets were rejected: those of the partial bucket
+            # retry at other balancers. So more of the younger buckets may use the quota.
             self.extra_buckets = min(2 * self.extra_buckets + 1, MAX_WAITING)
         elif self.quota <= 0:
             self.extra_buckets = 0
-        if self.has_rejected_newcomer and free_load < NO_CAP:
-            # The free load of the open buckets was reserved, but their clients brought only a part of it.
-            # Since others were rejected meanwhile, the quota gets what was not used.
+        if self.has_rejected_young_bucket and free_load < NO_CAP:
+            # The open buckets reserve free load, and only a part of their clients came. What they left unused
+            # goes to the quota, since others were rejected meanwhile.
             rest = max(rest, free_load - self._load_admitted_beside_quota / client_fraction)
-        self.has_rejected_newcomer = False
+        self.has_rejected_young_bucket = False
         self._load_admitted_beside_quota = 0.0
         self.quota = rest * client_fraction
 
--- a/glenrock/routing/interface.py
+++ b/glenrock/routing/interface.py
@@ -66,7 +66,7 @@
     ERROR = "error"
     """The server reported an error."""
     FULL = "full"
-    """The server rejected the attempt."""
+    """The server was full, and did not accept the attempt."""
     TIMEOUT = "timeout"
     """The server did not answer in time."""
     NO_CONNECTION = "no_connection"
@@ -74,7 +74,7 @@
     BROKEN = "broken"
     """The connection broke."""
     CANCELLED = "cancelled"
-    """The client or this balancer ended it."""
+    """The client or this balancer cancelled it, or closed its connection."""
     UNSENT = "unsent"
     """It was not sent: the server drains or is gone, or this machine had no resources."""
 
@@ -115,9 +115,9 @@
     """Properties that all requests of a class share.
 
     Attributes:
-        latency_objective_us: wanted time to set up a connection.
+        latency_objective_us: target for the time to set up a connection.
         deadline_us: longest time from a request's arrival to its final answer.
-        message_objective_us: wanted time of one message on an open connection; 0 if there is no objective.
+        message_objective_us: target for the time of one message on an open connection; 0 if there is none.
         priority_weight: weight of the class relative to the others.
         idempotency_window_us: how long servers in the scope drop the duplicate of a keyed request.
     """
@@ -148,7 +148,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """A tenant of the servers. `connections` is its quota over all balancers; 0 for no limit."""
+    """A tenant of the servers.
+
+    Attributes:
+        connections: its quota over all balancers; 0 for no limit. Routing does not enforce it: it only bounds
+            the load that a gossip summary may plausibly state.
+    """
 
     name: str
     connections: float = 0.0
@@ -177,6 +182,7 @@
         has_message_delay_reports: servers report connections whose messages are slow.
         cross_zone_cost: cost of one connection to another zone, as a part of the platform's result; the other
             costs are in the same unit.
+        migration_cost: cost of one migration. Routing does not use it.
     """
 
     classes: tuple[RequestClass, ...]
@@ -267,7 +273,7 @@
 
 @dataclass(slots=True)
 class Request:
-    """A client's wish for a connection.
+    """A client's request to open a connection.
 
     Attributes:
         service: name of the request's class.
@@ -275,7 +281,7 @@
         group: affinity group, whose connections share servers where possible; None for no group.
         load: hint of the connection's usual load; 0 if there is none.
         is_returning: the client reconnects after a break or a migration.
-        is_midstream: the connection is open already, and its packets are under way.
+        is_midstream: the connection is open already, and its packets are under way; only in the simulator.
     """
 
     request_id: str
@@ -302,7 +308,7 @@
     """An attempt succeeded: the client has its first answer."""
 
     request_id: str
-    attempt: int
+    attempt_number: int
     server_id: str
     latency_us: int = 0
 
@@ -325,7 +331,7 @@
     """
 
     request_id: str
-    attempt: int
+    attempt_number: int
     server_id: str
     outcome: AttemptOutcome
     is_final: bool
@@ -378,9 +384,9 @@
 
 @dataclass(slots=True)
 class GossipReceived:
-    """A gossip summary from another balancer."""
+    """A gossip summary from the balancer with index `peer_index`."""
 
-    peer: int
+    peer_index: int
     data: bytes
 
 
@@ -417,7 +423,7 @@
     """Cancel that attempt: its outcome is no longer needed."""
 
     request_id: str
-    attempt: int
+    attempt_number: int
 
 
 @dataclass(slots=True)
--- a/glenrock/routing/migration.py
+++ b/glenrock/routing/migration.py
@@ -23,7 +23,6 @@
 SPARE_LOAD = 0.5  # least load left at a relieved server if the others have free capacity
 EMPTIED_LOAD = 0.3  # load left at a slow server
 BACKLOG_US = 6 * SECOND_US  # time in which a server works off its backlog
-MIN_FLEET_LOAD = 0.1  # bounds a division
 
 
 @dataclass(eq=False)
@@ -70,7 +69,7 @@
         its clients, and overloaded servers would not. The bound brings the other servers to the target load,
         by this balancer's part of their load.
         """
-        if not server.is_listed or self.overrides.allows(server.server_id):
+        if not server.is_listed_ready or self.overrides.allows(server.server_id):
             return float("inf")
         load_elsewhere = sum(
             request.load
@@ -80,8 +79,7 @@
         )
         if not load_elsewhere:
             return float("inf")
-        fleet_load = max(MIN_FLEET_LOAD, self.loads.fleet_load)
-        return load_elsewhere * (load_targets.TARGET_LOAD / fleet_load - 1)
+        return load_elsewhere * (load_targets.TARGET_LOAD / self.loads.bounded_fleet_load - 1)
 
     # -- overloaded servers --------------------------------------------------------------------------
 
@@ -111,7 +109,7 @@
             load = max(load, self.loads.fleet_load)
         server.migrated_at_us = self.batch.now_us
         excess = (load - self._relieved_load(is_scarce, is_slow)) / load * server.own_load
-        self._shed(server, excess, is_scarce, by_group=is_slow)
+        self._migrate_load(server, excess, is_scarce, by_group=is_slow)
 
     def _is_due(self, server: Server, is_slow: bool, is_late: bool, waits_for_backlog: bool) -> bool:
         wait_us = FEEDBACK_DELAY_US
@@ -135,9 +133,9 @@
             return EMPTIED_LOAD
         return min(load_targets.TARGET_LOAD, max(SPARE_LOAD, self.loads.fleet_load))
 
-    def _shed(self, server: Server, excess: float, is_scarce: bool, by_group: bool) -> None:
+    def _migrate_load(self, server: Server, excess: float, is_scarce: bool, by_group: bool) -> None:
         """Migrates connections of that total load; if capacity is scarce the clients lose their sessions."""
-        for group in self._shedding_order(server, is_scarce, by_group):
+        for group in self._migration_order(server, is_scarce, by_group):
             load = sum(request.load for request in group)
             if excess < load and self.rng.random() * load > excess:
                 break
@@ -147,11 +145,11 @@
                 if is_scarce:
                     self.without_session.add(request.event.request_id)
 
-    def _shedding_order(self, server: Server, is_scarce: bool, by_group: bool) -> list[list[RoutedRequest]]:
+    def _migration_order(self, server: Server, is_scarce: bool, by_group: bool) -> list[list[RoutedRequest]]:
         """Returns the server's connections in the order in which they migrate.
 
         If capacity is scarce the order is drawn by priority weight: in strict order the lowest class would
-        not be served at all. Otherwise the heaviest come first. A slow server sheds whole groups, since it
+        not be served at all. Otherwise the heaviest come first. Whole groups leave a slow server, since it
         bears a group's common work while it holds any connection of the group.
         """
         groups: dict[object, list[RoutedRequest]] = {}
--- a/glenrock/routing/request_lifecycle.py
+++ b/glenrock/routing/request_lifecycle.py
@@ -77,8 +77,7 @@
         if not self.admission.admit(request):
             self._reject(request)
             return
-        answer_at_us = request.event.deadline_us - self.retries.answer_margin_us
-        self.batch.set_timer(answer_at_us, RequestTimer(request.event.request_id))
+        self.batch.set_timer(self.retries.answer_due_us(request), RequestTimer(request.event.request_id))
         self._route(request)
 
     def adopt(self, request: RoutedRequest, server: Server) -> None:
@@ -111,7 +110,8 @@
 
     def finish_check(self, server_id: str) -> None:
         """Handles the end of a health check: sends the requests that waited for no other check."""
-        waiting = [r for r in self._awaiting_checks.values() if server_id in r.pending_checks]
+        requests = self._awaiting_checks.values()
+        waiting = [request for request in requests if server_id in request.pending_checks]
         for request in waiting:
             request.pending_checks.discard(server_id)
             if not request.pending_checks:
@@ -147,7 +147,8 @@
         """Routes, once a round, the requests that wait for a server."""
         for request_id in list(self._awaiting_server):
             # The end of one request may have routed or ended another of this list.
-            if self._awaiting_server.pop(request_id, 0) is None:
+            if request_id in self._awaiting_server:
+                del self._awaiting_server[request_id]
                 self._route(self.requests[request_id])
 
     def _route_next_waiting(self) -> None:
@@ -162,9 +163,9 @@
     def establish(self, event: ConnectionEstablished) -> None:
         """Handles an attempt that established its connection."""
         request = self.requests.get(event.request_id)
-        if request is None or request.is_answered or not 0 <= event.attempt < len(request.attempts):
+        if request is None or request.is_answered or not 0 <= event.attempt_number < len(request.attempts):
             return
-        server = request.attempts[event.attempt].server
+        server = request.attempts[event.attempt_number].server
         request.server, request.is_answered = server, True
         self._record_connection(request, server)
         server.consecutive_failures = 0
@@ -178,17 +179,17 @@
         server.last_heard_us = self.batch.now_us
         self.affinity.remember(request.event.group, server)
 
-    def end_attempt(self, event: AttemptEnded, is_draining: bool) -> None:
+    def end_attempt(self, event: AttemptEnded, is_balancer_draining: bool) -> None:
         """Handles the end of an attempt, or of the connection that it established.
 
         Args:
             event: how it ended.
-            is_draining: this balancer migrates its clients to the others.
+            is_balancer_draining: this balancer migrates its clients to the others, on an operator's call.
         """
         request = self.requests.get(event.request_id)
-        if request is None or not 0 <= event.attempt < len(request.attempts):
+        if request is None or not 0 <= event.attempt_number < len(request.attempts):
             return
-        attempt = request.attempts[event.attempt]
+        attempt = request.attempts[event.attempt_number]
         attempt.outcome = event.outcome
         server = attempt.server
         self.ejection.record_report(server, event.report)
@@ -196,7 +197,7 @@
             self.concurrency.record_ended(server.server_id, event.outcome)
             self._route_next_waiting()
         # The session of a client that migrates to another balancer would count at both for seconds.
-        keep_session = not is_draining
+        keep_session = not is_balancer_draining
         if event.outcome in SERVER_FAULT_OUTCOMES:
             self.ejection.cut_weight(server)
             keep_session = self.admission.record_fault(request, attempt)
@@ -205,6 +206,7 @@
         elif event.outcome == AttemptOutcome.BROKEN and request.server:
             self.health_checks.record_broken(server)
         if event.is_final or request.server:
+            # The client of a connection that broke has no final answer yet.
             if not event.is_final and not request.event.is_midstream:
                 self.batch.emit(Fail(event.request_id))
             self._forget(request, keep_session)
@@ -250,7 +252,7 @@
     def _forget(self, request: RoutedRequest, keep_session: bool) -> None:
         request_id = request.event.request_id
         if not request.server and request.attempt_is_in_flight:
-            self.concurrency.record_abandoned()
+            self.concurrency.record_cancelled()
         request.is_answered = True
         self.requests.pop(request_id, None)
         self._awaiting_server.pop(request_id, None)
--- a/tests/docs/test_capacity.py
+++ b/tests/docs/test_capacity.py
@@ -50,7 +50,7 @@
     frozenset(
         {"SECOND_US", "SECOND_MS", "MS_US", "DAY_MS"}  # units
         | {"VERSION", "HEADER_FIELDS"}  # formats
-        | {"RELEASED_US", "NOT_GRANTED", "TIME_UNKNOWN", "TIME_NOT_KNOWN"}  # markers
+        | {"RELEASED_US", "NOT_GRANTED", "TIME_UNKNOWN"}  # markers
         | {"HASH_BITS", "HASH_MASK", "MAX_NUMBER", "MAX_STEP"}  # widths
         | {"FIRST_FACTOR", "SECOND_FACTOR"}  # of a hash
         | {"HTTP_OK", "HTTP_NOT_FOUND", "HTTP_CONFLICT", "HTTP_SERVER_ERROR"}  # statuses
--- a/tests/test_recorded.py
+++ b/tests/test_recorded.py
@@ -59,7 +59,7 @@
         "b:1": OverrideEntry(False, Revision(6, 2)),
     }
     assert overrides.committed_up_to == {"n1.5": 4} and state.permits == {"turn": ("n2.9", 3)}
-    pending = [(pending_id, entry.server, entry.is_suspended) for pending_id, entry in overrides.pending.items()]
+    pending = [(pending_id, entry.server_id, entry.is_suspended) for pending_id, entry in overrides.pending.items()]
     assert pending == [("n1.5#5", "c:1", True)]
     written = json.loads(json.dumps(state.snapshot(fence, overrides).to_json()))
     assert written == json.loads((RECORDED / "glenrock-n1.fleet.json").read_bytes())
@@ -140,7 +140,7 @@
     found = json.loads((RECORDED / "datagrams.json").read_bytes())
     assert gossip_codec.decode(bytes.fromhex(found["gossip"])) == (513, 123456.0, 77, [(1, 60.0), (2, 50.0), (3, 2.0)])
     expected: list[datagrams.Message] = [
-        datagrams.LeaderHeartbeat("bans", 7, 0xABCDEF),
+        datagrams.HolderHeartbeat("bans", 7, 0xABCDEF),
         datagrams.SyncRequest("bans", 7, Revision(6, 2), True),
         datagrams.OverrideUpdate("bans", 7, 12, Revision(7, 11), True, "a:1"),
         datagrams.Acknowledgement("bans", True, 7, 7, 12, Revision(7, 11), 3, "a:1"),
