--- a/glenrock/routing/migration.py
+++ b/glenrock/routing/migration.py
@@ -91,6 +91,11 @@
                 self._relieve(server, is_scarce)
 
     def _relieve(self, server: Server, is_scarce: bool) -> None:
+        """Migrates this balancer's part of the excess load off a server, if it is overloaded.
+
+        A server is late if its messages miss their objective, and slow if it lost capacity while the others
+        have some. It is unobservable if its report is old and no health check may be sent.
+        """
         is_late = self.loads.misses_message_objective(server)
         # Connections that ended since the report would otherwise be migrated a second time.
         load = self.loads.load(server) * self.loads.remaining_load_fraction(server)
@@ -112,6 +117,7 @@
         self._migrate_load(server, excess, is_scarce, by_group=is_slow)
 
     def _is_due(self, server: Server, is_slow: bool, is_late: bool, waits_for_backlog: bool) -> bool:
+        """Returns whether the last migration off the server has shown its effect, so that another may begin."""
         wait_us = FEEDBACK_DELAY_US
         if is_slow:
             wait_us = FRESH_REPORT_US
--- a/glenrock/routing/request_lifecycle.py
+++ b/glenrock/routing/request_lifecycle.py
@@ -196,15 +196,7 @@
         if not request.server:
             self.concurrency.record_ended(server.server_id, event.outcome)
             self._route_next_waiting()
-        # The session of a client that migrates to another balancer would count at both for seconds.
-        keep_session = not is_balancer_draining
-        if event.outcome in SERVER_FAULT_OUTCOMES:
-            self.ejection.cut_weight(server)
-            keep_session = self.admission.record_fault(request, attempt)
-        if event.outcome == AttemptOutcome.NO_CONNECTION:
-            self.ejection.record_unreachable(server)
-        elif event.outcome == AttemptOutcome.BROKEN and request.server:
-            self.health_checks.record_broken(server)
+        keep_session = self._record_outcome(request, attempt, is_balancer_draining)
         if event.is_final or request.server:
             # The client of a connection that broke has no final answer yet.
             if not event.is_final and not request.event.is_midstream:
@@ -213,6 +205,19 @@
         elif not request.is_answered:
             self._route(request)
 
+    def _record_outcome(self, request: RoutedRequest, attempt: Attempt, is_balancer_draining: bool) -> bool:
+        """Records what the outcome shows of the server. Returns whether the client keeps its session."""
+        # The session of a client that migrates to another balancer would count at both for seconds.
+        keep_session = not is_balancer_draining
+        if attempt.outcome in SERVER_FAULT_OUTCOMES:
+            self.ejection.cut_weight(attempt.server)
+            keep_session = self.admission.record_fault(request, attempt)
+        if attempt.outcome == AttemptOutcome.NO_CONNECTION:
+            self.ejection.record_unreachable(attempt.server)
+        elif attempt.outcome == AttemptOutcome.BROKEN and request.server:
+            self.health_checks.record_broken(attempt.server)
+        return keep_session
+
     # -- the end of a request ------------------------------------------------------------------------
 
     def client_disconnected(self, request_id: str) -> None:
