--- a/glenrock/coordination/drain_limiter.py
+++ b/glenrock/coordination/drain_limiter.py
@@ -42,7 +42,7 @@
         self.permit = ""
         self._context = context
         self._leases = context.leases
-        self._stored_permits = context.state.file.permits
+        self._stored_permits = context.state.permits
         first = stable_hash(context.name) % max_permits  # differs, so that calls at several balancers do not collide
         self._jobs = [permit_job((first + offset) % max_permits) for offset in range(max_permits)]
         self._answers: dict[str, asyncio.Future[bool]] = {}
--- a/glenrock/coordination/leases/lease_manager.py
+++ b/glenrock/coordination/leases/lease_manager.py
@@ -167,13 +167,13 @@
     def _tick_job(self, job: str, now_us: int) -> LeaseActions:
         """Applies the passage of time to one candidate, or removes a job on which nothing can happen."""
         candidate = self.candidates[job]
-        is_active = candidate.state is not CandidateState.IDLE or candidate.pending_kind
-        is_free_time_known = self._observed.get(job, ObservedLease()).is_free_time_known
-        if not is_active and job not in self._requested_jobs and not is_free_time_known:
-            self._active_jobs.discard(job)
-        elif (is_active and candidate.state is not CandidateState.BACKING_OFF) or self._may_request(job, now_us):
-            return self._collect(job, candidate.tick(now_us))
-        return LeaseActions()
+        is_idle = candidate.state is CandidateState.IDLE and not candidate.pending_kind
+        is_backing_off = candidate.state is CandidateState.BACKING_OFF
+        if (is_idle or is_backing_off) and not self._may_request(job, now_us):
+            if is_idle and not self._may_request_later(job):
+                self._active_jobs.discard(job)
+            return LeaseActions()
+        return self._collect(job, candidate.tick(now_us))
 
     def _step_down_if_not_working(self, job: str, now_us: int) -> LeaseActions:
         """Lets another member take over from a holder that renews the lease and does not do the work."""
@@ -193,7 +193,12 @@
                 actions.add(self._collect(job, candidate.renew(now_us)))
         return actions
 
+    def _may_request_later(self, job: str) -> bool:
+        """Returns whether the lease is requested once it is free, or by a call."""
+        return job in self._requested_jobs or self._observed.get(job, ObservedLease()).is_free_time_known
+
     def _may_request(self, job: str, now_us: int) -> bool:
+        """Returns whether the lease may be requested now."""
         if job in self._requested_jobs:
             return True
         observed = self._observed.get(job)
--- a/glenrock/coordination/override_replication.py
+++ b/glenrock/coordination/override_replication.py
@@ -61,7 +61,7 @@
         overrides.add_pending(pending_id, server_id, is_suspended)
         if not await self._context.state.write():
             overrides.pending.pop(pending_id, None)
-            raise OperationRejectedError(f"not done: the state file {self._context.state.file.path} cannot be written")
+            raise OperationRejectedError(f"not done: the state file {self._context.state.path} cannot be written")
         await self.applier.apply(server_id, is_suspended)
         self._has_proposals.set()
         if not await self._wait_for_commit(pending_id):
