--- a/glenrock/coordination/agent.py
+++ b/glenrock/coordination/agent.py
@@ -130,12 +130,15 @@
     async def stop(self) -> None:
         """Releases all leases but the drain permit, which must cover the restart that follows, and ends the tasks."""
         context = self._context
-        await context.leases.step_down_from_all(except_job=self.drain_limiter.permit if self.drain_limiter else "")
+        await context.leases.step_down_from_all(except_job=self._permit_job())
         context.tasks.cancel()
         if self._start_backoff:  # after the leases are released, since a disk may take seconds
             await asyncio.to_thread(self._start_backoff.record_orderly_end)
         await context.leases.close()
 
+    def _permit_job(self) -> str | None:
+        return self.drain_limiter.permit_job if self.drain_limiter else None
+
     def view(self) -> str:
         """Returns the operators' view, as JSON."""
         cache_status = self._start_cache.status if self._start_cache else "disabled"
@@ -144,7 +147,7 @@
             rejections=self.overrides.receiver.rejections if self.overrides else [],
             cache_status=cache_status,
             start=self._milestones.progress(),
-            permit=self.drain_limiter.permit if self.drain_limiter else "",
+            permit_job=self._permit_job(),
         )
 
 
--- a/glenrock/coordination/drain_limiter.py
+++ b/glenrock/coordination/drain_limiter.py
@@ -35,11 +35,11 @@
     """The drain permit of this balancer.
 
     Attributes:
-        permit: the job of the permit that is held; empty if there is none.
+        permit_job: the job of the permit that is held; None if there is none.
     """
 
     def __init__(self, context: CoordinationContext, max_permits: int) -> None:
-        self.permit = ""
+        self.permit_job: str | None = None
         self._context = context
         self._leases = context.leases
         self._stored_permits = context.state.permits
@@ -64,7 +64,7 @@
             OperationRejectedError: all permits are held by others, or the store does not answer in time.
         """
         async with self._call_lock:
-            if self.permit:
+            if self.permit_job:
                 return
             loop = asyncio.get_running_loop()
             deadline_s = loop.time() + ACQUIRE_TIMEOUT_S
@@ -78,13 +78,13 @@
 
     def drain_permit_is_valid(self) -> bool:
         """Returns whether a permit is held now. If its lease has expired, the drain ends."""
-        if self.permit and self._leases.current_term(self.permit) is None:
-            self._lose_permit(LossReason.EXPIRED)
-        return bool(self.permit)
+        if self.permit_job and self._leases.current_term(self.permit_job) is None:
+            self._lose_permit(self.permit_job, LossReason.EXPIRED)
+        return self.permit_job is not None
 
     def release_permit(self) -> None:
         """Releases the permit, if one is held."""
-        job, self.permit = self.permit, ""
+        job, self.permit_job = self.permit_job, None
         if job:
             self._stored_permits.pop(job, None)
             self._context.tasks.run(self._context.state.write())
@@ -122,7 +122,7 @@
             self._leases.step_down(job)
             return False
         self._stored_permits[job] = StoredPermit(self._context.holder, term)
-        self.permit = job
+        self.permit_job = job
         if await self._context.state.write() and self.drain_permit_is_valid():
             return True
         self.release_permit()
@@ -136,14 +136,14 @@
             answer.set_result(self._leases.current_term(job) is not None)
 
     def _on_lease_event(self, job: str, event: LeaseAcquired | LeaseLost) -> None:
-        if isinstance(event, LeaseLost) and job == self.permit:
-            self._lose_permit(event.reason)
+        if isinstance(event, LeaseLost) and job == self.permit_job:
+            self._lose_permit(job, event.reason)
 
-    def _lose_permit(self, reason: LossReason) -> None:
+    def _lose_permit(self, job: str, reason: LossReason) -> None:
         """Ends the drain, since another balancer may drain now."""
-        logger.warning("drain permit lost", job=self.permit, reason=reason)
-        self._leases.stop_requesting(self.permit)
-        self.permit = ""
+        logger.warning("drain permit lost", job=job, reason=reason)
+        self._leases.stop_requesting(job)
+        self.permit_job = None
         with contextlib.suppress(OperationRejectedError):  # a stopping process ends no drain
             self._context.host.shutdown.end_manual_drain()
 
@@ -152,8 +152,8 @@
     async def _record_work(self) -> None:
         """Counts a drain as work, so that the lease manager does not step down from the permit."""
         while True:
-            if self.permit:
-                self._leases.record_work(self.permit)
+            if self.permit_job:
+                self._leases.record_work(self.permit_job)
             await asyncio.sleep(self._leases.timing.lease_us / SECOND_US / WORK_RECORDS_PER_LEASE)
 
     async def _release_old_permits(self) -> None:
--- a/glenrock/coordination/durable_state.py
+++ b/glenrock/coordination/durable_state.py
@@ -83,7 +83,7 @@
 
 
 class DurableState:
-    """The file of one balancer.
+    """The file of one balancer. Methods that adopt merge into fence and log; those that merge do so into a snapshot.
 
     Attributes:
         boot: identifier of the machine's boot.
@@ -122,31 +122,36 @@
         try:
             content = _decode(data)
         except DurableStateError:
-            self._merge_previous(fence, overrides)
+            self._adopt_previous(fence, overrides)
             raise
         is_complete = bool(content.boot == self.boot)
-        self._merge_content(content, fence, overrides)
+        self._adopt_file(content, fence, overrides)
         fence.is_restored |= is_complete
         return is_complete
 
-    def _merge_previous(self, fence: Fence, overrides: OverrideLog) -> None:
+    def _adopt_previous(self, fence: Fence, overrides: OverrideLog) -> None:
         """Merges the previous version of the file, if it can be read."""
         with contextlib.suppress(OSError, DurableStateError):
             content = _decode(durable_file.previous_path(self.path).read_bytes()[: MAX_BYTES + 1])
-            self._merge_content(content, fence, overrides)
+            self._adopt_file(content, fence, overrides)
 
-    def _merge_content(self, content: StateSnapshot, fence: Fence, overrides: OverrideLog) -> None:
+    def _adopt_file(self, content: StateSnapshot, fence: Fence, overrides: OverrideLog) -> None:
+        """Merges the content of a file into the fence and the log."""
         fence.merge(content.positions)
-        _merge_overrides(content, overrides)
+        _adopt_overrides(content, overrides)
         for pending_id, pending in content.pending.items():
             if pending and pending_id not in overrides.pending:
                 overrides.add_pending(pending_id, pending.server_id, pending.is_suspended)
         self.permits.update(content.permits)
 
-    def merge(self, snapshot: StateSnapshot, fence: Fence, overrides: OverrideLog) -> list[OverrideChange]:
-        """Merges a snapshot that `write` merged with the other process's file. Returns what that changes here."""
+    def adopt(self, snapshot: StateSnapshot, fence: Fence, overrides: OverrideLog) -> list[OverrideChange]:
+        """Merges a snapshot, which `write` has merged with the other process's file, into the fence and the log.
+
+        Returns:
+            What that changes here.
+        """
         fence.merge(snapshot.positions)
-        return _merge_overrides(snapshot, overrides)
+        return _adopt_overrides(snapshot, overrides)
 
     # -- writing ---------------------------------------------------------------------------------------
 
@@ -190,7 +195,7 @@
         return False
 
 
-def _merge_overrides(content: StateSnapshot, overrides: OverrideLog) -> list[OverrideChange]:
+def _adopt_overrides(content: StateSnapshot, overrides: OverrideLog) -> list[OverrideChange]:
     """Merges the committed overrides of a file into the log. Returns what that changes."""
     merged = [overrides.merge_entry(server_id, entry) for server_id, entry in content.entries.items()]
     changes = [change for change in merged if change is not None]
--- a/glenrock/coordination/lease_runner.py
+++ b/glenrock/coordination/lease_runner.py
@@ -121,7 +121,7 @@
             if isinstance(event, LeaseLost) and event.reason is LossReason.RELEASED:
                 self._transport.broadcast(datagrams.LeaseReleased(job))
 
-    async def step_down_from_all(self, except_job: str) -> None:
+    async def step_down_from_all(self, except_job: str | None) -> None:
         """Releases all leases but that of `except_job`, and waits for the store's answers."""
         for job in [job for job in self.manager.candidates if job != except_job]:
             actions = self.manager.step_down(job, boottime_us())
--- a/glenrock/coordination/leases/lease_manager.py
+++ b/glenrock/coordination/leases/lease_manager.py
@@ -28,7 +28,7 @@
 MAX_STEPS = 10  # bound on the steps that a member waits for the members before it
 MAX_PATIENCE_LEASES = 256
 PATIENCE_FACTOR = 4
-IDLE_PENALTY_LEASES = 3  # a job whose lease was held without work is not requested for this many leases
+NO_WORK_PENALTY_LEASES = 3  # a job whose lease was held without work is not requested for this many leases
 REBALANCE_DIVISOR = 10  # the misplaced jobs over those released at a time
 NO_LEASE = Lease("", 0, 0)
 
@@ -178,10 +178,10 @@
     def _step_down_if_not_working(self, job: str, now_us: int) -> LeaseActions:
         """Lets another member take over from a holder that renews the lease and does not do the work."""
         candidate = self.candidates[job]
-        idle_us = now_us - self._last_work_us.get(job, now_us)
-        if candidate.state is not CandidateState.HOLDER or idle_us <= self.timing.lease_us:
+        without_work_us = now_us - self._last_work_us.get(job, now_us)
+        if candidate.state is not CandidateState.HOLDER or without_work_us <= self.timing.lease_us:
             return LeaseActions()
-        self._penalty_until_us[job] = now_us + IDLE_PENALTY_LEASES * self.timing.lease_us
+        self._penalty_until_us[job] = now_us + NO_WORK_PENALTY_LEASES * self.timing.lease_us
         return self._collect(job, candidate.step_down(now_us))
 
     def _renew_all(self, now_us: int) -> LeaseActions:
--- a/glenrock/coordination/status_view.py
+++ b/glenrock/coordination/status_view.py
@@ -32,7 +32,11 @@
 
 
 def build_view(
-    context: CoordinationContext, rejections: list[Rejection], cache_status: str, start: StartProgress, permit: str
+    context: CoordinationContext,
+    rejections: list[Rejection],
+    cache_status: str,
+    start: StartProgress,
+    permit_job: str | None,
 ) -> str:
     """Returns the view.
 
@@ -41,7 +45,7 @@
         rejections: the last effects and heartbeats that were rejected.
         cache_status: what the start used of the start cache, in words.
         start: the milestones of the start.
-        permit: the job of the drain permit that is held; empty if there is none.
+        permit_job: the job of the drain permit that is held; None if there is none.
     """
     overrides = context.overrides
     view = {
@@ -60,7 +64,7 @@
         "start": {"says": cache_status, **_start_view(start)},
         "wishes": len(overrides.pending),
         "digest": f"{overrides.digest:016x}",
-        "ticket": permit,
+        "ticket": permit_job or "",
     }
     return json.dumps(view, indent=1)
 
--- a/tests/coordination/test_drain_limiter.py
+++ b/tests/coordination/test_drain_limiter.py
@@ -38,10 +38,10 @@
     host.shutdown = shutdown
     context = build_context(host, tmp_path)
     limiter = DrainLimiter(context, 1)
-    limiter.permit = JOB
+    limiter.permit_job = JOB
     manager = context.leases.manager
     manager.request_lease(JOB, boottime_us())
     context.leases.publish([JobEvent(JOB, LeaseLost(1, LossReason.EXPIRED))])
-    assert limiter.permit == ""
+    assert limiter.permit_job is None
     assert shutdown.call_count == 1
     assert not manager.tick(boottime_us() + TIMING.lease_us).requests
