--- a/glenrock/routing/gossip.py
+++ b/glenrock/routing/gossip.py
@@ -27,7 +27,7 @@
     """The last summaries of the other balancers.
 
     Attributes:
-        peers: by number.
+        peers: by index.
         next_us: earliest time of the next summary of this balancer.
         budget: tokens for the bytes of summaries.
     """
@@ -66,9 +66,9 @@
     def forget_lost_peers(self) -> None:
         """Forgets silent balancers: the clients of a balancer that is gone reconnect to the others."""
         now_us = self._batch.now_us
-        lost = [n for n, peer in self.peers.items() if now_us - peer.heard_us > MAX_PEER_SILENCE_US]
-        for number in lost:
-            del self.peers[number]
+        lost = [index for index, peer in self.peers.items() if now_us - peer.heard_us > MAX_PEER_SILENCE_US]
+        for index in lost:
+            del self.peers[index]
 
     def receive(self, event: GossipReceived) -> Peer | None:
         """Handles a summary. Returns the peer if it was not known before; an invalid summary is ignored."""
@@ -98,6 +98,10 @@
         quota = sum(tenant.connections for tenant in self._settings.tenants)
         return self._connection_loads.mean_load * quota
 
+    def send_at_next_round(self) -> None:
+        """Makes the next summary due now, after a change that the other balancers need to know."""
+        self.next_us = self._batch.now_us
+
     def send_if_due(self, clients: int, is_cap_open: bool, is_balancer_draining: bool) -> None:
         """Sends a summary if it is due and the budget allows.
 
@@ -127,7 +131,8 @@
         self._batch.emit(SendGossip(data))
 
 
-def _ages(load_by_bucket: Mapping[int, float], current: int) -> list[WaitingLoad]:
+def _ages(load_by_bucket: Mapping[int, float], current: int) -> list[gossip_codec.AgedLoad]:
     return [
-        WaitingLoad(current - bucket, load) for bucket, load in sorted(load_by_bucket.items(), reverse=True)
+        gossip_codec.AgedLoad(current - bucket, load)
+        for bucket, load in sorted(load_by_bucket.items(), reverse=True)
     ]
--- a/glenrock/routing/migration.py
+++ b/glenrock/routing/migration.py
@@ -23,7 +23,6 @@
 SPARE_LOAD = 0.5  # least load left at a relieved server if the others have free capacity
 EMPTIED_LOAD = 0.3  # load left at a slow server
 BACKLOG_US = 6 * SECOND_US  # time in which a server works off its backlog
-MIN_FLEET_LOAD = 0.1  # bounds a division
 
 
 @dataclass(eq=False)
@@ -70,7 +69,7 @@
         its clients, and overloaded servers would not. The bound brings the other servers to the target load,
         by this balancer's part of their load.
         """
-        if not server.is_listed or self.overrides.allows(server.server_id):
+        if not server.is_listed_ready or self.overrides.allows(server.server_id):
             return float("inf")
         load_elsewhere = sum(
             request.load
@@ -80,8 +79,7 @@
         )
         if not load_elsewhere:
             return float("inf")
-        fleet_load = max(MIN_FLEET_LOAD, self.loads.fleet_load)
-        return load_elsewhere * (load_targets.TARGET_LOAD / fleet_load - 1)
+        return load_elsewhere * (load_targets.TARGET_LOAD / self.loads.bounded_fleet_load - 1)
 
     # -- overloaded servers --------------------------------------------------------------------------
 
@@ -93,6 +91,11 @@
                 self._relieve(server, is_scarce)
 
     def _relieve(self, server: Server, is_scarce: bool) -> None:
+        """Migrates this balancer's part of the excess load off a server, if it is overloaded.
+
+        A server is late if its messages miss their objective, and slow if it lost capacity while the others
+        have some. It is unobservable if its report is old and no health check may be sent.
+        """
         is_late = self.loads.misses_message_objective(server)
         # Connections that ended since the report would otherwise be migrated a second time.
         load = self.loads.load(server) * self.loads.remaining_load_fraction(server)
@@ -114,6 +117,7 @@
         self._migrate_load(server, excess, is_scarce, by_group=is_slow)
 
     def _is_due(self, server: Server, is_slow: bool, is_late: bool, waits_for_backlog: bool) -> bool:
+        """Returns whether the last migration off the server has shown its effect, so that another may begin."""
         wait_us = FEEDBACK_DELAY_US
         if is_slow:
             wait_us = FRESH_REPORT_US
--- a/glenrock/routing/outlier_ejection.py
+++ b/glenrock/routing/outlier_ejection.py
@@ -47,7 +47,7 @@
     is_panicking: bool = field(init=False, default=False)
 
     def may_receive(self, server: Server, load: float) -> bool:
-        """Returns whether the server may receive new work of that load now. Every send obeys this rule.
+        """Returns whether the server may receive new work of that load now, of any request.
 
         A server that is draining, or suspended by an operator, is not ready and receives nothing.
         """
@@ -121,7 +121,7 @@
         for zone in self.domains.evaluate(self.batch.now_us):
             for server in self.servers.values():
                 if server.zone == zone:
-                    server.consecutive_failures = server.ejected_until_us = 0
+                    server.clear_failures()
 
     def _record_evidence(self, server: Server, is_reachable: bool) -> None:
         if server.zone != self.settings.zone:
--- a/glenrock/routing/retries.py
+++ b/glenrock/routing/retries.py
@@ -14,9 +14,8 @@
 
 ATTEMPT_TIMEOUT_PERCENT = 60  # of the time left, while a further attempt is allowed
 MIN_CONNECT_TIMEOUTS = 2  # the shortest attempt timeout, in connect timeouts
-MAX_PROCESS_PAUSE_US = (
-    150_000  # longest pause of this process between reading the clock and writing the request
-)
+MAX_PROCESS_PAUSE_US = 150_000  # longest pause of this process between a decision and the write to the server
+ANSWER_MARGIN_TICKS = 2  # between the final answer and the deadline
 
 
 @dataclass(eq=False)
@@ -30,14 +29,13 @@
     overrides: OperatorOverrides
     ejection: OutlierEjection
 
-    @property
-    def answer_margin_us(self) -> int:
-        """How long before its deadline a request gets its final answer."""
-        return 2 * self.settings.tick_us
+    def answer_due_us(self, request: RoutedRequest) -> int:
+        """Returns when a request without a connection gets its final answer, shortly before its deadline."""
+        return request.event.deadline_us - ANSWER_MARGIN_TICKS * self.settings.tick_us
 
     def is_overdue(self, request: RoutedRequest) -> bool:
         """Returns whether the final answer is due now."""
-        return self.batch.now_us >= request.event.deadline_us - self.answer_margin_us
+        return self.batch.now_us >= self.answer_due_us(request)
 
     def may_attempt(self, request: RoutedRequest) -> bool:
         """Returns whether a further attempt is allowed at any server."""
@@ -46,7 +44,7 @@
         return not request.attempt_is_in_flight and not self.is_overdue(request)
 
     def may_send(self, request: RoutedRequest, server: Server) -> bool:
-        """Returns whether the request may be sent to that server now. Every send is subject to this rule."""
+        """Returns whether the request may be sent to that server now. Every send obeys this rule."""
         if not self.may_attempt(request) or not self.ejection.may_receive(server, request.load):
             return False
         first = request.first_possibly_executed
@@ -66,7 +64,7 @@
         return request_class.idempotency_scope == IdempotencyScope.ALL or server.cell == first.server.cell
 
     def may_reject(self, request: RoutedRequest) -> bool:
-        """Returns whether the request may be rejected: the retry that this invites must be harmless."""
+        """Returns whether the request may be rejected: the client retries then, so this must be safe."""
         if request.is_answered or request.server:
             return False
         request_class = request.request_class
@@ -80,7 +78,8 @@
     def may_wait(self, request: RoutedRequest) -> bool:
         """Returns whether a request that no server may receive now waits for a server.
 
-        If operators have suspended the last server, no server will become available soon.
+        It waits until its latency objective, even if it is not safe to retry at any server. If operators have
+        suspended the last server, no server will become available soon.
         """
         if not self.endpoints.ring and self.overrides.suspended_servers:
             return False
@@ -97,7 +96,7 @@
 
         It leaves time for a further attempt, and an attempt of a keyed request ends within the key's window.
         """
-        left_us = request.event.deadline_us - self.answer_margin_us - self.batch.now_us
+        left_us = self.answer_due_us(request) - self.batch.now_us
         timeout_us = left_us
         if len(request.attempts) + 1 < self.settings.max_attempts:
             least_us = MIN_CONNECT_TIMEOUTS * self.settings.connect_timeout_us
--- a/glenrock/routing/state.py
+++ b/glenrock/routing/state.py
@@ -39,7 +39,7 @@
 
     Attributes:
         is_ready: listed as ready, and not suspended by an operator.
-        is_listed: listed as ready, so neither draining nor gone.
+        is_listed_ready: listed as ready, so neither draining nor gone.
         reported_load: last reported load; below 0 if it is not known.
         unreported_load: load sent there that no report can show yet, in total; `recent_sends` has its parts.
         own_load_history: this balancer's load there, round by round.
@@ -64,7 +64,7 @@
     cell: int
     hash: int
     is_ready: bool = False
-    is_listed: bool = False
+    is_listed_ready: bool = False
     started_us: int = 0
     weight: float = 1.0
     reported_load: float = -1.0
@@ -97,11 +97,15 @@
         """Total load of this balancer's connections there."""
         return sum(request.load for request in self.connections.values())
 
+    def clear_failures(self) -> None:
+        """Forgets failures in a row, and ends the ejection that they caused."""
+        self.consecutive_failures = 0
+        self.ejected_until_us = 0
+
     def reset_for_restart(self, at_us: int) -> None:
         """Discards what was observed of the server's previous process."""
         self.started_us = at_us
-        self.ejected_until_us = 0
-        self.consecutive_failures = 0
+        self.clear_failures()
         self.reported_load = -1.0
         self.slow_start_sends.clear()
 
