--- a/glenrock/simulation/fleet_simulation.py
+++ b/glenrock/simulation/fleet_simulation.py
@@ -15,7 +15,7 @@
 from . import faults, policies
 from .balancer_settings import settings_of
 from .engine import SECOND_US, Engine
-from .measure import rounded
+from .measure import FaultPeriod, rounded
 from .model import workload as workloads
 from .model.balancer import BalancerProcess, Policy, PolicyFailedError
 from .model.feed import EndpointFeed
@@ -142,7 +142,7 @@
             at_s = drawn_number(fault.at_s)
             end_s = min(drawn_number(self.experiment.length_s), at_s + faults.duration_s(fault))
             kind = type(fault).__struct_config__.tag
-            self.faults.append({"kind": kind, "from_s": rounded(at_s), "to_s": rounded(end_s)})
+            self.faults.append(FaultPeriod(str(kind), rounded(at_s), rounded(end_s)))
             due_us = self.start_us + round(at_s * SECOND_US)
             inject = faults.FAULTS[type(fault)]
             self.engine.at(due_us, inject, self, fault, self.streams.of(f"fault {number}"))
--- a/glenrock/simulation/fleet_state.py
+++ b/glenrock/simulation/fleet_state.py
@@ -2,11 +2,9 @@
 
 from __future__ import annotations
 
-from typing import Any
-
 from .engine import SECOND_US, Engine, HeapEngine
 from .invariants import InvariantChecker
-from .measure import Measurements
+from .measure import FaultPeriod, Measurements
 from .model import server_shapes
 from .model import workload as workloads
 from .model.balancer import BalancerProcess
@@ -33,7 +31,7 @@
         error_chances: servers that answer ERR to attempts, by name, and the chance of it.
         slow_reported: server and balancer, where the balancer was told of slow messages.
         shared_health_checks: None unless the experiment has shards of health checks.
-        faults: kind, beginning and end of each fault, as `summary.json` has them.
+        faults: faults that are scheduled, in the order of the experiment.
         connected_clients: clients with an open connection, in the order of their connections.
         is_over: whether the measured time has ended.
         failure: why the policy's run ended early, or empty.
@@ -69,7 +67,7 @@
         self.error_chances: dict[str, float] = {}
         self.slow_reported: set[tuple[str, int]] = set()
         self.shared_health_checks: SharedHealthChecks | None = None
-        self.faults: list[dict[str, Any]] = []
+        self.faults: list[FaultPeriod] = []
         self.connected_clients: dict[Client, None] = {}
         self.is_over = False
         self.failure = ""
--- a/glenrock/simulation/invariants.py
+++ b/glenrock/simulation/invariants.py
@@ -8,6 +8,7 @@
 
 from collections import deque
 from dataclasses import dataclass
+from typing import Any
 
 RULES = {
     "answered": "one final answer for each request, in time, and nothing sent after it",
@@ -23,19 +24,33 @@
 
 @dataclass(slots=True)
 class Violation:
-    """A recorded violation; its fields are keys of `summary.json`.
+    """A recorded violation.
 
     Attributes:
-        led: the events that led to the violation, as text.
+        balancer_index: -1 if no balancer is concerned.
+        request_id, server_id: empty if none is concerned.
+        events: the events that led to the violation, as text.
     """
 
     rule: str
     at_s: float
     text: str
-    balancer: int
-    request: str
-    instance: str
-    led: list[str]
+    balancer_index: int
+    request_id: str
+    server_id: str
+    events: list[str]
+
+    def as_summary(self) -> dict[str, Any]:
+        """Returns the entry of `breaches` in `summary.json`."""
+        return {
+            "rule": self.rule,
+            "at_s": self.at_s,
+            "text": self.text,
+            "balancer": self.balancer_index,
+            "request": self.request_id,
+            "instance": self.server_id,
+            "led": self.events,
+        }
 
 
 @dataclass(slots=True)
@@ -44,8 +59,8 @@
 
     at_us: int
     text: str
-    request: str
-    instance: str
+    request_id: str
+    server_id: str
 
 
 class InvariantChecker:
@@ -57,35 +72,37 @@
         self.violations: list[Violation] = []
         self.trail: deque[TrailEvent] = deque(maxlen=MAX_TRAIL_EVENTS)
 
-    def record_event(self, now_us: int, text: str, request: str, instance: str) -> None:
+    def record_event(self, now_us: int, text: str, request_id: str, server_id: str) -> None:
         """Records an event that may lead to a violation."""
-        self.trail.append(TrailEvent(now_us, text, request, instance))
+        self.trail.append(TrailEvent(now_us, text, request_id, server_id))
 
-    def record_violation(self, now_us: int, rule: str, text: str, balancer: int, request: str, instance: str) -> None:
+    def record_violation(
+        self, now_us: int, rule: str, text: str, balancer_index: int, request_id: str, server_id: str
+    ) -> None:
         """Counts a violation, and records it in full unless enough are recorded."""
         self.counts[rule] += 1
         if len(self.violations) >= MAX_RECORDED_VIOLATIONS:
             return
-        led = [self._line(event) for event in self.trail if self._concerns(event, request, instance)]
+        events = [self._line(event) for event in self.trail if self._concerns(event, request_id, server_id)]
         self.violations.append(
             Violation(
                 rule,
                 (now_us - self.start_us) / 1e6,
                 text,
-                balancer,
-                request,
-                instance,
-                led[-MAX_EVENTS_OF_VIOLATION:],
+                balancer_index,
+                request_id,
+                server_id,
+                events[-MAX_EVENTS_OF_VIOLATION:],
             )
         )
 
     def _line(self, event: TrailEvent) -> str:
         seconds = (event.at_us - self.start_us) / 1e6
-        return f"{seconds:.6f} {event.text} {event.request} {event.instance}".rstrip()
+        return f"{seconds:.6f} {event.text} {event.request_id} {event.server_id}".rstrip()
 
     @staticmethod
-    def _concerns(event: TrailEvent, request: str, instance: str) -> bool:
-        if not request:
-            return event.instance == instance
-        is_of_instance = bool(instance) and event.instance == instance and not event.request
-        return event.request == request or is_of_instance
+    def _concerns(event: TrailEvent, request_id: str, server_id: str) -> bool:
+        if not request_id:
+            return event.server_id == server_id
+        is_of_server = bool(server_id) and event.server_id == server_id and not event.request_id
+        return event.request_id == request_id or is_of_server
--- a/glenrock/simulation/measure.py
+++ b/glenrock/simulation/measure.py
@@ -7,6 +7,7 @@
 from __future__ import annotations
 
 from collections.abc import Iterable
+from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
 import numpy as np
@@ -64,6 +65,42 @@
     return figures
 
 
+@dataclass(frozen=True, slots=True)
+class FaultPeriod:
+    """A fault, and when its cause began and ended, in seconds of the measured time."""
+
+    kind: str
+    from_s: float
+    to_s: float
+
+
+@dataclass(frozen=True, slots=True)
+class FaultRecovery:
+    """How service recovered from a fault.
+
+    Attributes:
+        recovery_s: seconds from the beginning of the fault until service had recovered; None if it had not.
+        before: fraction served before the fault.
+        lowest: lowest fraction served during the fault; None for a fault after the measured time.
+    """
+
+    fault: FaultPeriod
+    recovery_s: int | None
+    before: float
+    lowest: float | None
+
+    def as_summary(self) -> dict[str, Any]:
+        """Returns the entry of `recovery_s` in `summary.json`."""
+        return {
+            "kind": self.fault.kind,
+            "from_s": self.fault.from_s,
+            "to_s": self.fault.to_s,
+            "recovery_s": self.recovery_s,
+            "before": self.before,
+            "lowest": self.lowest,
+        }
+
+
 class Measurements:
     """Counts of a run, and what follows from them.
 
@@ -181,11 +218,11 @@
             "peers": platform.price_peer * counts["peer_bytes"] / PEER_BYTES_PER_PRICE / clients,
         }
 
-    def recovery(self, faults: list[dict[str, Any]]) -> list[dict[str, Any]]:
-        """Returns each fault with the seconds from its beginning until service had recovered, or None."""
+    def recoveries(self, faults: list[FaultPeriod]) -> list[FaultRecovery]:
+        """Returns how service recovered from each fault."""
         earned, asked = np.array(self.served).sum(axis=1), self.demanded.sum(axis=1)
         served = np.divide(earned, asked, out=np.ones_like(earned), where=asked > 0)
-        return [{**fault, **_recovery_of(fault, served)} for fault in faults]
+        return [_recovery_of(fault, served) for fault in faults]
 
     def fairness(self) -> float:
         """Returns Jain's index over the tenants' worth; 1: all alike."""
@@ -197,11 +234,11 @@
         return index
 
 
-def _recovery_of(fault: dict[str, Any], served: npt.NDArray[np.float64]) -> dict[str, Any]:
+def _recovery_of(fault: FaultPeriod, served: npt.NDArray[np.float64]) -> FaultRecovery:
     """Returns recovery, level before the fault and lowest level, of the fraction served in each second."""
-    at_s = int(fault["from_s"])
+    at_s = int(fault.from_s)
     before = served[max(0, at_s - BEFORE_FAULT_S) : at_s].mean() if at_s > 0 else served[:1].mean()
-    end_s = min(len(served), int(np.ceil(fault["to_s"])) + 1)
+    end_s = min(len(served), int(np.ceil(fault.to_s)) + 1)
     is_measured = at_s < len(served)
     worst_s = at_s + int(np.argmin(served[at_s : max(at_s + 1, end_s)])) if is_measured else at_s
     recovery_s = None
@@ -209,11 +246,8 @@
         if (served[second : second + RECOVERED_FOR_S] >= RECOVERED_FRACTION * before).all():
             recovery_s = second - at_s
             break
-    return {
-        "recovery_s": recovery_s,
-        "before": rounded(float(before)),
-        "lowest": rounded(float(served[worst_s])) if is_measured else None,
-    }
+    lowest = rounded(float(served[worst_s])) if is_measured else None
+    return FaultRecovery(fault, recovery_s, rounded(float(before)), lowest)
 
 
 def ratio(part: float, whole: float) -> float:
--- a/glenrock/simulation/run_summary.py
+++ b/glenrock/simulation/run_summary.py
@@ -4,7 +4,6 @@
 
 import gc
 import sys
-from dataclasses import asdict
 from typing import Any
 
 from .engine import SECOND_US
@@ -38,8 +37,8 @@
         "failure": state.failure,
         "worth": measure.worth() if not state.failure else None,
         "rules": dict(state.invariants.counts),
-        "breaches": [asdict(violation) for violation in state.invariants.violations],
-        "recovery_s": measure.recovery(state.faults),
+        "breaches": [violation.as_summary() for violation in state.invariants.violations],
+        "recovery_s": [recovery.as_summary() for recovery in measure.recoveries(state.faults)],
         "counts": dict(counts),
         "events": events,
         "per_client": {name: rounded(counts[name] / clients) for name in COUNTS_PER_CLIENT},
--- a/glenrock/simulation/spec_faults.py
+++ b/glenrock/simulation/spec_faults.py
@@ -1,4 +1,4 @@
-"""The kinds of fault in an experiment file. What each does is in `faults`."""
+"""The kinds of fault in an experiment file. `faults` injects them."""
 
 from __future__ import annotations
 
@@ -11,50 +11,50 @@
 
 
 def fault_name(type_name: str) -> str:
-    """`ZoneCut` is `zone_cut` in a file."""
+    """Returns the name of a kind of fault in a file, as `zone_cut` for `ZoneCut`."""
     return re.sub(r"(?<=.)([A-Z])", r"_\1", type_name).lower()
 
 
 class Fault(Strict, frozen=True, tag_field="kind", tag=fault_name):
-    """Something that goes wrong from `at_s` on."""
+    """A fault that begins at `at_s`."""
 
     at_s: Least0R
 
 
 class Crash(Fault, frozen=True):
-    """A part of the servers dies at once; each comes back cold after `down_s` (0: never)."""
+    """A fraction of the servers crashes at once; each restarts in slow start after `down_s` (0: never)."""
 
     part: PartR = 0.25
     down_s: Least0R = 10.0
-    zone: str = ""  # of this zone alone; empty: of all
+    zone: str = ""  # of this zone alone; empty: all zones
 
 
 class ZoneCut(Fault, frozen=True):
-    """Links between one zone and the others carry nothing for `for_s`."""
+    """Partitions a zone from the others for `for_s`."""
 
     for_s: Above0R = 10.0
     zone: str = ""  # empty: the first
 
 
 class BalancerRoll(Fault, frozen=True):
-    """Balancers are restarted over `for_s`, a part of all at a time; each has nothing but its last list."""
+    """Restarts balancers in batches over `for_s`; each starts with its cached endpoint list."""
 
     for_s: Above0R = 15.0
-    part: PartR = 0.8  # of all balancers that are restarted
+    part: PartR = 0.8  # of all balancers, those that restart
     batch: PartR = 0.25  # at a time, of all; at least one
     down_s: Above0R = 1.0
-    hand_back_s: Least0R = 0.0  # 0: killed outright; else it moves its clients away over this time first
+    hand_back_s: Least0R = 0.0  # duration of the graceful shutdown; 0: the process is killed
 
 
 class Reconnect(Fault, frozen=True):
-    """A part of the standing connections drops, and its clients come again within `within_s`."""
+    """Drops a fraction of the open connections from their clients' side; the clients reconnect within `within_s`."""
 
     part: PartR = 0.4
     within_s: Above0R = 1.0
 
 
 class Slow(Fault, frozen=True):
-    """A part of the servers works at `speed` of its own for `for_s`; 0 stands still and answers nothing."""
+    """A part of the servers works at `speed` of its own for `for_s`; at 0 they answer nothing."""
 
     part: PartR = 0.1
     speed: PartR = 0.3
@@ -62,7 +62,7 @@
 
 
 class DiscoverySilence(Fault, frozen=True):
-    """Discovery tells nothing for `for_s`; afterwards, what it missed."""
+    """Discovery publishes nothing for `for_s`, and the missed changes afterwards."""
 
     for_s: Above0R = 10.0
 
@@ -90,7 +90,7 @@
 
 
 class Drains(Fault, frozen=True):
-    """A deploy: servers are drained a part at a time, stop after `drain_s` and start again cold."""
+    """A deployment: servers drain in batches, stop after `drain_s` and restart in slow start."""
 
     part: PartR = 0.5
     batch: PartR = 0.1  # at a time, of all; at least one
@@ -115,7 +115,7 @@
 
 
 class ByHand(Fault, frozen=True):
-    """The server that carries most is taken out, restarted `restart_s` later, and called back after `for_s`."""
+    """The server with the most connections is suspended, restarted `restart_s` later, and used again after `for_s`."""
 
     for_s: Above0R = 7.4
     restart_s: Above0R = 4.0
@@ -124,7 +124,7 @@
 
 
 class SendAway(Fault, frozen=True):
-    """Operators send a balancer's clients away; it takes clients again after `for_s`."""
+    """Operators drain a balancer; it accepts clients again after `for_s`."""
 
     balancer: Annotated[int, Meta(ge=0)] = 0
     for_s: Above0R = 4.5
--- a/glenrock/testbed/scenario_summary.py
+++ b/glenrock/testbed/scenario_summary.py
@@ -13,7 +13,7 @@
 from .invariants import INVARIANTS
 from .scenario import drawn_number
 from .scenario_testbed import ScenarioTestbed
-from .simulation_model import rounded, summarize_histogram
+from .simulation_model import FaultPeriod, rounded, summarize_histogram
 
 FORMAT = 1
 MAX_VIOLATIONS = 20
@@ -37,7 +37,7 @@
         "excused": _by_word(check.excused),
         "seen": _cases(bed, check),
         "breaches": _violations(bed, check),
-        "recovery_s": bed.measure.recovery(_faults(bed)),
+        "recovery_s": [recovery.as_summary() for recovery in bed.measure.recoveries(_faults(bed))],
         "counts": counts,
         "per_client": {key: rounded(counts[key] / clients) for key in PER_CLIENT_COUNTS},
         **_service(bed),
@@ -122,14 +122,14 @@
     ]
 
 
-def _faults(bed: ScenarioTestbed) -> list[dict[str, Any]]:
+def _faults(bed: ScenarioTestbed) -> list[FaultPeriod]:
     measured_from_us = bed.engine.measured_from_us
     return [
-        {
-            "kind": fault.kind,
-            "from_s": rounded((fault.begin_us - measured_from_us) / US_PER_S),
-            "to_s": rounded(min(bed.length_s, (fault.end_us - measured_from_us) / US_PER_S)),
-        }
+        FaultPeriod(
+            fault.kind,
+            rounded((fault.begin_us - measured_from_us) / US_PER_S),
+            rounded(min(bed.length_s, (fault.end_us - measured_from_us) / US_PER_S)),
+        )
         for fault in bed.history.faults
         if fault.begin_us - measured_from_us < bed.length_s * US_PER_S
     ]
--- a/glenrock/testbed/simulation_model.py
+++ b/glenrock/testbed/simulation_model.py
@@ -7,7 +7,7 @@
 
 from ..simulation.balancer_settings import settings_of
 from ..simulation.engine import Engine as SimulationEngine
-from ..simulation.measure import Measurements, rounded, summarize_histogram
+from ..simulation.measure import FaultPeriod, Measurements, rounded, summarize_histogram
 from ..simulation.model.client_delays import ClientDelays
 from ..simulation.model.requests import Client as ModelClient
 from ..simulation.model.server import Connection as ModelConnection
@@ -27,6 +27,7 @@
     "ClientDelays",
     "Experiment",
     "Fault",
+    "FaultPeriod",
     "Least0R",
     "Measurements",
     "ModelClient",
