--- a/tests/simulation/days.py
+++ b/tests/simulation/days.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from pathlib import Path
 from collections.abc import Callable
+from pathlib import Path
 from typing import Any
 
 from glenrock import toml_file
