--- a/glenrock/simulation/client_requests.py
+++ b/glenrock/simulation/client_requests.py
@@ -18,21 +18,21 @@
 
     def schedule_workload(self, client: Client) -> None:
         """Schedules the first change of a client's load, and the end of its connection."""
-        row = client.row
-        if row.load_changes:
-            self.engine.at(self.start_us + row.load_changes[0][0], self._change_load, client)
-        if row.end_us > row.arrival_us:
-            self.engine.at(self.start_us + row.end_us, self._finish, client)
+        planned = client.planned
+        if planned.load_changes:
+            self.engine.at(self.start_us + planned.load_changes[0][0], self._change_load, client)
+        if planned.end_us > planned.arrival_us:
+            self.engine.at(self.start_us + planned.end_us, self._finish, client)
 
     def load_of(self, client: Client) -> float:
         """Returns the load of a client's connection now, in microseconds of work a second."""
-        return client.row.load_changes[max(0, client.next_change - 1)][1]
+        return client.planned.load_changes[max(0, client.next_change - 1)][1]
 
     def _change_load(self, client: Client) -> None:
         if client.is_done:
             return
         client.next_change += 1
-        changes = client.row.load_changes
+        changes = client.planned.load_changes
         if client.next_change < len(changes):
             self.engine.at(self.start_us + changes[client.next_change][0], self._change_load, client)
         connection = client.connection
@@ -56,11 +56,11 @@
 
     def send_request(self, client: Client) -> None:
         """Sends a new request of a client through the front to a balancer."""
-        now, row = self.engine.now, client.row
+        now, planned = self.engine.now, client.planned
         client.request_count += 1
         self.measure.counts["tries"] += 1
-        balancer = self.front.pick(row.zone)
-        deadline_us = now + self.request_timeouts_us[row.class_index]
+        balancer = self.front.pick(planned.zone)
+        deadline_us = now + self.request_timeouts_us[planned.class_index]
         due_us = now + self.links.client_one_way_us()
         self.engine.at(due_us, self._request_arrives, client, balancer, deadline_us, client.request_count)
 
@@ -71,25 +71,25 @@
             self.measure.counts["unreachable"] += 1
             self._schedule_retry(client, retry_after_us=None)
             return
-        request = ClientRequest(f"{client.row.number}.{number}", client, balancer, self.engine.now, deadline_us)
+        request = ClientRequest(f"{client.planned.number}.{number}", client, balancer, self.engine.now, deadline_us)
         client.request = request
         self.invariants.record_event(self.engine.now, f"arrives at balancer {balancer.index}", request.id, "")
         balancer.receive_request(request, self.request_event(request))
-        gives_up_after_us = self.client_delays.draw_early_end(self.request_timeouts_us[client.row.class_index])
+        gives_up_after_us = self.client_delays.draw_early_end(self.request_timeouts_us[client.planned.class_index])
         if gives_up_after_us is not None:
             self.engine.at(self.engine.now + gives_up_after_us, self._give_up_early, request)
 
     def request_event(self, request: ClientRequest) -> interface.Request:
         """Returns the event that a balancer's policy receives for a request."""
-        row = request.client.row
+        planned = request.client.planned
         return interface.Request(
             request.id,
-            self.experiment.classes[row.class_index].name,
+            self.experiment.classes[planned.class_index].name,
             request.deadline_us,
-            row.number,
-            row.group,
-            self.experiment.tenants[row.tenant].name,
-            round(row.usual_load) if self.experiment.traffic.hints else 0,
+            planned.number,
+            planned.group,
+            self.experiment.tenants[planned.tenant].name,
+            round(planned.usual_load) if self.experiment.traffic.hints else 0,
             request.client.has_connected,
         )
 
@@ -124,7 +124,7 @@
         """Schedules a client's next request after a failure, or after a rejection if `retry_after_us` is set."""
         client.failures += 1
         client.request = None
-        wants_no_time = client.row.end_us <= client.row.arrival_us
+        wants_no_time = client.planned.end_us <= client.planned.arrival_us
         if wants_no_time and client.failures > drawn_count(self.experiment.clients.retries):
             client.is_done = True
         if retry_after_us is None:
--- a/glenrock/simulation/connection_accounting.py
+++ b/glenrock/simulation/connection_accounting.py
@@ -15,7 +15,7 @@
         """Credits a tenant with the seconds that its connection was served in time since the last credit."""
         if self.is_over:
             return
-        self.measure.record_tenant_served(connection.attempt.request.client.row, connection.uncredited_s)
+        self.measure.record_tenant_served(connection.attempt.request.client.planned, connection.uncredited_s)
         connection.uncredited_s = 0.0
 
     def close(self, connection: Connection[Attempt]) -> None:
--- a/glenrock/simulation/fleet_simulation.py
+++ b/glenrock/simulation/fleet_simulation.py
@@ -129,7 +129,7 @@
         for balancer in self.balancers:
             balancer.start(interface.EndpointList(interface.EndpointListKind.CACHED, endpoints))
             self.feed.balancer_started(balancer)
-        self._rows = iter(self.workload.clients)
+        self._planned_clients = iter(self.workload.clients)
         self._schedule_arrival(self._place_open_connections())
         self._schedule_faults()
         if self.shared_health_checks:
@@ -156,15 +156,15 @@
         draw = self.streams.uniforms("standing")
         servers = list(self.servers.values())
         cumulative_weights = [self._cumulative_weights(servers, zone) for zone in range(len(self.zones))]
-        for row in self._rows:
-            if row.arrival_us >= 0:
-                return row
+        for planned in self._planned_clients:
+            if planned.arrival_us >= 0:
+                return planned
             self.measure.counts["clients"] += 1
-            weights = cumulative_weights[row.zone]
+            weights = cumulative_weights[planned.zone]
             chosen = min(len(servers) - 1, bisect_right(weights, draw() * weights[-1]))
-            balancer = self.front.pick(row.zone)
+            balancer = self.front.pick(planned.zone)
             if balancer:
-                self._place_open_connection(row, balancer, servers[chosen])
+                self._place_open_connection(planned, balancer, servers[chosen])
         return None
 
     @staticmethod
@@ -177,11 +177,11 @@
         return sums
 
     def _place_open_connection(
-        self, row: workloads.PlannedClient, balancer: BalancerProcess, server: ServerModel[Attempt]
+        self, planned: workloads.PlannedClient, balancer: BalancerProcess, server: ServerModel[Attempt]
     ) -> None:
         now = self.engine.now
-        client = Client(row, request_count=1, has_connected=True)
-        request = client.request = ClientRequest(f"{row.number}.1", client, balancer, now, now)
+        client = Client(planned, request_count=1, has_connected=True)
+        request = client.request = ClientRequest(f"{planned.number}.1", client, balancer, now, now)
         request.is_answered, request.outcome = True, RequestOutcome.ESTABLISHED
         attempt = Attempt(request, 0, server, now, is_established=True)
         request.attempts.append(attempt)
@@ -192,15 +192,15 @@
         self.schedule_workload(client)
         self.open_connection(attempt)
 
-    def _schedule_arrival(self, row: workloads.PlannedClient | None) -> None:
+    def _schedule_arrival(self, planned: workloads.PlannedClient | None) -> None:
         """Schedules one arrival; each schedules the next, so that the heap holds one at a time."""
-        if row:
-            self.engine.at(self.start_us + row.arrival_us, self._arrive, row)
+        if planned:
+            self.engine.at(self.start_us + planned.arrival_us, self._arrive, planned)
 
-    def _arrive(self, row: workloads.PlannedClient) -> None:
-        self._schedule_arrival(next(self._rows, None))
+    def _arrive(self, planned: workloads.PlannedClient) -> None:
+        self._schedule_arrival(next(self._planned_clients, None))
         self.measure.counts["clients"] += 1
-        client = Client(row, waiting_since_us=self.engine.now)
+        client = Client(planned, waiting_since_us=self.engine.now)
         self.schedule_workload(client)
         self.send_request(client)
 
--- a/glenrock/simulation/measure.py
+++ b/glenrock/simulation/measure.py
@@ -133,27 +133,27 @@
         self.relative_loads = np.zeros((servers, self.seconds), dtype=np.float32)
         self.series: dict[str, list[float]] = {}
 
-    def record_served(self, at_us: int, kind: int, worth: float) -> None:
+    def record_served(self, at_us: int, class_index: int, weight: float) -> None:
         """Adds priority weight served in time, of a class."""
         second = (at_us - self.start_us) // SECOND_US
         if 0 <= second < self.seconds:
-            self.served[second][kind] += worth
+            self.served[second][class_index] += weight
 
-    def record_tenant_demand(self, rows: Iterable[PlannedClient], length_us: int) -> None:
+    def record_tenant_demand(self, clients: Iterable[PlannedClient], length_us: int) -> None:
         """Adds what tenants asked for during the run, in all and within their quotas."""
-        for row in rows:
-            wanted_s = max(0, min(row.end_us, length_us) - max(0, row.arrival_us)) / SECOND_US
-            worth = self.experiment.classes[row.class_index].worth * wanted_s
-            self.tenant_demanded[row.tenant] += worth
-            if row.quota_factor == 1.0:
-                self.tenant_demanded_in_quota[row.tenant] += worth
-
-    def record_tenant_served(self, row: PlannedClient, seconds: float) -> None:
+        for planned in clients:
+            wanted_s = max(0, min(planned.end_us, length_us) - max(0, planned.arrival_us)) / SECOND_US
+            worth = self.experiment.classes[planned.class_index].worth * wanted_s
+            self.tenant_demanded[planned.tenant] += worth
+            if planned.quota_factor == 1.0:
+                self.tenant_demanded_in_quota[planned.tenant] += worth
+
+    def record_tenant_served(self, planned: PlannedClient, seconds: float) -> None:
         """Adds seconds in which a client was served in time to its tenant."""
-        worth = self.experiment.classes[row.class_index].worth * seconds
-        self.tenant_served[row.tenant] += worth
-        if row.quota_factor == 1.0:
-            self.tenant_served_in_quota[row.tenant] += worth
+        worth = self.experiment.classes[planned.class_index].worth * seconds
+        self.tenant_served[planned.tenant] += worth
+        if planned.quota_factor == 1.0:
+            self.tenant_served_in_quota[planned.tenant] += worth
 
     def record_sample(self, second: int, **values: float) -> None:
         """Sets values of the time series at a second."""
--- a/glenrock/simulation/model/requests.py
+++ b/glenrock/simulation/model/requests.py
@@ -55,7 +55,7 @@
     """A client of the workload, over all of its requests.
 
     Attributes:
-        row: what the client wants.
+        planned: what the client wants.
         request_count: requests made so far; the number of a request is part of its identifier.
         failures: requests that failed since the last established connection.
         waiting_since_us: since when the client has no connection, or -1.
@@ -64,7 +64,7 @@
         next_change: index of the next change of load in the row.
     """
 
-    row: PlannedClient
+    planned: PlannedClient
     request_count: int = 0
     failures: int = 0
     waiting_since_us: int = -1
--- a/glenrock/simulation/model/server.py
+++ b/glenrock/simulation/model/server.py
@@ -121,7 +121,7 @@
 
 @dataclass(slots=True)
 class WorkCounts:
-    """Counts of work and attempts. asked + restored = done + backlog + lost, at any time.
+    """Counts of work and attempts. demanded = done + backlog + lost, at any time.
 
     Attributes:
         attempts: attempts accepted.
@@ -239,10 +239,10 @@
     def _flow(self, now: int, seconds: float) -> None:
         capacity = self.capacity(now)
         available = max(0.0, capacity - self.setup_work_rate)
-        asked = self.demand * seconds
-        backlog = max(0.0, self.backlog + asked - available * seconds)
-        self.work_counts.demanded += asked
-        self.work_counts.done += self.backlog + asked - backlog
+        demanded = self.demand * seconds
+        backlog = max(0.0, self.backlog + demanded - available * seconds)
+        self.work_counts.demanded += demanded
+        self.work_counts.done += self.backlog + demanded - backlog
         if capacity > 0:
             utilization = self.demand / max(MIN_CAPACITY, available) if self.demand else 0.0
             mean_backlog_us = (self.backlog + backlog) / 2 / capacity * SECOND_US
@@ -252,18 +252,18 @@
         self.backlog = backlog
 
     def _serve_messages(self, seconds: float, utilization: float, backlog_us: float) -> None:
-        figures, cores = self.parameters, self.shape.cores
-        work_us, bursty = figures.message_us, figures.bursty
+        parameters, cores = self.parameters, self.shape.cores
+        work_us, bursty = parameters.message_us, parameters.bursty
         if utilization > 0 or backlog_us > 0:
             self.message_us = waits.mean_us(cores, utilization, work_us, bursty, backlog_us)
         else:
             self.message_us = work_us
-        for kind, value in enumerate(self.weight_by_class):
-            if value:
-                objective_us = figures.message_objectives_us[kind]
+        for class_index, weight in enumerate(self.weight_by_class):
+            if weight:
+                objective_us = parameters.message_objectives_us[class_index]
                 fraction = waits.in_time(cores, utilization, work_us, objective_us, bursty, backlog_us)
-                self.served_s_by_class[kind] += fraction * seconds
-                self.record_served(self.computed_until_us, kind, value * fraction * seconds)
+                self.served_s_by_class[class_index] += fraction * seconds
+                self.record_served(self.computed_until_us, class_index, weight * fraction * seconds)
 
     def _report_load(self, now: int) -> None:
         """Makes a load report, at most one in each interval; the intervals of servers are out of step."""
@@ -404,12 +404,12 @@
             self.demand += load - connection.load
             connection.load = load
 
-    def set_unreachable(self, now: int, connection: Connection[AttemptT], muted: bool, load: float) -> None:
-        """Cuts or restores the link of a connection; while it is cut, nothing is asked and nothing is served."""
-        if connection.is_unreachable == muted or connection.attempt not in self.open_connections:
+    def set_unreachable(self, now: int, connection: Connection[AttemptT], is_unreachable: bool, load: float) -> None:
+        """Cuts or restores the link of a connection; while it is cut, nothing is demanded and nothing is served."""
+        if connection.is_unreachable == is_unreachable or connection.attempt not in self.open_connections:
             return
         self.advance(now)
-        if muted:
+        if is_unreachable:
             connection.uncredited_s += self.served_s_by_class[connection.class_index] - connection.served_s_at_credit
             self.weight_by_class[connection.class_index] -= connection.priority_weight
             self.demand -= connection.load
@@ -419,7 +419,7 @@
             self.weight_by_class[connection.class_index] += connection.priority_weight
             self.demand += load
             connection.load = load
-        connection.is_unreachable = muted
+        connection.is_unreachable = is_unreachable
 
     def close(self, now: int, connection: Connection[AttemptT]) -> None:
         """Closes a connection; its `earned` is complete then."""
@@ -487,14 +487,14 @@
         The budget is a multiple of the load that fills the server evenly over its slow start, in any window of the
         stated length, with some slack. It covers the load of all balancers.
         """
-        figures, shape = self.parameters, self.shape
+        parameters, shape = self.parameters, self.shape
         if self.warm_fraction(now) >= 1:
             return False
         self.slow_start_arrivals.append((now, load, is_informed))
         self.slow_start_load += load
-        while self.slow_start_arrivals[0][0] <= now - figures.slow_start_window_us:
+        while self.slow_start_arrivals[0][0] <= now - parameters.slow_start_window_us:
             self.slow_start_load -= self.slow_start_arrivals.popleft()[1]
         rate = SECOND_US * shape.speed * shape.cores * self.warm_fraction(now) / (shape.slow_start_us / SECOND_US)
-        budget = figures.slow_start_multiple * rate * figures.slow_start_window_us / SECOND_US
-        self.was_overloaded_while_cold = self.slow_start_load > budget + BUDGET_SLACK_LOADS * figures.usual_load
+        budget = parameters.slow_start_multiple * rate * parameters.slow_start_window_us / SECOND_US
+        self.was_overloaded_while_cold = self.slow_start_load > budget + BUDGET_SLACK_LOADS * parameters.usual_load
         return self.was_overloaded_while_cold
--- a/glenrock/simulation/server_attempts.py
+++ b/glenrock/simulation/server_attempts.py
@@ -60,13 +60,13 @@
         request, server = attempt.request, attempt.server
         if not attempt.is_active or not self._path_is_open(attempt):
             return
-        row = request.client.row
-        work_us = self.setup_work_us[row.class_index]
-        if self.experiment.classes[row.class_index].setup_spread == "exp":
+        planned = request.client.planned
+        work_us = self.setup_work_us[planned.class_index]
+        if self.experiment.classes[planned.class_index].setup_spread == "exp":
             work_us *= self.draw_setup_work()
         endpoint = request.balancer.endpoints.get(server.name)
         is_informed = endpoint is not None and endpoint.started_us >= server.started_us
-        server.receive_attempt(self.engine.now, attempt, work_us, row.usual_load, is_informed)
+        server.receive_attempt(self.engine.now, attempt, work_us, planned.usual_load, is_informed)
         if server.was_overloaded_while_cold and server.is_up:
             self._fall_over(server)
 
@@ -102,20 +102,22 @@
         client = request.client
         if client.request is not request:  # the client disconnected before the answer
             self.close_unwanted(request)
-        elif client.row.end_us <= client.row.arrival_us:
+        elif client.planned.end_us <= client.planned.arrival_us:
             client.is_done = True
             self.close_unwanted(request)
 
     def open_connection(self, attempt: Attempt) -> None:
         """Opens the connection of an established attempt at its server."""
         request, client, now = attempt.request, attempt.request.client, self.engine.now
-        row = client.row
+        planned = client.planned
         is_wanted = client.request is request
-        value = 0.0 if self.is_over else float(self.experiment.classes[row.class_index].worth) * row.quota_factor
-        connection = Connection(attempt, request.balancer.index, row.class_index, row.group, value)
+        value = (
+            0.0 if self.is_over else float(self.experiment.classes[planned.class_index].worth) * planned.quota_factor
+        )
+        connection = Connection(attempt, request.balancer.index, planned.class_index, planned.group, value)
         attempt.connection = connection
         if client.waiting_since_us >= 0 and is_wanted:
-            self.measure.setup_waits[row.class_index].record_value(max(1, now - client.waiting_since_us))
+            self.measure.setup_waits[planned.class_index].record_value(max(1, now - client.waiting_since_us))
         if not attempt.server.open(now, connection, self.load_of(client)):  # the server has restarted since
             attempt.connection = None
             request.balancer.report_attempt_ended(attempt, AttemptOutcome.BROKEN)
