--- a/glenrock/routing/migration.py
+++ b/glenrock/routing/migration.py
@@ -117,7 +117,7 @@
         self._migrate_load(server, excess, is_scarce, by_group=is_slow)
 
     def _is_due(self, server: Server, is_slow: bool, is_late: bool, waits_for_backlog: bool) -> bool:
-        """Returns whether the effect of the last migration off the server has shown, so that a next may begin."""
+        """Returns whether the effect of the last migration off the server has shown by now."""
         wait_us = FEEDBACK_DELAY_US
         if is_slow:
             wait_us = FRESH_REPORT_US
