--- a/tests/routing/test_admission.py
+++ b/tests/routing/test_admission.py
@@ -171,8 +171,10 @@
     admission.update_cap()
     cut_cap = admission.load_cap
     assert 50 <= cut_cap < 100
+    balancer.sessions.active_load = 50.0  # a cut now would be deeper
     admission.update_cap()
     assert admission.load_cap == cut_cap
+    balancer.sessions.active_load = 100.0
     balancer.batch.now_us += 2 * SECOND
     admission.update_cap()
     assert admission.load_cap == cut_cap, "the load of the first cut has not left yet"
--- a/tests/routing/test_failure_domains.py
+++ b/tests/routing/test_failure_domains.py
@@ -82,6 +82,18 @@
     assert usable_counts == [64, 128, 192, 256]
 
 
+def test_failures_of_a_member_count_again_once_a_member_was_reached() -> None:
+    domains = FailureDomains()
+    record_failures(domains, 0, "u")
+    suspicion = domains.suspicion(0, DOMAIN)
+    assert record_failures(domains, 100_000, "u") == []
+    assert domains.suspicion(100_000, DOMAIN) < suspicion, "within the window they count once"
+    domains.record(DOMAIN, "v", True)
+    domains.evaluate(200_000)
+    record_failures(domains, 300_000, "u")
+    assert domains.suspicion(300_000, DOMAIN) == pytest.approx(suspicion)
+
+
 def test_score_and_partition_expire_without_evidence() -> None:
     domains = FailureDomains()
     record_failures(domains, 0, "uv")
--- a/tests/routing/test_request_lifecycle.py
+++ b/tests/routing/test_request_lifecycle.py
@@ -22,6 +22,16 @@
     assert isinstance(harness.actions_for(request_id)[-1], interface.Reject)
 
 
+def test_admitted_client_that_no_server_accepts_joins_the_waiting_queue(make_harness: HarnessFactory) -> None:
+    harness = make_harness(max_attempts=2)
+    request_id = harness.send_request(key=1)
+    for _ in range(2):
+        harness.end_attempt(request_id, interface.AttemptOutcome.FULL)
+        harness.advance(SECOND // 10)
+    assert isinstance(harness.actions_for(request_id)[-1], interface.Reject)
+    assert 1 in harness.balancer.waiting_queue
+
+
 def test_state_of_ended_requests_is_removed(make_harness: HarnessFactory) -> None:
     harness = make_harness()
     for key in range(200):
