--- a/glenrock/__main__.py
+++ b/glenrock/__main__.py
@@ -1,6 +1,7 @@
 """`python -m glenrock`: reads the configuration and runs a balancer until a signal ends it.
 
-Exit codes: 0 after SIGTERM or SIGINT, 1 after an error of the operating system, 2 for an invalid configuration.
+Exit codes: 0 after SIGTERM or SIGINT, 1 after an error of the operating system or an unexpected exception, 2 for an
+invalid configuration.
 """
 
 from __future__ import annotations
--- a/glenrock/admin/operations.py
+++ b/glenrock/admin/operations.py
@@ -15,7 +15,7 @@
     """Implements `routes.Operations`.
 
     Attributes:
-        is_serving: whether the balancer has an endpoint list and its client address is open.
+        is_serving: whether the client address is open. The first endpoint list may still be missing then.
         coordination: None if no coordination file is configured.
     """
 
--- a/glenrock/log.py
+++ b/glenrock/log.py
@@ -3,7 +3,7 @@
 Each module has a logger of its own name. A call names a constant message and gives its details as fields:
 
     logger = get_logger(__name__)
-    logger.warning("accepting paused after a resource error", error=error, pause_ms=RESUME_MS)
+    logger.warning("accepting paused after a resource error", error=error, pause_ms=ACCEPT_PAUSE_MS)
 
 Level and format are configuration. `docs/oncall.md` has a row for each message.
 """
--- a/glenrock/net/discovery_client.py
+++ b/glenrock/net/discovery_client.py
@@ -93,7 +93,7 @@
             self.disconnect()
         status = answer.parser.get_status_code()
         if status in OVERLOAD_STATUSES:
-            raise DiscoveryOverloadedError(f"status {status}: overbooked")
+            raise DiscoveryOverloadedError(f"status {status}: overloaded")
         if status != HTTP_OK:
             raise DiscoveryStatusError(f"status {status}")
         return json.loads(bytes(answer.body))
--- a/glenrock/net/endpoint_rows.py
+++ b/glenrock/net/endpoint_rows.py
@@ -28,7 +28,7 @@
         address: where the server accepts connections.
         state: whether the server is ready, draining or gone.
         zone: the failure domain of the server; empty if unknown.
-        group: the affinity group of the server.
+        group: the cell of the server, within which idempotency keys may be valid; `Endpoint.cell` of routing.
         weight: the listed size of the server relative to others.
         since_ms: the Unix time at which the server's process started; 0 if unknown.
     """
--- a/glenrock/net/protocol.py
+++ b/glenrock/net/protocol.py
@@ -58,7 +58,7 @@
 
     Attributes:
         request_id: the id that the client has chosen.
-        key: the key for affinity.
+        key: the identity of the client.
         fields: the fields by their names on the wire.
         raw: the line as it came.
     """
--- a/glenrock/net/start_times.py
+++ b/glenrock/net/start_times.py
@@ -2,8 +2,8 @@
 
 The wall clock may be stepped by seconds or an hour, here or on all machines, before this process starts or while it
 runs, and `since_ms` is what the clock of the server's machine showed. A server that has just started and counts as warm
-is overloaded; a server that counts as warming up for an hour gets no load. So no age depends on one reading of this
-machine's clock:
+is overloaded; a server that counts as warming up for an hour gets no load. So no age that this
+module computes depends on one reading of this machine's clock:
 
 - A time is read when it is first reported, and never changed by a later step.
 - While this process runs, a newly reported start is at most as old as the time since discovery's last answer, plus the
--- a/glenrock/program.py
+++ b/glenrock/program.py
@@ -239,7 +239,7 @@
 
     def run_task(self, work: Coroutine[None, None, None]) -> None:
         """Runs an actor until the process ends. Keeps the only strong reference to its task."""
-        self._tasks.add(asyncio.get_running_loop().create_task(work))
+        self._tasks.add(asyncio.get_running_loop().create_task(work, name=work.__qualname__))
 
     async def start(self) -> None:
         """Starts all parts, and accepts clients after the first endpoint list or `FIRST_LIST_TIMEOUT_MS`.
@@ -334,4 +334,4 @@
         await asyncio.wait([stopped, *self._tasks], return_when=asyncio.FIRST_COMPLETED)
         for task in self._tasks:
             if task.done():
-                raise RuntimeError("an actor ended") from task.exception()
+                raise RuntimeError(f"an actor ended: {task.get_name()}") from task.exception()
