--- a/glenrock/admin/http_message.py
+++ b/glenrock/admin/http_message.py
@@ -85,11 +85,11 @@
             self.is_complete = True  # no upgrade is supported: the request is answered as plain HTTP
         except httptools.HttpParserError as error:
             if not self.is_complete:
-                return HttpResponse(400, f"not an HTTP call: {error}\n")
+                return HttpResponse(400, f"not an HTTP request: {error}\n")
         if self.is_complete:
             return None
         if len(self.target) > MAX_TARGET_BYTES:
             return HttpResponse(414, f"the path is longer than {MAX_TARGET_BYTES} bytes\n")
         if self._byte_count > MAX_REQUEST_BYTES:
-            return HttpResponse(413, f"the call is longer than {MAX_REQUEST_BYTES} bytes\n")
+            return HttpResponse(413, f"the request is longer than {MAX_REQUEST_BYTES} bytes\n")
         return None
--- a/glenrock/admin/listener.py
+++ b/glenrock/admin/listener.py
@@ -38,7 +38,7 @@
         self.callers: dict[asyncio.Task[None], None] = {}
         self._operations = operations
         self._clock = clock
-        self._answered: dict[asyncio.Task[None], None] = {}  # the callers whose response is being sent
+        self._being_answered: dict[asyncio.Task[None], None] = {}  # the callers whose response is being sent
 
     def listen(self, address: Address) -> None:
         """Binds the listening socket.
@@ -78,11 +78,11 @@
 
     def _forget(self, task: asyncio.Task[None]) -> None:
         self.callers.pop(task, None)
-        self._answered.pop(task, None)
+        self._being_answered.pop(task, None)
 
     def _close_oldest(self) -> None:
-        """Closes the connection that was answered first; if there is none, the oldest connection."""
-        oldest = next(iter((*self._answered, *self.callers)), None)
+        """Closes the oldest connection whose response is being sent; if there is none, the oldest connection."""
+        oldest = next(iter((*self._being_answered, *self.callers)), None)
         if oldest is None:
             return
         logger.warning("too many operator connections, closing the oldest", open_connections=len(self.callers))
@@ -101,7 +101,7 @@
                         return
                     response = request.feed(data)
             if limit.has_expired:
-                response = HttpResponse(408, f"no whole call came within {REQUEST_TIMEOUT_MS / 1000:.0f} s\n")
+                response = HttpResponse(408, f"request not complete within {REQUEST_TIMEOUT_MS / 1000:.0f} s\n")
             if response is None:
                 response = await self._respond(request)
             self._mark_answered()
@@ -116,7 +116,7 @@
 
     def _mark_answered(self) -> None:
         if task := asyncio.current_task():
-            self._answered[task] = None
+            self._being_answered[task] = None
 
     async def _send(self, sock: socket.socket, response: HttpResponse) -> None:
         """Sends the response, then reads until the caller closes the connection.
@@ -135,4 +135,4 @@
             return await routes.respond(self._operations, request.method, request.target)
         except Exception:
             logger.exception("operator call failed", method=request.method, target=f"{request.target!r:.200}")
-            return HttpResponse(500, "the balancer failed on this call; its log says where\n")
+            return HttpResponse(500, "internal error; the log has the traceback\n")
--- a/glenrock/admin/operations.py
+++ b/glenrock/admin/operations.py
@@ -37,7 +37,7 @@
 
     def unready_reason(self) -> str | None:
         """Returns why the balancer accepts no clients; None if it accepts them."""
-        return self._shutdown.unready_reason() if self.is_serving else "not ready: clients are not taken yet"
+        return self._shutdown.unready_reason() if self.is_serving else "not ready: starting"
 
     def metrics(self) -> MetricsSnapshot:
         """Returns the metrics at this moment."""
--- a/glenrock/admin/prometheus_text.py
+++ b/glenrock/admin/prometheus_text.py
@@ -9,20 +9,19 @@
 from ..net.metrics import ConnectionOutcome, FinalAnswerReason
 
 CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
-# Help texts are part of what scrapers read, so they keep the platform's words.
 HELP = {
-    "fulfilled": "Connections brought up.",
-    "throttled": "Connections refused.",
-    "faulted": "Connections failed.",
-    "left": "Connections whose client left before an answer.",
-    "relayed": "Attempts written whole to session servers.",
-    "open_requests": "Connections taken and not ended.",
-    "registry_entries": "Session servers in the list.",
-    "out_of_rotation": "Session servers in the list that are avoided now, by hand or by choice.",
-    "rejected": "Connections that had another answer than UP, by reason.",
-    "system_errors": "Calls that failed for reasons of this machine's own, by errno.",
-    "descriptors": "Descriptors set aside or in use, by purpose.",
-    "descriptor_limit": "Descriptors that this process may have open.",
+    "fulfilled": "Client connections that were established (UP).",
+    "throttled": "Client connections that were rejected (BUSY).",
+    "faulted": "Client connections that failed (ERR).",
+    "left": "Client connections that the client closed before an answer.",
+    "relayed": "Attempts that were written completely to a session server.",
+    "open_requests": "Open client connections.",
+    "registry_entries": "Session servers in the endpoint list, draining ones included.",
+    "out_of_rotation": "Listed session servers that receive no new connections now.",
+    "rejected": "Client connections whose final answer was not UP, by reason.",
+    "system_errors": "System calls that failed for a reason of this machine, by errno.",
+    "descriptors": "Descriptors reserved or in use, by purpose.",
+    "descriptor_limit": "Most descriptors that this process may have open.",
 }
 
 
--- a/glenrock/admin/routes.py
+++ b/glenrock/admin/routes.py
@@ -87,8 +87,8 @@
     if not operations.is_known_server(server_id):
         return HttpResponse(404, "no session server of that id was ever listed\n")
     if action == "suspend":
-        return await _carry_out(operations.suspend(server_id), "out of rotation")
-    return await _carry_out(operations.resume(server_id), "may serve again")
+        return await _carry_out(operations.suspend(server_id), "suspended")
+    return await _carry_out(operations.resume(server_id), "resumed")
 
 
 async def _carry_out(operation: Awaitable[None], success_text: str) -> HttpResponse:
@@ -103,12 +103,12 @@
 
 
 def _method_not_allowed(method: str, allowed: str) -> HttpResponse:
-    return HttpResponse(405, f"{method} does not go here; {allowed} does\n", allow=allowed)
+    return HttpResponse(405, f"method {method} is not allowed here; use {allowed}\n", allow=allowed)
 
 
 async def _ready(operations: Operations) -> HttpResponse:
     reason = operations.unready_reason()
-    return HttpResponse(200, "takes clients\n") if reason is None else HttpResponse(503, reason + "\n")
+    return HttpResponse(200, "ready\n") if reason is None else HttpResponse(503, reason + "\n")
 
 
 async def _metrics(operations: Operations) -> HttpResponse:
@@ -116,11 +116,11 @@
 
 
 async def _drain(operations: Operations) -> HttpResponse:
-    return await _carry_out(operations.drain(), "clients are sent away")
+    return await _carry_out(operations.drain(), "draining")
 
 
 async def _activate(operations: Operations) -> HttpResponse:
-    return await _carry_out(operations.activate(), "takes clients")
+    return await _carry_out(operations.activate(), "ready")
 
 
 async def _coordination(operations: Operations) -> HttpResponse:
--- a/glenrock/cli/check.py
+++ b/glenrock/cli/check.py
@@ -27,14 +27,14 @@
         description = _check_configuration(file)
     else:
         raise InputFileError(f"{file}: neither .toml nor .json")
-    click.echo(f"{file}: sound ({description})")
+    click.echo(f"{file}: OK: {description}")
 
 
 def _check_coordination_file(file: Path) -> str:
     """Returns a description of a coordination file. Raises InputFileError if it is invalid."""
     from ..coordination import config
 
-    return f"a fleet's work, on {config.load(file).store.kind}"
+    return f"coordination file, store {config.load(file).store.kind}"
 
 
 def _check_experiment(file: Path) -> str:
@@ -43,7 +43,7 @@
 
     points = spec.points(file)
     experiment = points[0][1]
-    return f"{experiment.name}, {len(points)} point{'' if len(points) == 1 else 's'}"
+    return f"experiment {experiment.name}, {len(points)} point{'' if len(points) == 1 else 's'}"
 
 
 def _check_configuration(file: Path) -> str:
@@ -54,4 +54,4 @@
         config = read_config({"LB_CONFIG": str(file)})
     except ConfigError as error:
         raise InputFileError(f"{file}: {error}") from error
-    return f"{config.name or 'no name'}, listens on {config.listen}"
+    return f"configuration of {config.name or 'a balancer without a name'}, listens on {config.listen}"
--- a/glenrock/cli/coordination_history.py
+++ b/glenrock/cli/coordination_history.py
@@ -39,7 +39,7 @@
 def _print_rejections(address: str) -> None:
     """Prints the messages of old terms that a balancer rejected."""
     view = store_queries.fetch_view(address)
-    click.echo(f"{view['name']}: {view['refused']} refused since its start; the store: {view['store']}")
+    click.echo(f"{view['name']}: {view['refused']} messages rejected since its start; store: {view['store']}")
     for rejection in view["refusals"]:
         rejected_at = store_queries.format_local_time(rejection["at_ms"] / 1000)
         click.echo(f"  {rejected_at}  balancer {rejection['peer']}  {rejection['job']}  {rejection['why']}")
--- a/glenrock/cli/coordination_holder.py
+++ b/glenrock/cli/coordination_holder.py
@@ -24,9 +24,11 @@
     lease = store_queries.query_store(file, lambda store: store.leases([job])).get(job)
     past = store_queries.query_store(file, lambda store: store.past_terms(job))
     if lease is None or not past:
-        raise CommandFailedError(f"{job} was never held; `glenrock fleet jobs` names all that were")
+        raise CommandFailedError(f"no lease of {job} was ever acquired; `glenrock fleet jobs` lists those that were")
     if not lease.holder:
-        raise CommandFailedError(f"nobody owns {job}; the last was {past[-1].holder}, term {past[-1].term}")
+        raise CommandFailedError(
+            f"the lease of {job} is free; its last holder was {past[-1].holder}, term {past[-1].term}"
+        )
     since = store_queries.format_local_time(past[-1].started_s)
     left = store_queries.format_seconds_left(lease.remaining_us)
     click.echo(f"{lease.holder}  term {lease.term}  since {since}  {left}")
--- a/glenrock/cli/coordination_jobs.py
+++ b/glenrock/cli/coordination_jobs.py
@@ -22,6 +22,6 @@
     leases = store_queries.query_store(file, lambda store: store.leases())
     for job, lease in sorted(leases.items()):
         seconds_left = store_queries.format_seconds_left(lease.remaining_us)
-        click.echo(f"{job}  term {lease.term}  {lease.holder or 'nobody'}  {seconds_left}")
+        click.echo(f"{job}  term {lease.term}  {lease.holder or 'free'}  {seconds_left}")
     if not leases:
-        click.echo("no job was ever held")
+        click.echo("no lease was ever acquired")
--- a/glenrock/cli/coordination_start_report.py
+++ b/glenrock/cli/coordination_start_report.py
@@ -24,6 +24,6 @@
     views = {address: store_queries.fetch_view(address) for address in dict.fromkeys(at)}
     for address, view in views.items():
         if not isinstance(view.get("start"), dict):
-            raise CommandFailedError(f"{address}: tells nothing of its start: another version")
+            raise CommandFailedError(f"{address}: reports nothing about its start: it runs another version")
     for line in format_report(list(views.values())):
         click.echo(line)
--- a/glenrock/cli/store_queries.py
+++ b/glenrock/cli/store_queries.py
@@ -43,7 +43,7 @@
 
     settings = config.load(path)
     if settings.store.kind == "sqlite" and not Path(settings.store.path).exists():
-        raise CommandFailedError(f"the store {settings.store.path} is not there: no balancer has used it yet")
+        raise CommandFailedError(f"the store {settings.store.path} does not exist: no balancer has used it yet")
 
     async def run_query() -> T:
         store = build_store(settings, "operator")
@@ -69,7 +69,7 @@
             view: dict[str, Any] = json.loads(response.read())
             return view
     except urllib.error.HTTPError as error:
-        raise CommandFailedError(f"{address}: {error.code}: nothing is done together there") from error
+        raise CommandFailedError(f"{address}: status {error.code}: coordination is not configured there") from error
     except (OSError, ValueError) as error:
         raise CommandFailedError(f"{address}: {error}") from error
 
--- a/glenrock/config.py
+++ b/glenrock/config.py
@@ -123,8 +123,11 @@
 ) -> dict[str, str]:
     """Returns the values of the keys that environment variables override.
 
-    Variables keep their values from the start of the process, so a key that has changed in the file since then is not
-    overridden.
+    A key that is set by both has the value of:
+
+        the variable   at the start
+        the variable   after a reload, if the file's value is that of the start or the file no longer has the key
+        the file       after a reload, if the file's value has changed since the start
     """
     overrides = {}
     for key, variable in VARIABLES.items():
@@ -179,7 +182,7 @@
         seed=_parse_seed(raw.get("seed", "0")),
         descriptor_limit=_descriptor_limit(raw),
         # The protocol has no line that reports the delay of messages, and overloaded servers may still answer some
-        # lines at once. The absence of reports must not count as a report of no delay.
+        # lines at once. The absence of a report is no evidence of a short delay.
         settings=replace(settings, has_message_delay_reports=False),
         measures_delay=settings.has_message_delay_reports,
         raw_cached_endpoints=_value_of_type(raw, "known", dict, {}),
--- a/glenrock/durable_file.py
+++ b/glenrock/durable_file.py
@@ -2,7 +2,7 @@
 
 The new content is written to a temporary file, which is renamed over the old one: a process that ends in between leaves
 the old file. The previous file is kept under a second name, for the case that the current one is damaged later. The
-digest reveals damage. Files of earlier versions have no digest and are read without this check.
+digest reveals damage. A file without a digest is read without this check.
 """
 
 from __future__ import annotations
--- a/glenrock/net/acceptor.py
+++ b/glenrock/net/acceptor.py
@@ -17,7 +17,7 @@
 from .metrics import ConnectionMetrics, ConnectionOutcome, FinalAnswerReason
 from .socket_io import close_drained, configure_socket, recv_into
 
-FIRST_LINE_TIMEOUT_MS = 2000.0  # a client is owed an answer within 3 s
+FIRST_LINE_TIMEOUT_MS = 2000.0  # the protocol requires an answer within 3 s
 IDLE_TIMEOUT_MS = 10_000.0  # after a ping
 LINGER_TIMEOUT_MS = 1000.0  # the client's end is awaited this long after its final answer
 MAX_LINGER_BYTES = 65536  # read from a client after its final answer
@@ -84,8 +84,8 @@
         self._socket = ListeningSocket(clock, connections.metrics, self._add_connection, self.idle.shed_oldest)
         self._is_closing = False  # no more connections are accepted, and no line is awaited
 
-    def drain_permit_is_valid(self) -> bool:
-        """Returns whether this balancer may drain now.
+    def check_drain_permit(self) -> bool:
+        """Ends the manual drain if its permit has expired. Returns False then.
 
         The process may have been suspended past the end of its lease, so the permit is checked before each use.
         """
@@ -164,7 +164,7 @@
             line, end, rest = data.partition(b"\n")
             if line + end != protocol.PING:
                 return await self._parse_request(sock, data)
-            self.drain_permit_is_valid()  # ends the drain of an expired permit before the answer
+            self.check_drain_permit()
             await loop.sock_sendall(sock, protocol.FAILED if self.is_manually_draining else protocol.PONG)
             self.idle.mark_answered(_current_task())
             data = rest
@@ -223,7 +223,7 @@
 
     async def _admit(self, sock: socket.socket, request_line: protocol.RequestLine) -> bool:
         """Returns whether the request goes to routing; rejects it while this balancer drains or has no descriptors."""
-        is_rejecting = self.drain_permit_is_valid() and self.rejects_requests  # the check may end the drain
+        is_rejecting = self.check_drain_permit() and self.rejects_requests
         if not is_rejecting and not self._connections.is_full():
             return True
         if not self.rejects_requests:
--- a/glenrock/net/client_connection.py
+++ b/glenrock/net/client_connection.py
@@ -17,7 +17,7 @@
 from .socket_io import close_socket
 
 RESUME_TIMEOUT_MS = 38_000.0  # the protocol gives up a connection that is not resumed after 40 s
-RESUME_UNLISTED_TIMEOUT_MS = 2000.0  # at a server that is not listed: the client is owed an answer within 3 s
+RESUME_UNLISTED_TIMEOUT_MS = 2000.0  # at a server that was never listed: the protocol requires an answer within 3 s
 RESUME_RETRY_MS = 250.0
 DECISION_MARGIN_MS = 20.0  # from the deadline to the answer without a decision; the protocol allows 58 ms
 
@@ -129,7 +129,7 @@
         timer = self.clock.call_at(due_ms, self.mailbox.put_unbounded, RelayEnd.OVERDUE)
         if not self.reports.post_request():
             logger.warning("request rejected: routing mailbox full", request_id=self.request_line.request_id)
-            self.reports.is_forgotten = True
+            self.reports.is_end_known = True
             self.reject(self._owner.retry_after_ms, FinalAnswerReason.EVENTS)
         return timer
 
@@ -146,7 +146,7 @@
             message = await self.mailbox.get()
             match message:
                 case FinalAnswer(line, reason):
-                    self.reports.is_forgotten = True
+                    self.reports.is_end_known = True
                     await self._answer(line, reason)
                     return False
                 case AnswerNow(retry_after_ms):
--- a/glenrock/net/connection_reports.py
+++ b/glenrock/net/connection_reports.py
@@ -16,7 +16,7 @@
     Attributes:
         load: the load of the connection as last known.
         is_counted: whether the metrics have the outcome.
-        is_forgotten: whether routing knows that the connection has ended.
+        is_end_known: whether routing knows that the request or the connection has ended, or never learned of it.
     """
 
     def __init__(
@@ -24,7 +24,7 @@
     ) -> None:
         self.load = request_line.load
         self.is_counted = False
-        self.is_forgotten = False
+        self.is_end_known = False
         self._routing = routing
         self._metrics = metrics
         self._request_line = request_line
@@ -84,8 +84,8 @@
 
     def post_disconnected(self) -> None:
         """Reports that the client has gone, unless routing knows that the connection has ended."""
-        if not self.is_forgotten:
-            self.is_forgotten = True
+        if not self.is_end_known:
+            self.is_end_known = True
             self._routing.post(interface.ClientDisconnected(self._request_line.request_id))
 
     def count(self, outcome: ConnectionOutcome) -> None:
--- a/glenrock/net/descriptor_budget.py
+++ b/glenrock/net/descriptor_budget.py
@@ -68,7 +68,7 @@
             + DESCRIPTORS_PER_RELAY
         )
         if limit < needed:
-            raise DescriptorBudgetError(f"{limit} leave no room for one client, {needed} are needed")
+            raise DescriptorBudgetError(f"at least {needed} are needed to serve one client, got {limit}")
 
 
 def _health_connection_pool(limit: int) -> int:
--- a/glenrock/net/endpoint_rows.py
+++ b/glenrock/net/endpoint_rows.py
@@ -24,7 +24,7 @@
     """A server in the endpoint list.
 
     Attributes:
-        name: the identity of the server, which stays when its address changes or its process restarts.
+        name: the identity of the server, stable across changes of its address and restarts of its process.
         address: where the server accepts connections.
         state: whether the server is ready, draining or gone.
         zone: the failure domain of the server; empty if unknown.
--- a/glenrock/net/endpoint_watcher.py
+++ b/glenrock/net/endpoint_watcher.py
@@ -152,15 +152,16 @@
     async def _handle_failure(self, error: Exception) -> None:
         self._failures += 1
         self._on_failure()
-        # A balancer without a list that gets no answer counts as rejected: discovery is overloaded, and retries within
-        # a second would keep it so.
+        # Without a list, a call without an answer counts as rejected: discovery is probably overloaded, and a retry
+        # within a second would add to its load.
         has_no_answer = isinstance(error, NoAnswerError)
         if isinstance(error, DiscoveryOverloadedError) or (has_no_answer and self.has_no_list):
             delay_ms = self.backoff.overload_delay_ms()
         else:
             delay_ms = self.backoff.retry_delay_ms(self._failures)
         if has_no_answer and not self.backoff.must_poll:
-            # A silent agent's list counts as reported once it answers again, and a watch could still wait then.
+            # The list counts as reported as soon as the agent answers again. A watch is answered only after the next
+            # change, so the whole list is polled.
             self._watch_version = None
         logger.warning("endpoint poll failed", error=error, retry_ms=round(delay_ms))
         await self._sleep(delay_ms)
--- a/glenrock/net/established_relay.py
+++ b/glenrock/net/established_relay.py
@@ -135,8 +135,7 @@
     def _start_migration(self, outcome: AttemptOutcome) -> bool:
         """Returns whether the client can be migrated now. Otherwise the downward pump reports when it can.
 
-        The server's socket is not shut down to wake the pump: a part of a line that arrives in that instant would be
-        sent without its rest, and the client would be reset.
+        The server's socket stays open until then, so that a line that is arriving reaches the client whole.
         """
         if self.migration:
             return False
@@ -220,8 +219,8 @@
                 await self._await_end(SERVER_ENDS)
 
     def _report_relay_end(self, outcome: AttemptOutcome) -> None:
-        if not self.reports.is_forgotten:
-            self.reports.is_forgotten = True
+        if not self.reports.is_end_known:
+            self.reports.is_end_known = True
             latency_ms = self.attempt.latency_ms if self.attempt else 0.0
             self.reports.post_attempt_end(
                 self.attempt_number, self.server, outcome, latency_ms, {}, was_established=True
--- a/glenrock/net/graceful_shutdown.py
+++ b/glenrock/net/graceful_shutdown.py
@@ -30,7 +30,7 @@
 MAX_OFFERED_RELAYS = 16  # relays that wait for the successor with their pumps stopped
 HAND_OVER_MARGIN_MS = 700.0  # from the end of handing over to the end, to migrate the remaining clients
 LONE_BALANCER_MIGRATION_MS = 400.0  # to migrate all clients, if no other balancer can serve them
-STEP_ROUNDING = 0.49  # rounds the connections of a step up
+STEP_ROUNDING = 0.49  # rounds the connections of a step up, but for a hundredth of a connection
 
 logger = get_logger(__name__)
 
@@ -70,8 +70,8 @@
     def unready_reason(self) -> str | None:
         """Returns why the balancer accepts no clients; None while it accepts them."""
         if self._is_stopping:
-            return "not ready: the process is stopping"
-        return "not ready: clients are sent away" if self._manual_drain else None
+            return "not ready: stopping"
+        return "not ready: draining" if self._manual_drain else None
 
     # -- on an operator's call -------------------------------------------------------------------------
 
@@ -121,7 +121,7 @@
         end_ms = started_ms + MANUAL_DRAIN_MS
         await self._clock.sleep(FRONT_END_NOTICE_MS)
         while True:
-            if not self._acceptor.drain_permit_is_valid():
+            if not self._acceptor.check_drain_permit():
                 return
             now_ms = self._clock.now_ms()
             self._acceptor.rejects_requests = now_ms >= started_ms + MANUAL_REJECT_AFTER_MS
@@ -151,9 +151,16 @@
     async def stop(self, has_inherited_listener: bool, successor: Successor | None) -> None:
         """Ends the service of this process before SIGKILL.
 
-        A successor takes relays over, and the other clients migrate, spread over the time that is left. With an
-        inherited listening socket the successor accepts new connections from now on. Without one they come here until
-        the end.
+        Times after SIGTERM, where D is the longest deadline of a class, at most 3 s:
+
+            0            routing learns of the drain; with an inherited listening socket this process stops accepting,
+                         and relays are handed over to a successor
+            0.45 s       without an inherited listening socket: migration begins, spread evenly until D
+            D - 0.5 s    with a successor: handing over ends, and the remaining clients migrate until D
+            D - 0.2 s    without a successor, if no other balancer can serve the clients: they migrate until D
+            D + 0.2 s    the end: idle connections and waiting requests get their answers
+            D + 0.45 s   the process exits at the latest; earlier if it accepts no connections and has none
+            D + 0.7 s    SIGKILL
         """
         self._is_stopping = True
         self._cancel_manual_drain()
--- a/glenrock/net/idle_connections.py
+++ b/glenrock/net/idle_connections.py
@@ -15,6 +15,9 @@
 class IdleConnections:
     """The tasks of connections that have sent no request yet, oldest first.
 
+    A connection is in `unanswered`, then in `answered`; with its final answer in `_ending` too. One that is shed leaves
+    `unanswered` or `answered` for `_shed`, and enters `answered` and `_ending` with its final answer.
+
     Attributes:
         unanswered: connections that have had no answer.
         answered: connections that have had an answer to a ping, or their final answer.
@@ -23,12 +26,12 @@
     def __init__(self) -> None:
         self.unanswered: dict[ConnectionTask, None] = {}
         self.answered: dict[ConnectionTask, None] = {}
-        self._ending: dict[ConnectionTask, None] = {}  # of those answered, after the final answer
+        self._ending: dict[ConnectionTask, None] = {}  # those of `answered` that have had their final answer
         self._shed: set[ConnectionTask] = set()  # get their final answer next, unless a request has already arrived
         self._read_limits: dict[ConnectionTask, TimeLimit] = {}
 
     def __len__(self) -> int:
-        """Returns the number of connections that are not being shed."""
+        """Returns the number of connections, without those that are shed and await their final answer."""
         return len(self.unanswered) + len(self.answered)
 
     def add(self, task: ConnectionTask) -> None:
--- a/glenrock/net/line_gate.py
+++ b/glenrock/net/line_gate.py
@@ -47,7 +47,7 @@
     def flush(self) -> bytes:
         """Returns the part that is held back, for a server that has closed the connection within a line."""
         data = self.pending()
-        self.is_within_line = True
+        self.is_within_line = True  # so that the same bytes are no longer pending
         return data
 
     def restore(self, part: bytes, is_overlong: bool) -> None:
--- a/glenrock/net/listening_socket.py
+++ b/glenrock/net/listening_socket.py
@@ -64,8 +64,7 @@
     def open(self, sock: socket.socket) -> None:
         """Starts to accept connections.
 
-        `sock_accept` of the loop is not used: a connection that is accepted just as it is cancelled would be lost, and
-        the socket is shared with the successor.
+        The socket is read by a callback, since a cancelled `sock_accept` may lose a connection (as in `socket_io`).
         """
         self.sock = sock
         asyncio.get_running_loop().add_reader(sock, self.accept, MAX_ACCEPTS_PER_WAKEUP)
--- a/glenrock/net/mailbox.py
+++ b/glenrock/net/mailbox.py
@@ -30,7 +30,7 @@
         return True
 
     def put_unbounded(self, message: Message) -> None:
-        """Adds a message to a full mailbox too. For messages that are rare and must not be lost."""
+        """Adds a message to a full mailbox too. For messages that must not be lost, and are few by their kind."""
         self.messages.append(message)
         self.wake()
 
--- a/glenrock/net/metrics.py
+++ b/glenrock/net/metrics.py
@@ -27,7 +27,7 @@
 
 
 class FinalAnswerReason(StrEnum):
-    """Why a connection got a final answer instead of being established. The values are labels of a metric.
+    """Why a connection got a final answer other than `UP`. The values are labels of the metric `app_rejected`.
 
     Attributes:
         ADMISSION: routing rejected the request.
--- a/glenrock/net/peers.py
+++ b/glenrock/net/peers.py
@@ -60,8 +60,8 @@
     def change_addresses(self, peers: tuple[Address, ...], broadcast: Address | None) -> None:
         """Sets the addresses of the other balancers, in the order of their numbers.
 
-        Invalid addresses are logged, and the previous ones stay. At the start there are no previous ones: then an
-        address that is repeated belongs to its first balancer.
+        Invalid addresses are logged, and the previous ones stay. At the start there are no previous ones: then
+        addresses past the number of balancers are ignored, and a repeated address belongs to its first balancer.
 
         Args:
             peers: one address for each balancer.
@@ -72,7 +72,7 @@
             if self.number_by_address:
                 logger.error("peer addresses invalid: previous addresses stay", fault=fault)
                 return
-            logger.error("peer addresses invalid: the first balancer of each address counts", fault=fault)
+            logger.error("peer addresses invalid: a repeated address belongs to its first balancer", fault=fault)
         self.number_by_address = number_by_address
         self.addresses = tuple(number_by_address)
         self._broadcast = broadcast
--- a/glenrock/net/poll_backoff.py
+++ b/glenrock/net/poll_backoff.py
@@ -26,12 +26,12 @@
 MAX_RETRY_DOUBLINGS = 6
 MAX_RETRY_MS = 1000.0  # discovery must be found again within 4 s of a change of address
 
-# A change that a silent watch misses counts as reported 2 s after the watch ends, and the grace of a draining server
-# runs from then on.
+# By the protocol a change counts as reported at most 2 s after the end of the watch in which it happened, answered or
+# not. The grace of a draining server runs from then on.
 WATCH_TIMEOUT_MS = 10_000.0
 MISSED_CHANGE_GRACE_MS = 2000.0
 MAX_ANSWER_GRACE_MS = 2500.0  # an overloaded discovery queues a call for up to 2 s
-# A change that an agent on this machine has counts as reported at once, so its watch is short.
+# A change that an agent on this machine knows counts as reported at once, so its watch is short.
 MIN_AGENT_WATCH_MS = 400.0
 MAX_AGENT_WATCH_MS = 3000.0
 AGENT_ANSWER_GRACE_MS = 400.0
--- a/glenrock/net/server_connections.py
+++ b/glenrock/net/server_connections.py
@@ -57,7 +57,9 @@
         self._budget = budget
         self._start_times = start_times
         self._pool = HealthCheckPool(lambda: budget.health_connections)
-        self._retirable_names: set[str] = set()  # servers whose actors had no work at the last check
+        self._retirable_names: set[str] = (
+            set()
+        )  # servers whose actors had no work at the last check; without work at two checks in a row an actor is retired
         self._retirable_checked_ms = clock.now_ms()
 
     def set_suspended(self, name: str, is_suspended: bool) -> None:
--- a/glenrock/net/start_times.py
+++ b/glenrock/net/start_times.py
@@ -3,14 +3,15 @@
 The wall clock may be stepped by seconds or an hour, here or on all machines, before this process starts or while it
 runs, and `since_ms` is what the clock of the server's machine showed. A server that has just started and counts as warm
 is overloaded; a server that counts as warming up for an hour gets no load. So no age that this
-module computes depends on one reading of this machine's clock:
-
-- A time is read when it is first reported, and never changed by a later step.
-- While this process runs, a newly reported start is at most as old as the time since discovery's last answer, plus the
-  delay of discovery itself. The process's clock and the wall clock bound the age too.
-- In the first list the newest start is the only other evidence of the time: if this machine's clock shows an earlier
-  time, it is behind. Servers that started within one slow start of the newest may have just started, so they count as
-  warming up, unless they are more than half of all servers, since this balancer would then use too few.
+module computes depends on one reading of this machine's clock. Each age is computed once, when `since_ms` is first
+reported, and a later step of a clock does not change it:
+
+1. By two clocks: `now - since_ms` by the process's clock and by the wall clock, and the lesser of both (`_age`).
+2. In a later list: at most the time since discovery's last answer plus `REPORT_DELAY_MS` (`_age_of_new_report`).
+3. In the first list: a clock that shows an earlier time than the newest `since_ms` is behind, so it counts as showing
+   that time (`_ages_in_first_list`).
+4. In the first list, for servers that started within one slow start of the newest: the time between both starts, so
+   that they count as warming up. Not if they are more than half of all servers: the others would get all load.
 """
 
 from __future__ import annotations
--- a/glenrock/program.py
+++ b/glenrock/program.py
@@ -120,7 +120,7 @@
         try:
             self._processes.register()
         except OSError as error:
-            logger.warning("process mark not written: the descriptor limit may be exceeded", error=error)
+            logger.warning("process not registered: the descriptor limit may be exceeded", error=error)
         connections = self._program.connections
         connections.count_other_descriptors = self._processes.count_other_descriptors
         connections.budget.other_process = self._processes.count_other_descriptors()
@@ -214,7 +214,7 @@
         self._upgrade = Upgrade(self, config.accept_fd) if config.accept_fd is not None else None
 
     def _check_budget(self) -> None:
-        """Raises ConfigError if the descriptor limit leaves no room for a single client."""
+        """Raises ConfigError if the descriptor limit is too low to serve a single client."""
         try:
             self.budget.check_limit(self.budget.limit)
         except DescriptorBudgetError as error:
@@ -239,7 +239,7 @@
 
     def run_task(self, work: Coroutine[None, None, None]) -> None:
         """Runs an actor until the process ends. Keeps the only strong reference to its task."""
-        self._tasks.add(asyncio.get_running_loop().create_task(work, name=work.__qualname__))
+        self._tasks.add(asyncio.get_running_loop().create_task(work, name=getattr(work, "__qualname__", None)))
 
     async def start(self) -> None:
         """Starts all parts, and accepts clients after the first endpoint list or `FIRST_LIST_TIMEOUT_MS`.
--- a/glenrock/upgrade/override_file.py
+++ b/glenrock/upgrade/override_file.py
@@ -1,7 +1,7 @@
 """The file of operators' overrides that both processes of an upgrade read and replace.
 
 The file stands in `$TMPDIR`. A file of another version, or an unreadable file, counts as missing: the caller logs the
-reason and keeps the overrides that it has.
+reason and keeps the overrides that it has, and the next change replaces the file by these.
 """
 
 from __future__ import annotations
@@ -57,7 +57,7 @@
     size: int
 
 
-class Exchange(NamedTuple):
+class FileChange(NamedTuple):
     """The outcome of one change under the lock.
 
     Attributes:
@@ -173,13 +173,13 @@
     durable_file.replace(Path(folder, FILE_NAME), durable_file.encode_with_digest(content), sync=False)
 
 
-def exchange(
+def change_file(
     folder: str,
     change: Callable[[SharedOverrides], None],
     fallback: SharedOverrides,
     listed_servers: list[str],
     oldest_ms: float,
-) -> Exchange:
+) -> FileChange:
     """Changes the file under its lock. Blocks on the disk, so callers use a thread.
 
     Args:
@@ -204,7 +204,7 @@
             server_id: at_ms for server_id, at_ms in after.resumed_at_ms.items() if at_ms > oldest_ms
         }
         write(folder, after)
-        return Exchange(before, after, signature(folder))
+        return FileChange(before, after, signature(folder))
 
 
 @contextlib.contextmanager
--- a/glenrock/upgrade/override_sync.py
+++ b/glenrock/upgrade/override_sync.py
@@ -3,6 +3,8 @@
 from __future__ import annotations
 
 import asyncio
+import functools
+import os
 from collections.abc import Callable
 
 from glenrock.routing import interface
@@ -58,7 +60,7 @@
             self._adopt(previous)
 
     async def watch(self) -> None:
-        """Applies changes of the file as long as the process runs, and writes servers that were listed since."""
+        """Applies changes of the file as long as the process runs, and adds servers that discovery lists to it."""
         while True:
             await self._clock.sleep(POLL_INTERVAL_MS)
             self._apply_file()
@@ -111,13 +113,13 @@
         async with self._change_lock:
             listed_servers = list(self._servers.rows)
             oldest_ms = self._clock.now_ms() - RESUMED_RETENTION_MS
-            exchange = await asyncio.to_thread(
-                override_file.exchange, self.folder, change, self.overrides, listed_servers, oldest_ms
+            file_change = await asyncio.to_thread(
+                override_file.change_file, self.folder, change, self.overrides, listed_servers, oldest_ms
             )
-            if exchange.before is not None:
-                self._adopt(exchange.before)
-            self._signature = exchange.signature
-            self.overrides = exchange.after
+            if file_change.before is not None:
+                self._adopt(file_change.before)
+            self._signature = file_change.signature
+            self.overrides = file_change.after
             self._written_server_count = len(listed_servers)
 
     async def set_override(self, server_id: str, is_suspended: bool) -> None:
@@ -126,18 +128,14 @@
         Raises:
             OperationRejectedError: the shared file cannot be written, or `MAX_SERVERS` servers are suspended.
         """
-
-        def change(shared: SharedOverrides) -> None:
-            if is_suspended and len(shared.suspended) < MAX_SERVERS:
-                shared.suspended.add(server_id)
-                shared.resumed_at_ms.pop(server_id, None)
-            elif not is_suspended and server_id in shared.suspended:
-                shared.suspended.discard(server_id)
-                shared.resumed_at_ms[server_id] = self._clock.now_ms()
-
+        change = (
+            functools.partial(_suspend, server_id)
+            if is_suspended
+            else functools.partial(_resume, server_id, self._clock)
+        )
         was_suspended = await self._change_with_retries(server_id, change)
-        if is_suspended and server_id not in self.overrides.suspended:
-            raise OperationRejectedError(f"not done: {MAX_SERVERS} are out")
+        if is_suspended and server_id not in self.overrides.suspended:  # `_suspend` had no room
+            raise OperationRejectedError(f"not done: {MAX_SERVERS} servers are suspended already")
         has_changed = was_suspended != is_suspended
         if has_changed:
             _log_override(server_id, is_suspended)
@@ -162,9 +160,8 @@
             except OSError as error:
                 if not attempts_left:
                     _log_write_failure(error)
-                    raise OperationRejectedError(
-                        f"not done: what a successor must know cannot be written: {error}"
-                    ) from error
+                    path = os.path.join(self.folder, FILE_NAME)
+                    raise OperationRejectedError(f"not done: {path} cannot be written: {error}") from error
             await self._clock.sleep(LOCK_RETRY_MS)
         return was_suspended
 
@@ -174,8 +171,22 @@
         self._routing.post_first(interface.OperatorOverride(server_id, is_suspended, us_from_ms(resumed_at_ms)))
 
 
+def _suspend(server_id: str, shared: SharedOverrides) -> None:
+    """Suspends a server, unless `MAX_SERVERS` are suspended."""
+    if len(shared.suspended) < MAX_SERVERS:
+        shared.suspended.add(server_id)
+        shared.resumed_at_ms.pop(server_id, None)
+
+
+def _resume(server_id: str, clock: Clock, shared: SharedOverrides) -> None:
+    """Resumes a server that is suspended."""
+    if server_id in shared.suspended:
+        shared.suspended.discard(server_id)
+        shared.resumed_at_ms[server_id] = clock.now_ms()
+
+
 def _change_nothing(shared: SharedOverrides) -> None:
-    """Leaves the overrides as they are; the exchange still adds the servers that are listed now."""
+    """Leaves the overrides as they are; `override_file.change_file` still adds the servers that are listed now."""
 
 
 def _log_override(server_id: str, is_suspended: bool) -> None:
--- a/glenrock/upgrade/relay_message.py
+++ b/glenrock/upgrade/relay_message.py
@@ -27,7 +27,8 @@
 REJECTED = b"refused"
 MAX_SOCKET_PATH_BYTES = 100  # of sun_path, which has 108 (unix(7))
 
-# The keys of a message and the type of each value. Other versions read them, so they are never renamed.
+# The keys of a message and the type of each value. The other process of an upgrade may be of another version of the
+# program. A change of a key needs a new `VERSION`: a message of another version is rejected, and its client migrates.
 _TYPES = {
     "line": str,
     "instance": str,
--- a/glenrock/upgrade/relay_sender.py
+++ b/glenrock/upgrade/relay_sender.py
@@ -82,7 +82,8 @@
                 logger.warning("successor lost, migrating the remaining clients", error=error)
                 self._disconnect()
                 return False
-            self.handed_over_count += is_accepted
+            if is_accepted:
+                self.handed_over_count += 1
             return is_accepted
 
     async def _offer(self, sock: socket.socket, connection: ClientConnection) -> bool:
