--- a/glenrock/routing/load_estimation.py
+++ b/glenrock/routing/load_estimation.py
@@ -20,12 +20,13 @@
 MIN_DELAY_SAMPLE_INTERVAL_US = SECOND_US // 2  # closer samples do not show how a delay grows
 OWN_LOAD_HISTORY_US = 4 * SECOND_US  # more than the largest delay of a report
 
-BUSY_LOAD = 0.82  # assumed of a server with slow messages
+DELAYED_LOAD = 0.82  # assumed of a server with slow messages
 MIN_LATE_LOAD = 1.1  # least load of a server whose messages miss their objective
 QUIET_LOAD = 0.58  # assumed of a silent server without load reports; lets the cap rise
 MIN_DELAY_GROWTH_LOAD = 0.3  # bounds of the load that the growth of a delay shows
 MAX_DELAY_GROWTH_LOAD = 3.0
 INITIAL_FLEET_LOAD = 0.5
+MIN_FLEET_LOAD = 0.1  # bounds a division
 ENOUGH_CONNECTIONS = 5  # own connections at a server that represent all connections there
 
 
@@ -35,6 +36,11 @@
     return load if load is not None and load >= 0 else None
 
 
+def has_representative_load(server: Server) -> bool:
+    """Returns whether this balancer's connections at the server represent all connections there."""
+    return len(server.connections) >= ENOUGH_CONNECTIONS
+
+
 class LoadEstimator:
     """Estimates of the present loads of the servers.
 
@@ -53,6 +59,11 @@
         self._with_history: dict[str, Server] = {}
         self._last_round_us = NEVER_US
 
+    @property
+    def bounded_fleet_load(self) -> float:
+        """The mean load, bounded from below for divisions."""
+        return max(MIN_FLEET_LOAD, self.fleet_load)
+
     def record_own_load(self, servers: Iterable[Server]) -> None:
         """Records this balancer's load at each server, once a round, to compare with later reports.
 
@@ -142,8 +153,10 @@
     def load_from_delays(server: Server) -> float:
         """Returns the load of a server with late messages, from the growth of their delay.
 
-        Older reports would cause the same excess to migrate twice. The growth also distinguishes a backlog
-        that shrinks from one that grows.
+        A server with a load of 1 + g falls behind by g seconds of work a second, so its delay grows by g a
+        second. To work off the delay within a feedback delay takes another delay / `FEEDBACK_DELAY_US` of its
+        capacity, which is added. The growth also distinguishes a backlog that shrinks from one that grows;
+        older reports would cause the same excess to migrate twice.
         """
         at_us, delay_s, own_load = server.delay_samples[-1]
         growth = delay_s  # no delay was reported a second before the first sample
@@ -152,7 +165,7 @@
             growth = (delay_s - first.delay_s) * SECOND_US / (at_us - first.at_us)
             own_load = (own_load + first.own_load) / 2
         remaining = 1.0
-        if own_load > 0 and len(server.connections) >= ENOUGH_CONNECTIONS:
+        if own_load > 0 and has_representative_load(server):
             remaining = min(1.0, server.own_load / own_load)
         offered_load = min(MAX_DELAY_GROWTH_LOAD, max(MIN_DELAY_GROWTH_LOAD, 1 + growth))
         return offered_load * remaining + delay_s * SECOND_US / FEEDBACK_DELAY_US
@@ -169,11 +182,11 @@
         if age_us < FRESH_REPORT_US:
             return load
         if now_us - server.delayed_at_us < DELAY_REPORT_VALID_US:
-            return max(load, BUSY_LOAD)
+            return max(load, DELAYED_LOAD)
         if server.connections and self.is_silence_healthy:
             # Mostly servers with faults are checked again, and their old high loads would keep the cap low. A
             # server with connections here and no reports of slow messages is not busy.
-            return min(load, BUSY_LOAD if self.has_reports else QUIET_LOAD)
+            return min(load, DELAYED_LOAD if self.has_reports else QUIET_LOAD)
         return load
 
     def remaining_load_fraction(self, server: Server) -> float:
@@ -184,7 +197,7 @@
         """
         own_load = server.own_load
         age_us = self._batch.now_us - server.reported_at_us
-        is_representative = len(server.connections) >= ENOUGH_CONNECTIONS and age_us < VALID_REPORT_US
+        is_representative = has_representative_load(server) and age_us < VALID_REPORT_US
         if (
             is_representative
             and not self.misses_message_objective(server)
--- a/glenrock/routing/slow_start.py
+++ b/glenrock/routing/slow_start.py
@@ -16,7 +16,7 @@
 from .state import Peer, Server, TimedLoad
 
 SLOW_START_BUDGET_FRACTION = 0.45  # of the load that fails a warming server; the rest covers random peaks
-MIN_FLEET_LOAD = 0.5  # bounds a division
+MIN_BUDGET_FLEET_LOAD = 0.5  # bounds a division
 MIN_DRAW = 1e-9
 
 
@@ -29,9 +29,9 @@
 ) -> float:
     """Returns the load from which this balancer's slow-start budgets are computed.
 
-    Load at balancers without clients of their own, which are draining or have just started, is divided among
-    the balancers that have clients: counted at both it would be sent twice, counted at neither a warming
-    server would stay empty beside full ones.
+    A balancer without clients of its own is draining or has just started. Its load is divided among the
+    balancers that have clients. If it counted at its own balancer too it would be sent twice; if it counted
+    at none, a warming server would stay empty beside full ones.
 
     Args:
         own_load: load of the connections here.
@@ -73,6 +73,7 @@
         self._loads = loads
         self._capacity = capacity
         self._salt = salt
+        self._budget_multiple = SLOW_START_BUDGET_FRACTION * settings.slow_start_multiple
         self.warming: list[Server] = []
         self.reference_load = 0.0
 
@@ -93,17 +94,21 @@
         settings = self._settings
         age_fraction = max(0, self._batch.now_us - server.started_us) / max(1, settings.slow_start_us)
         mean_warmth = (settings.slow_start_initial_fraction + self.warmth(server)) / 2
-        return SLOW_START_BUDGET_FRACTION * settings.slow_start_multiple * age_fraction * mean_warmth
+        return self._budget_multiple * age_fraction * mean_warmth
 
     def update_reference_load(self, load: float, is_balancer_draining: bool) -> None:
         """Updates the reference load, once a round.
 
-        While no server is warm the last load is kept: after a loss of all servers no connections are left,
-        and budgets of 0 would last until the first server is warm.
+        While no server is warm the last load stays, unless this balancer drains: after a loss of all servers
+        no connections are left, and budgets of 0 would last until the first server is warm.
         """
-        if is_balancer_draining or not self._capacity.has_no_warm_server:
+        if is_balancer_draining or self._capacity.has_warm_server:
             self.reference_load = load
 
+    def clear_reference_load(self) -> None:
+        """Sets the reference load to 0 until the next round."""
+        self.reference_load = 0.0
+
     def headroom(self, server: Server) -> float:
         """Returns the load that this balancer may send to a server now; infinite for a warm server.
 
@@ -121,14 +126,14 @@
             return float("inf")
         settings, now_us = self._settings, self._batch.now_us
         window_us = settings.slow_start_window_us
-        fraction = min(1.0, window_us / max(1, settings.slow_start_us))
-        fraction = SLOW_START_BUDGET_FRACTION * settings.slow_start_multiple * warmth * fraction
+        window_fraction = min(1.0, window_us / max(1, settings.slow_start_us))
         server_count = self._capacity.warm_server_count or max(1, len(self._servers))
-        fraction /= server_count * max(MIN_FLEET_LOAD, self._loads.fleet_load)
+        fleet_load = max(MIN_BUDGET_FLEET_LOAD, self._loads.fleet_load)
+        budget_fraction = self._budget_multiple * warmth * window_fraction / (server_count * fleet_load)
         server.slow_start_sends = [
             sent for sent in server.slow_start_sends if now_us - sent.at_us < window_us
         ]
-        budget = fraction * self.reference_load
+        budget = budget_fraction * self.reference_load
         left = budget - sum(load for _, load in server.slow_start_sends)
         if not server.slow_start_sends:
             left = max(left, budget * self._window_multiple(server))
@@ -137,8 +142,9 @@
     def _window_multiple(self, server: Server) -> float:
         """Returns the multiple of its budget that the first connection of this window may have.
 
-        It is drawn for each balancer and window: a connection of n budgets is sent in one of n windows on
-        average. Budgets saved up over windows would let all balancers send at once.
+        It is 1 / u, at most half the number of balancers, with u drawn evenly from 0 to 1 for each balancer
+        and window. It reaches n with probability 1 / n, so that a connection of n budgets is sent in one of n
+        windows on average. Budgets saved up over windows would let all balancers send at once.
         """
         window = (self._batch.now_us - server.started_us) // self._settings.slow_start_window_us
         draw = max(MIN_DRAW, mix(server.hash ^ self._salt ^ mix(window)) / MASK)
