--- a/glenrock/simulation/model/feed.py
+++ b/glenrock/simulation/model/feed.py
@@ -9,14 +9,14 @@
 from glenrock.routing.interface import EndpointListKind, EndpointState
 
 from ..engine import SECOND_US, Engine
-from ..spec import Discovery
+from ..spec_tables import Discovery
 from ..spec_types import drawn_number
 from ..streams import Streams
 from .balancer import BalancerProcess
 
 
 class EndpointFeed:
-    """Publishes whether each instance is ready, draining or gone.
+    """Publishes whether each server is ready, draining or gone.
 
     Attributes:
         endpoints: the list as it is published.
