--- a/glenrock/admin/operations.py
+++ b/glenrock/admin/operations.py
@@ -45,7 +45,7 @@
         listed_servers = self._servers.listed_names()
         return MetricsSnapshot(
             outcomes=metrics.outcomes,
-            relayed=metrics.relayed,
+            attempts_written=metrics.attempts_written,
             open_requests=self._connections.count_open(),
             registry_entries=len(listed_servers),
             out_of_rotation=self._routing.balancer.count_avoided(listed_servers),
--- a/glenrock/admin/prometheus_text.py
+++ b/glenrock/admin/prometheus_text.py
@@ -31,7 +31,7 @@
 
     Attributes:
         outcomes: how many connections have been answered or left, by outcome and by class.
-        relayed: how many attempts were written completely to a server.
+        attempts_written: how many attempts were written completely to a server.
         open_requests: connections that are accepted and have not ended.
         registry_entries: servers in the endpoint list.
         out_of_rotation: servers in the endpoint list that get no new connections now.
@@ -42,7 +42,7 @@
     """
 
     outcomes: Mapping[ConnectionOutcome, Mapping[str, int]]
-    relayed: int
+    attempts_written: int
     open_requests: int
     registry_entries: int
     out_of_rotation: int
@@ -60,7 +60,7 @@
                 f'app_{outcome}{{priority="{_escape(class_name)}"}} {count}' for class_name, count in counts.items()
             ]
         lines += _header_lines("relayed", "counter")
-        lines.append(f"app_relayed {self.relayed}")
+        lines.append(f"app_relayed {self.attempts_written}")
         lines += _labelled_lines("rejected", "counter", "reason", self.final_answers)
         lines += _labelled_lines("system_errors", "counter", "errno", self.system_errors)
         lines += _labelled_lines("descriptors", "gauge", "purpose", self.descriptors)
--- a/glenrock/config.py
+++ b/glenrock/config.py
@@ -73,7 +73,7 @@
         accept_fd: the descriptor of an inherited listening socket; None to open a new one.
         fleet: the path of the coordination's configuration file; empty without coordination.
         log: the level and format of log lines.
-        folder: `$TMPDIR`, which both processes of an upgrade share; empty if it is not set.
+        shared_folder: `$TMPDIR`, which both processes of an upgrade share; empty if it is not set.
         file_values: the values in the file of the keys in `VARIABLES`.
     """
 
@@ -92,7 +92,7 @@
     accept_fd: int | None = None
     fleet: str = ""
     log: LogConfig = field(default_factory=LogConfig)
-    folder: str = ""
+    shared_folder: str = ""
     file_values: Mapping[str, Any] = field(default_factory=dict)
 
 
@@ -115,7 +115,7 @@
         parse_config({**raw, **overrides, "log": log}),
         file_values=file_values,
         accept_fd=_inherited_descriptor(environment),
-        folder=environment.get("TMPDIR", ""),
+        shared_folder=environment.get("TMPDIR", ""),
     )
 
 
--- a/glenrock/coordination/warm_start/milestones.py
+++ b/glenrock/coordination/warm_start/milestones.py
@@ -124,7 +124,7 @@
         metrics = self._host.connections.metrics
         totals = {outcome: sum(counts.values()) for outcome, counts in metrics.outcomes.items()}
         return ConnectionCounts(
-            attempts=metrics.relayed,
+            attempts=metrics.attempts_written,
             established=totals[ConnectionOutcome.FULFILLED],
             rejected=totals[ConnectionOutcome.THROTTLED],
             failed=totals[ConnectionOutcome.FAULTED],
--- a/glenrock/net/acceptor.py
+++ b/glenrock/net/acceptor.py
@@ -15,7 +15,7 @@
 from .idle_connections import IdleConnections
 from .listening_socket import BACKLOG, ListeningSocket
 from .metrics import ConnectionMetrics, ConnectionOutcome, FinalAnswerReason
-from .socket_io import close_drained, configure_socket, recv_into
+from .socket_io import close_after_reading, configure_socket, recv_into
 
 FIRST_LINE_TIMEOUT_MS = 2000.0  # the protocol requires an answer within 3 s
 IDLE_TIMEOUT_MS = 10_000.0  # after a ping
@@ -133,7 +133,7 @@
     def _remove_connection(self, task: asyncio.Task[None], sock: socket.socket) -> None:
         self.tasks.discard(task)
         self.idle.forget(task)
-        close_drained(sock)
+        close_after_reading(sock)
 
     async def _serve(self, sock: socket.socket) -> None:
         try:
--- a/glenrock/net/attempt_outcomes.py
+++ b/glenrock/net/attempt_outcomes.py
@@ -27,8 +27,8 @@
         ERROR: the server failed the request.
         REJECTED: the server rejected the request.
         BROKEN: the connection was refused, reset or closed without an answer.
-        SILENT: no answer came in time.
-        WITHDRAWN: routing cancelled the attempt, or the client left.
+        NO_ANSWER: no answer came in time.
+        CANCELLED: routing cancelled the attempt, or the client left.
         NOT_SENT: the server is draining or gone, or this machine could not connect.
     """
 
@@ -38,8 +38,8 @@
     ERROR = "error"
     REJECTED = "rejected"
     BROKEN = "broken"
-    SILENT = "silent"
-    WITHDRAWN = "withdrawn"
+    NO_ANSWER = "no answer"
+    CANCELLED = "cancelled"
     NOT_SENT = "not sent"
 
 
@@ -48,7 +48,7 @@
     AttemptEnd.MIGRATED: AttemptOutcome.CANCELLED,
     AttemptEnd.ERROR: AttemptOutcome.ERROR,
     AttemptEnd.REJECTED: AttemptOutcome.FULL,
-    AttemptEnd.WITHDRAWN: AttemptOutcome.CANCELLED,
+    AttemptEnd.CANCELLED: AttemptOutcome.CANCELLED,
     AttemptEnd.NOT_SENT: AttemptOutcome.UNSENT,
 }
 """Outcomes that do not depend on how far the attempt had come."""
@@ -69,6 +69,6 @@
             return OUTCOMES[self.end]
         if self.reach < Reach.WRITTEN:
             return AttemptOutcome.NO_CONNECTION  # never executed: a server needs the line's last byte
-        if self.end is AttemptEnd.SILENT and self.reach < Reach.ESTABLISHED:
+        if self.end is AttemptEnd.NO_ANSWER and self.reach < Reach.ESTABLISHED:
             return AttemptOutcome.TIMEOUT
         return AttemptOutcome.BROKEN
--- a/glenrock/net/client_connection.py
+++ b/glenrock/net/client_connection.py
@@ -44,7 +44,7 @@
     def cancel_attempt(self, attempt: int) -> None:
         """Cancels the attempt of that number, unless it has ended."""
         if self.attempt and attempt == self.attempt_number and not self.established.is_set():
-            self.attempt.withdraw()
+            self.attempt.cancel()
 
     def reject(self, retry_after_ms: float, reason: FinalAnswerReason = FinalAnswerReason.ADMISSION) -> None:
         """Rejects the request: the client may retry after that time."""
@@ -191,7 +191,7 @@
     async def _retry_resume(self, resumes_at: str) -> bool:
         """Schedules another attempt to resume the connection. Returns False if its time is up."""
         servers = self._owner.servers
-        may_be_listed = servers.knows(resumes_at) or not servers.has_list
+        may_be_listed = servers.was_ever_listed(resumes_at) or not servers.has_list
         timeout_ms = RESUME_TIMEOUT_MS if may_be_listed else RESUME_UNLISTED_TIMEOUT_MS
         if self.clock.now_ms() > self.arrived_ms + timeout_ms:
             logger.warning(
@@ -250,7 +250,7 @@
         """Cancels the attempt, whether or not the server's actor has started it, and awaits its end."""
         attempt = self.attempt
         if attempt and not self.established.is_set():
-            attempt.withdraw()
+            attempt.cancel()
             if attempt.task and not attempt.task.done():
                 await asyncio.wait([attempt.task])
             self.close_server_side()
--- a/glenrock/net/connection_attempt.py
+++ b/glenrock/net/connection_attempt.py
@@ -29,7 +29,7 @@
         reach: how far the attempt has come.
         started_ms: when the server's actor began it; 0 before.
         latency_ms: the time from its start to its result.
-        is_withdrawn: whether it was cancelled.
+        is_cancelled: whether it was cancelled.
         client_waits: returns whether the client still waits; called before the line is written.
         task: runs the attempt.
         request_id: for the log.
@@ -44,13 +44,13 @@
     reach: Reach = Reach.NOT_CONNECTED
     started_ms: float = 0.0
     latency_ms: float = 0.0
-    is_withdrawn: bool = False
+    is_cancelled: bool = False
     client_waits: Callable[[], bool] = _always
     task: asyncio.Task[None] | None = field(default=None, repr=False)
     request_id: str = ""
 
-    def withdraw(self) -> None:
+    def cancel(self) -> None:
         """Cancels the attempt, whether or not the server's actor has started it."""
-        self.is_withdrawn = True
+        self.is_cancelled = True
         if self.task and self.started_ms:  # a task cancelled before its first step would never report
             self.task.cancel()
--- a/glenrock/net/connection_messages.py
+++ b/glenrock/net/connection_messages.py
@@ -71,9 +71,9 @@
 
 @dataclass(frozen=True)
 class HandOverRelay:
-    """Offer the relay to the successor. `hand_over` returns whether the successor has accepted."""
+    """Offer the relay to the successor. `offer` returns whether the successor has accepted."""
 
-    hand_over: Callable[[], Awaitable[bool]]
+    offer: Callable[[], Awaitable[bool]]
 
 
 ConnectionMessage = AttemptCompleted | FinalAnswer | MigrateClient | AnswerNow | HandOverRelay | RelayEnd
--- a/glenrock/net/established_relay.py
+++ b/glenrock/net/established_relay.py
@@ -107,7 +107,7 @@
         while True:
             message = await self.mailbox.get()
             if isinstance(message, HandOverRelay):
-                if await self.hand_over(message.hand_over):
+                if await self.hand_over(message.offer):
                     return
             elif end := self._relay_end_of(message):
                 await self._end_relay(end)
@@ -169,7 +169,7 @@
 
     async def _migrate_client(self) -> None:
         """Tells the client to connect elsewhere."""
-        await self.stop_pumps(first=1)
+        await self.stop_downward_pump()
         line = self._last_bytes()
         await self.detach_server()
         self._report_relay_end(self.migration or AttemptOutcome.CANCELLED)
--- a/glenrock/net/metrics.py
+++ b/glenrock/net/metrics.py
@@ -59,7 +59,7 @@
 
     Attributes:
         outcomes: connections by outcome and class; each connection is counted once.
-        relayed: attempts whose request line was written whole to a server.
+        attempts_written: attempts whose request line was written whole to a server.
         final_answers: connections that got a final answer instead of being established, by reason.
         system_errors: system calls that failed because of this machine, by the name of their errno.
     """
@@ -67,7 +67,7 @@
     def __init__(self, classes: Iterable[str]) -> None:
         names = tuple(classes)
         self.outcomes = {outcome: dict.fromkeys(names, 0) for outcome in ConnectionOutcome}
-        self.relayed = 0
+        self.attempts_written = 0
         self.final_answers: Counter[FinalAnswerReason] = Counter()
         self.system_errors: Counter[str] = Counter()
 
--- a/glenrock/net/relay_pumps.py
+++ b/glenrock/net/relay_pumps.py
@@ -74,11 +74,18 @@
         self.start_upward_pump()
         self.start_downward_pump()
 
-    async def stop_pumps(self, first: int = 0) -> None:
-        """Ends the pumps from that index on. uvloop allows no task to wait on a closed socket."""
-        for task in self.tasks[first:]:
+    async def stop_pumps(self) -> None:
+        """Ends both pumps. uvloop allows no task to wait on a closed socket."""
+        for task in self.tasks:
             task.cancel()
-        await asyncio.gather(*self.tasks[first:], return_exceptions=True)
+        await asyncio.gather(*self.tasks, return_exceptions=True)
+
+    async def stop_downward_pump(self) -> None:
+        """Ends the pump that reads from the server, if it was started."""
+        downward_pumps = self.tasks[1:]
+        for task in downward_pumps:
+            task.cancel()
+        await asyncio.gather(*downward_pumps, return_exceptions=True)
 
     async def _pump_upward(self) -> None:
         """Copies from client to server. Before the first answer it only notices the client's end."""
--- a/glenrock/net/server_actor.py
+++ b/glenrock/net/server_actor.py
@@ -36,7 +36,7 @@
 logger = get_logger(__name__)
 
 
-class ServerJob(Enum):
+class ServerCommand(Enum):
     """Jobs of a server's actor beside attempts."""
 
     HEALTH_CHECK = "health check"
@@ -68,7 +68,7 @@
         self.connect_timeout_ms = connect_timeout_ms
         self.is_suspended = False
         self.post = post
-        self.mailbox: Mailbox[ConnectionAttempt | ServerJob] = Mailbox(MAX_MESSAGES)
+        self.mailbox: Mailbox[ConnectionAttempt | ServerCommand] = Mailbox(MAX_MESSAGES)
         self.health_check_task: asyncio.Task[None] | None = None
         self.tasks: set[asyncio.Task[None]] = set()
         self._clock = clock
@@ -129,7 +129,7 @@
         try:
             result = await self.attempt(attempt)
         except asyncio.CancelledError:
-            result = AttemptResult(AttemptEnd.WITHDRAWN, attempt.reach)
+            result = AttemptResult(AttemptEnd.CANCELLED, attempt.reach)
         except OSError:
             result = AttemptResult(AttemptEnd.BROKEN, attempt.reach)
         except Exception:  # the client needs an answer whatever has failed
@@ -151,8 +151,8 @@
         Raises:
             OSError: the connection to the server failed.
         """
-        if attempt.is_withdrawn:
-            return AttemptResult(AttemptEnd.WITHDRAWN, attempt.reach)
+        if attempt.is_cancelled:
+            return AttemptResult(AttemptEnd.CANCELLED, attempt.reach)
         if not self._may_send(attempt):
             return AttemptResult(AttemptEnd.NOT_SENT, attempt.reach)
         try:
@@ -163,11 +163,11 @@
             self._record_local_error(attempt, error)
             return AttemptResult(AttemptEnd.NOT_SENT, attempt.reach)
         if sock is None:
-            return AttemptResult(AttemptEnd.SILENT, attempt.reach)
+            return AttemptResult(AttemptEnd.NO_ANSWER, attempt.reach)
         if not self._may_send(attempt):  # the endpoint list may have changed during the connect
             return AttemptResult(AttemptEnd.NOT_SENT, attempt.reach)
         if not attempt.client_waits():
-            return AttemptResult(AttemptEnd.WITHDRAWN, attempt.reach)
+            return AttemptResult(AttemptEnd.CANCELLED, attempt.reach)
         return await self._send_request(attempt, sock)
 
     def _record_local_error(self, attempt: ConnectionAttempt, error: OSError) -> None:
@@ -210,10 +210,10 @@
             attempt.reach = Reach.PARTLY_WRITTEN
             await loop.sock_sendall(sock, protocol.with_time_left(attempt.line, self._left_ms(attempt)))
             attempt.reach = Reach.WRITTEN
-            self._metrics.relayed += 1
+            self._metrics.attempts_written += 1
             return await self._read_answer(attempt, sock)
         attempt.reach = Reach.WRITTEN  # a write that was stopped may have sent the whole line
-        return AttemptResult(AttemptEnd.SILENT, attempt.reach)
+        return AttemptResult(AttemptEnd.NO_ANSWER, attempt.reach)
 
     async def _read_answer(self, attempt: ConnectionAttempt, sock: socket.socket) -> AttemptResult:
         loop = asyncio.get_running_loop()
--- a/glenrock/net/server_connections.py
+++ b/glenrock/net/server_connections.py
@@ -13,7 +13,7 @@
 from .endpoint_rows import EndpointRow
 from .health_check_pool import HealthCheckPool
 from .metrics import ConnectionMetrics
-from .server_actor import Post, ServerActor, ServerJob
+from .server_actor import Post, ServerActor, ServerCommand
 from .start_times import StartTimes
 
 MAX_SERVERS = 8192  # bounds the memory for rows
@@ -79,7 +79,7 @@
         """Returns the rows of the servers that discovery lists."""
         return (row for row in self.rows.values() if row.state is not EndpointState.GONE)
 
-    def knows(self, name: str) -> bool:
+    def was_ever_listed(self, name: str) -> bool:
         """Returns whether the server is listed, or was."""
         return name in self.rows
 
@@ -146,7 +146,7 @@
     def send_health_check(self, name: str) -> None:
         """Sends a health check. Routing gets the result, also if the check cannot be sent."""
         actor = self.get(name)
-        if actor is None or not actor.mailbox.try_put(ServerJob.HEALTH_CHECK):
+        if actor is None or not actor.mailbox.try_put(ServerCommand.HEALTH_CHECK):
             self.post(interface.HealthCheckResult(name, interface.AttemptOutcome.UNSENT))
 
     def close_unused(self) -> None:
--- a/glenrock/net/socket_io.py
+++ b/glenrock/net/socket_io.py
@@ -11,8 +11,8 @@
 import contextlib
 import socket
 
-DRAIN_BYTES = 16384
-MAX_DRAINED_READS = 4
+READ_BEFORE_CLOSE_BYTES = 16384
+MAX_READS_BEFORE_CLOSE = 4
 LINGER_ON_FOR_ZERO_S = b"\1\0\0\0\0\0\0\0"  # struct linger: a close resets the connection
 
 
@@ -44,11 +44,11 @@
     sock.close()
 
 
-def close_drained(sock: socket.socket) -> None:
+def close_after_reading(sock: socket.socket) -> None:
     """Closes a socket after its last write. Unread bytes are read first: they would make the close a reset."""
     with contextlib.suppress(OSError):
-        for _ in range(MAX_DRAINED_READS):
-            if not sock.recv(DRAIN_BYTES, socket.MSG_DONTWAIT):
+        for _ in range(MAX_READS_BEFORE_CLOSE):
+            if not sock.recv(READ_BEFORE_CLOSE_BYTES, socket.MSG_DONTWAIT):
                 break
     sock.close()
 
--- a/glenrock/program.py
+++ b/glenrock/program.py
@@ -66,7 +66,7 @@
         from .admin.operations import Operations
         from .upgrade.override_sync import OverrideSync
 
-        self.override_sync = OverrideSync(program.config.folder, program.clock, program.servers, program.routing)
+        self.override_sync = OverrideSync(program.config.shared_folder, program.clock, program.servers, program.routing)
         self.operations = Operations(
             program.routing, program.servers, program.connections, program.shutdown, self.override_sync
         )
@@ -105,7 +105,7 @@
 
         self.listener = open_inherited(descriptor)
         self._program = program
-        self._folder = program.config.folder
+        self._folder = program.config.shared_folder
         if self._folder:
             from .upgrade.process_registry import ProcessRegistry
             from .upgrade.relay_receiver import RelayReceiver
--- a/glenrock/upgrade/override_sync.py
+++ b/glenrock/upgrade/override_sync.py
@@ -47,7 +47,7 @@
 
     def is_known(self, server_id: str) -> bool:
         """Returns whether the server was ever in the endpoint list of this process or an earlier one."""
-        return self._servers.knows(server_id) or server_id in self.overrides.known_servers
+        return self._servers.was_ever_listed(server_id) or server_id in self.overrides.known_servers
 
     def start(self) -> None:
         """Applies the file's overrides, or those of the previous file if it is invalid.
--- a/tests/admin/recording_operations.py
+++ b/tests/admin/recording_operations.py
@@ -35,7 +35,7 @@
     def metrics(self) -> MetricsSnapshot:
         """Returns metrics with five open requests."""
         outcomes = {ConnectionOutcome.FULFILLED: {"look": 3}}
-        return MetricsSnapshot(outcomes, relayed=4, open_requests=5, registry_entries=2, out_of_rotation=0)
+        return MetricsSnapshot(outcomes, attempts_written=4, open_requests=5, registry_entries=2, out_of_rotation=0)
 
     def is_known_server(self, server_id: str) -> bool:
         """Returns whether the server is `KNOWN_SERVER`."""
