--- a/glenrock/admin/operations.py
+++ b/glenrock/admin/operations.py
@@ -15,7 +15,7 @@
     """Implements `routes.Operations`.
 
     Attributes:
-        is_serving: whether the balancer has an endpoint list and its client address is open.
+        is_serving: whether the client address is open. The first endpoint list may still be missing then.
         coordination: None if no coordination file is configured.
     """
 
@@ -37,7 +37,7 @@
 
     def unready_reason(self) -> str | None:
         """Returns why the balancer accepts no clients; None if it accepts them."""
-        return self._shutdown.unready_reason() if self.is_serving else "not ready: clients are not taken yet"
+        return self._shutdown.unready_reason() if self.is_serving else "not ready: starting"
 
     def metrics(self) -> MetricsSnapshot:
         """Returns the metrics at this moment."""
@@ -45,7 +45,7 @@
         listed_servers = self._servers.listed_names()
         return MetricsSnapshot(
             outcomes=metrics.outcomes,
-            relayed=metrics.relayed,
+            attempts_written=metrics.attempts_written,
             open_requests=self._connections.count_open(),
             registry_entries=len(listed_servers),
             out_of_rotation=self._routing.balancer.count_avoided(listed_servers),
--- a/glenrock/admin/prometheus_text.py
+++ b/glenrock/admin/prometheus_text.py
@@ -9,20 +9,19 @@
 from ..net.metrics import ConnectionOutcome, FinalAnswerReason
 
 CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
-# Help texts are part of what scrapers read, so they keep the platform's words.
 HELP = {
-    "fulfilled": "Connections brought up.",
-    "throttled": "Connections refused.",
-    "faulted": "Connections failed.",
-    "left": "Connections whose client left before an answer.",
-    "relayed": "Attempts written whole to session servers.",
-    "open_requests": "Connections taken and not ended.",
-    "registry_entries": "Session servers in the list.",
-    "out_of_rotation": "Session servers in the list that are avoided now, by hand or by choice.",
-    "rejected": "Connections that had another answer than UP, by reason.",
-    "system_errors": "Calls that failed for reasons of this machine's own, by errno.",
-    "descriptors": "Descriptors set aside or in use, by purpose.",
-    "descriptor_limit": "Descriptors that this process may have open.",
+    "fulfilled": "Client connections that were established (UP).",
+    "throttled": "Client connections that were rejected (BUSY).",
+    "faulted": "Client connections that failed (ERR).",
+    "left": "Client connections that the client closed before an answer.",
+    "relayed": "Attempts that were written completely to a session server.",
+    "open_requests": "Open client connections.",
+    "registry_entries": "Session servers in the endpoint list, draining ones included.",
+    "out_of_rotation": "Listed session servers that receive no new connections now.",
+    "rejected": "Client connections whose final answer was not UP, by reason.",
+    "system_errors": "System calls that failed for a reason of this machine, by errno.",
+    "descriptors": "Descriptors reserved or in use, by purpose.",
+    "descriptor_limit": "Most descriptors that this process may have open.",
 }
 
 
@@ -32,7 +31,7 @@
 
     Attributes:
         outcomes: how many connections have been answered or left, by outcome and by class.
-        relayed: how many attempts were written completely to a server.
+        attempts_written: how many attempts were written completely to a server.
         open_requests: connections that are accepted and have not ended.
         registry_entries: servers in the endpoint list.
         out_of_rotation: servers in the endpoint list that get no new connections now.
@@ -43,7 +42,7 @@
     """
 
     outcomes: Mapping[ConnectionOutcome, Mapping[str, int]]
-    relayed: int
+    attempts_written: int
     open_requests: int
     registry_entries: int
     out_of_rotation: int
@@ -61,7 +60,7 @@
                 f'app_{outcome}{{priority="{_escape(class_name)}"}} {count}' for class_name, count in counts.items()
             ]
         lines += _header_lines("relayed", "counter")
-        lines.append(f"app_relayed {self.relayed}")
+        lines.append(f"app_relayed {self.attempts_written}")
         lines += _labelled_lines("rejected", "counter", "reason", self.final_answers)
         lines += _labelled_lines("system_errors", "counter", "errno", self.system_errors)
         lines += _labelled_lines("descriptors", "gauge", "purpose", self.descriptors)
--- a/glenrock/config.py
+++ b/glenrock/config.py
@@ -73,7 +73,7 @@
         accept_fd: the descriptor of an inherited listening socket; None to open a new one.
         fleet: the path of the coordination's configuration file; empty without coordination.
         log: the level and format of log lines.
-        folder: `$TMPDIR`, which both processes of an upgrade share; empty if it is not set.
+        shared_folder: `$TMPDIR`, which both processes of an upgrade share; empty if it is not set.
         file_values: the values in the file of the keys in `VARIABLES`.
     """
 
@@ -92,7 +92,7 @@
     accept_fd: int | None = None
     fleet: str = ""
     log: LogConfig = field(default_factory=LogConfig)
-    folder: str = ""
+    shared_folder: str = ""
     file_values: Mapping[str, Any] = field(default_factory=dict)
 
 
@@ -115,7 +115,7 @@
         parse_config({**raw, **overrides, "log": log}),
         file_values=file_values,
         accept_fd=_inherited_descriptor(environment),
-        folder=environment.get("TMPDIR", ""),
+        shared_folder=environment.get("TMPDIR", ""),
     )
 
 
@@ -124,8 +124,11 @@
 ) -> dict[str, str]:
     """Returns the values of the keys that environment variables override.
 
-    Variables keep their values from the start of the process, so a key that has changed in the file since then is not
-    overridden.
+    A key that is set by both has the value of:
+
+        the variable   at the start
+        the variable   after a reload, if the file's value is that of the start or the file no longer has the key
+        the file       after a reload, if the file's value has changed since the start
     """
     overrides = {}
     for key, variable in VARIABLES.items():
@@ -180,7 +183,7 @@
         seed=_parse_seed(raw.get("seed", "0")),
         descriptor_limit=_descriptor_limit(raw),
         # The protocol has no line that reports the delay of messages, and overloaded servers may still answer some
-        # lines at once. The absence of reports must not count as a report of no delay.
+        # lines at once. The absence of a report is no evidence of a short delay.
         settings=replace(settings, has_message_delay_reports=False),
         measures_delay=settings.has_message_delay_reports,
         raw_cached_endpoints=_value_of_type(raw, "known", dict, {}),
--- a/glenrock/net/established_relay.py
+++ b/glenrock/net/established_relay.py
@@ -107,7 +107,7 @@
         while True:
             message = await self.mailbox.get()
             if isinstance(message, HandOverRelay):
-                if await self.hand_over(message.hand_over):
+                if await self.hand_over(message.offer):
                     return
             elif end := self._relay_end_of(message):
                 await self._end_relay(end)
@@ -135,8 +135,7 @@
     def _start_migration(self, outcome: AttemptOutcome) -> bool:
         """Returns whether the client can be migrated now. Otherwise the downward pump reports when it can.
 
-        The server's socket is not shut down to wake the pump: a part of a line that arrives in that instant would be
-        sent without its rest, and the client would be reset.
+        The server's socket stays open until then, so that a line that is arriving reaches the client whole.
         """
         if self.migration:
             return False
@@ -170,7 +169,7 @@
 
     async def _migrate_client(self) -> None:
         """Tells the client to connect elsewhere."""
-        await self.stop_pumps(first=1)
+        await self.stop_downward_pump()
         line = self._last_bytes()
         await self.detach_server()
         self._report_relay_end(self.migration or AttemptOutcome.CANCELLED)
@@ -220,8 +219,8 @@
                 await self._await_end(SERVER_ENDS)
 
     def _report_relay_end(self, outcome: AttemptOutcome) -> None:
-        if not self.reports.is_forgotten:
-            self.reports.is_forgotten = True
+        if not self.reports.is_end_known:
+            self.reports.is_end_known = True
             latency_ms = self.attempt.latency_ms if self.attempt else 0.0
             self.reports.post_attempt_end(
                 self.attempt_number, self.server, outcome, latency_ms, {}, was_established=True
--- a/glenrock/program.py
+++ b/glenrock/program.py
@@ -66,7 +66,7 @@
         from .admin.operations import Operations
         from .upgrade.override_sync import OverrideSync
 
-        self.override_sync = OverrideSync(program.config.folder, program.clock, program.servers, program.routing)
+        self.override_sync = OverrideSync(program.config.shared_folder, program.clock, program.servers, program.routing)
         self.operations = Operations(
             program.routing, program.servers, program.connections, program.shutdown, self.override_sync
         )
@@ -105,7 +105,7 @@
 
         self.listener = open_inherited(descriptor)
         self._program = program
-        self._folder = program.config.folder
+        self._folder = program.config.shared_folder
         if self._folder:
             from .upgrade.process_registry import ProcessRegistry
             from .upgrade.relay_receiver import RelayReceiver
@@ -120,7 +120,7 @@
         try:
             self._processes.register()
         except OSError as error:
-            logger.warning("process mark not written: the descriptor limit may be exceeded", error=error)
+            logger.warning("process not registered: the descriptor limit may be exceeded", error=error)
         connections = self._program.connections
         connections.count_other_descriptors = self._processes.count_other_descriptors
         connections.budget.other_process = self._processes.count_other_descriptors()
@@ -214,7 +214,7 @@
         self._upgrade = Upgrade(self, config.accept_fd) if config.accept_fd is not None else None
 
     def _check_budget(self) -> None:
-        """Raises ConfigError if the descriptor limit leaves no room for a single client."""
+        """Raises ConfigError if the descriptor limit is too low to serve a single client."""
         try:
             self.budget.check_limit(self.budget.limit)
         except DescriptorBudgetError as error:
@@ -239,7 +239,7 @@
 
     def run_task(self, work: Coroutine[None, None, None]) -> None:
         """Runs an actor until the process ends. Keeps the only strong reference to its task."""
-        self._tasks.add(asyncio.get_running_loop().create_task(work))
+        self._tasks.add(asyncio.get_running_loop().create_task(work, name=getattr(work, "__qualname__", None)))
 
     async def start(self) -> None:
         """Starts all parts, and accepts clients after the first endpoint list or `FIRST_LIST_TIMEOUT_MS`.
@@ -334,4 +334,4 @@
         await asyncio.wait([stopped, *self._tasks], return_when=asyncio.FIRST_COMPLETED)
         for task in self._tasks:
             if task.done():
-                raise RuntimeError("an actor ended") from task.exception()
+                raise RuntimeError(f"an actor ended: {task.get_name()}") from task.exception()
