--- a/glenrock/net/client_connection.py
+++ b/glenrock/net/client_connection.py
@@ -17,7 +17,7 @@
 from .socket_io import close_socket
 
 RESUME_TIMEOUT_MS = 38_000.0  # the protocol gives up a connection that is not resumed after 40 s
-RESUME_UNLISTED_TIMEOUT_MS = 2000.0  # at a server that is not listed: the client is owed an answer within 3 s
+RESUME_UNLISTED_TIMEOUT_MS = 2000.0  # at a server that was never listed: the protocol requires an answer within 3 s
 RESUME_RETRY_MS = 250.0
 DECISION_MARGIN_MS = 20.0  # from the deadline to the answer without a decision; the protocol allows 58 ms
 
@@ -44,7 +44,7 @@
     def cancel_attempt(self, attempt: int) -> None:
         """Cancels the attempt of that number, unless it has ended."""
         if self.attempt and attempt == self.attempt_number and not self.established.is_set():
-            self.attempt.withdraw()
+            self.attempt.cancel()
 
     def reject(self, retry_after_ms: float, reason: FinalAnswerReason = FinalAnswerReason.ADMISSION) -> None:
         """Rejects the request: the client may retry after that time."""
@@ -129,7 +129,7 @@
         timer = self.clock.call_at(due_ms, self.mailbox.put_unbounded, RelayEnd.OVERDUE)
         if not self.reports.post_request():
             logger.warning("request rejected: routing mailbox full", request_id=self.request_line.request_id)
-            self.reports.is_forgotten = True
+            self.reports.is_end_known = True
             self.reject(self._owner.retry_after_ms, FinalAnswerReason.EVENTS)
         return timer
 
@@ -146,7 +146,7 @@
             message = await self.mailbox.get()
             match message:
                 case FinalAnswer(line, reason):
-                    self.reports.is_forgotten = True
+                    self.reports.is_end_known = True
                     await self._answer(line, reason)
                     return False
                 case AnswerNow(retry_after_ms):
@@ -191,7 +191,7 @@
     async def _retry_resume(self, resumes_at: str) -> bool:
         """Schedules another attempt to resume the connection. Returns False if its time is up."""
         servers = self._owner.servers
-        may_be_listed = servers.knows(resumes_at) or not servers.has_list
+        may_be_listed = servers.was_ever_listed(resumes_at) or not servers.has_list
         timeout_ms = RESUME_TIMEOUT_MS if may_be_listed else RESUME_UNLISTED_TIMEOUT_MS
         if self.clock.now_ms() > self.arrived_ms + timeout_ms:
             logger.warning(
@@ -250,7 +250,7 @@
         """Cancels the attempt, whether or not the server's actor has started it, and awaits its end."""
         attempt = self.attempt
         if attempt and not self.established.is_set():
-            attempt.withdraw()
+            attempt.cancel()
             if attempt.task and not attempt.task.done():
                 await asyncio.wait([attempt.task])
             self.close_server_side()
--- a/glenrock/net/endpoint_rows.py
+++ b/glenrock/net/endpoint_rows.py
@@ -24,11 +24,11 @@
     """A server in the endpoint list.
 
     Attributes:
-        name: the identity of the server, which stays when its address changes or its process restarts.
+        name: the identity of the server, stable across changes of its address and restarts of its process.
         address: where the server accepts connections.
         state: whether the server is ready, draining or gone.
         zone: the failure domain of the server; empty if unknown.
-        group: the affinity group of the server.
+        group: the cell of the server, within which idempotency keys may be valid; `Endpoint.cell` of routing.
         weight: the listed size of the server relative to others.
         since_ms: the Unix time at which the server's process started; 0 if unknown.
     """
--- a/glenrock/net/server_connections.py
+++ b/glenrock/net/server_connections.py
@@ -13,7 +13,7 @@
 from .endpoint_rows import EndpointRow
 from .health_check_pool import HealthCheckPool
 from .metrics import ConnectionMetrics
-from .server_actor import Post, ServerActor, ServerJob
+from .server_actor import Post, ServerActor, ServerCommand
 from .start_times import StartTimes
 
 MAX_SERVERS = 8192  # bounds the memory for rows
@@ -57,7 +57,9 @@
         self._budget = budget
         self._start_times = start_times
         self._pool = HealthCheckPool(lambda: budget.health_connections)
-        self._retirable_names: set[str] = set()  # servers whose actors had no work at the last check
+        self._retirable_names: set[str] = (
+            set()
+        )  # servers whose actors had no work at the last check; without work at two checks in a row an actor is retired
         self._retirable_checked_ms = clock.now_ms()
 
     def set_suspended(self, name: str, is_suspended: bool) -> None:
@@ -77,7 +79,7 @@
         """Returns the rows of the servers that discovery lists."""
         return (row for row in self.rows.values() if row.state is not EndpointState.GONE)
 
-    def knows(self, name: str) -> bool:
+    def was_ever_listed(self, name: str) -> bool:
         """Returns whether the server is listed, or was."""
         return name in self.rows
 
@@ -144,7 +146,7 @@
     def send_health_check(self, name: str) -> None:
         """Sends a health check. Routing gets the result, also if the check cannot be sent."""
         actor = self.get(name)
-        if actor is None or not actor.mailbox.try_put(ServerJob.HEALTH_CHECK):
+        if actor is None or not actor.mailbox.try_put(ServerCommand.HEALTH_CHECK):
             self.post(interface.HealthCheckResult(name, interface.AttemptOutcome.UNSENT))
 
     def close_unused(self) -> None:
