--- a/glenrock/simulation/model/server_shapes.py
+++ b/glenrock/simulation/model/server_shapes.py
@@ -8,7 +8,7 @@
 from ..spec_tables import Experiment, Kind
 from ..spec_types import drawn_count, drawn_number
 from ..streams import Streams
-from .server import ServerParameters, ServerShape
+from .server_parameters import ServerParameters, ServerShape
 from .workload import skewed
 
 MIN_SPEED_FACTOR = 0.2  # of the normal draw of a server's speed
--- a/glenrock/testbed/simulation_model.py
+++ b/glenrock/testbed/simulation_model.py
@@ -11,7 +11,8 @@
 from ..simulation.model.client_delays import ClientDelays
 from ..simulation.model.requests import Client as ModelClient
 from ..simulation.model.server import Connection as ModelConnection
-from ..simulation.model.server import ServerModel, ServerParameters, ServerShape, SetupAnswer
+from ..simulation.model.server import ServerModel, SetupAnswer
+from ..simulation.model.server_parameters import ServerParameters, ServerShape
 from ..simulation.model.server_shapes import draw_server_shapes, server_parameters
 from ..simulation.model.workload import PlannedClient, Workload, draw_workload
 from ..simulation.spec import put, raw_of
--- a/tests/simulation/rig.py
+++ b/tests/simulation/rig.py
@@ -11,7 +11,6 @@
 from glenrock.simulation import spec
 from glenrock.simulation.fleet_simulation import FleetSimulation
 from glenrock.simulation.model.balancer import BalancerProcess, Policy
-from glenrock.simulation.model.server import ServerModel
 from glenrock.simulation.spec_checks import check
 from glenrock.simulation.spec_tables import Experiment
 
@@ -49,11 +48,6 @@
     return simulation
 
 
-def running_servers(simulation: FleetSimulation) -> list[ServerModel[Any]]:
-    """Returns the servers whose process runs now."""
-    return [server for server in simulation.servers.values() if server.is_up]
-
-
 class ScriptedPolicy:
     """Starts an attempt at the first ready server for each request; tests override its steps.
 
