--- a/glenrock/net/server_connections.py
+++ b/glenrock/net/server_connections.py
@@ -33,7 +33,7 @@
         actors: actors by server name.
         has_list: whether discovery has reported an endpoint list.
         suspended: names of servers that operators have taken out of rotation, listed or not.
-        post: takes events for routing.
+        post: takes events for routing. Coordination may replace it, so actors call `_post`, which reads it each time.
         connect_timeout_ms: the time for a connection to be established.
     """
 
