--- a/glenrock/testbed/records.py
+++ b/glenrock/testbed/records.py
@@ -121,6 +121,15 @@
     excuses: frozenset[Invariant] = ALL_INVARIANTS
 
 
+@dataclass(frozen=True)
+class StallRecord:
+    """A balancer's process was stopped within a system call."""
+
+    balancer: int
+    began_s: float
+    ended_s: float
+
+
 @dataclass(frozen=True)
 class ListedRecord:
     """A balancer was sent the status of a server."""
@@ -203,6 +212,7 @@
     attempts: list[AttemptRecord] = field(default_factory=list)
     requests: list[RequestRecord] = field(default_factory=list)
     faults: list[FaultRecord] = field(default_factory=list)
+    stalls: list[StallRecord] = field(default_factory=list)
     listed: list[ListedRecord] = field(default_factory=list)
     half_requests: list[HalfRequestRecord] = field(default_factory=list)
     overloads: list[OverloadRecord] = field(default_factory=list)
--- a/glenrock/testbed/soak.py
+++ b/glenrock/testbed/soak.py
@@ -13,11 +13,12 @@
 import uvloop
 
 from .balancer_process import ROOT
-from .call_faults import CallFaults, NoCompilerError, build
-from .fault_player import FaultPlayer
+from .call_faults import Call, CallFaults, NoCompilerError, build
+from .fault_player import STALL_MS, FaultPlayer
 from .fault_schedule import SoakPlan, draw
 from .invariant import NEVER, InvariantLimits, Violation
 from .invariants import check
+from .records import StallRecord
 from .testbed import FleetShape, Testbed
 
 ANSWER_GRACE_S = 0.05  # added to each deadline on sockets
@@ -109,11 +110,17 @@
             await bed.start_balancers()
             player = FaultPlayer(bed, self._plan, call_faults)
             await self._play_faults(player)
-            for faults in call_faults:
+            for number, faults in enumerate(call_faults):
+                self._record_stalls(number, faults)
                 faults.close()
             self._check()
         return self._result
 
+    def _record_stalls(self, number: int, faults: CallFaults) -> None:
+        for injected in faults.injected():
+            if injected.call is Call.STALL:
+                self._bed.record.stalls.append(StallRecord(number, injected.at_s, injected.at_s + STALL_MS / 1000))
+
     def _call_faults(self) -> list[CallFaults]:
         try:
             build()
--- a/tests/testbed/test_soak.py
+++ b/tests/testbed/test_soak.py
@@ -24,6 +24,7 @@
     ListedRecord,
     RequestRecord,
     RunRecord,
+    StallRecord,
 )
 from glenrock.testbed.testbed import FleetShape
 
@@ -56,6 +57,7 @@
     faults: Sequence[FaultRecord] = (),
     listed: Sequence[ListedRecord] = (),
     half_requests: Sequence[HalfRequestRecord] = (),
+    stalls: Sequence[StallRecord] = (),
 ) -> list[Invariant]:
     """Returns the invariants that a run with these records violates."""
     record = RunRecord(
@@ -64,6 +66,7 @@
         faults=list(faults),
         listed=list(listed),
         half_requests=list(half_requests),
+        stalls=list(stalls),
     )
     limits = soak.limits_of(FleetShape(window_ms=500.0, drain_grace_ms=2500.0))
     return [violation.invariant for violation in check(record, limits).violations]
@@ -77,6 +80,25 @@
     assert violated(left, attempt(end_s=10.05, answer="")) == []
 
 
+@pytest.mark.parametrize(
+    ("stalls", "is_in_time"),
+    [
+        ([], False),
+        ([StallRecord(0, 10.1, 10.25)], True),
+        ([StallRecord(1, 10.1, 10.25)], False),  # of another balancer
+        ([StallRecord(0, 9.9, 10.05)], False),  # two thirds of it before the request
+        ([StallRecord(0, 9.9, 10.05), StallRecord(0, 11.5, 11.65)], True),
+        ([StallRecord(0, 11.56, 11.71)], False),  # after the time at which the answer was due
+    ],
+)
+def test_answer_is_due_later_by_the_time_for_which_its_balancer_was_stopped(
+    stalls: list[StallRecord], is_in_time: bool
+) -> None:
+    late = replace(REQUEST, answer="ERR", answered_s=11.65, is_migrated=False, ended_s=11.65)
+    expected = [] if is_in_time else [Invariant.FINAL_ANSWER]
+    assert violated(late, attempt(end_s=11.0, answer="ERR"), stalls=stalls) == expected
+
+
 UNSAFE = replace(REQUEST, idempotency=Idempotency.UNSAFE)
 KEYED = replace(REQUEST, idempotency=Idempotency.KEYED)
 
