--- a/glenrock/admin/operations.py
+++ b/glenrock/admin/operations.py
@@ -36,7 +36,7 @@
         self._override_sync = override_sync
 
     def unready_reason(self) -> str | None:
-        """Returns why the balancer accepts no clients; None if it accepts them."""
+        """Returns why front ends should send no new clients here; None if they may."""
         return self._shutdown.unready_reason() if self.is_serving else "not ready: starting"
 
     def metrics(self) -> MetricsSnapshot:
--- a/glenrock/admin/routes.py
+++ b/glenrock/admin/routes.py
@@ -17,12 +17,13 @@
 class Operations(Protocol):
     """The operations behind the calls.
 
-    An asynchronous operation returns once it is carried out here and, where balancers share overrides, committed for
-    all of them. Otherwise it raises `OperationRejectedError` or `OperationPendingError`.
+    An asynchronous operation returns once it is carried out here. Where balancers share overrides, it returns once the
+    override is committed for all of them; if this balancer could not apply it, the log says `override not applied`.
+    Otherwise it raises `OperationRejectedError` or `OperationPendingError`.
     """
 
     def unready_reason(self) -> str | None:
-        """Returns why the balancer accepts no clients; None if it accepts them."""
+        """Returns why front ends should send no new clients here; None if they may."""
         ...
 
     def metrics(self) -> MetricsSnapshot:
--- a/glenrock/coordination/drain_limiter.py
+++ b/glenrock/coordination/drain_limiter.py
@@ -22,7 +22,7 @@
 SECOND_US = 1_000_000
 STORE_RETRY_S = 0.5
 SERVING_POLL_S = 0.1
-ACQUIRE_TIMEOUT_S = 0.8  # of a whole call, since operators get an answer within 1 s
+ACQUIRE_TIMEOUT_S = 0.8  # for the store; with a fast disk operators get an answer within 1 s
 WORK_RECORDS_PER_LEASE = 4
 
 
@@ -77,7 +77,7 @@
             raise OperationRejectedError(self._rejection_reason(leases))
 
     def drain_permit_is_valid(self) -> bool:
-        """Returns whether a permit is held now. If its lease has expired, the drain ends."""
+        """Ends the drain if the lease of its permit has expired. Returns whether a permit is held."""
         if self.permit_job and self._leases.current_term(self.permit_job) is None:
             self._lose_permit(self.permit_job, LossReason.EXPIRED)
         return self.permit_job is not None
--- a/glenrock/coordination/lease_runner.py
+++ b/glenrock/coordination/lease_runner.py
@@ -42,7 +42,8 @@
         timing: durations of a lease.
         event_listeners: called for each lease that is acquired or lost.
         answer_listeners: called for each request that is answered or timed out.
-        store_error: why the last failed call to the store failed; empty once a lease request is answered after it.
+        store_error: why a call to the store failed last, or that there was no call yet; empty once a lease request is
+            answered after it. Failed reads of others' leases, and releases as the process ends, are not recorded.
     """
 
     def __init__(
--- a/glenrock/coordination/override_receiver.py
+++ b/glenrock/coordination/override_receiver.py
@@ -14,7 +14,7 @@
 
 logger = get_logger(__name__)
 
-MAX_KNOWN_OVERRIDES = 64  # sent to a holder after each of its heartbeats
+MAX_KNOWN_OVERRIDES = 64  # sent to a holder if the digests still differ after a sync
 MAX_REJECTIONS = 50  # in the operators' view
 NO_SERVER = "-"  # in the rejection of a heartbeat
 
--- a/glenrock/coordination/override_replication.py
+++ b/glenrock/coordination/override_replication.py
@@ -18,7 +18,7 @@
 STORE_RETRY_S = 0.5
 PROPOSE_INTERVAL_S = 0.5
 REPOST_INTERVAL_S = 2.0
-CONFIRM_TIMEOUT_MS = 700.0  # for the commit, since operators get an answer within 1 s
+CONFIRM_TIMEOUT_MS = 700.0  # for the commit; with a fast disk operators get an answer within 1 s
 CONFIRM_POLL_MS = 10.0
 
 
@@ -53,7 +53,8 @@
 
         Raises:
             OperationRejectedError: the override cannot be stored.
-            OperationPendingError: the override is in effect and stored here, and not in the log yet.
+            OperationPendingError: the override is stored here, and not in the log yet. It is in effect here unless
+                `override not applied` was logged.
         """
         overrides = self._context.overrides
         self._submitted_count += 1
--- a/glenrock/net/graceful_shutdown.py
+++ b/glenrock/net/graceful_shutdown.py
@@ -18,7 +18,7 @@
 from .connection_table import ConnectionTable
 
 STEP_MS = 50.0  # between two steps of a drain
-FRONT_END_NOTICE_MS = 450.0  # until the front end sends no new connections here; a client that migrates earlier returns
+FRONT_END_NOTICE_MS = 450.0  # until the front end sends none here; a client that migrates earlier is sent back here
 MANUAL_REJECT_AFTER_MS = 1000.0  # from the start of a manual drain to the first rejection
 MANUAL_DRAIN_MS = 3000.0  # from the start of a manual drain until all clients are asked to migrate
 SIGKILL_AFTER_DEADLINE_MS = 700.0  # from the longest deadline after SIGTERM to SIGKILL
@@ -30,7 +30,7 @@
 MAX_OFFERED_RELAYS = 16  # relays that wait for the successor with their pumps stopped
 HAND_OVER_MARGIN_MS = 700.0  # from the end of handing over to the end, to migrate the remaining clients
 LONE_BALANCER_MIGRATION_MS = 400.0  # to migrate all clients, if no other balancer can serve them
-STEP_ROUNDING = 0.49  # rounds the connections of a step up, but for a hundredth of a connection
+STEP_ROUNDING = 0.49  # added before round(): rounds up, but not a fraction below a hundredth
 
 logger = get_logger(__name__)
 
@@ -45,7 +45,7 @@
 
     @property
     def handed_over_count(self) -> int:
-        """The number of relays that the successor has accepted."""
+        """The number of relays that the successor has accepted, or has not answered in time."""
         ...
 
     def connect(self) -> bool:
@@ -68,7 +68,10 @@
         self._is_stopping = False
 
     def unready_reason(self) -> str | None:
-        """Returns why the balancer accepts no clients; None while it accepts them."""
+        """Returns why front ends should send no new clients here; None if they may.
+
+        Clients that come nevertheless are still served for a while.
+        """
         if self._is_stopping:
             return "not ready: stopping"
         return "not ready: draining" if self._manual_drain else None
--- a/glenrock/net/poll_backoff.py
+++ b/glenrock/net/poll_backoff.py
@@ -22,7 +22,7 @@
 MAX_OVERLOAD_SPACING_MS = 1000.0  # discovery may need a second for a call
 OVERLOAD_DELAY_GROWTH = 3.0
 MAX_GROWTHS = 10
-FIRST_RETRY_MS = 50.0
+FIRST_RETRY_MS = 50.0  # shortest delay after the first failure; doubled already for the longest, 100 ms
 MAX_RETRY_DOUBLINGS = 6
 MAX_RETRY_MS = 1000.0  # discovery must be found again within 4 s of a change of address
 
@@ -45,7 +45,7 @@
         balancers: the number of balancers.
         must_poll: whether discovery is one service for all balancers, and not an agent on this machine.
         random_numbers: for jitter.
-        drain_grace_ms: the time after which a draining server gets no new connections.
+        drain_grace_ms: the time from the notice of a drain until the server closes.
         rejections: rejected calls in a row.
     """
 
--- a/glenrock/net/server_actor.py
+++ b/glenrock/net/server_actor.py
@@ -182,8 +182,8 @@
     async def _connect(self, attempt: ConnectionAttempt) -> socket.socket | None:
         """Returns a connection; None if none was established in time.
 
-        A connect that fails because of this machine is retried: it says nothing about the server, and another server
-        would not help.
+        A connect that fails because of this machine is retried: it says nothing about the server, and another
+        server would probably not help. After the connect timeout the attempt fails, and routing may try elsewhere.
 
         Raises:
             OSError: the connect failed, or this machine could not begin it within the connect timeout.
--- a/glenrock/routing/outlier_ejection.py
+++ b/glenrock/routing/outlier_ejection.py
@@ -25,7 +25,7 @@
 OUTLIER_RATIO = 1.2  # of the mean load; a server above it is overloaded by itself
 FAILURES_TO_EJECT = 2  # in a row
 MAX_FAILURES = 6  # in a row; further ones do not extend the ejection
-FIRST_EJECTION_US = SECOND_US / 4  # doubled for each failure in a row, so 1 s after FAILURES_TO_EJECT
+FIRST_EJECTION_US = SECOND_US / 4  # doubled for each failure; the first ejection is 1 s, with jitter
 
 
 @dataclass(eq=False)
@@ -33,7 +33,7 @@
     """Decides which servers may receive new work.
 
     Attributes:
-        is_panicking: all ready servers are ejected, so ejection is ignored.
+        is_panicking: no ready server is usable, so ejections of servers and zones are ignored.
     """
 
     batch: EventBatch
@@ -70,7 +70,7 @@
     def update_panic(self) -> None:
         """Enters panic mode if no ready server is usable, and leaves it otherwise.
 
-        With all servers ejected no request would be sent for seconds; trying an ejected server is better.
+        With all servers or zones ejected no request would be sent for seconds; trying an ejected server is better.
         """
         self.is_panicking = not any(self.is_usable(server) for server in self.index.ready)
 
--- a/glenrock/simulation/process_control.py
+++ b/glenrock/simulation/process_control.py
@@ -12,7 +12,7 @@
 from .server_attempts import ServerAttempts
 from .spec_types import drawn_number
 
-# A manual drain, as `glenrock.upgrade` does it: the front notices, then clients migrate in steps.
+# A manual drain, as `glenrock.net.graceful_shutdown` does it: the front notices, then clients migrate in steps.
 FRONT_NOTICES_DRAIN_US = 250_000
 MIGRATION_STARTS_AFTER_US = 450_000
 MIGRATION_US = 3_000_000
--- a/glenrock/testbed/coordination_invariants.py
+++ b/glenrock/testbed/coordination_invariants.py
@@ -92,7 +92,7 @@
 
 
 def check_override_applied(context: CheckContext) -> None:
-    """Nothing new goes to a server after an operator's suspension was acknowledged.
+    """Nothing new goes to a server from OVERRIDE_PROPAGATION_S after an operator's suspension was acknowledged.
 
     A balancer that could not be reached in that time is excused: paused, down, or cut off from the store.
     """
--- a/glenrock/testbed/fault_schedule.py
+++ b/glenrock/testbed/fault_schedule.py
@@ -21,10 +21,10 @@
 
 
 class FaultKind(Enum):
-    """Kinds of faults. The values are shown to people; each text says what `target` and `value` mean."""
+    """Kinds of faults. The values are shown to people; each text names `target` and `value` if they have a meaning."""
 
     TERMINATE = "terminate"
-    """Balancer `target`: SIGTERM, SIGKILL at the earliest, start."""
+    """Balancer `target`: SIGTERM, SIGKILL as soon as the platform may send it, start."""
     KILL = "kill"
     """Balancer `target`: SIGKILL, start `value` seconds later."""
     PAUSE = "pause"
@@ -176,7 +176,7 @@
     FaultKind.STALL: lambda rng: rng.choice((0.002, 0.01)),
     FaultKind.CLOCK_STEP: lambda rng: rng.choice((-3600, -5, 5, 3600)),
 }
-"""What `value` is drawn from; for all other kinds it is a fraction of the servers."""
+"""What `value` is drawn from; for all other kinds a fraction of the servers, unused by kinds without a value."""
 
 
 def _draw_fault(rng: random.Random, balancers: int, seconds: float) -> PlannedFault:
--- a/glenrock/testbed/invariant.py
+++ b/glenrock/testbed/invariant.py
@@ -41,7 +41,7 @@
     DRAIN_PERMITS = "tickets"
     """No more balancers drain at a time than there are permits."""
     OVERRIDE_APPLIED = "banned"
-    """Nothing new goes to a server after an operator's suspension was acknowledged."""
+    """Nothing new goes to a server from a second after an operator's suspension was acknowledged."""
     AGREEMENT = "agreed"
     """At the end all balancers have the same overrides."""
 
--- a/glenrock/upgrade/relay_message.py
+++ b/glenrock/upgrade/relay_message.py
@@ -2,7 +2,7 @@
 
 The socket stands in the folder that both processes of an upgrade share. Each message is answered `ACCEPTED` or
 `REJECTED`. A relay belongs to one process at a time: the sender stops the relay's pumps before it sends the message,
-and the receiver starts them before it answers.
+and the receiver starts them before it answers. If no answer comes in time, the relay belongs to the receiver.
 """
 
 from __future__ import annotations
--- a/glenrock/upgrade/relay_sender.py
+++ b/glenrock/upgrade/relay_sender.py
@@ -27,7 +27,7 @@
     """Implements `net.graceful_shutdown.Successor` on the successor's Unix socket.
 
     Attributes:
-        handed_over_count: relays that the successor accepted.
+        handed_over_count: relays that the successor accepted, or did not answer in time.
     """
 
     def __init__(self, folder: str, clock: Clock, own_inode: int, load_of: Callable[[str], int]) -> None:
