--- a/glenrock/net/connection_table.py
+++ b/glenrock/net/connection_table.py
@@ -25,7 +25,7 @@
 DELAY_REPORT_INTERVAL_MS = 1000.0  # between two reports on slow messages of one server
 SLOW_MESSAGE_DIVISOR = 3  # of the shortest message objective
 DEFAULT_RETRY_AFTER_MS = 1000.0
-MAX_WAIT_DEADLINES = 10.0  # a request that wants to wait more deadlines of its class is invalid
+MAX_WAIT_DEADLINES = 10.0  # longest wait that a request may ask for, in deadlines of its class
 
 logger = get_logger(__name__)
 
--- a/glenrock/net/descriptor_budget.py
+++ b/glenrock/net/descriptor_budget.py
@@ -1,6 +1,6 @@
 """How the descriptors of a process are divided among purposes, so that none runs out.
 
-    limit = program + operators + other process + health checks + idle connections + relays, two each
+    limit = program + operators + other process + health checks + idle connections + 2 * relays
 
 No term grows with the endpoint list: connections for health checks are a bounded pool, and a relay's descriptors are
 used from its client's request on.
--- a/glenrock/net/endpoint_watcher.py
+++ b/glenrock/net/endpoint_watcher.py
@@ -103,7 +103,7 @@
 
     @property
     def has_no_list(self) -> bool:
-        """Whether there is no list, and discovery must be polled for it: no client can be served."""
+        """Whether there is no list, and no agent on this machine that reports it: no client can be served."""
         return self.backoff.must_poll and self.newest_version < 0 and not self.has_answered.is_set()
 
     def use_cached_list(self, raw: dict[str, Any]) -> None:
--- a/glenrock/net/idle_connections.py
+++ b/glenrock/net/idle_connections.py
@@ -15,8 +15,12 @@
 class IdleConnections:
     """The tasks of connections that have sent no request yet, oldest first.
 
-    A connection is in `unanswered`, then in `answered`; with its final answer in `_ending` too. One that is shed leaves
-    `unanswered` or `answered` for `_shed`, and enters `answered` and `_ending` with its final answer.
+    A connection is in one of four states, which the containers show:
+
+    - silent: in `unanswered`;
+    - pinged: in `answered`;
+    - shed, its final answer comes next: moved to `_shed`;
+    - closing, it has had its final answer: in `answered` and `_ending`, and still in `_shed` if it was shed.
 
     Attributes:
         unanswered: connections that have had no answer.
--- a/glenrock/net/routing_actor.py
+++ b/glenrock/net/routing_actor.py
@@ -117,6 +117,8 @@
         if self._timers:
             at_ms = ms_from_us(self._timers[0][0]) + TIMER_MARGIN_MS
             wake_up = self._clock.call_at(at_ms, self.mailbox.wake)
+        # A wake-up is lost before `get_all` waits, so what came until now must not wait for a message. Afterwards a
+        # wake-up ends the wait in `get_all`, which returns the events in the mailbox too.
         batch = [] if self._first_events or self._batch_waiters else await self.mailbox.get_all()
         if wake_up:
             wake_up.cancel()
--- a/glenrock/net/start_times.py
+++ b/glenrock/net/start_times.py
@@ -2,9 +2,9 @@
 
 The wall clock may be stepped by seconds or an hour, here or on all machines, before this process starts or while it
 runs, and `since_ms` is what the clock of the server's machine showed. A server that has just started and counts as warm
-is overloaded; a server that counts as warming up for an hour gets no load. So no age that this
-module computes depends on one reading of this machine's clock. Each age is computed once, when `since_ms` is first
-reported, and a later step of a clock does not change it:
+is overloaded; a server that counts as warming up for an hour gets no load. So no age rests on a single reading of this
+machine's clock. Each age is computed once, when `since_ms` is first reported, and a later step of a clock does not
+change it:
 
 1. By two clocks: `now - since_ms` by the process's clock and by the wall clock, and the lesser of both (`_age`).
 2. In a later list: at most the time since discovery's last answer plus `REPORT_DELAY_MS` (`_age_of_new_report`).
@@ -12,6 +12,10 @@
    that time (`_ages_in_first_list`).
 4. In the first list, for servers that started within one slow start of the newest: the time between both starts, so
    that they count as warming up. Not if they are more than half of all servers: the others would get all load.
+
+For example, a server is first reported in a later list, with a start 20 s ago by the process's clock. The wall clock
+has been stepped back by 5 s, so rule 1 gives 15 s. Discovery's last answer was 1 s ago, so rule 2 gives at most
+1 s + 3 s: the age is 4 s.
 """
 
 from __future__ import annotations
--- a/glenrock/routing/admission.py
+++ b/glenrock/routing/admission.py
@@ -162,7 +162,7 @@
         return keep_session
 
     def record_new_peer(self, active_load: float) -> None:
-        """Raises the cap by the load of a balancer heard for the first time: it is admitted already."""
+        """Raises the cap by the load of a balancer heard for the first time: that load is admitted already."""
         self.load_cap += active_load
 
     # -- the cap, once a round -----------------------------------------------------------------------
@@ -245,9 +245,10 @@
     def update_quota(self) -> None:
         """Opens the oldest buckets as far as the free load goes, and takes a quota of the rest.
 
-        With 72 of free load, and 2, 50 and 60 waiting in buckets from old to young, the first two are open,
-        the third is partial, and 20 is left. The quotas of all balancers divide it by their fractions of the
-        clients.
+        A bucket holds the clients that began to wait at about the same time, at any balancer. With a free load
+        of 72 us/s, and loads of 2, 50 and 60 us/s waiting in buckets from old to young, the first two buckets
+        are open: all their clients are admitted. The third is partial: 20 us/s are left, less than it needs.
+        The quotas of all balancers divide them by their fractions of the clients.
         """
         tier_load = self.gossip.tier_load()
         waiting_load = self.gossip.tier_waiting_load()
--- a/glenrock/routing/failure_domains.py
+++ b/glenrock/routing/failure_domains.py
@@ -1,9 +1,10 @@
 """Whether the link to a failure domain is partitioned, by a sequential test with stated error rates.
 
-Each domain is tested by Wald's sequential probability ratio test in Page's form: the log of the likelihood
-ratio, partitioned over healthy, is summed, kept at 0 or above, and compared with a bound that follows from
-the error rates. (Wald 1945, Sequential Tests of Statistical Hypotheses; Page 1954, Continuous Inspection
-Schemes.)
+The test is a CUSUM detector: single dead members of a domain are expected, and it reports the change to a
+domain of which no member is reached. Each domain is tested by Wald's sequential probability ratio test in
+Page's form: the log of the likelihood ratio, partitioned over healthy, is summed, kept at 0 or above, and
+compared with a bound that follows from the error rates. (Wald 1945, Sequential Tests of Statistical
+Hypotheses; Page 1954, Continuous Inspection Schemes.)
 
 The evidence of a member counts once per window, so that failures of one dead member in quick succession do
 not add up to a partition; over several windows they do, unless another member is reached. Without evidence a
--- a/glenrock/routing/retries.py
+++ b/glenrock/routing/retries.py
@@ -1,4 +1,15 @@
-"""Whether and where a request may be sent or retried, for how long, and whether it may be rejected."""
+"""Whether and where a request may be sent or retried, for how long, and whether it may be rejected.
+
+Rules of this package that include others:
+
+- `RetryPolicy.may_send`: `may_attempt`, `OutlierEjection.may_receive`, and that the attempt is safe.
+- `OutlierEjection.may_receive`: the server is ready, `is_usable` unless in panic mode, and
+  `SlowStart.headroom` for the load.
+- `OutlierEjection.is_usable`: the server is not ejected, and `FailureDomains.may_use` of its zone.
+
+`RetryPolicy.may_wait` and `may_reject` say what becomes of a request without a server, and
+`ConcurrencyLimit.may_start` limits set-ups at all servers together. They include none of these rules.
+"""
 
 from __future__ import annotations
 
--- a/glenrock/routing/slow_start.py
+++ b/glenrock/routing/slow_start.py
@@ -30,8 +30,8 @@
     """Returns the load from which this balancer's slow-start budgets are computed.
 
     A balancer without clients of its own is draining or has just started. Its load is divided among the
-    balancers that have clients. If it counted at its own balancer too it would be sent twice; if it counted
-    at none, a warming server would stay empty beside full ones.
+    balancers that have clients. If that load counted at its own balancer too it would be sent twice; if it
+    counted at none, a warming server would stay empty beside full ones.
 
     Args:
         own_load: load of the connections here.
@@ -142,9 +142,10 @@
     def _window_multiple(self, server: Server) -> float:
         """Returns the multiple of its budget that the first connection of this window may have.
 
-        It is 1 / u, at most half the number of balancers, with u drawn evenly from 0 to 1 for each balancer
-        and window. It reaches n with probability 1 / n, so that a connection of n budgets is sent in one of n
-        windows on average. Budgets saved up over windows would let all balancers send at once.
+        Budgets below one connection are rounded at random. The multiple is 1 / u, at most half the number of
+        balancers, with u drawn evenly from 0 to 1 for each balancer and window. It reaches n with probability
+        1 / n, so that a connection of n budgets is sent in one of n windows on average. Budgets saved up over
+        windows would let all balancers send at once.
         """
         window = (self._batch.now_us - server.started_us) // self._settings.slow_start_window_us
         draw = max(MIN_DRAW, mix(server.hash ^ self._salt ^ mix(window)) / MASK)
