--- a/glenrock/admin/listener.py
+++ b/glenrock/admin/listener.py
@@ -81,7 +81,10 @@
         self._being_answered.pop(task, None)
 
     def _close_oldest(self) -> None:
-        """Closes the oldest connection whose response is being sent; if there is none, the oldest connection."""
+        """Closes the oldest connection whose response is being sent; if there is none, the oldest connection.
+
+        The call of a response that is being sent is done already; a call without a response may not be.
+        """
         oldest = next(iter((*self._being_answered, *self.callers)), None)
         if oldest is None:
             return
--- a/glenrock/config.py
+++ b/glenrock/config.py
@@ -56,8 +56,8 @@
     """A balancer's configuration.
 
     Attributes:
-        name: the balancer's name in log lines, in its leases, and in the names of its coordination files, which a start
-            under another name does not find.
+        name: the balancer's name in log lines, in its leases, and in the names of its coordination files: a start
+            under another name does not find them.
         listen: the address that accepts clients.
         discovery: the address of service discovery.
         seed: the seed of all random numbers.
--- a/glenrock/coordination/durable_state.py
+++ b/glenrock/coordination/durable_state.py
@@ -83,7 +83,7 @@
 
 
 class DurableState:
-    """The file of one balancer. Methods that adopt merge into fence and log; those that merge do so into a snapshot.
+    """The file of one balancer. `adopt` and `_adopt_*` merge into the fence and the log, `_merge_*` into a snapshot.
 
     Attributes:
         boot: identifier of the machine's boot.
--- a/glenrock/coordination/override_applier.py
+++ b/glenrock/coordination/override_applier.py
@@ -72,7 +72,7 @@
         self._replies.append(PeerMessage(peer, message))
 
     async def apply(self, server_id: str, is_suspended: bool) -> None:
-        """Puts an override into effect at this balancer."""
+        """Puts an override into effect at this balancer, or logs why that was rejected."""
         host = self._context.host
         self._applied[server_id] = is_suspended
         if host.operators:
--- a/glenrock/coordination/override_holder.py
+++ b/glenrock/coordination/override_holder.py
@@ -142,6 +142,7 @@
         entry = OverrideEntry(proposal.is_suspended, Revision(term, self._record_sequence))
         incarnation, count = decode_pending_id(proposal_id)
         is_committed = count <= self._context.overrides.committed_up_to.get(incarnation, 0)
+        # Without records the store only deletes the proposal.
         records = {} if is_committed else {proposal.server_id: entry.encode(), incarnation_key(incarnation): str(count)}
         if not await self._leases.store.put(OVERRIDES_JOB, term, self._record_sequence, records, proposal_id):
             logger.warning("record rejected by the lease store", job=OVERRIDES_JOB, term=term)
--- a/glenrock/net/client_connection.py
+++ b/glenrock/net/client_connection.py
@@ -82,7 +82,7 @@
         self.mailbox.put_unbounded(AttemptCompleted(attempt, result))
 
     def client_waits(self) -> bool:
-        """Returns whether the client still waits, by the state of its socket.
+        """Returns whether the client still waits, by the state of its socket. Posts the client's end if it does not.
 
         The client's end and the connection to the server may be ready in the same iteration of the loop. If the attempt
         runs before the upward pump, the pump has not reported the end yet.
--- a/glenrock/net/connection_messages.py
+++ b/glenrock/net/connection_messages.py
@@ -23,7 +23,8 @@
         SERVER_RST: the server has reset the connection.
         TOO_EARLY: the client has sent bytes before its answer.
         BETWEEN_LINES: the client can be migrated now.
-        OVERDUE: a timer has expired.
+        OVERDUE: a timer has expired: routing made no decision in time, or the migration of an established relay takes
+            too long.
     """
 
     CLIENT_FIN = "client fin"
--- a/glenrock/simulation/model/waits.py
+++ b/glenrock/simulation/model/waits.py
@@ -31,7 +31,8 @@
 ) -> float:
     """Returns the fraction of messages answered within their objective.
 
-    M/M/c in its steady state behind a backlog: P(W > t) = C exp(-(1 - u) c t / m), with m stretched by `bursty`.
+    M/M/c in its steady state behind a backlog: P(W > t) = C exp(-(1 - u) c t / m), with C
+    from `erlang_c`, c cores, utilization u, and m the time of a message, stretched by `bursty`.
     Left out: messages of one connection that wait for each other.
     """
     left_us = objective_us - backlog_us - message_us
--- a/glenrock/simulation/process_control.py
+++ b/glenrock/simulation/process_control.py
@@ -17,7 +17,7 @@
 MIGRATION_STARTS_AFTER_US = 450_000
 MIGRATION_US = 3_000_000
 MIGRATION_STEP_US = 50_000
-# Parts of the time of a planned restart: clients migrate evenly until the first, and the rest at the second.
+# Of the time of a planned restart: clients migrate evenly until the first, and clients that are left at the second.
 EVEN_MIGRATION_PERCENT, LAST_MIGRATION_PERCENT = 90, 95
 HEARTBEAT_S = 2  # between lines of a client, which reveal a partition
 
--- a/glenrock/simulation/server_attempts.py
+++ b/glenrock/simulation/server_attempts.py
@@ -17,7 +17,7 @@
 from .spec_types import drawn_number
 
 HANDSHAKE_WAYS = 3  # one-way times until the first line has arrived: two of TCP's handshake, and its own
-INFORMED_FRACTION = 2 / 3  # of a cold server's load; from here on its overload is the informed balancers' violation
+INFORMED_FRACTION = 2 / 3  # of the load that overloaded a cold server; a violation if informed balancers sent it
 
 
 @dataclass(slots=True)
--- a/glenrock/testbed/call_faults.py
+++ b/glenrock/testbed/call_faults.py
@@ -53,7 +53,7 @@
     Call.FILE_WRITE: (errno.ENOSPC, errno.EIO),
     Call.STALL: (0,),
 }
-"""Errors that the manual pages name for each call, and that end no connection by themselves."""
+"""Errors that the manual pages name for each call, and that end no connection by themselves; none for a stall."""
 
 ENDS_CONNECTION = (errno.ECONNRESET, errno.EPIPE, errno.ETIMEDOUT, errno.EHOSTUNREACH)
 
--- a/glenrock/testbed/call_queue.py
+++ b/glenrock/testbed/call_queue.py
@@ -26,7 +26,7 @@
         self._served: set[asyncio.Task[None]] = set()
 
     async def wait_turn(self) -> bool:
-        """Waits until the call is served. Returns False if that takes too long; the service still serves the call."""
+        """Waits until the call is served. Returns False if it has not begun in time; the call stays queued."""
         has_begun = asyncio.Event()
         self.calls += 1
         self._waiting += 1
--- a/glenrock/testbed/coordination_invariants.py
+++ b/glenrock/testbed/coordination_invariants.py
@@ -47,7 +47,7 @@
         return
     spans = _drain_spans(context)
     context.result.cases[Invariant.DRAIN_PERMITS] += len(spans)
-    # At one instant, beginnings come before ends: a drain that was seen once has both.
+    # At one instant, beginnings come before ends, as a drain that was seen once begins and ends at the same instant.
     edges = [_DrainEdge(span.from_s, False, span.balancer) for span in spans]
     edges += [_DrainEdge(span.to_s, True, span.balancer) for span in spans]
     draining: set[int] = set()
--- a/glenrock/testbed/fault_player.py
+++ b/glenrock/testbed/fault_player.py
@@ -19,7 +19,7 @@
 from .testbed import Testbed
 
 KILL_AFTER_MS = 700.0  # after the longest deadline
-MIN_LONGEST_DEADLINE_MS = 3000.0
+MIN_LONGEST_DEADLINE_MS = 3000.0  # a shorter longest deadline does not bring SIGKILL forward
 STALL_MS = 150
 NOTICE_S = 0.3  # for which new connections still go to a balancer that terminates
 RELOAD_GAP_S = 0.15
--- a/glenrock/testbed/fault_schedule.py
+++ b/glenrock/testbed/fault_schedule.py
@@ -13,7 +13,7 @@
 
 MAX_FAULTS, MIN_FAULTS = 14, 6
 FIRST_FAULT_S = 1.0  # from the beginning of the traffic
-LASTING_PROBABILITY, LASTING_S = 0.15, 60.0  # of faults that last through the shutdown
+LASTING_PROBABILITY, LASTING_S = 0.15, 60.0  # for a fault that lasts through the shutdown
 LAST_FAULT_S = 2.0  # before the end of the traffic, after which no fault begins
 REQUESTS_PER_BALANCER_S = 8.0
 MAX_RESUMED = 5  # connections at each balancer that were open before the run
--- a/glenrock/upgrade/override_file.py
+++ b/glenrock/upgrade/override_file.py
@@ -1,7 +1,7 @@
 """The file of operators' overrides that both processes of an upgrade read and replace.
 
 The file stands in `$TMPDIR`. A file of another version, or an unreadable file, counts as missing: the caller logs the
-reason and keeps the overrides that it has, and the next change replaces the file by these.
+reason and keeps the overrides that it has, and writes them to a new file at the next change.
 """
 
 from __future__ import annotations
