--- a/glenrock/simulation/process_control.py
+++ b/glenrock/simulation/process_control.py
@@ -12,12 +12,12 @@
 from .server_attempts import ServerAttempts
 from .spec_types import drawn_number
 
-# A manual drain, as `glenrock.upgrade` does it: the front notices, then clients migrate in steps.
+# A manual drain, as `glenrock.net.graceful_shutdown` does it: the front notices, then clients migrate in steps.
 FRONT_NOTICES_DRAIN_US = 250_000
 MIGRATION_STARTS_AFTER_US = 450_000
 MIGRATION_US = 3_000_000
 MIGRATION_STEP_US = 50_000
-# Parts of the time of a planned restart: clients migrate evenly until the first, and the rest at the second.
+# Of the time of a planned restart: clients migrate evenly until the first, and clients that are left at the second.
 EVEN_MIGRATION_PERCENT, LAST_MIGRATION_PERCENT = 90, 95
 HEARTBEAT_S = 2  # between lines of a client, which reveal a partition
 
