--- a/glenrock/routing/admission.py
+++ b/glenrock/routing/admission.py
@@ -162,7 +162,7 @@
         return keep_session
 
     def record_new_peer(self, active_load: float) -> None:
-        """Raises the cap by the load of a balancer heard for the first time: that load is admitted already."""
+        """Raises the cap by the load of a balancer heard for the first time: it is admitted already."""
         self.load_cap += active_load
 
     # -- the cap, once a round -----------------------------------------------------------------------
@@ -246,9 +246,9 @@
         """Opens the oldest buckets as far as the free load goes, and takes a quota of the rest.
 
         A bucket holds the clients that began to wait at about the same time, at any balancer. With a free load
-        of 72 us/s, and loads of 2, 50 and 60 us/s waiting in buckets from old to young, the first two buckets
-        are open: all their clients are admitted. The third is partial: 20 us/s are left, less than it needs.
-        The quotas of all balancers divide them by their fractions of the clients.
+        of 72, and loads of 2, 50 and 60 waiting in buckets from old to young, the first two buckets are open:
+        all their clients are admitted. The third is partial: 20 are left, less than it needs. The quotas of all
+        balancers divide these 20 by their fractions of the clients.
         """
         tier_load = self.gossip.tier_load()
         waiting_load = self.gossip.tier_waiting_load()
--- a/glenrock/routing/outlier_ejection.py
+++ b/glenrock/routing/outlier_ejection.py
@@ -70,7 +70,8 @@
     def update_panic(self) -> None:
         """Enters panic mode if no ready server is usable, and leaves it otherwise.
 
-        With all servers or zones ejected no request would be sent for seconds; trying an ejected server is better.
+        With all servers or zones ejected no request would be sent for seconds; trying an ejected server is
+        better.
         """
         self.is_panicking = not any(self.is_usable(server) for server in self.index.ready)
 
