--- a/glenrock/routing/admission.py
+++ b/glenrock/routing/admission.py
@@ -245,10 +245,10 @@
     def update_quota(self) -> None:
         """Opens the oldest buckets as far as the free load goes, and takes a quota of the rest.
 
-        A bucket holds the clients that began to wait at about the same time, at any balancer. With a free load
-        of 72, and loads of 2, 50 and 60 waiting in buckets from old to young, the first two buckets are open:
-        all their clients are admitted. The third is partial: 20 are left, less than it needs. The quotas of all
-        balancers divide these 20 by their fractions of the clients.
+        A bucket holds the clients that began to wait at about the same time, at any balancer. With a free
+        load of 72, and loads of 2, 50 and 60 waiting in buckets from old to young, the first two buckets are
+        open: all their clients are admitted. The third is partial: 20 are left, less than it needs. The
+        quotas of all balancers divide these 20 by their fractions of the clients.
         """
         tier_load = self.gossip.tier_load()
         waiting_load = self.gossip.tier_waiting_load()
