--- a/benchmarks/domains.py
+++ b/benchmarks/domains.py
@@ -37,7 +37,7 @@
     print("stated false alarms   checks/s   alarms an hour, healthy   detection, mean s   p95 s")
     for stated in (0.05, 0.005, 0.0005, 0.00005):
         domains.FALSE_ALARM_RATE = stated
-        domains.PARTITION_BOUND = math.log((1 - domains.MISSED_RATE) / stated)
+        domains.PARTITION_THRESHOLD = math.log((1 - domains.MISSED_DETECTION_RATE) / stated)
         for rate in (5.0, 20.0):
             hours, alarms = 0.0, 0
             for _ in range(HEALTHY_RUNS):
--- a/glenrock/routing/activity_history.py
+++ b/glenrock/routing/activity_history.py
@@ -12,7 +12,7 @@
 
     at_us: int
     clients: int
-    tier_load: float
+    total_active_load: float
 
 
 class ActivityHistory:
@@ -23,11 +23,11 @@
         self._max_age_us = max_age_us
         self.samples: list[ActivitySample] = []
 
-    def record(self, clients: int, tier_load: float) -> None:
+    def record(self, clients: int, total_active_load: float) -> None:
         """Records a sample of the present time."""
         now_us = self._batch.now_us
         self.samples = [sample for sample in self.samples if now_us - sample.at_us <= self._max_age_us]
-        self.samples.append(ActivitySample(now_us, clients, tier_load))
+        self.samples.append(ActivitySample(now_us, clients, total_active_load))
 
     def oldest_within(self, span_us: int) -> ActivitySample | None:
         """Returns the oldest sample of the last `span_us`; None if there is none."""
--- a/glenrock/routing/admission.py
+++ b/glenrock/routing/admission.py
@@ -26,14 +26,16 @@
 from .waiting_queue import MAX_WAITING, NO_BUCKET, WaitingQueue
 
 NO_CAP = float("inf")
-LAG_US = 4 * SECOND_US  # age of the counts that quotas use: gossip of that age has arrived or is lost
+CLIENT_COUNT_LAG_US = (
+    4 * SECOND_US
+)  # age of the counts that quotas use: gossip of that age has arrived or is lost
 CAP_CUT_FACTOR = 0.85  # once per feedback delay
 CAP_RISE_FRACTION = 0.25  # per round, of the way to the load that reports show to be bearable
-OPEN_CAP_RATIO = 4  # a cap above this multiple of the active load becomes NO_CAP
+CAP_REMOVAL_RATIO = 4  # a cap above this multiple of the active load becomes NO_CAP
 MIN_ROUND_ATTEMPTS = 4  # fewer attempts of a round prove nothing
 MAX_DROPPED_FRACTION = 0.2  # of a round's attempts; more dropped by their servers show a full fleet
 DROPPING_SERVERS_DIVISOR = 3  # one warm server in so many has to drop connections
-FEW_SERVERS = 3  # among fewer warm servers a single one that drops connections is enough
+SMALL_FLEET_SIZE = 3  # among fewer warm servers a single one that drops connections is enough
 DROP_OUTCOMES = frozenset((AttemptOutcome.FULL, AttemptOutcome.BROKEN))  # how a full server ends attempts
 
 
@@ -45,10 +47,10 @@
         load_cap: bound on the active load of all balancers; `NO_CAP` while it does not bind.
         slow_start_load_cap: active load allowed beside it, for servers that are warming up.
         quota: load that may still be admitted this round, for `partial_bucket`; for all if no client waits.
-        last_open_bucket: clients of this bucket and of older ones are admitted.
+        last_admitted_bucket: clients of this bucket and of older ones are admitted.
         partial_bucket: the bucket that exceeds the free load; its clients are admitted within the quota.
         extra_buckets: how many buckets younger than `partial_bucket` may use the quota too.
-        may_admit_newcomers: no client waits, and the cap leaves ample free load.
+        may_admit_new_clients: no client waits, and the cap leaves ample free load.
         has_rejected_young_bucket: a client was rejected this round because its bucket is too young.
     """
 
@@ -67,19 +69,19 @@
     load_cap: float = field(init=False, default=NO_CAP)
     slow_start_load_cap: float = field(init=False, default=0.0)
     quota: float = field(init=False, default=0.0)
-    last_open_bucket: int = field(init=False, default=-NO_BUCKET)
+    last_admitted_bucket: int = field(init=False, default=-NO_BUCKET)
     partial_bucket: int = field(init=False, default=NO_BUCKET)
-    may_admit_newcomers: bool = field(init=False, default=True)
+    may_admit_new_clients: bool = field(init=False, default=True)
     has_rejected_young_bucket: bool = field(init=False, default=False)
     extra_buckets: int = field(init=False, default=0)
     _cap_cut_us: int = field(init=False, default=NEVER_US)
-    _load_admitted_beside_quota: float = field(init=False, default=0.0)
+    _load_admitted_outside_quota: float = field(init=False, default=0.0)
     _attempts: int = field(init=False, default=0)
     _dropped: int = field(init=False, default=0)
     _dropping_servers: set[str] = field(init=False, default_factory=set)
 
     @property
-    def is_cap_open(self) -> bool:
+    def is_uncapped(self) -> bool:
         """Whether the cap does not bind."""
         return self.load_cap == NO_CAP
 
@@ -113,14 +115,14 @@
         session = self.sessions.get(request.key)
         if session is None:
             return False
-        if session.connections or self.gossip.tier_load() <= self.load_cap + self.slow_start_load_cap:
+        if session.connections or self.gossip.total_active_load() <= self.load_cap + self.slow_start_load_cap:
             return True
         self.sessions.end(request.key)
         return False
 
     def _fits_cap(self, request: RoutedRequest, bucket: int, is_waiting: bool) -> bool:
-        if self.may_admit_newcomers or (is_waiting and bucket <= self.last_open_bucket):
-            self._load_admitted_beside_quota += request.load
+        if self.may_admit_new_clients or (is_waiting and bucket <= self.last_admitted_bucket):
+            self._load_admitted_outside_quota += request.load
             return True
         if bucket > self.partial_bucket + self.extra_buckets:
             self.has_rejected_young_bucket = True
@@ -170,26 +172,26 @@
     def record_activity(self) -> None:
         """Records the present clients and load, for quotas and for load reports that arrive later."""
         clients = len(self.sessions) + len(self.waiting_queue)
-        self.history.record(clients, self.gossip.tier_load())
+        self.history.record(clients, self.gossip.total_active_load())
 
     def update_cap(self) -> None:
         """Cuts the cap while the servers are full, once per feedback delay, and raises it in other rounds."""
-        in_reach = self.ejection.servers_in_reach()
+        in_reach = self.ejection.reachable_servers()
         # Servers that are warming up have free capacity that slow-start budgets withhold.
         warm, self.slow_start.warming = self.index.split_by_warmth(in_reach, self.slow_start.is_warm)
-        self.capacity.follow_membership(warm)
-        self.capacity.update_fleet_load(warm, self.gossip.tier_load())
+        self.capacity.update_membership(warm)
+        self.capacity.update_fleet_load(warm, self.gossip.total_active_load())
         is_dropping = self._are_servers_dropping(len(warm))
         # Reports are late, so they are compared with the active load of their own time: against the present
         # load, clients that left would be cut again, and clients under way would be admitted again.
         sample = self.history.oldest_within(FEEDBACK_DELAY_US)
-        past_load = sample.tier_load if sample else self.gossip.tier_load()
-        bearable_load = past_load * load_targets.TARGET_LOAD / self.loads.bounded_fleet_load
+        past_load = sample.total_active_load if sample else self.gossip.total_active_load()
+        sustainable_load = past_load * load_targets.TARGET_LOAD / self.loads.bounded_fleet_load
         self._update_slow_start_load_cap(past_load, len(warm))
         if self.loads.fleet_load > load_targets.HIGH_LOAD or is_dropping:
-            self._cut_cap(past_load, bearable_load)
-        elif not self.is_cap_open:
-            self._raise_cap(bearable_load)
+            self._cut_cap(past_load, sustainable_load)
+        elif not self.is_uncapped:
+            self._raise_cap(sustainable_load)
 
     def _are_servers_dropping(self, warm_count: int) -> bool:
         """Returns whether this round's attempts show that the servers are full, and starts a new count.
@@ -204,7 +206,7 @@
         )
         self._attempts = self._dropped = 0
         self._dropping_servers.clear()
-        return are_many_dropped and (are_several or warm_count < FEW_SERVERS)
+        return are_many_dropped and (are_several or warm_count < SMALL_FLEET_SIZE)
 
     def _update_slow_start_load_cap(self, past_load: float, warm_count: int) -> None:
         """Allows, beside the cap, the load that servers that are warming up may have received by now.
@@ -215,30 +217,30 @@
         full_load = filled * load_targets.TARGET_LOAD * past_load
         self.slow_start_load_cap = full_load / self.loads.bounded_fleet_load / max(1, warm_count)
 
-    def _cut_cap(self, past_load: float, bearable_load: float) -> None:
+    def _cut_cap(self, past_load: float, sustainable_load: float) -> None:
         if self.batch.now_us - self._cap_cut_us < FEEDBACK_DELAY_US:
             return
         self._cap_cut_us = self.batch.now_us
         if self.loads.fleet_load > load_targets.HIGH_LOAD:
-            self.load_cap = min(self.load_cap, max(past_load / 2, bearable_load))
+            self.load_cap = min(self.load_cap, max(past_load / 2, sustainable_load))
         else:
-            self.load_cap = min(self.load_cap, self.gossip.tier_load() * CAP_CUT_FACTOR)
+            self.load_cap = min(self.load_cap, self.gossip.total_active_load() * CAP_CUT_FACTOR)
 
-    def _raise_cap(self, bearable_load: float) -> None:
-        self.load_cap += max(0.0, bearable_load - self.load_cap) * CAP_RISE_FRACTION
-        if self.load_cap > OPEN_CAP_RATIO * self.gossip.tier_load():
+    def _raise_cap(self, sustainable_load: float) -> None:
+        self.load_cap += max(0.0, sustainable_load - self.load_cap) * CAP_RISE_FRACTION
+        if self.load_cap > CAP_REMOVAL_RATIO * self.gossip.total_active_load():
             self.load_cap = NO_CAP
 
     # -- quotas, once a round ------------------------------------------------------------------------
 
-    def lagged_clients(self) -> int:
-        """Returns the number of clients seen here, `LAG_US` ago."""
-        sample = self.history.oldest_within(LAG_US)
+    def lagged_client_count(self) -> int:
+        """Returns the number of clients seen here, `CLIENT_COUNT_LAG_US` ago."""
+        sample = self.history.oldest_within(CLIENT_COUNT_LAG_US)
         return sample.clients if sample else 0
 
     def client_fraction(self) -> float | None:
-        """Returns this balancer's fraction of all clients, `LAG_US` ago; None without a history."""
-        own = self.lagged_clients()
+        """Returns this balancer's lagged fraction of all clients; None if it is not known."""
+        own = self.lagged_client_count()
         total = own + sum(peer.clients for peer in self.gossip.peers.values())
         return own / total if own and (self.gossip.peers or self.settings.balancers == 1) else None
 
@@ -250,12 +252,12 @@
         open: all their clients are admitted. The third is partial: 20 are left, less than it needs. The
         quotas of all balancers divide these 20 by their fractions of the clients.
         """
-        tier_load = self.gossip.tier_load()
-        waiting_load = self.gossip.tier_waiting_load()
-        self.may_admit_newcomers = not waiting_load and tier_load < self.load_cap / 2
-        free_load = max(0.0, self.load_cap + self.slow_start_load_cap - tier_load)
+        total_active_load = self.gossip.total_active_load()
+        waiting_load = self.gossip.total_waiting_load()
+        self.may_admit_new_clients = not waiting_load and total_active_load < self.load_cap / 2
+        free_load = max(0.0, self.load_cap + self.slow_start_load_cap - total_active_load)
         client_fraction = self.client_fraction() or 1.0
-        rest = self._open_oldest_buckets(waiting_load, free_load)
+        rest = self._admit_oldest_buckets(waiting_load, free_load)
         if self.quota > 0 and self.has_rejected_young_bucket:
             # Quota is left over while clients of younger buckets were rejected: those of the partial bucket
             # retry at other balancers. So more of the younger buckets may use the quota.
@@ -265,18 +267,18 @@
         if self.has_rejected_young_bucket and free_load < NO_CAP:
             # The open buckets reserve free load, and only a part of their clients came. What they left unused
             # goes to the quota, since others were rejected meanwhile.
-            rest = max(rest, free_load - self._load_admitted_beside_quota / client_fraction)
+            rest = max(rest, free_load - self._load_admitted_outside_quota / client_fraction)
         self.has_rejected_young_bucket = False
-        self._load_admitted_beside_quota = 0.0
+        self._load_admitted_outside_quota = 0.0
         self.quota = rest * client_fraction
 
-    def _open_oldest_buckets(self, waiting_load: Mapping[int, float], free_load: float) -> float:
+    def _admit_oldest_buckets(self, waiting_load: Mapping[int, float], free_load: float) -> float:
         """Opens the oldest buckets that fit into the free load. Returns the load that is left over."""
-        self.last_open_bucket, self.partial_bucket = -NO_BUCKET, NO_BUCKET
+        self.last_admitted_bucket, self.partial_bucket = -NO_BUCKET, NO_BUCKET
         for bucket in sorted(waiting_load):
             if waiting_load[bucket] > free_load:
                 self.partial_bucket = bucket
                 break
-            self.last_open_bucket = bucket
+            self.last_admitted_bucket = bucket
             free_load -= waiting_load[bucket]
         return free_load
--- a/glenrock/routing/balancer.py
+++ b/glenrock/routing/balancer.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from .activity_history import ActivityHistory
-from .admission import LAG_US, AdmissionController
+from .admission import CLIENT_COUNT_LAG_US, AdmissionController
 from .capacity_estimation import CapacityEstimator
 from .client_sessions import ClientSessions
 from .connection_concurrency import ConcurrencyLimit
@@ -188,7 +188,7 @@
             capacity=self.capacity,
             slow_start=self.slow_start,
             ejection=self.ejection,
-            history=ActivityHistory(batch, LAG_US),
+            history=ActivityHistory(batch, CLIENT_COUNT_LAG_US),
         )
         self.health_checks = HealthChecker(
             batch=batch,
@@ -376,17 +376,19 @@
         self.admission.update_quota()
         self.migration.migrate_off_draining_servers()
         self.migration.relieve_overloaded_servers()
-        self.health_checks.run_round(self.admission.is_cap_open)
+        self.health_checks.run_round(self.admission.is_uncapped)
         self.lifecycle.retry_waiting()
         self.polling.poll_if_due()
-        self.gossip.send_if_due(self.admission.lagged_clients(), self.admission.is_cap_open, self.is_draining)
+        self.gossip.send_if_due(
+            self.admission.lagged_client_count(), self.admission.is_uncapped, self.is_draining
+        )
 
     def _update_estimates(self) -> None:
         peers = self.gossip.peers.values()
         # Balancers carry unequal loads, most of all while one drains, so capacity follows the whole tier's
         # load, scaled up for balancers that were not heard from.
-        tier_load = self.gossip.tier_load() * self.settings.balancers / (1 + len(peers))
-        self.capacity.update_server_capacity(tier_load, len(self.endpoints.index.ready))
+        total_active_load = self.gossip.total_active_load() * self.settings.balancers / (1 + len(peers))
+        self.capacity.update_server_capacity(total_active_load, len(self.endpoints.index.ready))
         own_load = sum(request.load for request in self.requests.values() if request.server)
         load = reference_load(
             own_load=own_load,
--- a/glenrock/routing/capacity_estimation.py
+++ b/glenrock/routing/capacity_estimation.py
@@ -20,13 +20,15 @@
 USUAL_CAPACITY_GAIN = 0.04  # per round, of the usual capacity
 MIN_USUAL_CAPACITY_FRACTION = 0.15  # least usual capacity, as a fraction of the servers' mean
 MIN_MEASURED_LOAD = 0.1  # a lower load does not show the capacity
-MAX_GUESSED_LOAD = 1.0  # of the fleet, when servers are lost
-MIN_TIER_FRACTION = 0.05  # bounds a division
+MAX_PREDICTED_LOAD = 1.0  # of the fleet, when servers are lost
+MIN_BALANCER_FRACTION = 0.05  # bounds a division
 STEADY_FRACTION = 0.67  # of the largest recent own load; above it the fraction of the tier is steady
 STEADY_WINDOW_US = 4 * SECOND_US
-CLIENTS_RETURN_US = 1 * SECOND_US  # time in which the clients of lost servers reconnect
+CLIENT_RECONNECT_US = 1 * SECOND_US  # time in which the clients of lost servers reconnect
 MAX_OBSERVED_LOAD = 3.0  # of one server, in the mean
-ENOUGH_SERVERS = 12  # observed servers that determine the mean load; in a smaller fleet all of them
+MIN_REPRESENTATIVE_SERVERS = (
+    12  # observed servers that determine the mean load; in a smaller fleet all of them
+)
 
 
 class ObservedLoad(NamedTuple):
@@ -63,19 +65,19 @@
         self.warm_server_count = 0
         self.has_warm_server = True
         self.servers_lost_us = NEVER_US
-        self._in_reach: set[str] = set()
+        self._reachable_ids: set[str] = set()
         self._warm: Sequence[Server] | None = None
         self._own_load_history: list[TimedLoad] = []
-        self._tier_fraction = 0.0  # of this balancer, while usual capacities were learned
-        self._tier_fraction_since_us = 0
+        self._balancer_fraction = 0.0  # of this balancer, while usual capacities were learned
+        self._balancer_fraction_since_us = 0
 
-    def update_server_capacity(self, tier_load: float, ready_servers: int) -> None:
+    def update_server_capacity(self, total_active_load: float, ready_servers: int) -> None:
         """Updates the capacity of an average server, once a round, from the active load of the tier."""
-        self.server_capacity = tier_load / max(1, ready_servers) / self._loads.bounded_fleet_load
+        self.server_capacity = total_active_load / max(1, ready_servers) / self._loads.bounded_fleet_load
 
     # -- the mean load -------------------------------------------------------------------------------
 
-    def follow_membership(self, warm: Sequence[Server]) -> None:
+    def update_membership(self, warm: Sequence[Server]) -> None:
         """Updates the mean load when servers join or are lost: the load of lost servers moves to the others.
 
         Without this guess all balancers would admit the clients of a lost zone at once, before reports show
@@ -88,38 +90,38 @@
             return
         self._warm = warm
         present = {server.server_id for server in warm}
-        added = [self._loads.load(server) for server in warm if server.server_id not in self._in_reach]
-        missing = [self._servers[id_] for id_ in self._in_reach - present if id_ in self._servers]
+        added = [self._loads.load(server) for server in warm if server.server_id not in self._reachable_ids]
+        missing = [self._servers[id_] for id_ in self._reachable_ids - present if id_ in self._servers]
         lost = sum(server.is_ready for server in missing)
-        if self._in_reach and warm and (added or lost):
-            self._guess_fleet_load(len(warm), added, lost)
-        self._in_reach = present or self._in_reach
+        if self._reachable_ids and warm and (added or lost):
+            self._predict_fleet_load(len(warm), added, lost)
+        self._reachable_ids = present or self._reachable_ids
 
-    def _guess_fleet_load(self, warm_count: int, added: list[float], lost_count: int) -> None:
+    def _predict_fleet_load(self, warm_count: int, added: list[float], lost_count: int) -> None:
         before = self._loads.fleet_load
         guess = (before * (warm_count - len(added) + lost_count) + sum(added)) / warm_count
         if lost_count and guess > before:
             self.servers_lost_us = self._batch.now_us
-        self._loads.fleet_load = min(guess, max(before, MAX_GUESSED_LOAD))
+        self._loads.fleet_load = min(guess, max(before, MAX_PREDICTED_LOAD))
 
-    def update_fleet_load(self, warm: Sequence[Server], tier_load: float) -> None:
+    def update_fleet_load(self, warm: Sequence[Server], total_active_load: float) -> None:
         """Moves the mean load towards the observed loads, the further the more servers are observed.
 
         Reports from before the clients of lost servers have reconnected are ignored: they would raise the cap
         while that load is under way.
         """
-        since_us = max(self._batch.now_us - FEEDBACK_DELAY_US, self.servers_lost_us + CLIENTS_RETURN_US)
+        since_us = max(self._batch.now_us - FEEDBACK_DELAY_US, self.servers_lost_us + CLIENT_RECONNECT_US)
         observed = [
             ObservedLoad(server, min(MAX_OBSERVED_LOAD, self._loads.load(server)))
             for server in warm
-            if server.reported_at_us > since_us or (server.connections and self._loads.is_silence_healthy)
+            if server.reported_at_us > since_us or (server.connections and self._loads.has_delay_reports)
         ]
         if observed:
-            gain = min(1.0, len(observed) / min(ENOUGH_SERVERS, len(warm)))
-            mean = self.mean_load(observed, tier_load)
+            gain = min(1.0, len(observed) / min(MIN_REPRESENTATIVE_SERVERS, len(warm)))
+            mean = self.mean_load(observed, total_active_load)
             self._loads.fleet_load += (mean - self._loads.fleet_load) * gain
 
-    def mean_load(self, observed: Sequence[ObservedLoad], tier_load: float) -> float:
+    def mean_load(self, observed: Sequence[ObservedLoad], total_active_load: float) -> float:
         """Returns the mean load of the servers, each weighted by its remaining fraction of capacity.
 
         In a plain mean, a few slow servers with many times their load would close the cap while the others
@@ -127,9 +129,9 @@
 
         Args:
             observed: the servers with a known load.
-            tier_load: active load of the whole tier.
+            total_active_load: active load of the whole tier.
         """
-        self._measure_capacities(observed, tier_load)
+        self._measure_capacities(observed, total_active_load)
         self._update_capacity_ratios(observed)
         weights = self._weights(observed)
         total_weight = sum(weights)
@@ -159,10 +161,12 @@
 
     # -- capacities ----------------------------------------------------------------------------------
 
-    def _measure_capacities(self, observed: Sequence[ObservedLoad], tier_load: float) -> None:
-        tier_fraction = min(1.0, max(MIN_TIER_FRACTION, self._sessions.active_load / max(1.0, tier_load)))
-        is_steady = self._is_tier_fraction_steady()
-        usual_gain = self._usual_capacity_gain(tier_fraction)
+    def _measure_capacities(self, observed: Sequence[ObservedLoad], total_active_load: float) -> None:
+        balancer_fraction = min(
+            1.0, max(MIN_BALANCER_FRACTION, self._sessions.active_load / max(1.0, total_active_load))
+        )
+        is_steady = self._is_balancer_fraction_steady()
+        usual_gain = self._usual_capacity_gain(balancer_fraction)
         for server, load in observed:
             own_load = server.own_load
             # One or two of a server's many connections do not represent its load: a full server would seem
@@ -170,9 +174,9 @@
             has_several = own_load > 2 * self._connection_loads.mean_load
             is_representative = has_several and has_representative_load(server)
             if is_steady and load > MIN_MEASURED_LOAD and is_representative:
-                observed_capacity = own_load / tier_fraction / load
-                server.capacity = _moved(server.capacity, observed_capacity, CAPACITY_GAIN)
-                server.usual_capacity = _moved(server.usual_capacity, observed_capacity, usual_gain)
+                observed_capacity = own_load / balancer_fraction / load
+                server.capacity = _update_average(server.capacity, observed_capacity, CAPACITY_GAIN)
+                server.usual_capacity = _update_average(server.usual_capacity, observed_capacity, usual_gain)
 
     def _update_capacity_ratios(self, observed: Sequence[ObservedLoad]) -> None:
         usual = [server.usual_capacity for server, _ in observed if server.usual_capacity]
@@ -183,7 +187,7 @@
                 least = MIN_USUAL_CAPACITY_FRACTION * sum(usual) / len(usual)
                 server.capacity_ratio = min(1.0, server.capacity / max(server.usual_capacity, least))
 
-    def _is_tier_fraction_steady(self) -> bool:
+    def _is_balancer_fraction_steady(self) -> bool:
         """Returns whether this balancer's fraction of the tier was about constant in `STEADY_WINDOW_US`.
 
         The estimate assumes the same fraction at each server as of the tier. While clients arrive from
@@ -196,7 +200,7 @@
         loads = [load for _, load in history]
         return min(loads) >= STEADY_FRACTION * max(loads)
 
-    def _usual_capacity_gain(self, tier_fraction: float) -> float:
+    def _usual_capacity_gain(self, balancer_fraction: float) -> float:
         """Returns the gain of usual capacities, and discards all capacities if the tier fraction changed.
 
         The error of a capacity is proportional to that of the fraction. After a change all servers would seem
@@ -204,18 +208,18 @@
         late reports still describe the time before.
         """
         now_us = self._batch.now_us
-        least, most = STEADY_FRACTION * self._tier_fraction, self._tier_fraction / STEADY_FRACTION
-        if not least <= tier_fraction <= most:
-            self._tier_fraction = tier_fraction
-            self._tier_fraction_since_us = now_us
+        least, most = STEADY_FRACTION * self._balancer_fraction, self._balancer_fraction / STEADY_FRACTION
+        if not least <= balancer_fraction <= most:
+            self._balancer_fraction = balancer_fraction
+            self._balancer_fraction_since_us = now_us
             for server in self._servers.values():
                 server.capacity = server.usual_capacity = 0.0
                 server.capacity_ratio = 1.0
-        self._tier_fraction += (tier_fraction - self._tier_fraction) * USUAL_CAPACITY_GAIN
-        is_known = now_us - self._tier_fraction_since_us >= STEADY_WINDOW_US
+        self._balancer_fraction += (balancer_fraction - self._balancer_fraction) * USUAL_CAPACITY_GAIN
+        is_known = now_us - self._balancer_fraction_since_us >= STEADY_WINDOW_US
         return USUAL_CAPACITY_GAIN if is_known else CAPACITY_GAIN
 
 
-def _moved(average: float, sample: float, gain: float) -> float:
+def _update_average(average: float, sample: float, gain: float) -> float:
     """Returns the moving average with one more sample; a first sample counts fully."""
     return average + (sample - average) * gain if average else sample
--- a/glenrock/routing/connection_concurrency.py
+++ b/glenrock/routing/connection_concurrency.py
@@ -19,7 +19,7 @@
 RISE_STEP = 0.5  # added to the same
 MIN_CUT_INTERVAL_US = SECOND_US  # set-ups in flight at a cut have nearly all ended by then
 MIN_AFFECTED_SERVERS = 3  # fewer slow servers are not the store's fault
-STORM_FAILURES = 6  # in a round; beyond them the limit is cut before the round ends
+EARLY_CUT_FAILURES = 6  # in a round; beyond them the limit is cut before the round ends
 LIFT_AFTER_ROUNDS = 20  # rounds below the limit until it is lifted
 RATE_DECAY = 0.98  # of the best rate, per round
 
@@ -29,16 +29,16 @@
 
     Attributes:
         limit: largest number in flight; `UNLIMITED` while it is not in force.
-        pending: number in flight.
+        in_flight: number in flight.
     """
 
     def __init__(self, batch: EventBatch, objective_us: int) -> None:
         self._batch = batch
         self._objective_us = objective_us
         self.limit = UNLIMITED
-        self.pending = 0
+        self.in_flight = 0
         self._peak = 0  # largest number in flight in this round
-        self._slow_or_failed = self._in_time = self._established = 0  # in this round
+        self._slow_or_failed = self._fast = self._established = 0  # in this round
         self._servers_affected: set[str] = set()
         self._cut_at_us = NEVER_US
         self._rounds_below_limit = 0
@@ -51,36 +51,36 @@
 
     def may_start(self) -> bool:
         """Returns whether another set-up may start."""
-        return self.pending < self.limit
+        return self.in_flight < self.limit
 
     def record_sent(self) -> None:
         """Records that a set-up started."""
-        self.pending += 1
-        self._peak = max(self._peak, self.pending)
+        self.in_flight += 1
+        self._peak = max(self._peak, self.in_flight)
 
     def record_cancelled(self) -> None:
         """Records that a set-up in flight was cancelled."""
-        self.pending -= 1
+        self.in_flight -= 1
 
     def record_established(self, server_id: str, latency_us: int) -> None:
         """Records a set-up that succeeded."""
-        self.pending -= 1
+        self.in_flight -= 1
         self._established += 1
         if latency_us > SLOW_FRACTION * self._objective_us:
             self._record_slow_or_failed(server_id)
         else:
-            self._in_time += 1
+            self._fast += 1
 
-    def record_ended(self, server_id: str, outcome: AttemptOutcome) -> None:
+    def record_failed(self, server_id: str, outcome: AttemptOutcome) -> None:
         """Records a set-up that failed. Full and unreachable servers do not show the store's state."""
-        self.pending -= 1
+        self.in_flight -= 1
         if outcome in (AttemptOutcome.ERROR, AttemptOutcome.TIMEOUT):
             self._record_slow_or_failed(server_id)
 
     def _record_slow_or_failed(self, server_id: str) -> None:
         self._slow_or_failed += 1
         self._servers_affected.add(server_id)
-        is_storm = self._slow_or_failed > STORM_FAILURES + 2 * self._in_time
+        is_storm = self._slow_or_failed > EARLY_CUT_FAILURES + 2 * self._fast
         if len(self._servers_affected) >= MIN_AFFECTED_SERVERS and is_storm:
             self._cut()
 
@@ -101,15 +101,15 @@
         if self._many_are_slow():
             self._cut()
         elif self.is_limited and self._peak >= self.limit - 1:
-            if self._in_time > self._slow_or_failed:
+            if self._fast > self._slow_or_failed:
                 self.limit = self.limit * RISE_FACTOR + RISE_STEP
             self._rounds_below_limit = 0
         elif self.is_limited:
             self._rounds_below_limit += 1
             if self._rounds_below_limit >= LIFT_AFTER_ROUNDS:
                 self.limit = UNLIMITED
-        self._slow_or_failed = self._in_time = self._established = 0
-        self._peak = self.pending
+        self._slow_or_failed = self._fast = self._established = 0
+        self._peak = self.in_flight
         self._servers_affected.clear()
 
     def _many_are_slow(self) -> bool:
@@ -118,7 +118,7 @@
         Under a limit few servers are reached in a round, so a majority is enough there: a rise while nothing
         is established would keep the store's queue long.
         """
-        if self._slow_or_failed <= self._in_time / 3:
+        if self._slow_or_failed <= self._fast / 3:
             return False
         are_several_servers = len(self._servers_affected) >= MIN_AFFECTED_SERVERS
-        return are_several_servers or (self.is_limited and self._slow_or_failed > self._in_time)
+        return are_several_servers or (self.is_limited and self._slow_or_failed > self._fast)
--- a/glenrock/routing/connection_load.py
+++ b/glenrock/routing/connection_load.py
@@ -9,10 +9,10 @@
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple
 
-MEAN_LOAD_GAIN = 0.02  # least weight of a new load in a mean; the first loads form a plain mean
-MAX_RESTORED_SAMPLES = round(1 / MEAN_LOAD_GAIN)  # further samples do not slow a mean down
+MIN_MEAN_LOAD_GAIN = 0.02  # least weight of a new load in a mean; the first loads form a plain mean
+MAX_RESTORED_SAMPLES = round(1 / MIN_MEAN_LOAD_GAIN)  # further samples do not slow a mean down
 ALL_CLASSES = ""
-UNKNOWN_LOAD = 1.0  # of a connection, while no load is known
+DEFAULT_LOAD = 1.0  # of a connection, while no load is known
 
 
 class LoadMean(NamedTuple):
@@ -42,13 +42,13 @@
         """
         for name in (ALL_CLASSES, class_name):
             mean, sample_count = self.means.get(name, LoadMean(0.0, 0))
-            gain = max(MEAN_LOAD_GAIN, 1 / (sample_count + 1))
+            gain = max(MIN_MEAN_LOAD_GAIN, 1 / (sample_count + 1))
             self.means[name] = LoadMean(mean + (load - mean) * gain, sample_count + 1)
         self.mean_load = self.means[ALL_CLASSES].load
 
     def expected(self, class_name: str) -> float:
         """Returns the mean of the class, or of all classes if it has none."""
-        return self.means.get(class_name, LoadMean(0.0, 0)).load or self.mean_load or UNKNOWN_LOAD
+        return self.means.get(class_name, LoadMean(0.0, 0)).load or self.mean_load or DEFAULT_LOAD
 
     def snapshot(self) -> dict[str, LoadMean]:
         """Returns the means in the form that `restore` accepts."""
--- a/glenrock/routing/failure_domains.py
+++ b/glenrock/routing/failure_domains.py
@@ -23,9 +23,9 @@
 HEALTHY_FAILURE_PROBABILITY = 0.03  # of a member of a healthy domain
 PARTITIONED_FAILURE_PROBABILITY = 0.97  # of a member of a partitioned domain
 FALSE_ALARM_RATE = 0.0005  # wanted chance that a healthy domain passes the bound
-MISSED_RATE = 0.05  # wanted chance that a partitioned domain does not
-WINDOW_US = 1_000_000  # a member's failures count once in this time
-HALF_LIFE_US = 4_000_000  # of a score without evidence
+MISSED_DETECTION_RATE = 0.05  # wanted chance that a partitioned domain does not
+EVIDENCE_WINDOW_US = 1_000_000  # a member's failures count once in this time
+SCORE_HALF_LIFE_US = 4_000_000  # of a score without evidence
 EVIDENCE_TIMEOUT_US = 10_000_000  # without evidence for this long a partition is assumed to be over
 HEALTH_CHECK_INTERVAL_US = 500_000  # between checks of a partitioned domain
 RECOVERY_STEP_US = 700_000  # of the recovery ramp
@@ -33,7 +33,7 @@
 
 FAILURE_LOG_RATIO = log(PARTITIONED_FAILURE_PROBABILITY / HEALTHY_FAILURE_PROBABILITY)
 REACHABLE_LOG_RATIO = log((1 - PARTITIONED_FAILURE_PROBABILITY) / (1 - HEALTHY_FAILURE_PROBABILITY))
-PARTITION_BOUND = log((1 - MISSED_RATE) / FALSE_ALARM_RATE)
+PARTITION_THRESHOLD = log((1 - MISSED_DETECTION_RATE) / FALSE_ALARM_RATE)
 
 
 @dataclass(slots=True)
@@ -45,7 +45,7 @@
         is_partitioned: the score has passed the bound, and no member has been reached since.
         recovered_us: end of the last partition; the recovery ramp starts then.
         checked_us: time of the last health check during the partition.
-        evidence_us: members whose failures counted, and when.
+        failure_counted_us: members whose failures counted, and when.
     """
 
     score: float = 0.0
@@ -53,7 +53,7 @@
     is_partitioned: bool = False
     recovered_us: int = NEVER_US
     checked_us: int = NEVER_US
-    evidence_us: dict[str, int] = field(default_factory=dict)
+    failure_counted_us: dict[str, int] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
@@ -145,10 +145,10 @@
             self.states[domain].checked_us = now_us
         return due
 
-    def suspicion(self, now_us: int, domain: str) -> float:
+    def score_fraction(self, now_us: int, domain: str) -> float:
         """Returns the present score as a fraction of the bound, 0 to 1."""
         state = self.states.get(domain)
-        return decayed_score(state.score, now_us - state.updated_us) / PARTITION_BOUND if state else 0.0
+        return decayed_score(state.score, now_us - state.updated_us) / PARTITION_THRESHOLD if state else 0.0
 
     def _evaluate_domain(self, domain: str, evidence: BatchEvidence, now_us: int) -> bool:
         """Evaluates the evidence of one domain. Returns whether its partition started or ended."""
@@ -163,7 +163,7 @@
     """Ends a partition: a reached member proves that the link works. Returns whether there was one."""
     state.score = max(0.0, state.score + REACHABLE_LOG_RATIO)
     state.updated_us = now_us
-    state.evidence_us.clear()
+    state.failure_counted_us.clear()
     if not state.is_partitioned:
         return False
     _end_partition(state, now_us)
@@ -179,20 +179,26 @@
 
 def _record_failures(state: DomainState, now_us: int, members: Iterable[str]) -> bool:
     """Adds failures to the score. Returns whether a partition starts."""
-    fresh = [member for member in members if now_us - state.evidence_us.get(member, -WINDOW_US) >= WINDOW_US]
+    fresh = [
+        member
+        for member in members
+        if now_us - state.failure_counted_us.get(member, -EVIDENCE_WINDOW_US) >= EVIDENCE_WINDOW_US
+    ]
     if not fresh:
         return False
-    recent = {member: at for member, at in state.evidence_us.items() if now_us - at < WINDOW_US}
-    state.evidence_us = recent | dict.fromkeys(fresh, now_us)
+    recent = {
+        member: at for member, at in state.failure_counted_us.items() if now_us - at < EVIDENCE_WINDOW_US
+    }
+    state.failure_counted_us = recent | dict.fromkeys(fresh, now_us)
     score = decayed_score(state.score, now_us - state.updated_us) + FAILURE_LOG_RATIO * len(fresh)
-    state.score = min(PARTITION_BOUND, score)
+    state.score = min(PARTITION_THRESHOLD, score)
     state.updated_us = now_us
     was_partitioned = state.is_partitioned
-    state.is_partitioned = was_partitioned or state.score >= PARTITION_BOUND
+    state.is_partitioned = was_partitioned or state.score >= PARTITION_THRESHOLD
     return state.is_partitioned and not was_partitioned
 
 
 def decayed_score(score: float, span_us: int) -> float:
     """Returns a score after that time without evidence."""
-    factor: float = 0.5 ** (max(0, span_us) / HALF_LIFE_US)
+    factor: float = 0.5 ** (max(0, span_us) / SCORE_HALF_LIFE_US)
     return score * factor
--- a/glenrock/routing/gossip.py
+++ b/glenrock/routing/gossip.py
@@ -10,14 +10,14 @@
 from .connection_load import ConnectionLoads
 from .event_batch import ROUND_US, SECOND_US, EventBatch, IgnoredSummary
 from .interface import GossipReceived, SendGossip, Settings
-from .load_estimation import ENOUGH_CONNECTIONS
+from .load_estimation import MIN_REPRESENTATIVE_CONNECTIONS
 from .state import Peer, WaitingLoad
 from .token_budget import gossip_budget
 from .waiting_queue import WaitingQueue
 
-CALM_GOSSIP_INTERVAL_US = 5 * SECOND_US  # while no client waits
-MAX_PEER_SILENCE_US = 3 * CALM_GOSSIP_INTERVAL_US
-STAMP_US = SECOND_US // 10  # unit of a summary's stamp
+IDLE_GOSSIP_INTERVAL_US = 5 * SECOND_US  # while no client waits
+MAX_PEER_SILENCE_US = 3 * IDLE_GOSSIP_INTERVAL_US
+STAMP_UNIT_US = SECOND_US // 10  # unit of a summary's stamp
 MAX_STAMP_ADVANCE = 0x7FFF  # a larger advance of the wrapping counter is an old summary
 MIN_JITTER = 0.9  # of an interval
 JITTER_DIVISOR = 5  # of the random part that is added
@@ -28,7 +28,7 @@
 
     Attributes:
         peers: by index.
-        next_us: earliest time of the next summary of this balancer.
+        next_send_us: earliest time of the next summary of this balancer.
         budget: tokens for the bytes of summaries.
     """
 
@@ -48,14 +48,14 @@
         self._waiting_queue = waiting_queue
         self._connection_loads = connection_loads
         self.peers: dict[int, Peer] = {}
-        self.next_us = 0
+        self.next_send_us = 0
         self.budget = gossip_budget(settings)
 
-    def tier_load(self) -> float:
+    def total_active_load(self) -> float:
         """Returns the known active load of all balancers."""
         return self._sessions.active_load + sum(peer.active_load for peer in self.peers.values())
 
-    def tier_waiting_load(self) -> dict[int, float]:
+    def total_waiting_load(self) -> dict[int, float]:
         """Returns the known waiting load of all balancers, by bucket."""
         loads = self._waiting_queue.load_by_bucket()
         for peer in self.peers.values():
@@ -93,45 +93,45 @@
 
     def _tenant_load(self) -> float:
         """Returns the load of all connections that tenants may hold; 0 while few loads are known."""
-        if len(self._sessions) < ENOUGH_CONNECTIONS:
+        if len(self._sessions) < MIN_REPRESENTATIVE_CONNECTIONS:
             return 0.0
         quota = sum(tenant.connections for tenant in self._settings.tenants)
         return self._connection_loads.mean_load * quota
 
     def send_at_next_round(self) -> None:
         """Makes the next summary due now, after a change that the other balancers need to know."""
-        self.next_us = self._batch.now_us
+        self.next_send_us = self._batch.now_us
 
-    def send_if_due(self, clients: int, is_cap_open: bool, is_balancer_draining: bool) -> None:
+    def send_if_due(self, clients: int, is_uncapped: bool, is_balancer_draining: bool) -> None:
         """Sends a summary if it is due and the budget allows.
 
         Args:
-            clients: number of clients seen here, `LAG_US` ago.
-            is_cap_open: the cap does not bind.
+            clients: number of clients seen here, `CLIENT_COUNT_LAG_US` ago.
+            is_uncapped: the cap does not bind.
             is_balancer_draining: this balancer migrates its clients; the others divide its quota meanwhile.
         """
         settings, now_us = self._settings, self._batch.now_us
-        if not settings.may_gossip or settings.balancers <= 1 or now_us < self.next_us:
+        if not settings.may_gossip or settings.balancers <= 1 or now_us < self.next_send_us:
             return
-        waiting = _ages(self._waiting_queue.load_by_bucket(), self._waiting_queue.current_bucket())
-        stamp = now_us // STAMP_US & gossip_codec.MAX_STAMP
+        waiting = _aged_loads(self._waiting_queue.load_by_bucket(), self._waiting_queue.current_bucket())
+        stamp = now_us // STAMP_UNIT_US & gossip_codec.MAX_STAMP
         shared_clients = 0 if is_balancer_draining else clients
         data = gossip_codec.encode(stamp, self._sessions.active_load, shared_clients, waiting)
         cost = len(data) * (settings.balancers - 1)
         if not self.budget.try_spend(cost):
             return
         # While no client waits, quotas need few summaries, and tokens are saved for times of scarcity.
-        is_calm = not waiting and is_cap_open
+        is_idle = not waiting and is_uncapped
         interval_us = 2 * ROUND_US
         if is_balancer_draining:
             interval_us = ROUND_US // 2
-        elif is_calm:
-            interval_us = CALM_GOSSIP_INTERVAL_US
-        self.next_us = now_us + int(interval_us * (MIN_JITTER + self._rng.random() / JITTER_DIVISOR))
+        elif is_idle:
+            interval_us = IDLE_GOSSIP_INTERVAL_US
+        self.next_send_us = now_us + int(interval_us * (MIN_JITTER + self._rng.random() / JITTER_DIVISOR))
         self._batch.emit(SendGossip(data))
 
 
-def _ages(load_by_bucket: Mapping[int, float], current: int) -> list[gossip_codec.AgedLoad]:
+def _aged_loads(load_by_bucket: Mapping[int, float], current: int) -> list[gossip_codec.AgedLoad]:
     return [
         gossip_codec.AgedLoad(current - bucket, load)
         for bucket, load in sorted(load_by_bucket.items(), reverse=True)
--- a/glenrock/routing/hash_ring.py
+++ b/glenrock/routing/hash_ring.py
@@ -12,11 +12,11 @@
 from struct import Struct
 from typing import Generic, NamedTuple, Protocol, TypeVar
 
-BITS = 64
-MASK = (1 << BITS) - 1
-POINTS = 16  # of each member
+HASH_BITS = 64
+HASH_MASK = (1 << HASH_BITS) - 1
+POINTS_PER_MEMBER = 16  # of each member
 # The constants of splitmix64.
-STEP = 0x9E3779B97F4A7C15
+SPLITMIX_INCREMENT = 0x9E3779B97F4A7C15
 FIRST_MULTIPLIER = 0xBF58476D1CE4E5B9
 SECOND_MULTIPLIER = 0x94D049BB133111EB
 # Points per bucket: outside the bounds the ring is divided into new buckets of the usual number.
@@ -26,11 +26,13 @@
 
 # One large integer holds a number per point, each in a lane of twice its width, so that products do not
 # overlap: a single pass of integer arithmetic mixes all points of a member (benchmarks/ring_lists.py).
-LANE_BITS = 2 * BITS
-ONES = sum(1 << LANE_BITS * index for index in range(POINTS))
-LOW_BITS = ONES * MASK
-STEPS = sum((index + STEP & MASK) << LANE_BITS * index for index in range(POINTS))
-_unpack_lanes = Struct("<" + "Q8x" * POINTS).unpack
+LANE_BITS = 2 * HASH_BITS
+LANE_ONES = sum(1 << LANE_BITS * index for index in range(POINTS_PER_MEMBER))
+LANE_MASK = LANE_ONES * HASH_MASK
+LANE_INCREMENTS = sum(
+    (index + SPLITMIX_INCREMENT & HASH_MASK) << LANE_BITS * index for index in range(POINTS_PER_MEMBER)
+)
+_unpack_lanes = Struct("<" + "Q8x" * POINTS_PER_MEMBER).unpack
 
 
 class Hashed(Protocol):
@@ -52,18 +54,20 @@
 
 def mix(number: int) -> int:
     """Mixes a 64-bit number by splitmix64; the same at every balancer."""
-    number = (number + STEP) & MASK
-    number = ((number ^ (number >> 30)) * FIRST_MULTIPLIER) & MASK
-    number = ((number ^ (number >> 27)) * SECOND_MULTIPLIER) & MASK
+    number = (number + SPLITMIX_INCREMENT) & HASH_MASK
+    number = ((number ^ (number >> 30)) * FIRST_MULTIPLIER) & HASH_MASK
+    number = ((number ^ (number >> 27)) * SECOND_MULTIPLIER) & HASH_MASK
     return number ^ (number >> 31)
 
 
 def ring_points(hash_: int) -> tuple[int, ...]:
-    """Returns `mix(hash_ + index)` for each index below POINTS, faster than by single calls."""
-    lanes = (hash_ * ONES + STEPS) & LOW_BITS
-    lanes = ((lanes ^ (lanes >> 30 & LOW_BITS)) * FIRST_MULTIPLIER) & LOW_BITS
-    lanes = ((lanes ^ (lanes >> 27 & LOW_BITS)) * SECOND_MULTIPLIER) & LOW_BITS
-    return _unpack_lanes((lanes ^ (lanes >> 31 & LOW_BITS)).to_bytes(POINTS * LANE_BITS // 8, "little"))
+    """Returns `mix(hash_ + index)` for each index below POINTS_PER_MEMBER, faster than by single calls."""
+    lanes = (hash_ * LANE_ONES + LANE_INCREMENTS) & LANE_MASK
+    lanes = ((lanes ^ (lanes >> 30 & LANE_MASK)) * FIRST_MULTIPLIER) & LANE_MASK
+    lanes = ((lanes ^ (lanes >> 27 & LANE_MASK)) * SECOND_MULTIPLIER) & LANE_MASK
+    return _unpack_lanes(
+        (lanes ^ (lanes >> 31 & LANE_MASK)).to_bytes(POINTS_PER_MEMBER * LANE_BITS // 8, "little")
+    )
 
 
 class HashRing(Generic[Member]):
@@ -75,7 +79,7 @@
 
     def __init__(self) -> None:
         self._count = 0
-        self._shift = BITS
+        self._shift = HASH_BITS
         self._buckets: list[dict[int, Member]] = [{}]
         self._sorted: list[list[int] | None] = [[]]
 
@@ -90,7 +94,7 @@
 
     def change(self, changes: Sequence[RingChange[Member]]) -> None:
         """Adds each member that is present and removes the others, in the given order."""
-        self._resize(self._count + POINTS * sum(is_present for _, _, is_present in changes))
+        self._resize(self._count + POINTS_PER_MEMBER * sum(is_present for _, _, is_present in changes))
         buckets, shift = self._buckets, self._shift
         are_many = len(changes) > len(buckets)
         if are_many:
@@ -110,47 +114,47 @@
     def at(self, position: int) -> Member:
         """Returns the member at the first point from that position on. Raises IndexError on an empty ring."""
         first = position >> self._shift
-        points = self._points_of(first)
+        points = self._points_in_bucket(first)
         index = bisect_left(points, position)
         if index < len(points):
             return self._buckets[first][points[index]]
         for later in chain(range(first + 1, len(self._buckets)), range(first + 1)):
-            if points := self._points_of(later):
+            if points := self._points_in_bucket(later):
                 return self._buckets[later][points[0]]
         raise IndexError("the ring is empty")
 
-    def around(self, position: int) -> list[Member]:
+    def members_from(self, position: int) -> list[Member]:
         """Returns each member once, in the order of their first points from that position on."""
         first = position >> self._shift
-        points = self._points_of(first)
+        points = self._points_in_bucket(first)
         index = bisect_left(points, position)
         members = [self._buckets[first][point] for point in points[index:]]
         for later in chain(range(first + 1, len(self._buckets)), range(first)):
             bucket = self._buckets[later]
-            members += [bucket[point] for point in self._points_of(later)]
+            members += [bucket[point] for point in self._points_in_bucket(later)]
         members += [self._buckets[first][point] for point in points[:index]]
         return list(dict.fromkeys(members))
 
     def _resize(self, count: int) -> None:
         """Divides the ring into new buckets if that number of points does not fit the present ones."""
         fits = MIN_BUCKET_POINTS <= count / len(self._buckets) <= MAX_BUCKET_POINTS
-        if fits or (count <= MAX_BUCKET_POINTS and self._shift == BITS):
+        if fits or (count <= MAX_BUCKET_POINTS and self._shift == HASH_BITS):
             return
         bits = max(0, (count // USUAL_BUCKET_POINTS).bit_length())
         before = self._buckets
-        self._shift = BITS - bits
+        self._shift = HASH_BITS - bits
         self._buckets = [{} for _ in range(1 << bits)]
         self._sorted = [None] * len(self._buckets)
-        for point, member in _items(before):
+        for point, member in _all_points(before):
             self._buckets[point >> self._shift][point] = member
 
-    def _points_of(self, bucket: int) -> list[int]:
+    def _points_in_bucket(self, bucket: int) -> list[int]:
         points = self._sorted[bucket]
         if points is None:
             points = self._sorted[bucket] = sorted(self._buckets[bucket])
         return points
 
 
-def _items(buckets: Iterable[dict[int, Member]]) -> Iterable[tuple[int, Member]]:
+def _all_points(buckets: Iterable[dict[int, Member]]) -> Iterable[tuple[int, Member]]:
     for bucket in buckets:
         yield from bucket.items()
--- a/glenrock/routing/health_checks.py
+++ b/glenrock/routing/health_checks.py
@@ -7,12 +7,12 @@
 from .endpoint_table import EndpointTable
 from .event_batch import SECOND_US, EventBatch
 from .failure_domains import FailureDomains
-from .hash_ring import MASK
+from .hash_ring import HASH_MASK
 from .interface import AttemptOutcome, HealthCheckResult, SendHealthCheck, Settings
 from .load_estimation import (
     FRESH_REPORT_US,
-    MIN_LATE_LOAD,
-    QUIET_LOAD,
+    LIGHT_LOAD,
+    MISSED_OBJECTIVE_MIN_LOAD,
     LoadEstimator,
     has_representative_load,
 )
@@ -79,7 +79,7 @@
         stale = [server for server in request.candidates if server.reported_at_us < fresh_us]
         return {server.server_id for server in stale if self.send(server)}
 
-    def record_broken(self, server: Server) -> None:
+    def record_broken_connection(self, server: Server) -> None:
         """Records that a connection broke, and checks its server.
 
         Each of many balancers holds few connections of a server that died. If each waited for several
@@ -100,28 +100,28 @@
             self.ejection.record_report(server, event.report)
         elif has_timed_out and self.loads.was_slow_recently(server):
             # A full server answers no check in time. It is overloaded, not unreachable.
-            self.ejection.record_load(server, max(MIN_LATE_LOAD, server.reported_load))
+            self.ejection.record_load(server, max(MISSED_OBJECTIVE_MIN_LOAD, server.reported_load))
         elif event.outcome == AttemptOutcome.NO_CONNECTION or (
             has_timed_out and not self.loads.was_heard_recently(server)
         ):
             self.ejection.record_unreachable(server)
 
-    def run_round(self, is_cap_open: bool) -> None:
+    def run_round(self, is_uncapped: bool) -> None:
         """Sends the round's periodic checks."""
-        self._check_longest_unheard(is_cap_open)
+        self._check_oldest_report(is_uncapped)
         self._check_partitioned_domains()
         self._check_inherited_load()
         if not self.settings.has_message_delay_reports:
             self._check_silent_servers()
 
-    def _check_longest_unheard(self, is_cap_open: bool) -> None:
+    def _check_oldest_report(self, is_uncapped: bool) -> None:
         """Checks the server with the oldest report, if the budget allows.
 
         Half of the tokens are reserved for requests while the fleet is lightly loaded. In a busy fleet all of
         them are used: with few requests the reserved ones would be left, and overload would go unnoticed.
         """
-        is_calm = self.loads.fleet_load < QUIET_LOAD and is_cap_open
-        reserved = MAX_HEALTH_CHECKS / 2 if is_calm else 1
+        is_lightly_loaded = self.loads.fleet_load < LIGHT_LOAD and is_uncapped
+        reserved = MAX_HEALTH_CHECKS / 2 if is_lightly_loaded else 1
         if self.budget.tokens <= reserved or not self.endpoints.ring:
             return
         ready = self.endpoints.ready_servers()
@@ -129,14 +129,14 @@
             self._rotation += 1
             self.send(ready[self._rotation % len(ready)])
         else:
-            self.send(min(ready, key=self._unheard_order))
+            self.send(min(ready, key=self._check_order))
 
     def _check_partitioned_domains(self) -> None:
         """Checks one server of each partitioned domain whose next check is due."""
         for zone in self.domains.due_health_checks(self.batch.now_us):
             servers = [server for server in self.endpoints.ready_servers() if server.zone == zone]
             if servers:
-                self.send(min(servers, key=self._unheard_order))
+                self.send(min(servers, key=self._check_order))
 
     def _check_inherited_load(self) -> None:
         """Checks servers without a report that hold connections from before this balancer started."""
@@ -150,13 +150,13 @@
             is_stale = self.batch.now_us - server.reported_at_us > FRESH_REPORT_US
             if not server.is_ready or not is_stale:
                 continue
-            if max(self.loads.fleet_load, self.selection.expected_load(server)) > QUIET_LOAD:
+            if max(self.loads.fleet_load, self.selection.expected_load(server)) > LIGHT_LOAD:
                 self.send(server)
 
-    def _unheard_order(self, server: Server) -> tuple[bool, int, int]:
+    def _check_order(self, server: Server) -> tuple[bool, int, int]:
         """Returns the sort key: no check in flight first, then the oldest report, then a salted hash.
 
         Without the salt, balancers that started together would check the same servers at the same times.
         """
-        salted_hash = server.hash * (self.salt | 1) & MASK
+        salted_hash = server.hash * (self.salt | 1) & HASH_MASK
         return server.health_check_sent_us >= 0, server.reported_at_us, salted_hash
--- a/glenrock/routing/load_estimation.py
+++ b/glenrock/routing/load_estimation.py
@@ -20,14 +20,14 @@
 MIN_DELAY_SAMPLE_INTERVAL_US = SECOND_US // 2  # closer samples do not show how a delay grows
 OWN_LOAD_HISTORY_US = 4 * SECOND_US  # more than the largest delay of a report
 
-DELAYED_LOAD = 0.82  # assumed of a server with slow messages
-MIN_LATE_LOAD = 1.1  # least load of a server whose messages miss their objective
-QUIET_LOAD = 0.58  # assumed of a silent server without load reports; lets the cap rise
+SLOW_MESSAGES_LOAD = 0.82  # assumed of a server with slow messages
+MISSED_OBJECTIVE_MIN_LOAD = 1.1  # least load of a server whose messages miss their objective
+LIGHT_LOAD = 0.58  # assumed of a silent server without load reports; lets the cap rise
 MIN_DELAY_GROWTH_LOAD = 0.3  # bounds of the load that the growth of a delay shows
 MAX_DELAY_GROWTH_LOAD = 3.0
 INITIAL_FLEET_LOAD = 0.5
 MIN_FLEET_LOAD = 0.1  # bounds a division
-ENOUGH_CONNECTIONS = 5  # own connections at a server that represent all connections there
+MIN_REPRESENTATIVE_CONNECTIONS = 5  # own connections at a server that represent all connections there
 
 
 def load_of_report(report: dict[str, float]) -> float | None:
@@ -38,7 +38,7 @@
 
 def has_representative_load(server: Server) -> bool:
     """Returns whether this balancer's connections at the server represent all connections there."""
-    return len(server.connections) >= ENOUGH_CONNECTIONS
+    return len(server.connections) >= MIN_REPRESENTATIVE_CONNECTIONS
 
 
 class LoadEstimator:
@@ -46,7 +46,7 @@
 
     Attributes:
         has_reports: health checks return a load.
-        is_silence_healthy: slow messages are reported, so a server without such reports is not slow.
+        has_delay_reports: slow messages are reported, so a server without such reports is not slow.
         fleet_load: mean load of the servers, which `CapacityEstimator` updates.
     """
 
@@ -54,9 +54,9 @@
         self._batch = batch
         fields = settings.load_report_fields
         self.has_reports = settings.may_health_check and (LOAD_RATIO in fields or UTILIZATION in fields)
-        self.is_silence_healthy = settings.has_message_delay_reports
+        self.has_delay_reports = settings.has_message_delay_reports
         self.fleet_load = INITIAL_FLEET_LOAD
-        self._with_history: dict[str, Server] = {}
+        self._servers_with_history: dict[str, Server] = {}
         self._last_round_us = NEVER_US
 
     @property
@@ -73,17 +73,17 @@
         """
         now_us = self._batch.now_us
         for server in servers:
-            if server.server_id not in self._with_history:
-                self._with_history[server.server_id] = server
+            if server.server_id not in self._servers_with_history:
+                self._servers_with_history[server.server_id] = server
                 if server.added_us <= self._last_round_us:
                     server.own_load_history = [TimedLoad(self._last_round_us, 0.0)]
-        for server in list(self._with_history.values()):
+        for server in list(self._servers_with_history.values()):
             history = [past for past in server.own_load_history if now_us - past.at_us < OWN_LOAD_HISTORY_US]
             history.append(TimedLoad(now_us, server.own_load))
             server.own_load_history = history
             if not server.connections and not any(load for _, load in history):
                 server.own_load_history = []
-                del self._with_history[server.server_id]
+                del self._servers_with_history[server.server_id]
         self._last_round_us = now_us
 
     def record_report(self, server: Server, load: float) -> None:
@@ -182,11 +182,11 @@
         if age_us < FRESH_REPORT_US:
             return load
         if now_us - server.delayed_at_us < DELAY_REPORT_VALID_US:
-            return max(load, DELAYED_LOAD)
-        if server.connections and self.is_silence_healthy:
+            return max(load, SLOW_MESSAGES_LOAD)
+        if server.connections and self.has_delay_reports:
             # Mostly servers with faults are checked again, and their old high loads would keep the cap low. A
             # server with connections here and no reports of slow messages is not busy.
-            return min(load, DELAYED_LOAD if self.has_reports else QUIET_LOAD)
+            return min(load, SLOW_MESSAGES_LOAD if self.has_reports else LIGHT_LOAD)
         return load
 
     def remaining_load_fraction(self, server: Server) -> float:
--- a/glenrock/routing/migration.py
+++ b/glenrock/routing/migration.py
@@ -12,17 +12,17 @@
 from .event_batch import ROUND_US, SECOND_US, EventBatch
 from .health_checks import HealthChecker
 from .interface import Migrate
-from .load_estimation import FEEDBACK_DELAY_US, FRESH_REPORT_US, MIN_LATE_LOAD, LoadEstimator
+from .load_estimation import FEEDBACK_DELAY_US, FRESH_REPORT_US, MISSED_OBJECTIVE_MIN_LOAD, LoadEstimator
 from .operator_overrides import OperatorOverrides
 from .server_index import ServerIndex
 from .state import RoutedRequest, Server
 
 MIGRATION_US = 2 * SECOND_US  # clients of a draining server migrate over this time
-OVERLOAD = 1.0  # load above which a server is relieved
-RELIEVED_LOAD = 0.65  # load left at a relieved server if the others are nearly full
-SPARE_LOAD = 0.5  # least load left at a relieved server if the others have free capacity
-EMPTIED_LOAD = 0.3  # load left at a slow server
-BACKLOG_US = 6 * SECOND_US  # time in which a server works off its backlog
+OVERLOAD_THRESHOLD = 1.0  # load above which a server is relieved
+SCARCE_RESIDUAL_LOAD = 0.65  # load left at a relieved server if the others are nearly full
+MIN_RESIDUAL_LOAD = 0.5  # least load left at a relieved server if the others have free capacity
+SLOW_SERVER_RESIDUAL_LOAD = 0.3  # load left at a slow server
+BACKLOG_CLEAR_US = 6 * SECOND_US  # time in which a server works off its backlog
 
 
 @dataclass(eq=False)
@@ -30,7 +30,7 @@
     """Migrates clients in parts, one a round.
 
     Attributes:
-        without_session: requests that are migrating and whose clients lose their sessions.
+        requests_losing_session: requests that are migrating and whose clients lose their sessions.
     """
 
     batch: EventBatch
@@ -39,7 +39,7 @@
     overrides: OperatorOverrides
     loads: LoadEstimator
     health_checks: HealthChecker
-    without_session: set[str] = field(init=False, default_factory=set)
+    requests_losing_session: set[str] = field(init=False, default_factory=set)
 
     # -- draining servers ----------------------------------------------------------------------------
 
@@ -85,73 +85,75 @@
 
     def relieve_overloaded_servers(self) -> None:
         """Migrates this balancer's part of the excess load off each overloaded server."""
-        is_scarce = self.loads.fleet_load > load_targets.HIGH_LOAD  # little free capacity elsewhere
+        is_capacity_scarce = self.loads.fleet_load > load_targets.HIGH_LOAD  # little free capacity elsewhere
         for server in self.index.with_connections():
             if not server.migrate_by_us:
-                self._relieve(server, is_scarce)
+                self._relieve(server, is_capacity_scarce)
 
-    def _relieve(self, server: Server, is_scarce: bool) -> None:
+    def _relieve(self, server: Server, is_capacity_scarce: bool) -> None:
         """Migrates this balancer's part of the excess load off a server, if it is overloaded.
 
         A server is late if its messages miss their objective, and slow if it lost capacity while the others
         have some. It is unobservable if its report is old and no health check may be sent.
         """
-        is_late = self.loads.misses_message_objective(server)
+        misses_objective = self.loads.misses_message_objective(server)
         # Connections that ended since the report would otherwise be migrated a second time.
         load = self.loads.load(server) * self.loads.remaining_load_fraction(server)
-        if not is_scarce and is_late:
-            load = max(load, MIN_LATE_LOAD)
+        if not is_capacity_scarce and misses_objective:
+            load = max(load, MISSED_OBJECTIVE_MIN_LOAD)
         # A server that lost capacity usually loses more, so it is emptied early and further.
-        is_slow = server.capacity_ratio <= load_targets.SLOW_CAPACITY_RATIO and not is_scarce
-        if load <= (load_targets.TARGET_LOAD if is_slow else OVERLOAD):
+        is_slow = server.capacity_ratio <= load_targets.SLOW_CAPACITY_RATIO and not is_capacity_scarce
+        if load <= (load_targets.TARGET_LOAD if is_slow else OVERLOAD_THRESHOLD):
             return
         # A backlog keeps messages late after enough load has left, so a fresh report is awaited.
-        is_stale = not is_late and self.batch.now_us - server.reported_at_us > FRESH_REPORT_US
+        is_stale = not misses_objective and self.batch.now_us - server.reported_at_us > FRESH_REPORT_US
         is_unobservable = is_stale and not self.health_checks.send(server)
-        if not self._is_due(server, is_slow, is_late, is_unobservable and is_scarce):
+        if not self._is_due(server, is_slow, misses_objective, is_unobservable and is_capacity_scarce):
             return
         if is_unobservable:
             load = max(load, self.loads.fleet_load)
         server.migrated_at_us = self.batch.now_us
-        excess = (load - self._relieved_load(is_scarce, is_slow)) / load * server.own_load
-        self._migrate_load(server, excess, is_scarce, by_group=is_slow)
+        excess = (load - self._residual_load(is_capacity_scarce, is_slow)) / load * server.own_load
+        self._migrate_load(server, excess, is_capacity_scarce, by_group=is_slow)
 
-    def _is_due(self, server: Server, is_slow: bool, is_late: bool, waits_for_backlog: bool) -> bool:
+    def _is_due(self, server: Server, is_slow: bool, misses_objective: bool, waits_for_backlog: bool) -> bool:
         """Returns whether the last migration off the server has had its effect, so that another may begin."""
         wait_us = FEEDBACK_DELAY_US
         if is_slow:
             wait_us = FRESH_REPORT_US
         elif waits_for_backlog:
-            wait_us = BACKLOG_US
+            wait_us = BACKLOG_CLEAR_US
         if self.batch.now_us - server.migrated_at_us < wait_us:
             return False
         has_pending_check = server.health_check_sent_us >= 0
-        return not has_pending_check or is_late
+        return not has_pending_check or misses_objective
 
-    def _relieved_load(self, is_scarce: bool, is_slow: bool) -> float:
+    def _residual_load(self, is_capacity_scarce: bool, is_slow: bool) -> float:
         """Returns the load to leave at an overloaded server.
 
         If the other servers are nearly full, more than a few clients would be migrated back at once.
         """
-        if is_scarce:
-            return RELIEVED_LOAD
+        if is_capacity_scarce:
+            return SCARCE_RESIDUAL_LOAD
         if is_slow:
-            return EMPTIED_LOAD
-        return min(load_targets.TARGET_LOAD, max(SPARE_LOAD, self.loads.fleet_load))
+            return SLOW_SERVER_RESIDUAL_LOAD
+        return min(load_targets.TARGET_LOAD, max(MIN_RESIDUAL_LOAD, self.loads.fleet_load))
 
-    def _migrate_load(self, server: Server, excess: float, is_scarce: bool, by_group: bool) -> None:
+    def _migrate_load(self, server: Server, excess: float, is_capacity_scarce: bool, by_group: bool) -> None:
         """Migrates connections of that total load; if capacity is scarce the clients lose their sessions."""
-        for group in self._migration_order(server, is_scarce, by_group):
+        for group in self._migration_order(server, is_capacity_scarce, by_group):
             load = sum(request.load for request in group)
             if excess < load and self.rng.random() * load > excess:
                 break
             excess -= load
             for request in group:
                 self.batch.emit(Migrate(request.event.request_id))
-                if is_scarce:
-                    self.without_session.add(request.event.request_id)
+                if is_capacity_scarce:
+                    self.requests_losing_session.add(request.event.request_id)
 
-    def _migration_order(self, server: Server, is_scarce: bool, by_group: bool) -> list[list[RoutedRequest]]:
+    def _migration_order(
+        self, server: Server, is_capacity_scarce: bool, by_group: bool
+    ) -> list[list[RoutedRequest]]:
         """Returns the server's connections in the order in which they migrate.
 
         If capacity is scarce the order is drawn by priority weight: in strict order the lowest class would
@@ -165,7 +167,7 @@
         ranked = []
         for number, group in enumerate(groups.values()):
             rank = -sum(request.load for request in group)
-            if is_scarce:
+            if is_capacity_scarce:
                 rank = group[0].request_class.priority_weight * self.rng.random()
             ranked.append((rank, number, group))
         return [group for _, _, group in sorted(ranked)]
--- a/glenrock/routing/outlier_ejection.py
+++ b/glenrock/routing/outlier_ejection.py
@@ -25,7 +25,7 @@
 OUTLIER_RATIO = 1.2  # of the mean load; a server above it is overloaded by itself
 FAILURES_TO_EJECT = 2  # in a row
 MAX_FAILURES = 6  # in a row; further ones do not extend the ejection
-FIRST_EJECTION_US = SECOND_US / 4  # doubled for each failure; the first ejection is 1 s, with jitter
+BASE_EJECTION_US = SECOND_US / 4  # doubled for each failure; the first ejection is 1 s, with jitter
 
 
 @dataclass(eq=False)
@@ -59,7 +59,7 @@
         now_us = self.batch.now_us
         return now_us >= server.ejected_until_us and self.domains.may_use(now_us, server.zone, server.hash)
 
-    def servers_in_reach(self) -> list[Server]:
+    def reachable_servers(self) -> list[Server]:
         """Returns the ready servers without a recent failure, in domains that may be used."""
         now_us = self.batch.now_us
         found = self.index.ready_without_suspects(now_us)
@@ -109,7 +109,7 @@
         server.consecutive_failures = min(server.consecutive_failures + 1, MAX_FAILURES)
         is_outlier = server.consecutive_failures >= FAILURES_TO_EJECT
         if is_outlier and not self.domains.is_partitioned(server.zone):
-            ejection_us = FIRST_EJECTION_US * 2**server.consecutive_failures
+            ejection_us = BASE_EJECTION_US * 2**server.consecutive_failures
             jitter = 0.75 + self.rng.random() / 2
             server.ejected_until_us = self.batch.now_us + int(ejection_us * jitter)
         self.cut_weight(server)
--- a/glenrock/routing/request_lifecycle.py
+++ b/glenrock/routing/request_lifecycle.py
@@ -194,7 +194,7 @@
         server = attempt.server
         self.ejection.record_report(server, event.report)
         if not request.server:
-            self.concurrency.record_ended(server.server_id, event.outcome)
+            self.concurrency.record_failed(server.server_id, event.outcome)
             self._route_next_waiting()
         keep_session = self._record_outcome(request, attempt, is_balancer_draining)
         if event.is_final or request.server:
@@ -215,7 +215,7 @@
         if attempt.outcome == AttemptOutcome.NO_CONNECTION:
             self.ejection.record_unreachable(attempt.server)
         elif attempt.outcome == AttemptOutcome.BROKEN and request.server:
-            self.health_checks.record_broken(attempt.server)
+            self.health_checks.record_broken_connection(attempt.server)
         return keep_session
 
     # -- the end of a request ------------------------------------------------------------------------
@@ -264,6 +264,6 @@
         self._awaiting_checks.pop(request_id, None)
         if request.server:
             request.server.connections.pop(request_id, None)
-        is_migrated_without_session = request_id in self.migration.without_session
+        is_migrated_without_session = request_id in self.migration.requests_losing_session
         self.sessions.remove_connection(request, keep_session and not is_migrated_without_session)
-        self.migration.without_session.discard(request_id)
+        self.migration.requests_losing_session.discard(request_id)
--- a/glenrock/routing/server_selection.py
+++ b/glenrock/routing/server_selection.py
@@ -10,7 +10,7 @@
 from .endpoint_table import MAX_WEIGHT, EndpointTable
 from .event_batch import EventBatch
 from .group_affinity import GroupAffinity
-from .hash_ring import MASK, mix
+from .hash_ring import HASH_MASK, mix
 from .interface import Settings
 from .load_estimation import LoadEstimator
 from .outlier_ejection import OutlierEjection
@@ -93,14 +93,14 @@
             server = ring.at(mix(seed + draw))
             if server in found or server.server_id in tried or not self.retries.may_send(request, server):
                 continue
-            if mix(seed ^ server.hash) / MASK * scale <= server.weight:
+            if mix(seed ^ server.hash) / HASH_MASK * scale <= server.weight:
                 found.append(server)
                 if len(found) == MAX_CANDIDATES:
                     return
 
     def _any_server(self, request: RoutedRequest, seed: int, tried: set[str]) -> list[Server]:
         """Returns the first server on the ring that may receive the request; tried servers come last."""
-        around = self.endpoints.ring.around(mix(seed))
+        around = self.endpoints.ring.members_from(mix(seed))
         allowed = [server for server in around if self.retries.may_send(request, server)]
         return [server for server in allowed if server.server_id not in tried][:1] or allowed[:1]
 
--- a/glenrock/routing/slow_start.py
+++ b/glenrock/routing/slow_start.py
@@ -10,7 +10,7 @@
 
 from .capacity_estimation import CapacityEstimator
 from .event_batch import EventBatch
-from .hash_ring import MASK, mix
+from .hash_ring import HASH_MASK, mix
 from .interface import Settings
 from .load_estimation import LoadEstimator
 from .state import Peer, Server, TimedLoad
@@ -148,7 +148,7 @@
         windows would let all balancers send at once.
         """
         window = (self._batch.now_us - server.started_us) // self._settings.slow_start_window_us
-        draw = max(MIN_DRAW, mix(server.hash ^ self._salt ^ mix(window)) / MASK)
+        draw = max(MIN_DRAW, mix(server.hash ^ self._salt ^ mix(window)) / HASH_MASK)
         return min(1 / draw, self._settings.balancers / 2)
 
     def record_sent(self, server: Server, load: float) -> None:
--- a/glenrock/simulation/policies/module.py
+++ b/glenrock/simulation/policies/module.py
@@ -34,19 +34,19 @@
 # By the name in experiment files: the constant's name in `glenrock.routing`, and the modules that hold it.
 CONSTANTS: dict[str, tuple[str, tuple[ModuleType, ...]]] = {
     "ROUND_US": ("ROUND_US", ROUND_MODULES),
-    "CALM_US": ("CALM_GOSSIP_INTERVAL_US", (gossip,)),
-    "LAG_US": ("LAG_US", (admission, balancer_module)),
+    "CALM_US": ("IDLE_GOSSIP_INTERVAL_US", (gossip,)),
+    "LAG_US": ("CLIENT_COUNT_LAG_US", (admission, balancer_module)),
     "PROBE_WAIT_US": ("HEALTH_CHECK_WAIT_US", (server_selection, request_lifecycle)),
     "TARGET": ("TARGET_LOAD", (load_targets,)),
     "HIGH": ("HIGH_LOAD", (load_targets,)),
-    "RELIEF": ("RELIEVED_LOAD", (migration,)),
-    "LONE": ("SPARE_LOAD", (migration,)),
+    "RELIEF": ("SCARCE_RESIDUAL_LOAD", (migration,)),
+    "LONE": ("MIN_RESIDUAL_LOAD", (migration,)),
     "SLOW": ("SLOW_CAPACITY_RATIO", (load_targets,)),
-    "LEFT": ("EMPTIED_LOAD", (migration,)),
-    "DRAIN_US": ("BACKLOG_US", (migration,)),
+    "LEFT": ("SLOW_SERVER_RESIDUAL_LOAD", (migration,)),
+    "DRAIN_US": ("BACKLOG_CLEAR_US", (migration,)),
     "LEAVE_US": ("MIGRATION_US", (migration, balancer_module)),
-    "MOVE_AT": ("OVERLOAD", (migration,)),
-    "SAMPLE": ("ENOUGH_SERVERS", (capacity_estimation,)),
+    "MOVE_AT": ("OVERLOAD_THRESHOLD", (migration,)),
+    "SAMPLE": ("MIN_REPRESENTATIVE_SERVERS", (capacity_estimation,)),
     "CAP_CUT": ("CAP_CUT_FACTOR", (admission,)),
     "CAP_RISE": ("CAP_RISE_FRACTION", (admission,)),
     "WEIGHT_CUT": ("WEIGHT_CUT_FACTOR", (outlier_ejection,)),
@@ -62,8 +62,8 @@
     "MAX_LINE_BYTES": ("MAX_WAITING", (waiting_queue, admission)),
     "FEEDBACK_US": ("FEEDBACK_DELAY_US", FEEDBACK_MODULES),
     "FRESH_US": ("FRESH_REPORT_US", (health_checks, migration)),
-    "LATE": ("MIN_LATE_LOAD", (health_checks, migration)),
-    "QUIET": ("QUIET_LOAD", (health_checks,)),
+    "LATE": ("MISSED_OBJECTIVE_MIN_LOAD", (health_checks, migration)),
+    "QUIET": ("LIGHT_LOAD", (health_checks,)),
 }
 OPEN: dict[str, float] = {key: getattr(modules[0], name) for key, (name, modules) in CONSTANTS.items()}
 
--- a/tests/routing/scenarios.py
+++ b/tests/routing/scenarios.py
@@ -98,7 +98,7 @@
     """Sets the cap, and a quota that new clients have to share, until the next round."""
     admission = harness.balancer.admission
     admission.load_cap, admission.quota = load_cap, quota
-    admission.may_admit_newcomers = False
+    admission.may_admit_new_clients = False
 
 
 def establish_requests(harness: Harness, count: int, load: int = 0, wait_us: int = 0) -> list[str]:
--- a/tests/routing/test_admission.py
+++ b/tests/routing/test_admission.py
@@ -40,14 +40,14 @@
     admission.update_quota()
     assert admission.client_fraction() == 0.5
     assert admission.quota == pytest.approx(100)
-    assert not admission.may_admit_newcomers
+    assert not admission.may_admit_new_clients
 
 
 def test_new_clients_are_admitted_below_half_the_cap_without_waiting_clients(make_harness: HarnessFactory) -> None:
     harness = make_harness()
     set_loads(harness, load_cap=1000.0, active_load=400.0)
     harness.balancer.admission.update_quota()
-    assert harness.balancer.admission.may_admit_newcomers
+    assert harness.balancer.admission.may_admit_new_clients
 
 
 def test_admitted_clients_use_up_the_quota_of_the_round(make_harness: HarnessFactory) -> None:
@@ -70,7 +70,7 @@
     admission.load_cap = 200.0
     admission.history.samples = [ActivitySample(harness.now_us, 1, 148.0)]
     admission.update_quota()
-    assert admission.last_open_bucket == current_bucket - 2
+    assert admission.last_admitted_bucket == current_bucket - 2
     assert (admission.partial_bucket, admission.quota) == (current_bucket - 1, 0.0)
     admission.load_cap = 220.0  # leaves 20 for the last bucket
     admission.update_quota()
@@ -101,7 +101,7 @@
     receive_summary(harness, 1, 5.0, 5, [(9, 30)])
     set_loads(harness, load_cap=20.0, active_load=5.0)
     admission.update_quota()
-    assert admission.partial_bucket == 1 - 9 and not admission.may_admit_newcomers
+    assert admission.partial_bucket == 1 - 9 and not admission.may_admit_new_clients
     admission.has_rejected_young_bucket, admission.quota = False, 10.0
     assert not harness.attempts_of(harness.send_request(key=1, load=1))
     assert admission.has_rejected_young_bucket
--- a/tests/routing/test_capacity_estimation.py
+++ b/tests/routing/test_capacity_estimation.py
@@ -55,4 +55,4 @@
     report_loads(harness, {"b:1": 0.0})
     servers = harness.balancer.servers
     observed = [ObservedLoad(servers["b:1"], 2.0), ObservedLoad(servers["c:1"], 3.0)]
-    assert harness.balancer.capacity.mean_load(observed, tier_load=1.0) == pytest.approx(2.5)
+    assert harness.balancer.capacity.mean_load(observed, total_active_load=1.0) == pytest.approx(2.5)
--- a/tests/routing/test_connection_concurrency.py
+++ b/tests/routing/test_connection_concurrency.py
@@ -79,7 +79,7 @@
         for set_up in self._queue:
             if set_up.is_awaited and self._batch.now_us - set_up.sent_at_us > CLIENT_TIMEOUT_US:
                 set_up.is_awaited = False
-                self._limit.record_ended(set_up.server_id, AttemptOutcome.TIMEOUT)
+                self._limit.record_failed(set_up.server_id, AttemptOutcome.TIMEOUT)
                 self._waiting += 1
 
 
@@ -98,7 +98,7 @@
     for number in range(40):
         batch.now_us += TICK_US
         limit.record_sent()
-        limit.record_ended("slow", AttemptOutcome.TIMEOUT)
+        limit.record_failed("slow", AttemptOutcome.TIMEOUT)
         limit.record_sent()
         limit.record_established(f"s{number % 7}", 20_000)
     limit.finish_round()
@@ -176,7 +176,7 @@
     run = SetUpRun(seed)
     for number, end in enumerate(ends):
         run.advance(run.request(number), end)
-        assert run.balancer.concurrency.pending == run.set_ups_without_outcome()
+        assert run.balancer.concurrency.in_flight == run.set_ups_without_outcome()
     for _ in range(200):
         run.advance(None, AttemptOutcome.FULL)
-        assert run.balancer.concurrency.pending == run.set_ups_without_outcome()
+        assert run.balancer.concurrency.in_flight == run.set_ups_without_outcome()
--- a/tests/routing/test_failure_domains.py
+++ b/tests/routing/test_failure_domains.py
@@ -47,7 +47,7 @@
         assert sorted(domains.evaluate(now_us)) == sorted(shuffled_domains.evaluate(now_us))
         assert rounded_states(domains) == rounded_states(shuffled_domains)
         for state in domains.states.values():
-            assert 0 <= state.score <= failure_domains.PARTITION_BOUND and len(state.evidence_us) <= 6
+            assert 0 <= state.score <= failure_domains.PARTITION_THRESHOLD and len(state.failure_counted_us) <= 6
 
 
 def record_failures(domains: FailureDomains, now_us: int, members: str) -> list[str]:
@@ -85,20 +85,20 @@
 def test_failures_of_a_member_count_again_once_a_member_was_reached() -> None:
     domains = FailureDomains()
     record_failures(domains, 0, "u")
-    suspicion = domains.suspicion(0, DOMAIN)
+    score_fraction = domains.score_fraction(0, DOMAIN)
     assert record_failures(domains, 100_000, "u") == []
-    assert domains.suspicion(100_000, DOMAIN) < suspicion, "within the window they count once"
+    assert domains.score_fraction(100_000, DOMAIN) < score_fraction, "within the window they count once"
     domains.record(DOMAIN, "v", True)
     domains.evaluate(200_000)
     record_failures(domains, 300_000, "u")
-    assert domains.suspicion(300_000, DOMAIN) == pytest.approx(suspicion)
+    assert domains.score_fraction(300_000, DOMAIN) == pytest.approx(score_fraction)
 
 
 def test_score_and_partition_expire_without_evidence() -> None:
     domains = FailureDomains()
     record_failures(domains, 0, "uv")
-    before = domains.suspicion(0, DOMAIN)
-    assert domains.suspicion(20 * SECOND, DOMAIN) < before / 20
+    before = domains.score_fraction(0, DOMAIN)
+    assert domains.score_fraction(20 * SECOND, DOMAIN) < before / 20
     assert record_failures(domains, 20 * SECOND, "w") == []
     record_failures(domains, 20 * SECOND + 1, "xy")
     assert domains.is_partitioned(DOMAIN)
@@ -133,7 +133,7 @@
             domains.record(DOMAIN, member, not has_failed)
             domains.evaluate(number * 50_000)
         detected += domains.is_partitioned(DOMAIN)
-    assert detected / partitioned_count > 1 - 2 * failure_domains.MISSED_RATE
+    assert detected / partitioned_count > 1 - 2 * failure_domains.MISSED_DETECTION_RATE
 
 
 # -- effects on requests and checks ------------------------------------------------------------------
--- a/tests/routing/test_gossip.py
+++ b/tests/routing/test_gossip.py
@@ -15,9 +15,9 @@
     harness = make_harness()
     receive_summary(harness, 1, 500.0, 10)
     harness.advance(2 * SECOND)
-    assert harness.balancer.gossip.tier_load() == 500
+    assert harness.balancer.gossip.total_active_load() == 500
     harness.advance(60 * SECOND)
-    assert harness.balancer.gossip.tier_load() == 0
+    assert harness.balancer.gossip.total_active_load() == 0
 
 
 @pytest.mark.parametrize(
--- a/tests/routing/test_hash_ring.py
+++ b/tests/routing/test_hash_ring.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from glenrock.routing.hash_ring import MASK, POINTS, HashRing, RingChange, mix, ring_points
+from glenrock.routing.hash_ring import HASH_MASK, POINTS_PER_MEMBER, HashRing, RingChange, mix, ring_points
 from glenrock.routing.state import stable_hash
 
 
@@ -35,22 +35,22 @@
                 else:
                     self.points.pop(point, None)
 
-    def around(self, position: int) -> list[Member]:
+    def members_from(self, position: int) -> list[Member]:
         """Returns each member once, in the order of their first points from that position on."""
         order = sorted(self.points)
         first = bisect_left(order, position)
         return list(dict.fromkeys(self.points[point] for point in order[first:] + order[:first]))
 
 
-@given(st.integers(0, MASK))
+@given(st.integers(0, HASH_MASK))
 def test_ring_points_equal_single_mix_calls(member_hash: int) -> None:
-    assert list(ring_points(member_hash)) == [mix(member_hash + number) for number in range(POINTS)]
+    assert list(ring_points(member_hash)) == [mix(member_hash + number) for number in range(POINTS_PER_MEMBER)]
 
 
 @settings(max_examples=60, deadline=None)
 @given(
     st.lists(st.lists(st.tuples(st.integers(0, 300), st.booleans()), max_size=120), max_size=6),
-    st.lists(st.integers(0, MASK), min_size=1, max_size=20),
+    st.lists(st.integers(0, HASH_MASK), min_size=1, max_size=20),
 )
 def test_ring_equals_a_sorted_list(batches: list[list[tuple[int, bool]]], positions: list[int]) -> None:
     members = [Member(stable_hash(f"10.0.0.{number}:80")) for number in range(301)]
@@ -66,11 +66,11 @@
         expected_ring.change(changes)
         assert len(ring) == len(expected_ring.points)
         # Only some positions are queried in between, so that sorted and unsorted buckets are changed.
-        for position in [*positions[: batch_number + 1], 0, MASK]:
-            expected = expected_ring.around(position)
+        for position in [*positions[: batch_number + 1], 0, HASH_MASK]:
+            expected = expected_ring.members_from(position)
             if expected:
                 assert ring.at(position) is expected[0]
-            assert ring.around(position) == expected
+            assert ring.members_from(position) == expected
 
 
 def test_ring_resizes_for_a_large_list() -> None:
@@ -83,5 +83,5 @@
         ring.change(changes)
         expected_ring.change(changes)
         positions = [mix(number) for number in range(20)]
-        assert all(ring.at(position) is expected_ring.around(position)[0] for position in positions)
+        assert all(ring.at(position) is expected_ring.members_from(position)[0] for position in positions)
     assert ring.bucket_count < 50  # the buckets of the large list are gone
--- a/tests/routing/test_invalid_summaries.py
+++ b/tests/routing/test_invalid_summaries.py
@@ -22,7 +22,7 @@
     for key in range(5):
         open_connection(harness, f"o{key}", "a:1", key=key, load=25_000)
     harness.deliver(interface.GossipReceived(1, encode(1, 9_000_000, 300, [])))
-    assert harness.balancer.gossip.tier_load() == TIER_LOAD
+    assert harness.balancer.gossip.total_active_load() == TIER_LOAD
     return harness
 
 
@@ -30,7 +30,7 @@
     harness = Harness(settings(tenants=(interface.Tenant("t", 600.0),)))
     harness.balancer.connection_loads.mean_load = 1.0  # no load of a connection is known
     harness.deliver(interface.GossipReceived(1, encode(1, 9_000_000, 300, [])))
-    assert harness.balancer.gossip.tier_load() == 9_000_000 and not harness.balancer.batch.ignored_summaries
+    assert harness.balancer.gossip.total_active_load() == 9_000_000 and not harness.balancer.batch.ignored_summaries
 
 
 @pytest.mark.parametrize(
@@ -51,7 +51,7 @@
     harness.deliver(interface.GossipReceived(peer, data))
     (ignored,) = harness.balancer.batch.ignored_summaries
     assert ignored.peer_index == peer and reason in ignored.reason
-    assert harness.balancer.gossip.tier_load() == TIER_LOAD
+    assert harness.balancer.gossip.total_active_load() == TIER_LOAD
     assert not harness.balancer.waiting_queue.load_by_bucket()
     assert set(harness.balancer.gossip.peers) == {1}
     harness.deliver()
@@ -77,4 +77,4 @@
 def test_arbitrary_bytes_raise_the_tier_load_by_a_bounded_amount(data: bytes) -> None:
     harness = harness_with_a_peer()
     harness.deliver(interface.GossipReceived(1, data))
-    assert harness.balancer.gossip.tier_load() <= 100 * 600 * 25_000
+    assert harness.balancer.gossip.total_active_load() <= 100 * 600 * 25_000
--- a/tests/routing/test_layout.py
+++ b/tests/routing/test_layout.py
@@ -23,15 +23,15 @@
     "NO_BUCKET",
     "UNLIMITED",
     "VERSION",
-    "BITS",
-    "MASK",
-    "STEP",
+    "HASH_BITS",
+    "HASH_MASK",
+    "SPLITMIX_INCREMENT",
     "FIRST_MULTIPLIER",
     "SECOND_MULTIPLIER",
     "LANE_BITS",
-    "ONES",
-    "LOW_BITS",
-    "STEPS",
+    "LANE_ONES",
+    "LANE_MASK",
+    "LANE_INCREMENTS",
 }
 DEPLOY = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())
 
--- a/tests/routing/test_load_estimation.py
+++ b/tests/routing/test_load_estimation.py
@@ -126,7 +126,7 @@
     for _ in range(3):
         time_out_check(harness)
     assert not server.consecutive_failures and ejection.is_usable(server)
-    assert server.reported_load >= load_estimation.MIN_LATE_LOAD
+    assert server.reported_load >= load_estimation.MISSED_OBJECTIVE_MIN_LOAD
     harness.advance(3 * SECOND)  # nothing is heard of the server
     for _ in range(3):
         time_out_check(harness)
--- a/tests/routing/test_many_balancers.py
+++ b/tests/routing/test_many_balancers.py
@@ -108,12 +108,12 @@
     loads = harness.balancer.loads
     lose_zone(harness)
     harness.advance(SECOND // 2)
-    assert loads.fleet_load == pytest.approx(capacity_estimation.MAX_GUESSED_LOAD)
+    assert loads.fleet_load == pytest.approx(capacity_estimation.MAX_PREDICTED_LOAD)
     assert harness.balancer.admission.load_cap < NO_CAP
     # Reports from before the clients have reconnected do not open the cap; later ones do.
     report_load(harness, 0.2, FOUR_SERVERS)
     harness.advance(SECOND // 4)
-    assert loads.fleet_load == pytest.approx(capacity_estimation.MAX_GUESSED_LOAD)
+    assert loads.fleet_load == pytest.approx(capacity_estimation.MAX_PREDICTED_LOAD)
     for _ in range(12):
         harness.advance(SECOND // 2)
         report_load(harness, 0.2, FOUR_SERVERS)
@@ -135,10 +135,10 @@
     balancer = one_of_forty(names=NAMES[: len(loads)]).balancer
     warm = list(balancer.servers.values())
     balancer.batch.now_us, balancer.loads.fleet_load = T0, sum(loads) / len(loads)
-    balancer.capacity.follow_membership(warm)
+    balancer.capacity.update_membership(warm)
     before = balancer.loads.fleet_load
-    balancer.capacity.follow_membership(warm[:remaining])
-    assert before <= balancer.loads.fleet_load <= max(before, capacity_estimation.MAX_GUESSED_LOAD)
+    balancer.capacity.update_membership(warm[:remaining])
+    assert before <= balancer.loads.fleet_load <= max(before, capacity_estimation.MAX_PREDICTED_LOAD)
     assert (balancer.capacity.servers_lost_us == T0) == (remaining < len(warm))
 
 
@@ -196,7 +196,7 @@
     harness.advance(SECOND // 2)
     admission = harness.balancer.admission
     admission.load_cap = admission.quota = admission.slow_start_load_cap = 0.0
-    admission.may_admit_newcomers = False
+    admission.may_admit_new_clients = False
     admission.partial_bucket = admission.extra_buckets = 0
     return harness
 
@@ -257,7 +257,7 @@
     harness = full_fleet_with_warming_servers(load=load)
     balancer = harness.balancer
     balancer.admission.load_cap = NO_CAP
-    balancer.admission.may_admit_newcomers = True
+    balancer.admission.may_admit_new_clients = True
     warming = balancer.slow_start.warming
     for server in warming:
         server.slow_start_sends = [TimedLoad(harness.now_us, -1e9)]  # budget for all
