--- a/glenrock/routing/admission.py
+++ b/glenrock/routing/admission.py
@@ -1,8 +1,9 @@
-"""Which clients are admitted: a learned cap on active load, a quota of the free load, and the waiting queue.
+"""Admission control: a learned cap on the active load, per-round quotas, and the order of waiting clients.
 
-All balancers share one cap, of which each keeps its own estimate. The free load goes to the oldest buckets of
-the waiting queue first; the bucket that exceeds it is divided among the balancers by their fractions of the
-clients some seconds ago. Reasons: docs/design.md.
+The cap applies to the total active load of all balancers, and each balancer estimates it independently. Free
+load below the cap is given to the oldest buckets of the waiting queue first. The first bucket that does not
+fit is admitted in part: each balancer receives a quota in proportion to its fraction of the clients a few
+seconds ago. docs/design.md gives the reasons for this design.
 """
 
 from __future__ import annotations
@@ -26,32 +27,36 @@
 from .waiting_queue import MAX_WAITING, NO_BUCKET, WaitingQueue
 
 NO_CAP = float("inf")
-CLIENT_COUNT_LAG_US = (
-    4 * SECOND_US
-)  # age of the counts that quotas use: gossip of that age has arrived or is lost
-CAP_CUT_FACTOR = 0.85  # once per feedback delay
-CAP_RISE_FRACTION = 0.25  # per round, of the way to the load that reports show to be bearable
+CLIENT_COUNT_LAG_US = 4 * SECOND_US
+"""Age of the client counts that quotas use. Gossip of that age has either arrived or been lost."""
+
+CAP_CUT_FACTOR = 0.85  # at most once per feedback delay
+CAP_RISE_FRACTION = 0.25  # per round, of the distance to the load that the servers can sustain
 CAP_REMOVAL_RATIO = 4  # a cap above this multiple of the active load becomes NO_CAP
-MIN_ROUND_ATTEMPTS = 4  # fewer attempts of a round prove nothing
-MAX_DROPPED_FRACTION = 0.2  # of a round's attempts; more dropped by their servers show a full fleet
-DROPPING_SERVERS_DIVISOR = 3  # one warm server in so many has to drop connections
-SMALL_FLEET_SIZE = 3  # among fewer warm servers a single one that drops connections is enough
-DROP_OUTCOMES = frozenset((AttemptOutcome.FULL, AttemptOutcome.BROKEN))  # how a full server ends attempts
+MIN_ROUND_ATTEMPTS = 4  # rounds with fewer attempts are not evaluated
+MAX_DROPPED_FRACTION = 0.2  # of a round's attempts; if servers drop more, the fleet may be full
+DROPPING_SERVERS_DIVISOR = 3  # the fleet is full if more than one in so many warm servers drops connections
+SMALL_FLEET_SIZE = 3  # warm servers; in a smaller fleet, one server that drops connections is enough
+DROP_OUTCOMES = frozenset((AttemptOutcome.FULL, AttemptOutcome.BROKEN))  # outcomes at an overloaded server
 
 
 @dataclass(eq=False)
 class AdmissionController:
-    """The learned cap on the active load, and this round's quota.
+    """Decides which requests are admitted, and keeps the cap on the active load and the quota of the round.
 
     Attributes:
-        load_cap: bound on the active load of all balancers; `NO_CAP` while it does not bind.
-        slow_start_load_cap: active load allowed beside it, for servers that are warming up.
-        quota: load that may still be admitted this round, for `partial_bucket`; for all if no client waits.
-        last_admitted_bucket: clients of this bucket and of older ones are admitted.
-        partial_bucket: the bucket that exceeds the free load; its clients are admitted within the quota.
-        extra_buckets: how many buckets younger than `partial_bucket` may use the quota too.
-        may_admit_new_clients: no client waits, and the cap leaves ample free load.
-        has_rejected_young_bucket: a client was rejected this round because its bucket is too young.
+        load_cap: upper bound on the active load of all balancers; `NO_CAP` if the load is not bounded.
+        slow_start_load_cap: active load allowed in addition to `load_cap`, for servers that are warming up.
+        quota: load that this balancer may still admit this round from `partial_bucket`, or from any client if
+            no client waits.
+        last_admitted_bucket: all clients of this bucket and of older buckets are admitted.
+        partial_bucket: the oldest bucket that does not fit into the free load; its clients are admitted while
+            the quota lasts.
+        extra_buckets: number of buckets younger than `partial_bucket` that may use the quota too.
+        may_admit_new_clients: clients are admitted without a quota, because no client waits and less than
+            half of the cap is in use.
+        has_rejected_young_bucket: a client was rejected this round because its bucket is younger than the
+            buckets that may use the quota.
     """
 
     batch: EventBatch
@@ -82,13 +87,13 @@
 
     @property
     def is_uncapped(self) -> bool:
-        """Whether the cap does not bind."""
+        """Whether the active load is not bounded."""
         return self.load_cap == NO_CAP
 
-    # -- one request ---------------------------------------------------------------------------------
+    # -- admission of a request ----------------------------------------------------------------------
 
     def admit(self, request: RoutedRequest) -> bool:
-        """Returns whether the request is admitted. If not, its client joins the waiting queue."""
+        """Returns whether the request is admitted; otherwise its client joins the waiting queue."""
         if self._continues_session(request):
             self.sessions.add_connection(request)
             return True
@@ -105,10 +110,11 @@
         return is_admitted
 
     def _continues_session(self, request: RoutedRequest) -> bool:
-        """Returns whether the request's client is admitted already.
+        """Returns whether the request belongs to a session that was already admitted.
 
-        While the active load exceeds the cap, a session without connections ends and its client has to wait:
-        servers that drop connections by the hundred would stay overloaded if all these clients returned.
+        If the client has no open connection and the active load exceeds the cap, its session ends and it has
+        to wait. Otherwise overloaded servers that drop hundreds of connections would stay overloaded, because
+        all these clients would return at once.
         """
         if request.event.is_midstream:
             return True
@@ -127,17 +133,18 @@
         if bucket > self.partial_bucket + self.extra_buckets:
             self.has_rejected_young_bucket = True
             return False
-        # A quota below one client's load admits a client with the matching probability.
+        # A quota below the request's load admits the request with a probability of quota / load.
         is_admitted = self.quota >= request.load or self.rng.random() * request.load < self.quota
         if is_admitted:
             self.quota = max(0.0, self.quota - request.load)
         return is_admitted
 
     def _fits_warming_server(self, request: RoutedRequest) -> bool:
-        """Returns whether a server that is warming up may receive the request beside the cap.
+        """Returns whether a server that is warming up may receive the request in excess of the cap.
 
-        Slow-start budgets limit that load by themselves, and are unused while the other servers are full.
-        A server that became warm since the last round has no budget any more: its load counts in the cap.
+        The load of these servers is limited by their slow-start budgets, which would remain unused while the
+        other servers are full. A server that became warm since the last round has no budget any more, and its
+        load counts towards the cap.
         """
         return any(
             not self.slow_start.is_warm(server) and self.ejection.may_receive(server, request.load)
@@ -153,8 +160,8 @@
     def record_fault(self, request: RoutedRequest, attempt: Attempt) -> bool:
         """Counts an attempt that failed at its server. Returns whether the client keeps its session.
 
-        An overloaded server drops its newest connections. Their clients lose their sessions and wait, or they
-        would return at once and be dropped again.
+        An overloaded server drops its newest connections. Their clients lose their sessions and have to wait,
+        since they would otherwise return at once and be dropped again.
         """
         is_long_established = self.batch.now_us - attempt.sent_at_us > self.sessions.session_us
         keep_session = not request.server or is_long_established
@@ -164,26 +171,27 @@
         return keep_session
 
     def record_new_peer(self, active_load: float) -> None:
-        """Raises the cap by the load of a balancer heard for the first time: it is admitted already."""
+        """Raises the cap by the load of a newly discovered balancer: its clients are admitted already."""
         self.load_cap += active_load
 
-    # -- the cap, once a round -----------------------------------------------------------------------
+    # -- the cap, updated once a round ---------------------------------------------------------------
 
     def record_activity(self) -> None:
-        """Records the present clients and load, for quotas and for load reports that arrive later."""
+        """Records the present client count and active load, for comparison with later gossip and reports."""
         clients = len(self.sessions) + len(self.waiting_queue)
         self.history.record(clients, self.gossip.total_active_load())
 
     def update_cap(self) -> None:
-        """Cuts the cap while the servers are full, once per feedback delay, and raises it in other rounds."""
-        in_reach = self.ejection.reachable_servers()
-        # Servers that are warming up have free capacity that slow-start budgets withhold.
-        warm, self.slow_start.warming = self.index.split_by_warmth(in_reach, self.slow_start.is_warm)
+        """Cuts the cap while the servers are full, at most once per feedback delay; otherwise raises it."""
+        reachable = self.ejection.reachable_servers()
+        # Servers that are warming up are excluded: their free capacity is reserved by slow-start budgets.
+        warm, self.slow_start.warming = self.index.split_by_warmth(reachable, self.slow_start.is_warm)
         self.capacity.update_membership(warm)
         self.capacity.update_fleet_load(warm, self.gossip.total_active_load())
         is_dropping = self._are_servers_dropping(len(warm))
-        # Reports are late, so they are compared with the active load of their own time: against the present
-        # load, clients that left would be cut again, and clients under way would be admitted again.
+        # Load reports describe the past, so they are compared with the active load of that time. Compared
+        # with the present load, the cap would be cut again for clients that have left since, and raised again
+        # for clients that were admitted since.
         sample = self.history.oldest_within(FEEDBACK_DELAY_US)
         past_load = sample.total_active_load if sample else self.gossip.total_active_load()
         sustainable_load = past_load * load_targets.TARGET_LOAD / self.loads.bounded_fleet_load
@@ -194,10 +202,10 @@
             self._raise_cap(sustainable_load)
 
     def _are_servers_dropping(self, warm_count: int) -> bool:
-        """Returns whether this round's attempts show that the servers are full, and starts a new count.
+        """Returns whether this round's attempts show that the servers are full, and resets the counts.
 
-        A single server that fails drops all its connections within a round. Only several servers that drop
-        connections show a full fleet.
+        A single server that fails also drops all its connections within a round. The fleet is considered full
+        only if several servers drop connections.
         """
         dropping_count = len(self._dropping_servers)
         are_several = dropping_count > 1 and DROPPING_SERVERS_DIVISOR * dropping_count > warm_count
@@ -209,9 +217,9 @@
         return are_many_dropped and (are_several or warm_count < SMALL_FLEET_SIZE)
 
     def _update_slow_start_load_cap(self, past_load: float, warm_count: int) -> None:
-        """Allows, beside the cap, the load that servers that are warming up may have received by now.
+        """Sets the load allowed in addition to the cap: what warming servers may have received by now.
 
-        The cap of a fleet that stays full does not rise, and restarted servers would stay empty under it.
+        The cap does not rise while the fleet is full, so restarted servers would remain empty under it.
         """
         filled = sum(self.slow_start.filled_fraction(server) for server in self.slow_start.warming)
         full_load = filled * load_targets.TARGET_LOAD * past_load
@@ -231,49 +239,52 @@
         if self.load_cap > CAP_REMOVAL_RATIO * self.gossip.total_active_load():
             self.load_cap = NO_CAP
 
-    # -- quotas, once a round ------------------------------------------------------------------------
+    # -- quotas, updated once a round ----------------------------------------------------------------
 
     def lagged_client_count(self) -> int:
-        """Returns the number of clients seen here, `CLIENT_COUNT_LAG_US` ago."""
+        """Returns the number of clients that this balancer had `CLIENT_COUNT_LAG_US` ago."""
         sample = self.history.oldest_within(CLIENT_COUNT_LAG_US)
         return sample.clients if sample else 0
 
     def client_fraction(self) -> float | None:
-        """Returns this balancer's lagged fraction of all clients; None if it is not known."""
+        """Returns this balancer's fraction of all clients `CLIENT_COUNT_LAG_US` ago; None if unknown."""
         own = self.lagged_client_count()
         total = own + sum(peer.clients for peer in self.gossip.peers.values())
         return own / total if own and (self.gossip.peers or self.settings.balancers == 1) else None
 
     def update_quota(self) -> None:
-        """Opens the oldest buckets as far as the free load goes, and takes a quota of the rest.
+        """Admits the oldest buckets that fit into the free load, and takes a quota of the remaining load.
 
-        A bucket holds the clients that began to wait at about the same time, at any balancer. With a free
-        load of 72, and loads of 2, 50 and 60 waiting in buckets from old to young, the first two buckets are
-        open: all their clients are admitted. The third is partial: 20 are left, less than it needs. The
-        quotas of all balancers divide these 20 by their fractions of the clients.
+        A bucket holds the clients that began to wait at about the same time, at any balancer. Example: the
+        free load is 72, and loads of 2, 50 and 60 wait in three buckets, oldest first. All clients of the
+        first two buckets are admitted. The remaining load of 20 is less than the third bucket needs, so that
+        bucket is partial, and the balancers share the 20 in proportion to their fractions of the clients.
         """
         total_active_load = self.gossip.total_active_load()
         waiting_load = self.gossip.total_waiting_load()
         self.may_admit_new_clients = not waiting_load and total_active_load < self.load_cap / 2
         free_load = max(0.0, self.load_cap + self.slow_start_load_cap - total_active_load)
         client_fraction = self.client_fraction() or 1.0
-        rest = self._admit_oldest_buckets(waiting_load, free_load)
+        remaining_load = self._admit_oldest_buckets(waiting_load, free_load)
         if self.quota > 0 and self.has_rejected_young_bucket:
-            # Quota is left over while clients of younger buckets were rejected: those of the partial bucket
-            # retry at other balancers. So more of the younger buckets may use the quota.
+            # The clients of the partial bucket did not use up the quota, because they retry at other
+            # balancers, while clients of younger buckets were rejected. Therefore more of the younger buckets
+            # may use it.
             self.extra_buckets = min(2 * self.extra_buckets + 1, MAX_WAITING)
         elif self.quota <= 0:
             self.extra_buckets = 0
         if self.has_rejected_young_bucket and free_load < NO_CAP:
-            # The open buckets reserve free load, and only a part of their clients came. What they left unused
-            # goes to the quota, since others were rejected meanwhile.
-            rest = max(rest, free_load - self._load_admitted_outside_quota / client_fraction)
+            # Free load is reserved for the fully admitted buckets, but only some of their clients returned.
+            # The unused part is added to the quota, since other clients were rejected meanwhile.
+            remaining_load = max(
+                remaining_load, free_load - self._load_admitted_outside_quota / client_fraction
+            )
         self.has_rejected_young_bucket = False
         self._load_admitted_outside_quota = 0.0
-        self.quota = rest * client_fraction
+        self.quota = remaining_load * client_fraction
 
     def _admit_oldest_buckets(self, waiting_load: Mapping[int, float], free_load: float) -> float:
-        """Opens the oldest buckets that fit into the free load. Returns the load that is left over."""
+        """Admits the oldest buckets that fit into the free load. Returns the remaining free load."""
         self.last_admitted_bucket, self.partial_bucket = -NO_BUCKET, NO_BUCKET
         for bucket in sorted(waiting_load):
             if waiting_load[bucket] > free_load:
--- a/glenrock/routing/health_checks.py
+++ b/glenrock/routing/health_checks.py
@@ -1,4 +1,4 @@
-"""Which servers get a health check, within a budget, and what the results mean."""
+"""Health checks: which servers are checked, within token budgets, and the evaluation of the results."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from .state import RoutedRequest, Server
 from .token_budget import HEALTH_CONNECTION_LIFETIME_US, MAX_HEALTH_CHECKS, TokenBudget
 
-HEALTH_CHECK_RESEND_US = SECOND_US  # a check without a result may be repeated after this time
+HEALTH_CHECK_RESEND_US = SECOND_US  # a check that has no result after this time may be sent again
 
 
 @dataclass(eq=False)
@@ -38,11 +38,11 @@
     salt: int
     budget: TokenBudget
     connection_budget: TokenBudget
-    _rotation: int = field(init=False, default=0)
+    _rotation_index: int = field(init=False, default=0)
 
     def __post_init__(self) -> None:
-        """Starts the rotation at a server that differs among balancers."""
-        self._rotation = self.salt
+        """Starts the rotation at a different server at each balancer."""
+        self._rotation_index = self.salt
 
     def earn(self) -> None:
         """Adds the tokens that a client's first attempt earns, for checks and for their connections."""
@@ -50,7 +50,10 @@
         self.connection_budget.earn()
 
     def send(self, server: Server) -> bool:
-        """Sends a health check to the server. Returns whether a check is in flight."""
+        """Sends a health check to the server if possible. Returns whether a check is in flight.
+
+        No check is sent if one is already in flight, if checks report no load, or if the budget is spent.
+        """
         now_us = self.batch.now_us
         if server.health_check_sent_us >= 0 and now_us - server.health_check_sent_us < HEALTH_CHECK_RESEND_US:
             return True
@@ -61,7 +64,10 @@
         return True
 
     def _try_spend(self, server: Server) -> bool:
-        """Spends a token for the check, and in a large fleet another for a new connection."""
+        """Spends a token for the check and, in a large fleet, one for the connection if it has to be opened.
+
+        Returns False, and spends nothing, if one of the budgets has no token left.
+        """
         is_connected = self.batch.now_us - server.last_checked_us < HEALTH_CONNECTION_LIFETIME_US
         needs_connection = self.endpoints.index.is_large and not is_connected
         if needs_connection and self.connection_budget.tokens < 1:
@@ -69,7 +75,7 @@
         return self.budget.try_spend(1) and (not needs_connection or self.connection_budget.try_spend(1))
 
     def check_candidates(self, request: RoutedRequest) -> set[str]:
-        """Checks the candidates of a first attempt that have no fresh report.
+        """Checks the candidates of a request's first attempt that have no fresh load report.
 
         Returns the ids of the servers whose results the request should await.
         """
@@ -82,8 +88,8 @@
     def record_broken_connection(self, server: Server) -> None:
         """Records that a connection broke, and checks its server.
 
-        Each of many balancers holds few connections of a server that died. If each waited for several
-        failures of its own, all of them would send returning clients there.
+        With many balancers, each holds only a few connections of a server that has died. If each balancer
+        waited for several failures of its own, all of them would send returning clients to that server.
         """
         if not server.consecutive_failures:
             server.consecutive_failures = 1
@@ -99,7 +105,7 @@
             self.ejection.record_reachable(server)
             self.ejection.record_report(server, event.report)
         elif has_timed_out and self.loads.was_slow_recently(server):
-            # A full server answers no check in time. It is overloaded, not unreachable.
+            # A full server does not answer checks in time. It is overloaded rather than unreachable.
             self.ejection.record_load(server, max(MISSED_OBJECTIVE_MIN_LOAD, server.reported_load))
         elif event.outcome == AttemptOutcome.NO_CONNECTION or (
             has_timed_out and not self.loads.was_heard_recently(server)
@@ -117,17 +123,18 @@
     def _check_oldest_report(self, is_uncapped: bool) -> None:
         """Checks the server with the oldest report, if the budget allows.
 
-        Half of the tokens are reserved for requests while the fleet is lightly loaded. In a busy fleet all of
-        them are used: with few requests the reserved ones would be left, and overload would go unnoticed.
+        While the fleet is lightly loaded, half of the tokens are reserved for the checks that requests await.
+        In a busy fleet nothing is reserved: if few requests arrived, the reserved tokens would remain unused
+        and overload would go unnoticed.
         """
         is_lightly_loaded = self.loads.fleet_load < LIGHT_LOAD and is_uncapped
         reserved = MAX_HEALTH_CHECKS / 2 if is_lightly_loaded else 1
         if self.budget.tokens <= reserved or not self.endpoints.ring:
             return
         ready = self.endpoints.ready_servers()
-        if self.endpoints.index.is_large:  # a rotation, since a search would visit every server
-            self._rotation += 1
-            self.send(ready[self._rotation % len(ready)])
+        if self.endpoints.index.is_large:  # checks servers in turn, since a search would visit every server
+            self._rotation_index += 1
+            self.send(ready[self._rotation_index % len(ready)])
         else:
             self.send(min(ready, key=self._check_order))
 
@@ -139,13 +146,19 @@
                 self.send(min(servers, key=self._check_order))
 
     def _check_inherited_load(self) -> None:
-        """Checks servers without a report that hold connections from before this balancer started."""
+        """Checks servers that have reported no load yet but hold several connections of this balancer.
+
+        Such connections were opened before this balancer process started.
+        """
         for server in self.endpoints.index.with_connections():
             if server.is_ready and server.reported_load < 0 and has_representative_load(server):
                 self.send(server)
 
     def _check_silent_servers(self) -> None:
-        """Checks busy servers with connections and no fresh report, where slow messages are not reported."""
+        """Checks busy servers that hold connections and have no fresh report.
+
+        This is needed only where slow messages are not reported, which would show an overload otherwise.
+        """
         for server in self.endpoints.index.with_connections():
             is_stale = self.batch.now_us - server.reported_at_us > FRESH_REPORT_US
             if not server.is_ready or not is_stale:
--- a/glenrock/routing/migration.py
+++ b/glenrock/routing/migration.py
@@ -1,6 +1,6 @@
-"""Which clients are asked to reconnect elsewhere: those of draining servers and of overloaded servers.
+"""Migration: which clients are asked to reconnect elsewhere, off draining and overloaded servers.
 
-The network code migrates the clients of a balancer that shuts down or drains; they are not handled here.
+The clients of a balancer that shuts down or drains are migrated by the network code instead.
 """
 
 from __future__ import annotations
@@ -17,20 +17,20 @@
 from .server_index import ServerIndex
 from .state import RoutedRequest, Server
 
-MIGRATION_US = 2 * SECOND_US  # clients of a draining server migrate over this time
-OVERLOAD_THRESHOLD = 1.0  # load above which a server is relieved
-SCARCE_RESIDUAL_LOAD = 0.65  # load left at a relieved server if the others are nearly full
-MIN_RESIDUAL_LOAD = 0.5  # least load left at a relieved server if the others have free capacity
-SLOW_SERVER_RESIDUAL_LOAD = 0.3  # load left at a slow server
-BACKLOG_CLEAR_US = 6 * SECOND_US  # time in which a server works off its backlog
+MIGRATION_US = 2 * SECOND_US  # time over which the clients of a draining server are migrated
+OVERLOAD_THRESHOLD = 1.0  # load above which clients are migrated off a server
+SCARCE_RESIDUAL_LOAD = 0.65  # load to leave at an overloaded server if the others are nearly full
+MIN_RESIDUAL_LOAD = 0.5  # minimum load to leave at an overloaded server if the others have free capacity
+SLOW_SERVER_RESIDUAL_LOAD = 0.3  # load to leave at a slow server
+BACKLOG_CLEAR_US = 6 * SECOND_US  # time that an overloaded server needs to work off its backlog
 
 
 @dataclass(eq=False)
 class Migration:
-    """Migrates clients in parts, one a round.
+    """Migrates clients off servers, a part in each round.
 
     Attributes:
-        requests_losing_session: requests that are migrating and whose clients lose their sessions.
+        requests_losing_session: ids of migrating requests whose clients lose their sessions.
     """
 
     batch: EventBatch
@@ -44,10 +44,10 @@
     # -- draining servers ----------------------------------------------------------------------------
 
     def migrate_off_draining_servers(self) -> None:
-        """Migrates, each round, a part of the clients of each draining server before it stops.
+        """Migrates a part of the clients of each draining server, so that all have left by its deadline.
 
-        A migration of all at once would be a mass return. The clients keep their sessions, so they are
-        admitted again.
+        If all clients were migrated at once, all would reconnect at the same time. They keep their sessions,
+        so they are admitted again.
         """
         for server in self.index.with_connections():
             if server.migrate_by_us:
@@ -63,11 +63,11 @@
             free_load -= request.load
 
     def _free_load_elsewhere(self, server: Server) -> float:
-        """Returns the load that may leave this round.
+        """Returns the load that may be migrated off the server in this round.
 
-        It is bounded only for a server that an operator suspended and that is still listed: it still serves
-        its clients, and overloaded servers would not. The bound brings the other servers to the target load,
-        by this balancer's part of their load.
+        The load is limited only for a server that an operator suspended and that is still listed as ready.
+        Such a server still serves its clients, so they stay there rather than overload the other servers. The
+        limit is this balancer's share of the load that brings the other servers to the target load.
         """
         if not server.is_listed_ready or self.overrides.allows(server.server_id):
             return float("inf")
@@ -85,7 +85,7 @@
 
     def relieve_overloaded_servers(self) -> None:
         """Migrates this balancer's part of the excess load off each overloaded server."""
-        is_capacity_scarce = self.loads.fleet_load > load_targets.HIGH_LOAD  # little free capacity elsewhere
+        is_capacity_scarce = self.loads.fleet_load > load_targets.HIGH_LOAD
         for server in self.index.with_connections():
             if not server.migrate_by_us:
                 self._relieve(server, is_capacity_scarce)
@@ -93,19 +93,19 @@
     def _relieve(self, server: Server, is_capacity_scarce: bool) -> None:
         """Migrates this balancer's part of the excess load off a server, if it is overloaded.
 
-        A server is late if its messages miss their objective, and slow if it lost capacity while the others
-        have some. It is unobservable if its report is old and no health check may be sent.
+        A server is slow if it has lost capacity while the others have free capacity. Its load is unobservable
+        if its last report is old and no health check may be sent.
         """
         misses_objective = self.loads.misses_message_objective(server)
-        # Connections that ended since the report would otherwise be migrated a second time.
+        # Discounts connections that ended since the report; their load would be migrated a second time.
         load = self.loads.load(server) * self.loads.remaining_load_fraction(server)
         if not is_capacity_scarce and misses_objective:
             load = max(load, MISSED_OBJECTIVE_MIN_LOAD)
-        # A server that lost capacity usually loses more, so it is emptied early and further.
+        # A server that lost capacity usually loses more, so it is relieved earlier and to a lower load.
         is_slow = server.capacity_ratio <= load_targets.SLOW_CAPACITY_RATIO and not is_capacity_scarce
         if load <= (load_targets.TARGET_LOAD if is_slow else OVERLOAD_THRESHOLD):
             return
-        # A backlog keeps messages late after enough load has left, so a fresh report is awaited.
+        # The backlog keeps messages late after enough load was migrated, so a fresh report is awaited.
         is_stale = not misses_objective and self.batch.now_us - server.reported_at_us > FRESH_REPORT_US
         is_unobservable = is_stale and not self.health_checks.send(server)
         if not self._is_due(server, is_slow, misses_objective, is_unobservable and is_capacity_scarce):
@@ -117,7 +117,7 @@
         self._migrate_load(server, excess, is_capacity_scarce, by_group=is_slow)
 
     def _is_due(self, server: Server, is_slow: bool, misses_objective: bool, waits_for_backlog: bool) -> bool:
-        """Returns whether the last migration off the server has had its effect, so that another may begin."""
+        """Returns whether the last migration off the server has taken effect, so that another may start."""
         wait_us = FEEDBACK_DELAY_US
         if is_slow:
             wait_us = FRESH_REPORT_US
@@ -131,7 +131,8 @@
     def _residual_load(self, is_capacity_scarce: bool, is_slow: bool) -> float:
         """Returns the load to leave at an overloaded server.
 
-        If the other servers are nearly full, more than a few clients would be migrated back at once.
+        If the other servers are nearly full, more load is left there: if many clients moved, the servers that
+        receive them would be overloaded and would migrate them back.
         """
         if is_capacity_scarce:
             return SCARCE_RESIDUAL_LOAD
@@ -140,7 +141,10 @@
         return min(load_targets.TARGET_LOAD, max(MIN_RESIDUAL_LOAD, self.loads.fleet_load))
 
     def _migrate_load(self, server: Server, excess: float, is_capacity_scarce: bool, by_group: bool) -> None:
-        """Migrates connections of that total load; if capacity is scarce the clients lose their sessions."""
+        """Migrates connections whose loads add up to the excess.
+
+        If capacity is scarce, their clients lose their sessions and have to be admitted again.
+        """
         for group in self._migration_order(server, is_capacity_scarce, by_group):
             load = sum(request.load for request in group)
             if excess < load and self.rng.random() * load > excess:
@@ -154,11 +158,12 @@
     def _migration_order(
         self, server: Server, is_capacity_scarce: bool, by_group: bool
     ) -> list[list[RoutedRequest]]:
-        """Returns the server's connections in the order in which they migrate.
+        """Returns the server's connections in migration order, as lists of connections that move together.
 
-        If capacity is scarce the order is drawn by priority weight: in strict order the lowest class would
-        not be served at all. Otherwise the heaviest come first. Whole groups leave a slow server, since it
-        bears a group's common work while it holds any connection of the group.
+        If capacity is scarce, the order is random and weighted by priority, since in strict priority order
+        the lowest class would not be served at all. Otherwise the connections with the highest load come
+        first. With `by_group`, which is used for slow servers, whole groups move: a server bears the common
+        work of a group as long as it holds any connection of the group.
         """
         groups: dict[object, list[RoutedRequest]] = {}
         for request_id, request in server.connections.items():
--- a/glenrock/routing/outlier_ejection.py
+++ b/glenrock/routing/outlier_ejection.py
@@ -1,6 +1,8 @@
-"""Which servers receive less work, or none: weights, ejection of unreachable servers, and panic mode.
+"""Outlier ejection: server weights, temporary ejection of unreachable servers, and panic mode.
 
-Weights increase additively and decrease multiplicatively (AIMD).
+A server's weight rises additively while it reports less than the mean load, and is cut multiplicatively when
+it is overloaded or fails (AIMD). In panic mode, which starts when no ready server is usable, ejections are
+ignored.
 """
 
 from __future__ import annotations
@@ -22,10 +24,10 @@
 WEIGHT_CUT_FACTOR = 0.7  # at most once per feedback delay
 WEIGHT_RISE = 0.05  # per report below the mean load
 MIN_WEIGHT = 0.05
-OUTLIER_RATIO = 1.2  # of the mean load; a server above it is overloaded by itself
-FAILURES_TO_EJECT = 2  # in a row
-MAX_FAILURES = 6  # in a row; further ones do not extend the ejection
-BASE_EJECTION_US = SECOND_US / 4  # doubled for each failure; the first ejection is 1 s, with jitter
+OUTLIER_RATIO = 1.2  # of the mean load; above it, a server is more loaded than the rest of the fleet
+FAILURES_TO_EJECT = 2  # consecutive failures
+MAX_FAILURES = 6  # consecutive failures; further ones do not extend the ejection
+BASE_EJECTION_US = SECOND_US / 4  # doubled for each consecutive failure, so the first ejection is about 1 s
 
 
 @dataclass(eq=False)
@@ -33,7 +35,8 @@
     """Decides which servers may receive new work.
 
     Attributes:
-        is_panicking: no ready server is usable, so ejections of servers and zones are ignored.
+        is_panicking: panic mode is on: no ready server is usable, so ejections of servers and zones are
+            ignored.
     """
 
     batch: EventBatch
@@ -47,9 +50,10 @@
     is_panicking: bool = field(init=False, default=False)
 
     def may_receive(self, server: Server, load: float) -> bool:
-        """Returns whether the server may receive new work of that load now, of any request.
+        """Returns whether the server may receive new work of that load now.
 
-        A server that is draining, or suspended by an operator, is not ready and receives nothing.
+        Conditions that depend on the request are not checked here. A server that is draining, or suspended by
+        an operator, is not ready and receives no new work.
         """
         is_allowed = server.is_ready and (self.is_usable(server) or self.is_panicking)
         return is_allowed and self.slow_start.headroom(server) >= load
@@ -60,7 +64,7 @@
         return now_us >= server.ejected_until_us and self.domains.may_use(now_us, server.zone, server.hash)
 
     def reachable_servers(self) -> list[Server]:
-        """Returns the ready servers without a recent failure, in domains that may be used."""
+        """Returns the ready servers that have not failed recently and whose failure domain may be used."""
         now_us = self.batch.now_us
         found = self.index.ready_without_suspects(now_us)
         if self.domains.has_restrictions(now_us):
@@ -70,15 +74,16 @@
     def update_panic(self) -> None:
         """Enters panic mode if no ready server is usable, and leaves it otherwise.
 
-        With all servers or zones ejected no request would be sent for seconds; trying an ejected server is
-        better.
+        If all servers or zones are ejected, trying an ejected server is better than sending no request at all
+        for several seconds.
         """
         self.is_panicking = not any(self.is_usable(server) for server in self.index.ready)
 
     def record_load(self, server: Server, load: float) -> None:
         """Records a reported load, and cuts or raises the server's weight.
 
-        Weights depend on the mean load: if all servers are slow alike, the cap has to fall instead.
+        The load is compared with the mean load of the fleet: if all servers are equally overloaded, the
+        admission cap is cut instead of the weights.
         """
         self.loads.record_report(server, load)
         if load > max(load_targets.HIGH_LOAD, OUTLIER_RATIO * self.loads.fleet_load):
@@ -87,7 +92,7 @@
             server.weight = min(MAX_WEIGHT, server.weight + WEIGHT_RISE)
 
     def record_report(self, server: Server, report: dict[str, float]) -> None:
-        """Records the load of a load report, if the report has one."""
+        """Records the load that a load report states, if it states one."""
         load = load_of_report(report)
         if load is not None:
             self.record_load(server, load)
@@ -103,7 +108,11 @@
         self._record_evidence(server, is_reachable=True)
 
     def record_unreachable(self, server: Server) -> None:
-        """Records a failed connection. A second one in a row ejects the server for a time that doubles."""
+        """Records a failed connection, and ejects the server after `FAILURES_TO_EJECT` consecutive failures.
+
+        Each further failure doubles the ejection time. A server in a partitioned zone is not ejected by
+        itself, since its whole zone receives no new work.
+        """
         self._record_evidence(server, is_reachable=False)
         self.index.add_suspect(server)
         server.consecutive_failures = min(server.consecutive_failures + 1, MAX_FAILURES)
@@ -115,9 +124,9 @@
         self.cut_weight(server)
 
     def update_failure_domains(self) -> None:
-        """Evaluates the failure domains, and ends the ejections in each domain that changed.
+        """Evaluates the failure domains, and clears the failures of all servers in each domain that changed.
 
-        Failures during a partition are the link's, not the servers'.
+        Failures during a partition are caused by the link, not by the servers.
         """
         for zone in self.domains.evaluate(self.batch.now_us):
             for server in self.servers.values():
