--- a/glenrock/routing/capacity_estimation.py
+++ b/glenrock/routing/capacity_estimation.py
@@ -1,8 +1,8 @@
-"""The capacity of the servers, and the mean load of the fleet.
+"""Estimates the capacity of each server and the mean load of the fleet.
 
 A server's capacity is estimated as this balancer's load there, divided by the server's load and by this
-balancer's fraction of the tier. The mean load follows from the servers' loads, and from servers that are lost
-before reports show it.
+balancer's fraction of the active load of all balancers. The mean load is computed from the loads of the
+servers. When servers are lost it is predicted, before reports show the effect.
 """
 
 from __future__ import annotations
@@ -17,34 +17,35 @@
 from .state import Server, TimedLoad
 
 CAPACITY_GAIN = 0.4  # per round, of the present capacity
-USUAL_CAPACITY_GAIN = 0.04  # per round, of the usual capacity
-MIN_USUAL_CAPACITY_FRACTION = 0.15  # least usual capacity, as a fraction of the servers' mean
-MIN_MEASURED_LOAD = 0.1  # a lower load does not show the capacity
-MAX_PREDICTED_LOAD = 1.0  # of the fleet, when servers are lost
-MIN_BALANCER_FRACTION = 0.05  # bounds a division
-STEADY_FRACTION = 0.67  # of the largest recent own load; above it the fraction of the tier is steady
+USUAL_CAPACITY_GAIN = 0.04  # per round, of the long-term average of the capacity
+MIN_USUAL_CAPACITY_FRACTION = 0.15  # minimum usual capacity, as a fraction of the servers' mean
+MIN_MEASURED_LOAD = 0.1  # at a lower load the capacity cannot be estimated
+MAX_PREDICTED_LOAD = 1.0  # of the fleet, after servers were lost
+MIN_BALANCER_FRACTION = 0.05  # avoids a division by a value near 0
+STEADY_FRACTION = 0.67  # a value is steady if its lowest is at least this fraction of its highest
 STEADY_WINDOW_US = 4 * SECOND_US
 CLIENT_RECONNECT_US = 1 * SECOND_US  # time in which the clients of lost servers reconnect
-MAX_OBSERVED_LOAD = 3.0  # of one server, in the mean
-MIN_REPRESENTATIVE_SERVERS = (
-    12  # observed servers that determine the mean load; in a smaller fleet all of them
-)
+MAX_OBSERVED_LOAD = 3.0  # of one server, when the mean is computed
+MIN_REPRESENTATIVE_SERVERS = 12
+"""Number of observed servers that determine the mean load fully; in a smaller fleet, all servers do."""
 
 
 class ObservedLoad(NamedTuple):
-    """A server and its estimated load."""
+    """The estimated load of a server."""
 
     server: Server
     load: float
 
 
 class CapacityEstimator:
-    """Capacity of the servers, and their mean load, which is kept at `LoadEstimator.fleet_load`.
+    """Estimates the capacity of the servers and their mean load.
+
+    The mean load is stored in `LoadEstimator.fleet_load`.
 
     Attributes:
         server_capacity: load that fills an average server; 0 while it is not known.
-        warm_server_count: number of warm servers in reach, at the last time when there were any.
-        has_warm_server: a server in reach is warm now; true before the first round.
+        warm_server_count: number of warm servers that can be reached, when there last were any.
+        has_warm_server: whether a warm server can be reached now; true before the first round.
         servers_lost_us: when warm servers were last lost.
     """
 
@@ -66,29 +67,29 @@
         self.has_warm_server = True
         self.servers_lost_us = NEVER_US
         self._reachable_ids: set[str] = set()
-        self._warm: Sequence[Server] | None = None
+        self._last_warm: Sequence[Server] | None = None
         self._own_load_history: list[TimedLoad] = []
-        self._balancer_fraction = 0.0  # of this balancer, while usual capacities were learned
+        self._balancer_fraction = 0.0  # of the total active load, averaged since usual capacities are learned
         self._balancer_fraction_since_us = 0
 
     def update_server_capacity(self, total_active_load: float, ready_servers: int) -> None:
-        """Updates the capacity of an average server, once a round, from the active load of the tier."""
+        """Updates the capacity of an average server, once a round, from the active load of all balancers."""
         self.server_capacity = total_active_load / max(1, ready_servers) / self._loads.bounded_fleet_load
 
     # -- the mean load -------------------------------------------------------------------------------
 
     def update_membership(self, warm: Sequence[Server]) -> None:
-        """Updates the mean load when servers join or are lost: the load of lost servers moves to the others.
+        """Predicts the mean load when servers join or are lost: the load of lost servers moves to the others.
 
-        Without this guess all balancers would admit the clients of a lost zone at once, before reports show
-        their load, and the remaining servers would be overloaded. Servers that drain, or are gone from the
-        list, do not count as lost: their clients leave gradually, as reports show.
+        Without this prediction all balancers would admit the clients of a lost zone at once, before reports
+        show their load, and overload the remaining servers. Servers that drain, or are no longer listed, do
+        not count as lost: their clients leave gradually, so that reports show the change in time.
         """
         self.warm_server_count = len(warm) or self.warm_server_count
         self.has_warm_server = bool(warm)
-        if warm is self._warm:  # the same list object as a round before: no change
+        if warm is self._last_warm:  # an unchanged list is the same object as in the previous round
             return
-        self._warm = warm
+        self._last_warm = warm
         present = {server.server_id for server in warm}
         added = [self._loads.load(server) for server in warm if server.server_id not in self._reachable_ids]
         missing = [self._servers[id_] for id_ in self._reachable_ids - present if id_ in self._servers]
@@ -99,16 +100,16 @@
 
     def _predict_fleet_load(self, warm_count: int, added: list[float], lost_count: int) -> None:
         before = self._loads.fleet_load
-        guess = (before * (warm_count - len(added) + lost_count) + sum(added)) / warm_count
-        if lost_count and guess > before:
+        predicted = (before * (warm_count - len(added) + lost_count) + sum(added)) / warm_count
+        if lost_count and predicted > before:
             self.servers_lost_us = self._batch.now_us
-        self._loads.fleet_load = min(guess, max(before, MAX_PREDICTED_LOAD))
+        self._loads.fleet_load = min(predicted, max(before, MAX_PREDICTED_LOAD))
 
     def update_fleet_load(self, warm: Sequence[Server], total_active_load: float) -> None:
-        """Moves the mean load towards the observed loads, the further the more servers are observed.
+        """Moves the mean load towards the mean of the observed loads; the gain grows with their number.
 
-        Reports from before the clients of lost servers have reconnected are ignored: they would raise the cap
-        while that load is under way.
+        After a loss of servers, reports are ignored until the clients of these servers have reconnected:
+        earlier reports do not include that load, and would raise the cap too early.
         """
         since_us = max(self._batch.now_us - FEEDBACK_DELAY_US, self.servers_lost_us + CLIENT_RECONNECT_US)
         observed = [
@@ -122,31 +123,31 @@
             self._loads.fleet_load += (mean - self._loads.fleet_load) * gain
 
     def mean_load(self, observed: Sequence[ObservedLoad], total_active_load: float) -> float:
-        """Returns the mean load of the servers, each weighted by its remaining fraction of capacity.
+        """Returns the mean load of the servers, each weighted by the fraction of its capacity that is left.
 
-        In a plain mean, a few slow servers with many times their load would close the cap while the others
-        have free capacity.
+        With equal weights, a few slow servers with a load far above 1 would cut the cap although the other
+        servers have free capacity.
 
         Args:
             observed: the servers with a known load.
-            total_active_load: active load of the whole tier.
+            total_active_load: active load of all balancers.
         """
         self._measure_capacities(observed, total_active_load)
         self._update_capacity_ratios(observed)
         weights = self._weights(observed)
         total_weight = sum(weights)
-        if (
-            total_weight == 0
-        ):  # the median server reports no load, and no observed server has a usual capacity
+        # The sum is 0 if the median reported load is 0 and no observed server has a known usual capacity.
+        if total_weight == 0:
             return sum(load for _, load in observed) / len(observed)
         return sum(weight * load for weight, (_, load) in zip(weights, observed, strict=True)) / total_weight
 
     def _weights(self, observed: Sequence[ObservedLoad]) -> list[float]:
         """Returns the weight of each server in the mean.
 
-        The weight is the server's `capacity_ratio`. Without a known usual capacity and with a load above 1 it
-        is the median reported load / its load, at most 1, as if the server had the median demand and had lost
-        capacity. With full weight, a few hanging servers would cut the cap again and again.
+        The weight of a server is its `capacity_ratio`. If its usual capacity is not known and its load is
+        above 1, the weight is the median reported load divided by the server's load, at most 1. This assumes
+        that the server receives the median amount of work and has lost capacity. With a weight of 1, a few
+        servers that hang would cut the cap repeatedly.
         """
         if all(server.usual_capacity or load <= 1 for server, load in observed):
             return [server.capacity_ratio for server, _ in observed]
@@ -169,8 +170,8 @@
         usual_gain = self._usual_capacity_gain(balancer_fraction)
         for server, load in observed:
             own_load = server.own_load
-            # One or two of a server's many connections do not represent its load: a full server would seem
-            # slow, get a low weight in the mean, and leave the cap open.
+            # If this balancer has only one or two of a server's many connections, they do not represent the
+            # server's load: a full server would seem slow, get a low weight in the mean, and not cut the cap.
             has_several = own_load > 2 * self._connection_loads.mean_load
             is_representative = has_several and has_representative_load(server)
             if is_steady and load > MIN_MEASURED_LOAD and is_representative:
@@ -181,17 +182,18 @@
     def _update_capacity_ratios(self, observed: Sequence[ObservedLoad]) -> None:
         usual = [server.usual_capacity for server, _ in observed if server.usual_capacity]
         for server, _ in observed:
-            # A server that was slow when it was first observed has no better past to compare with, so the
-            # other servers bound its usual capacity from below.
+            # A server that was already slow when it was first observed has too low a usual capacity, so the
+            # mean of the other servers sets a lower bound.
             if server.usual_capacity:
-                least = MIN_USUAL_CAPACITY_FRACTION * sum(usual) / len(usual)
-                server.capacity_ratio = min(1.0, server.capacity / max(server.usual_capacity, least))
+                minimum = MIN_USUAL_CAPACITY_FRACTION * sum(usual) / len(usual)
+                server.capacity_ratio = min(1.0, server.capacity / max(server.usual_capacity, minimum))
 
     def _is_balancer_fraction_steady(self) -> bool:
-        """Returns whether this balancer's fraction of the tier was about constant in `STEADY_WINDOW_US`.
+        """Returns whether this balancer's load, and so its fraction, was steady in `STEADY_WINDOW_US`.
 
-        The estimate assumes the same fraction at each server as of the tier. While clients arrive from
-        another balancer, the assumption fails: a slow server that just received them would seem to bear much.
+        The capacity estimate assumes that this balancer has the same fraction of the load at each server as
+        of the total load. That is wrong while clients arrive from another balancer: a slow server that has
+        just received such clients would seem to have a high capacity.
         """
         now_us = self._batch.now_us
         history = [past for past in self._own_load_history if now_us - past.at_us <= STEADY_WINDOW_US]
@@ -201,15 +203,15 @@
         return min(loads) >= STEADY_FRACTION * max(loads)
 
     def _usual_capacity_gain(self, balancer_fraction: float) -> float:
-        """Returns the gain of usual capacities, and discards all capacities if the tier fraction changed.
+        """Returns the gain of usual capacities; discards all capacities if this balancer's fraction changed.
 
-        The error of a capacity is proportional to that of the fraction. After a change all servers would seem
-        to have lost capacity, and would be emptied. For `STEADY_WINDOW_US` after it the gain is high, since
-        late reports still describe the time before.
+        The error of an estimated capacity is proportional to the error of the fraction. After a change, all
+        servers would seem to have lost capacity, and their clients would be migrated. The gain stays high for
+        `STEADY_WINDOW_US` after the change, since late reports still describe the time before it.
         """
         now_us = self._batch.now_us
-        least, most = STEADY_FRACTION * self._balancer_fraction, self._balancer_fraction / STEADY_FRACTION
-        if not least <= balancer_fraction <= most:
+        lowest, highest = STEADY_FRACTION * self._balancer_fraction, self._balancer_fraction / STEADY_FRACTION
+        if not lowest <= balancer_fraction <= highest:
             self._balancer_fraction = balancer_fraction
             self._balancer_fraction_since_us = now_us
             for server in self._servers.values():
@@ -221,5 +223,5 @@
 
 
 def _update_average(average: float, sample: float, gain: float) -> float:
-    """Returns the moving average with one more sample; a first sample counts fully."""
+    """Returns the exponential moving average after one more sample; the first sample becomes the average."""
     return average + (sample - average) * gain if average else sample
--- a/glenrock/routing/load_estimation.py
+++ b/glenrock/routing/load_estimation.py
@@ -1,7 +1,8 @@
-"""The present load of a server, from load reports, reports of slow messages, and changes since.
+"""Estimates the present load of each server from load reports, message delays, and later changes.
 
-A load report describes the past: it is refreshed rarely and delivered late. Load sent since is not in it, and
-load that left since still is. Where messages are late, their delays show the present.
+A load report describes the past: servers refresh it rarely, and it arrives late. It does not include load
+that was sent since, and still includes load that has left since. If messages are late, their delays show the
+present load.
 """
 
 from __future__ import annotations
@@ -12,26 +13,30 @@
 from .interface import LOAD_RATIO, UTILIZATION, Settings
 from .state import DelaySample, Server, TimedLoad
 
-FEEDBACK_DELAY_US = 2 * SECOND_US  # largest delay of a load report, refresh and delivery
+FEEDBACK_DELAY_US = 2 * SECOND_US  # maximum age of a load report on arrival: refresh interval plus delivery
 MEAN_REPORT_AGE_US = FEEDBACK_DELAY_US // 2
-FRESH_REPORT_US = 1 * SECOND_US  # up to this age a report counts as the present load
-VALID_REPORT_US = 10 * SECOND_US  # up to this age a report is preferred to the fleet's mean load
-DELAY_REPORT_VALID_US = 3 * SECOND_US // 2  # of reports of slow messages, which arrive once a second
-MIN_DELAY_SAMPLE_INTERVAL_US = SECOND_US // 2  # closer samples do not show how a delay grows
-OWN_LOAD_HISTORY_US = 4 * SECOND_US  # more than the largest delay of a report
-
-SLOW_MESSAGES_LOAD = 0.82  # assumed of a server with slow messages
-MISSED_OBJECTIVE_MIN_LOAD = 1.1  # least load of a server whose messages miss their objective
-LIGHT_LOAD = 0.58  # assumed of a silent server without load reports; lets the cap rise
-MIN_DELAY_GROWTH_LOAD = 0.3  # bounds of the load that the growth of a delay shows
-MAX_DELAY_GROWTH_LOAD = 3.0
+FRESH_REPORT_US = 1 * SECOND_US  # up to this age, a report is taken as the present load
+VALID_REPORT_US = 10 * SECOND_US  # up to this age, a report is preferred to the mean load of the fleet
+DELAY_REPORT_VALID_US = 3 * SECOND_US // 2  # slow messages are reported once a second
+MIN_DELAY_SAMPLE_INTERVAL_US = SECOND_US // 2  # samples closer together do not show how a delay grows
+OWN_LOAD_HISTORY_US = 4 * SECOND_US  # must exceed FEEDBACK_DELAY_US
+
+SLOW_MESSAGES_LOAD = 0.82  # assumed load of a server with slow messages
+MISSED_OBJECTIVE_MIN_LOAD = 1.1  # minimum load assumed of a server whose messages miss their objective
+LIGHT_LOAD = (
+    0.58  # also assumed of a server that reports neither loads nor slow messages, so the cap can rise
+)
+MIN_DELAY_GROWTH_LOAD = 0.3  # minimum load derived from the growth of a delay
+MAX_DELAY_GROWTH_LOAD = 3.0  # maximum load derived from the growth of a delay
 INITIAL_FLEET_LOAD = 0.5
-MIN_FLEET_LOAD = 0.1  # bounds a division
-MIN_REPRESENTATIVE_CONNECTIONS = 5  # own connections at a server that represent all connections there
+MIN_FLEET_LOAD = 0.1  # avoids a division by a value near 0
+MIN_REPRESENTATIVE_CONNECTIONS = (
+    5  # own connections at a server; fewer do not represent all connections there
+)
 
 
 def load_of_report(report: dict[str, float]) -> float | None:
-    """Returns the load of a report as a fraction of capacity; None if it has none."""
+    """Returns the load in a report, as a fraction of capacity; None if the report has no valid load."""
     load = report.get(LOAD_RATIO, report.get(UTILIZATION))
     return load if load is not None and load >= 0 else None
 
@@ -42,12 +47,12 @@
 
 
 class LoadEstimator:
-    """Estimates of the present loads of the servers.
+    """Estimates the present load of each server.
 
     Attributes:
         has_reports: health checks return a load.
         has_delay_reports: slow messages are reported, so a server without such reports is not slow.
-        fleet_load: mean load of the servers, which `CapacityEstimator` updates.
+        fleet_load: mean load of the servers; `CapacityEstimator` updates it.
     """
 
     def __init__(self, batch: EventBatch, settings: Settings) -> None:
@@ -61,15 +66,15 @@
 
     @property
     def bounded_fleet_load(self) -> float:
-        """The mean load, bounded from below for divisions."""
+        """The mean load of the fleet, at least `MIN_FLEET_LOAD`, for use as a divisor."""
         return max(MIN_FLEET_LOAD, self.fleet_load)
 
     def record_own_load(self, servers: Iterable[Server]) -> None:
         """Records this balancer's load at each server, once a round, to compare with later reports.
 
         Args:
-            servers: those with connections. A server without connections, now or lately, has no history,
-                which counts as a load of 0.
+            servers: the servers with connections of this balancer. A server that had none recently has no
+                history, which counts as a load of 0.
         """
         now_us = self._batch.now_us
         for server in servers:
@@ -87,10 +92,10 @@
         self._last_round_us = now_us
 
     def record_report(self, server: Server, load: float) -> None:
-        """Records the load of a report, a fraction of capacity.
+        """Records a reported load, as a fraction of capacity.
 
-        Load sent since the time that the report describes still counts beside it: without it, a server would
-        seem empty while reports are old.
+        Load that was sent after the time that the report describes still counts in addition to it. Otherwise
+        a server would seem empty until a newer report arrives.
         """
         now_us = self._batch.now_us
         server.reported_load = load
@@ -108,7 +113,7 @@
         return server.own_load_history[0].load if server.own_load_history else 0.0
 
     def record_sent(self, server: Server, load: float) -> None:
-        """Records load that was sent to the server, and forgets load that every report must include."""
+        """Records load that was sent to the server, and drops old load that every report includes by now."""
         now_us = self._batch.now_us
         sends = server.recent_sends
         if sends and now_us - sends[0].at_us >= VALID_REPORT_US:
@@ -118,12 +123,12 @@
         server.unreported_load += load
 
     def recently_sent_load(self, server: Server) -> float:
-        """Returns the load sent to the server in the last `VALID_REPORT_US`, for fleets with rare reports."""
+        """Returns the load sent to the server in the last `VALID_REPORT_US`; used if reports are rare."""
         since_us = self._batch.now_us - VALID_REPORT_US
         return sum(load for at_us, load in server.recent_sends if at_us >= since_us)
 
     def record_delay(self, server: Server, delay_us: float, objective_us: int) -> bool:
-        """Records the duration of a message. Returns whether it misses its objective."""
+        """Records the delay of a message. Returns whether it misses its objective."""
         now_us = self._batch.now_us
         if delay_us > objective_us / 3:
             server.delayed_at_us = now_us
@@ -138,28 +143,29 @@
         return delay_us >= objective_us
 
     def misses_message_objective(self, server: Server) -> bool:
-        """Returns whether messages at the server miss their objective now."""
+        """Returns whether messages at the server currently miss their objective."""
         return self._batch.now_us - server.objective_missed_us < DELAY_REPORT_VALID_US
 
     def was_slow_recently(self, server: Server) -> bool:
-        """Returns whether slow messages were reported lately, so that a timed-out check shows overload."""
+        """Returns whether slow messages were reported recently, so that a timed-out check means overload."""
         return bool(server.connections) and self._batch.now_us - server.delayed_at_us < DELAY_REPORT_VALID_US
 
     def was_heard_recently(self, server: Server) -> bool:
-        """Returns whether the server was heard lately, so that a timed-out check proves nothing."""
+        """Returns whether the server was heard from recently, so that a timed-out check is no failure."""
         return self._batch.now_us - server.last_heard_us < DELAY_REPORT_VALID_US
 
     @staticmethod
     def load_from_delays(server: Server) -> float:
-        """Returns the load of a server with late messages, from the growth of their delay.
+        """Returns the load of a server with late messages, derived from the growth of their delay.
 
-        A server with a load of 1 + g falls behind by g seconds of work a second, so its delay grows by g a
-        second. To work off the delay within a feedback delay takes another delay / `FEEDBACK_DELAY_US` of its
-        capacity, which is added. The growth also distinguishes a backlog that shrinks from one that grows;
-        older reports would cause the same excess to migrate twice.
+        A server with a load of 1 + g falls behind by g seconds of work per second, so its delay grows by g
+        seconds per second. Working off the delay within one feedback delay takes another
+        delay / `FEEDBACK_DELAY_US` of its capacity, which is added to the load. The growth also tells a
+        backlog that shrinks from one that grows. Load reports are older, and would cause the same excess load
+        to be migrated twice.
         """
         at_us, delay_s, own_load = server.delay_samples[-1]
-        growth = delay_s  # no delay was reported a second before the first sample
+        growth = delay_s  # per second: no delay was reported one second before the first sample
         if len(server.delay_samples) > 1:
             first = server.delay_samples[0]
             growth = (delay_s - first.delay_s) * SECOND_US / (at_us - first.at_us)
@@ -184,16 +190,17 @@
         if now_us - server.delayed_at_us < DELAY_REPORT_VALID_US:
             return max(load, SLOW_MESSAGES_LOAD)
         if server.connections and self.has_delay_reports:
-            # Mostly servers with faults are checked again, and their old high loads would keep the cap low. A
-            # server with connections here and no reports of slow messages is not busy.
+            # The server has connections here and no slow messages, so it is not busy, whatever its old report
+            # says. Health checks favor servers with faults, and the old high loads of servers that are not
+            # checked again would keep the cap low.
             return min(load, SLOW_MESSAGES_LOAD if self.has_reports else LIGHT_LOAD)
         return load
 
     def remaining_load_fraction(self, server: Server) -> float:
-        """Returns the fraction of this balancer's load at the server that remains since its last report.
+        """Returns the fraction of this balancer's load at the server that remains since the last report.
 
-        The other balancers migrate load alike, so the fraction holds for the whole server. It is 1 where this
-        balancer has few of the server's connections.
+        The other balancers migrate load in the same way, so the fraction applies to the whole server. It is 1
+        if this balancer has too few of the server's connections to be representative.
         """
         own_load = server.own_load
         age_us = self._batch.now_us - server.reported_at_us
