--- a/glenrock/routing/activity_history.py
+++ b/glenrock/routing/activity_history.py
@@ -1,4 +1,4 @@
-"""The numbers of clients and the active load of the last seconds, for quotas and for late load reports."""
+"""A history of client counts and active load over the last seconds, for quotas and for late load reports."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class ActivitySample(NamedTuple):
-    """Clients seen by this balancer, and the known active load of the tier, at one time."""
+    """The number of clients of this balancer, and the known active load of all balancers, at one time."""
 
     at_us: int
     clients: int
@@ -16,7 +16,7 @@
 
 
 class ActivityHistory:
-    """Samples of the last `max_age_us`, one a round."""
+    """The samples of the last `max_age_us`; one is recorded per round."""
 
     def __init__(self, batch: EventBatch, max_age_us: int) -> None:
         self._batch = batch
@@ -24,13 +24,13 @@
         self.samples: list[ActivitySample] = []
 
     def record(self, clients: int, total_active_load: float) -> None:
-        """Records a sample of the present time."""
+        """Records a sample for the present time."""
         now_us = self._batch.now_us
         self.samples = [sample for sample in self.samples if now_us - sample.at_us <= self._max_age_us]
         self.samples.append(ActivitySample(now_us, clients, total_active_load))
 
     def oldest_within(self, span_us: int) -> ActivitySample | None:
-        """Returns the oldest sample of the last `span_us`; None if there is none."""
+        """Returns the oldest sample from the last `span_us`; None if there is none."""
         for sample in self.samples:
             if self._batch.now_us - sample.at_us <= span_us:
                 return sample
--- a/glenrock/routing/connection_load.py
+++ b/glenrock/routing/connection_load.py
@@ -1,7 +1,7 @@
-"""The expected load of a connection before its load is known: the mean of its class.
+"""The expected load of a connection whose own load is not known yet: the mean load of its class.
 
-The means may be restored at a later start. The cap, the quotas and the loads of servers may not, since they
-depend on the present load.
+The means may be restored after a restart. The cap, the quotas and the loads of servers may not be restored,
+since they depend on the present load.
 """
 
 from __future__ import annotations
@@ -9,24 +9,24 @@
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple
 
-MIN_MEAN_LOAD_GAIN = 0.02  # least weight of a new load in a mean; the first loads form a plain mean
-MAX_RESTORED_SAMPLES = round(1 / MIN_MEAN_LOAD_GAIN)  # further samples do not slow a mean down
+MIN_MEAN_LOAD_GAIN = 0.02  # minimum weight of a new load in a mean; the first loads have equal weights
+MAX_RESTORED_SAMPLES = round(1 / MIN_MEAN_LOAD_GAIN)  # the gain does not fall any further beyond this number
 ALL_CLASSES = ""
-DEFAULT_LOAD = 1.0  # of a connection, while no load is known
+DEFAULT_LOAD = 1.0  # expected of a connection while no load is known
 
 
 class LoadMean(NamedTuple):
-    """Mean load of a connection. `sample_count` is the number of loads in the mean."""
+    """The mean load of a connection, and the number of loads from which it was computed."""
 
     load: float
     sample_count: int
 
 
 class ConnectionLoads:
-    """Mean load of a connection by class.
+    """The mean load of a connection, by class.
 
     Attributes:
-        means: by class name; `ALL_CLASSES` has the mean over all classes.
+        means: the means by class name; `ALL_CLASSES` is the key of the mean over all classes.
         mean_load: the mean over all classes; 0 while no load is known.
     """
 
@@ -35,10 +35,10 @@
         self.mean_load = 0.0
 
     def record(self, class_name: str, load: float) -> None:
-        """Records the load of a connection, as a hint, a server or another process states it.
+        """Records the load of a connection, as stated by a hint, a server or another balancer process.
 
-        The gain falls with the number of samples, so that the first connection's load does not dominate the
-        mean of a balancer with few clients.
+        The gain falls with the number of samples, so that the load of the first connection does not dominate
+        the mean at a balancer with few clients.
         """
         for name in (ALL_CLASSES, class_name):
             mean, sample_count = self.means.get(name, LoadMean(0.0, 0))
@@ -47,7 +47,7 @@
         self.mean_load = self.means[ALL_CLASSES].load
 
     def expected(self, class_name: str) -> float:
-        """Returns the mean of the class, or of all classes if it has none."""
+        """Returns the mean load of the class, or of all classes if none is known for the class."""
         return self.means.get(class_name, LoadMean(0.0, 0)).load or self.mean_load or DEFAULT_LOAD
 
     def snapshot(self) -> dict[str, LoadMean]:
@@ -58,7 +58,7 @@
         }
 
     def restore(self, snapshot: Mapping[str, tuple[float, int]], class_names: Iterable[str]) -> None:
-        """Restores the means of the named classes that have no samples yet."""
+        """Restores the means of these classes, except where samples were already recorded."""
         known = {ALL_CLASSES, *class_names}
         for name, (mean, sample_count) in snapshot.items():
             if name in known and name not in self.means and mean > 0:
--- a/glenrock/routing/failure_domains.py
+++ b/glenrock/routing/failure_domains.py
@@ -1,14 +1,14 @@
-"""Whether the link to a failure domain is partitioned, by a sequential test with stated error rates.
+"""Detects partitioned failure domains by a sequential test with stated error rates.
 
-The test is a CUSUM detector: single dead members of a domain are expected, and it reports the change to a
-domain of which no member is reached. Each domain is tested by Wald's sequential probability ratio test in
-Page's form: the log of the likelihood ratio, partitioned over healthy, is summed, kept at 0 or above, and
-compared with a bound that follows from the error rates. (Wald 1945, Sequential Tests of Statistical
-Hypotheses; Page 1954, Continuous Inspection Schemes.)
+A domain, such as a zone, is partitioned if the link to it is cut, so that none of its members can be reached.
+Single dead members are normal and are no partition. Each domain is tested by a CUSUM detector: Wald's
+sequential probability ratio test in Page's form. The log-likelihood ratio of "partitioned" to "healthy" is
+summed over the evidence, kept at 0 or above, and compared with a threshold that follows from the error rates.
+(Wald 1945, Sequential Tests of Statistical Hypotheses; Page 1954, Continuous Inspection Schemes.)
 
-The evidence of a member counts once per window, so that failures of one dead member in quick succession do
-not add up to a partition; over several windows they do, unless another member is reached. Without evidence a
-score decays. Times are microseconds.
+A member's failures count once per window, so that failures of one dead member in quick succession do not add
+up to a partition. Over several windows they do add up, unless another member is reached. The score of a
+domain decays while there is no evidence. Times are microseconds.
 """
 
 from __future__ import annotations
@@ -20,16 +20,16 @@
 
 from .event_batch import NEVER_US
 
-HEALTHY_FAILURE_PROBABILITY = 0.03  # of a member of a healthy domain
-PARTITIONED_FAILURE_PROBABILITY = 0.97  # of a member of a partitioned domain
-FALSE_ALARM_RATE = 0.0005  # wanted chance that a healthy domain passes the bound
-MISSED_DETECTION_RATE = 0.05  # wanted chance that a partitioned domain does not
-EVIDENCE_WINDOW_US = 1_000_000  # a member's failures count once in this time
-SCORE_HALF_LIFE_US = 4_000_000  # of a score without evidence
-EVIDENCE_TIMEOUT_US = 10_000_000  # without evidence for this long a partition is assumed to be over
+HEALTHY_FAILURE_PROBABILITY = 0.03  # probability that a member of a healthy domain fails
+PARTITIONED_FAILURE_PROBABILITY = 0.97  # probability that a member of a partitioned domain fails
+FALSE_ALARM_RATE = 0.0005  # target probability that a healthy domain reaches the threshold
+MISSED_DETECTION_RATE = 0.05  # target probability that a partitioned domain does not reach it
+EVIDENCE_WINDOW_US = 1_000_000  # failures of a member count once in this time
+SCORE_HALF_LIFE_US = 4_000_000  # while there is no evidence
+EVIDENCE_TIMEOUT_US = 10_000_000  # a partition without evidence for this long is assumed to be over
 HEALTH_CHECK_INTERVAL_US = 500_000  # between checks of a partitioned domain
-RECOVERY_STEP_US = 700_000  # of the recovery ramp
-RECOVERY_FRACTIONS = (0.25, 0.5, 0.75)  # of the members, in the steps of the recovery ramp
+RECOVERY_STEP_US = 700_000  # duration of one step of the recovery ramp
+RECOVERY_FRACTIONS = (0.25, 0.5, 0.75)  # usable fraction of the members in each step of the recovery ramp
 
 FAILURE_LOG_RATIO = log(PARTITIONED_FAILURE_PROBABILITY / HEALTHY_FAILURE_PROBABILITY)
 REACHABLE_LOG_RATIO = log((1 - PARTITIONED_FAILURE_PROBABILITY) / (1 - HEALTHY_FAILURE_PROBABILITY))
@@ -38,14 +38,15 @@
 
 @dataclass(slots=True)
 class DomainState:
-    """The test of one domain.
+    """The state of one domain's test.
 
     Attributes:
-        score: log of the likelihood ratio, partitioned over healthy; at least 0.
-        is_partitioned: the score has passed the bound, and no member has been reached since.
-        recovered_us: end of the last partition; the recovery ramp starts then.
-        checked_us: time of the last health check during the partition.
-        failure_counted_us: members whose failures counted, and when.
+        score: summed log-likelihood ratio of "partitioned" to "healthy"; at least 0.
+        updated_us: when the score was last updated by evidence.
+        is_partitioned: the score has reached the threshold, and no member has been reached since.
+        recovered_us: end of the last partition, at which the recovery ramp starts.
+        checked_us: time of the last health check during a partition.
+        failure_counted_us: when a failure of each member last counted, by member.
     """
 
     score: float = 0.0
@@ -58,7 +59,12 @@
 
 @dataclass(slots=True)
 class BatchEvidence:
-    """What a batch shows of one domain: whether any member was reached, and otherwise which ones failed."""
+    """The evidence on one domain in a batch.
+
+    Attributes:
+        was_reached: a member was reached.
+        failed: members that failed, in order and without duplicates; the values are unused.
+    """
 
     was_reached: bool = False
     failed: dict[str, None] = field(default_factory=dict)
@@ -72,13 +78,13 @@
 
 
 class FailureDomains:
-    """The failure domains that one balancer sees, by name.
+    """The state of all failure domains, as observed by one balancer.
 
-    Evidence is collected until `evaluate`, which runs once a batch. The order within a batch does not matter:
-    one member that is reached outweighs all failures of the batch.
+    Evidence is collected until `evaluate` is called, once per batch. The order of the evidence within a batch
+    does not matter: if any member was reached, the failures of the batch are ignored.
 
     Attributes:
-        states: domains with evidence.
+        states: domains with at least one recorded failure, by name.
         changes: partitions that started or ended in the last batch.
     """
 
@@ -88,7 +94,7 @@
         self.changes: list[DomainChange] = []
 
     def record(self, domain: str, member: str, is_reachable: bool) -> None:
-        """Records that a member was reached or not."""
+        """Records that a member was or was not reached."""
         evidence = self._evidence.setdefault(domain, BatchEvidence())
         if is_reachable:
             evidence.was_reached = True
@@ -130,12 +136,12 @@
         return any(self.usable_fraction(now_us, domain) < 1 for domain in self.states)
 
     def may_use(self, now_us: int, domain: str, member_hash: int) -> bool:
-        """Returns whether a member, selected by its hash, belongs to the usable fraction of its domain."""
+        """Returns whether a member belongs to the usable fraction of its domain, as decided by its hash."""
         fraction = self.usable_fraction(now_us, domain)
         return fraction >= 1 or (member_hash >> 8 & 0xFF) < fraction * 256
 
     def due_health_checks(self, now_us: int) -> list[str]:
-        """Returns the partitioned domains whose next health check is due, and records that it is sent."""
+        """Returns the partitioned domains whose next health check is due, and marks the checks as sent."""
         due = [
             domain
             for domain, state in self.states.items()
@@ -146,12 +152,12 @@
         return due
 
     def score_fraction(self, now_us: int, domain: str) -> float:
-        """Returns the present score as a fraction of the bound, 0 to 1."""
+        """Returns the present score as a fraction of the threshold, from 0 to 1."""
         state = self.states.get(domain)
         return decayed_score(state.score, now_us - state.updated_us) / PARTITION_THRESHOLD if state else 0.0
 
     def _evaluate_domain(self, domain: str, evidence: BatchEvidence, now_us: int) -> bool:
-        """Evaluates the evidence of one domain. Returns whether its partition started or ended."""
+        """Evaluates the evidence on one domain. Returns whether a partition started or ended."""
         if evidence.was_reached:
             state = self.states.get(domain)
             return state is not None and _record_reachable(state, now_us)
@@ -160,7 +166,7 @@
 
 
 def _record_reachable(state: DomainState, now_us: int) -> bool:
-    """Ends a partition: a reached member proves that the link works. Returns whether there was one."""
+    """Records that a member was reached, which ends a partition. Returns whether there was one."""
     state.score = max(0.0, state.score + REACHABLE_LOG_RATIO)
     state.updated_us = now_us
     state.failure_counted_us.clear()
@@ -171,7 +177,7 @@
 
 
 def _end_partition(state: DomainState, now_us: int) -> None:
-    """Ends the partition, and starts the recovery ramp."""
+    """Ends the partition and starts the recovery ramp."""
     state.is_partitioned = False
     state.recovered_us = now_us
     state.score = 0.0
@@ -179,18 +185,18 @@
 
 def _record_failures(state: DomainState, now_us: int, members: Iterable[str]) -> bool:
     """Adds failures to the score. Returns whether a partition starts."""
-    fresh = [
+    newly_counted = [
         member
         for member in members
         if now_us - state.failure_counted_us.get(member, -EVIDENCE_WINDOW_US) >= EVIDENCE_WINDOW_US
     ]
-    if not fresh:
+    if not newly_counted:
         return False
     recent = {
         member: at for member, at in state.failure_counted_us.items() if now_us - at < EVIDENCE_WINDOW_US
     }
-    state.failure_counted_us = recent | dict.fromkeys(fresh, now_us)
-    score = decayed_score(state.score, now_us - state.updated_us) + FAILURE_LOG_RATIO * len(fresh)
+    state.failure_counted_us = recent | dict.fromkeys(newly_counted, now_us)
+    score = decayed_score(state.score, now_us - state.updated_us) + FAILURE_LOG_RATIO * len(newly_counted)
     state.score = min(PARTITION_THRESHOLD, score)
     state.updated_us = now_us
     was_partitioned = state.is_partitioned
@@ -199,6 +205,6 @@
 
 
 def decayed_score(score: float, span_us: int) -> float:
-    """Returns a score after that time without evidence."""
+    """Returns the score after a time span without evidence."""
     factor: float = 0.5 ** (max(0, span_us) / SCORE_HALF_LIFE_US)
     return score * factor
--- a/glenrock/routing/gossip.py
+++ b/glenrock/routing/gossip.py
@@ -1,4 +1,4 @@
-"""Gossip: keeps the last summaries of the other balancers, and sends summaries of this one."""
+"""Gossip: keeps the latest summary of each other balancer, and sends summaries of this one."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
 from .token_budget import gossip_budget
 from .waiting_queue import WaitingQueue
 
-IDLE_GOSSIP_INTERVAL_US = 5 * SECOND_US  # while no client waits
-MAX_PEER_SILENCE_US = 3 * IDLE_GOSSIP_INTERVAL_US
-STAMP_UNIT_US = SECOND_US // 10  # unit of a summary's stamp
-MAX_STAMP_ADVANCE = 0x7FFF  # a larger advance of the wrapping counter is an old summary
-MIN_JITTER = 0.9  # of an interval
-JITTER_DIVISOR = 5  # of the random part that is added
+IDLE_GOSSIP_INTERVAL_US = 5 * SECOND_US  # while no client waits and the load is not capped
+MAX_PEER_SILENCE_US = 3 * IDLE_GOSSIP_INTERVAL_US  # a balancer that is silent for longer is forgotten
+STAMP_UNIT_US = SECOND_US // 10  # time unit of a summary's stamp
+MAX_STAMP_ADVANCE = 0x7FFF  # the stamp counter wraps; a larger advance means that the summary is old
+MIN_JITTER = 0.9  # of the interval
+JITTER_DIVISOR = 5  # the interval is extended by a random part of up to 1 / 5 of its length
 
 
 class Gossip:
-    """The last summaries of the other balancers.
+    """Keeps the latest summaries of the other balancers, and sends those of this one.
 
     Attributes:
-        peers: by index.
-        next_send_us: earliest time of the next summary of this balancer.
+        peers: the latest summary of each known other balancer, by index.
+        next_send_us: earliest time at which this balancer sends its next summary.
         budget: tokens for the bytes of summaries.
     """
 
@@ -52,11 +52,11 @@
         self.budget = gossip_budget(settings)
 
     def total_active_load(self) -> float:
-        """Returns the known active load of all balancers."""
+        """Returns the active load of all balancers, as far as it is known."""
         return self._sessions.active_load + sum(peer.active_load for peer in self.peers.values())
 
     def total_waiting_load(self) -> dict[int, float]:
-        """Returns the known waiting load of all balancers, by bucket."""
+        """Returns the waiting load of all balancers by bucket, as far as it is known."""
         loads = self._waiting_queue.load_by_bucket()
         for peer in self.peers.values():
             for bucket, load in peer.waiting:
@@ -64,14 +64,20 @@
         return loads
 
     def forget_lost_peers(self) -> None:
-        """Forgets silent balancers: the clients of a balancer that is gone reconnect to the others."""
+        """Forgets balancers that were silent for too long.
+
+        The clients of a balancer that is gone reconnect to the others, and would be counted twice.
+        """
         now_us = self._batch.now_us
         lost = [index for index, peer in self.peers.items() if now_us - peer.heard_us > MAX_PEER_SILENCE_US]
         for index in lost:
             del self.peers[index]
 
     def receive(self, event: GossipReceived) -> Peer | None:
-        """Handles a summary. Returns the peer if it was not known before; an invalid summary is ignored."""
+        """Handles a summary, and returns the peer if it was not known before.
+
+        Ignores a summary that is this balancer's own, invalid, or not newer than the last one.
+        """
         if event.peer_index == self._settings.index:
             return None
         decoded = gossip_codec.decode(event.data)
@@ -84,7 +90,7 @@
             return None
         known = self.peers.get(event.peer_index)
         if known and not 0 < (summary.stamp - known.stamp & gossip_codec.MAX_STAMP) <= MAX_STAMP_ADVANCE:
-            return None  # delayed or duplicated
+            return None  # a delayed or duplicate summary
         bucket = self._waiting_queue.current_bucket()
         waiting = [WaitingLoad(bucket - age, load) for age, load in summary.waiting]
         peer = Peer(summary.stamp, self._batch.now_us, summary.active_load, summary.clients, waiting)
@@ -92,35 +98,36 @@
         return None if known else peer
 
     def _tenant_load(self) -> float:
-        """Returns the load of all connections that tenants may hold; 0 while few loads are known."""
+        """Returns the load of all connections that tenants may hold; 0 if there are too few clients to tell."""
         if len(self._sessions) < MIN_REPRESENTATIVE_CONNECTIONS:
             return 0.0
         quota = sum(tenant.connections for tenant in self._settings.tenants)
         return self._connection_loads.mean_load * quota
 
     def send_at_next_round(self) -> None:
-        """Makes the next summary due now, after a change that the other balancers need to know."""
+        """Makes the next summary due now, after a change that the other balancers need to know soon."""
         self.next_send_us = self._batch.now_us
 
     def send_if_due(self, clients: int, is_uncapped: bool, is_balancer_draining: bool) -> None:
         """Sends a summary if it is due and the budget allows.
 
         Args:
-            clients: number of clients seen here, `CLIENT_COUNT_LAG_US` ago.
-            is_uncapped: the cap does not bind.
-            is_balancer_draining: this balancer migrates its clients; the others divide its quota meanwhile.
+            clients: number of clients that this balancer had `CLIENT_COUNT_LAG_US` ago.
+            is_uncapped: whether the active load is not bounded by the admission cap.
+            is_balancer_draining: whether this balancer migrates its clients to the others. It then announces
+                no clients, so that the others divide its quota.
         """
         settings, now_us = self._settings, self._batch.now_us
         if not settings.may_gossip or settings.balancers <= 1 or now_us < self.next_send_us:
             return
         waiting = _aged_loads(self._waiting_queue.load_by_bucket(), self._waiting_queue.current_bucket())
         stamp = now_us // STAMP_UNIT_US & gossip_codec.MAX_STAMP
-        shared_clients = 0 if is_balancer_draining else clients
-        data = gossip_codec.encode(stamp, self._sessions.active_load, shared_clients, waiting)
+        announced_clients = 0 if is_balancer_draining else clients
+        data = gossip_codec.encode(stamp, self._sessions.active_load, announced_clients, waiting)
         cost = len(data) * (settings.balancers - 1)
         if not self.budget.try_spend(cost):
             return
-        # While no client waits, quotas need few summaries, and tokens are saved for times of scarcity.
+        # While no client waits, quotas need few summaries, and tokens are saved for when capacity is scarce.
         is_idle = not waiting and is_uncapped
         interval_us = 2 * ROUND_US
         if is_balancer_draining:
@@ -132,6 +139,7 @@
 
 
 def _aged_loads(load_by_bucket: Mapping[int, float], current: int) -> list[gossip_codec.AgedLoad]:
+    """Returns the waiting loads with the ages of their buckets, youngest first."""
     return [
         gossip_codec.AgedLoad(current - bucket, load)
         for bucket, load in sorted(load_by_bucket.items(), reverse=True)
--- a/glenrock/routing/slow_start.py
+++ b/glenrock/routing/slow_start.py
@@ -1,7 +1,8 @@
-"""Slow start: how warm a server is, and the load that one balancer may send to a server that is warming up.
+"""Slow start: how warm a server is, and how much load this balancer may send to a server that is warming up.
 
-Such a server fails under the load that all balancers send together. So each balancer has a budget for it, and
-the budgets add up to what the server bears, whatever the number of balancers.
+A server that is warming up would fail under the load that all balancers together could send. Each balancer
+therefore has a budget for it, and the budgets of all balancers add up to what the server can take, whatever
+the number of balancers.
 """
 
 from __future__ import annotations
@@ -15,9 +16,9 @@
 from .load_estimation import LoadEstimator
 from .state import Peer, Server, TimedLoad
 
-SLOW_START_BUDGET_FRACTION = 0.45  # of the load that fails a warming server; the rest covers random peaks
-MIN_BUDGET_FLEET_LOAD = 0.5  # bounds a division
-MIN_DRAW = 1e-9
+SLOW_START_BUDGET_FRACTION = 0.45  # of the load at which a warming server fails; the rest covers random peaks
+MIN_BUDGET_FLEET_LOAD = 0.5  # avoids a division by a value near 0
+MIN_DRAW = 1e-9  # avoids a division by 0
 
 
 def reference_load(
@@ -29,16 +30,17 @@
 ) -> float:
     """Returns the load from which this balancer's slow-start budgets are computed.
 
-    A balancer without clients of its own is draining or has just started. Its load is divided among the
-    balancers that have clients. If that load counted at its own balancer too it would be sent twice; if it
-    counted at none, a warming server would stay empty beside full ones.
+    A balancer that announces no clients is draining or has just started. Its load is unassigned: it is
+    divided among the balancers that have clients. If the balancer itself counted the load too, the budgets
+    would contain it twice; if no balancer counted it, a warming server would stay empty while others are
+    full.
 
     Args:
-        own_load: load of the connections here.
+        own_load: load of this balancer's connections.
         client_fraction: this balancer's fraction of all clients; None if it is not known.
-        peers: the last summaries of the other balancers.
+        peers: the last gossip summaries of the other balancers.
         balancers: number of balancers in the settings.
-        is_balancer_draining: this balancer migrates its clients.
+        is_balancer_draining: whether this balancer migrates its clients to the others.
     """
     if not peers:
         return 0.0 if is_balancer_draining else own_load
@@ -51,10 +53,10 @@
 
 
 class SlowStart:
-    """Warmth of the servers, and this balancer's slow-start budgets.
+    """The warmth of the servers, and this balancer's slow-start budgets.
 
     Attributes:
-        warming: servers in reach that are warming up, as of the last round.
+        warming: reachable servers that were warming up in the last round.
         reference_load: the load from which budgets are computed.
     """
 
@@ -78,7 +80,7 @@
         self.reference_load = 0.0
 
     def warmth(self, server: Server) -> float:
-        """Returns the fraction of its capacity that a server has by now."""
+        """Returns the fraction of its full capacity that a server has reached, 1 for a warm server."""
         age_us = self._batch.now_us - server.started_us
         if not server.started_us or age_us >= self._settings.slow_start_us:
             return 1.0
@@ -90,7 +92,10 @@
         return self.warmth(server) >= 1
 
     def filled_fraction(self, server: Server) -> float:
-        """Returns the fraction of a server's capacity that all balancers may have sent there by now."""
+        """Returns the load that all balancers may have sent to a server since it started.
+
+        It is a fraction of the server's full capacity.
+        """
         settings = self._settings
         age_fraction = max(0, self._batch.now_us - server.started_us) / max(1, settings.slow_start_us)
         mean_warmth = (settings.slow_start_initial_fraction + self.warmth(server)) / 2
@@ -99,8 +104,8 @@
     def update_reference_load(self, load: float, is_balancer_draining: bool) -> None:
         """Updates the reference load, once a round.
 
-        While no server is warm the last load stays, unless this balancer drains: after a loss of all servers
-        no connections are left, and budgets of 0 would last until the first server is warm.
+        While no server is warm, the last reference load is kept, unless this balancer drains. After a loss of
+        all servers no connections are left, and the budgets would be 0 until the first server is warm.
         """
         if is_balancer_draining or self._capacity.has_warm_server:
             self.reference_load = load
@@ -116,10 +121,11 @@
         - this balancer's load on one full warm server: `reference_load` / (warm servers * mean fleet load),
         - the server's warmth,
         - the window's length / the slow start's length,
-        - `SLOW_START_BUDGET_FRACTION` * `slow_start_multiple`, the multiple that fails the server.
+        - `SLOW_START_BUDGET_FRACTION` * `slow_start_multiple`, the latter being the multiple at which the
+          server fails.
 
-        The window slides: in fixed windows the end of one and the start of the next would add up. The unit is
-        that of `reference_load`, microseconds of work per second.
+        The window slides, since the budgets of two consecutive fixed windows could be spent together around
+        their boundary. The unit is that of `reference_load`, microseconds of work per second.
         """
         warmth = self.warmth(server)
         if warmth >= 1:
@@ -140,18 +146,19 @@
         return left
 
     def _window_multiple(self, server: Server) -> float:
-        """Returns the multiple of its budget that the first connection of this window may have.
+        """Returns the multiple of the budget that the first connection of this window may use.
 
-        Budgets below one connection are rounded at random. The multiple is 1 / u, at most half the number of
-        balancers, with u drawn evenly from 0 to 1 for each balancer and window. It reaches n with probability
-        1 / n, so that a connection of n budgets is sent in one of n windows on average. Budgets saved up over
-        windows would let all balancers send at once.
+        A budget that is smaller than one connection is rounded up at random. The multiple is 1 / u, at most
+        half the number of balancers, where u is drawn uniformly from 0 to 1 for each balancer and window. The
+        multiple is at least n with probability 1 / n, so a connection that needs n budgets is sent in one of
+        n windows on average. If balancers saved up their budgets over several windows instead, all of them
+        could send at the same time.
         """
         window = (self._batch.now_us - server.started_us) // self._settings.slow_start_window_us
         draw = max(MIN_DRAW, mix(server.hash ^ self._salt ^ mix(window)) / HASH_MASK)
         return min(1 / draw, self._settings.balancers / 2)
 
     def record_sent(self, server: Server, load: float) -> None:
-        """Records load that was sent to a server."""
+        """Records load that was sent to a server, if the server is warming up."""
         if not self.is_warm(server):
             server.slow_start_sends.append(TimedLoad(self._batch.now_us, load))
