--- a/glenrock/routing/gossip.py
+++ b/glenrock/routing/gossip.py
@@ -98,7 +98,7 @@
         return None if known else peer
 
     def _tenant_load(self) -> float:
-        """Returns the load of all connections that tenants may hold; 0 if there are too few clients to tell."""
+        """Returns the load of all connections that tenants may hold; 0 with too few clients to tell."""
         if len(self._sessions) < MIN_REPRESENTATIVE_CONNECTIONS:
             return 0.0
         quota = sum(tenant.connections for tenant in self._settings.tenants)
