--- a/glenrock/routing/admission.py
+++ b/glenrock/routing/admission.py
@@ -79,7 +79,7 @@
     may_admit_new_clients: bool = field(init=False, default=True)
     has_rejected_young_bucket: bool = field(init=False, default=False)
     extra_buckets: int = field(init=False, default=0)
-    _cap_cut_us: int = field(init=False, default=NEVER_US)
+    _cap_cut_at_us: int = field(init=False, default=NEVER_US)
     _load_admitted_outside_quota: float = field(init=False, default=0.0)
     _attempts: int = field(init=False, default=0)
     _dropped: int = field(init=False, default=0)
@@ -226,9 +226,9 @@
         self.slow_start_load_cap = full_load / self.loads.bounded_fleet_load / max(1, warm_count)
 
     def _cut_cap(self, past_load: float, sustainable_load: float) -> None:
-        if self.batch.now_us - self._cap_cut_us < FEEDBACK_DELAY_US:
+        if self.batch.now_us - self._cap_cut_at_us < FEEDBACK_DELAY_US:
             return
-        self._cap_cut_us = self.batch.now_us
+        self._cap_cut_at_us = self.batch.now_us
         if self.loads.fleet_load > load_targets.HIGH_LOAD:
             self.load_cap = min(self.load_cap, max(past_load / 2, sustainable_load))
         else:
--- a/glenrock/routing/capacity_estimation.py
+++ b/glenrock/routing/capacity_estimation.py
@@ -46,7 +46,7 @@
         server_capacity: load that fills an average server; 0 while it is not known.
         warm_server_count: number of warm servers that can be reached, when there last were any.
         has_warm_server: whether a warm server can be reached now; true before the first round.
-        servers_lost_us: when warm servers were last lost.
+        servers_lost_at_us: when warm servers were last lost.
     """
 
     def __init__(
@@ -65,7 +65,7 @@
         self.server_capacity = 0.0
         self.warm_server_count = 0
         self.has_warm_server = True
-        self.servers_lost_us = NEVER_US
+        self.servers_lost_at_us = NEVER_US
         self._reachable_ids: set[str] = set()
         self._last_warm: Sequence[Server] | None = None
         self._own_load_history: list[TimedLoad] = []
@@ -102,7 +102,7 @@
         before = self._loads.fleet_load
         predicted = (before * (warm_count - len(added) + lost_count) + sum(added)) / warm_count
         if lost_count and predicted > before:
-            self.servers_lost_us = self._batch.now_us
+            self.servers_lost_at_us = self._batch.now_us
         self._loads.fleet_load = min(predicted, max(before, MAX_PREDICTED_LOAD))
 
     def update_fleet_load(self, warm: Sequence[Server], total_active_load: float) -> None:
@@ -111,7 +111,7 @@
         After a loss of servers, reports are ignored until the clients of these servers have reconnected:
         earlier reports do not include that load, and would raise the cap too early.
         """
-        since_us = max(self._batch.now_us - FEEDBACK_DELAY_US, self.servers_lost_us + CLIENT_RECONNECT_US)
+        since_us = max(self._batch.now_us - FEEDBACK_DELAY_US, self.servers_lost_at_us + CLIENT_RECONNECT_US)
         observed = [
             ObservedLoad(server, min(MAX_OBSERVED_LOAD, self._loads.load(server)))
             for server in warm
--- a/glenrock/routing/failure_domains.py
+++ b/glenrock/routing/failure_domains.py
@@ -42,19 +42,19 @@
 
     Attributes:
         score: summed log-likelihood ratio of "partitioned" to "healthy"; at least 0.
-        updated_us: when the score was last updated by evidence.
+        updated_at_us: when the score was last updated by evidence.
         is_partitioned: the score has reached the threshold, and no member has been reached since.
-        recovered_us: end of the last partition, at which the recovery ramp starts.
-        checked_us: time of the last health check during a partition.
-        failure_counted_us: when a failure of each member last counted, by member.
+        recovered_at_us: end of the last partition, at which the recovery ramp starts.
+        checked_at_us: time of the last health check during a partition.
+        failure_counted_at_us: when a failure of each member last counted, by member.
     """
 
     score: float = 0.0
-    updated_us: int = 0
+    updated_at_us: int = 0
     is_partitioned: bool = False
-    recovered_us: int = NEVER_US
-    checked_us: int = NEVER_US
-    failure_counted_us: dict[str, int] = field(default_factory=dict)
+    recovered_at_us: int = NEVER_US
+    checked_at_us: int = NEVER_US
+    failure_counted_at_us: dict[str, int] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
@@ -110,7 +110,7 @@
         ]
         self._evidence.clear()
         for domain, state in self.states.items():
-            if state.is_partitioned and now_us - state.updated_us >= EVIDENCE_TIMEOUT_US:
+            if state.is_partitioned and now_us - state.updated_at_us >= EVIDENCE_TIMEOUT_US:
                 _end_partition(state, now_us)
                 changed.append(domain)
         self.changes = [DomainChange(domain, self.states[domain].is_partitioned) for domain in changed]
@@ -128,7 +128,7 @@
             return 1.0
         if state.is_partitioned:
             return 0.0
-        step = (now_us - state.recovered_us) // RECOVERY_STEP_US
+        step = (now_us - state.recovered_at_us) // RECOVERY_STEP_US
         return RECOVERY_FRACTIONS[step] if step < len(RECOVERY_FRACTIONS) else 1.0
 
     def has_restrictions(self, now_us: int) -> bool:
@@ -145,31 +145,33 @@
         due = [
             domain
             for domain, state in self.states.items()
-            if state.is_partitioned and now_us - state.checked_us >= HEALTH_CHECK_INTERVAL_US
+            if state.is_partitioned and now_us - state.checked_at_us >= HEALTH_CHECK_INTERVAL_US
         ]
         for domain in due:
-            self.states[domain].checked_us = now_us
+            self.states[domain].checked_at_us = now_us
         return due
 
     def score_fraction(self, now_us: int, domain: str) -> float:
         """Returns the present score as a fraction of the threshold, from 0 to 1."""
         state = self.states.get(domain)
-        return decayed_score(state.score, now_us - state.updated_us) / PARTITION_THRESHOLD if state else 0.0
+        return (
+            decayed_score(state.score, now_us - state.updated_at_us) / PARTITION_THRESHOLD if state else 0.0
+        )
 
     def _evaluate_domain(self, domain: str, evidence: BatchEvidence, now_us: int) -> bool:
         """Evaluates the evidence on one domain. Returns whether a partition started or ended."""
         if evidence.was_reached:
             state = self.states.get(domain)
             return state is not None and _record_reachable(state, now_us)
-        state = self.states.setdefault(domain, DomainState(updated_us=now_us))
+        state = self.states.setdefault(domain, DomainState(updated_at_us=now_us))
         return _record_failures(state, now_us, evidence.failed)
 
 
 def _record_reachable(state: DomainState, now_us: int) -> bool:
     """Records that a member was reached, which ends a partition. Returns whether there was one."""
     state.score = max(0.0, state.score + REACHABLE_LOG_RATIO)
-    state.updated_us = now_us
-    state.failure_counted_us.clear()
+    state.updated_at_us = now_us
+    state.failure_counted_at_us.clear()
     if not state.is_partitioned:
         return False
     _end_partition(state, now_us)
@@ -179,7 +181,7 @@
 def _end_partition(state: DomainState, now_us: int) -> None:
     """Ends the partition and starts the recovery ramp."""
     state.is_partitioned = False
-    state.recovered_us = now_us
+    state.recovered_at_us = now_us
     state.score = 0.0
 
 
@@ -188,17 +190,17 @@
     newly_counted = [
         member
         for member in members
-        if now_us - state.failure_counted_us.get(member, -EVIDENCE_WINDOW_US) >= EVIDENCE_WINDOW_US
+        if now_us - state.failure_counted_at_us.get(member, -EVIDENCE_WINDOW_US) >= EVIDENCE_WINDOW_US
     ]
     if not newly_counted:
         return False
     recent = {
-        member: at for member, at in state.failure_counted_us.items() if now_us - at < EVIDENCE_WINDOW_US
+        member: at for member, at in state.failure_counted_at_us.items() if now_us - at < EVIDENCE_WINDOW_US
     }
-    state.failure_counted_us = recent | dict.fromkeys(newly_counted, now_us)
-    score = decayed_score(state.score, now_us - state.updated_us) + FAILURE_LOG_RATIO * len(newly_counted)
+    state.failure_counted_at_us = recent | dict.fromkeys(newly_counted, now_us)
+    score = decayed_score(state.score, now_us - state.updated_at_us) + FAILURE_LOG_RATIO * len(newly_counted)
     state.score = min(PARTITION_THRESHOLD, score)
-    state.updated_us = now_us
+    state.updated_at_us = now_us
     was_partitioned = state.is_partitioned
     state.is_partitioned = was_partitioned or state.score >= PARTITION_THRESHOLD
     return state.is_partitioned and not was_partitioned
--- a/glenrock/routing/gossip.py
+++ b/glenrock/routing/gossip.py
@@ -28,7 +28,7 @@
 
     Attributes:
         peers: the latest summary of each known other balancer, by index.
-        next_send_us: earliest time at which this balancer sends its next summary.
+        next_send_at_us: earliest time at which this balancer sends its next summary.
         budget: tokens for the bytes of summaries.
     """
 
@@ -48,7 +48,7 @@
         self._waiting_queue = waiting_queue
         self._connection_loads = connection_loads
         self.peers: dict[int, Peer] = {}
-        self.next_send_us = 0
+        self.next_send_at_us = 0
         self.budget = gossip_budget(settings)
 
     def total_active_load(self) -> float:
@@ -106,7 +106,7 @@
 
     def send_at_next_round(self) -> None:
         """Makes the next summary due now, after a change that the other balancers need to know soon."""
-        self.next_send_us = self._batch.now_us
+        self.next_send_at_us = self._batch.now_us
 
     def send_if_due(self, clients: int, is_uncapped: bool, is_balancer_draining: bool) -> None:
         """Sends a summary if it is due and the budget allows.
@@ -118,7 +118,7 @@
                 no clients, so that the others divide its quota.
         """
         settings, now_us = self._settings, self._batch.now_us
-        if not settings.may_gossip or settings.balancers <= 1 or now_us < self.next_send_us:
+        if not settings.may_gossip or settings.balancers <= 1 or now_us < self.next_send_at_us:
             return
         waiting = _aged_loads(self._waiting_queue.load_by_bucket(), self._waiting_queue.current_bucket())
         stamp = now_us // STAMP_UNIT_US & gossip_codec.MAX_STAMP
@@ -134,7 +134,7 @@
             interval_us = ROUND_US // 2
         elif is_idle:
             interval_us = IDLE_GOSSIP_INTERVAL_US
-        self.next_send_us = now_us + int(interval_us * (MIN_JITTER + self._rng.random() / JITTER_DIVISOR))
+        self.next_send_at_us = now_us + int(interval_us * (MIN_JITTER + self._rng.random() / JITTER_DIVISOR))
         self._batch.emit(SendGossip(data))
 
 
--- a/glenrock/routing/load_estimation.py
+++ b/glenrock/routing/load_estimation.py
@@ -62,7 +62,7 @@
         self.has_delay_reports = settings.has_message_delay_reports
         self.fleet_load = INITIAL_FLEET_LOAD
         self._servers_with_history: dict[str, Server] = {}
-        self._last_round_us = NEVER_US
+        self._last_round_at_us = NEVER_US
 
     @property
     def bounded_fleet_load(self) -> float:
@@ -80,8 +80,8 @@
         for server in servers:
             if server.server_id not in self._servers_with_history:
                 self._servers_with_history[server.server_id] = server
-                if server.added_us <= self._last_round_us:
-                    server.own_load_history = [TimedLoad(self._last_round_us, 0.0)]
+                if server.added_us <= self._last_round_at_us:
+                    server.own_load_history = [TimedLoad(self._last_round_at_us, 0.0)]
         for server in list(self._servers_with_history.values()):
             history = [past for past in server.own_load_history if now_us - past.at_us < OWN_LOAD_HISTORY_US]
             history.append(TimedLoad(now_us, server.own_load))
@@ -89,7 +89,7 @@
             if not server.connections and not any(load for _, load in history):
                 server.own_load_history = []
                 del self._servers_with_history[server.server_id]
-        self._last_round_us = now_us
+        self._last_round_at_us = now_us
 
     def record_report(self, server: Server, load: float) -> None:
         """Records a reported load, as a fraction of capacity.
--- a/tests/routing/test_failure_domains.py
+++ b/tests/routing/test_failure_domains.py
@@ -47,7 +47,7 @@
         assert sorted(domains.evaluate(now_us)) == sorted(shuffled_domains.evaluate(now_us))
         assert rounded_states(domains) == rounded_states(shuffled_domains)
         for state in domains.states.values():
-            assert 0 <= state.score <= failure_domains.PARTITION_THRESHOLD and len(state.failure_counted_us) <= 6
+            assert 0 <= state.score <= failure_domains.PARTITION_THRESHOLD and len(state.failure_counted_at_us) <= 6
 
 
 def record_failures(domains: FailureDomains, now_us: int, members: str) -> list[str]:
@@ -109,8 +109,8 @@
 def test_partitioned_domain_is_checked_at_the_interval() -> None:
     domains = FailureDomains()
     record_failures(domains, 0, "uvw")
-    checked_at_us = [now_us for now_us in range(0, 4 * SECOND, 10_000) if domains.due_health_checks(now_us)]
-    assert len(checked_at_us) == 4 * SECOND // failure_domains.HEALTH_CHECK_INTERVAL_US
+    check_times_us = [now_us for now_us in range(0, 4 * SECOND, 10_000) if domains.due_health_checks(now_us)]
+    assert len(check_times_us) == 4 * SECOND // failure_domains.HEALTH_CHECK_INTERVAL_US
 
 
 def test_stated_error_rates_hold() -> None:
--- a/tests/routing/test_many_balancers.py
+++ b/tests/routing/test_many_balancers.py
@@ -139,7 +139,7 @@
     before = balancer.loads.fleet_load
     balancer.capacity.update_membership(warm[:remaining])
     assert before <= balancer.loads.fleet_load <= max(before, capacity_estimation.MAX_PREDICTED_LOAD)
-    assert (balancer.capacity.servers_lost_us == T0) == (remaining < len(warm))
+    assert (balancer.capacity.servers_lost_at_us == T0) == (remaining < len(warm))
 
 
 def test_single_connection_does_not_change_a_capacity() -> None:
