--- a/tests/routing/test_admission.py
+++ b/tests/routing/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission: the cap, quotas, buckets and sessions."""
+"""Admission: the cap on the active load, quotas, buckets of waiting clients, and sessions."""
 
 from __future__ import annotations
 
@@ -22,14 +22,15 @@
 
 
 def set_loads(harness: Harness, load_cap: float, active_load: float) -> None:
-    """Sets the cap and this balancer's active load, as of now."""
+    """Sets the cap and this balancer's active load, and advances its batch to the present time."""
     harness.balancer.batch.now_us = harness.now_us
     harness.balancer.admission.load_cap = load_cap
     harness.balancer.sessions.active_load = active_load
 
 
 def test_quota_is_free_load_times_lagged_client_fraction(make_harness: HarnessFactory) -> None:
-    # This balancer had 50 of 100 clients, the cap is 1000 and the active load 800, so its quota is 100.
+    # The cap is 1000 and the active load of all balancers 800. This balancer had 50 of 100 clients, so its quota is
+    # half of the free load of 200.
     harness = make_harness()
     admission = harness.balancer.admission
     set_loads(harness, load_cap=1000.0, active_load=300.0)
@@ -60,8 +61,8 @@
     assert all(is_rejected_at_once(harness, request_id) for request_id in request_ids[2:])
 
 
-def test_oldest_buckets_open_first_and_the_partial_bucket_gets_the_quota(make_harness: HarnessFactory) -> None:
-    # 52 of the load is free; 2 wait in the oldest bucket, 50 in the next one, 60 in the last.
+def test_oldest_buckets_are_admitted_first_and_the_partial_bucket_gets_the_quota(make_harness: HarnessFactory) -> None:
+    # The free load is 52. Loads of 2, 50 and 60 wait in three buckets, oldest first.
     harness = make_harness()
     balancer, admission = harness.balancer, harness.balancer.admission
     set_loads(harness, load_cap=200.0, active_load=148.0)
@@ -72,13 +73,13 @@
     admission.update_quota()
     assert admission.last_admitted_bucket == current_bucket - 2
     assert (admission.partial_bucket, admission.quota) == (current_bucket - 1, 0.0)
-    admission.load_cap = 220.0  # leaves 20 for the last bucket
+    admission.load_cap = 220.0  # leaves a free load of 20 for the last bucket
     admission.update_quota()
     assert (admission.partial_bucket, admission.quota) == (current_bucket - 1, 20.0)
 
 
 def test_load_reserved_for_absent_clients_goes_to_younger_buckets(make_harness: HarnessFactory) -> None:
-    # Old buckets of a peer reserve all the free load, and their clients do not return.
+    # The older buckets of another balancer reserve all the free load, but their clients do not return.
     harness = make_harness(balancers=2)
     harness.advance(SECOND)
     for key in range(10):
@@ -94,7 +95,7 @@
     assert admitted_count >= 8
 
 
-def test_negative_buckets_of_a_young_clock_are_handled(make_harness: HarnessFactory) -> None:
+def test_negative_buckets_on_a_clock_near_zero_are_handled(make_harness: HarnessFactory) -> None:
     harness = make_harness()
     admission = harness.balancer.admission
     harness.balancer.batch.now_us = harness.now_us = 3 * SECOND
@@ -116,7 +117,7 @@
     harness.now_us += 3 * SECOND
     harness.balancer.batch.now_us = harness.now_us
     assert not waiting_queue.load_by_bucket()
-    assert 1 in waiting_queue.clients, "it keeps its entry"
+    assert 1 in waiting_queue.clients, "the client keeps its place in the queue"
 
 
 def test_admitted_client_returns_while_its_session_lasts(make_harness: HarnessFactory) -> None:
@@ -132,7 +133,7 @@
 
 
 def test_client_dropped_soon_after_its_start_loses_its_session(make_harness: HarnessFactory) -> None:
-    # With a session the client would be admitted at once and dropped again.
+    # If the client kept its session, it would be admitted at once and dropped again.
     harness = make_harness()
     request_id = harness.send_request(key=7)
     harness.establish(request_id)
@@ -143,7 +144,7 @@
 
 
 def test_cap_rises_again_without_load_reports(make_harness: HarnessFactory) -> None:
-    # Only slow messages are reported; silence follows.
+    # Servers report no loads, only slow messages. Once no slow messages are reported any more, the cap has to rise.
     names = tuple(f"s{number}:1" for number in range(15))
     harness = make_harness(has_message_delay_reports=True, names=names)
     request_ids = establish_requests(harness, 120, load=1)
@@ -158,7 +159,7 @@
     assert cut_cap < NO_CAP
     harness.advance(10 * SECOND)
     assert harness.balancer.admission.load_cap > cut_cap
-    assert harness.balancer.loads.fleet_load < 0.65, "silence lowers the mean load"
+    assert harness.balancer.loads.fleet_load < 0.65, "the mean load falls while no slow messages are reported"
 
 
 def test_cap_is_cut_once_per_feedback_delay_and_rises_again(make_harness: HarnessFactory) -> None:
@@ -171,31 +172,32 @@
     admission.update_cap()
     cut_cap = admission.load_cap
     assert 50 <= cut_cap < 100
-    balancer.sessions.active_load = 50.0  # a cut now would be deeper
+    balancer.sessions.active_load = 50.0  # another cut would lower the cap further
     admission.update_cap()
     assert admission.load_cap == cut_cap
     balancer.sessions.active_load = 100.0
     balancer.batch.now_us += 2 * SECOND
     admission.update_cap()
-    assert admission.load_cap == cut_cap, "the load of the first cut has not left yet"
+    assert admission.load_cap == cut_cap, "the first cut has not taken effect yet"
     for server in balancer.servers.values():
         balancer.ejection.record_load(server, 0.4)
     admission.update_cap()
     assert admission.load_cap > cut_cap
 
 
-def test_few_slow_servers_do_not_close_the_cap(make_harness: HarnessFactory) -> None:
+def test_few_slow_servers_do_not_cut_the_cap_deeply(make_harness: HarnessFactory) -> None:
     loads = {"a:1": 0.5, "b:1": 0.5, "c:1": 0.6, "d:1": 0.5, "e:1": 0.6}
     harness = with_loaded_servers(make_harness, loads)
     run_rounds(harness, loads, ENOUGH_ROUNDS)
     run_rounds(harness, loads | {"d:1": 1.6, "e:1": 2.4}, 8)
-    # Three healthy servers and two with 0.3 to 0.4 of their capacity bear 0.84 of the load; a plain mean allows 0.64.
+    # Two of five servers have only 0.3 to 0.4 of their capacity. Together the servers can sustain 0.84 of the load; by
+    # an unweighted mean it would be 0.64.
     balancer = harness.balancer
     assert balancer.loads.fleet_load < 0.86
     assert balancer.admission.load_cap > 0.8 * balancer.sessions.active_load
 
 
-def test_overloaded_fleet_closes_the_cap(make_harness: HarnessFactory) -> None:
+def test_overloaded_fleet_cuts_the_cap(make_harness: HarnessFactory) -> None:
     loads = dict.fromkeys(("a:1", "b:1", "c:1", "d:1", "e:1"), 1.1)
     harness = with_loaded_servers(make_harness, loads)
     run_rounds(harness, loads, 12)
--- a/tests/routing/test_capacity_estimation.py
+++ b/tests/routing/test_capacity_estimation.py
@@ -1,4 +1,4 @@
-"""Capacity estimation and the mean load of the fleet."""
+"""Capacity estimation: servers that are slow, and the mean load of the fleet."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 
 
 def test_mean_load_without_any_weight_is_the_plain_mean(make_harness: HarnessFactory) -> None:
-    """The median server reports no load and is not observed; the observed servers have no usual capacity."""
+    """All weights are 0 if the median reported load is 0 and the observed servers have no usual capacity."""
     harness = make_harness(may_health_check=True, load_report_fields=("load_ratio",), names=("a:1", "b:1", "c:1"))
     report_loads(harness, {"a:1": 0.0, "b:1": 2.0, "c:1": 3.0})
     report_loads(harness, {"b:1": 0.0})
--- a/tests/routing/test_connection_concurrency.py
+++ b/tests/routing/test_connection_concurrency.py
@@ -1,4 +1,7 @@
-"""The concurrency limit, on a model of a store with a queue that also works for abandoned set-ups."""
+"""The concurrency limit on set-ups, tested on a model of the session store.
+
+The model's queue keeps set-ups that their clients have abandoned, so the store wastes time on them.
+"""
 
 from __future__ import annotations
 
@@ -21,7 +24,7 @@
 
 @dataclass
 class SetUp:
-    """A set-up in the store's queue. `is_awaited` is false once its client has given it up."""
+    """A set-up in the store's queue. `is_awaited` is false once its client has abandoned it."""
 
     sent_at_us: int
     server_id: str
@@ -29,9 +32,9 @@
 
 
 class StoreModel:
-    """A store that works on set-ups in order at a fixed rate, with clients that retry under a concurrency limit.
+    """A store that handles set-ups in order and at a fixed rate, with clients that retry under a concurrency limit.
 
-    Three seconds' work waits at the start; then as much arrives as the store can do.
+    At the start, as many clients wait as the store can handle in three seconds. Then new clients arrive at its rate.
 
     Attributes:
         established: number of set-ups established in each second.
@@ -43,7 +46,7 @@
         self._batch = EventBatch()
         self._limit = ConcurrencyLimit(self._batch, OBJECTIVE_US)
         self._queue: list[SetUp] = []
-        self._free_work = 0.0  # set-ups that the store can end now
+        self._work_credit = 0.0  # number of set-ups that the store can complete now
         self._waiting = 3.0 * rate  # clients whose set-up is not in flight
 
     def run(self) -> None:
@@ -51,7 +54,7 @@
         for now_us in range(TICK_US, len(self.established) * SECOND, TICK_US):
             self._batch.now_us = now_us
             self._start_set_ups()
-            self._work()
+            self._complete_set_ups()
             self._time_out_set_ups()
             if now_us % ROUND_US == 0:
                 self._limit.finish_round()
@@ -63,19 +66,19 @@
             self._waiting -= 1
             self._queue.append(SetUp(self._batch.now_us, f"s{round(self._waiting) % 5}"))
 
-    def _work(self) -> None:
+    def _complete_set_ups(self) -> None:
         now_us = self._batch.now_us
-        self._free_work += self._rate * TICK_US / SECOND
-        while self._free_work >= 1 and self._queue:
-            self._free_work -= 1
-            done = self._queue.pop(0)
-            if done.is_awaited:
-                self._limit.record_established(done.server_id, now_us - done.sent_at_us)
+        self._work_credit += self._rate * TICK_US / SECOND
+        while self._work_credit >= 1 and self._queue:
+            self._work_credit -= 1
+            set_up = self._queue.pop(0)
+            if set_up.is_awaited:
+                self._limit.record_established(set_up.server_id, now_us - set_up.sent_at_us)
                 self.established[now_us // SECOND] += 1
-        self._free_work = min(self._free_work, 1.0)
+        self._work_credit = min(self._work_credit, 1.0)
 
     def _time_out_set_ups(self) -> None:
-        """Gives up set-ups that took too long. The store works on for them, and their clients retry."""
+        """Abandons set-ups that take too long. Their clients retry, but the store still handles them."""
         for set_up in self._queue:
             if set_up.is_awaited and self._batch.now_us - set_up.sent_at_us > CLIENT_TIMEOUT_US:
                 set_up.is_awaited = False
@@ -84,7 +87,7 @@
 
 
 @pytest.mark.parametrize("rate", [5, 20, 50, 200])
-def test_storm_of_set_ups_keeps_the_store_busy(rate: int) -> None:
+def test_store_stays_busy_when_many_set_ups_are_retried(rate: int) -> None:
     store = StoreModel(rate, seconds=25)
     store.run()
     for second in range(8, 25):
@@ -127,11 +130,11 @@
     AttemptOutcome.NO_CONNECTION,
     DISCONNECTED,
 )
-"""How a set-up may end; an outcome is a failed attempt."""
+"""How a set-up may end. An `AttemptOutcome` stands for a failed attempt."""
 
 
 class SetUpRun:
-    """A balancer whose attempts are ended at once; a retry fails with an error."""
+    """Drives a balancer whose attempts end at once. Each retry fails with an error."""
 
     def __init__(self, seed: int) -> None:
         self.balancer = Balancer(settings(balancers=1, max_attempts=2), seed)
--- a/tests/routing/test_connection_load.py
+++ b/tests/routing/test_connection_load.py
@@ -1,4 +1,4 @@
-"""The expected load of a connection."""
+"""Connection load: the load that is expected of a connection without a hint."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def expected_load(harness: Harness, key: int) -> float:
-    """Returns the load that a new request without a hint counts as."""
+    """Returns the load that is expected of a new request without a load hint."""
     return harness.balancer.requests[harness.send_request(key=key)].load
 
 
@@ -29,7 +29,7 @@
     for request_id, load in zip(request_ids, [500_000.0] + [50_000.0] * 19, strict=True):
         harness.establish(request_id)
         harness.deliver(interface.ConnectionFeedback(request_id, first_server(harness, request_id), load=load))
-    assert expected_load(harness, key=99) == pytest.approx(72_500.0, rel=0.01), "the plain mean of twenty loads"
+    assert expected_load(harness, key=99) == pytest.approx(72_500.0, rel=0.01), "the unweighted mean of twenty loads"
     server_id = first_server(harness, request_ids[1])
     for number in range(600):
         request_id = request_ids[1 + number % 19]
--- a/tests/routing/test_failure_domains.py
+++ b/tests/routing/test_failure_domains.py
@@ -1,4 +1,4 @@
-"""Failure domains: start and end of a partition, error rates, and the effect on requests and checks."""
+"""Failure domains: the start and end of a partition, the error rates, and the effects on requests and checks."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 DOMAIN = "b"
 MEMBERS = "uvwxyz"
 EVIDENCE = st.tuples(st.sampled_from(["b", "c"]), st.sampled_from(MEMBERS), st.booleans())
-"""Domain, member, and whether the member answered."""
+"""A domain, a member, and whether the member was reached."""
 
 
 def rounded_states(domains: FailureDomains) -> dict[str, DomainState]:
-    """Returns the states with scores that can be compared."""
+    """Returns the states with rounded scores, so that they can be compared."""
     return {name: replace(state, score=round(state.score, 9)) for name, state in domains.states.items()}
 
 
@@ -43,7 +43,7 @@
             domains.record(domain, member, is_reachable)
         for domain, member, is_reachable in shuffled_evidence:
             shuffled_domains.record(domain, member, is_reachable)
-        # An answer adds no state for a domain without failures, whatever the order.
+        # A reached member adds no state for a domain without failures, whatever the order.
         assert sorted(domains.evaluate(now_us)) == sorted(shuffled_domains.evaluate(now_us))
         assert rounded_states(domains) == rounded_states(shuffled_domains)
         for state in domains.states.values():
@@ -61,12 +61,12 @@
     domains = FailureDomains()
     for number in range(200):
         assert record_failures(domains, number * 20_000, "u") == []
-        domains.record(DOMAIN, "v", True)  # other members answer
+        domains.record(DOMAIN, "v", True)  # another member is reached
         domains.evaluate(number * 20_000 + 1)
     assert not domains.is_partitioned(DOMAIN) and domains.usable_fraction(5 * SECOND, DOMAIN) == 1.0
 
 
-def test_three_failed_members_cause_a_partition_and_an_answer_starts_the_recovery_ramp() -> None:
+def test_three_failed_members_cause_a_partition_and_a_reached_one_starts_the_recovery_ramp() -> None:
     domains = FailureDomains()
     assert record_failures(domains, 0, "u") == []
     assert record_failures(domains, 100_000, "v") == []
@@ -87,7 +87,7 @@
     record_failures(domains, 0, "u")
     score_fraction = domains.score_fraction(0, DOMAIN)
     assert record_failures(domains, 100_000, "u") == []
-    assert domains.score_fraction(100_000, DOMAIN) < score_fraction, "within the window they count once"
+    assert domains.score_fraction(100_000, DOMAIN) < score_fraction, "failures within the window count once"
     domains.record(DOMAIN, "v", True)
     domains.evaluate(200_000)
     record_failures(domains, 300_000, "u")
@@ -114,7 +114,7 @@
 
 
 def test_stated_error_rates_hold() -> None:
-    """Draws healthy and partitioned domains of six members; each error rate stays below twice the stated one."""
+    """Simulates healthy and partitioned domains of six members. Each error rate is below twice the stated rate."""
     rng = random.Random(7)
     healthy_count, partitioned_count = 4000, 2000
     false_alarms = detected = 0
@@ -126,7 +126,7 @@
                 domains.record(DOMAIN, member, rng.random() >= failure_domains.HEALTHY_FAILURE_PROBABILITY)
             false_alarms += domains.evaluate(now_us) == [DOMAIN]
     assert false_alarms / healthy_count < 2 * failure_domains.FALSE_ALARM_RATE
-    for _ in range(partitioned_count):  # a partition is detected by the third failing member
+    for _ in range(partitioned_count):  # three failed members are enough to detect a partition
         domains = FailureDomains()
         for number, member in enumerate("uvw"):
             has_failed = rng.random() < failure_domains.PARTITIONED_FAILURE_PROBABILITY
@@ -153,7 +153,7 @@
 
 
 def time_out_checks(harness: Harness, *server_ids: str) -> None:
-    """Delivers, one by one, health checks of these servers that timed out."""
+    """Delivers the results of health checks of these servers, one by one, as timed out."""
     for server_id in server_ids:
         harness.deliver(interface.HealthCheckResult(server_id, interface.AttemptOutcome.TIMEOUT))
 
@@ -165,7 +165,8 @@
     request_ids = [harness.send_request(key=key, group=key) for key in range(40)]
     harness.advance(100_000)
     assert {first_server(harness, request_id)[0] for request_id in request_ids} == {"a"}
-    # After one answer no server is ejected for the partition: a part is used at once, and then all.
+    # After one answer, no server is still ejected because of the partition: part of the zone is usable at once, and all
+    # of it after the recovery ramp.
     harness.deliver(health_report("b3:1", 0.1))
     harness.advance(4 * failure_domains.RECOVERY_STEP_US)
     servers = harness.balancer.servers.values()
--- a/tests/routing/test_gossip.py
+++ b/tests/routing/test_gossip.py
@@ -1,4 +1,4 @@
-"""Gossip summaries: encoding, order, expiry."""
+"""Gossip: encoding, order and expiry of summaries."""
 
 from __future__ import annotations
 
--- a/tests/routing/test_hash_ring.py
+++ b/tests/routing/test_hash_ring.py
@@ -1,4 +1,4 @@
-"""The ring compared with a plain sorted list, under changes in any order."""
+"""The hash ring, compared with a plain sorted list under changes in any order."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 
 
 class SortedListRing:
-    """The same ring as one dict, sorted for each query."""
+    """A reference implementation: one dict whose points are sorted for each query."""
 
     def __init__(self) -> None:
         self.points: dict[int, Member] = {}
 
     def change(self, changes: Sequence[RingChange[Member]]) -> None:
-        """Adds each member that is present and removes the others, in the given order."""
+        """Applies the changes in the given order."""
         for member, points, is_present in changes:
             for point in points:
                 if is_present:
@@ -36,7 +36,7 @@
                     self.points.pop(point, None)
 
     def members_from(self, position: int) -> list[Member]:
-        """Returns each member once, in the order of their first points from that position on."""
+        """Returns each member once, in the order of their first points at or after the position."""
         order = sorted(self.points)
         first = bisect_left(order, position)
         return list(dict.fromkeys(self.points[point] for point in order[first:] + order[:first]))
@@ -54,7 +54,7 @@
 )
 def test_ring_equals_a_sorted_list(batches: list[list[tuple[int, bool]]], positions: list[int]) -> None:
     members = [Member(stable_hash(f"10.0.0.{number}:80")) for number in range(301)]
-    members[7].hash = members[8].hash  # they share every point, which the first keeps
+    members[7].hash = members[8].hash  # the two members share every point, and the first one added keeps it
     ring: HashRing[Member] = HashRing()
     expected_ring = SortedListRing()
     for batch_number, batch in enumerate(batches):
@@ -65,7 +65,7 @@
         ring.change(changes)
         expected_ring.change(changes)
         assert len(ring) == len(expected_ring.points)
-        # Only some positions are queried in between, so that sorted and unsorted buckets are changed.
+        # Only some positions are queried between changes, so that changes meet both sorted and unsorted buckets.
         for position in [*positions[: batch_number + 1], 0, HASH_MASK]:
             expected = expected_ring.members_from(position)
             if expected:
@@ -84,4 +84,4 @@
         expected_ring.change(changes)
         positions = [mix(number) for number in range(20)]
         assert all(ring.at(position) is expected_ring.members_from(position)[0] for position in positions)
-    assert ring.bucket_count < 50  # the buckets of the large list are gone
+    assert ring.bucket_count < 50, "the ring shrinks its number of buckets again"
--- a/tests/routing/test_health_checks.py
+++ b/tests/routing/test_health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks: which servers are checked."""
+"""Health checks: the selection of the servers to check."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 def test_busy_servers_with_connections_are_checked_without_delay_reports(make_harness: HarnessFactory) -> None:
     harness = make_harness(may_health_check=True, load_report_fields=("load_ratio",), names=("a:1",))
     harness.establish(harness.send_request(key=1))
-    harness.balancer.health_checks.budget.tokens = 5.0  # too few for the periodic check
+    harness.balancer.health_checks.budget.tokens = 5.0  # fewer than are reserved for requests in a lightly loaded fleet
     report_loads(harness, {"a:1": 0.4})
     assert not checked_servers(harness.advance(2 * SECOND)), "a lightly loaded server is not checked"
     report_loads(harness, {"a:1": 0.8})
--- a/tests/routing/test_load_estimation.py
+++ b/tests/routing/test_load_estimation.py
@@ -1,4 +1,4 @@
-"""The estimated load of a server: delays, checks that time out, and changes since a report."""
+"""Load estimation: message delays, health checks that time out, and load that changed since a report."""
 
 from __future__ import annotations
 
@@ -41,12 +41,12 @@
 
 
 def report_delay(harness: Harness, request_id: str, delay_ms: float) -> None:
-    """Reports the time of a message of that connection at server a:1."""
+    """Reports the delay of a message of that connection at server a:1."""
     harness.deliver(interface.ConnectionFeedback(request_id, "a:1", None, delay_ms * 1000.0))
 
 
 def report_delays(harness: Harness, request_id: str, delays_ms: list[int]) -> None:
-    """Reports message delays, a second apart; health checks stay unanswered."""
+    """Reports message delays, one second apart. Health checks sent meanwhile are not answered."""
     for number, delay_ms in enumerate(delays_ms):
         if number:
             harness.advance(SECOND)
@@ -54,7 +54,7 @@
 
 
 def time_out_check(harness: Harness) -> None:
-    """Delivers a health check of server a:1 that timed out."""
+    """Delivers the result of a health check of server a:1 that timed out."""
     harness.deliver(interface.HealthCheckResult("a:1", AttemptOutcome.TIMEOUT))
 
 
@@ -67,9 +67,9 @@
 @pytest.mark.parametrize(
     ("delays_ms", "load"),
     [
-        ([500], 1.5 + 0.25),  # a first delay: the backlog grew within a second
-        ([500, 1000], 1.5 + 0.5),  # the delay grows by 0.5 s a second, with a backlog of 1 s
-        ([1000, 500], 0.5 + 0.25),  # the backlog shrinks at half of the capacity
+        ([500], 1.5 + 0.25),  # before a first delay there was none, so it grew within a second
+        ([500, 1000], 1.5 + 0.5),  # the delay grows by 0.5 s per second, and the backlog is 1 s
+        ([1000, 500], 0.5 + 0.25),  # the backlog shrinks, at half of the capacity
         ([1000, 60], load_estimation.MIN_DELAY_GROWTH_LOAD + 0.03),
         ([100, 9000], load_estimation.MAX_DELAY_GROWTH_LOAD + 4.5),
     ],
@@ -127,7 +127,7 @@
         time_out_check(harness)
     assert not server.consecutive_failures and ejection.is_usable(server)
     assert server.reported_load >= load_estimation.MISSED_OBJECTIVE_MIN_LOAD
-    harness.advance(3 * SECOND)  # nothing is heard of the server
+    harness.advance(3 * SECOND)  # nothing is received from the server
     for _ in range(3):
         time_out_check(harness)
     assert server.consecutive_failures and not ejection.is_usable(server)
@@ -148,7 +148,7 @@
     balancer = harness.balancer
     harness.advance(3 * SECOND)
     request_id = harness.send_request(key=99, load=100)
-    harness.advance(SECOND // 10)  # no health check is answered
+    harness.advance(SECOND // 10)  # health checks are not answered
     server = balancer.servers[harness.attempts_of(request_id)[0].server_id]
     for later_us, reported_load, expected_load in ((0, 0.3, 0.4), (2 * SECOND, 0.4, 0.4)):
         harness.now_us += later_us
@@ -200,7 +200,11 @@
 def test_hanging_servers_do_not_raise_the_mean_load_but_a_full_fleet_does(
     server_count: int, data: st.DataObject
 ) -> None:
-    """Up to half of the servers hang and report a multiple of their capacity; nothing else is known."""
+    """Up to half of the servers hang and report a load far above 1, and no usual capacity is known.
+
+    With equal weights their reports would raise the mean load and cut the cap. If all servers are full, the mean load
+    still has to show it.
+    """
     hanging_count = data.draw(st.integers(0, server_count // 2))
     load = data.draw(st.floats(0.2, 0.6))
     batch = EventBatch()
@@ -213,14 +217,15 @@
         batch, servers, LoadEstimator(batch, settings()), ClientSessions(batch, SECOND), ConnectionLoads()
     )
     observed = [ObservedLoad(server, min(3.0, server.reported_load)) for server in servers.values()]
-    most = load * server_count / (server_count - hanging_count)  # the others bear the whole load
-    assert capacity.mean_load(observed, 1.0) <= most + 1e-9
+    max_mean = load * server_count / (server_count - hanging_count)  # the other servers bear the whole load
+    assert capacity.mean_load(observed, 1.0) <= max_mean + 1e-9
     all_full = [ObservedLoad(server, 1.2) for server in servers.values()]
     assert capacity.mean_load(all_full, 1.0) == pytest.approx(1.2)
 
 
 def test_old_high_report_of_a_silent_server_loses_its_effect(make_harness: HarnessFactory) -> None:
-    # The server was checked while overloaded and not since; slow messages are no longer reported.
+    # The server was last checked while it was overloaded. Slow messages are not reported any more, so it has recovered,
+    # and its old report must not keep the mean load high.
     harness, server, request_id = with_one_connection(make_harness)
     loads = harness.balancer.loads
     harness.balancer.ejection.record_load(server, 1.8)
@@ -232,7 +237,7 @@
 
 
 def test_late_messages_outweigh_an_earlier_report(make_harness: HarnessFactory) -> None:
-    # Reports describe the past: at the onset of an overload they are low while messages are late.
+    # Load reports describe the past: when an overload begins, they still state a low load although messages are late.
     harness, server, request_id = with_one_connection(make_harness)
     loads = harness.balancer.loads
     harness.balancer.ejection.record_load(server, 0.4)
--- a/tests/routing/test_migration.py
+++ b/tests/routing/test_migration.py
@@ -31,7 +31,7 @@
         for request_id in migrated_in_round:
             harness.end_attempt(request_id, interface.AttemptOutcome.CANCELLED, is_final=True)
     assert sorted(migrated) == sorted(request_ids)
-    assert max(counts) <= 4, "not all at once"
+    assert max(counts) <= 4, "the clients do not all migrate at once"
 
 
 def test_server_that_is_ready_again_keeps_its_clients(make_harness: HarnessFactory) -> None:
@@ -46,11 +46,11 @@
     loads = {**dict.fromkeys(FOUR_SERVERS, 0.3), "e:1": 1.5}
     harness = with_loaded_servers(make_harness, loads, connections_each=10)
     migrated = set(migrated_requests(run_rounds(harness, loads, 1)))
-    assert len(migrated) >= 6, "down to half of its capacity"
+    assert len(migrated) >= 6, "its load falls to half of its capacity"
     assert migrated <= set(harness.balancer.servers["e:1"].connections)
 
 
-def test_server_that_lost_capacity_is_emptied_before_it_is_full(make_harness: HarnessFactory) -> None:
+def test_server_that_lost_capacity_is_relieved_before_it_is_full(make_harness: HarnessFactory) -> None:
     loads = dict.fromkeys(FOUR_SERVERS, 0.25)
     harness = with_loaded_servers(make_harness, loads, connections_each=10)
     assert not migrated_requests(run_rounds(harness, loads, ENOUGH_ROUNDS))
@@ -59,6 +59,8 @@
 
 
 def test_reports_from_before_a_start_do_not_make_servers_slow(make_harness: HarnessFactory) -> None:
+    # The first reports still describe the lower load from before the balancer's connections were opened. Compared with
+    # the estimates from these reports, the servers would later seem to have lost capacity.
     loads = dict.fromkeys(FOUR_SERVERS, 0.75)
     harness = with_loaded_servers(make_harness, loads, connections_each=10)
     run_rounds(harness, dict.fromkeys(FOUR_SERVERS, 0.15), 2)
@@ -67,6 +69,8 @@
 
 
 def test_clients_of_a_drained_balancer_do_not_make_servers_slow(make_harness: HarnessFactory) -> None:
+    # Another balancer drains, so that this balancer's fraction of the total load doubles. Without a new estimate, all
+    # servers would seem to have lost half of their capacity.
     loads = dict.fromkeys(FOUR_SERVERS, 0.75)
     harness = with_loaded_servers(make_harness, loads, connections_each=10)
     own_load = harness.balancer.sessions.active_load
--- a/tests/routing/test_outlier_ejection.py
+++ b/tests/routing/test_outlier_ejection.py
@@ -1,4 +1,4 @@
-"""Outlier ejection: weights and panic mode."""
+"""Outlier ejection: server weights and panic mode."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     assert all(server.ejected_until_us > harness.now_us + SECOND for server in servers.values())
     first = harness.send_request(key=1)
     harness.advance(SECOND // 10)
-    assert harness.attempts_of(first), "an ejected server is tried"
+    assert harness.attempts_of(first), "an ejected server is tried in panic mode"
     for server_id in ("a:1", "b:1"):
         servers[server_id].ejected_until_us = 0
     second = harness.send_request(key=2)
--- a/tests/routing/test_slow_start.py
+++ b/tests/routing/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: budgets for servers that are warming up."""
+"""Slow start: the budgets of servers that are warming up."""
 
 from __future__ import annotations
 
@@ -33,12 +33,13 @@
     for key in range(100, 200):
         harness.advance(20_000)
         sent_count += first_server(harness, harness.send_request(key=key)) == "c:1"
-    # 2 s at some 40 connections a server: a tenth of that over a slow start of 20 s, times 3.
+    # A full warm server has about 40 connections. The budget for 2 s of a slow start of 20 s, at a warmth of 0.1 and
+    # times 3, is about 1 connection.
     assert sent_count <= 3
 
 
-def balancer_before_a_cold_start(index: int) -> Harness:
-    """Returns the harness of one of `BALANCERS`, with clients, when a server has just started."""
+def balancer_with_a_warming_server(index: int) -> Harness:
+    """Returns the harness of one of `BALANCERS` that has clients, when a server has just started."""
     harness = Harness(
         settings(
             balancers=BALANCERS,
@@ -56,13 +57,14 @@
         harness.establish(harness.send_request(key=key, load=CONNECTION_LOAD))
     harness.advance(2 * SECOND)
     harness.balancer.loads.fleet_load = FLEET_LOAD
-    harness.list_servers("cold:1", kind=interface.EndpointListKind.CHANGES, started_us=harness.now_us)
+    harness.list_servers("warming:1", kind=interface.EndpointListKind.CHANGES, started_us=harness.now_us)
     return harness
 
 
 def test_budgets_of_many_balancers_together_do_not_overload_a_warming_server() -> None:
-    # Clients arrive at all balancers at the same time, after some seconds without requests.
-    harnesses = [balancer_before_a_cold_start(index) for index in range(BALANCERS)]
+    # Clients arrive at all balancers at the same time, after some seconds without requests. Budgets that were saved up
+    # in these seconds would overload the server.
+    harnesses = [balancer_with_a_warming_server(index) for index in range(BALANCERS)]
     started_us = harnesses[0].now_us
     sent_at_us: list[int] = []
     for step in range(100):
@@ -70,11 +72,11 @@
             harness.now_us = started_us + 4 * SECOND + step * 40_000
             request_id = harness.send_request(key=1000 + step, load=CONNECTION_LOAD, life_us=SECOND)
             attempts = harness.attempts_of(request_id)
-            if attempts and attempts[0].server_id == "cold:1":
+            if attempts and attempts[0].server_id == "warming:1":
                 sent_at_us.append(harness.now_us)
             if attempts:
                 harness.end_attempt(request_id, interface.AttemptOutcome.CANCELLED, is_final=True)
-    full_connections = BALANCERS * CONNECTIONS_EACH / WARM_SERVERS / FLEET_LOAD  # that fill a server
+    full_connections = BALANCERS * CONNECTIONS_EACH / WARM_SERVERS / FLEET_LOAD  # number that fills a server
     for begin_us in sent_at_us:
         warmth = INITIAL_FRACTION + (1 - INITIAL_FRACTION) * (begin_us - started_us) / SLOW_START_US
         sent_in_window = sum(begin_us <= at_us < begin_us + WINDOW_US for at_us in sent_at_us)
