--- a/glenrock/routing/capacity_estimation.py
+++ b/glenrock/routing/capacity_estimation.py
@@ -26,8 +26,7 @@
 STEADY_WINDOW_US = 4 * SECOND_US
 CLIENT_RECONNECT_US = 1 * SECOND_US  # time in which the clients of lost servers reconnect
 MAX_OBSERVED_LOAD = 3.0  # of one server, when the mean is computed
-MIN_REPRESENTATIVE_SERVERS = 12
-"""Number of observed servers that determine the mean load fully; in a smaller fleet, all servers do."""
+MIN_REPRESENTATIVE_SERVERS = 12  # observed servers that determine the mean load; all, in a smaller fleet
 
 
 class ObservedLoad(NamedTuple):
@@ -44,8 +43,8 @@
 
     Attributes:
         server_capacity: load that fills an average server; 0 while it is not known.
-        warm_server_count: number of warm servers that can be reached, when there last were any.
-        has_warm_server: whether a warm server can be reached now; true before the first round.
+        warm_server_count: number of reachable warm servers, in the last round that had any.
+        has_warm_server: whether the last round had any reachable warm server; true before the first round.
         servers_lost_at_us: when warm servers were last lost.
     """
 
--- a/glenrock/routing/connection_concurrency.py
+++ b/glenrock/routing/connection_concurrency.py
@@ -14,9 +14,7 @@
 
 UNLIMITED = float("inf")
 MIN_LIMIT = 1.0
-SLOW_FRACTION = (
-    0.5  # of the shortest latency objective; a set-up that takes longer waited in the store's queue
-)
+SLOW_FRACTION = 0.5  # of the shortest latency objective; a longer set-up waited in the store's queue
 CUT_FACTOR = 0.7  # of the limit, at most once per `MIN_CUT_INTERVAL_US`
 RISE_FACTOR = 1.25  # of the limit, after a round in which it was reached
 RISE_STEP = 0.5  # added to the limit in the same rounds
--- a/glenrock/routing/gossip.py
+++ b/glenrock/routing/gossip.py
@@ -20,7 +20,7 @@
 STAMP_UNIT_US = SECOND_US // 10  # time unit of a summary's stamp
 MAX_STAMP_ADVANCE = 0x7FFF  # the stamp counter wraps; a larger advance means that the summary is old
 MIN_JITTER = 0.9  # of the interval
-JITTER_DIVISOR = 5  # the interval is extended by a random part of up to 1 / 5 of its length
+JITTER_DIVISOR = 5  # a random part of up to 1 / 5 of the interval is added
 
 
 class Gossip:
@@ -98,7 +98,7 @@
         return None if known else peer
 
     def _tenant_load(self) -> float:
-        """Returns the load of all connections that tenants may hold; 0 with too few clients to tell."""
+        """Returns the load of all connections that tenants may hold; 0 while their mean load is uncertain."""
         if len(self._sessions) < MIN_REPRESENTATIVE_CONNECTIONS:
             return 0.0
         quota = sum(tenant.connections for tenant in self._settings.tenants)
--- a/glenrock/routing/hash_ring.py
+++ b/glenrock/routing/hash_ring.py
@@ -15,10 +15,12 @@
 HASH_BITS = 64
 HASH_MASK = (1 << HASH_BITS) - 1
 POINTS_PER_MEMBER = 16
+
 # Constants of splitmix64.
 SPLITMIX_INCREMENT = 0x9E3779B97F4A7C15
 FIRST_MULTIPLIER = 0xBF58476D1CE4E5B9
 SECOND_MULTIPLIER = 0x94D049BB133111EB
+
 # Points per bucket. If the mean is out of bounds, the ring is divided anew into buckets of the usual number.
 MIN_BUCKET_POINTS = 8
 MAX_BUCKET_POINTS = 256
--- a/glenrock/routing/load_estimation.py
+++ b/glenrock/routing/load_estimation.py
@@ -23,16 +23,12 @@
 
 SLOW_MESSAGES_LOAD = 0.82  # assumed load of a server with slow messages
 MISSED_OBJECTIVE_MIN_LOAD = 1.1  # minimum load assumed of a server whose messages miss their objective
-LIGHT_LOAD = (
-    0.58  # also assumed of a server that reports neither loads nor slow messages, so the cap can rise
-)
+LIGHT_LOAD = 0.58  # also assumed of a server without load reports or slow messages, so that the cap can rise
 MIN_DELAY_GROWTH_LOAD = 0.3  # minimum load derived from the growth of a delay
 MAX_DELAY_GROWTH_LOAD = 3.0  # maximum load derived from the growth of a delay
 INITIAL_FLEET_LOAD = 0.5
 MIN_FLEET_LOAD = 0.1  # avoids a division by a value near 0
-MIN_REPRESENTATIVE_CONNECTIONS = (
-    5  # own connections at a server; fewer do not represent all connections there
-)
+MIN_REPRESENTATIVE_CONNECTIONS = 5  # own connections at a server that represent all its connections
 
 
 def load_of_report(report: dict[str, float]) -> float | None:
--- a/glenrock/routing/migration.py
+++ b/glenrock/routing/migration.py
@@ -27,7 +27,7 @@
 
 @dataclass(eq=False)
 class Migration:
-    """Migrates clients off servers, a part in each round.
+    """Migrates clients off draining and overloaded servers, a part of them in each round.
 
     Attributes:
         requests_losing_session: ids of migrating requests whose clients lose their sessions.
@@ -44,7 +44,7 @@
     # -- draining servers ----------------------------------------------------------------------------
 
     def migrate_off_draining_servers(self) -> None:
-        """Migrates a part of the clients of each draining server, so that all have left by its deadline.
+        """Migrates a part of the clients of each draining server, so that all migrate before its deadline.
 
         If all clients were migrated at once, all would reconnect at the same time. They keep their sessions,
         so they are admitted again.
@@ -52,12 +52,12 @@
         for server in self.index.with_connections():
             if server.migrate_by_us:
                 rounds_left = max(1, (server.migrate_by_us - self.batch.now_us) // ROUND_US)
-                part = -(-len(server.connections) // rounds_left)  # rounded up
-                self._migrate_part(server, part)
+                count = -(-len(server.connections) // rounds_left)  # rounded up
+                self._migrate_connections(server, count)
 
-    def _migrate_part(self, server: Server, part: int) -> None:
+    def _migrate_connections(self, server: Server, count: int) -> None:
         free_load = self._free_load_elsewhere(server)
-        for request_id, request in list(server.connections.items())[:part]:
+        for request_id, request in list(server.connections.items())[:count]:
             if free_load > 0:
                 self.batch.emit(Migrate(request_id))
             free_load -= request.load
