--- a/glenrock/net/acceptor.py
+++ b/glenrock/net/acceptor.py
@@ -32,12 +32,12 @@
     """The table of connections, as the acceptor uses it.
 
     Attributes:
-        known_names: the names that a request may use.
+        configured_names: the names that a request may use.
         retry_after_ms: the Retry-After of rejections that routing does not decide; 0 if clients take none.
         metrics: counts answers.
     """
 
-    known_names: protocol.KnownNames
+    configured_names: protocol.ConfiguredNames
     retry_after_ms: float
     metrics: ConnectionMetrics
 
@@ -162,10 +162,10 @@
                 await self._end_without_request(sock, has_only_pinged=has_pinged and not data)
                 return None
             line, end, rest = data.partition(b"\n")
-            if line + end != protocol.PING:
+            if line + end != protocol.PING_LINE:
                 return await self._parse_request(sock, data)
             self.check_drain_permit()
-            await loop.sock_sendall(sock, protocol.FAILED if self.is_manually_draining else protocol.PONG)
+            await loop.sock_sendall(sock, protocol.FAILURE_LINE if self.is_manually_draining else protocol.PONG_LINE)
             self.idle.mark_answered(_current_task())
             data = rest
             has_pinged = True
@@ -176,7 +176,7 @@
         buffer = bytearray(protocol.MAX_LINE_BYTES)
         task = _current_task()
         if self.idle.is_shed(task):
-            return data + _received(sock)
+            return data + _read_available(sock)
         async with self._clock.time_limit(self._line_timeout_ms(has_pinged)) as limit:
             self.idle.start_reading(task, limit)
             try:
@@ -189,7 +189,7 @@
                 self.idle.stop_reading(task)
         if limit.has_expired:
             # A request may have arrived as the limit was reached.
-            data += _received(sock)
+            data += _read_available(sock)
         return data
 
     def _line_timeout_ms(self, has_pinged: bool) -> float:
@@ -202,22 +202,22 @@
     async def _end_without_request(self, sock: socket.socket, has_only_pinged: bool) -> None:
         """Answers a connection that has sent no whole line. `has_only_pinged`: no bytes since the answer to a ping."""
         if self.idle.is_shed(_current_task()):
-            await self._send_final_answer(sock, self._busy_line_with_jitter(), FinalAnswerReason.SHED)
+            await self._send_final_answer(sock, self._rejection_line_with_jitter(), FinalAnswerReason.SHED)
             return
-        line = protocol.busy_line(self._connections.retry_after_ms) if has_only_pinged else protocol.FAILED
-        reason = FinalAnswerReason.DRAINING if self._is_closing else FinalAnswerReason.SILENT
+        line = protocol.rejection_line(self._connections.retry_after_ms) if has_only_pinged else protocol.FAILURE_LINE
+        reason = FinalAnswerReason.DRAINING if self._is_closing else FinalAnswerReason.TIMED_OUT
         await self._send_final_answer(sock, line, reason)
 
     async def _parse_request(self, sock: socket.socket, data: bytes) -> protocol.RequestLine | None:
         """Returns the request in a line. Answers an invalid line, and returns None."""
         try:
-            request_line = protocol.parse_request_line(data, self._connections.known_names)
+            request_line = protocol.parse_request_line(data, self._connections.configured_names)
             if self._connections.is_open(request_line.request_id):
                 raise protocol.RequestLineError("request id in use")  # noqa: TRY301 - answered alike
         except protocol.RequestLineError as error:
             self._count_malformed(data)
             logger.info("request line rejected", reason=str(error), data=data[:LOGGED_BYTES])
-            await self._send_final_answer(sock, protocol.FAILED, FinalAnswerReason.UNSOUND)
+            await self._send_final_answer(sock, protocol.FAILURE_LINE, FinalAnswerReason.MALFORMED)
             return None
         return request_line
 
@@ -230,18 +230,18 @@
             logger.warning("request rejected: descriptor limit reached", request_id=request_line.request_id)
         self._connections.record_outcome(ConnectionOutcome.THROTTLED, request_line.class_name)
         reason = FinalAnswerReason.DRAINING if self.rejects_requests else FinalAnswerReason.DESCRIPTORS
-        await self._send_final_answer(sock, self._busy_line_with_jitter(), reason)
+        await self._send_final_answer(sock, self._rejection_line_with_jitter(), reason)
         return False
 
-    def _busy_line_with_jitter(self) -> bytes:
+    def _rejection_line_with_jitter(self) -> bytes:
         """Returns a rejection with jitter, so that clients rejected together do not retry together."""
         fraction = MIN_RETRY_AFTER_FRACTION + random.random() / 2  # noqa: S311 - jitter
-        return protocol.busy_line(self._connections.retry_after_ms * fraction)
+        return protocol.rejection_line(self._connections.retry_after_ms * fraction)
 
     def _count_malformed(self, data: bytes) -> None:
         """Counts a rejected line under its class, if its first line is a request."""
         with contextlib.suppress(protocol.RequestLineError):
-            first = protocol.parse_request_line(data.partition(b"\n")[0] + b"\n", self._connections.known_names)
+            first = protocol.parse_request_line(data.partition(b"\n")[0] + b"\n", self._connections.configured_names)
             self._connections.record_outcome(ConnectionOutcome.FAULTED, first.class_name)
 
     async def _send_final_answer(self, sock: socket.socket, line: bytes, reason: FinalAnswerReason) -> None:
@@ -266,7 +266,7 @@
     return b"\n" in data or len(data) >= protocol.MAX_LINE_BYTES
 
 
-def _received(sock: socket.socket) -> bytes:
+def _read_available(sock: socket.socket) -> bytes:
     """Returns the bytes that have arrived and were not read."""
     try:
         return sock.recv(protocol.MAX_LINE_BYTES, socket.MSG_DONTWAIT)
--- a/glenrock/net/attempt_outcomes.py
+++ b/glenrock/net/attempt_outcomes.py
@@ -8,7 +8,7 @@
 from glenrock.routing.interface import AttemptOutcome
 
 
-class Reach(IntEnum):
+class AttemptProgress(IntEnum):
     """How far an attempt has come. PARTLY_WRITTEN: connected, but the request line is not written whole."""
 
     NOT_CONNECTED = 0
@@ -43,7 +43,7 @@
     NOT_SENT = "not sent"
 
 
-OUTCOMES = {
+OUTCOME_BY_END = {
     AttemptEnd.SERVED: AttemptOutcome.SERVED,
     AttemptEnd.MIGRATED: AttemptOutcome.CANCELLED,
     AttemptEnd.ERROR: AttemptOutcome.ERROR,
@@ -59,16 +59,16 @@
     """How an attempt ended, with the load report that came with the answer."""
 
     end: AttemptEnd
-    reach: Reach
+    progress: AttemptProgress
     report: dict[str, float] = field(default_factory=dict)
 
     @property
     def outcome(self) -> AttemptOutcome:
         """The outcome for routing."""
-        if self.end in OUTCOMES:
-            return OUTCOMES[self.end]
-        if self.reach < Reach.WRITTEN:
+        if self.end in OUTCOME_BY_END:
+            return OUTCOME_BY_END[self.end]
+        if self.progress < AttemptProgress.WRITTEN:
             return AttemptOutcome.NO_CONNECTION  # never executed: a server needs the line's last byte
-        if self.end is AttemptEnd.NO_ANSWER and self.reach < Reach.ESTABLISHED:
+        if self.end is AttemptEnd.NO_ANSWER and self.progress < AttemptProgress.ESTABLISHED:
             return AttemptOutcome.TIMEOUT
         return AttemptOutcome.BROKEN
--- a/glenrock/net/client_connection.py
+++ b/glenrock/net/client_connection.py
@@ -9,9 +9,9 @@
 
 from ..log import get_logger
 from . import protocol
-from .attempt_outcomes import AttemptEnd, AttemptResult, Reach
+from .attempt_outcomes import AttemptEnd, AttemptProgress, AttemptResult
 from .connection_attempt import ConnectionAttempt
-from .connection_messages import AnswerNow, AttemptCompleted, FinalAnswer, MigrateClient, RelayEnd
+from .connection_messages import AttemptCompleted, DrainConnection, FinalAnswer, MigrateClient, RelayEvent
 from .established_relay import ConnectionOwner, EstablishedRelay
 from .metrics import ConnectionOutcome, FinalAnswerReason
 from .socket_io import close_socket
@@ -48,11 +48,11 @@
 
     def reject(self, retry_after_ms: float, reason: FinalAnswerReason = FinalAnswerReason.ADMISSION) -> None:
         """Rejects the request: the client may retry after that time."""
-        self.mailbox.put_unbounded(FinalAnswer(protocol.busy_line(retry_after_ms), reason))
+        self.mailbox.put_unbounded(FinalAnswer(protocol.rejection_line(retry_after_ms), reason))
 
     def fail(self) -> None:
         """Fails the request."""
-        self.mailbox.put_unbounded(FinalAnswer(protocol.FAILED, FinalAnswerReason.FAILED))
+        self.mailbox.put_unbounded(FinalAnswer(protocol.FAILURE_LINE, FinalAnswerReason.FAILED))
 
     def migrate(self) -> None:
         """Asks the client to connect elsewhere."""
@@ -69,32 +69,32 @@
             timeout_ms,
             self.on_attempt_result,
             ignores_endpoint_state,
-            client_waits=self.client_waits,
+            is_client_waiting=self.is_client_waiting,
             request_id=self.request_line.request_id,
         )
         self.attempt = attempt
         actor = self._owner.servers.get(server)
         if actor is None or not actor.mailbox.try_put(attempt):
-            self.on_attempt_result(attempt, AttemptResult(AttemptEnd.NOT_SENT, Reach.NOT_CONNECTED))
+            self.on_attempt_result(attempt, AttemptResult(AttemptEnd.NOT_SENT, AttemptProgress.NOT_CONNECTED))
 
     def on_attempt_result(self, attempt: ConnectionAttempt, result: AttemptResult) -> None:
         """Takes the result of an attempt."""
         self.mailbox.put_unbounded(AttemptCompleted(attempt, result))
 
-    def client_waits(self) -> bool:
+    def is_client_waiting(self) -> bool:
         """Returns whether the client still waits, by the state of its socket. Posts the client's end if it does not.
 
         The client's end and the connection to the server may be ready in the same iteration of the loop. If the attempt
-        runs before the upward pump, the pump has not reported the end yet.
+        runs before the upstream pump, the pump has not reported the end yet.
         """
         try:
             data = self.sock.recv(1, socket.MSG_PEEK)
         except (BlockingIOError, InterruptedError):
             return True
         except OSError:
-            end = RelayEnd.CLIENT_RST
+            end = RelayEvent.CLIENT_RST
         else:
-            end = RelayEnd.TOO_EARLY if data else RelayEnd.CLIENT_FIN
+            end = RelayEvent.EARLY_BYTES if data else RelayEvent.CLIENT_FIN
         self.mailbox.put_unbounded(end)
         return False
 
@@ -102,7 +102,7 @@
 
     async def run(self) -> None:
         """Handles the request, and relays once the connection is established."""
-        self.start_upward_pump()
+        self.start_upstream_pump()
         resumes_at = self.request_line.resumes_at
         decision_timer = None
         try:
@@ -113,7 +113,7 @@
             if await self._establish(resumes_at):
                 if decision_timer:
                     decision_timer.cancel()
-                self.start_downward_pump()
+                self.start_downstream_pump()
                 await self.relay()
         finally:
             if decision_timer:
@@ -126,11 +126,11 @@
         Routing's own timer answers some milliseconds before the client's deadline, unless routing has failed.
         """
         due_ms = self.deadline_ms + DECISION_MARGIN_MS
-        timer = self.clock.call_at(due_ms, self.mailbox.put_unbounded, RelayEnd.OVERDUE)
+        timer = self.clock.call_at(due_ms, self.mailbox.put_unbounded, RelayEvent.TIMER_EXPIRED)
         if not self.reports.post_request():
             logger.warning("request rejected: routing mailbox full", request_id=self.request_line.request_id)
             self.reports.is_end_known = True
-            self.reject(self._owner.retry_after_ms, FinalAnswerReason.EVENTS)
+            self.reject(self._owner.retry_after_ms, FinalAnswerReason.MAILBOX_FULL)
         return timer
 
     async def run_taken_over(self) -> None:
@@ -149,15 +149,15 @@
                     self.reports.is_end_known = True
                     await self._answer(line, reason)
                     return False
-                case AnswerNow(retry_after_ms):
-                    await self._answer_now(retry_after_ms, resumes_at)
+                case DrainConnection(retry_after_ms):
+                    await self._drain_waiting_client(retry_after_ms, resumes_at)
                     return False
-                case RelayEnd.OVERDUE:
+                case RelayEvent.TIMER_EXPIRED:
                     logger.error("routing made no decision in time", request_id=self.request_line.request_id)
                     self.reports.post_disconnected()
-                    await self._answer(protocol.FAILED, FinalAnswerReason.OVERDUE)
+                    await self._answer(protocol.FAILURE_LINE, FinalAnswerReason.NO_DECISION)
                     return False
-                case RelayEnd():
+                case RelayEvent():
                     await self._handle_client_end(message, resumes_at)
                     return False
                 case AttemptCompleted(attempt, result) if attempt is self.attempt:
@@ -169,23 +169,23 @@
                     elif not await self._retry_resume(resumes_at):
                         return False
 
-    async def _answer_now(self, retry_after_ms: float, resumes_at: str | None) -> None:
+    async def _drain_waiting_client(self, retry_after_ms: float, resumes_at: str | None) -> None:
         """Answers a waiting client.
 
         A rejection invites a retry, so it is sent only if a retry is harmless; otherwise the request fails.
         """
         may_retry = resumes_at is None and self._routing.may_reject(self.request_line.request_id)
         self.reports.post_disconnected()
-        line = protocol.busy_line(retry_after_ms) if may_retry else protocol.FAILED
+        line = protocol.rejection_line(retry_after_ms) if may_retry else protocol.FAILURE_LINE
         await self._answer(line, FinalAnswerReason.DRAINING)
 
-    async def _handle_client_end(self, end: RelayEnd, resumes_at: str | None) -> None:
+    async def _handle_client_end(self, end: RelayEvent, resumes_at: str | None) -> None:
         self._may_attempt = False
         if resumes_at is None:
             self.reports.post_disconnected()
-        if end is RelayEnd.TOO_EARLY:
+        if end is RelayEvent.EARLY_BYTES:
             logger.info("client sent bytes before its answer", request_id=self.request_line.request_id)
-            await self._answer(protocol.FAILED, FinalAnswerReason.UNSOUND)
+            await self._answer(protocol.FAILURE_LINE, FinalAnswerReason.MALFORMED)
         self.reports.count(ConnectionOutcome.LEFT)
 
     async def _retry_resume(self, resumes_at: str) -> bool:
@@ -197,7 +197,7 @@
             logger.warning(
                 "connection could not be resumed", request_id=self.request_line.request_id, server=resumes_at
             )
-            await self._answer(protocol.FAILED, FinalAnswerReason.FAILED)
+            await self._answer(protocol.FAILURE_LINE, FinalAnswerReason.FAILED)
             return False
         at_ms = self.clock.now_ms() + RESUME_RETRY_MS
         self.clock.call_at(at_ms, self._send_request, resumes_at, RESUME_TIMEOUT_MS, True)
@@ -231,7 +231,7 @@
         self.attempt_number = 0
         self.reports.is_counted = True
         self.attempt = ConnectionAttempt(
-            self.request_line.raw, 0, self.on_attempt_result, True, sock, reach=Reach.ESTABLISHED
+            self.request_line.raw, 0, self.on_attempt_result, True, sock, progress=AttemptProgress.ESTABLISHED
         )
         self.established.set()
         self.reports.post_open(server)
--- a/glenrock/net/connection_attempt.py
+++ b/glenrock/net/connection_attempt.py
@@ -7,10 +7,10 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from .attempt_outcomes import AttemptResult, Reach
+from .attempt_outcomes import AttemptProgress, AttemptResult
 
 
-def _always() -> bool:
+def _always_waiting() -> bool:
     return True
 
 
@@ -26,11 +26,11 @@
             resume a connection that the server has.
         sock: the connection to the server.
         received: bytes that came with the server's answer, that line included.
-        reach: how far the attempt has come.
+        progress: how far the attempt has come.
         started_ms: when the server's actor began it; 0 before.
         latency_ms: the time from its start to its result.
         is_cancelled: whether it was cancelled.
-        client_waits: returns whether the client still waits; called before the line is written.
+        is_client_waiting: returns whether the client still waits; called before the line is written.
         task: runs the attempt.
         request_id: for the log.
     """
@@ -41,11 +41,11 @@
     ignores_endpoint_state: bool = False
     sock: socket.socket | None = None
     received: bytes = b""
-    reach: Reach = Reach.NOT_CONNECTED
+    progress: AttemptProgress = AttemptProgress.NOT_CONNECTED
     started_ms: float = 0.0
     latency_ms: float = 0.0
     is_cancelled: bool = False
-    client_waits: Callable[[], bool] = _always
+    is_client_waiting: Callable[[], bool] = _always_waiting
     task: asyncio.Task[None] | None = field(default=None, repr=False)
     request_id: str = ""
 
--- a/glenrock/net/connection_messages.py
+++ b/glenrock/net/connection_messages.py
@@ -13,7 +13,7 @@
 from .metrics import FinalAnswerReason
 
 
-class RelayEnd(Enum):
+class RelayEvent(Enum):
     """What a relay pump or a timer has met.
 
     Attributes:
@@ -21,23 +21,22 @@
         CLIENT_RST: the client has reset the connection.
         SERVER_FIN: the server has closed its side.
         SERVER_RST: the server has reset the connection.
-        TOO_EARLY: the client has sent bytes before its answer.
-        BETWEEN_LINES: the client can be migrated now.
-        OVERDUE: a timer has expired: routing made no decision in time, or the migration of an established relay takes
-            too long.
+        EARLY_BYTES: the client has sent bytes before its answer.
+        MIGRATION_POSSIBLE: the client can be migrated now.
+        TIMER_EXPIRED: routing made no decision in time, or the migration of an established relay takes too long.
     """
 
     CLIENT_FIN = "client fin"
     CLIENT_RST = "client rst"
     SERVER_FIN = "server fin"
     SERVER_RST = "server rst"
-    TOO_EARLY = "bytes before the answer"
-    BETWEEN_LINES = "between lines"
-    OVERDUE = "overdue"
+    EARLY_BYTES = "early bytes"
+    MIGRATION_POSSIBLE = "migration possible"
+    TIMER_EXPIRED = "timer expired"
 
 
-CLIENT_ENDS = (RelayEnd.CLIENT_FIN, RelayEnd.CLIENT_RST, RelayEnd.TOO_EARLY)
-SERVER_ENDS = (RelayEnd.SERVER_FIN, RelayEnd.SERVER_RST)
+CLIENT_ENDS = (RelayEvent.CLIENT_FIN, RelayEvent.CLIENT_RST, RelayEvent.EARLY_BYTES)
+SERVER_ENDS = (RelayEvent.SERVER_FIN, RelayEvent.SERVER_RST)
 
 
 @dataclass(frozen=True)
@@ -64,7 +63,7 @@
 
 
 @dataclass(frozen=True)
-class AnswerNow:
+class DrainConnection:
     """Answer a waiting client now, since this balancer drains or stops."""
 
     retry_after_ms: float
@@ -77,4 +76,4 @@
     offer: Callable[[], Awaitable[bool]]
 
 
-ConnectionMessage = AttemptCompleted | FinalAnswer | MigrateClient | AnswerNow | HandOverRelay | RelayEnd
+ConnectionMessage = AttemptCompleted | FinalAnswer | MigrateClient | DrainConnection | HandOverRelay | RelayEvent
--- a/glenrock/net/connection_table.py
+++ b/glenrock/net/connection_table.py
@@ -25,7 +25,7 @@
 DELAY_REPORT_INTERVAL_MS = 1000.0  # between two reports on slow messages of one server
 SLOW_MESSAGE_DIVISOR = 3  # of the shortest message objective
 DEFAULT_RETRY_AFTER_MS = 1000.0
-MAX_WAIT_DEADLINES = 10.0  # longest wait that a request may ask for, in deadlines of its class
+MAX_WAIT_DEADLINE_MULTIPLE = 10.0  # longest wait that a request may ask for, in deadlines of its class
 
 logger = get_logger(__name__)
 
@@ -37,7 +37,7 @@
         by_id: connections by request id, shared with the routing actor.
         budget: of descriptors.
         count_other_descriptors: counts the descriptors of another process under the same limit.
-        known_names: the names that a request may use.
+        configured_names: the names that a request may use.
         retry_after_ms: the Retry-After of rejections that routing does not decide; 0 if clients take none.
     """
 
@@ -59,9 +59,9 @@
         self.count_other_descriptors: Callable[[], int] = _no_other_descriptors
         routing.connection_of = self.by_id.get
         settings = routing.balancer.settings
-        self.known_names = protocol.KnownNames(
+        self.configured_names = protocol.ConfiguredNames(
             {
-                request_class.name: MAX_WAIT_DEADLINES * request_class.deadline_us / 1000
+                request_class.name: MAX_WAIT_DEADLINE_MULTIPLE * request_class.deadline_us / 1000
                 for request_class in settings.classes
             },
             frozenset(tenant.name for tenant in settings.tenants),
--- a/glenrock/net/established_relay.py
+++ b/glenrock/net/established_relay.py
@@ -16,26 +16,26 @@
 from .connection_messages import (
     CLIENT_ENDS,
     SERVER_ENDS,
-    AnswerNow,
     ConnectionMessage,
+    DrainConnection,
     FinalAnswer,
     HandOverRelay,
     MigrateClient,
-    RelayEnd,
+    RelayEvent,
 )
 from .connection_reports import ConnectionReports
 from .metrics import ConnectionMetrics, ConnectionOutcome
-from .protocol import ServerWord
+from .protocol import ServerKeyword
 from .relay_pumps import BUFFER_BYTES, RelayPumps
 from .routing_actor import RoutingActor
 from .server_connections import ServerRegistry
 from .socket_io import close_socket
 
 MIGRATION_TIMEOUT_MS = LINGER_TIMEOUT_MS / 2  # for the end of a line that is being sent
-LAST_WORDS: dict[str, AttemptOutcome] = {
-    ServerWord.SERVED: AttemptOutcome.SERVED,
-    ServerWord.MIGRATE: AttemptOutcome.CANCELLED,
-    ServerWord.FAILED: AttemptOutcome.ERROR,
+OUTCOME_BY_LAST_KEYWORD: dict[str, AttemptOutcome] = {
+    ServerKeyword.SERVED: AttemptOutcome.SERVED,
+    ServerKeyword.MIGRATE: AttemptOutcome.CANCELLED,
+    ServerKeyword.FAILED: AttemptOutcome.ERROR,
 }
 """The first word of a server's last line, and how routing counts the end of the connection."""
 
@@ -67,7 +67,7 @@
         attempt_number: the number of the last attempt, from 0.
         has_ended: whether the client has had its final answer, or is about to.
         is_offered: whether the relay waits to be offered to the successor.
-        last_word: the first word of the server's last line.
+        last_keyword: the first word of the server's last line.
         arrived_ms: when the request arrived.
         deadline_ms: when the client stops waiting for an answer.
         reports: what routing and the metrics learn.
@@ -80,7 +80,7 @@
         self.attempt_number = -1
         self.has_ended = False
         self.is_offered = False
-        self.last_word = ""
+        self.last_keyword = ""
         self.arrived_ms = self.clock.now_ms()
         self.deadline_ms = self.arrived_ms + request_line.wait_ms
         self.reports = ConnectionReports(owner.routing, owner.metrics, request_line, self.deadline_ms)
@@ -92,8 +92,8 @@
         """Reports loads to routing. Each other line answers the client's lines."""
         now_ms = self.clock.now_ms()
         for line in lines:
-            self.last_word, rest = protocol.split_first_word(line)
-            if self.last_word == ServerWord.LOAD:
+            self.last_keyword, rest = protocol.split_keyword(line)
+            if self.last_keyword == ServerKeyword.LOAD:
                 load = protocol.parse_finite_number(rest)
                 if load is not None and load >= 0:
                     self.reports.post_load(self.server, load)
@@ -113,27 +113,27 @@
                 await self._end_relay(end)
                 return
 
-    def _relay_end_of(self, message: ConnectionMessage) -> RelayEnd | None:
+    def _relay_end_of(self, message: ConnectionMessage) -> RelayEvent | None:
         """Returns how the relay ends because of that message; None if it does not."""
         match message:
             case MigrateClient(outcome):
-                return RelayEnd.BETWEEN_LINES if self._start_migration(outcome) else None
-            case AnswerNow():
-                return RelayEnd.BETWEEN_LINES if self._start_migration(AttemptOutcome.CANCELLED) else None
+                return RelayEvent.MIGRATION_POSSIBLE if self._start_migration(outcome) else None
+            case DrainConnection():
+                return RelayEvent.MIGRATION_POSSIBLE if self._start_migration(AttemptOutcome.CANCELLED) else None
             case FinalAnswer():
                 # Routing rejected or failed the request just as the connection was established, and has forgotten it.
                 self.attempt_number = 0
                 self.reports.post_open(self.server)
                 return None
-            case RelayEnd.OVERDUE if self.migration:
+            case RelayEvent.TIMER_EXPIRED if self.migration:
                 # The client would read a further line as the rest of the unfinished one, so the connection is reset.
-                return RelayEnd.BETWEEN_LINES if self.may_migrate() else RelayEnd.SERVER_RST
-            case RelayEnd() if message is not RelayEnd.OVERDUE:
+                return RelayEvent.MIGRATION_POSSIBLE if self.may_migrate() else RelayEvent.SERVER_RST
+            case RelayEvent() if message is not RelayEvent.TIMER_EXPIRED:
                 return message
         return None
 
     def _start_migration(self, outcome: AttemptOutcome) -> bool:
-        """Returns whether the client can be migrated now. Otherwise the downward pump reports when it can.
+        """Returns whether the client can be migrated now. Otherwise the downstream pump reports when it can.
 
         The server's socket stays open until then, so that a line that is arriving reaches the client whole.
         """
@@ -142,7 +142,9 @@
         self.migration = outcome
         if self.may_migrate():
             return True
-        self.clock.call_at(self.clock.now_ms() + MIGRATION_TIMEOUT_MS, self.mailbox.put_unbounded, RelayEnd.OVERDUE)
+        self.clock.call_at(
+            self.clock.now_ms() + MIGRATION_TIMEOUT_MS, self.mailbox.put_unbounded, RelayEvent.TIMER_EXPIRED
+        )
         return False
 
     def may_hand_over(self) -> bool:
@@ -169,40 +171,40 @@
 
     async def _migrate_client(self) -> None:
         """Tells the client to connect elsewhere."""
-        await self.stop_downward_pump()
-        line = self._last_bytes()
+        await self.stop_downstream_pump()
+        line = self._final_lines()
         await self.detach_server()
         self._report_relay_end(self.migration or AttemptOutcome.CANCELLED)
         await self.finish(line)
 
-    def _last_bytes(self) -> bytes:
+    def _final_lines(self) -> bytes:
         """Returns the server's lines that have just arrived, and the call to migrate behind them.
 
         The last line of a server that has ended the connection itself is sent without that call.
         """
         server_sock = self.server_sock
         try:
-            data = self.pass_gate(server_sock.recv(BUFFER_BYTES)) if server_sock else b""
+            data = self.process_server_bytes(server_sock.recv(BUFFER_BYTES)) if server_sock else b""
         except OSError:
-            return protocol.MIGRATE
-        if self.gate.is_within_line:  # the client has received no part of that line
-            return protocol.MIGRATE
-        return data if data and self.last_word in LAST_WORDS else data + protocol.MIGRATE
+            return protocol.MIGRATE_LINE
+        if self.line_buffer.is_within_line:  # the client has received no part of that line
+            return protocol.MIGRATE_LINE
+        return data if data and self.last_keyword in OUTCOME_BY_LAST_KEYWORD else data + protocol.MIGRATE_LINE
 
-    async def _end_relay(self, end: RelayEnd) -> None:
+    async def _end_relay(self, end: RelayEvent) -> None:
         """Passes an end on to the other side in the same form, within a second."""
         self.has_ended = True
-        if end is RelayEnd.BETWEEN_LINES:
+        if end is RelayEvent.MIGRATION_POSSIBLE:
             await self._migrate_client()
-        elif end is RelayEnd.SERVER_FIN:
-            self._report_relay_end(LAST_WORDS.get(self.last_word, AttemptOutcome.BROKEN))
+        elif end is RelayEvent.SERVER_FIN:
+            self._report_relay_end(OUTCOME_BY_LAST_KEYWORD.get(self.last_keyword, AttemptOutcome.BROKEN))
             await self.detach_server()
             await self.finish(b"")
-        elif end is RelayEnd.SERVER_RST:
+        elif end is RelayEvent.SERVER_RST:
             self._report_relay_end(AttemptOutcome.BROKEN)
             await self.stop_pumps()
             close_socket(self.sock, reset=True)
-        elif end in (RelayEnd.CLIENT_RST, RelayEnd.TOO_EARLY):
+        elif end in (RelayEvent.CLIENT_RST, RelayEvent.EARLY_BYTES):
             self._report_relay_end(AttemptOutcome.CANCELLED)
             await self.stop_pumps()
             self.close_server_side(reset=True)
@@ -241,7 +243,7 @@
                 self.sock.shutdown(socket.SHUT_WR)
                 await self._await_end(CLIENT_ENDS)
 
-    async def _await_end(self, ends: tuple[RelayEnd, ...]) -> None:
+    async def _await_end(self, ends: tuple[RelayEvent, ...]) -> None:
         """Waits for one of these ends, and discards other messages."""
         while await self.mailbox.get() not in ends:
             pass
--- a/glenrock/net/graceful_shutdown.py
+++ b/glenrock/net/graceful_shutdown.py
@@ -14,22 +14,22 @@
 from .acceptor import Acceptor
 from .client_connection import ClientConnection
 from .clock import Clock
-from .connection_messages import AnswerNow, HandOverRelay, MigrateClient
+from .connection_messages import DrainConnection, HandOverRelay, MigrateClient
 from .connection_table import ConnectionTable
 
-STEP_MS = 50.0  # between two steps of a drain
+DRAIN_STEP_MS = 50.0  # between two steps of a drain
 FRONT_END_NOTICE_MS = 450.0  # until the front end sends none here; a client that migrates earlier is sent back here
 MANUAL_REJECT_AFTER_MS = 1000.0  # from the start of a manual drain to the first rejection
 MANUAL_DRAIN_MS = 3000.0  # from the start of a manual drain until all clients are asked to migrate
 SIGKILL_AFTER_DEADLINE_MS = 700.0  # from the longest deadline after SIGTERM to SIGKILL
 SHUTDOWN_MARGIN_MS = 500.0  # from the end of the shutdown to SIGKILL
 MAX_DEADLINE_MS = 3000.0  # a longer deadline of a class does not delay the end
-MIGRATED_BEFORE_END_MS = 200.0  # from the last client's migration to the end
-LAST_ANSWERS_MS = 250.0  # after the end, for idle connections
+MIGRATION_MARGIN_MS = 200.0  # from the last client's migration to the end
+FINAL_ANSWERS_TIMEOUT_MS = 250.0  # after the end, for idle connections
 HAND_OVER_STEP_MS = 10.0
 MAX_OFFERED_RELAYS = 16  # relays that wait for the successor with their pumps stopped
 HAND_OVER_MARGIN_MS = 700.0  # from the end of handing over to the end, to migrate the remaining clients
-LONE_BALANCER_MIGRATION_MS = 400.0  # to migrate all clients, if no other balancer can serve them
+SINGLE_BALANCER_MIGRATION_MS = 400.0  # to migrate all clients, if no other balancer can serve them
 STEP_ROUNDING = 0.49  # added before round(): rounds up, but not a fraction below a hundredth
 
 logger = get_logger(__name__)
@@ -131,23 +131,23 @@
             self._migrate_step(end_ms - now_ms)
             if now_ms >= end_ms:
                 self._answer_waiting_clients()
-            await self._clock.sleep(STEP_MS)
+            await self._clock.sleep(DRAIN_STEP_MS)
 
-    def _migrate_step(self, left_ms: float) -> None:
-        """Migrates this step's part of the clients, so that all migrate within `left_ms`."""
+    def _migrate_step(self, remaining_ms: float) -> None:
+        """Migrates this step's part of the clients, so that all migrate within `remaining_ms`."""
         connections = [
             connection
             for connection in self._table.by_id.values()
             if connection.established.is_set() and not connection.migration
         ]
-        steps = max(1.0, left_ms / STEP_MS)
+        steps = max(1.0, remaining_ms / DRAIN_STEP_MS)
         for connection in connections[: max(1, round(len(connections) / steps + STEP_ROUNDING))]:
             connection.mailbox.try_put(MigrateClient(interface.AttemptOutcome.CANCELLED))
 
     def _answer_waiting_clients(self) -> None:
         for connection in list(self._table.by_id.values()):
             if not connection.established.is_set() and not connection.has_ended:
-                connection.mailbox.put_unbounded(AnswerNow(self._table.retry_after_ms))
+                connection.mailbox.put_unbounded(DrainConnection(self._table.retry_after_ms))
 
     # -- at SIGTERM ------------------------------------------------------------------------------------
 
@@ -180,19 +180,19 @@
             await self._hand_over(successor, end_ms - HAND_OVER_MARGIN_MS)
         elif routing.balancer.settings.balancers == 1:
             # No other balancer can serve the clients, so they stay here as long as possible.
-            await self._clock.sleep(max(0.0, end_ms - LONE_BALANCER_MIGRATION_MS - self._clock.now_ms()))
+            await self._clock.sleep(max(0.0, end_ms - SINGLE_BALANCER_MIGRATION_MS - self._clock.now_ms()))
         await self._migrate_all(end_ms, has_inherited_listener)
-        await self._answer_last_clients(end_ms + LAST_ANSWERS_MS, has_inherited_listener)
+        await self._answer_last_clients(end_ms + FINAL_ANSWERS_TIMEOUT_MS, has_inherited_listener)
 
     async def _answer_last_clients(self, last_answer_ms: float, has_inherited_listener: bool) -> None:
         """Answers idle connections and requests that have just arrived, before the process ends."""
         self._acceptor.close_idle()
         for connection in list(self._table.by_id.values()):
-            connection.mailbox.put_unbounded(AnswerNow(self._table.retry_after_ms))
+            connection.mailbox.put_unbounded(DrainConnection(self._table.retry_after_ms))
         while self._clock.now_ms() < last_answer_ms and (
             self._table.by_id or self._acceptor.tasks or not has_inherited_listener
         ):
-            await self._clock.sleep(STEP_MS)
+            await self._clock.sleep(DRAIN_STEP_MS)
 
     def _end_ms(self) -> float:
         classes = self._table.routing.balancer.settings.classes
@@ -207,8 +207,8 @@
     async def _migrate_all(self, end_ms: float, has_inherited_listener: bool) -> None:
         """Migrates clients until the end, since clients can connect as long as the listening socket is open."""
         while (now_ms := self._clock.now_ms()) < end_ms and (self._has_clients() or not has_inherited_listener):
-            self._migrate_step(end_ms - MIGRATED_BEFORE_END_MS - now_ms)
-            await self._clock.sleep(STEP_MS)
+            self._migrate_step(end_ms - MIGRATION_MARGIN_MS - now_ms)
+            await self._clock.sleep(DRAIN_STEP_MS)
 
     async def _hand_over(self, successor: Successor, end_ms: float) -> None:
         """Hands relays over until the end, also those that are established in the meantime."""
--- a/glenrock/net/health_check_connection.py
+++ b/glenrock/net/health_check_connection.py
@@ -14,7 +14,7 @@
 from .clock import Clock, us_from_ms
 from .endpoint_rows import EndpointRow
 from .health_check_pool import HealthCheckPool
-from .protocol import ServerWord
+from .protocol import ServerKeyword
 from .socket_io import close_socket, create_socket
 from .system_errors import is_local_error
 
@@ -83,7 +83,7 @@
     async def _exchange(self, sock: socket.socket) -> HealthAnswer:
         """Sends the health check and reads its answer. Raises OSError."""
         loop = asyncio.get_running_loop()
-        await loop.sock_sendall(sock, protocol.HEALTH_CHECK)
+        await loop.sock_sendall(sock, protocol.HEALTH_CHECK_LINE)
         buffer = bytearray(protocol.MAX_LINE_BYTES)
         splitter = protocol.LineSplitter()
         while True:
@@ -91,10 +91,10 @@
             if not count:
                 return NO_CONNECTION
             for line in splitter.feed(bytes(buffer[:count])):
-                word, rest = protocol.split_first_word(line)
-                if word != ServerWord.HEALTHY and "=" not in word:
+                word, rest = protocol.split_keyword(line)
+                if word != ServerKeyword.HEALTHY and "=" not in word:
                     return HealthAnswer(interface.AttemptOutcome.ERROR, {})
-                text = rest if word == ServerWord.HEALTHY else word
+                text = rest if word == ServerKeyword.HEALTHY else word
                 if "=" in text:
                     return HealthAnswer(interface.AttemptOutcome.SERVED, protocol.parse_load_report(text))
 
--- a/glenrock/net/line_gate.py
+++ b/glenrock/net/line_gate.py
@@ -14,7 +14,7 @@
     lines: list[bytes]
 
 
-class LineGate:
+class LineBuffer:
     """Holds back the bytes of a line until its end.
 
     A client that has received a part of a line cannot be migrated while its server hangs: it would read the
--- a/glenrock/net/listening_socket.py
+++ b/glenrock/net/listening_socket.py
@@ -12,7 +12,7 @@
 from .metrics import ConnectionMetrics
 from .system_errors import is_gone_before_accept, is_shortage
 
-SHORTAGE_MS = 100.0  # an idle connection is closed once a shortage of resources has lasted this long
+SHORTAGE_TIMEOUT_MS = 100.0  # an idle connection is closed once a shortage of resources has lasted this long
 ACCEPT_PAUSE_MS = 20.0
 MAX_ACCEPTS_PER_WAKEUP = 8  # bounds the time that a flood of connections takes from established ones
 BACKLOG = 4096  # connections that wait in the system's queue
@@ -101,7 +101,7 @@
         if is_shortage(error):
             if self._shortage_since_ms is None:
                 self._shortage_since_ms = now_ms
-            if now_ms - self._shortage_since_ms >= SHORTAGE_MS:
+            if now_ms - self._shortage_since_ms >= SHORTAGE_TIMEOUT_MS:
                 self._on_shortage()
         asyncio.get_running_loop().remove_reader(listener)
         self._clock.call_at(self._clock.now_ms() + ACCEPT_PAUSE_MS, self._resume)
--- a/glenrock/net/metrics.py
+++ b/glenrock/net/metrics.py
@@ -32,24 +32,24 @@
     Attributes:
         ADMISSION: routing rejected the request.
         DESCRIPTORS: the descriptor limit allowed no further connection.
-        EVENTS: the mailbox of the routing actor was full.
+        MAILBOX_FULL: the mailbox of the routing actor was full.
         DRAINING: this balancer drains or stops.
         SHED: an idle connection was closed to free its descriptor.
-        UNSOUND: the first line was no valid request.
-        SILENT: no whole first line came in time.
+        MALFORMED: the first line was no valid request.
+        TIMED_OUT: no whole first line came in time.
         FAILED: routing failed the request.
-        OVERDUE: routing made no decision in time.
+        NO_DECISION: routing made no decision in time.
     """
 
     ADMISSION = "admission"
     DESCRIPTORS = "descriptors"
-    EVENTS = "events"
+    MAILBOX_FULL = "events"
     DRAINING = "draining"
     SHED = "shed"
-    UNSOUND = "unsound"
-    SILENT = "silent"
+    MALFORMED = "unsound"
+    TIMED_OUT = "silent"
     FAILED = "failed"
-    OVERDUE = "overdue"
+    NO_DECISION = "overdue"
 
     __hash__ = str.__hash__
 
--- a/glenrock/net/protocol.py
+++ b/glenrock/net/protocol.py
@@ -10,15 +10,15 @@
 from glenrock.routing.settings_codec import report_field
 
 MAX_LINE_BYTES = 4096  # bytes of a line with its end
-PING = b"PING\r\n"
-PONG = b"PONG\r\n"
-HEALTH_CHECK = b"STATS\r\n"
-MIGRATE = b"MOVE\r\n"
-FAILED = b"ERR\r\n"
-REJECTED_PREFIX = b"BUSY"
+PING_LINE = b"PING\r\n"
+PONG_LINE = b"PONG\r\n"
+HEALTH_CHECK_LINE = b"STATS\r\n"
+MIGRATE_LINE = b"MOVE\r\n"
+FAILURE_LINE = b"ERR\r\n"
+REJECTION_PREFIX = b"BUSY"
 
 
-class ServerWord(StrEnum):
+class ServerKeyword(StrEnum):
     """The first words of servers' lines that have a meaning here.
 
     Attributes:
@@ -45,10 +45,10 @@
 
 
 @dataclass(frozen=True)
-class KnownNames:
+class ConfiguredNames:
     """Names that a request may use. `classes`: each with the longest wait of its requests in milliseconds."""
 
-    classes: dict[str, float]
+    max_wait_ms_by_class: dict[str, float]
     tenants: frozenset[str] = frozenset()
 
 
@@ -105,19 +105,25 @@
 
 
 # int() and float() would also accept signs, underscores, blanks, NaN and infinity.
-OPEN = re.compile(rb"OPEN ([0-9A-Za-z._-]{1,64}) ([0-9A-Fa-f]{1,16}) ([!-~]+)\r\n")
-FIELD = re.compile(r"([A-Za-z][A-Za-z0-9_]*)=([^=]+)")
-HEX = re.compile(r"[0-9A-Fa-f]{1,16}")
-NUMBER = re.compile(r"[0-9]{1,15}(\.[0-9]{1,15})?")
-FLAG = re.compile("[01]")
-FORMS = {"g": HEX, "d": NUMBER, "h": NUMBER, "r": FLAG, "again": FLAG}
+REQUEST_LINE_PATTERN = re.compile(rb"OPEN ([0-9A-Za-z._-]{1,64}) ([0-9A-Fa-f]{1,16}) ([!-~]+)\r\n")
+FIELD_PATTERN = re.compile(r"([A-Za-z][A-Za-z0-9_]*)=([^=]+)")
+HEX_PATTERN = re.compile(r"[0-9A-Fa-f]{1,16}")
+NUMBER_PATTERN = re.compile(r"[0-9]{1,15}(\.[0-9]{1,15})?")
+FLAG_PATTERN = re.compile("[01]")
+FIELD_VALUE_PATTERNS = {
+    "g": HEX_PATTERN,
+    "d": NUMBER_PATTERN,
+    "h": NUMBER_PATTERN,
+    "r": FLAG_PATTERN,
+    "again": FLAG_PATTERN,
+}
 
 
 class RequestLineError(ValueError):
     """The line is no valid request; the message says why."""
 
 
-def parse_request_line(data: bytes, known: KnownNames) -> RequestLine:
+def parse_request_line(data: bytes, configured: ConfiguredNames) -> RequestLine:
     """Returns the request in a line.
 
     Validated here, since a server closes the connection on an invalid line, and that would count as an execution.
@@ -125,24 +131,24 @@
     Raises:
         RequestLineError: the line is no valid request.
     """
-    found = OPEN.fullmatch(data)
+    found = REQUEST_LINE_PATTERN.fullmatch(data)
     if found is None:
         line, _, more = data.partition(b"\r\n")
-        if more and OPEN.fullmatch(line + b"\r\n"):
+        if more and REQUEST_LINE_PATTERN.fullmatch(line + b"\r\n"):
             raise RequestLineError("bytes before the answer")
         raise RequestLineError("not a request line")
     if len(data) > MAX_LINE_BYTES:
         raise RequestLineError("line too long")
     fields = _fields_of(found[3].decode("ascii"))
-    if fields.get("c") not in known.classes:
+    if fields.get("c") not in configured.max_wait_ms_by_class:
         raise RequestLineError("unknown class")
-    if known.tenants and fields.get("t") not in known.tenants:
+    if configured.tenants and fields.get("t") not in configured.tenants:
         raise RequestLineError("unknown tenant")
     request_line = RequestLine(found[1].decode(), int(found[2], 16), fields, data)
     if request_line.resumes_at is None:  # a resumed connection has no deadline of its client
         if "d" not in fields:
             raise RequestLineError("no field d")
-        if request_line.wait_ms > known.classes[request_line.class_name]:
+        if request_line.wait_ms > configured.max_wait_ms_by_class[request_line.class_name]:
             raise RequestLineError("wait too long in field d")
     return request_line
 
@@ -151,14 +157,14 @@
     fields: dict[str, str] = {}
     repeated = False
     for part in text.split(","):
-        pair = FIELD.fullmatch(part)
+        pair = FIELD_PATTERN.fullmatch(part)
         if pair is None:
             raise RequestLineError("a field is not NAME=VALUE")
         repeated |= pair[1] in fields
         fields[pair[1]] = pair[2]
     if repeated:
         raise RequestLineError("duplicate field")
-    for name, form in FORMS.items():
+    for name, form in FIELD_VALUE_PATTERNS.items():
         if name in fields and not form.fullmatch(fields[name]):
             raise RequestLineError(f"invalid value in field {name}")
     return fields
@@ -172,14 +178,14 @@
     return head + space + b",".join(parts) + b"\r\n"
 
 
-def busy_line(retry_after_ms: float) -> bytes:
+def rejection_line(retry_after_ms: float) -> bytes:
     """Returns a rejection with its Retry-After; without one if that is under a millisecond."""
     return b"BUSY %d\r\n" % retry_after_ms if retry_after_ms >= 1 else b"BUSY\r\n"
 
 
 def is_rejection(line: bytes) -> bool:
     """Returns whether the line to a client is a rejection."""
-    return line.startswith(REJECTED_PREFIX)
+    return line.startswith(REJECTION_PREFIX)
 
 
 def parse_finite_number(text: str) -> float | None:
@@ -191,7 +197,7 @@
     return value if isfinite(value) else None
 
 
-def split_first_word(line: bytes) -> tuple[str, str]:
+def split_keyword(line: bytes) -> tuple[str, str]:
     """Returns the first word and the rest; bytes that are not ASCII become replacement characters."""
     word, _, rest = line.rstrip(b"\r\n").decode("ascii", "replace").partition(" ")
     return word, rest
--- a/glenrock/net/relay_pumps.py
+++ b/glenrock/net/relay_pumps.py
@@ -9,13 +9,13 @@
 
 from .clock import Clock
 from .connection_attempt import ConnectionAttempt
-from .connection_messages import ConnectionMessage, RelayEnd
-from .line_gate import LineGate
+from .connection_messages import ConnectionMessage, RelayEvent
+from .line_gate import LineBuffer
 from .mailbox import Mailbox
 from .socket_io import close_socket, recv_into
 
 BUFFER_BYTES = 8192
-MAX_MESSAGES = 32  # that may wait for one connection
+MAX_QUEUED_MESSAGES = 32  # that may wait for one connection
 
 
 class RelayPumps:
@@ -28,21 +28,21 @@
         mailbox: messages to the connection's actor.
         attempt: the last attempt; its socket is the server's side of the relay.
         established: set once the client has its first answer.
-        gate: passes whole lines only.
+        line_buffer: passes whole lines only.
         unanswered_since_ms: when the oldest client line without an answer was read; None without one.
         migration: how routing counts the end of the connection, while its client migrates.
-        awaits_server: whether the downward pump waits for bytes of the server.
-        awaits_client: whether the upward pump waits for bytes of the client.
-        tasks: the pumps, the upward one first.
+        awaits_server: whether the downstream pump waits for bytes of the server.
+        awaits_client: whether the upstream pump waits for bytes of the client.
+        tasks: the pumps, the upstream one first.
     """
 
     def __init__(self, sock: socket.socket, clock: Clock) -> None:
         self.sock = sock
         self.clock = clock
-        self.mailbox: Mailbox[ConnectionMessage] = Mailbox(MAX_MESSAGES)
+        self.mailbox: Mailbox[ConnectionMessage] = Mailbox(MAX_QUEUED_MESSAGES)
         self.attempt: ConnectionAttempt | None = None
         self.established = asyncio.Event()
-        self.gate = LineGate()
+        self.line_buffer = LineBuffer()
         self.unanswered_since_ms: float | None = None
         self.migration: AttemptOutcome | None = None
         self.awaits_server = False
@@ -60,19 +60,19 @@
 
     # -- the pumps -------------------------------------------------------------------------------------
 
-    def start_upward_pump(self) -> None:
+    def start_upstream_pump(self) -> None:
         """Starts to read from the client."""
-        self.tasks.append(asyncio.get_running_loop().create_task(self._pump_upward()))
+        self.tasks.append(asyncio.get_running_loop().create_task(self._pump_upstream()))
 
-    def start_downward_pump(self) -> None:
+    def start_downstream_pump(self) -> None:
         """Starts to read from the server."""
-        self.tasks.append(asyncio.get_running_loop().create_task(self._pump_downward()))
+        self.tasks.append(asyncio.get_running_loop().create_task(self._pump_downstream()))
 
     def start_pumps(self) -> None:
         """Starts to read from both sides."""
         self.tasks = []
-        self.start_upward_pump()
-        self.start_downward_pump()
+        self.start_upstream_pump()
+        self.start_downstream_pump()
 
     async def stop_pumps(self) -> None:
         """Ends both pumps. uvloop allows no task to wait on a closed socket."""
@@ -80,26 +80,26 @@
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
-    async def stop_downward_pump(self) -> None:
+    async def stop_downstream_pump(self) -> None:
         """Ends the pump that reads from the server, if it was started."""
-        downward_pumps = self.tasks[1:]
-        for task in downward_pumps:
+        downstream_pumps = self.tasks[1:]
+        for task in downstream_pumps:
             task.cancel()
-        await asyncio.gather(*downward_pumps, return_exceptions=True)
+        await asyncio.gather(*downstream_pumps, return_exceptions=True)
 
-    async def _pump_upward(self) -> None:
+    async def _pump_upstream(self) -> None:
         """Copies from client to server. Before the first answer it only notices the client's end."""
-        end: RelayEnd | None = None
+        end: RelayEvent | None = None
         try:
-            end = await self._copy_upward()
+            end = await self._copy_upstream()
         except OSError:
-            end = RelayEnd.CLIENT_RST
+            end = RelayEvent.CLIENT_RST
         finally:
             if end:  # None for a pump that was stopped: the client is still connected
                 self.mailbox.put_unbounded(end)
 
-    async def _copy_upward(self) -> RelayEnd | None:
-        """Copies until an end. Returns None if the server's side failed: the downward pump reports that end."""
+    async def _copy_upstream(self) -> RelayEvent | None:
+        """Copies until an end. Returns None if the server's side failed: the downstream pump reports that end."""
         loop = asyncio.get_running_loop()
         buffer = bytearray(BUFFER_BYTES)
         while True:
@@ -107,10 +107,10 @@
             count = await recv_into(loop, self.sock, buffer)
             self.awaits_client = False
             if not count:
-                return RelayEnd.CLIENT_FIN
+                return RelayEvent.CLIENT_FIN
             if not self.established.is_set():
                 # A server would read these bytes as a request line, or as part of another connection.
-                return RelayEnd.TOO_EARLY
+                return RelayEvent.EARLY_BYTES
             server_sock = self.server_sock
             if server_sock is None:  # closed: only the client's end counts
                 continue
@@ -121,21 +121,21 @@
             except OSError:
                 return None
 
-    async def _pump_downward(self) -> None:
+    async def _pump_downstream(self) -> None:
         """Copies from server to client, and handles the server's lines."""
         try:
-            end = await self._copy_downward()
+            end = await self._copy_downstream()
         except OSError:
-            end = RelayEnd.SERVER_RST
+            end = RelayEvent.SERVER_RST
         if end:
             self.mailbox.put_unbounded(end)
 
-    async def _copy_downward(self) -> RelayEnd | None:
-        """Copies until an end. Returns None if the client's side failed: the upward pump reports that end."""
+    async def _copy_downstream(self) -> RelayEvent | None:
+        """Copies until an end. Returns None if the client's side failed: the upstream pump reports that end."""
         attempt, server_sock = self.attempt, self.server_sock
         assert attempt is not None and server_sock is not None, "the connection is established"
         loop = asyncio.get_running_loop()
-        chunk = self.pass_gate(attempt.received)
+        chunk = self.process_server_bytes(attempt.received)
         attempt.received = b""
         buffer = bytearray(BUFFER_BYTES)
         while True:
@@ -145,21 +145,21 @@
                 except OSError:
                     return None
                 self.established.set()
-            if self.migration and not self.gate.is_within_line:
-                return RelayEnd.BETWEEN_LINES
+            if self.migration and not self.line_buffer.is_within_line:
+                return RelayEvent.MIGRATION_POSSIBLE
             self.awaits_server = True
             count = await recv_into(loop, server_sock, buffer)
             self.awaits_server = False
             if count:
-                chunk = self.pass_gate(bytes(buffer[:count]))
+                chunk = self.process_server_bytes(bytes(buffer[:count]))
                 continue
-            chunk = self.gate.flush()
+            chunk = self.line_buffer.flush()
             if not chunk:
-                return RelayEnd.SERVER_FIN
+                return RelayEvent.SERVER_FIN
 
-    def pass_gate(self, chunk: bytes) -> bytes:
+    def process_server_bytes(self, chunk: bytes) -> bytes:
         """Handles the lines in bytes of the server. Returns the bytes that may be sent to the client now."""
-        passed = self.gate.feed(chunk)
+        passed = self.line_buffer.feed(chunk)
         self.on_lines(passed.lines)
         return passed.data
 
@@ -174,8 +174,8 @@
     async def detach_server(self) -> None:
         """Closes the server's socket, and keeps reading from the client until its end.
 
-        The upward pump may be blocked by a server that hangs, or have ended with it. It is started anew, since a close
-        with unread bytes would reset the connection and the client would lose its last line.
+        The upstream pump may be blocked writing to a server that hangs, or may have ended with that server. It is then
+        restarted, since a close with unread bytes would reset the connection and the client would lose its last line.
         """
         if self.awaits_client:
             self.close_server_side()
@@ -183,13 +183,13 @@
         await self.stop_pumps()
         self.close_server_side()
         self.tasks = []
-        self.start_upward_pump()
+        self.start_upstream_pump()
 
     def may_migrate(self) -> bool:
         """Returns whether the client has received whole lines only, and no bytes for it are being sent."""
-        return self.awaits_server and not self.gate.is_within_line
+        return self.awaits_server and not self.line_buffer.is_within_line
 
     def may_hand_over(self) -> bool:
         """Returns whether both pumps wait, and all bytes that were read have been sent."""
-        is_waiting = self.awaits_server and self.awaits_client and not self.gate.pending()
+        is_waiting = self.awaits_server and self.awaits_client and not self.line_buffer.pending()
         return self.established.is_set() and is_waiting and not any(task.done() for task in self.tasks)
--- a/glenrock/net/server_actor.py
+++ b/glenrock/net/server_actor.py
@@ -11,7 +11,7 @@
 
 from ..log import get_logger
 from . import protocol
-from .attempt_outcomes import AttemptEnd, AttemptResult, Reach
+from .attempt_outcomes import AttemptEnd, AttemptProgress, AttemptResult
 from .clock import Clock
 from .connection_attempt import ConnectionAttempt
 from .endpoint_rows import EndpointRow
@@ -19,16 +19,16 @@
 from .health_check_pool import HealthCheckPool
 from .mailbox import Mailbox
 from .metrics import ConnectionMetrics
-from .protocol import ServerWord
+from .protocol import ServerKeyword
 from .socket_io import close_socket, create_socket
 from .system_errors import is_local_error
 
 MAX_MESSAGES = 1024  # health checks and attempts that wait for one actor
 LOCAL_RETRY_MS = 20.0  # after this machine could not begin a connection
 ENDS_BY_WORD: dict[str, AttemptEnd] = {
-    ServerWord.REJECTED: AttemptEnd.REJECTED,
-    ServerWord.SERVED: AttemptEnd.SERVED,
-    ServerWord.MIGRATE: AttemptEnd.MIGRATED,
+    ServerKeyword.REJECTED: AttemptEnd.REJECTED,
+    ServerKeyword.SERVED: AttemptEnd.SERVED,
+    ServerKeyword.MIGRATE: AttemptEnd.MIGRATED,
 }
 
 Post = Callable[[interface.Event], bool]
@@ -129,12 +129,12 @@
         try:
             result = await self.attempt(attempt)
         except asyncio.CancelledError:
-            result = AttemptResult(AttemptEnd.CANCELLED, attempt.reach)
+            result = AttemptResult(AttemptEnd.CANCELLED, attempt.progress)
         except OSError:
-            result = AttemptResult(AttemptEnd.BROKEN, attempt.reach)
+            result = AttemptResult(AttemptEnd.BROKEN, attempt.progress)
         except Exception:  # the client needs an answer whatever has failed
             logger.exception("unexpected error in an attempt", server=self.row.name, request_id=attempt.request_id)
-            result = AttemptResult(AttemptEnd.BROKEN, attempt.reach)
+            result = AttemptResult(AttemptEnd.BROKEN, attempt.progress)
         if result.end is not AttemptEnd.ESTABLISHED and attempt.sock:
             # Closed before routing learns of the end, so that two attempts are never in flight.
             close_socket(attempt.sock)
@@ -152,22 +152,22 @@
             OSError: the connection to the server failed.
         """
         if attempt.is_cancelled:
-            return AttemptResult(AttemptEnd.CANCELLED, attempt.reach)
+            return AttemptResult(AttemptEnd.CANCELLED, attempt.progress)
         if not self._may_send(attempt):
-            return AttemptResult(AttemptEnd.NOT_SENT, attempt.reach)
+            return AttemptResult(AttemptEnd.NOT_SENT, attempt.progress)
         try:
             sock = await self._connect(attempt)
         except OSError as error:
             if not is_local_error(error):
                 raise
             self._record_local_error(attempt, error)
-            return AttemptResult(AttemptEnd.NOT_SENT, attempt.reach)
+            return AttemptResult(AttemptEnd.NOT_SENT, attempt.progress)
         if sock is None:
-            return AttemptResult(AttemptEnd.NO_ANSWER, attempt.reach)
+            return AttemptResult(AttemptEnd.NO_ANSWER, attempt.progress)
         if not self._may_send(attempt):  # the endpoint list may have changed during the connect
-            return AttemptResult(AttemptEnd.NOT_SENT, attempt.reach)
-        if not attempt.client_waits():
-            return AttemptResult(AttemptEnd.CANCELLED, attempt.reach)
+            return AttemptResult(AttemptEnd.NOT_SENT, attempt.progress)
+        if not attempt.is_client_waiting():
+            return AttemptResult(AttemptEnd.CANCELLED, attempt.progress)
         return await self._send_request(attempt, sock)
 
     def _record_local_error(self, attempt: ConnectionAttempt, error: OSError) -> None:
@@ -207,13 +207,13 @@
     async def _send_request(self, attempt: ConnectionAttempt, sock: socket.socket) -> AttemptResult:
         loop = asyncio.get_running_loop()
         async with self._clock.time_limit(self._left_ms(attempt)):
-            attempt.reach = Reach.PARTLY_WRITTEN
+            attempt.progress = AttemptProgress.PARTLY_WRITTEN
             await loop.sock_sendall(sock, protocol.with_time_left(attempt.line, self._left_ms(attempt)))
-            attempt.reach = Reach.WRITTEN
+            attempt.progress = AttemptProgress.WRITTEN
             self._metrics.attempts_written += 1
             return await self._read_answer(attempt, sock)
-        attempt.reach = Reach.WRITTEN  # a write that was stopped may have sent the whole line
-        return AttemptResult(AttemptEnd.NO_ANSWER, attempt.reach)
+        attempt.progress = AttemptProgress.WRITTEN  # a write that was stopped may have sent the whole line
+        return AttemptResult(AttemptEnd.NO_ANSWER, attempt.progress)
 
     async def _read_answer(self, attempt: ConnectionAttempt, sock: socket.socket) -> AttemptResult:
         loop = asyncio.get_running_loop()
@@ -223,16 +223,16 @@
         while not lines:
             count = await loop.sock_recv_into(sock, buffer)
             if not count:
-                return AttemptResult(AttemptEnd.BROKEN, attempt.reach)
+                return AttemptResult(AttemptEnd.BROKEN, attempt.progress)
             attempt.received += buffer[:count]
             lines = splitter.feed(bytes(buffer[:count]))
             if splitter.is_overlong:
-                return AttemptResult(AttemptEnd.ERROR, attempt.reach)
-        word, rest = protocol.split_first_word(lines[0])
-        if word == ServerWord.ESTABLISHED:
-            attempt.reach = Reach.ESTABLISHED
-            return AttemptResult(AttemptEnd.ESTABLISHED, attempt.reach)
-        if word == ServerWord.MALFORMED:
+                return AttemptResult(AttemptEnd.ERROR, attempt.progress)
+        word, rest = protocol.split_keyword(lines[0])
+        if word == ServerKeyword.ESTABLISHED:
+            attempt.progress = AttemptProgress.ESTABLISHED
+            return AttemptResult(AttemptEnd.ESTABLISHED, attempt.progress)
+        if word == ServerKeyword.MALFORMED:
             logger.error("server rejected the form of a request line", server=self.row.name, line=attempt.line)
         end = ENDS_BY_WORD.get(word, AttemptEnd.ERROR)
-        return AttemptResult(end, attempt.reach, protocol.parse_load_report(rest))
+        return AttemptResult(end, attempt.progress, protocol.parse_load_report(rest))
--- a/glenrock/net/socket_io.py
+++ b/glenrock/net/socket_io.py
@@ -13,7 +13,7 @@
 
 READ_BEFORE_CLOSE_BYTES = 16384
 MAX_READS_BEFORE_CLOSE = 4
-LINGER_ON_FOR_ZERO_S = b"\1\0\0\0\0\0\0\0"  # struct linger: a close resets the connection
+ZERO_LINGER = b"\1\0\0\0\0\0\0\0"  # struct linger: a close resets the connection
 
 
 def configure_socket(sock: socket.socket) -> None:
@@ -37,7 +37,7 @@
     """Closes a socket with FIN, or with RST. No task may wait on it."""
     with contextlib.suppress(OSError):
         if reset:
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_ON_FOR_ZERO_S)
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, ZERO_LINGER)
         else:
             # close() alone sends RST if there are unread bytes.
             sock.shutdown(socket.SHUT_WR)
--- a/glenrock/upgrade/relay_message.py
+++ b/glenrock/upgrade/relay_message.py
@@ -54,7 +54,7 @@
         load: as the server reported it last for this connection.
         partial_line: the bytes of the line that the server has not ended yet.
         is_overlong: whether that line is longer than a line may be.
-        last_word: the first word of the server's last line.
+        last_keyword: the first word of the server's last line.
         unanswered_since_ms: when the client sent a line that the server has not answered, in Unix ms; None if all are
             answered.
     """
@@ -64,7 +64,7 @@
     load: int
     partial_line: bytes
     is_overlong: bool
-    last_word: str
+    last_keyword: str
     unanswered_since_ms: float | None
 
     def encode(self) -> bytes:
@@ -77,7 +77,7 @@
             "part": self.partial_line.decode("latin-1"),
             "overlong": self.is_overlong,
             "asked_at": self.unanswered_since_ms,
-            "word": self.last_word,
+            "word": self.last_keyword,
         }
         return json.dumps(content).encode()
 
@@ -101,21 +101,21 @@
         load=max(0, content["load"]),
         partial_line=content["part"].encode("latin-1"),
         is_overlong=content["overlong"],
-        last_word=content["word"],
+        last_keyword=content["word"],
         unanswered_since_ms=content["asked_at"],
     )
 
 
 def encode_relay(connection: ClientConnection, load: int) -> bytes:
     """Returns the message for a relay whose pumps have stopped, with the load that its server reported last."""
-    splitter = connection.gate.splitter
+    splitter = connection.line_buffer.splitter
     message = RelayMessage(
         open_line=connection.request_line.raw,
         server_id=connection.server,
         load=load,
         partial_line=splitter.partial_line,
         is_overlong=splitter.is_overlong,
-        last_word=connection.last_word,
+        last_keyword=connection.last_keyword,
         unanswered_since_ms=connection.unanswered_since_ms,
     )
     return message.encode()
@@ -130,7 +130,7 @@
         OSError: a socket cannot be configured.
     """
     message = parse(data)
-    request_line = protocol.parse_request_line(message.open_line, table.known_names)
+    request_line = protocol.parse_request_line(message.open_line, table.configured_names)
     if table.is_open(request_line.request_id):
         raise RelayMessageError("request id in use")
     if table.is_full():
@@ -138,9 +138,9 @@
     configure_socket(client)
     configure_socket(server)
     connection = ClientConnection(table, client, request_line)
-    connection.gate.restore(message.partial_line, message.is_overlong)
+    connection.line_buffer.restore(message.partial_line, message.is_overlong)
     connection.unanswered_since_ms = message.unanswered_since_ms
-    connection.last_word = message.last_word
+    connection.last_keyword = message.last_keyword
     connection.reports.load = message.load
     connection.take_over(message.server_id, server)
     return connection
--- a/tests/net/exchange_player.py
+++ b/tests/net/exchange_player.py
@@ -13,7 +13,7 @@
 from typing import Any, NamedTuple
 
 from glenrock.config import parse_config
-from glenrock.net.socket_io import LINGER_ON_FOR_ZERO_S
+from glenrock.net.socket_io import ZERO_LINGER
 from glenrock.program import Program
 
 from .discovery_answers import EndpointRow, endpoint_answer, endpoint_row, http_answer
@@ -23,7 +23,7 @@
 
 STEP_TIMEOUT_S = 5
 ACCEPT_POLL_S = 0.001
-DISCOVERIES = ("discovery", "elsewhere")
+DISCOVERY_PARTIES = ("discovery", "elsewhere")
 MORE_BYTES = "more bytes"
 
 
@@ -102,7 +102,7 @@
             self._writer.write_eof()
             return
         sock = self._writer.get_extra_info("socket")
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_ON_FOR_ZERO_S)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, ZERO_LINGER)
         self._writer.transport.abort()
 
 
@@ -114,7 +114,7 @@
         self._ports: dict[str, int] = {}
         self._time = ManualTime()
         self._connections: dict[str, ScriptedConnection] = {}  # by their names in the script
-        self._accepted: dict[str, list[ScriptedConnection]] = {name: [] for name in [*server_names, *DISCOVERIES]}
+        self._accepted: dict[str, list[ScriptedConnection]] = {name: [] for name in [*server_names, *DISCOVERY_PARTIES]}
         self._accepted_by_servers: list[ScriptedConnection] = []
         self._shutdown: asyncio.Task[None] | None = None
         self._operator_answers: dict[str, HttpAnswer] = {}
@@ -159,7 +159,7 @@
         def accept(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             connection = ScriptedConnection(reader, writer)
             self._accepted[name].append(connection)
-            if name not in DISCOVERIES:
+            if name not in DISCOVERY_PARTIES:
                 self._accepted_by_servers.append(connection)
 
         return accept
@@ -210,7 +210,7 @@
     async def _expect_line(self, name: str, pattern: str) -> None:
         connection = await self._connection(name)
         line = await connection.read_line()
-        if name.partition(".")[0] in DISCOVERIES:  # the request's line alone counts, and no other of its head
+        if name.partition(".")[0] in DISCOVERY_PARTIES:  # the request's line alone counts, and no other of its head
             while not line.startswith("GET") and (line or not connection.reader.at_eof()):
                 line = await connection.read_line()
         if not fnmatch.fnmatchcase(line, pattern):
--- a/tests/net/rig.py
+++ b/tests/net/rig.py
@@ -14,7 +14,7 @@
 from glenrock.net.client_connection import ClientConnection
 from glenrock.net.connection_attempt import ConnectionAttempt
 from glenrock.net.server_actor import ServerActor
-from glenrock.net.socket_io import LINGER_ON_FOR_ZERO_S
+from glenrock.net.socket_io import ZERO_LINGER
 from glenrock.program import Program
 
 from .discovery_answers import EndpointAnswer, endpoint_answer, endpoint_row, http_answer
@@ -68,7 +68,7 @@
 def close_socket(sock: socket.socket, reset: bool) -> None:
     """Closes a socket with FIN or with RST."""
     if reset:
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_ON_FOR_ZERO_S)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, ZERO_LINGER)
     sock.close()
 
 
--- a/tests/net/test_answers_and_decisions.py
+++ b/tests/net/test_answers_and_decisions.py
@@ -7,9 +7,9 @@
 import pytest
 
 from glenrock.net import protocol
-from glenrock.net.attempt_outcomes import AttemptResult, Reach
+from glenrock.net.attempt_outcomes import AttemptProgress, AttemptResult
 from glenrock.net.connection_attempt import ConnectionAttempt
-from glenrock.net.connection_messages import AnswerNow, MigrateClient
+from glenrock.net.connection_messages import DrainConnection, MigrateClient
 from glenrock.routing import interface
 
 from .loopback_delivery import ITERATION_S
@@ -107,7 +107,7 @@
     def post_both(attempt: ConnectionAttempt, result: AttemptResult) -> None:
         if is_answer_first:
             post_result(attempt, result)
-        connection.mailbox.put_unbounded(AnswerNow(700))
+        connection.mailbox.put_unbounded(DrainConnection(700))
         if not is_answer_first:
             post_result(attempt, result)
 
@@ -137,7 +137,7 @@
     monkeypatch.setattr(protocol, "with_time_left", lambda line, ms: line + b"z" * (16 << 20))
     await rig.open("s1", "s2", effect="unsafe")
     client = rig.connect_client(REQUEST_LINE)
-    await rig.wait_for_attempt(lambda attempt: attempt.reach == Reach.PARTLY_WRITTEN)
+    await rig.wait_for_attempt(lambda attempt: attempt.progress == AttemptProgress.PARTLY_WRITTEN)
     await rig.advance(1600)
     assert read_now(client) == b"ERR\r\n"
     assert sum(len(rig.accept_queued(listener)) for listener in rig.listeners.values()) == 1
--- a/tests/net/test_any_order.py
+++ b/tests/net/test_any_order.py
@@ -14,7 +14,7 @@
 from hypothesis import strategies as st
 
 from glenrock.net.client_connection import ClientConnection
-from glenrock.net.connection_messages import AnswerNow, MigrateClient
+from glenrock.net.connection_messages import DrainConnection, MigrateClient
 from glenrock.routing import interface
 
 from .rig import (
@@ -40,13 +40,13 @@
 # -- one connection, from its first attempt to its end -----------------------------------------------------
 
 
-class Step(Enum):
+class ConnectionStep(Enum):
     """What happens to a connection in a drawn order.
 
     Attributes:
         CLIENT_LINE: the client sends a line, if the connection is established.
         MIGRATE: routing migrates the client, if the connection is established.
-        ANSWER_NOW: the balancer stops: the client gets its answer now.
+        DRAIN: the balancer stops: the client gets its answer now.
         RUN_LOOP: the event loop runs.
         ADVANCE: the clock advances by 50 ms.
         SERVER_FIN, SERVER_RST: the server ends the connection.
@@ -56,7 +56,7 @@
 
     CLIENT_LINE = auto()
     MIGRATE = auto()
-    ANSWER_NOW = auto()
+    DRAIN = auto()
     RUN_LOOP = auto()
     ADVANCE = auto()
     SERVER_FIN = auto()
@@ -73,21 +73,21 @@
     data: bytes
 
 
-STEPS = st.lists(
+CONNECTION_STEPS = st.lists(
     st.one_of(
         st.sampled_from([b"one\r\n", b"tw", b"o\r\nthr", b"\r\n", b"LOAD 3\r\n"]).map(ServerBytes),
-        st.sampled_from(Step),
+        st.sampled_from(ConnectionStep),
     ),
     max_size=12,
 )
 STEPS_BEFORE_ANSWER = st.lists(
     st.sampled_from(
         [
-            Step.RUN_LOOP,
-            Step.REJECT,
-            Step.ANSWER_NOW,
-            Step.CLIENT_FIN,
-            Step.CLIENT_RST,
+            ConnectionStep.RUN_LOOP,
+            ConnectionStep.REJECT,
+            ConnectionStep.DRAIN,
+            ConnectionStep.CLIENT_FIN,
+            ConnectionStep.CLIENT_RST,
             ServerBytes(b"U"),
             ServerBytes(b"BUSY\r\n"),
             ServerBytes(ESTABLISHED_LINE),
@@ -97,7 +97,7 @@
 )
 
 
-class DrawnConnection:
+class ScenarioConnection:
     """A connection whose client, server and balancer act in a drawn order.
 
     Attributes:
@@ -116,25 +116,25 @@
         self.server_has_ended = False
         self._rig = rig
         self._connection: ClientConnection = rig.connections[REQUEST_ID]
-        self._calls: dict[Step, Callable[[], object]] = {
-            Step.CLIENT_LINE: self._send_client_line,
-            Step.MIGRATE: self._migrate,
-            Step.ANSWER_NOW: lambda: self._connection.mailbox.put_unbounded(AnswerNow(700)),
-            Step.SERVER_FIN: lambda: self._end_server_side(reset=False),
-            Step.SERVER_RST: lambda: self._end_server_side(reset=True),
-            Step.CLIENT_FIN: lambda: self._end_client_side(reset=False),
-            Step.CLIENT_RST: lambda: self._end_client_side(reset=True),
-            Step.REJECT: lambda: rig.reject_request(self._connection),
+        self._calls: dict[ConnectionStep, Callable[[], object]] = {
+            ConnectionStep.CLIENT_LINE: self._send_client_line,
+            ConnectionStep.MIGRATE: self._migrate,
+            ConnectionStep.DRAIN: lambda: self._connection.mailbox.put_unbounded(DrainConnection(700)),
+            ConnectionStep.SERVER_FIN: lambda: self._end_server_side(reset=False),
+            ConnectionStep.SERVER_RST: lambda: self._end_server_side(reset=True),
+            ConnectionStep.CLIENT_FIN: lambda: self._end_client_side(reset=False),
+            ConnectionStep.CLIENT_RST: lambda: self._end_client_side(reset=True),
+            ConnectionStep.REJECT: lambda: rig.reject_request(self._connection),
         }
 
-    async def play(self, step: Step | ServerBytes) -> None:
+    async def play(self, step: ConnectionStep | ServerBytes) -> None:
         """Plays a step. A step of a side that has ended the connection does nothing."""
         with contextlib.suppress(OSError):
             if isinstance(step, ServerBytes):
                 self._send_server_bytes(step.data)
-            elif step is Step.RUN_LOOP:
+            elif step is ConnectionStep.RUN_LOOP:
                 await self._rig.run_loop()
-            elif step is Step.ADVANCE:
+            elif step is ConnectionStep.ADVANCE:
                 await self._rig.advance(50)
             else:
                 self._calls[step]()
@@ -167,7 +167,7 @@
         received = b""
         if not self.client_has_ended:
             is_established = self._connection.established.is_set()
-            last = MigrateClient(interface.AttemptOutcome.CANCELLED) if is_established else AnswerNow(1000)
+            last = MigrateClient(interface.AttemptOutcome.CANCELLED) if is_established else DrainConnection(1000)
             self._connection.mailbox.put_unbounded(last)
             received = (await read_to_end(self.client)).data
             close_socket(self.client, reset=False)
@@ -192,9 +192,9 @@
 
 
 @settings(max_examples=60, deadline=None, suppress_health_check=[HealthCheck.too_slow])
-@given(before=STEPS_BEFORE_ANSWER, steps=STEPS)
+@given(before=STEPS_BEFORE_ANSWER, steps=CONNECTION_STEPS)
 def test_any_order_of_events_gives_one_answer_or_end_and_leaves_nothing_open(
-    before: list[Step | ServerBytes], steps: list[Step | ServerBytes]
+    before: list[ConnectionStep | ServerBytes], steps: list[ConnectionStep | ServerBytes]
 ) -> None:
     async def scenario(rig: LoopbackRig) -> None:
         await rig.open()
@@ -203,18 +203,18 @@
         descriptors = count_descriptors()
         tasks = len(asyncio.all_tasks())
         client = rig.connect_client(REQUEST_LINE)
-        drawn = DrawnConnection(rig, client, await rig.accept_request("s1"))
+        connection = ScenarioConnection(rig, client, await rig.accept_request("s1"))
         for step in [*before, ServerBytes(ESTABLISHED_LINE), *steps]:
-            await drawn.play(step)
+            await connection.play(step)
         await rig.run_loop()
-        received = await drawn.finish()
+        received = await connection.finish()
         await rig.advance_until(lambda: not rig.connections and not rig.acceptor.tasks)
-        drawn.check_received(received)
+        connection.check_received(received)
         await rig.run_loop()
         assert not rig.program.routing.balancer.requests
         gc.collect()
         client.close()
-        drawn.server_side.close()
+        connection.server_side.close()
         await wait_until(lambda: count_descriptors() <= descriptors and len(asyncio.all_tasks()) <= tasks)
 
     run_on_rig(scenario)
@@ -223,7 +223,7 @@
 # -- one request, with all of its attempts -----------------------------------------------------------------
 
 
-class Moment(Enum):
+class RequestStep(Enum):
     """What happens to a request in a drawn order.
 
     Attributes:
@@ -252,8 +252,8 @@
     ends_attempt: bool
 
 
-MOMENTS = [
-    *Moment,
+REQUEST_STEPS = [
+    *RequestStep,
     ServerAnswer(b"BUSY\r\n", True),
     ServerAnswer(b"ERR\r\n", True),
     ServerAnswer(b"U", False),
@@ -289,7 +289,7 @@
 
 
 class ObservedRequest:
-    """A request as its client and all servers see it, read after each moment.
+    """A request as its client and all servers see it, read after each step.
 
     Attributes:
         attempts: the attempts in order; all but the last have ended.
@@ -350,23 +350,23 @@
         self.observe()  # a line that was being sent at that moment
         self._client_has_left = True
 
-    async def play(self, moment: Moment | ServerAnswer) -> None:
+    async def play(self, step: RequestStep | ServerAnswer) -> None:
         """Plays a moment of the script."""
-        match moment:
-            case Moment.RUN_LOOP:
+        match step:
+            case RequestStep.RUN_LOOP:
                 await self._rig.run_loop()
-            case Moment.ADVANCE:
+            case RequestStep.ADVANCE:
                 await self.advance(50)
-            case Moment.ADVANCE_LONG:
+            case RequestStep.ADVANCE_LONG:
                 await self.advance(300)
-            case Moment.LIST_DRAINING:
+            case RequestStep.LIST_DRAINING:
                 await self._report_endpoints("DRAINING")
-            case Moment.LIST_SERVING:
+            case RequestStep.LIST_SERVING:
                 await self._report_endpoints("SERVING")
-            case Moment.STOP:
+            case RequestStep.STOP:
                 self._stop()
             case _:
-                self._act_on_attempt(moment)
+                self._act_on_attempt(step)
         await self._rig.run_loop()
         self.observe()
 
@@ -386,7 +386,7 @@
         if not self._shutdown:
             self._shutdown = asyncio.create_task(self._rig.program.shutdown.stop(False, None))
 
-    def _act_on_attempt(self, action: Moment | ServerAnswer) -> None:
+    def _act_on_attempt(self, action: RequestStep | ServerAnswer) -> None:
         """Lets the server of the attempt in flight answer or end it; nothing without such an attempt."""
         if not self.attempts or self.attempts[-1].has_ended or self.is_established:
             return
@@ -396,7 +396,7 @@
                 attempt.sock.sendall(action.data)
                 self.is_established = action.data == ESTABLISHED_LINE
             else:
-                close_socket(attempt.sock, action is Moment.SERVER_RST)
+                close_socket(attempt.sock, action is RequestStep.SERVER_RST)
         attempt.has_ended = not isinstance(action, ServerAnswer) or action.ends_attempt
 
     # -- the end ---------------------------------------------------------------------------------------
@@ -426,20 +426,20 @@
 
 @settings(max_examples=60, deadline=None, suppress_health_check=[HealthCheck.too_slow])
 @given(
-    script=st.lists(st.sampled_from(MOMENTS), max_size=14),
+    script=st.lists(st.sampled_from(REQUEST_STEPS), max_size=14),
     client_end=st.sampled_from([None, None, *ClientEnd]),
     leaves_before=st.integers(0, 13),
 )
 def test_any_order_of_events_gives_one_attempt_at_a_time_and_one_answer_in_time(
-    script: list[Moment | ServerAnswer], client_end: ClientEnd | None, leaves_before: int
+    script: list[RequestStep | ServerAnswer], client_end: ClientEnd | None, leaves_before: int
 ) -> None:
     async def scenario(rig: LoopbackRig) -> None:
         await rig.open("s1", "s2")
         request = ObservedRequest(rig)
-        for number, moment in enumerate(script):
+        for number, step in enumerate(script):
             if client_end and number == leaves_before and not request.received:
                 await request.leave(client_end)
-            await request.play(moment)
+            await request.play(step)
         await request.wait_past_deadline()
         request.check_answer()
         await request.finish()
--- a/tests/net/test_client_disconnects.py
+++ b/tests/net/test_client_disconnects.py
@@ -10,7 +10,7 @@
 import pytest
 
 from glenrock.config import Address
-from glenrock.net.attempt_outcomes import Reach
+from glenrock.net.attempt_outcomes import AttemptProgress
 from glenrock.net.connection_attempt import ConnectionAttempt
 from glenrock.net.metrics import ConnectionOutcome
 from glenrock.net.server_actor import ServerActor
@@ -76,7 +76,7 @@
     attempt = await wait_for_attempt(single_server)
     await asyncio.sleep(0.05)
     assert attempt.task is not None
-    assert attempt.reach is Reach.NOT_CONNECTED
+    assert attempt.progress is AttemptProgress.NOT_CONNECTED
     assert not attempt.task.done()
     client.close()
     closed_s = time.monotonic()
--- a/tests/net/test_clients_that_leave.py
+++ b/tests/net/test_clients_that_leave.py
@@ -11,7 +11,7 @@
 from glenrock.config import Address
 from glenrock.net.attempt_outcomes import AttemptResult
 from glenrock.net.connection_attempt import ConnectionAttempt
-from glenrock.net.connection_messages import RelayEnd
+from glenrock.net.connection_messages import RelayEvent
 from glenrock.routing import interface
 
 from .rig import (
@@ -50,7 +50,7 @@
 
     def start_attempt_then_end(server: str, timeout_ms: float) -> None:
         start_attempt(server, timeout_ms)
-        connection.mailbox.messages.appendleft(RelayEnd.CLIENT_FIN)
+        connection.mailbox.messages.appendleft(RelayEvent.CLIENT_FIN)
         connection.mailbox.wake()
 
     monkeypatch.setattr(connection, "start_attempt", start_attempt_then_end)
@@ -155,7 +155,7 @@
 
 @pytest.mark.parametrize("reset", [False, True], ids=["fin", "rst"])
 @pytest.mark.parametrize(
-    "leave_at_moment",
+    "leave_in_situation",
     [
         leave_while_attempt_is_queued,
         leave_while_connecting,
@@ -170,8 +170,8 @@
 async def test_no_request_line_is_sent_for_a_client_that_has_left(
     rig: LoopbackRig,
     monkeypatch: pytest.MonkeyPatch,
-    leave_at_moment: Callable[[LoopbackRig, Leave, pytest.MonkeyPatch], Awaitable[None]],
+    leave_in_situation: Callable[[LoopbackRig, Leave, pytest.MonkeyPatch], Awaitable[None]],
     reset: bool,
 ) -> None:
-    await leave_at_moment(rig, lambda client: close_socket(client, reset), monkeypatch)
+    await leave_in_situation(rig, lambda client: close_socket(client, reset), monkeypatch)
     await rig.check_nothing_was_sent()
--- a/tests/net/test_connection_ends.py
+++ b/tests/net/test_connection_ends.py
@@ -26,7 +26,7 @@
 FIRST_CLIENTS = 3
 
 
-async def run_drawn_clients(rig: SingleServerRig, rng: random.Random) -> Counter[Behaviour]:
+async def run_random_clients(rig: SingleServerRig, rng: random.Random) -> Counter[Behaviour]:
     """Runs 40 clients at once. Returns how many there were of each behaviour."""
     behaviours = [rng.choice(list(POSSIBLE_OUTCOMES)) for _ in range(40)]
     await asyncio.gather(
@@ -63,7 +63,7 @@
     assert counts_before == {ConnectionOutcome.FULFILLED: FIRST_CLIENTS}
     tasks = len(asyncio.all_tasks())
     descriptors = count_descriptors()
-    behaviours = await run_drawn_clients(single_server, random.Random(seed))
+    behaviours = await run_random_clients(single_server, random.Random(seed))
     check_outcomes(Counter(single_server.outcome_counts()) - counts_before, behaviours)
     assert single_server.program.connections.count_open() == 0
     assert not single_server.program.routing.balancer.requests
--- a/tests/net/test_idle_connections.py
+++ b/tests/net/test_idle_connections.py
@@ -7,7 +7,7 @@
 import pytest
 
 from glenrock.net.acceptor import IDLE_TIMEOUT_MS, LAST_LINE_TIMEOUT_MS
-from glenrock.net.connection_messages import AnswerNow
+from glenrock.net.connection_messages import DrainConnection
 
 from .rig import (
     ESTABLISHED_LINE,
@@ -148,7 +148,7 @@
     client = rig.connect_client(REQUEST_LINE)
     server_side = await rig.accept_request("s1") if is_sent else None
     await wait_until(lambda: rig.program.routing.balancer.requests)
-    rig.connections[REQUEST_ID].mailbox.put_unbounded(AnswerNow(1000))
+    rig.connections[REQUEST_ID].mailbox.put_unbounded(DrainConnection(1000))
     data, end = await read_to_end(client)
     assert data.startswith(answer)
     assert data.count(b"\n") == 1
--- a/tests/test_recorded.py
+++ b/tests/test_recorded.py
@@ -133,7 +133,11 @@
             found = relay_message.decode_relay(data, connection_table(), client, server)
     assert taken_over == [("127.0.0.1:9001", server)]
     assert (found.request_line.request_id, found.request_line.group, found.reports.load) == ("50", 255, 52000)
-    assert (found.gate.splitter.partial_line, found.last_word, found.unanswered_since_ms) == (b"HALF A", "ACTIVE", None)
+    assert (found.line_buffer.splitter.partial_line, found.last_keyword, found.unanswered_since_ms) == (
+        b"HALF A",
+        "ACTIVE",
+        None,
+    )
 
 
 def test_datagrams_are_read_and_written_in_the_same_form() -> None:
