--- a/glenrock/net/__init__.py
+++ b/glenrock/net/__init__.py
@@ -1,4 +1,5 @@
-"""The balancer on real sockets: clients, servers, the endpoint list, and the other balancers.
+"""The balancer's network I/O: clients, servers, the endpoint list, and the other balancers.
 
-One process, one thread, one uvloop loop. Actors exchange messages through bounded mailboxes; each socket has one owner.
+All of it runs on one uvloop event loop in one thread. Actors exchange messages through bounded mailboxes, and each
+socket is owned by one actor.
 """
--- a/glenrock/net/acceptor.py
+++ b/glenrock/net/acceptor.py
@@ -1,4 +1,4 @@
-"""Accepts clients' connections and reads their requests. A connection without a request gets its final answer here."""
+"""Accepts client connections and reads their requests. Answers connections that send no valid request itself."""
 
 from __future__ import annotations
 
@@ -18,23 +18,23 @@
 from .socket_io import close_after_reading, configure_socket, recv_into
 
 FIRST_LINE_TIMEOUT_MS = 2000.0  # the protocol requires an answer within 3 s
-IDLE_TIMEOUT_MS = 10_000.0  # after a ping
-LINGER_TIMEOUT_MS = 1000.0  # the client's end is awaited this long after its final answer
+IDLE_TIMEOUT_MS = 10_000.0  # for the next line after a ping
+LINGER_TIMEOUT_MS = 1000.0  # from the final answer until the client must have closed the connection
 MAX_LINGER_BYTES = 65536  # read from a client after its final answer
-LAST_LINE_TIMEOUT_MS = 100.0  # for a connection that was accepted as the process ends
-MIN_RETRY_AFTER_FRACTION = 0.5  # the jitter of a rejection's Retry-After
-LOGGED_BYTES = 120  # of a request line
+LAST_LINE_TIMEOUT_MS = 100.0  # for the first line of a connection that is accepted as the process ends
+MIN_RETRY_AFTER_FRACTION = 0.5  # lower bound of the random fraction by which a Retry-After is multiplied
+LOGGED_BYTES = 120  # of a rejected request line
 
 logger = get_logger(__name__)
 
 
 class Connections(Protocol):
-    """The table of connections, as the acceptor uses it.
+    """The part of the connection table that the acceptor uses.
 
     Attributes:
         configured_names: the names that a request may use.
-        retry_after_ms: the Retry-After of rejections that routing does not decide; 0 if clients take none.
-        metrics: counts answers.
+        retry_after_ms: the Retry-After of rejections that routing does not decide; 0 if the settings allow none.
+        metrics: counts final answers.
     """
 
     configured_names: protocol.ConfiguredNames
@@ -50,15 +50,15 @@
         ...
 
     def max_idle_connections(self) -> int:
-        """Returns how many connections without a request may be open."""
+        """Returns how many connections that have sent no request may be open."""
         ...
 
     def record_outcome(self, outcome: ConnectionOutcome, class_name: str) -> None:
-        """Counts the outcome of a connection that the acceptor has answered."""
+        """Counts the outcome of a connection that the acceptor has answered itself."""
         ...
 
     async def serve(self, sock: socket.socket, request_line: protocol.RequestLine) -> None:
-        """Routes the connection, until its end."""
+        """Runs a connection until its end."""
         ...
 
 
@@ -66,8 +66,8 @@
     """Accepts connections and reads their requests.
 
     Attributes:
-        tasks: one for each connection, those with a request too.
-        idle: connections without a request.
+        tasks: one for each open connection, until its end.
+        idle: connections that have sent no request yet.
         is_manually_draining: whether an operator drains this balancer; pings are then answered with a failure.
         rejects_requests: whether new requests are rejected.
         drain_permit_check: returns whether the drain permit is valid, and ends the drain if it is not.
@@ -82,12 +82,12 @@
         self._connections = connections
         self._clock = clock
         self._socket = ListeningSocket(clock, connections.metrics, self._add_connection, self.idle.shed_oldest)
-        self._is_closing = False  # no more connections are accepted, and no line is awaited
+        self._is_closing = False  # set by close_idle
 
     def check_drain_permit(self) -> bool:
-        """Ends the manual drain if its permit has expired. Returns False then.
+        """Ends the manual drain if its permit has expired, and returns False then.
 
-        The process may have been suspended past the end of its lease, so the permit is checked before each use.
+        The process may have been paused past the end of its lease, so the permit is checked before each use.
         """
         if not self.is_manually_draining or self.drain_permit_check is None:
             return True
@@ -105,13 +105,13 @@
         self._socket.open(listener)
 
     def close(self) -> None:
-        """Stops accepting. Queued connections stay with another process that has the socket; else they are reset."""
+        """Stops accepting. Resets queued connections, unless another process also has the listening socket open."""
         self._socket.close()
 
     def close_idle(self) -> None:
-        """Answers all connections without a request, and those that are queued.
+        """Stops accepting, and answers queued connections and all others that have sent no request.
 
-        The system has accepted the queued connections, and a reset would lose their requests.
+        The kernel has completed the handshakes of queued connections, and a reset would lose their requests.
         """
         self.rejects_requests = self._is_closing = True
         self._socket.accept(BACKLOG)
@@ -125,7 +125,7 @@
         self.tasks.add(task)
         self.idle.add(task)
         task.add_done_callback(lambda task: self._remove_connection(task, sock))
-        # Hundreds of silent connections would take the descriptors of requests, health checks and discovery.
+        # Hundreds of idle connections would use up the descriptors for requests, health checks and discovery.
         while len(self.idle) > self._connections.max_idle_connections():
             if not self.idle.shed_oldest():
                 break
@@ -145,11 +145,11 @@
             await self._connections.serve(sock, request_line)
         except OSError:
             pass
-        except Exception:  # the edge of the connection's task
+        except Exception:  # a fault in one connection must not end the process
             logger.exception("unexpected error in an idle connection")
 
     async def _read_request(self, sock: socket.socket) -> protocol.RequestLine | None:
-        """Returns the client's request; None if the client has left or has had its final answer."""
+        """Answers pings until a request comes. Returns None if the client has left or has had its final answer."""
         loop = asyncio.get_running_loop()
         data = b""
         has_pinged = False
@@ -171,7 +171,7 @@
             has_pinged = True
 
     async def _read_line(self, sock: socket.socket, data: bytes, has_pinged: bool) -> bytes | None:
-        """Returns all bytes once a line is complete or its time is up; None if the client has left."""
+        """Returns all bytes once a line is complete or the timeout has expired; None if the client has left."""
         loop = asyncio.get_running_loop()
         buffer = bytearray(protocol.MAX_LINE_BYTES)
         task = _current_task()
@@ -188,7 +188,7 @@
             finally:
                 self.idle.stop_reading(task)
         if limit.has_expired:
-            # A request may have arrived as the limit was reached.
+            # A request may have arrived just before the timeout.
             data += _read_available(sock)
         return data
 
@@ -200,7 +200,10 @@
     # -- answers ---------------------------------------------------------------------------------------
 
     async def _end_without_request(self, sock: socket.socket, has_only_pinged: bool) -> None:
-        """Answers a connection that has sent no whole line. `has_only_pinged`: no bytes since the answer to a ping."""
+        """Answers a connection that has sent no complete line.
+
+        `has_only_pinged`: it has sent a ping and nothing since.
+        """
         if self.idle.is_shed(_current_task()):
             await self._send_final_answer(sock, self._rejection_line_with_jitter(), FinalAnswerReason.SHED)
             return
@@ -209,11 +212,11 @@
         await self._send_final_answer(sock, line, reason)
 
     async def _parse_request(self, sock: socket.socket, data: bytes) -> protocol.RequestLine | None:
-        """Returns the request in a line. Answers an invalid line, and returns None."""
+        """Parses a request line. Answers an invalid line with a failure, and returns None."""
         try:
             request_line = protocol.parse_request_line(data, self._connections.configured_names)
             if self._connections.is_open(request_line.request_id):
-                raise protocol.RequestLineError("request id in use")  # noqa: TRY301 - answered alike
+                raise protocol.RequestLineError("request id in use")  # noqa: TRY301 - handled like an invalid line
         except protocol.RequestLineError as error:
             self._count_malformed(data)
             logger.info("request line rejected", reason=str(error), data=data[:LOGGED_BYTES])
@@ -222,7 +225,7 @@
         return request_line
 
     async def _admit(self, sock: socket.socket, request_line: protocol.RequestLine) -> bool:
-        """Returns whether the request goes to routing; rejects it while this balancer drains or has no descriptors."""
+        """Returns whether the request may go to routing. Rejects it during a drain and at the descriptor limit."""
         is_rejecting = self.check_drain_permit() and self.rejects_requests
         if not is_rejecting and not self._connections.is_full():
             return True
@@ -234,40 +237,41 @@
         return False
 
     def _rejection_line_with_jitter(self) -> bytes:
-        """Returns a rejection with jitter, so that clients rejected together do not retry together."""
+        """Returns a rejection with a random Retry-After, so that clients rejected together do not retry together."""
         fraction = MIN_RETRY_AFTER_FRACTION + random.random() / 2  # noqa: S311 - jitter
         return protocol.rejection_line(self._connections.retry_after_ms * fraction)
 
     def _count_malformed(self, data: bytes) -> None:
-        """Counts a rejected line under its class, if its first line is a request."""
+        """Counts a failure under the class of the request, if the first line of the data is a valid request."""
+        first_line = data.partition(b"\n")[0] + b"\n"
         with contextlib.suppress(protocol.RequestLineError):
-            first = protocol.parse_request_line(data.partition(b"\n")[0] + b"\n", self._connections.configured_names)
-            self._connections.record_outcome(ConnectionOutcome.FAULTED, first.class_name)
+            request_line = protocol.parse_request_line(first_line, self._connections.configured_names)
+            self._connections.record_outcome(ConnectionOutcome.FAULTED, request_line.class_name)
 
     async def _send_final_answer(self, sock: socket.socket, line: bytes, reason: FinalAnswerReason) -> None:
-        """Sends the final answer, and awaits the client's end.
+        """Sends the final answer, and waits until the client closes the connection.
 
         A close with unread bytes would reset the connection, and the client could lose the answer.
         """
         loop = asyncio.get_running_loop()
         buffer = bytearray(protocol.MAX_LINE_BYTES)
-        left = MAX_LINGER_BYTES
+        remaining_bytes = MAX_LINGER_BYTES
         self._connections.metrics.final_answers[reason] += 1
         self.idle.mark_ending(_current_task())
         async with self._clock.time_limit(LINGER_TIMEOUT_MS):
             await loop.sock_sendall(sock, line)
             sock.shutdown(socket.SHUT_WR)
-            while left > 0 and (count := await loop.sock_recv_into(sock, buffer)):
-                left -= count
+            while remaining_bytes > 0 and (count := await loop.sock_recv_into(sock, buffer)):
+                remaining_bytes -= count
 
 
 def _is_complete(data: bytes) -> bool:
-    """Returns whether the bytes hold a whole line, or more than a line may have."""
+    """Returns whether the bytes contain a line end, or are too many for a line."""
     return b"\n" in data or len(data) >= protocol.MAX_LINE_BYTES
 
 
 def _read_available(sock: socket.socket) -> bytes:
-    """Returns the bytes that have arrived and were not read."""
+    """Returns the bytes that can be read without waiting; empty if there are none."""
     try:
         return sock.recv(protocol.MAX_LINE_BYTES, socket.MSG_DONTWAIT)
     except (BlockingIOError, InterruptedError):
--- a/glenrock/net/attempt_outcomes.py
+++ b/glenrock/net/attempt_outcomes.py
@@ -1,4 +1,4 @@
-"""Results of an attempt: what ended it and how far it had come. Both together give the outcome for routing."""
+"""Results of an attempt: what ended it, and how far it had come. Together they give the outcome for routing."""
 
 from __future__ import annotations
 
@@ -9,7 +9,14 @@
 
 
 class AttemptProgress(IntEnum):
-    """How far an attempt has come. PARTLY_WRITTEN: connected, but the request line is not written whole."""
+    """How far an attempt has come.
+
+    Attributes:
+        NOT_CONNECTED: the connection to the server is not open.
+        PARTLY_WRITTEN: connected, but the request line is not completely written.
+        WRITTEN: the request line is written, or may be.
+        ESTABLISHED: the server has accepted the request.
+    """
 
     NOT_CONNECTED = 0
     PARTLY_WRITTEN = 1
@@ -23,13 +30,13 @@
     Attributes:
         ESTABLISHED: the server accepted the request.
         SERVED: the server has served the request already.
-        MIGRATED: the server asked to connect elsewhere.
-        ERROR: the server failed the request.
+        MIGRATED: the server asked the client to open a new connection.
+        ERROR: the server failed the request, or its answer was not understood.
         REJECTED: the server rejected the request.
         BROKEN: the connection was refused, reset or closed without an answer.
         NO_ANSWER: no answer came in time.
         CANCELLED: routing cancelled the attempt, or the client left.
-        NOT_SENT: the server is draining or gone, or this machine could not connect.
+        NOT_SENT: the server is draining or not listed, or the connection failed because of this machine.
     """
 
     ESTABLISHED = "established"
@@ -51,12 +58,12 @@
     AttemptEnd.CANCELLED: AttemptOutcome.CANCELLED,
     AttemptEnd.NOT_SENT: AttemptOutcome.UNSENT,
 }
-"""Outcomes that do not depend on how far the attempt had come."""
+"""The outcomes that do not depend on the progress of the attempt."""
 
 
 @dataclass(frozen=True)
 class AttemptResult:
-    """How an attempt ended, with the load report that came with the answer."""
+    """How an attempt ended, with the load report that came with the server's answer."""
 
     end: AttemptEnd
     progress: AttemptProgress
@@ -68,7 +75,7 @@
         if self.end in OUTCOME_BY_END:
             return OUTCOME_BY_END[self.end]
         if self.progress < AttemptProgress.WRITTEN:
-            return AttemptOutcome.NO_CONNECTION  # never executed: a server needs the line's last byte
+            return AttemptOutcome.NO_CONNECTION  # not executed: a server acts only on a complete line
         if self.end is AttemptEnd.NO_ANSWER and self.progress < AttemptProgress.ESTABLISHED:
             return AttemptOutcome.TIMEOUT
         return AttemptOutcome.BROKEN
--- a/glenrock/net/client_connection.py
+++ b/glenrock/net/client_connection.py
@@ -1,4 +1,4 @@
-"""A client's connection: its request, the attempts to establish it, and the actor that relays it."""
+"""The actor of one client connection: handles the request, the attempts at servers, and then the relay."""
 
 from __future__ import annotations
 
@@ -16,52 +16,52 @@
 from .metrics import ConnectionOutcome, FinalAnswerReason
 from .socket_io import close_socket
 
-RESUME_TIMEOUT_MS = 38_000.0  # the protocol gives up a connection that is not resumed after 40 s
-RESUME_UNLISTED_TIMEOUT_MS = 2000.0  # at a server that was never listed: the protocol requires an answer within 3 s
+RESUME_TIMEOUT_MS = 38_000.0  # by the protocol, a connection that is not resumed within 40 s is lost
+RESUME_UNLISTED_TIMEOUT_MS = 2000.0  # for a server that was never listed: the protocol requires an answer within 3 s
 RESUME_RETRY_MS = 250.0
-DECISION_MARGIN_MS = 20.0  # from the deadline to the answer without a decision; the protocol allows 58 ms
+DECISION_MARGIN_MS = 20.0  # after the deadline, a request that routing has not decided fails; the protocol allows 58 ms
 
 logger = get_logger(__name__)
 
 
 class ClientConnection(EstablishedRelay):
-    """The actor of one client, from its request on. It alone closes its sockets."""
+    """The actor of one client connection, from its request to its end. No other actor closes its sockets."""
 
     def __init__(self, owner: ConnectionOwner, sock: socket.socket, request_line: protocol.RequestLine) -> None:
         super().__init__(owner, sock, request_line)
         self._routing = owner.routing
         self._may_attempt = True
 
-    # -- decisions of routing (RoutedConnection) -------------------------------------------------------
+    # -- calls by the routing actor (RoutedConnection) -------------------------------------------------
 
     def start_attempt(self, server: str, timeout_ms: float) -> None:
-        """Sends the request to a server, unless the client has left or had its answer meanwhile."""
+        """Sends the request to a server, unless the client has left or been answered in the meantime."""
         if not self._may_attempt:
             return
         self.attempt_number += 1
         self._send_request(server, timeout_ms, ignores_endpoint_state=False)
 
     def cancel_attempt(self, attempt: int) -> None:
-        """Cancels the attempt of that number, unless it has ended."""
+        """Cancels the attempt with that number, unless it has completed."""
         if self.attempt and attempt == self.attempt_number and not self.established.is_set():
             self.attempt.cancel()
 
     def reject(self, retry_after_ms: float, reason: FinalAnswerReason = FinalAnswerReason.ADMISSION) -> None:
-        """Rejects the request: the client may retry after that time."""
+        """Rejects the request; the client may retry after `retry_after_ms`."""
         self.mailbox.put_unbounded(FinalAnswer(protocol.rejection_line(retry_after_ms), reason))
 
     def fail(self) -> None:
-        """Fails the request."""
+        """Tells the client that its request failed."""
         self.mailbox.put_unbounded(FinalAnswer(protocol.FAILURE_LINE, FinalAnswerReason.FAILED))
 
     def migrate(self) -> None:
-        """Asks the client to connect elsewhere."""
+        """Asks the client to migrate, that is to open a new connection."""
         self.mailbox.try_put(MigrateClient(AttemptOutcome.CANCELLED))
 
     # -- attempts --------------------------------------------------------------------------------------
 
     def _send_request(self, server: str, timeout_ms: float, ignores_endpoint_state: bool) -> None:
-        if not self._may_attempt:  # the retry timer of a resumed connection runs on after its client has left
+        if not self._may_attempt:  # the retry timer of a resumed connection may fire after its client has left
             return
         self.server = server
         attempt = ConnectionAttempt(
@@ -78,14 +78,14 @@
             self.on_attempt_result(attempt, AttemptResult(AttemptEnd.NOT_SENT, AttemptProgress.NOT_CONNECTED))
 
     def on_attempt_result(self, attempt: ConnectionAttempt, result: AttemptResult) -> None:
-        """Takes the result of an attempt."""
+        """Posts the result of an attempt to the mailbox."""
         self.mailbox.put_unbounded(AttemptCompleted(attempt, result))
 
     def is_client_waiting(self) -> bool:
-        """Returns whether the client still waits, by the state of its socket. Posts the client's end if it does not.
+        """Peeks at the client's socket. Returns whether the client still waits; if not, posts how it ended.
 
-        The client's end and the connection to the server may be ready in the same iteration of the loop. If the attempt
-        runs before the upstream pump, the pump has not reported the end yet.
+        The client's FIN or reset and the connection to the server may be ready in the same iteration of the event loop.
+        If the attempt runs before the upstream pump, the pump has not posted that event yet.
         """
         try:
             data = self.sock.recv(1, socket.MSG_PEEK)
@@ -101,7 +101,7 @@
     # -- before the connection is established ----------------------------------------------------------
 
     async def run(self) -> None:
-        """Handles the request, and relays once the connection is established."""
+        """Handles the request, and relays bytes once the connection is established."""
         self.start_upstream_pump()
         resumes_at = self.request_line.resumes_at
         decision_timer = None
@@ -121,9 +121,10 @@
             await self._close()
 
     def _request_decision(self) -> asyncio.Handle:
-        """Asks routing for a decision. Returns the timer that answers the client if routing makes none.
+        """Asks routing for a decision. Returns the timer that fails the request if routing makes none.
 
-        Routing's own timer answers some milliseconds before the client's deadline, unless routing has failed.
+        Routing has a timer of its own, a few milliseconds before the client's deadline, so this timer expires only if
+        routing itself has failed.
         """
         due_ms = self.deadline_ms + DECISION_MARGIN_MS
         timer = self.clock.call_at(due_ms, self.mailbox.put_unbounded, RelayEvent.TIMER_EXPIRED)
@@ -134,14 +135,18 @@
         return timer
 
     async def run_taken_over(self) -> None:
-        """Relays a connection that was taken over from another process."""
+        """Relays bytes of a connection that was taken over from another process."""
         try:
             await self.relay()
         finally:
             await self._close()
 
     async def _establish(self, resumes_at: str | None) -> bool:
-        """Handles messages until the connection is established (True) or the client has its answer (False)."""
+        """Handles messages until the connection is established, or the client has left or been answered.
+
+        Returns:
+            Whether the connection is established.
+        """
         while True:
             message = await self.mailbox.get()
             match message:
@@ -170,9 +175,10 @@
                         return False
 
     async def _drain_waiting_client(self, retry_after_ms: float, resumes_at: str | None) -> None:
-        """Answers a waiting client.
+        """Answers a client whose request still waits, because the balancer drains or stops.
 
-        A rejection invites a retry, so it is sent only if a retry is harmless; otherwise the request fails.
+        A client retries after a rejection, so it gets one only if the request may safely run again; otherwise the
+        request fails.
         """
         may_retry = resumes_at is None and self._routing.may_reject(self.request_line.request_id)
         self.reports.post_disconnected()
@@ -189,7 +195,7 @@
         self.reports.count(ConnectionOutcome.LEFT)
 
     async def _retry_resume(self, resumes_at: str) -> bool:
-        """Schedules another attempt to resume the connection. Returns False if its time is up."""
+        """Schedules another attempt to resume the connection. Fails the request and returns False after the timeout."""
         servers = self._owner.servers
         may_be_listed = servers.was_ever_listed(resumes_at) or not servers.has_list
         timeout_ms = RESUME_TIMEOUT_MS if may_be_listed else RESUME_UNLISTED_TIMEOUT_MS
@@ -216,9 +222,9 @@
         self.reports.post_attempt_end(self.attempt_number, self.server, result.outcome, latency_ms, result.report)
 
     async def _answer(self, line: bytes, reason: FinalAnswerReason) -> None:
-        """Sends the final answer to a client without a connection.
+        """Sends the final answer to a client whose connection was not established.
 
-        The attempt in flight ends first, since the client may retry at once.
+        The attempt in flight is ended first, since the client may retry at once and would then have two attempts.
         """
         self._may_attempt = False
         self._owner.metrics.final_answers[reason] += 1
@@ -226,7 +232,7 @@
         await self.finish(line)
 
     def take_over(self, server: str, sock: socket.socket) -> None:
-        """Continues a relay of the predecessor, with its pumps running."""
+        """Takes over an established relay from the predecessor process, and starts its pumps."""
         self.server = server
         self.attempt_number = 0
         self.reports.is_counted = True
@@ -247,7 +253,7 @@
         close_socket(self.sock)
 
     async def _cancel_attempt_in_flight(self) -> None:
-        """Cancels the attempt, whether or not the server's actor has started it, and awaits its end."""
+        """Cancels an attempt that has not established the connection, and waits until its task has ended."""
         attempt = self.attempt
         if attempt and not self.established.is_set():
             attempt.cancel()
--- a/glenrock/net/connection_attempt.py
+++ b/glenrock/net/connection_attempt.py
@@ -1,4 +1,4 @@
-"""One attempt to establish a client's connection at a server."""
+"""One attempt to establish a client connection at a server."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 
     Attributes:
         line: the client's request line.
-        timeout_ms: the time for the whole attempt.
+        timeout_ms: the time limit of the whole attempt.
         on_result: called once, with the result.
-        ignores_endpoint_state: whether the attempt is also made at a server that is draining or not listed, as it is to
-            resume a connection that the server has.
-        sock: the connection to the server.
-        received: bytes that came with the server's answer, that line included.
+        ignores_endpoint_state: whether the attempt is also made at a server that is draining or not listed. True when a
+            connection that the server already has is resumed.
+        sock: the socket to the server; None before it is created and after it is closed.
+        received: the bytes read from the server, its answer line included, that are not relayed yet.
         progress: how far the attempt has come.
-        started_ms: when the server's actor began it; 0 before.
+        started_ms: when the server's actor started it; 0 before.
         latency_ms: the time from its start to its result.
         is_cancelled: whether it was cancelled.
         is_client_waiting: returns whether the client still waits; called before the line is written.
@@ -52,5 +52,5 @@
     def cancel(self) -> None:
         """Cancels the attempt, whether or not the server's actor has started it."""
         self.is_cancelled = True
-        if self.task and self.started_ms:  # a task cancelled before its first step would never report
+        if self.task and self.started_ms:  # a task that is cancelled before it runs would never report a result
             self.task.cancel()
--- a/glenrock/net/connection_messages.py
+++ b/glenrock/net/connection_messages.py
@@ -1,4 +1,4 @@
-"""Messages to the actor of a client's connection."""
+"""Messages to the actor of a client connection."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 
 
 class RelayEvent(Enum):
-    """What a relay pump or a timer has met.
+    """An event that a relay pump or a timer posts.
 
     Attributes:
         CLIENT_FIN: the client has closed its side.
         CLIENT_RST: the client has reset the connection.
         SERVER_FIN: the server has closed its side.
         SERVER_RST: the server has reset the connection.
-        EARLY_BYTES: the client has sent bytes before its answer.
-        MIGRATION_POSSIBLE: the client can be migrated now.
+        EARLY_BYTES: the client has sent bytes before it had its answer.
+        MIGRATION_POSSIBLE: the migration has started, and the client has received only whole lines.
         TIMER_EXPIRED: routing made no decision in time, or the migration of an established relay takes too long.
     """
 
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True)
 class AttemptCompleted:
-    """An attempt has its result: it has ended, or its connection is established."""
+    """An attempt has a result: it has established the connection, or has failed to."""
 
     attempt: ConnectionAttempt
     result: AttemptResult
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True)
 class FinalAnswer:
-    """Routing has rejected or failed the request: `line` is the client's last line."""
+    """Routing has rejected or failed the request. `line` is the answer to the client."""
 
     line: bytes
     reason: FinalAnswerReason
@@ -57,21 +57,21 @@
 
 @dataclass(frozen=True)
 class MigrateClient:
-    """Ask the client to connect elsewhere. `outcome`: how routing counts the end of its connection."""
+    """Ask the client to open a new connection. `outcome`: how routing counts the end of this one."""
 
     outcome: AttemptOutcome
 
 
 @dataclass(frozen=True)
 class DrainConnection:
-    """Answer a waiting client now, since this balancer drains or stops."""
+    """This balancer drains or stops: answer a client that waits, or migrate one whose connection is established."""
 
     retry_after_ms: float
 
 
 @dataclass(frozen=True)
 class HandOverRelay:
-    """Offer the relay to the successor. `offer` returns whether the successor has accepted."""
+    """Hand the relay over to the successor process. `offer` returns whether the successor has accepted it."""
 
     offer: Callable[[], Awaitable[bool]]
 
--- a/glenrock/net/connection_reports.py
+++ b/glenrock/net/connection_reports.py
@@ -1,4 +1,4 @@
-"""Reports one client's connection to routing and to the metrics, each fact once."""
+"""Reports the events of one client connection to routing, and its outcome to the metrics."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 
 class ConnectionReports:
-    """Posts events of one connection to routing, and counts its outcome.
+    """Posts events of one connection to routing, and counts its outcome; the end and the outcome only once.
 
     Attributes:
-        load: the load of the connection as last known.
+        load: the load of the connection, as the client's hint or a later report gave it.
         is_counted: whether the metrics have the outcome.
-        is_end_known: whether routing knows that the request or the connection has ended, or never learned of it.
+        is_end_known: whether routing knows that the request or the connection has ended, or never received the request.
     """
 
     def __init__(
@@ -48,7 +48,7 @@
         return self._routing.post(self._request())
 
     def post_open(self, server: str) -> None:
-        """Reports a connection that was established without a decision of routing."""
+        """Reports an open connection that routing has not assigned: resumed, taken over, or already discarded there."""
         self._routing.post(interface.OpenConnection(self._request(), server))
 
     def post_established(self, attempt_number: int, server: str, latency_ms: float) -> None:
@@ -57,7 +57,7 @@
         self._routing.post(interface.ConnectionEstablished(request_id, attempt_number, server, us_from_ms(latency_ms)))
 
     def post_load(self, server: str, load: float) -> None:
-        """Reports the load that the server states for the connection."""
+        """Reports the load that the server has reported for the connection."""
         self._routing.post(interface.ConnectionFeedback(self._request_line.request_id, server, load=load))
 
     def post_attempt_end(
@@ -69,7 +69,7 @@
         report: dict[str, float],
         was_established: bool = False,
     ) -> None:
-        """Reports the end of an attempt, or of the connection that it established."""
+        """Reports that an attempt has failed, or that the connection it established has ended."""
         self._routing.post(
             interface.AttemptEnded(
                 self._request_line.request_id,
@@ -83,13 +83,13 @@
         )
 
     def post_disconnected(self) -> None:
-        """Reports that the client has gone, unless routing knows that the connection has ended."""
+        """Reports that the client has disconnected, unless routing knows that the connection has ended."""
         if not self.is_end_known:
             self.is_end_known = True
             self._routing.post(interface.ClientDisconnected(self._request_line.request_id))
 
     def count(self, outcome: ConnectionOutcome) -> None:
-        """Counts the connection; only its first outcome counts."""
+        """Counts the outcome of the connection; calls after the first have no effect."""
         if not self.is_counted:
             self.is_counted = True
             self._metrics.add(outcome, self._request_line.class_name)
--- a/glenrock/net/connection_table.py
+++ b/glenrock/net/connection_table.py
@@ -1,4 +1,4 @@
-"""The table of all clients' connections."""
+"""The table of all client connections of this process."""
 
 from __future__ import annotations
 
@@ -20,25 +20,25 @@
 from .routing_actor import RoutingActor
 from .server_connections import ServerRegistry
 
-UNANSWERED_TIMEOUT_MS = 4500.0  # for a client's line; the protocol allows 7 s until its client migrates
+UNANSWERED_TIMEOUT_MS = 4500.0  # until a client is migrated whose line has no answer; the protocol allows 7 s
 SWEEP_INTERVAL_MS = 250.0
-DELAY_REPORT_INTERVAL_MS = 1000.0  # between two reports on slow messages of one server
-SLOW_MESSAGE_DIVISOR = 3  # of the shortest message objective
+DELAY_REPORT_INTERVAL_MS = 1000.0  # between two reports of slow messages from one server
+SLOW_MESSAGE_DIVISOR = 3  # a message is slow past the shortest message objective divided by this
 DEFAULT_RETRY_AFTER_MS = 1000.0
-MAX_WAIT_DEADLINE_MULTIPLE = 10.0  # longest wait that a request may ask for, in deadlines of its class
+MAX_WAIT_DEADLINE_MULTIPLE = 10.0  # longest wait that a request may ask for, as a multiple of its class's deadline
 
 logger = get_logger(__name__)
 
 
 class ConnectionTable:
-    """Holds all connections, and migrates those whose server does not answer.
+    """Holds all connections, and migrates clients whose server does not answer.
 
     Attributes:
         by_id: connections by request id, shared with the routing actor.
-        budget: of descriptors.
+        budget: the descriptor budget.
         count_other_descriptors: counts the descriptors of another process under the same limit.
         configured_names: the names that a request may use.
-        retry_after_ms: the Retry-After of rejections that routing does not decide; 0 if clients take none.
+        retry_after_ms: the Retry-After of rejections that routing does not decide; 0 if the settings allow none.
     """
 
     def __init__(
@@ -70,19 +70,19 @@
         if settings.may_send_retry_after:
             self.retry_after_ms = min(DEFAULT_RETRY_AFTER_MS, settings.max_retry_after_us / 1000)
         self._slow_message_ms = _slow_message_ms(settings) if measures_delay else 0.0
-        self._delay_reported_ms: dict[str, float] = {}  # by server, while its messages are slow
-        self._taken_over: set[asyncio.Task[None]] = set()  # the loop keeps no reference to a task
+        self._delay_reported_ms: dict[str, float] = {}  # time of the last report, by server with slow messages
+        self._taken_over: set[asyncio.Task[None]] = set()  # the event loop keeps only weak references to tasks
 
     def is_open(self, request_id: str) -> bool:
         """Returns whether a connection with that id is open."""
         return request_id in self.by_id
 
     def count_open(self) -> int:
-        """Returns the number of connections that have not had their final answer."""
+        """Returns the number of connections that have not ended and have not been sent their final answer."""
         return sum(not connection.has_ended for connection in self.by_id.values())
 
     def descriptors_by_purpose(self) -> dict[str, int]:
-        """Returns descriptors in use for clients and health checks, and those reserved for the rest."""
+        """Returns the descriptors in use for relays and health checks, and those reserved for other purposes."""
         return {
             "program": descriptor_budget.PROGRAM_DESCRIPTORS,
             "operators": self.budget.operators,
@@ -92,7 +92,7 @@
         }
 
     def record_outcome(self, outcome: ConnectionOutcome, class_name: str) -> None:
-        """Counts the outcome of a connection that the acceptor has answered."""
+        """Counts the outcome of a connection that the acceptor has answered itself."""
         self.metrics.add(outcome, class_name)
 
     def is_full(self) -> bool:
@@ -100,11 +100,11 @@
         return not self.budget.allows_relay(len(self.by_id))
 
     def max_idle_connections(self) -> int:
-        """Returns how many connections without a request may be open."""
+        """Returns how many connections that have sent no request may be open."""
         return self.budget.max_idle_connections(len(self.by_id))
 
     async def serve(self, sock: socket.socket, request_line: protocol.RequestLine) -> None:
-        """Routes a connection, until its end."""
+        """Runs a connection until its end."""
         connection = self.by_id[request_line.request_id] = ClientConnection(self, sock, request_line)
         await self._run(connection, connection.run())
 
@@ -120,15 +120,15 @@
         try:
             with contextlib.suppress(OSError):
                 await work
-        except Exception:  # the edge of the connection's actor
+        except Exception:  # a fault in one connection must not end the process
             logger.exception("unexpected error in a connection", request_id=request_id)
         finally:
             connection.reports.post_disconnected()
-            connection.reports.count(ConnectionOutcome.FAULTED)  # ended by an exception: counted nowhere else
+            connection.reports.count(ConnectionOutcome.FAULTED)  # no effect unless an exception ended the connection
             del self.by_id[request_id]
 
     def record_message_delay(self, connection: EstablishedRelay, delay_ms: float) -> None:
-        """Reports slow messages of a server to routing, and once when they are no longer slow."""
+        """Reports a server's slow messages to routing, and the first message that is no longer slow."""
         if not self._slow_message_ms:
             return
         server = connection.server
@@ -144,14 +144,18 @@
         self.routing.post(interface.ConnectionFeedback(request_id, server, message_us=delay_ms * 1000))
 
     async def sweep(self) -> None:
-        """Migrates clients of servers that do not answer, for as long as the program runs."""
+        """Does the periodic work of the table, for as long as the program runs.
+
+        Migrates clients whose server does not answer, updates the descriptor count of the other process, and closes
+        health check connections and server actors that are no longer used.
+        """
         while True:
             await self.clock.sleep(SWEEP_INTERVAL_MS)
             self.budget.other_process = self.count_other_descriptors()
-            oldest_ms = self.clock.now_ms() - UNANSWERED_TIMEOUT_MS
+            min_since_ms = self.clock.now_ms() - UNANSWERED_TIMEOUT_MS
             for connection in self.by_id.values():
                 since_ms = connection.unanswered_since_ms
-                if since_ms is not None and since_ms < oldest_ms and not connection.migration:
+                if since_ms is not None and since_ms < min_since_ms and not connection.migration:
                     logger.warning(
                         "server does not answer: client migrated",
                         server=connection.server,
@@ -162,7 +166,7 @@
 
 
 def _slow_message_ms(settings: interface.Settings) -> float:
-    """Returns the time past which a message is slow; 0 without a message objective."""
+    """Returns the delay in milliseconds past which a message is slow; 0 without a message objective."""
     objectives_us = [
         request_class.message_objective_us for request_class in settings.classes if request_class.message_objective_us
     ]
@@ -170,5 +174,5 @@
 
 
 def _no_other_descriptors() -> int:
-    """Returns 0: no other process is under the same limit."""
+    """The default of `count_other_descriptors`: no other process is under the same limit."""
     return 0
--- a/glenrock/net/established_relay.py
+++ b/glenrock/net/established_relay.py
@@ -1,4 +1,4 @@
-"""The established part of a client's connection: its lines, migration, handover and ends."""
+"""An established connection between a client and a server: load reports, migration, handover, and how it ends."""
 
 from __future__ import annotations
 
@@ -31,20 +31,20 @@
 from .server_connections import ServerRegistry
 from .socket_io import close_socket
 
-MIGRATION_TIMEOUT_MS = LINGER_TIMEOUT_MS / 2  # for the end of a line that is being sent
+MIGRATION_TIMEOUT_MS = LINGER_TIMEOUT_MS / 2  # until a line that is being sent to the client must be complete
 OUTCOME_BY_LAST_KEYWORD: dict[str, AttemptOutcome] = {
     ServerKeyword.SERVED: AttemptOutcome.SERVED,
     ServerKeyword.MIGRATE: AttemptOutcome.CANCELLED,
     ServerKeyword.FAILED: AttemptOutcome.ERROR,
 }
-"""The first word of a server's last line, and how routing counts the end of the connection."""
+"""How routing counts the end of a connection, by the first word of the server's last line."""
 
 
 class ConnectionOwner(Protocol):
-    """The table of connections, as one connection uses it.
+    """The part of the connection table that a connection uses.
 
     Attributes:
-        retry_after_ms: the Retry-After of rejections that routing does not decide; 0 if clients take none.
+        retry_after_ms: the Retry-After of rejections that routing does not decide; 0 if the settings allow none.
     """
 
     clock: Clock
@@ -59,18 +59,18 @@
 
 
 class EstablishedRelay(RelayPumps):
-    """Relays between a client and its server, until either side ends or the client migrates.
+    """Relays bytes between a client and its server until either side ends, the client migrates, or it is handed over.
 
     Attributes:
-        request_line: the client's first line.
-        server: the server of the last attempt.
-        attempt_number: the number of the last attempt, from 0.
-        has_ended: whether the client has had its final answer, or is about to.
-        is_offered: whether the relay waits to be offered to the successor.
-        last_keyword: the first word of the server's last line.
-        arrived_ms: when the request arrived.
-        deadline_ms: when the client stops waiting for an answer.
-        reports: what routing and the metrics learn.
+        request_line: the client's request.
+        server: the name of the server of the last attempt; empty before the first.
+        attempt_number: the number of the last attempt, counted from 0; -1 before the first.
+        has_ended: whether the connection has ended, or its last line is about to be sent.
+        is_offered: whether a message to offer the relay to the successor is in the mailbox.
+        last_keyword: the first word of the server's last line; empty before the first.
+        arrived_ms: when the request arrived, on the clock of the process.
+        deadline_ms: when the client stops waiting for an answer, on the clock of the process.
+        reports: reports the connection to routing and to the metrics.
     """
 
     def __init__(self, owner: ConnectionOwner, sock: socket.socket, request_line: protocol.RequestLine) -> None:
@@ -89,7 +89,7 @@
     # -- the relay -------------------------------------------------------------------------------------
 
     def on_lines(self, lines: list[bytes]) -> None:
-        """Reports loads to routing. Each other line answers the client's lines."""
+        """Reports load lines to routing. Any other line counts as the answer to the client's unanswered lines."""
         now_ms = self.clock.now_ms()
         for line in lines:
             self.last_keyword, rest = protocol.split_keyword(line)
@@ -103,37 +103,38 @@
                 self._owner.record_message_delay(self, delay_ms)
 
     async def relay(self) -> None:
-        """Handles messages until the relay ends, or belongs to the successor."""
+        """Handles messages until the relay ends or the successor has accepted it."""
         while True:
             message = await self.mailbox.get()
             if isinstance(message, HandOverRelay):
                 if await self.hand_over(message.offer):
                     return
-            elif end := self._relay_end_of(message):
-                await self._end_relay(end)
+            elif event := self._end_event_of(message):
+                await self._end_relay(event)
                 return
 
-    def _relay_end_of(self, message: ConnectionMessage) -> RelayEvent | None:
-        """Returns how the relay ends because of that message; None if it does not."""
+    def _end_event_of(self, message: ConnectionMessage) -> RelayEvent | None:
+        """Returns the event by which that message ends the relay; None if the relay continues."""
         match message:
             case MigrateClient(outcome):
                 return RelayEvent.MIGRATION_POSSIBLE if self._start_migration(outcome) else None
             case DrainConnection():
                 return RelayEvent.MIGRATION_POSSIBLE if self._start_migration(AttemptOutcome.CANCELLED) else None
             case FinalAnswer():
-                # Routing rejected or failed the request just as the connection was established, and has forgotten it.
+                # Routing rejected or failed the request just as the connection was established, and has discarded it,
+                # so the open connection is reported to routing again.
                 self.attempt_number = 0
                 self.reports.post_open(self.server)
                 return None
             case RelayEvent.TIMER_EXPIRED if self.migration:
-                # The client would read a further line as the rest of the unfinished one, so the connection is reset.
+                # Within a line, the client would read the migration line as the rest of it, so the connection is reset.
                 return RelayEvent.MIGRATION_POSSIBLE if self.may_migrate() else RelayEvent.SERVER_RST
             case RelayEvent() if message is not RelayEvent.TIMER_EXPIRED:
                 return message
         return None
 
     def _start_migration(self, outcome: AttemptOutcome) -> bool:
-        """Returns whether the client can be migrated now. Otherwise the downstream pump reports when it can.
+        """Returns whether the client can be migrated now. If not, the downstream pump posts an event once it can.
 
         The server's socket stays open until then, so that a line that is arriving reaches the client whole.
         """
@@ -152,7 +153,7 @@
         return super().may_hand_over() and not self.migration and not self.has_ended
 
     async def hand_over(self, offer: Callable[[], Awaitable[bool]]) -> bool:
-        """Offers the relay to the successor. Returns whether it belongs to the successor now."""
+        """Stops the pumps and offers the relay to the successor. Returns whether the successor owns it now."""
         self.is_offered = False
         if not self.may_hand_over():
             return False
@@ -160,7 +161,8 @@
         if not await offer():
             self.start_pumps()
             return False
-        # The connection continues in the successor: its sockets are closed here, but not shut down.
+        # The successor has its own descriptors of the sockets: they are closed here without a shutdown, which would
+        # end the connections.
         self.has_ended = True
         if self.attempt and self.attempt.sock:
             self.attempt.sock.close()
@@ -170,7 +172,7 @@
         return True
 
     async def _migrate_client(self) -> None:
-        """Tells the client to connect elsewhere."""
+        """Sends the client its last lines and the request to migrate, and closes the connection."""
         await self.stop_downstream_pump()
         line = self._final_lines()
         await self.detach_server()
@@ -178,9 +180,9 @@
         await self.finish(line)
 
     def _final_lines(self) -> bytes:
-        """Returns the server's lines that have just arrived, and the call to migrate behind them.
+        """Returns the server's lines that have just arrived, followed by the line that asks the client to migrate.
 
-        The last line of a server that has ended the connection itself is sent without that call.
+        That line is left out if the server has ended the connection itself with a last line of its own.
         """
         server_sock = self.server_sock
         try:
@@ -191,20 +193,23 @@
             return protocol.MIGRATE_LINE
         return data if data and self.last_keyword in OUTCOME_BY_LAST_KEYWORD else data + protocol.MIGRATE_LINE
 
-    async def _end_relay(self, end: RelayEvent) -> None:
-        """Passes an end on to the other side in the same form, within a second."""
+    async def _end_relay(self, event: RelayEvent) -> None:
+        """Migrates the client, or ends the other side as one side has ended: a FIN as a FIN, a reset as a reset.
+
+        Takes at most `LINGER_TIMEOUT_MS`.
+        """
         self.has_ended = True
-        if end is RelayEvent.MIGRATION_POSSIBLE:
+        if event is RelayEvent.MIGRATION_POSSIBLE:
             await self._migrate_client()
-        elif end is RelayEvent.SERVER_FIN:
+        elif event is RelayEvent.SERVER_FIN:
             self._report_relay_end(OUTCOME_BY_LAST_KEYWORD.get(self.last_keyword, AttemptOutcome.BROKEN))
             await self.detach_server()
             await self.finish(b"")
-        elif end is RelayEvent.SERVER_RST:
+        elif event is RelayEvent.SERVER_RST:
             self._report_relay_end(AttemptOutcome.BROKEN)
             await self.stop_pumps()
             close_socket(self.sock, reset=True)
-        elif end in (RelayEvent.CLIENT_RST, RelayEvent.EARLY_BYTES):
+        elif event in (RelayEvent.CLIENT_RST, RelayEvent.EARLY_BYTES):
             self._report_relay_end(AttemptOutcome.CANCELLED)
             await self.stop_pumps()
             self.close_server_side(reset=True)
@@ -213,7 +218,7 @@
             await self._await_server_end()
 
     async def _await_server_end(self) -> None:
-        """Closes the server's side after the client's, and awaits the server's end."""
+        """Forwards the client's FIN to the server, and waits until the server ends the connection too."""
         with contextlib.suppress(OSError):
             if self.server_sock:
                 self.server_sock.shutdown(socket.SHUT_WR)
@@ -229,9 +234,9 @@
             )
 
     async def finish(self, line: bytes) -> None:
-        """Sends the client's last line, and awaits the client's end.
+        """Sends the client's last line, and waits until the client ends the connection.
 
-        A close with unread bytes would reset the connection, and the client would lose the answer.
+        A close with unread bytes would reset the connection, and the client would lose the line.
         """
         loop = asyncio.get_running_loop()
         self.has_ended = True
@@ -243,7 +248,7 @@
                 self.sock.shutdown(socket.SHUT_WR)
                 await self._await_end(CLIENT_ENDS)
 
-    async def _await_end(self, ends: tuple[RelayEvent, ...]) -> None:
-        """Waits for one of these ends, and discards other messages."""
-        while await self.mailbox.get() not in ends:
+    async def _await_end(self, end_events: tuple[RelayEvent, ...]) -> None:
+        """Waits for one of these events, and discards other messages."""
+        while await self.mailbox.get() not in end_events:
             pass
--- a/glenrock/net/graceful_shutdown.py
+++ b/glenrock/net/graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""Migrates all clients of this balancer: at SIGTERM, and on an operator's call."""
+"""Migrates all clients away from this balancer, at SIGTERM or when an operator drains it."""
 
 from __future__ import annotations
 
@@ -18,25 +18,25 @@
 from .connection_table import ConnectionTable
 
 DRAIN_STEP_MS = 50.0  # between two steps of a drain
-FRONT_END_NOTICE_MS = 450.0  # until the front end sends none here; a client that migrates earlier is sent back here
+FRONT_END_NOTICE_MS = 450.0  # until the front end sends no new clients here; it would send earlier ones back
 MANUAL_REJECT_AFTER_MS = 1000.0  # from the start of a manual drain to the first rejection
-MANUAL_DRAIN_MS = 3000.0  # from the start of a manual drain until all clients are asked to migrate
-SIGKILL_AFTER_DEADLINE_MS = 700.0  # from the longest deadline after SIGTERM to SIGKILL
-SHUTDOWN_MARGIN_MS = 500.0  # from the end of the shutdown to SIGKILL
-MAX_DEADLINE_MS = 3000.0  # a longer deadline of a class does not delay the end
-MIGRATION_MARGIN_MS = 200.0  # from the last client's migration to the end
-FINAL_ANSWERS_TIMEOUT_MS = 250.0  # after the end, for idle connections
+MANUAL_DRAIN_MS = 3000.0  # from the start of a manual drain until all clients have been asked to migrate
+SIGKILL_AFTER_DEADLINE_MS = 700.0  # SIGKILL follows SIGTERM after the longest deadline of a class plus this
+SHUTDOWN_MARGIN_MS = 500.0  # from the end of the migration to SIGKILL
+MAX_DEADLINE_MS = 3000.0  # longer deadlines of a class do not extend the shutdown
+MIGRATION_MARGIN_MS = 200.0  # from the last planned migration of a client to the end of the migration
+FINAL_ANSWERS_TIMEOUT_MS = 250.0  # after the end of the migration, to answer idle connections and waiting requests
 HAND_OVER_STEP_MS = 10.0
-MAX_OFFERED_RELAYS = 16  # relays that wait for the successor with their pumps stopped
-HAND_OVER_MARGIN_MS = 700.0  # from the end of handing over to the end, to migrate the remaining clients
+MAX_OFFERED_RELAYS = 16  # per step; the pumps of a relay are stopped while it is offered
+HAND_OVER_MARGIN_MS = 700.0  # from the end of the handover to the end of the migration, for the remaining clients
 SINGLE_BALANCER_MIGRATION_MS = 400.0  # to migrate all clients, if no other balancer can serve them
-STEP_ROUNDING = 0.49  # added before round(): rounds up, but not a fraction below a hundredth
+STEP_ROUNDING = 0.49  # added before round(), which then rounds fractions above 0.01 up
 
 logger = get_logger(__name__)
 
 
 class Successor(Protocol):
-    """The process after this one in an upgrade."""
+    """The process that replaces this one in an upgrade."""
 
     @property
     def is_connected(self) -> bool:
@@ -49,16 +49,16 @@
         ...
 
     def connect(self) -> bool:
-        """Returns whether there is a successor."""
+        """Connects to the successor. Returns False if there is none."""
         ...
 
     async def hand_over(self, connection: ClientConnection) -> bool:
-        """Offers a relay. Returns whether it belongs to the successor now."""
+        """Offers a relay. Returns whether the successor owns it now."""
         ...
 
 
 class GracefulShutdown:
-    """Drains this balancer of its clients."""
+    """Migrates all clients away from this balancer."""
 
     def __init__(self, table: ConnectionTable, acceptor: Acceptor, clock: Clock) -> None:
         self._table = table
@@ -68,21 +68,22 @@
         self._is_stopping = False
 
     def unready_reason(self) -> str | None:
-        """Returns why front ends should send no new clients here; None if they may.
+        """Returns why the front end should send no new clients here; None if it may.
 
-        Clients that come nevertheless are still served for a while.
+        Clients that still connect are served for a while.
         """
         if self._is_stopping:
             return "not ready: stopping"
         return "not ready: draining" if self._manual_drain else None
 
-    # -- on an operator's call -------------------------------------------------------------------------
+    # -- manual drain ----------------------------------------------------------------------------------
 
     def start_manual_drain(self, drain_permit_is_valid: Callable[[], bool] | None = None) -> None:
         """Starts to migrate all clients, until `end_manual_drain`.
 
         Args:
-            drain_permit_is_valid: called before each step of this drain; it ends the drain once the permit is lost.
+            drain_permit_is_valid: called before each step of this drain. Returns whether the permit is valid, and ends
+                the drain if it is not.
 
         Raises:
             OperationRejectedError: the process is stopping.
@@ -96,7 +97,7 @@
             self._manual_drain = asyncio.get_running_loop().create_task(self._drain())
 
     def end_manual_drain(self) -> None:
-        """Accepts clients again.
+        """Ends the manual drain: clients are accepted again.
 
         Raises:
             OperationRejectedError: the process is stopping.
@@ -119,7 +120,7 @@
         self._acceptor.rejects_requests = False
 
     async def _drain(self) -> None:
-        """Migrates clients evenly over the drain, and those that connect later at once, until it is cancelled."""
+        """Migrates clients evenly over `MANUAL_DRAIN_MS`, and later ones at once, until the drain is cancelled."""
         started_ms = self._clock.now_ms()
         end_ms = started_ms + MANUAL_DRAIN_MS
         await self._clock.sleep(FRONT_END_NOTICE_MS)
@@ -134,7 +135,7 @@
             await self._clock.sleep(DRAIN_STEP_MS)
 
     def _migrate_step(self, remaining_ms: float) -> None:
-        """Migrates this step's part of the clients, so that all migrate within `remaining_ms`."""
+        """Migrates this step's share of the clients, at an even rate by which all have migrated after `remaining_ms`."""
         connections = [
             connection
             for connection in self._table.by_id.values()
@@ -152,16 +153,16 @@
     # -- at SIGTERM ------------------------------------------------------------------------------------
 
     async def stop(self, has_inherited_listener: bool, successor: Successor | None) -> None:
-        """Ends the service of this process before SIGKILL.
+        """Migrates or hands over all clients, and answers the last requests, before SIGKILL.
 
         Times after SIGTERM, where D is the longest deadline of a class, at most 3 s:
 
             0            routing learns of the drain; with an inherited listening socket this process stops accepting,
-                         and relays are handed over to a successor
+                         and hands relays over to a successor
             0.45 s       without an inherited listening socket: migration begins, spread evenly until D
-            D - 0.5 s    with a successor: handing over ends, and the remaining clients migrate until D
+            D - 0.5 s    with a successor: the handover ends, and the remaining clients migrate until D
             D - 0.2 s    without a successor, if no other balancer can serve the clients: they migrate until D
-            D + 0.2 s    the end: idle connections and waiting requests get their answers
+            D + 0.2 s    the migration ends: idle connections and waiting requests get their answers
             D + 0.45 s   the process exits at the latest; earlier if it accepts no connections and has none
             D + 0.7 s    SIGKILL
         """
@@ -175,11 +176,11 @@
         else:
             await self._clock.sleep(FRONT_END_NOTICE_MS)
         if successor and successor.connect():
-            # The successor has the same number among the balancers, so only one of both may send gossip.
+            # The successor has the same balancer number, so only one of the two processes may send gossip.
             routing.stop_gossip()
             await self._hand_over(successor, end_ms - HAND_OVER_MARGIN_MS)
         elif routing.balancer.settings.balancers == 1:
-            # No other balancer can serve the clients, so they stay here as long as possible.
+            # No other balancer can serve the clients, so they migrate as late as possible.
             await self._clock.sleep(max(0.0, end_ms - SINGLE_BALANCER_MIGRATION_MS - self._clock.now_ms()))
         await self._migrate_all(end_ms, has_inherited_listener)
         await self._answer_last_clients(end_ms + FINAL_ANSWERS_TIMEOUT_MS, has_inherited_listener)
@@ -201,17 +202,17 @@
         return self._clock.now_ms() + longest_ms + SIGKILL_AFTER_DEADLINE_MS - SHUTDOWN_MARGIN_MS
 
     def _has_clients(self) -> bool:
-        """Returns whether a client is connected that may have sent a request."""
+        """Returns whether there is a connection with a request, or one whose request may still be arriving."""
         return bool(self._table.by_id or self._acceptor.idle.unanswered)
 
     async def _migrate_all(self, end_ms: float, has_inherited_listener: bool) -> None:
-        """Migrates clients until the end, since clients can connect as long as the listening socket is open."""
+        """Migrates clients until `end_ms`. Ends earlier only if no new clients can connect and none are left."""
         while (now_ms := self._clock.now_ms()) < end_ms and (self._has_clients() or not has_inherited_listener):
             self._migrate_step(end_ms - MIGRATION_MARGIN_MS - now_ms)
             await self._clock.sleep(DRAIN_STEP_MS)
 
     async def _hand_over(self, successor: Successor, end_ms: float) -> None:
-        """Hands relays over until the end, also those that are established in the meantime."""
+        """Hands relays over until `end_ms`, also those that are established in the meantime."""
         while successor.is_connected and self._clock.now_ms() < end_ms and self._has_clients():
             ready = [
                 connection
--- a/glenrock/net/idle_connections.py
+++ b/glenrock/net/idle_connections.py
@@ -1,4 +1,4 @@
-"""Connections without a request, in the order in which they are closed when descriptors run short. No I/O."""
+"""Connections that have sent no request, in the order in which they are closed to free descriptors. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -15,31 +15,31 @@
 class IdleConnections:
     """The tasks of connections that have sent no request yet, oldest first.
 
-    A connection is in one of four states, which the containers show:
+    The containers show the state of a connection:
 
-    - silent: in `unanswered`;
-    - pinged: in `answered`;
-    - shed, its final answer comes next: moved to `_shed`;
-    - closing, it has had its final answer: in `answered` and `_ending`, and still in `_shed` if it was shed.
+    - no answer sent yet: in `unanswered`;
+    - a ping was answered: in `answered`;
+    - shed, its final answer comes next: only in `_shed`;
+    - ending, its final answer was sent: in `answered` and `_ending`, and still in `_shed` if it was shed.
 
     Attributes:
-        unanswered: connections that have had no answer.
-        answered: connections that have had an answer to a ping, or their final answer.
+        unanswered: connections to which no answer was sent.
+        answered: connections to which the answer to a ping or the final answer was sent.
     """
 
     def __init__(self) -> None:
         self.unanswered: dict[ConnectionTask, None] = {}
         self.answered: dict[ConnectionTask, None] = {}
-        self._ending: dict[ConnectionTask, None] = {}  # those of `answered` that have had their final answer
-        self._shed: set[ConnectionTask] = set()  # get their final answer next, unless a request has already arrived
+        self._ending: dict[ConnectionTask, None] = {}  # the part of `answered` whose final answer was sent
+        self._shed: set[ConnectionTask] = set()  # rejected next, unless a request has already arrived
         self._read_limits: dict[ConnectionTask, TimeLimit] = {}
 
     def __len__(self) -> int:
-        """Returns the number of connections, without those that are shed and await their final answer."""
+        """Returns the number of connections, without shed ones whose final answer was not sent yet."""
         return len(self.unanswered) + len(self.answered)
 
     def add(self, task: ConnectionTask) -> None:
-        """Adds a connection that was accepted."""
+        """Adds an accepted connection."""
         self.unanswered[task] = None
 
     def remove(self, task: ConnectionTask) -> None:
@@ -54,21 +54,21 @@
         self._shed.discard(task)
 
     def mark_answered(self, task: ConnectionTask) -> None:
-        """Records that the connection has had an answer."""
+        """Records that a ping of the connection was answered."""
         self.unanswered.pop(task, None)
         self.answered[task] = None
 
     def mark_ending(self, task: ConnectionTask) -> None:
-        """Records that the connection has had its final answer."""
+        """Records that the final answer of the connection is being sent."""
         self.mark_answered(task)
         self._ending[task] = None
 
     def is_shed(self, task: ConnectionTask) -> bool:
-        """Returns whether the connection is to be closed to free its descriptor."""
+        """Returns whether the connection was chosen to be closed to free its descriptor."""
         return task in self._shed
 
     def start_reading(self, task: ConnectionTask, limit: TimeLimit) -> None:
-        """Records that the connection waits for a line within that limit."""
+        """Records that the connection waits for a line, with that time limit."""
         self._read_limits[task] = limit
 
     def stop_reading(self, task: ConnectionTask) -> None:
@@ -76,15 +76,16 @@
         del self._read_limits[task]
 
     def stop_all_reading(self) -> None:
-        """Ends the wait of all connections for a line."""
+        """Makes all connections stop waiting for a line."""
         for limit in list(self._read_limits.values()):
             limit.stop()
 
     def shed_oldest(self) -> bool:
-        """Frees a descriptor.
+        """Closes one connection to free its descriptor.
 
-        The oldest connection that has had its final answer is closed. If there is none, the oldest idle connection no
-        longer waits for a line: it is rejected, unless its request has already arrived.
+        The oldest connection whose final answer was sent is closed at once. If there is none, the oldest connection
+        with an answered ping, or else the oldest without any answer, stops waiting for a line: it is rejected, unless
+        its request has already arrived.
 
         Returns:
             False if there is no connection to close.
--- a/glenrock/net/line_gate.py
+++ b/glenrock/net/line_gate.py
@@ -1,4 +1,4 @@
-"""Forwards only whole lines from a server to its client. No I/O."""
+"""Buffers the bytes of a server so that only whole lines are sent to its client. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -8,20 +8,25 @@
 
 
 class ForwardedLines(NamedTuple):
-    """Bytes that may be sent to the client now, and the lines that ended in the bytes fed."""
+    """The result of feeding a chunk.
+
+    Attributes:
+        data: the bytes that may be sent to the client now.
+        lines: the lines that ended in the chunk.
+    """
 
     data: bytes
     lines: list[bytes]
 
 
 class LineBuffer:
-    """Holds back the bytes of a line until its end.
+    """Holds back the bytes of a line until the line is complete.
 
-    A client that has received a part of a line cannot be migrated while its server hangs: it would read the
-    call to migrate as the rest of that line.
+    Otherwise a client whose server hangs in the middle of a line could not be migrated: it would read the migration
+    line as the rest of the incomplete one. The bytes of an overlong line are forwarded at once.
 
     Attributes:
-        splitter: the line that has not ended yet.
+        splitter: splits the server's bytes, and has the line that is not complete yet.
         is_within_line: whether the client has received a part of a line without its end.
     """
 
@@ -30,7 +35,7 @@
         self.is_within_line = False
 
     def feed(self, chunk: bytes) -> ForwardedLines:
-        """Returns the bytes that end a line, and all bytes of an overlong line; keeps the others."""
+        """Returns the bytes up to the last line end, and all bytes of an overlong line; holds the others back."""
         data = self.pending() + chunk
         lines = self.splitter.feed(chunk)
         end = data.rfind(b"\n") + 1
@@ -41,17 +46,17 @@
         return ForwardedLines(data[:end], lines)
 
     def pending(self) -> bytes:
-        """Returns the part of a line that is held back."""
+        """Returns the part of a line that is held back; empty if there is none."""
         return b"" if self.is_within_line else self.splitter.partial_line
 
     def flush(self) -> bytes:
-        """Returns the part that is held back, for a server that has closed the connection within a line."""
+        """Returns and releases the part that is held back. Used when a server has closed in the middle of a line."""
         data = self.pending()
-        self.is_within_line = True  # so that the same bytes are no longer pending
+        self.is_within_line = True  # the same bytes are no longer pending
         return data
 
     def restore(self, part: bytes, is_overlong: bool) -> None:
-        """Sets the state of a relay that is taken over. Such a relay holds no part of a line back."""
+        """Sets the state of a relay that is taken over. Its predecessor held no bytes back when it handed it over."""
         self.splitter.partial_line = part
         self.splitter.is_overlong = is_overlong
         self.is_within_line = not self.splitter.is_between_lines
--- a/glenrock/net/listening_socket.py
+++ b/glenrock/net/listening_socket.py
@@ -1,4 +1,4 @@
-"""The clients' listening socket: accepting, and pausing while the machine has no resources for a connection."""
+"""The listening socket for clients. Pauses accepting while the machine has no resources for a connection."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 
 SHORTAGE_TIMEOUT_MS = 100.0  # an idle connection is closed once a shortage of resources has lasted this long
 ACCEPT_PAUSE_MS = 20.0
-MAX_ACCEPTS_PER_WAKEUP = 8  # bounds the time that a flood of connections takes from established ones
-BACKLOG = 4096  # connections that wait in the system's queue
+MAX_ACCEPTS_PER_WAKEUP = 8  # so that many new connections do not delay established ones
+BACKLOG = 4096  # completed connections that may wait in the kernel's accept queue
 
 logger = get_logger(__name__)
 
@@ -41,7 +41,7 @@
         clock: the clock of the process.
         metrics: counts failed system calls.
         on_connection: called with each accepted socket.
-        on_shortage: called to free a descriptor while a shortage lasts.
+        on_shortage: called to free a descriptor once a shortage has lasted `SHORTAGE_TIMEOUT_MS`.
 
     Attributes:
         sock: the listening socket; None while it is closed.
@@ -64,20 +64,21 @@
     def open(self, sock: socket.socket) -> None:
         """Starts to accept connections.
 
-        The socket is read by a callback, since a cancelled `sock_accept` may lose a connection (as in `socket_io`).
+        A callback accepts them, since a cancelled `sock_accept` may lose a connection. `socket_io` explains this for
+        reads.
         """
         self.sock = sock
         asyncio.get_running_loop().add_reader(sock, self.accept, MAX_ACCEPTS_PER_WAKEUP)
 
     def close(self) -> None:
-        """Stops accepting. Queued connections stay with another process that has the socket; else they are reset."""
+        """Stops accepting. Resets queued connections, unless another process also has the listening socket open."""
         if self.sock:
             asyncio.get_running_loop().remove_reader(self.sock)
             self.sock.close()
             self.sock = None
 
     def accept(self, max_connections: int) -> None:
-        """Accepts queued connections, up to that number."""
+        """Accepts at most `max_connections` queued connections."""
         for _ in range(max_connections):
             if self.sock is None:
                 return
@@ -95,7 +96,7 @@
             self._on_connection(sock)
 
     def _pause(self, listener: socket.socket, error: OSError) -> None:
-        """Pauses accepting: the listening socket stays readable, and the loop would spin."""
+        """Pauses accepting. The listening socket stays readable, so the event loop would otherwise retry at once."""
         logger.warning("accepting paused after a resource error", error=error, pause_ms=ACCEPT_PAUSE_MS)
         now_ms = self._clock.now_ms()
         if is_shortage(error):
--- a/glenrock/net/mailbox.py
+++ b/glenrock/net/mailbox.py
@@ -1,4 +1,4 @@
-"""The bounded mailbox of an actor, read as a whole or message by message."""
+"""The bounded mailbox of an actor, which reads all messages at once or one by one."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
     """Messages for one actor, oldest first.
 
     Attributes:
-        limit: the number of messages that may wait.
-        messages: the messages that wait.
+        limit: the number of messages at which `try_put` adds no more.
+        messages: the messages that the actor has not read.
     """
 
     def __init__(self, limit: int) -> None:
@@ -30,7 +30,7 @@
         return True
 
     def put_unbounded(self, message: Message) -> None:
-        """Adds a message to a full mailbox too. For messages that must not be lost, and are few by their kind."""
+        """Adds a message even to a full mailbox. For messages that must not be lost, and of which there are few."""
         self.messages.append(message)
         self.wake()
 
@@ -55,8 +55,8 @@
     async def get(self) -> Message:
         """Returns the oldest message.
 
-        For an actor that reads messages in several places: with `get_all`, messages that the first place has not
-        handled would be lost for the next one.
+        For an actor that reads its mailbox in several functions: with `get_all`, the messages that one function leaves
+        unhandled would be lost for the next one.
         """
         while not self.messages:
             await self._wait()
--- a/glenrock/net/metrics.py
+++ b/glenrock/net/metrics.py
@@ -1,4 +1,4 @@
-"""Counters of this process. Each is counted where its event happens; admin only reads them."""
+"""Counters of this process. The code where an event happens counts it; the admin interface only reads the counters."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 
 class ConnectionOutcome(StrEnum):
-    """The answer to a request. The values are names of metrics.
+    """How a request was answered. The values are names of metrics.
 
     Attributes:
         FULFILLED: the connection was established.
         THROTTLED: the request was rejected.
         FAULTED: the request failed.
-        LEFT: the client left before an answer.
+        LEFT: the client disconnected before it had an answer.
     """
 
     FULFILLED = "fulfilled"
@@ -35,8 +35,8 @@
         MAILBOX_FULL: the mailbox of the routing actor was full.
         DRAINING: this balancer drains or stops.
         SHED: an idle connection was closed to free its descriptor.
-        MALFORMED: the first line was no valid request.
-        TIMED_OUT: no whole first line came in time.
+        MALFORMED: the request line was invalid, or the client sent bytes before its answer.
+        TIMED_OUT: no complete request line came in time.
         FAILED: routing failed the request.
         NO_DECISION: routing made no decision in time.
     """
@@ -55,11 +55,11 @@
 
 
 class ConnectionMetrics:
-    """Counters that start from 0 with the process.
+    """Counters of connections and system errors since the process started.
 
     Attributes:
         outcomes: connections by outcome and class; each connection is counted once.
-        attempts_written: attempts whose request line was written whole to a server.
+        attempts_written: attempts whose request line was completely written to a server.
         final_answers: connections that got a final answer instead of being established, by reason.
         system_errors: system calls that failed because of this machine, by the name of their errno.
     """
--- a/glenrock/net/protocol.py
+++ b/glenrock/net/protocol.py
@@ -1,4 +1,4 @@
-"""Parses and builds lines of the protocol. No I/O."""
+"""Parses and builds lines of the protocol between clients, the balancer and servers. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from glenrock.routing.settings_codec import report_field
 
-MAX_LINE_BYTES = 4096  # bytes of a line with its end
+MAX_LINE_BYTES = 4096  # including the line terminator
 PING_LINE = b"PING\r\n"
 PONG_LINE = b"PONG\r\n"
 HEALTH_CHECK_LINE = b"STATS\r\n"
@@ -19,16 +19,16 @@
 
 
 class ServerKeyword(StrEnum):
-    """The first words of servers' lines that have a meaning here.
+    """First words of the server lines that the balancer interprets. It relays all other lines as they are.
 
     Attributes:
         ESTABLISHED: the connection is established.
         REJECTED: the server rejects the request.
         FAILED: the server fails the request, or ends the connection with an error.
         MALFORMED: the server cannot parse the request line.
-        SERVED: the server has served the connection.
-        MIGRATE: the client is to connect elsewhere.
-        LOAD: the load of the connection follows.
+        SERVED: the server has served the request and ends the connection.
+        MIGRATE: the client is asked to migrate, that is to open a new connection.
+        LOAD: the rest of the line is the load of the connection.
         HEALTHY: the answer to a health check.
     """
 
@@ -46,7 +46,12 @@
 
 @dataclass(frozen=True)
 class ConfiguredNames:
-    """Names that a request may use. `classes`: each with the longest wait of its requests in milliseconds."""
+    """The names from the settings that a request may use.
+
+    Attributes:
+        max_wait_ms_by_class: for each request class, the longest wait that a request may ask for, in milliseconds.
+        tenants: the tenants; empty if the settings define none, and then any tenant is accepted.
+    """
 
     max_wait_ms_by_class: dict[str, float]
     tenants: frozenset[str] = frozenset()
@@ -60,7 +65,7 @@
         request_id: the id that the client has chosen.
         key: the identity of the client.
         fields: the fields by their names on the wire.
-        raw: the line as it came.
+        raw: the line as received, with its terminator.
     """
 
     request_id: str
@@ -70,12 +75,12 @@
 
     @property
     def wait_ms(self) -> float:
-        """How long the client waits for its answer, in milliseconds."""
+        """How long the client waits for its answer, in milliseconds; 0 if the line does not say."""
         return float(self.fields.get("d", "0"))
 
     @property
     def group(self) -> int | None:
-        """The group; None without one."""
+        """The group that the request belongs to; None without one."""
         return int(self.fields["g"], 16) if "g" in self.fields else None
 
     @property
@@ -95,16 +100,16 @@
 
     @property
     def is_returning(self) -> bool:
-        """Whether the client had a connection that broke or migrated."""
+        """Whether the client connects again after its connection broke or was migrated."""
         return self.fields.get("again") == "1"
 
     @property
     def resumes_at(self) -> str | None:
-        """The server of a connection that was open before this process; None for a new connection."""
+        """The server that holds the connection to resume, opened before this process; None for a new connection."""
         return self.fields.get("at")
 
 
-# int() and float() would also accept signs, underscores, blanks, NaN and infinity.
+# Values are matched by patterns, since int() and float() also accept signs, underscores, blanks, NaN and infinity.
 REQUEST_LINE_PATTERN = re.compile(rb"OPEN ([0-9A-Za-z._-]{1,64}) ([0-9A-Fa-f]{1,16}) ([!-~]+)\r\n")
 FIELD_PATTERN = re.compile(r"([A-Za-z][A-Za-z0-9_]*)=([^=]+)")
 HEX_PATTERN = re.compile(r"[0-9A-Fa-f]{1,16}")
@@ -120,76 +125,77 @@
 
 
 class RequestLineError(ValueError):
-    """The line is no valid request; the message says why."""
+    """The line is not a valid request; the message says why."""
 
 
 def parse_request_line(data: bytes, configured: ConfiguredNames) -> RequestLine:
-    """Returns the request in a line.
+    """Parses and validates a request line.
 
-    Validated here, since a server closes the connection on an invalid line, and that would count as an execution.
+    The balancer validates the whole line before it sends it on: a server closes the connection on an invalid line,
+    and such a close counts as a possible execution of the request.
 
     Raises:
-        RequestLineError: the line is no valid request.
+        RequestLineError: the line is not a valid request.
     """
-    found = REQUEST_LINE_PATTERN.fullmatch(data)
-    if found is None:
+    match = REQUEST_LINE_PATTERN.fullmatch(data)
+    if match is None:
         line, _, more = data.partition(b"\r\n")
         if more and REQUEST_LINE_PATTERN.fullmatch(line + b"\r\n"):
-            raise RequestLineError("bytes before the answer")
+            raise RequestLineError("bytes after the request line, before its answer")
         raise RequestLineError("not a request line")
     if len(data) > MAX_LINE_BYTES:
         raise RequestLineError("line too long")
-    fields = _fields_of(found[3].decode("ascii"))
+    fields = _parse_fields(match[3].decode("ascii"))
     if fields.get("c") not in configured.max_wait_ms_by_class:
         raise RequestLineError("unknown class")
     if configured.tenants and fields.get("t") not in configured.tenants:
         raise RequestLineError("unknown tenant")
-    request_line = RequestLine(found[1].decode(), int(found[2], 16), fields, data)
-    if request_line.resumes_at is None:  # a resumed connection has no deadline of its client
+    request_line = RequestLine(match[1].decode(), int(match[2], 16), fields, data)
+    if request_line.resumes_at is None:  # a client that resumes a connection sends no deadline
         if "d" not in fields:
-            raise RequestLineError("no field d")
+            raise RequestLineError("missing field d")
         if request_line.wait_ms > configured.max_wait_ms_by_class[request_line.class_name]:
-            raise RequestLineError("wait too long in field d")
+            raise RequestLineError("field d exceeds the longest wait of its class")
     return request_line
 
 
-def _fields_of(text: str) -> dict[str, str]:
+def _parse_fields(text: str) -> dict[str, str]:
     fields: dict[str, str] = {}
-    repeated = False
+    has_duplicate = False
     for part in text.split(","):
-        pair = FIELD_PATTERN.fullmatch(part)
-        if pair is None:
+        match = FIELD_PATTERN.fullmatch(part)
+        if match is None:
             raise RequestLineError("a field is not NAME=VALUE")
-        repeated |= pair[1] in fields
-        fields[pair[1]] = pair[2]
-    if repeated:
+        has_duplicate |= match[1] in fields
+        fields[match[1]] = match[2]
+    if has_duplicate:
         raise RequestLineError("duplicate field")
-    for name, form in FIELD_VALUE_PATTERNS.items():
-        if name in fields and not form.fullmatch(fields[name]):
+    for name, pattern in FIELD_VALUE_PATTERNS.items():
+        if name in fields and not pattern.fullmatch(fields[name]):
             raise RequestLineError(f"invalid value in field {name}")
     return fields
 
 
-def with_time_left(line: bytes, ms: float) -> bytes:
-    """Returns the client's line with that time in its field `d`."""
+def with_remaining_wait(line: bytes, wait_ms: float) -> bytes:
+    """Returns the request line with its field `d`, if it has one, set to `wait_ms`, at least 1 ms."""
     head, space, rest = line.rstrip(b"\r\n").rpartition(b" ")
-    wait = b"d=%d" % max(1, int(ms))
-    parts = [wait if part.startswith(b"d=") else part for part in rest.split(b",")]
+    wait_field = b"d=%d" % max(1, int(wait_ms))
+    parts = [wait_field if part.startswith(b"d=") else part for part in rest.split(b",")]
     return head + space + b",".join(parts) + b"\r\n"
 
 
 def rejection_line(retry_after_ms: float) -> bytes:
-    """Returns a rejection with its Retry-After; without one if that is under a millisecond."""
+    """Returns a rejection with its Retry-After, or without one if the Retry-After is under a millisecond."""
     return b"BUSY %d\r\n" % retry_after_ms if retry_after_ms >= 1 else b"BUSY\r\n"
 
 
 def is_rejection(line: bytes) -> bool:
-    """Returns whether the line to a client is a rejection."""
+    """Returns whether a line sent to a client rejects its request."""
     return line.startswith(REJECTION_PREFIX)
 
 
 def parse_finite_number(text: str) -> float | None:
-    """Returns the number; None if the text is no finite number."""
+    """Returns the number; None if the text is not a finite number."""
     try:
         value = float(text)
     except ValueError:
@@ -198,13 +204,13 @@
 
 
 def split_keyword(line: bytes) -> tuple[str, str]:
-    """Returns the first word and the rest; bytes that are not ASCII become replacement characters."""
-    word, _, rest = line.rstrip(b"\r\n").decode("ascii", "replace").partition(" ")
-    return word, rest
+    """Returns the first word of a line and the rest; bytes that are not ASCII become replacement characters."""
+    keyword, _, rest = line.rstrip(b"\r\n").decode("ascii", "replace").partition(" ")
+    return keyword, rest
 
 
 def parse_load_report(text: str) -> dict[str, float]:
-    """Returns a load report under the names of the routing interface, without unreadable fields."""
+    """Returns the values of a load report by their names in the routing interface; skips fields it cannot parse."""
     report: dict[str, float] = {}
     for part in text.strip().split(","):
         name, equals, value_text = part.partition("=")
@@ -218,8 +224,8 @@
     """Splits a stream into lines. Memory is bounded: the bytes of an overlong line are dropped.
 
     Attributes:
-        partial_line: the bytes of the line that has not ended yet.
-        is_overlong: whether that line is too long.
+        partial_line: the bytes of the line that has not ended yet; empty if that line is overlong.
+        is_overlong: whether the line that has not ended yet exceeds `MAX_LINE_BYTES`.
     """
 
     def __init__(self) -> None:
@@ -228,15 +234,15 @@
 
     @property
     def is_between_lines(self) -> bool:
-        """Whether the stream is at the end of a line."""
+        """Whether no line is incomplete."""
         return not self.partial_line and not self.is_overlong
 
     def feed(self, chunk: bytes) -> list[bytes]:
-        """Returns the lines that end in this chunk, with their line ends."""
-        *ended, rest = chunk.split(b"\n")
+        """Returns the lines that end in this chunk, with their terminators and without overlong lines."""
+        *line_ends, rest = chunk.split(b"\n")
         lines = []
-        for piece in ended:
-            line = self.partial_line + piece
+        for line_end in line_ends:
+            line = self.partial_line + line_end
             if not self.is_overlong and len(line) < MAX_LINE_BYTES:
                 lines.append(line + b"\n")
             self.partial_line = b""
--- a/glenrock/net/relay_pumps.py
+++ b/glenrock/net/relay_pumps.py
@@ -1,4 +1,4 @@
-"""The two byte pumps of a client's connection, and its sockets."""
+"""Copies bytes between the sockets of a client and a server, in both directions."""
 
 from __future__ import annotations
 
@@ -15,24 +15,25 @@
 from .socket_io import close_socket, recv_into
 
 BUFFER_BYTES = 8192
-MAX_QUEUED_MESSAGES = 32  # that may wait for one connection
+MAX_QUEUED_MESSAGES = 32  # in the mailbox of one connection
 
 
 class RelayPumps:
     """Owns the client's socket, and the server's once the connection is established.
 
-    Ends that the pumps meet go to the mailbox.
+    Two tasks copy bytes: the upstream pump from client to server, the downstream pump from server to client. A pump
+    that ends posts a `RelayEvent` to the mailbox.
 
     Attributes:
         sock: the client's socket.
         mailbox: messages to the connection's actor.
         attempt: the last attempt; its socket is the server's side of the relay.
-        established: set once the client has its first answer.
-        line_buffer: passes whole lines only.
-        unanswered_since_ms: when the oldest client line without an answer was read; None without one.
-        migration: how routing counts the end of the connection, while its client migrates.
-        awaits_server: whether the downstream pump waits for bytes of the server.
-        awaits_client: whether the upstream pump waits for bytes of the client.
+        established: set once the server's first answer has been sent to the client.
+        line_buffer: holds back incomplete lines of the server.
+        unanswered_since_ms: when the oldest client line without an answer was read; None if all are answered.
+        migration: how routing counts the end of the connection, once its migration has started; None before.
+        awaits_server: whether the downstream pump waits for bytes from the server.
+        awaits_client: whether the upstream pump waits for bytes from the client.
         tasks: the pumps, the upstream one first.
     """
 
@@ -50,7 +51,7 @@
         self.tasks: list[asyncio.Task[None]] = []
 
     def on_lines(self, lines: list[bytes]) -> None:
-        """Handles lines of the server."""
+        """Called with the complete lines that the server has sent."""
         raise NotImplementedError
 
     @property
@@ -75,31 +76,34 @@
         self.start_downstream_pump()
 
     async def stop_pumps(self) -> None:
-        """Ends both pumps. uvloop allows no task to wait on a closed socket."""
+        """Ends both pumps. Needed before a socket is closed: uvloop allows no task to wait on a closed socket."""
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
     async def stop_downstream_pump(self) -> None:
-        """Ends the pump that reads from the server, if it was started."""
+        """Ends the downstream pump, if it was started."""
         downstream_pumps = self.tasks[1:]
         for task in downstream_pumps:
             task.cancel()
         await asyncio.gather(*downstream_pumps, return_exceptions=True)
 
     async def _pump_upstream(self) -> None:
-        """Copies from client to server. Before the first answer it only notices the client's end."""
-        end: RelayEvent | None = None
+        """Copies from client to server. Before the connection is established, only detects an end or early bytes."""
+        event: RelayEvent | None = None
         try:
-            end = await self._copy_upstream()
+            event = await self._copy_upstream()
         except OSError:
-            end = RelayEvent.CLIENT_RST
+            event = RelayEvent.CLIENT_RST
         finally:
-            if end:  # None for a pump that was stopped: the client is still connected
-                self.mailbox.put_unbounded(end)
+            if event:  # None if the pump was cancelled: the client is still connected
+                self.mailbox.put_unbounded(event)
 
     async def _copy_upstream(self) -> RelayEvent | None:
-        """Copies until an end. Returns None if the server's side failed: the downstream pump reports that end."""
+        """Copies until the client ends.
+
+        Returns None if writing to the server failed: the downstream pump posts that.
+        """
         loop = asyncio.get_running_loop()
         buffer = bytearray(BUFFER_BYTES)
         while True:
@@ -112,7 +116,7 @@
                 # A server would read these bytes as a request line, or as part of another connection.
                 return RelayEvent.EARLY_BYTES
             server_sock = self.server_sock
-            if server_sock is None:  # closed: only the client's end counts
+            if server_sock is None:  # already closed: bytes are discarded until the client ends
                 continue
             if self.unanswered_since_ms is None and b"\n" in buffer[:count]:
                 self.unanswered_since_ms = self.clock.now_ms()
@@ -124,14 +128,17 @@
     async def _pump_downstream(self) -> None:
         """Copies from server to client, and handles the server's lines."""
         try:
-            end = await self._copy_downstream()
+            event = await self._copy_downstream()
         except OSError:
-            end = RelayEvent.SERVER_RST
-        if end:
-            self.mailbox.put_unbounded(end)
+            event = RelayEvent.SERVER_RST
+        if event:
+            self.mailbox.put_unbounded(event)
 
     async def _copy_downstream(self) -> RelayEvent | None:
-        """Copies until an end. Returns None if the client's side failed: the upstream pump reports that end."""
+        """Copies until the server ends or the client can migrate.
+
+        Returns None if writing to the client failed: the upstream pump posts that.
+        """
         attempt, server_sock = self.attempt, self.server_sock
         assert attempt is not None and server_sock is not None, "the connection is established"
         loop = asyncio.get_running_loop()
@@ -158,10 +165,10 @@
                 return RelayEvent.SERVER_FIN
 
     def process_server_bytes(self, chunk: bytes) -> bytes:
-        """Handles the lines in bytes of the server. Returns the bytes that may be sent to the client now."""
-        passed = self.line_buffer.feed(chunk)
-        self.on_lines(passed.lines)
-        return passed.data
+        """Handles the lines that end in these bytes of the server. Returns the bytes to send to the client now."""
+        forwarded = self.line_buffer.feed(chunk)
+        self.on_lines(forwarded.lines)
+        return forwarded.data
 
     # -- the sockets -----------------------------------------------------------------------------------
 
@@ -172,7 +179,7 @@
             close_socket(sock, reset)
 
     async def detach_server(self) -> None:
-        """Closes the server's socket, and keeps reading from the client until its end.
+        """Closes the server's socket, and keeps reading from the client until the client ends.
 
         The upstream pump may be blocked writing to a server that hangs, or may have ended with that server. It is then
         restarted, since a close with unread bytes would reset the connection and the client would lose its last line.
@@ -186,10 +193,10 @@
         self.start_upstream_pump()
 
     def may_migrate(self) -> bool:
-        """Returns whether the client has received whole lines only, and no bytes for it are being sent."""
+        """Returns whether the client has received only whole lines, and no bytes are being sent to it."""
         return self.awaits_server and not self.line_buffer.is_within_line
 
     def may_hand_over(self) -> bool:
-        """Returns whether both pumps wait, and all bytes that were read have been sent."""
+        """Returns whether both pumps wait for bytes, and all bytes that they have read have been sent."""
         is_waiting = self.awaits_server and self.awaits_client and not self.line_buffer.pending()
         return self.established.is_set() and is_waiting and not any(task.done() for task in self.tasks)
--- a/glenrock/net/server_actor.py
+++ b/glenrock/net/server_actor.py
@@ -208,7 +208,7 @@
         loop = asyncio.get_running_loop()
         async with self._clock.time_limit(self._left_ms(attempt)):
             attempt.progress = AttemptProgress.PARTLY_WRITTEN
-            await loop.sock_sendall(sock, protocol.with_time_left(attempt.line, self._left_ms(attempt)))
+            await loop.sock_sendall(sock, protocol.with_remaining_wait(attempt.line, self._left_ms(attempt)))
             attempt.progress = AttemptProgress.WRITTEN
             self._metrics.attempts_written += 1
             return await self._read_answer(attempt, sock)
--- a/glenrock/net/socket_io.py
+++ b/glenrock/net/socket_io.py
@@ -1,8 +1,8 @@
-"""Configures, reads and closes sockets; a cancelled read loses no bytes.
+"""Configures, reads and closes sockets. A cancelled read loses no bytes.
 
-uvloop's `sock_recv_into` reads in a callback, and a task that is cancelled between the callback and its own next step
-loses the bytes. A relay that is handed over is cancelled while it waits to read, so relays wait until the socket is
-readable, and then read it themselves.
+uvloop's `sock_recv_into` reads in a callback, so a task that is cancelled after the callback and before its own next
+step loses the bytes. The pumps of a relay that is handed over are cancelled while they wait to read, so they wait until
+the socket is readable, and then read it themselves.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 
 READ_BEFORE_CLOSE_BYTES = 16384
 MAX_READS_BEFORE_CLOSE = 4
-ZERO_LINGER = b"\1\0\0\0\0\0\0\0"  # struct linger: a close resets the connection
+ZERO_LINGER = b"\1\0\0\0\0\0\0\0"  # struct linger, on with a timeout of 0 s: close() sends RST
 
 
 def configure_socket(sock: socket.socket) -> None:
-    """Makes the socket non-blocking, and sends small writes at once."""
+    """Makes the socket non-blocking, and sets TCP_NODELAY so that small writes are sent at once."""
     sock.setblocking(False)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
@@ -45,7 +45,7 @@
 
 
 def close_after_reading(sock: socket.socket) -> None:
-    """Closes a socket after its last write. Unread bytes are read first: they would make the close a reset."""
+    """Closes a socket after its last write. Reads unread bytes first, since close() would otherwise send RST."""
     with contextlib.suppress(OSError):
         for _ in range(MAX_READS_BEFORE_CLOSE):
             if not sock.recv(READ_BEFORE_CLOSE_BYTES, socket.MSG_DONTWAIT):
@@ -54,7 +54,7 @@
 
 
 async def wait_readable(loop: asyncio.AbstractEventLoop, sock: socket.socket) -> None:
-    """Waits until the socket has bytes or an end."""
+    """Waits until the socket has bytes to read, or the other side has closed or reset it."""
     ready = loop.create_future()
     loop.add_reader(sock, _wake, ready)
     try:
@@ -69,9 +69,9 @@
 
 
 async def recv_into(loop: asyncio.AbstractEventLoop, sock: socket.socket, buffer: bytearray) -> int:
-    """Returns the number of bytes read, 0 at the end. A cancellation loses no bytes.
+    """Reads into a buffer. Returns the number of bytes, 0 at the end of the stream. A cancellation loses no bytes.
 
-    The wait before each read lets other tasks run, however much one peer sends.
+    The wait before each read lets other tasks run, however much the other side sends.
     """
     while True:
         await wait_readable(loop, sock)
--- a/tests/net/test_answers_and_decisions.py
+++ b/tests/net/test_answers_and_decisions.py
@@ -134,7 +134,7 @@
     rig: LoopbackRig, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Its last byte may have been sent: a request that is not idempotent fails, and no other server gets it."""
-    monkeypatch.setattr(protocol, "with_time_left", lambda line, ms: line + b"z" * (16 << 20))
+    monkeypatch.setattr(protocol, "with_remaining_wait", lambda line, ms: line + b"z" * (16 << 20))
     await rig.open("s1", "s2", effect="unsafe")
     client = rig.connect_client(REQUEST_LINE)
     await rig.wait_for_attempt(lambda attempt: attempt.progress == AttemptProgress.PARTLY_WRITTEN)
