--- a/glenrock/net/graceful_shutdown.py
+++ b/glenrock/net/graceful_shutdown.py
@@ -135,7 +135,7 @@
             await self._clock.sleep(DRAIN_STEP_MS)
 
     def _migrate_step(self, remaining_ms: float) -> None:
-        """Migrates this step's share of the clients, at an even rate by which all have migrated after `remaining_ms`."""
+        """Migrates this step's share of the clients, at a rate by which all have migrated after `remaining_ms`."""
         connections = [
             connection
             for connection in self._table.by_id.values()
