--- a/glenrock/net/acceptor.py
+++ b/glenrock/net/acceptor.py
@@ -132,7 +132,7 @@
 
     def _remove_connection(self, task: asyncio.Task[None], sock: socket.socket) -> None:
         self.tasks.discard(task)
-        self.idle.forget(task)
+        self.idle.remove_ended(task)
         close_after_reading(sock)
 
     async def _serve(self, sock: socket.socket) -> None:
--- a/glenrock/net/established_relay.py
+++ b/glenrock/net/established_relay.py
@@ -189,7 +189,7 @@
             data = self.process_server_bytes(server_sock.recv(BUFFER_BYTES)) if server_sock else b""
         except OSError:
             return protocol.MIGRATE_LINE
-        if self.line_buffer.is_within_line:  # the client has received no part of that line
+        if self.line_buffer.is_within_line:  # the data ends in an overlong line; none of it was sent, so it is dropped
             return protocol.MIGRATE_LINE
         return data if data and self.last_keyword in OUTCOME_BY_LAST_KEYWORD else data + protocol.MIGRATE_LINE
 
--- a/glenrock/net/idle_connections.py
+++ b/glenrock/net/idle_connections.py
@@ -47,7 +47,7 @@
         self.unanswered.pop(task, None)
         self.answered.pop(task, None)
 
-    def forget(self, task: ConnectionTask) -> None:
+    def remove_ended(self, task: ConnectionTask) -> None:
         """Removes a connection that has ended."""
         self.remove(task)
         self._ending.pop(task, None)
--- a/glenrock/net/protocol.py
+++ b/glenrock/net/protocol.py
@@ -151,7 +151,7 @@
     if configured.tenants and fields.get("t") not in configured.tenants:
         raise RequestLineError("unknown tenant")
     request_line = RequestLine(match[1].decode(), int(match[2], 16), fields, data)
-    if request_line.resumes_at is None:  # a client that resumes a connection sends no deadline
+    if request_line.resumes_at is None:  # the client of a resumed connection has no deadline to check
         if "d" not in fields:
             raise RequestLineError("missing field d")
         if request_line.wait_ms > configured.max_wait_ms_by_class[request_line.class_name]:
--- a/tests/net/conftest.py
+++ b/tests/net/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the tests of net: rigs, and the event loop that they share with the test."""
+"""Fixtures of the tests of `glenrock.net`: the rigs, and the event loop that they share with the test."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 @pytest.fixture
 def runner() -> Iterator[asyncio.Runner]:
-    """Runs coroutines of a test and its fixtures on one event loop, which ends after the test."""
+    """Runs the coroutines of a test and of its fixtures on one event loop, which is closed after the test."""
     with asyncio.Runner(loop_factory=ConnectTrackingLoop) as runner:
         yield runner
 
@@ -47,7 +47,7 @@
 
 @pytest.fixture
 def single_server(runner: asyncio.Runner) -> Iterator[SingleServerRig]:
-    """Returns a program with one server, which has started."""
+    """Returns a rig whose program and server have started."""
     rig = SingleServerRig()
     runner.run(rig.open())
     yield rig
--- a/tests/net/exchange_player.py
+++ b/tests/net/exchange_player.py
@@ -1,4 +1,4 @@
-"""Plays recorded byte exchanges against the program. The form of the files: tests/exchanges/README.md."""
+"""Plays recorded byte exchanges against the program. tests/exchanges/README.md describes the file format."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class HttpAnswer(NamedTuple):
-    """Status and body lines of an operator's answer."""
+    """Status and body lines of the program's answer to an operator."""
 
     status: str
     lines: list[str]
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True)
 class ExchangeStep:
-    """One line of a file: who does what."""
+    """One step of an exchange: a party, what it does, and the text of the step."""
 
     line_number: int
     party: str
@@ -46,14 +46,14 @@
 
 @dataclass(frozen=True)
 class Exchange:
-    """A file: the configuration that differs, and the steps."""
+    """An exchange file: the keys of the configuration that differ from the default, and the steps."""
 
     config: dict[str, Any]
     steps: list[ExchangeStep]
 
 
 def read_exchange(path: Path) -> Exchange:
-    """Returns the content of a file."""
+    """Parses an exchange file."""
     lines = [
         (number, line)
         for number, line in enumerate(path.read_text().splitlines(), 1)
@@ -67,29 +67,29 @@
 
 
 class ScriptedConnection:
-    """One side of a connection, as a script uses it."""
+    """One side of a connection, driven by the steps of an exchange."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader = reader
         self._writer = writer
 
     def send(self, data: bytes) -> None:
-        """Sends bytes."""
+        """Writes bytes to the connection."""
         self._writer.write(data)
 
     async def read_line(self) -> str:
-        """Returns the next line without its end."""
+        """Returns the next line without its line end."""
         return (await self.reader.readline()).decode("latin-1").rstrip("\r\n")
 
     async def read_end(self) -> str:
-        """Returns how the other side ends the connection, or that it sends more bytes."""
+        """Waits for the end of the stream. Returns a value of `StreamEnd`, or `MORE_BYTES` if bytes came before it."""
         try:
             return StreamEnd.FIN.value if await self.reader.read() == b"" else MORE_BYTES
         except (ConnectionResetError, BrokenPipeError):
             return StreamEnd.RESET.value
 
     async def read_http_answer(self) -> HttpAnswer:
-        """Returns an HTTP answer with a correct length, read up to the end."""
+        """Reads an HTTP answer until the end of the stream, and checks its Content-Length."""
         head, _, body = (await self.reader.read()).partition(b"\r\n\r\n")
         status_line, *fields = head.decode().split("\r\n")
         if f"Content-Length: {len(body)}" not in fields:
@@ -97,7 +97,7 @@
         return HttpAnswer(status_line.split(" ")[1], body.decode().splitlines())
 
     def end(self, how: str) -> None:
-        """Ends the sending with `fin`, or resets the connection."""
+        """Sends FIN if `how` is `fin`; otherwise resets the connection."""
         if how == StreamEnd.FIN.value:
             self._writer.write_eof()
             return
@@ -107,13 +107,13 @@
 
 
 class ExchangePlayer:
-    """The program with clients, servers, discovery and one peer, which follow a script."""
+    """The program with clients, servers, two discovery services and one peer, which follow the steps of an exchange."""
 
     def __init__(self, server_names: list[str]) -> None:
         self._server_names = server_names
         self._ports: dict[str, int] = {}
         self._time = ManualTime()
-        self._connections: dict[str, ScriptedConnection] = {}  # by their names in the script
+        self._connections: dict[str, ScriptedConnection] = {}  # by their party names in the exchange
         self._accepted: dict[str, list[ScriptedConnection]] = {name: [] for name in [*server_names, *DISCOVERY_PARTIES]}
         self._accepted_by_servers: list[ScriptedConnection] = []
         self._shutdown: asyncio.Task[None] | None = None
@@ -122,7 +122,7 @@
     # -- the start -------------------------------------------------------------------------------------
 
     async def open(self, config: dict[str, Any], discovery_is_silent: bool) -> None:
-        """Starts all parties and the program."""
+        """Starts the servers, discovery, the peer and the program."""
         await self._listen()
         rows = [self._row(name) for name in self._server_names]
         self._peer = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -165,14 +165,14 @@
         return accept
 
     def close(self) -> None:
-        """Closes the sockets that the player waits on. The program ends with the loop."""
+        """Closes the peer's socket and the delivery barrier. The program ends with the event loop."""
         self._peer.close()
         self._time.close()
 
     # -- parties ---------------------------------------------------------------------------------------
 
     async def _connection(self, name: str) -> ScriptedConnection:
-        """Returns the connection of that name: accepted by a server or discovery, or else opened to the program."""
+        """Returns the connection of a party. Waits until a server or discovery has accepted it, or opens it."""
         if name not in self._connections:
             base, _, number = name.partition(".")
             accepted = self._accepted_by_servers if base == "any" else self._accepted.get(base)
@@ -210,7 +210,7 @@
     async def _expect_line(self, name: str, pattern: str) -> None:
         connection = await self._connection(name)
         line = await connection.read_line()
-        if name.partition(".")[0] in DISCOVERY_PARTIES:  # the request's line alone counts, and no other of its head
+        if name.partition(".")[0] in DISCOVERY_PARTIES:  # the pattern is for the request line: skip header lines
             while not line.startswith("GET") and (line or not connection.reader.at_eof()):
                 line = await connection.read_line()
         if not fnmatch.fnmatchcase(line, pattern):
@@ -222,7 +222,7 @@
         """Plays a step.
 
         Raises:
-            AssertionError: the program did something else.
+            AssertionError: the program did something else than the step expects.
         """
         party_steps: dict[str, Callable[[str], Awaitable[None]]] = {
             "clock": self._play_clock,
@@ -288,10 +288,10 @@
                 await self._check_operator_answer(step.party, step.text)
             case "shown":
                 if step.text not in self._operator_answers[step.party].lines:
-                    raise AssertionError(f"{step.party} was shown {self._operator_answers[step.party].lines}")
+                    raise AssertionError(f"{step.party} got the lines {self._operator_answers[step.party].lines}")
             case "hears":
                 if self._accepted[step.party]:
-                    raise AssertionError(f"{step.party} was reached")
+                    raise AssertionError(f"{step.party} has accepted a connection")
             case _:
                 data = _bytes_of(step)
                 (await self._connection(step.party)).send(data)
@@ -300,7 +300,7 @@
         answer = self._operator_answers[name] = await self._connections[name].read_http_answer()
         text = f"{answer.status} {answer.lines[-1]}"
         if not fnmatch.fnmatchcase(text, pattern):
-            raise AssertionError(f"{name} was answered {text!r}")
+            raise AssertionError(f"{name} got the answer {text!r}")
 
 
 def _bytes_of(step: ExchangeStep) -> bytes:
@@ -318,10 +318,10 @@
 
 
 async def play_exchange(exchange: Exchange) -> None:
-    """Plays all steps, on a `ConnectTrackingLoop`.
+    """Plays all steps of an exchange, on a `ConnectTrackingLoop`.
 
     Raises:
-        AssertionError: the program did something else, or not in time; the message names the line.
+        AssertionError: the program did something else than a step expects, or not in time. The message names the line.
     """
     config = dict(exchange.config)
     player = ExchangePlayer(config.pop("instances", ["s1"]))
--- a/tests/net/loopback_delivery.py
+++ b/tests/net/loopback_delivery.py
@@ -1,7 +1,7 @@
-"""Waits for the kernel, so that a clock set by a test does not run ahead of data and connections on loopback.
+"""Waits for the kernel, so that a manual clock does not run ahead of data and connections on loopback.
 
-On a busy machine the kernel delivers loopback packets tens of milliseconds late. The manual clock, which a test
-advances, may pass seconds meanwhile.
+On a busy machine the kernel delivers loopback packets tens of milliseconds late. In that time, a test may advance the
+manual clock by seconds, and timeouts expire that would not expire in real time.
 """
 
 from __future__ import annotations
@@ -17,14 +17,14 @@
 
 CLOCK_STEP_MS = 10
 ITERATION_S = 0.0002
-MAX_CONNECT_WAIT_S = 1.0  # a connect to a full backlog stays pending, and is not waited for any longer
+MAX_CONNECT_WAIT_S = 1.0  # a connect to a full accept queue stays pending, so the wait is bounded
 
 
 class ConnectTrackingLoop(uvloop.Loop):
-    """An event loop that knows which of its connects are pending.
+    """An event loop that records which of its connects are pending.
 
     Attributes:
-        connects_started: for each socket that is connecting, when it began, in seconds of the monotonic clock.
+        connects_started: by socket that is connecting, when the connect began, in seconds of the monotonic clock.
     """
 
     def __init__(self) -> None:
@@ -32,7 +32,7 @@
         self.connects_started: dict[socket.socket, float] = {}
 
     async def sock_connect(self, sock: socket.socket, address: Any) -> None:
-        """Connects a socket as the loop does, and records it until that has ended."""
+        """Connects a socket, and records it until the connect has ended."""
         self.connects_started[sock] = time.monotonic()
         try:
             await super().sock_connect(sock, address)
@@ -40,13 +40,13 @@
             del self.connects_started[sock]
 
     def has_pending_connect(self) -> bool:
-        """Returns whether a connect is pending that the kernel may still complete."""
-        oldest = time.monotonic() - MAX_CONNECT_WAIT_S
-        return any(started > oldest for started in self.connects_started.values())
+        """Returns whether a connect is pending that began at most `MAX_CONNECT_WAIT_S` ago."""
+        min_started = time.monotonic() - MAX_CONNECT_WAIT_S
+        return any(started > min_started for started in self.connects_started.values())
 
 
 class DeliveryBarrier:
-    """A loopback connection of its own, whose data arrives after the data that was sent before."""
+    """A separate loopback connection. The kernel delivers a byte on it after all data that was sent earlier."""
 
     def __init__(self) -> None:
         with socket.create_server(("127.0.0.1", 0)) as listener:
@@ -80,7 +80,7 @@
         self._delivery = DeliveryBarrier()
 
     async def advance(self, ms: float) -> None:
-        """Advances the clock in small steps, and runs the loop between them."""
+        """Advances the clock in small steps, and runs the event loop between them."""
         while ms > 0:
             await self.run_loop()
             self.clock.advance(min(ms, CLOCK_STEP_MS))
@@ -88,11 +88,11 @@
         await self.run_loop()
 
     async def run_loop(self) -> None:
-        """Runs the loop ten times, and until the kernel has delivered and connected what is under way."""
+        """Runs the event loop ten times, and until the kernel has delivered all data and completed all connects."""
         for _ in range(10):
             await asyncio.sleep(ITERATION_S)
             self._delivery.wait()
-        while self._loop.has_pending_connect():  # noqa: ASYNC110 - what is polled is in the kernel
+        while self._loop.has_pending_connect():  # noqa: ASYNC110 - the kernel completes it, so no event signals it
             await asyncio.sleep(0)
 
     def close(self) -> None:
--- a/tests/net/rig.py
+++ b/tests/net/rig.py
@@ -1,4 +1,4 @@
-"""A program with a clock that the test sets, among raw sockets on loopback."""
+"""The program with a clock that the test advances, and raw loopback sockets as its clients, servers and discovery."""
 
 from __future__ import annotations
 
@@ -39,14 +39,14 @@
 
 
 class StreamRest(NamedTuple):
-    """The bytes that came until the end of a connection, and how it ended."""
+    """The bytes received until the end of a connection, and how it ended."""
 
     data: bytes
     end: StreamEnd
 
 
 class PendingRequest(NamedTuple):
-    """A request that waits for the answer of its server: both sockets, and the program's part between them."""
+    """A request that waits for the answer of its server: the test's two sockets, and the program's connection."""
 
     client: socket.socket
     server_side: socket.socket
@@ -54,7 +54,7 @@
 
 
 class EstablishedSockets(NamedTuple):
-    """The two outer sockets of an established connection."""
+    """The test's two sockets of an established connection."""
 
     client: socket.socket
     server_side: socket.socket
@@ -80,12 +80,15 @@
 
 
 def fill_backlog(listener: socket.socket) -> list[socket.socket]:
-    """Fills the queue of a listener whose backlog is 0. A further connect stays pending until the result is closed."""
-    fillers = [socket.socket() for _ in range(4)]
-    for filler in fillers:
-        filler.setblocking(False)
-        filler.connect_ex(listener.getsockname())
-    return fillers
+    """Fills the accept queue of a listener whose backlog is 0.
+
+    Returns the connections in the queue. A further connect stays pending until they are closed.
+    """
+    connections = [socket.socket() for _ in range(4)]
+    for sock in connections:
+        sock.setblocking(False)
+        sock.connect_ex(listener.getsockname())
+    return connections
 
 
 def address_of(sock: socket.socket) -> str:
@@ -94,7 +97,7 @@
 
 
 def attempt_of(connection: ClientConnection) -> ConnectionAttempt:
-    """Returns the last attempt of a connection that has made one."""
+    """Returns the last attempt of a connection; there must be one."""
     assert connection.attempt is not None
     return connection.attempt
 
@@ -108,13 +111,13 @@
 
 
 async def wait_until(poll: Callable[[], Polled]) -> Polled:
-    """Runs the loop until `poll` returns a true value, and returns that.
+    """Runs the event loop until `poll` returns a true value, and returns that value.
 
     Raises:
-        TimeoutError: it has returned none within `WAIT_TIMEOUT_S`.
+        TimeoutError: it has returned no true value within `WAIT_TIMEOUT_S`.
     """
     async with asyncio.timeout(WAIT_TIMEOUT_S):
-        while not (polled := poll()):  # noqa: ASYNC110 - what is polled may be in the kernel
+        while not (polled := poll()):  # noqa: ASYNC110 - the polled state may be in the kernel, so no event signals it
             await asyncio.sleep(0)
     return polled
 
@@ -147,12 +150,12 @@
     Attributes:
         clock: the program's clock.
         listeners: the listening sockets of the servers, by server name.
-        open_sockets: the sockets of the test's side, which stay open until the rig is dropped.
+        open_sockets: the test's sockets, referenced here so that they stay open as long as the rig exists.
         discovery: discovery's listening socket.
-        discovery_connection: the connection that the program has to discovery.
+        discovery_connection: discovery's socket of the program's connection.
         version: the version of the last endpoint list.
         program: the program.
-        port: where it accepts clients.
+        port: the port where the program accepts clients.
     """
 
     def __init__(self) -> None:
@@ -193,7 +196,7 @@
         self.port: int = self.acceptor.listener.getsockname()[1]
 
     def close(self) -> None:
-        """Closes the sockets that the rig waits on. The program ends with the loop."""
+        """Closes the rig's delivery barrier. The program ends with the event loop."""
         self._time.close()
 
     # -- discovery -------------------------------------------------------------------------------------
@@ -205,12 +208,12 @@
         return endpoint_answer(self.version, rows)
 
     def report_endpoints(self, **statuses: str) -> None:
-        """Answers the program's call with a list of all servers, which have these statuses, or `SERVING`."""
+        """Answers the program's call to discovery with all servers, in these statuses, or else `SERVING`."""
         self.version += 1
         self.discovery_connection.sendall(http_answer(self._endpoint_list(statuses)))
 
     def server_actor(self, name: str = "s1") -> ServerActor:
-        """Returns the actor of a listed server, created if necessary."""
+        """Returns the actor of a listed server, and creates it if there is none."""
         actor = self.program.servers.get(name)
         assert actor is not None
         return actor
@@ -218,14 +221,14 @@
     # -- sockets ---------------------------------------------------------------------------------------
 
     def connect_client(self, data: bytes = b"") -> socket.socket:
-        """Returns a client's connection, on which these bytes have been sent."""
+        """Connects a client, and sends these bytes."""
         sock = socket.create_connection(("127.0.0.1", self.port))
         if data:
             sock.sendall(data)
         return self.keep(sock)
 
     def keep(self, sock: socket.socket) -> socket.socket:
-        """Makes a socket non-blocking, and keeps it open."""
+        """Makes a socket non-blocking, and keeps a reference to it, so that it stays open."""
         sock.setblocking(False)
         self.open_sockets.append(sock)
         return sock
@@ -237,7 +240,7 @@
         return self.keep(sock)
 
     def accept_queued(self, listener: socket.socket) -> list[socket.socket]:
-        """Accepts the connections that are queued at a listener now."""
+        """Accepts the connections that are in the accept queue of a listener now."""
         accepted = []
         with contextlib.suppress(BlockingIOError):
             while True:
@@ -254,7 +257,7 @@
     # -- time ------------------------------------------------------------------------------------------
 
     async def advance(self, ms: float) -> None:
-        """Advances the program's clock in small steps, and runs the loop between them."""
+        """Advances the program's clock in small steps, and runs the event loop between them."""
         await self._time.advance(ms)
 
     async def advance_until(self, is_reached: Callable[[], bool], timeout_s: float = WAIT_TIMEOUT_S) -> None:
@@ -268,7 +271,7 @@
                 await self.advance(CLOCK_STEP_MS)
 
     async def run_loop(self) -> None:
-        """Runs the loop ten times, and until the kernel has delivered and connected what is under way."""
+        """Runs the event loop ten times, and until the kernel has delivered all data and completed all connects."""
         await self._time.run_loop()
 
     # -- requests --------------------------------------------------------------------------------------
@@ -298,7 +301,7 @@
         await wait_until(attempt_has_reached)
 
     def reject_request(self, connection: ClientConnection) -> None:
-        """Rejects a request as routing does: it forgets the request, and the answer is in the connection's mailbox."""
+        """Rejects a request as routing does: discards it in routing, and posts the rejection to its connection."""
         balancer = self.program.routing.balancer
         request_id = connection.request_line.request_id
         if request_id in balancer.requests:
@@ -319,7 +322,7 @@
 
 
 def run_on_rig(scenario: Callable[[LoopbackRig], Awaitable[None]]) -> None:
-    """Runs a scenario on a rig of its own. For drawn tests, which need a rig for each example."""
+    """Runs a scenario on a rig of its own. For Hypothesis tests, which need a new rig for each example."""
 
     async def run() -> None:
         rig = LoopbackRig()
--- a/tests/net/settings.py
+++ b/tests/net/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the platform that tests of net use."""
+"""The routing settings that the tests of `glenrock.net` use."""
 
 from __future__ import annotations
 
@@ -28,5 +28,5 @@
 
 
 def caps(**changes: object) -> dict[str, object]:
-    """Returns the part `caps` of the settings, with changes."""
+    """Returns the section `caps` of the settings, with these changes."""
     return {**SETTINGS["caps"], **changes}
--- a/tests/net/single_server_rig.py
+++ b/tests/net/single_server_rig.py
@@ -1,4 +1,4 @@
-"""A program with the real clock and one server, whose answer to a request is named in the request's id."""
+"""The program with the real clock and one server. The id of a request says how the server and the client behave."""
 
 from __future__ import annotations
 
@@ -23,16 +23,16 @@
 
 
 class Behaviour(StrEnum):
-    """What a client and its server do. The first word of a request's id names it.
+    """What a client and its server do. A request id begins with the value and a hyphen.
 
     Attributes:
         ESTABLISHED: the connection is established, and the server echoes lines.
         REJECTED: the server rejects the request.
         FAILED: the server fails the request.
-        EARLY: the client sends a line before its answer.
+        EARLY: the client sends a line before it has its answer.
         LEAVES: the client resets the connection at about the time of its answer.
         SILENT: the client resets the connection, and the server does not answer.
-        FLOODS: the server sends without end, and the client resets the connection after a while.
+        FLOODS: the server sends without end, and the client, which reads only the answer, resets the connection.
     """
 
     ESTABLISHED = "up"
@@ -45,15 +45,15 @@
 
 
 class SingleServerRig:
-    """A program, its server, and clients that end their connections in various ways.
+    """The program, its server, and clients that end their connections in various ways.
 
     Attributes:
         program: the program.
-        port: where it accepts clients.
+        port: the port where the program accepts clients.
     """
 
     async def open(self) -> None:
-        """Starts the server and the program. Discovery is silent."""
+        """Starts the server and the program. Discovery does not answer."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self._silent_discovery = socket.create_server(("127.0.0.1", 0))
         port = self._server.sockets[0].getsockname()[1]
@@ -73,7 +73,7 @@
         self.connections = self.program.connections.by_id
 
     def close(self) -> None:
-        """Closes the listening sockets of the server and of discovery. The program ends with the loop."""
+        """Closes the listening sockets of the server and of discovery. The program ends with the event loop."""
         self._server.close()
         self._silent_discovery.close()
 
@@ -90,7 +90,7 @@
             case Behaviour.FLOODS:
                 writer.write(b"UP r\r\n")
                 with contextlib.suppress(OSError):
-                    while True:  # the client does not read, so that the write blocks
+                    while True:  # the client does not read, so the write blocks
                         writer.write(b"x" * FLOOD_BYTES)
                         await writer.drain()
             case Behaviour.REJECTED:
@@ -104,7 +104,7 @@
     # -- clients ---------------------------------------------------------------------------------------
 
     async def run_client(self, behaviour: Behaviour, number: int, cuts: list[int]) -> None:
-        """Sends a request line in pieces that end at `cuts`, and then behaves as named."""
+        """Sends a request line in pieces, split at the offsets `cuts`, and then behaves as `behaviour` says."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
         line = b"OPEN %s-%d %x c=look,d=1000\r\n" % (behaviour.encode(), number, number)
         position = 0
@@ -114,7 +114,7 @@
             await asyncio.sleep(0.001)
         writer.write(line[position:])
         match behaviour:
-            case Behaviour.LEAVES | Behaviour.SILENT:  # before UP, or during it
+            case Behaviour.LEAVES | Behaviour.SILENT:  # at about the time of the server's answer, if there is one
                 await asyncio.sleep(0 if number % 2 else 0.02)
                 writer.transport.abort()
             case Behaviour.FLOODS:
@@ -135,16 +135,20 @@
             assert await reader.readline() == b"hello\r\n"
         writer.close()
 
-    # -- what is left ----------------------------------------------------------------------------------
+    # -- the state of the program ----------------------------------------------------------------------
 
     async def wait_until_idle(self) -> None:
-        """Waits at most 3 s until no connection is left."""
+        """Waits until no connection is open.
+
+        Raises:
+            AssertionError: a connection is still open after 3 s.
+        """
         for _ in range(IDLE_POLLS):
             if not self.connections and not self.program.acceptor.tasks:
                 return
             await asyncio.sleep(IDLE_POLL_S)
-        raise AssertionError(f"left: {list(self.connections)}, {len(self.program.acceptor.tasks)} connections")
+        raise AssertionError(f"still open: {list(self.connections)}, {len(self.program.acceptor.tasks)} acceptor tasks")
 
     def outcome_counts(self) -> dict[ConnectionOutcome, int]:
-        """Returns the numbers of ended connections by outcome, without zeros."""
+        """Returns the number of connections by outcome, without zeros."""
         return {outcome: counts["look"] for outcome, counts in self.metrics.outcomes.items() if counts["look"]}
--- a/tests/net/test_answers_and_decisions.py
+++ b/tests/net/test_answers_and_decisions.py
@@ -1,4 +1,4 @@
-"""Answers of servers that cross decisions of routing, migrations and the end of the process."""
+"""Answers of servers that arrive together with a decision of routing, a migration or the end of the process."""
 
 from __future__ import annotations
 
@@ -71,7 +71,7 @@
 
 @pytest.mark.parametrize("server_reads", [True, False])
 async def test_client_migrates_while_its_server_hangs_within_a_line(rig: LoopbackRig, server_reads: bool) -> None:
-    """Also while the client's bytes fill the buffers to a server that does not read."""
+    """Also if the server does not read, and the client has filled all buffers towards it."""
     await rig.open()
     client, server_side = await rig.establish()
     server_side.sendall(b"whole\r\nhal")
@@ -122,7 +122,7 @@
     client = rig.connect_client(REQUEST_LINE)
     server_side = await rig.accept_request("s1")
     server_side.sendall(ESTABLISHED_LINE)
-    rig.clock.advance(1500)  # no iteration of the loop between
+    rig.clock.advance(1500)  # the event loop does not run between the answer and the timeout
     assert await read_to_end(server_side) == (b"", StreamEnd.FIN)
     data, end = await read_to_end(client)
     assert data.split()[0] in (b"BUSY", b"ERR")
@@ -133,7 +133,7 @@
 async def test_partly_written_request_counts_as_possibly_executed(
     rig: LoopbackRig, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Its last byte may have been sent: a request that is not idempotent fails, and no other server gets it."""
+    """Its last byte may have been sent, so a request that is not idempotent fails and is not sent to another server."""
     monkeypatch.setattr(protocol, "with_remaining_wait", lambda line, ms: line + b"z" * (16 << 20))
     await rig.open("s1", "s2", effect="unsafe")
     client = rig.connect_client(REQUEST_LINE)
--- a/tests/net/test_client_disconnects.py
+++ b/tests/net/test_client_disconnects.py
@@ -1,4 +1,4 @@
-"""Clients that disconnect as their answer arrives, or while a connection to the server is being set up."""
+"""Clients that disconnect as their answer arrives, or while the connection to the server is being set up."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from .rig import close_socket, count_descriptors, create_listener, fill_backlog, wait_until
 from .single_server_rig import SingleServerRig
 
-MAX_OUTLIVED_S = 2.0  # the attempt's own timeout is 5 s
+MAX_CANCEL_S = 2.0  # shorter than the 5 s after which the attempt would end by itself
 
 
 def actor_of(rig: SingleServerRig) -> ServerActor:
@@ -50,10 +50,10 @@
     await wait_for_attempt(single_server)
     server_side, _ = await loop.sock_accept(listener)
     assert (await loop.sock_recv(server_side, 100)).startswith(b"OPEN wait-1 ")
-    # Both are in the kernel before the loop polls again, the answer first.
+    # The answer and the client's end are both in the kernel, in this order, before the event loop polls again.
     server_side.sendall(answer + b"\r\n")
     close_socket(client, reset)
-    async with asyncio.timeout(5):  # no later event makes up for an end that is missed
+    async with asyncio.timeout(5):  # if the program misses the client's end, no later event ends the connection
         with contextlib.suppress(ConnectionResetError):  # a reset is forwarded as a reset
             while await loop.sock_recv(server_side, 100):
                 pass
@@ -81,7 +81,7 @@
     client.close()
     closed_s = time.monotonic()
     await wait_until(lambda: not single_server.connections and not single_server.program.acceptor.tasks)
-    assert time.monotonic() - closed_s < MAX_OUTLIVED_S
+    assert time.monotonic() - closed_s < MAX_CANCEL_S
     assert attempt.task.done()
     assert attempt.sock is None
     assert count_descriptors() <= descriptors
--- a/tests/net/test_clients_that_leave.py
+++ b/tests/net/test_clients_that_leave.py
@@ -1,4 +1,4 @@
-"""Clients that leave while their request waits: no request line is sent for them."""
+"""Clients that disconnect while their request waits: no request line may be sent to a server for them."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 async def start_request_without_ready_server(rig: LoopbackRig) -> socket.socket:
-    """Starts the program with a server that drains, and a request that routing keeps. Returns the client's socket."""
+    """Starts the program with a draining server, and a request that waits in routing. Returns the client's socket."""
     await rig.open()
     rig.report_endpoints(s1="DRAINING")
     await rig.run_loop()
@@ -41,7 +41,7 @@
 
 
 async def leave_while_attempt_is_queued(rig: LoopbackRig, leave: Leave, monkeypatch: pytest.MonkeyPatch) -> None:
-    """The attempt is in the mailbox of the server's actor; the client's end is handled before its first step."""
+    """The attempt is still in the mailbox of the server's actor when the client's end is handled."""
     await rig.open()
     client = rig.connect_client(REQUEST_LINE)
     await wait_until(lambda: rig.connections)
@@ -74,7 +74,7 @@
 
 
 async def leave_between_attempts(rig: LoopbackRig, leave: Leave, _: pytest.MonkeyPatch) -> None:
-    """One server rejects the request, and the client's end is in the kernel together with that answer."""
+    """One server rejects the request, and the client leaves before the program reads that answer."""
     await rig.open("s1", "s2")
     client = rig.connect_client(REQUEST_LINE)
     accepted: dict[str, socket.socket] = {}
@@ -90,7 +90,7 @@
 
 
 async def leave_while_no_server_is_ready(rig: LoopbackRig, leave: Leave, _: pytest.MonkeyPatch) -> None:
-    """No server is ready; one becomes ready after the client has left."""
+    """No server is ready, and one becomes ready after the client has left."""
     client = await start_request_without_ready_server(rig)
     leave(client)
     await rig.run_loop()
@@ -99,7 +99,7 @@
 
 
 async def leave_while_resuming(rig: LoopbackRig, leave: Leave, _: pytest.MonkeyPatch) -> None:
-    """The connection is resumed at a server that does not listen yet; a timer retries it."""
+    """The client resumes a connection at a server that does not listen yet, and leaves before the retry."""
     await rig.open()
     listener = rig.listeners["s1"]
     address = listener.getsockname()
@@ -114,7 +114,7 @@
 
 
 async def leave_as_routing_decides(rig: LoopbackRig, leave: Leave, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Routing starts an attempt in the iteration of the loop in which the connection is closed."""
+    """Routing starts an attempt in the iteration of the event loop in which the client's end is handled."""
     client = await start_request_without_ready_server(rig)
     reports = rig.connections[REQUEST_ID].reports
     post_disconnected = reports.post_disconnected
@@ -129,21 +129,21 @@
 
 
 async def leave_before_accept(rig: LoopbackRig, leave: Leave, _: pytest.MonkeyPatch) -> None:
-    """The request line and the client's end are both in the kernel before the program accepts."""
+    """The client sends its request line and leaves before the program accepts the connection."""
     await rig.open()
     leave(rig.connect_client(REQUEST_LINE))
     await wait_until(lambda: rig.acceptor.tasks)
 
 
 async def leave_as_the_server_connects(rig: LoopbackRig, leave: Leave, monkeypatch: pytest.MonkeyPatch) -> None:
-    """The client's end and the server's connection are ready in one iteration; the server's actor runs first."""
+    """The client leaves and the server connects in one iteration of the event loop; the server's actor runs first."""
     await rig.open()
     actor = rig.server_actor()
     make_attempt = actor.attempt
 
     async def leave_then_make_attempt(attempt: ConnectionAttempt) -> AttemptResult:
         pump = rig.connections[REQUEST_ID].tasks[0]
-        pump.cancel()  # the pump does not run before the line is written
+        pump.cancel()  # so that it cannot report the client's end before the attempt
         await asyncio.wait([pump])
         leave(client)
         return await make_attempt(attempt)
--- a/tests/net/test_connection_ends.py
+++ b/tests/net/test_connection_ends.py
@@ -1,4 +1,4 @@
-"""Connections that end in every way: each is counted once, and releases all of its resources."""
+"""Connections that end in various ways: each is counted once, and releases its descriptors and tasks."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 async def run_random_clients(rig: SingleServerRig, rng: random.Random) -> Counter[Behaviour]:
-    """Runs 40 clients at once. Returns how many there were of each behaviour."""
+    """Runs 40 clients of random behaviour at once. Returns the number of clients by behaviour."""
     behaviours = [rng.choice(list(POSSIBLE_OUTCOMES)) for _ in range(40)]
     await asyncio.gather(
         *(
@@ -40,7 +40,7 @@
 
 
 def check_outcomes(counts: Counter[ConnectionOutcome], behaviours: Counter[Behaviour]) -> None:
-    """Checks that each client counts once, under an outcome that its behaviour allows."""
+    """Checks that each client is counted once, and that behaviours with only one possible outcome are counted so."""
     assert sum(counts.values()) == sum(behaviours.values()), (counts, behaviours)
     certain: Counter[ConnectionOutcome] = Counter()
     for behaviour, count in behaviours.items():
@@ -53,7 +53,7 @@
 async def test_each_connection_counts_once_and_releases_its_resources(
     single_server: SingleServerRig, seed: int
 ) -> None:
-    # Health checks and their pool open their connections before the descriptors are counted.
+    # These clients make the program open its health check connections before descriptors are counted.
     first_clients = [
         single_server.run_client(Behaviour.ESTABLISHED, 900 + number, []) for number in range(FIRST_CLIENTS)
     ]
@@ -68,10 +68,10 @@
     assert single_server.program.connections.count_open() == 0
     assert not single_server.program.routing.balancer.requests
     gc.collect()
-    for _ in range(100):  # the server's own connections end a few iterations of the loop later
+    for _ in range(100):  # the test server closes its connections a few iterations of the event loop later
         if count_descriptors() <= descriptors and len(asyncio.all_tasks()) <= tasks:
             return
         await asyncio.sleep(0.02)
     raise AssertionError(
-        f"{count_descriptors()} descriptors of {descriptors}, {len(asyncio.all_tasks())} tasks of {tasks}"
+        f"{count_descriptors()} descriptors, before {descriptors}; {len(asyncio.all_tasks())} tasks, before {tasks}"
     )
--- a/tests/net/test_exchanges.py
+++ b/tests/net/test_exchanges.py
@@ -1,4 +1,4 @@
-"""Recorded byte exchanges, played against the program. The form of the files: tests/exchanges/README.md."""
+"""Plays the recorded byte exchanges against the program. tests/exchanges/README.md describes the file format."""
 
 from __future__ import annotations
 
--- a/tests/net/test_idle_connections.py
+++ b/tests/net/test_idle_connections.py
@@ -1,4 +1,4 @@
-"""Connections without a request: at the end of the process, at their timeout, and pings."""
+"""Connections that have sent no request: at the end of the process, at their timeout, and after pings."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 async def test_queued_request_is_answered_when_accepting_ends(rig: LoopbackRig) -> None:
     await rig.open()
-    client = rig.connect_client(REQUEST_LINE)  # no iteration of the loop before accepting ends
+    client = rig.connect_client(REQUEST_LINE)  # the event loop does not run before accepting ends
     rig.acceptor.close_idle()
     data, end = await read_to_end(client)
     assert data.startswith(b"BUSY ")
@@ -84,7 +84,7 @@
     client = rig.connect_client(b"PING\r\n")
     assert await receive(client) == b"PONG\r\n"
     if late:
-        client.sendall(late)  # no iteration of the loop before the signal
+        client.sendall(late)  # the event loop does not run before the shutdown starts
 
     async def stop_and_read() -> bytes:
         await rig.program.shutdown.stop(True, None)
@@ -113,7 +113,7 @@
     await rig.run_loop()
     if late:
         client.sendall(late)
-    rig.clock.advance(IDLE_TIMEOUT_MS)  # without an iteration of the loop between
+    rig.clock.advance(IDLE_TIMEOUT_MS)  # the event loop does not run in between
     if late:
         server_side = await rig.accept_request("s1")
         server_side.sendall(ESTABLISHED_LINE)
@@ -154,4 +154,4 @@
     assert data.count(b"\n") == 1
     assert end is StreamEnd.FIN
     if server_side:
-        assert (await read_to_end(server_side)).data == b""  # the attempt has ended too
+        assert (await read_to_end(server_side)).data == b""  # the program has ended the attempt
--- a/tests/net/test_protocol.py
+++ b/tests/net/test_protocol.py
@@ -1,4 +1,4 @@
-"""Lines of the protocol, cut at any place."""
+"""Streams of protocol lines that arrive in chunks of any size."""
 
 from __future__ import annotations
 
--- a/tests/net/test_relays.py
+++ b/tests/net/test_relays.py
@@ -1,4 +1,4 @@
-"""Established connections: handover, floods, and a signal at the start."""
+"""Handover of established connections, clients that send too much too early, and SIGTERM right after the start."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
         await rig.run_loop()
         return is_accepted
 
-    # No iteration of the loop between this and the offer.
+    # The event loop does not run between this and the offer, so the pumps have not read the bytes yet.
     if late:
         client.sendall(late)
     else:
--- a/tests/net/test_unexpected_end.py
+++ b/tests/net/test_unexpected_end.py
@@ -1,4 +1,4 @@
-"""The end of a task that must not end."""
+"""An actor that fails: the program must end with an error that names it, instead of running on without it."""
 
 from __future__ import annotations
 
