--- a/glenrock/net/established_relay.py
+++ b/glenrock/net/established_relay.py
@@ -172,7 +172,7 @@
         return True
 
     async def _migrate_client(self) -> None:
-        """Sends the client its last lines and the request to migrate, and closes the connection."""
+        """Sends the client the server's last lines and the line that asks it to migrate, and ends the connection."""
         await self.stop_downstream_pump()
         line = self._final_lines()
         await self.detach_server()
