--- a/glenrock/net/client_connection.py
+++ b/glenrock/net/client_connection.py
@@ -1,4 +1,4 @@
-"""A client's connection: its request, the attempts to establish it, and the actor that relays it."""
+"""The actor of one client connection: handles the request, the attempts at servers, and then the relay."""
 
 from __future__ import annotations
 
@@ -9,59 +9,59 @@
 
 from ..log import get_logger
 from . import protocol
-from .attempt_outcomes import AttemptEnd, AttemptResult, Reach
+from .attempt_outcomes import AttemptEnd, AttemptProgress, AttemptResult
 from .connection_attempt import ConnectionAttempt
-from .connection_messages import AnswerNow, AttemptCompleted, FinalAnswer, MigrateClient, RelayEnd
+from .connection_messages import AttemptCompleted, DrainConnection, FinalAnswer, MigrateClient, RelayEvent
 from .established_relay import ConnectionOwner, EstablishedRelay
 from .metrics import ConnectionOutcome, FinalAnswerReason
 from .socket_io import close_socket
 
-RESUME_TIMEOUT_MS = 38_000.0  # the protocol gives up a connection that is not resumed after 40 s
-RESUME_UNLISTED_TIMEOUT_MS = 2000.0  # at a server that was never listed: the protocol requires an answer within 3 s
+RESUME_TIMEOUT_MS = 38_000.0  # by the protocol, a connection that is not resumed within 40 s is lost
+RESUME_UNLISTED_TIMEOUT_MS = 2000.0  # for a server that was never listed: the protocol requires an answer within 3 s
 RESUME_RETRY_MS = 250.0
-DECISION_MARGIN_MS = 20.0  # from the deadline to the answer without a decision; the protocol allows 58 ms
+DECISION_MARGIN_MS = 20.0  # after the deadline, a request that routing has not decided fails; the protocol allows 58 ms
 
 logger = get_logger(__name__)
 
 
 class ClientConnection(EstablishedRelay):
-    """The actor of one client, from its request on. It alone closes its sockets."""
+    """The actor of one client connection, from its request to its end. No other actor closes its sockets."""
 
     def __init__(self, owner: ConnectionOwner, sock: socket.socket, request_line: protocol.RequestLine) -> None:
         super().__init__(owner, sock, request_line)
         self._routing = owner.routing
         self._may_attempt = True
 
-    # -- decisions of routing (RoutedConnection) -------------------------------------------------------
+    # -- calls by the routing actor (RoutedConnection) -------------------------------------------------
 
     def start_attempt(self, server: str, timeout_ms: float) -> None:
-        """Sends the request to a server, unless the client has left or had its answer meanwhile."""
+        """Sends the request to a server, unless the client has left or been answered in the meantime."""
         if not self._may_attempt:
             return
         self.attempt_number += 1
         self._send_request(server, timeout_ms, ignores_endpoint_state=False)
 
     def cancel_attempt(self, attempt: int) -> None:
-        """Cancels the attempt of that number, unless it has ended."""
+        """Cancels the attempt with that number, unless it has completed."""
         if self.attempt and attempt == self.attempt_number and not self.established.is_set():
             self.attempt.cancel()
 
     def reject(self, retry_after_ms: float, reason: FinalAnswerReason = FinalAnswerReason.ADMISSION) -> None:
-        """Rejects the request: the client may retry after that time."""
-        self.mailbox.put_unbounded(FinalAnswer(protocol.busy_line(retry_after_ms), reason))
+        """Rejects the request; the client may retry after `retry_after_ms`."""
+        self.mailbox.put_unbounded(FinalAnswer(protocol.rejection_line(retry_after_ms), reason))
 
     def fail(self) -> None:
-        """Fails the request."""
-        self.mailbox.put_unbounded(FinalAnswer(protocol.FAILED, FinalAnswerReason.FAILED))
+        """Tells the client that its request failed."""
+        self.mailbox.put_unbounded(FinalAnswer(protocol.FAILURE_LINE, FinalAnswerReason.FAILED))
 
     def migrate(self) -> None:
-        """Asks the client to connect elsewhere."""
+        """Asks the client to migrate, that is to open a new connection."""
         self.mailbox.try_put(MigrateClient(AttemptOutcome.CANCELLED))
 
     # -- attempts --------------------------------------------------------------------------------------
 
     def _send_request(self, server: str, timeout_ms: float, ignores_endpoint_state: bool) -> None:
-        if not self._may_attempt:  # the retry timer of a resumed connection runs on after its client has left
+        if not self._may_attempt:  # the retry timer of a resumed connection may fire after its client has left
             return
         self.server = server
         attempt = ConnectionAttempt(
@@ -69,40 +69,40 @@
             timeout_ms,
             self.on_attempt_result,
             ignores_endpoint_state,
-            client_waits=self.client_waits,
+            is_client_waiting=self.is_client_waiting,
             request_id=self.request_line.request_id,
         )
         self.attempt = attempt
         actor = self._owner.servers.get(server)
         if actor is None or not actor.mailbox.try_put(attempt):
-            self.on_attempt_result(attempt, AttemptResult(AttemptEnd.NOT_SENT, Reach.NOT_CONNECTED))
+            self.on_attempt_result(attempt, AttemptResult(AttemptEnd.NOT_SENT, AttemptProgress.NOT_CONNECTED))
 
     def on_attempt_result(self, attempt: ConnectionAttempt, result: AttemptResult) -> None:
-        """Takes the result of an attempt."""
+        """Posts the result of an attempt to the mailbox."""
         self.mailbox.put_unbounded(AttemptCompleted(attempt, result))
 
-    def client_waits(self) -> bool:
-        """Returns whether the client still waits, by the state of its socket. Posts the client's end if it does not.
+    def is_client_waiting(self) -> bool:
+        """Peeks at the client's socket. Returns whether the client still waits; if not, posts how it ended.
 
-        The client's end and the connection to the server may be ready in the same iteration of the loop. If the attempt
-        runs before the upward pump, the pump has not reported the end yet.
+        The client's FIN or reset and the connection to the server may be ready in the same iteration of the event loop.
+        If the attempt runs before the upstream pump, the pump has not posted that event yet.
         """
         try:
             data = self.sock.recv(1, socket.MSG_PEEK)
         except (BlockingIOError, InterruptedError):
             return True
         except OSError:
-            end = RelayEnd.CLIENT_RST
+            end = RelayEvent.CLIENT_RST
         else:
-            end = RelayEnd.TOO_EARLY if data else RelayEnd.CLIENT_FIN
+            end = RelayEvent.EARLY_BYTES if data else RelayEvent.CLIENT_FIN
         self.mailbox.put_unbounded(end)
         return False
 
     # -- before the connection is established ----------------------------------------------------------
 
     async def run(self) -> None:
-        """Handles the request, and relays once the connection is established."""
-        self.start_upward_pump()
+        """Handles the request, and relays bytes once the connection is established."""
+        self.start_upstream_pump()
         resumes_at = self.request_line.resumes_at
         decision_timer = None
         try:
@@ -113,7 +113,7 @@
             if await self._establish(resumes_at):
                 if decision_timer:
                     decision_timer.cancel()
-                self.start_downward_pump()
+                self.start_downstream_pump()
                 await self.relay()
         finally:
             if decision_timer:
@@ -121,27 +121,32 @@
             await self._close()
 
     def _request_decision(self) -> asyncio.Handle:
-        """Asks routing for a decision. Returns the timer that answers the client if routing makes none.
+        """Asks routing for a decision. Returns the timer that fails the request if routing makes none.
 
-        Routing's own timer answers some milliseconds before the client's deadline, unless routing has failed.
+        Routing has a timer of its own, a few milliseconds before the client's deadline, so this timer expires only if
+        routing itself has failed.
         """
         due_ms = self.deadline_ms + DECISION_MARGIN_MS
-        timer = self.clock.call_at(due_ms, self.mailbox.put_unbounded, RelayEnd.OVERDUE)
+        timer = self.clock.call_at(due_ms, self.mailbox.put_unbounded, RelayEvent.TIMER_EXPIRED)
         if not self.reports.post_request():
             logger.warning("request rejected: routing mailbox full", request_id=self.request_line.request_id)
             self.reports.is_end_known = True
-            self.reject(self._owner.retry_after_ms, FinalAnswerReason.EVENTS)
+            self.reject(self._owner.retry_after_ms, FinalAnswerReason.MAILBOX_FULL)
         return timer
 
     async def run_taken_over(self) -> None:
-        """Relays a connection that was taken over from another process."""
+        """Relays bytes of a connection that was taken over from another process."""
         try:
             await self.relay()
         finally:
             await self._close()
 
     async def _establish(self, resumes_at: str | None) -> bool:
-        """Handles messages until the connection is established (True) or the client has its answer (False)."""
+        """Handles messages until the connection is established, or the client has left or been answered.
+
+        Returns:
+            Whether the connection is established.
+        """
         while True:
             message = await self.mailbox.get()
             match message:
@@ -149,15 +154,15 @@
                     self.reports.is_end_known = True
                     await self._answer(line, reason)
                     return False
-                case AnswerNow(retry_after_ms):
-                    await self._answer_now(retry_after_ms, resumes_at)
+                case DrainConnection(retry_after_ms):
+                    await self._drain_waiting_client(retry_after_ms, resumes_at)
                     return False
-                case RelayEnd.OVERDUE:
+                case RelayEvent.TIMER_EXPIRED:
                     logger.error("routing made no decision in time", request_id=self.request_line.request_id)
                     self.reports.post_disconnected()
-                    await self._answer(protocol.FAILED, FinalAnswerReason.OVERDUE)
+                    await self._answer(protocol.FAILURE_LINE, FinalAnswerReason.NO_DECISION)
                     return False
-                case RelayEnd():
+                case RelayEvent():
                     await self._handle_client_end(message, resumes_at)
                     return False
                 case AttemptCompleted(attempt, result) if attempt is self.attempt:
@@ -169,27 +174,28 @@
                     elif not await self._retry_resume(resumes_at):
                         return False
 
-    async def _answer_now(self, retry_after_ms: float, resumes_at: str | None) -> None:
-        """Answers a waiting client.
+    async def _drain_waiting_client(self, retry_after_ms: float, resumes_at: str | None) -> None:
+        """Answers a client whose request still waits, because the balancer drains or stops.
 
-        A rejection invites a retry, so it is sent only if a retry is harmless; otherwise the request fails.
+        A client retries after a rejection, so it gets one only if the request may safely run again; otherwise the
+        request fails.
         """
         may_retry = resumes_at is None and self._routing.may_reject(self.request_line.request_id)
         self.reports.post_disconnected()
-        line = protocol.busy_line(retry_after_ms) if may_retry else protocol.FAILED
+        line = protocol.rejection_line(retry_after_ms) if may_retry else protocol.FAILURE_LINE
         await self._answer(line, FinalAnswerReason.DRAINING)
 
-    async def _handle_client_end(self, end: RelayEnd, resumes_at: str | None) -> None:
+    async def _handle_client_end(self, end: RelayEvent, resumes_at: str | None) -> None:
         self._may_attempt = False
         if resumes_at is None:
             self.reports.post_disconnected()
-        if end is RelayEnd.TOO_EARLY:
+        if end is RelayEvent.EARLY_BYTES:
             logger.info("client sent bytes before its answer", request_id=self.request_line.request_id)
-            await self._answer(protocol.FAILED, FinalAnswerReason.UNSOUND)
+            await self._answer(protocol.FAILURE_LINE, FinalAnswerReason.MALFORMED)
         self.reports.count(ConnectionOutcome.LEFT)
 
     async def _retry_resume(self, resumes_at: str) -> bool:
-        """Schedules another attempt to resume the connection. Returns False if its time is up."""
+        """Schedules another attempt to resume the connection. Fails the request and returns False after the timeout."""
         servers = self._owner.servers
         may_be_listed = servers.was_ever_listed(resumes_at) or not servers.has_list
         timeout_ms = RESUME_TIMEOUT_MS if may_be_listed else RESUME_UNLISTED_TIMEOUT_MS
@@ -197,7 +203,7 @@
             logger.warning(
                 "connection could not be resumed", request_id=self.request_line.request_id, server=resumes_at
             )
-            await self._answer(protocol.FAILED, FinalAnswerReason.FAILED)
+            await self._answer(protocol.FAILURE_LINE, FinalAnswerReason.FAILED)
             return False
         at_ms = self.clock.now_ms() + RESUME_RETRY_MS
         self.clock.call_at(at_ms, self._send_request, resumes_at, RESUME_TIMEOUT_MS, True)
@@ -216,9 +222,9 @@
         self.reports.post_attempt_end(self.attempt_number, self.server, result.outcome, latency_ms, result.report)
 
     async def _answer(self, line: bytes, reason: FinalAnswerReason) -> None:
-        """Sends the final answer to a client without a connection.
+        """Sends the final answer to a client whose connection was not established.
 
-        The attempt in flight ends first, since the client may retry at once.
+        The attempt in flight is ended first, since the client may retry at once and would then have two attempts.
         """
         self._may_attempt = False
         self._owner.metrics.final_answers[reason] += 1
@@ -226,12 +232,12 @@
         await self.finish(line)
 
     def take_over(self, server: str, sock: socket.socket) -> None:
-        """Continues a relay of the predecessor, with its pumps running."""
+        """Takes over an established relay from the predecessor process, and starts its pumps."""
         self.server = server
         self.attempt_number = 0
         self.reports.is_counted = True
         self.attempt = ConnectionAttempt(
-            self.request_line.raw, 0, self.on_attempt_result, True, sock, reach=Reach.ESTABLISHED
+            self.request_line.raw, 0, self.on_attempt_result, True, sock, progress=AttemptProgress.ESTABLISHED
         )
         self.established.set()
         self.reports.post_open(server)
@@ -247,7 +253,7 @@
         close_socket(self.sock)
 
     async def _cancel_attempt_in_flight(self) -> None:
-        """Cancels the attempt, whether or not the server's actor has started it, and awaits its end."""
+        """Cancels an attempt that has not established the connection, and waits until its task has ended."""
         attempt = self.attempt
         if attempt and not self.established.is_set():
             attempt.cancel()
--- a/glenrock/net/connection_attempt.py
+++ b/glenrock/net/connection_attempt.py
@@ -1,4 +1,4 @@
-"""One attempt to establish a client's connection at a server."""
+"""One attempt to establish a client connection at a server."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from .attempt_outcomes import AttemptResult, Reach
+from .attempt_outcomes import AttemptProgress, AttemptResult
 
 
-def _always() -> bool:
+def _always_waiting() -> bool:
     return True
 
 
@@ -20,17 +20,17 @@
 
     Attributes:
         line: the client's request line.
-        timeout_ms: the time for the whole attempt.
+        timeout_ms: the time limit of the whole attempt.
         on_result: called once, with the result.
-        ignores_endpoint_state: whether the attempt is also made at a server that is draining or not listed, as it is to
-            resume a connection that the server has.
-        sock: the connection to the server.
-        received: bytes that came with the server's answer, that line included.
-        reach: how far the attempt has come.
-        started_ms: when the server's actor began it; 0 before.
+        ignores_endpoint_state: whether the attempt is also made at a server that is draining or not listed. True when a
+            connection that the server already has is resumed.
+        sock: the socket to the server; None before it is created and after it is closed.
+        received: the bytes read from the server, its answer line included, that are not relayed yet.
+        progress: how far the attempt has come.
+        started_ms: when the server's actor started it; 0 before.
         latency_ms: the time from its start to its result.
         is_cancelled: whether it was cancelled.
-        client_waits: returns whether the client still waits; called before the line is written.
+        is_client_waiting: returns whether the client still waits; called before the line is written.
         task: runs the attempt.
         request_id: for the log.
     """
@@ -41,16 +41,16 @@
     ignores_endpoint_state: bool = False
     sock: socket.socket | None = None
     received: bytes = b""
-    reach: Reach = Reach.NOT_CONNECTED
+    progress: AttemptProgress = AttemptProgress.NOT_CONNECTED
     started_ms: float = 0.0
     latency_ms: float = 0.0
     is_cancelled: bool = False
-    client_waits: Callable[[], bool] = _always
+    is_client_waiting: Callable[[], bool] = _always_waiting
     task: asyncio.Task[None] | None = field(default=None, repr=False)
     request_id: str = ""
 
     def cancel(self) -> None:
         """Cancels the attempt, whether or not the server's actor has started it."""
         self.is_cancelled = True
-        if self.task and self.started_ms:  # a task cancelled before its first step would never report
+        if self.task and self.started_ms:  # a task that is cancelled before it runs would never report a result
             self.task.cancel()
--- a/glenrock/net/metrics.py
+++ b/glenrock/net/metrics.py
@@ -1,4 +1,4 @@
-"""Counters of this process. Each is counted where its event happens; admin only reads them."""
+"""Counters of this process. The code where an event happens counts it; the admin interface only reads the counters."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 
 class ConnectionOutcome(StrEnum):
-    """The answer to a request. The values are names of metrics.
+    """How a request was answered. The values are names of metrics.
 
     Attributes:
         FULFILLED: the connection was established.
         THROTTLED: the request was rejected.
         FAULTED: the request failed.
-        LEFT: the client left before an answer.
+        LEFT: the client disconnected before it had an answer.
     """
 
     FULFILLED = "fulfilled"
@@ -32,34 +32,34 @@
     Attributes:
         ADMISSION: routing rejected the request.
         DESCRIPTORS: the descriptor limit allowed no further connection.
-        EVENTS: the mailbox of the routing actor was full.
+        MAILBOX_FULL: the mailbox of the routing actor was full.
         DRAINING: this balancer drains or stops.
         SHED: an idle connection was closed to free its descriptor.
-        UNSOUND: the first line was no valid request.
-        SILENT: no whole first line came in time.
+        MALFORMED: the request line was invalid, or the client sent bytes before its answer.
+        TIMED_OUT: no complete request line came in time.
         FAILED: routing failed the request.
-        OVERDUE: routing made no decision in time.
+        NO_DECISION: routing made no decision in time.
     """
 
     ADMISSION = "admission"
     DESCRIPTORS = "descriptors"
-    EVENTS = "events"
+    MAILBOX_FULL = "events"
     DRAINING = "draining"
     SHED = "shed"
-    UNSOUND = "unsound"
-    SILENT = "silent"
+    MALFORMED = "unsound"
+    TIMED_OUT = "silent"
     FAILED = "failed"
-    OVERDUE = "overdue"
+    NO_DECISION = "overdue"
 
     __hash__ = str.__hash__
 
 
 class ConnectionMetrics:
-    """Counters that start from 0 with the process.
+    """Counters of connections and system errors since the process started.
 
     Attributes:
         outcomes: connections by outcome and class; each connection is counted once.
-        attempts_written: attempts whose request line was written whole to a server.
+        attempts_written: attempts whose request line was completely written to a server.
         final_answers: connections that got a final answer instead of being established, by reason.
         system_errors: system calls that failed because of this machine, by the name of their errno.
     """
