--- a/glenrock/admin/operations.py
+++ b/glenrock/admin/operations.py
@@ -48,7 +48,7 @@
             attempts_written=metrics.attempts_written,
             open_requests=self._connections.count_open(),
             registry_entries=len(listed_servers),
-            out_of_rotation=self._routing.balancer.count_avoided(listed_servers),
+            out_of_rotation=self._routing.balancer.count_unavailable(listed_servers),
             final_answers=metrics.final_answers,
             system_errors=metrics.system_errors,
             descriptors=self._connections.descriptors_by_purpose(),
--- a/glenrock/net/connection_reports.py
+++ b/glenrock/net/connection_reports.py
@@ -34,7 +34,7 @@
         request_line = self._request_line
         return interface.Request(
             request_id=request_line.request_id,
-            service=request_line.class_name,
+            class_name=request_line.class_name,
             deadline_us=us_from_ms(self._deadline_ms),
             key=request_line.key,
             group=request_line.group,
--- a/glenrock/routing/admission.py
+++ b/glenrock/routing/admission.py
@@ -23,7 +23,7 @@
 from .server_index import ServerIndex
 from .slow_start import SlowStart
 from .state import Attempt, RoutedRequest
-from .waiting_queue import MAX_WAITING, NO_BUCKET, WaitingQueue
+from .waiting_queue import MAX_WAITING_CLIENTS, NO_BUCKET, WaitingQueue
 
 NO_CAP = float("inf")
 LAG_US = 4 * SECOND_US  # age of the counts that quotas use: gossip of that age has arrived or is lost
@@ -154,7 +154,7 @@
         An overloaded server drops its newest connections. Their clients lose their sessions and wait, or they
         would return at once and be dropped again.
         """
-        is_long_established = self.batch.now_us - attempt.sent_at_us > self.sessions.session_us
+        is_long_established = self.batch.now_us - attempt.sent_at_us > self.sessions.session_timeout_us
         keep_session = not request.server or is_long_established
         if attempt.outcome in DROP_OUTCOMES and not (request.server and keep_session):
             self._dropped += 1
@@ -259,7 +259,7 @@
         if self.quota > 0 and self.has_rejected_young_bucket:
             # Quota is left over while clients of younger buckets were rejected: those of the partial bucket
             # retry at other balancers. So more of the younger buckets may use the quota.
-            self.extra_buckets = min(2 * self.extra_buckets + 1, MAX_WAITING)
+            self.extra_buckets = min(2 * self.extra_buckets + 1, MAX_WAITING_CLIENTS)
         elif self.quota <= 0:
             self.extra_buckets = 0
         if self.has_rejected_young_bucket and free_load < NO_CAP:
--- a/glenrock/routing/balancer.py
+++ b/glenrock/routing/balancer.py
@@ -102,10 +102,10 @@
         """Builds the records and estimates."""
         settings, batch = self.settings, self.batch
         # A client whose connection broke returns within about the longest Retry-After.
-        session_us = max(MIN_SESSION_US, 2 * settings.max_retry_after_us)
+        session_timeout_us = max(MIN_SESSION_US, 2 * settings.max_retry_after_us)
         bucket_us = max(MIN_BUCKET_US, settings.max_retry_after_us)
         shortest_objective_us = min(kind.latency_objective_us for kind in settings.classes)
-        self.sessions = ClientSessions(batch, session_us)
+        self.sessions = ClientSessions(batch, session_timeout_us)
         self.waiting_queue = WaitingQueue(batch, bucket_us)
         self.connection_loads = ConnectionLoads()
         self.gossip = Gossip(
@@ -265,7 +265,7 @@
         request = self.requests.get(request_id)
         return request is None or self.retries.may_reject(request)
 
-    def count_avoided(self, server_ids: Iterable[str]) -> int:
+    def count_unavailable(self, server_ids: Iterable[str]) -> int:
         """Returns how many of these servers are suspended, ejected, not ready or not known."""
         found = (self.servers.get(server_id) for server_id in server_ids)
         return sum(
@@ -288,11 +288,11 @@
     def _on_request(self, event: Request) -> None:
         if event.request_id in self.requests:
             return
-        request = self._routed(event)
+        request = self._routed_request(event)
         # The platform counts costs per first attempt, so only first attempts add tokens to the budgets.
         if not event.is_returning and request.key not in self.waiting_queue:
-            self.health_checks.earn()
-            self.gossip.budget.earn()
+            self.health_checks.refill_budgets()
+            self.gossip.budget.refill()
         self.lifecycle.start(request)
 
     def _on_open_connection(self, event: OpenConnection) -> None:
@@ -300,16 +300,16 @@
         if server is None or event.request.request_id in self.requests:
             return
         self.endpoints.schedule_migration(server)
-        self.lifecycle.adopt(self._routed(event.request), server)
-        self.health_checks.earn()  # the connection began with a first attempt
+        self.lifecycle.adopt(self._routed_request(event.request), server)
+        self.health_checks.refill_budgets()  # the connection began with a first attempt
 
-    def _routed(self, event: Request) -> RoutedRequest:
-        request_class = self._classes.get(event.service) or self.settings.classes[0]
+    def _routed_request(self, event: Request) -> RoutedRequest:
+        request_class = self._classes.get(event.class_name) or self.settings.classes[0]
         if event.load > 0:
             load = float(event.load)
-            self.connection_loads.record(event.service, load)
+            self.connection_loads.record(event.class_name, load)
         else:
-            load = self.connection_loads.expected(event.service)
+            load = self.connection_loads.expected(event.class_name)
         key = event.request_id if event.key is None else event.key
         return RoutedRequest(event, request_class, key, load, self.batch.now_us)
 
@@ -319,12 +319,12 @@
             return
         if event.load is not None and event.load >= 0:
             # Without load hints, reported loads are the only source of the mean that new requests count as.
-            self.connection_loads.record(request.event.service, event.load)
+            self.connection_loads.record(request.event.class_name, event.load)
             self.sessions.change_load(request, event.load)
         server = self.servers.get(event.server_id)
         if server is None:
             return
-        server.last_heard_us = self.batch.now_us
+        server.last_heard_at_us = self.batch.now_us
         if event.message_us is None or not self._message_objective_us:
             return
         if self.loads.record_delay(server, event.message_us, self._message_objective_us):
--- a/glenrock/routing/client_sessions.py
+++ b/glenrock/routing/client_sessions.py
@@ -16,7 +16,7 @@
     """An admitted client: the load and the number of its connections."""
 
     load: float
-    last_seen_us: int
+    last_seen_at_us: int
     connections: int = 0
 
 
@@ -25,12 +25,12 @@
 
     Attributes:
         active_load: total load of all sessions.
-        session_us: a session without connections ends after this time.
+        session_timeout_us: a session without connections ends after this time.
     """
 
-    def __init__(self, batch: EventBatch, session_us: int) -> None:
+    def __init__(self, batch: EventBatch, session_timeout_us: int) -> None:
         self._batch = batch
-        self.session_us = session_us
+        self.session_timeout_us = session_timeout_us
         self.by_key: dict[int | str, Session] = {}
         self.active_load = 0.0
 
@@ -51,7 +51,7 @@
             self.active_load -= session.load
             session.load = 0.0
         session.connections += 1
-        session.last_seen_us = self._batch.now_us
+        session.last_seen_at_us = self._batch.now_us
         session.load += request.load
         self.active_load += request.load
 
@@ -61,7 +61,7 @@
         if session is None:
             return
         session.connections -= 1
-        session.last_seen_us = self._batch.now_us
+        session.last_seen_at_us = self._batch.now_us
         if session.connections > 0:
             session.load -= request.load
             self.active_load -= request.load
@@ -81,12 +81,12 @@
         request.load = load
 
     def expire(self) -> None:
-        """Ends sessions that have been without a connection for longer than `session_us`."""
-        oldest_us = self._batch.now_us - self.session_us
+        """Ends sessions that have been without a connection for longer than `session_timeout_us`."""
+        oldest_us = self._batch.now_us - self.session_timeout_us
         expired = [
             key
             for key, session in self.by_key.items()
-            if not session.connections and session.last_seen_us < oldest_us
+            if not session.connections and session.last_seen_at_us < oldest_us
         ]
         for key in expired:
             self.end(key)
--- a/glenrock/routing/endpoint_polling.py
+++ b/glenrock/routing/endpoint_polling.py
@@ -24,9 +24,9 @@
         self._batch = batch
         self._settings = settings
         self._rng = rng
-        self._next_us = 0
-        self._is_watching = False
-        self._failures = 0
+        self._next_call_us = 0
+        self._is_subscribed = False
+        self._consecutive_failures = 0
 
     def start(self) -> None:
         """Draws the time of the first call, so that balancers that start together do not call at once."""
@@ -34,23 +34,23 @@
             self._settings.poll_within_us / START_SPREAD_DIVISOR,
             self._settings.balancers * START_SPREAD_PER_BALANCER_US,
         )
-        self._next_us = self._batch.now_us + int(self._rng.random() * spread_us)
+        self._next_call_us = self._batch.now_us + int(self._rng.random() * spread_us)
 
     def record_failure(self) -> None:
         """Schedules the next call after a failure, with a backoff that doubles and jitter."""
-        self._is_watching = False
-        self._failures += 1
-        doubled_us = FIRST_BACKOFF_US * 2 ** min(self._failures, MAX_DOUBLINGS)
+        self._is_subscribed = False
+        self._consecutive_failures += 1
+        doubled_us = FIRST_BACKOFF_US * 2 ** min(self._consecutive_failures, MAX_DOUBLINGS)
         backoff_us = min(self._settings.poll_within_us / 2, doubled_us)
-        self._next_us = self._batch.now_us + int(backoff_us * (0.5 + self._rng.random() / 2))
+        self._next_call_us = self._batch.now_us + int(backoff_us * (0.5 + self._rng.random() / 2))
 
     def record_success(self) -> None:
         """Resets the backoff, after a list or a change of it arrived."""
-        self._failures = 0
+        self._consecutive_failures = 0
 
     def poll_if_due(self) -> None:
         """Requests the list if a call is due."""
-        is_due = self._batch.now_us >= self._next_us
-        if self._settings.must_poll_endpoints and not self._is_watching and is_due:
-            self._is_watching = True
+        is_due = self._batch.now_us >= self._next_call_us
+        if self._settings.must_poll_endpoints and not self._is_subscribed and is_due:
+            self._is_subscribed = True
             self._batch.emit(WatchEndpoints())
--- a/glenrock/routing/endpoint_table.py
+++ b/glenrock/routing/endpoint_table.py
@@ -23,7 +23,7 @@
 MAX_WEIGHT = 3.0
 
 
-class _Change(NamedTuple):
+class _PendingRingChange(NamedTuple):
     ring_change: RingChange[Server]
     is_in_zone: bool
 
@@ -49,13 +49,13 @@
         self.ring: HashRing[Server] = HashRing()
         self.zone_ring: HashRing[Server] = HashRing()
         self.index = ServerIndex(self.servers)
-        self._changes: list[_Change] = []
-        self._added = 0
+        self._pending_changes: list[_PendingRingChange] = []
+        self._added_count = 0
 
     def apply(self, event: EndpointList, requests: Mapping[str, RoutedRequest]) -> None:
         """Applies a list or changes. A server stays known while `requests` under way have attempts there."""
         if event.kind != EndpointListKind.CHANGES:
-            self._unlist_others(event, requests)
+            self._mark_others_unlisted(event, requests)
         sizes = [entry.size for entry in event.entries]
         mean_size = sum(sizes) / len(sizes) if sizes else 1.0
         for entry in event.entries:
@@ -65,17 +65,19 @@
             self._set_listed_ready(server, entry.state == EndpointState.READY)
             started_us = self._overrides.started_us(server.server_id, entry.started_us)
             if started_us > server.started_us:
-                self._restarted(server, started_us)
-        self._change_rings()
+                self._record_restart(server, started_us)
+        self._apply_ring_changes()
 
     def apply_override(self, event: OperatorOverride) -> None:
         """Suspends or resumes a server, as an operator demands."""
         changed = self._overrides.apply(event, self._batch.now_us)
         server = self.servers.get(event.server_id)
         if changed and server:
-            self._restarted(server, max(server.started_us, self._overrides.started_us(server.server_id, 0)))
+            self._record_restart(
+                server, max(server.started_us, self._overrides.started_us(server.server_id, 0))
+            )
             self._set_listed_ready(server, server.is_listed_ready)
-            self._change_rings()
+            self._apply_ring_changes()
 
     def schedule_migration(self, server: Server) -> None:
         """Sets the deadline to migrate off a server that is not ready, when a connection there is adopted."""
@@ -86,13 +88,13 @@
         """Returns the ready servers."""
         return self.index.ready
 
-    def _restarted(self, server: Server, at_us: int) -> None:
+    def _record_restart(self, server: Server, at_us: int) -> None:
         server.reset_for_restart(at_us)
-        self.index.add_starting(server)
+        self.index.add_warming(server)
 
-    def _unlist_others(self, event: EndpointList, requests: Mapping[str, RoutedRequest]) -> None:
-        named = {entry.server_id for entry in event.entries}
-        for server in [server for server in self.servers.values() if server.server_id not in named]:
+    def _mark_others_unlisted(self, event: EndpointList, requests: Mapping[str, RoutedRequest]) -> None:
+        listed_ids = {entry.server_id for entry in event.entries}
+        for server in [server for server in self.servers.values() if server.server_id not in listed_ids]:
             self._set_listed_ready(server, False)
             if (
                 event.kind == EndpointListKind.FULL
@@ -105,9 +107,9 @@
         server = Server(entry.server_id, entry.zone, entry.cell, stable_hash(entry.server_id))
         if mean_size > 0:
             server.weight = min(MAX_WEIGHT, max(MIN_INITIAL_WEIGHT, entry.size / mean_size))
-        server.order = self._added
-        server.added_us = self._batch.now_us
-        self._added += 1
+        server.order = self._added_count
+        server.first_listed_at_us = self._batch.now_us
+        self._added_count += 1
         self.servers[entry.server_id] = server
         return server
 
@@ -122,13 +124,13 @@
         server.migrate_by_us = 0 if is_ready else self._batch.now_us + self._migration_us
         is_in_zone = server.zone == self._settings.zone and self._settings.cross_zone_cost > 0
         change = RingChange(server, ring_points(server.hash), is_ready)
-        self._changes.append(_Change(change, is_in_zone))
+        self._pending_changes.append(_PendingRingChange(change, is_in_zone))
 
-    def _change_rings(self) -> None:
+    def _apply_ring_changes(self) -> None:
         """Applies all pending changes at once: thousands of single changes would take seconds."""
-        self.ring.change([change.ring_change for change in self._changes])
-        self.zone_ring.change([change.ring_change for change in self._changes if change.is_in_zone])
-        self._changes.clear()
+        self.ring.change([change.ring_change for change in self._pending_changes])
+        self.zone_ring.change([change.ring_change for change in self._pending_changes if change.is_in_zone])
+        self._pending_changes.clear()
 
 
 def _has_attempts(server: Server, requests: Mapping[str, RoutedRequest]) -> bool:
--- a/glenrock/routing/gossip.py
+++ b/glenrock/routing/gossip.py
@@ -66,7 +66,9 @@
     def forget_lost_peers(self) -> None:
         """Forgets silent balancers: the clients of a balancer that is gone reconnect to the others."""
         now_us = self._batch.now_us
-        lost = [index for index, peer in self.peers.items() if now_us - peer.heard_us > MAX_PEER_SILENCE_US]
+        lost = [
+            index for index, peer in self.peers.items() if now_us - peer.received_at_us > MAX_PEER_SILENCE_US
+        ]
         for index in lost:
             del self.peers[index]
 
--- a/glenrock/routing/group_affinity.py
+++ b/glenrock/routing/group_affinity.py
@@ -16,7 +16,7 @@
     def __init__(self) -> None:
         self._servers: dict[int, Server] = {}
 
-    def remember(self, group: int | None, server: Server) -> None:
+    def record_connection(self, group: int | None, server: Server) -> None:
         """Records that a connection of the group is open at the server; does nothing without a group."""
         if group is None:
             return
@@ -25,6 +25,6 @@
         if len(self._servers) > MAX_GROUPS:
             del self._servers[next(iter(self._servers))]
 
-    def server_of(self, group: int | None) -> Server | None:
+    def last_server(self, group: int | None) -> Server | None:
         """Returns the server where the group was last seen; None if it is not known."""
         return None if group is None else self._servers.get(group)
--- a/glenrock/routing/health_checks.py
+++ b/glenrock/routing/health_checks.py
@@ -19,7 +19,7 @@
 from .outlier_ejection import OutlierEjection
 from .server_selection import ServerSelection
 from .state import RoutedRequest, Server
-from .token_budget import HEALTH_CONNECTION_LIFETIME_US, MAX_HEALTH_CHECKS, TokenBudget
+from .token_budget import HEALTH_CONNECTION_LIFETIME_US, MAX_HEALTH_CHECK_TOKENS, TokenBudget
 
 HEALTH_CHECK_RESEND_US = SECOND_US  # a check without a result may be repeated after this time
 
@@ -44,25 +44,28 @@
         """Starts the rotation at a server that differs among balancers."""
         self._rotation = self.salt
 
-    def earn(self) -> None:
+    def refill_budgets(self) -> None:
         """Adds the tokens that a client's first attempt earns, for checks and for their connections."""
-        self.budget.earn()
-        self.connection_budget.earn()
+        self.budget.refill()
+        self.connection_budget.refill()
 
     def send(self, server: Server) -> bool:
         """Sends a health check to the server. Returns whether a check is in flight."""
         now_us = self.batch.now_us
-        if server.health_check_sent_us >= 0 and now_us - server.health_check_sent_us < HEALTH_CHECK_RESEND_US:
+        if (
+            server.health_check_sent_at_us >= 0
+            and now_us - server.health_check_sent_at_us < HEALTH_CHECK_RESEND_US
+        ):
             return True
         if not self.loads.has_reports or not self._try_spend(server):
             return False
-        server.health_check_sent_us = server.last_checked_us = now_us
+        server.health_check_sent_at_us = server.last_checked_at_us = now_us
         self.batch.emit(SendHealthCheck(server.server_id))
         return True
 
     def _try_spend(self, server: Server) -> bool:
         """Spends a token for the check, and in a large fleet another for a new connection."""
-        is_connected = self.batch.now_us - server.last_checked_us < HEALTH_CONNECTION_LIFETIME_US
+        is_connected = self.batch.now_us - server.last_checked_at_us < HEALTH_CONNECTION_LIFETIME_US
         needs_connection = self.endpoints.index.is_large and not is_connected
         if needs_connection and self.connection_budget.tokens < 1:
             return False
@@ -92,7 +95,7 @@
 
     def record_result(self, server: Server, event: HealthCheckResult) -> None:
         """Evaluates the result of a health check."""
-        server.health_check_sent_us = -1
+        server.health_check_sent_at_us = -1
         has_timed_out = event.outcome == AttemptOutcome.TIMEOUT
         if event.outcome == AttemptOutcome.SERVED:
             server.clear_failures()
@@ -121,7 +124,7 @@
         them are used: with few requests the reserved ones would be left, and overload would go unnoticed.
         """
         is_calm = self.loads.fleet_load < QUIET_LOAD and is_cap_open
-        reserved = MAX_HEALTH_CHECKS / 2 if is_calm else 1
+        reserved = MAX_HEALTH_CHECK_TOKENS / 2 if is_calm else 1
         if self.budget.tokens <= reserved or not self.endpoints.ring:
             return
         ready = self.endpoints.ready_servers()
@@ -159,4 +162,4 @@
         Without the salt, balancers that started together would check the same servers at the same times.
         """
         salted_hash = server.hash * (self.salt | 1) & MASK
-        return server.health_check_sent_us >= 0, server.reported_at_us, salted_hash
+        return server.health_check_sent_at_us >= 0, server.reported_at_us, salted_hash
--- a/glenrock/routing/interface.py
+++ b/glenrock/routing/interface.py
@@ -106,7 +106,7 @@
     _require(value in allowed, name, f"must be one of {', '.join(allowed)}")
 
 
-def _require_amount(value: float, name: str) -> None:
+def _require_non_negative(value: float, name: str) -> None:
     _require(0 <= value < MAX_SETTING, name, "must be a number, 0 or more")
 
 
@@ -143,7 +143,7 @@
         )
         _require(self.idempotency_window_us >= 0, "classes.idempotency_window_us", "must not be negative")
         _require(self.message_objective_us >= 0, "classes.message_objective_us", "must not be negative")
-        _require_amount(self.priority_weight, "classes.priority_weight")
+        _require_non_negative(self.priority_weight, "classes.priority_weight")
 
 
 @dataclass(frozen=True, slots=True)
@@ -224,7 +224,7 @@
         for name in ("max_retry_after_us", "answer_grace_us", "drain_grace_us", "slow_start_us"):
             _require(getattr(self, name) >= 0, name, "must not be negative")
         for name in ("cross_zone_cost", "health_check_cost", "gossip_cost", "migration_cost"):
-            _require_amount(getattr(self, name), name)
+            _require_non_negative(getattr(self, name), name)
         fraction = self.slow_start_initial_fraction
         _require(0 < fraction <= 1, "slow_start_initial_fraction", "must be above 0 and at most 1")
         _require(0 < self.slow_start_multiple < MAX_SETTING, "slow_start_multiple", "must be above 0")
@@ -237,7 +237,7 @@
         names = {request_class.name for request_class in self.classes}
         _require(len(names) == len(self.classes), "classes.name", "must be unique")
         for tenant in self.tenants:
-            _require_amount(tenant.connections, "tenants.connections")
+            _require_non_negative(tenant.connections, "tenants.connections")
         _require(self.balancers >= 1, "balancers", "must be 1 or more")
         _require(self.index >= 0, "index", "must not be negative")
         _require(self.max_attempts >= 1, "max_attempts", "must be 1 or more")
@@ -276,7 +276,7 @@
     """A client's request to open a connection.
 
     Attributes:
-        service: name of the request's class.
+        class_name: name of the request class.
         key: identity of the client; None if the request names none.
         group: affinity group, whose connections share servers where possible; None for no group.
         load: hint of the connection's usual load; 0 if there is none.
@@ -285,7 +285,7 @@
     """
 
     request_id: str
-    service: str
+    class_name: str
     deadline_us: int
     key: int | None = None
     group: int | None = None
--- a/glenrock/routing/load_estimation.py
+++ b/glenrock/routing/load_estimation.py
@@ -75,7 +75,7 @@
         for server in servers:
             if server.server_id not in self._with_history:
                 self._with_history[server.server_id] = server
-                if server.added_us <= self._last_round_us:
+                if server.first_listed_at_us <= self._last_round_us:
                     server.own_load_history = [TimedLoad(self._last_round_us, 0.0)]
         for server in list(self._with_history.values()):
             history = [past for past in server.own_load_history if now_us - past.at_us < OWN_LOAD_HISTORY_US]
@@ -134,12 +134,12 @@
             samples.append(DelaySample(now_us, delay_us / SECOND_US, server.own_load))
             server.delay_samples = samples
         if delay_us >= objective_us:
-            server.objective_missed_us = now_us
+            server.objective_missed_at_us = now_us
         return delay_us >= objective_us
 
     def misses_message_objective(self, server: Server) -> bool:
         """Returns whether messages at the server miss their objective now."""
-        return self._batch.now_us - server.objective_missed_us < DELAY_REPORT_VALID_US
+        return self._batch.now_us - server.objective_missed_at_us < DELAY_REPORT_VALID_US
 
     def was_slow_recently(self, server: Server) -> bool:
         """Returns whether slow messages were reported lately, so that a timed-out check shows overload."""
@@ -147,7 +147,7 @@
 
     def was_heard_recently(self, server: Server) -> bool:
         """Returns whether the server was heard lately, so that a timed-out check proves nothing."""
-        return self._batch.now_us - server.last_heard_us < DELAY_REPORT_VALID_US
+        return self._batch.now_us - server.last_heard_at_us < DELAY_REPORT_VALID_US
 
     @staticmethod
     def load_from_delays(server: Server) -> float:
@@ -176,7 +176,7 @@
         age_us = now_us - server.reported_at_us
         is_known = server.reported_load >= 0 and age_us < VALID_REPORT_US
         load = server.reported_load if is_known else min(self.fleet_load, 1.0)
-        is_newer_than_report = server.objective_missed_us > server.reported_at_us - MEAN_REPORT_AGE_US
+        is_newer_than_report = server.objective_missed_at_us > server.reported_at_us - MEAN_REPORT_AGE_US
         if self.misses_message_objective(server) and server.delay_samples and is_newer_than_report:
             return self.load_from_delays(server)
         if age_us < FRESH_REPORT_US:
--- a/glenrock/routing/migration.py
+++ b/glenrock/routing/migration.py
@@ -125,7 +125,7 @@
             wait_us = BACKLOG_US
         if self.batch.now_us - server.migrated_at_us < wait_us:
             return False
-        has_pending_check = server.health_check_sent_us >= 0
+        has_pending_check = server.health_check_sent_at_us >= 0
         return not has_pending_check or is_late
 
     def _relieved_load(self, is_scarce: bool, is_slow: bool) -> float:
--- a/glenrock/routing/operator_overrides.py
+++ b/glenrock/routing/operator_overrides.py
@@ -9,7 +9,7 @@
 
 from .interface import OperatorOverride
 
-MAX_REMEMBERED_RESUMPTIONS = 4096
+MAX_RECORDED_RESUMPTIONS = 4096
 
 
 class OperatorOverrides:
@@ -38,7 +38,7 @@
         self.suspended_servers.discard(event.server_id)
         self.resumed_at_us.pop(event.server_id, None)
         self.resumed_at_us[event.server_id] = at_us
-        if len(self.resumed_at_us) > MAX_REMEMBERED_RESUMPTIONS:
+        if len(self.resumed_at_us) > MAX_RECORDED_RESUMPTIONS:
             del self.resumed_at_us[next(iter(self.resumed_at_us))]
         return True
 
--- a/glenrock/routing/outlier_ejection.py
+++ b/glenrock/routing/outlier_ejection.py
@@ -94,8 +94,8 @@
 
     def cut_weight(self, server: Server) -> None:
         """Cuts the server's weight, at most once per feedback delay."""
-        if self.batch.now_us - server.weight_cut_us >= FEEDBACK_DELAY_US:
-            server.weight_cut_us = self.batch.now_us
+        if self.batch.now_us - server.weight_cut_at_us >= FEEDBACK_DELAY_US:
+            server.weight_cut_at_us = self.batch.now_us
             server.weight = max(MIN_WEIGHT, server.weight * WEIGHT_CUT_FACTOR)
 
     def record_reachable(self, server: Server) -> None:
--- a/glenrock/routing/request_lifecycle.py
+++ b/glenrock/routing/request_lifecycle.py
@@ -93,9 +93,9 @@
     def _route(self, request: RoutedRequest) -> None:
         """Sends the request to the best candidate, or lets it wait, or ends it."""
         may_attempt = self.concurrency.may_start() and self.retries.may_attempt(request)
-        request.candidates = self.selection.candidates(request) if may_attempt else []
+        request.candidates = self.selection.draw_candidates(request) if may_attempt else []
         if not request.candidates:
-            self._await_server_or_end(request)
+            self._await_server_or_answer(request)
         elif not self._await_checks(request):
             self._send_to_best(request)
 
@@ -120,9 +120,9 @@
     def _send_to_best(self, request: RoutedRequest) -> None:
         request.pending_checks.clear()
         self._awaiting_checks.pop(request.event.request_id, None)
-        server = self.selection.best(request)
+        server = self.selection.best_candidate(request)
         if server is None:
-            self._await_server_or_end(request)
+            self._await_server_or_answer(request)
         else:
             self._send(request, server)
 
@@ -135,13 +135,13 @@
         self.concurrency.record_sent()
         self.batch.emit(StartAttempt(request.event.request_id, server.server_id, timeout_us))
 
-    def _await_server_or_end(self, request: RoutedRequest) -> None:
+    def _await_server_or_answer(self, request: RoutedRequest) -> None:
         if request.attempt_is_in_flight:
             return
         if self.retries.may_wait(request):
             self._awaiting_server[request.event.request_id] = None
         else:
-            self._end(request)
+            self._reject_or_fail(request)
 
     def retry_waiting(self) -> None:
         """Routes, once a round, the requests that wait for a server."""
@@ -176,8 +176,8 @@
     def _record_connection(self, request: RoutedRequest, server: Server) -> None:
         server.connections[request.event.request_id] = request
         self.index.add_occupied(server)
-        server.last_heard_us = self.batch.now_us
-        self.affinity.remember(request.event.group, server)
+        server.last_heard_at_us = self.batch.now_us
+        self.affinity.record_connection(request.event.group, server)
 
     def end_attempt(self, event: AttemptEnded, is_balancer_draining: bool) -> None:
         """Handles the end of an attempt, or of the connection that it established.
@@ -201,7 +201,7 @@
             # The client of a connection that broke has no final answer yet.
             if not event.is_final and not request.event.is_midstream:
                 self.batch.emit(Fail(event.request_id))
-            self._forget(request, keep_session)
+            self._remove(request, keep_session)
         elif not request.is_answered:
             self._route(request)
 
@@ -223,7 +223,7 @@
     def client_disconnected(self, request_id: str) -> None:
         """Forgets the request of a client that closed its connection or cancelled."""
         if request := self.requests.get(request_id):
-            self._forget(request, keep_session=False)
+            self._remove(request, keep_session=False)
 
     def timer_fired(self, request_id: str) -> None:
         """Ends a request whose deadline is near, or sends one whose wait for health checks is over."""
@@ -231,7 +231,7 @@
         if request is None or request.is_answered:
             return
         if self.retries.is_overdue(request):
-            self._end(request)
+            self._reject_or_fail(request)
         elif request.pending_checks:
             self._send_to_best(request)
 
@@ -239,7 +239,7 @@
         self.batch.emit(Reject(request.event.request_id, self.retries.retry_after_us()))
         self.requests.pop(request.event.request_id, None)
 
-    def _end(self, request: RoutedRequest) -> None:
+    def _reject_or_fail(self, request: RoutedRequest) -> None:
         """Rejects or fails a request that was admitted and could not be served."""
         if request.is_answered:
             return
@@ -252,9 +252,9 @@
         else:
             self.batch.emit(Fail(request.event.request_id))
         self.waiting_queue.requeue(request)
-        self._forget(request, keep_session=False)
+        self._remove(request, keep_session=False)
 
-    def _forget(self, request: RoutedRequest, keep_session: bool) -> None:
+    def _remove(self, request: RoutedRequest, keep_session: bool) -> None:
         request_id = request.event.request_id
         if not request.server and request.attempt_is_in_flight:
             self.concurrency.record_cancelled()
--- a/glenrock/routing/retries.py
+++ b/glenrock/routing/retries.py
@@ -107,11 +107,11 @@
 
         It leaves time for a further attempt, and an attempt of a keyed request ends within the key's window.
         """
-        left_us = self.answer_due_us(request) - self.batch.now_us
-        timeout_us = left_us
+        remaining_us = self.answer_due_us(request) - self.batch.now_us
+        timeout_us = remaining_us
         if len(request.attempts) + 1 < self.settings.max_attempts:
-            least_us = MIN_CONNECT_TIMEOUTS * self.settings.connect_timeout_us
-            timeout_us = min(left_us, max(left_us * ATTEMPT_TIMEOUT_PERCENT // 100, least_us))
+            min_timeout_us = MIN_CONNECT_TIMEOUTS * self.settings.connect_timeout_us
+            timeout_us = min(remaining_us, max(remaining_us * ATTEMPT_TIMEOUT_PERCENT // 100, min_timeout_us))
         first = request.first_possibly_executed
         if first and request.request_class.idempotency == Idempotency.KEYED:
             last_us = _last_retry_us(first, request.request_class)
--- a/glenrock/routing/server_index.py
+++ b/glenrock/routing/server_index.py
@@ -21,7 +21,7 @@
         self._ready: list[Server] | None = None
         self._occupied: dict[str, Server] = {}
         self._suspects: dict[str, Server] = {}
-        self._starting: dict[str, Server] = {}
+        self._warming: dict[str, Server] = {}
 
     # -- changes ---------------------------------------------------------------------------------------
 
@@ -37,9 +37,9 @@
         """Adds a server that has just failed."""
         self._suspects[server.server_id] = server
 
-    def add_starting(self, server: Server) -> None:
+    def add_warming(self, server: Server) -> None:
         """Adds a server whose process has just started."""
-        self._starting[server.server_id] = server
+        self._warming[server.server_id] = server
 
     # -- queries ---------------------------------------------------------------------------------------
 
@@ -59,7 +59,7 @@
         """Returns the servers that hold connections of this balancer."""
         for server_id in [id_ for id_, server in self._occupied.items() if not server.connections]:
             del self._occupied[server_id]
-        return sorted(self._occupied.values(), key=_order)
+        return sorted(self._occupied.values(), key=_listing_order)
 
     def ready_without_suspects(self, now_us: int) -> list[Server]:
         """Returns the ready servers without a recent failure; the object `ready` itself if none failed."""
@@ -72,18 +72,16 @@
         self, servers: list[Server], is_warm: Callable[[Server], bool]
     ) -> tuple[list[Server], list[Server]]:
         """Splits servers into warm ones (the same list object if all are) and those that are warming up."""
-        for server_id, server in list(self._starting.items()):
+        for server_id, server in list(self._warming.items()):
             if is_warm(server):
-                del self._starting[server_id]
-        warming = (
-            [server for server in servers if server.server_id in self._starting] if self._starting else []
-        )
-        return _without(servers, self._starting), warming
+                del self._warming[server_id]
+        warming = [server for server in servers if server.server_id in self._warming] if self._warming else []
+        return _without(servers, self._warming), warming
 
 
 def _without(servers: list[Server], excluded: Collection[str]) -> list[Server]:
     return [server for server in servers if server.server_id not in excluded] if excluded else servers
 
 
-def _order(server: Server) -> int:
+def _listing_order(server: Server) -> int:
     return server.order
--- a/glenrock/routing/simulator_codec.py
+++ b/glenrock/routing/simulator_codec.py
@@ -184,7 +184,7 @@
 def _request_with_deadline(fields: Fields, deadline_us: int) -> Request:
     return Request(
         request_id=fields.text("msgId"),
-        service=fields.text("service"),
+        class_name=fields.text("service"),
         deadline_us=deadline_us,
         key=fields.optional_number("item"),
         group=fields.optional_number("channel"),
--- a/glenrock/routing/state.py
+++ b/glenrock/routing/state.py
@@ -44,13 +44,13 @@
         unreported_load: load sent there that no report can show yet, in total; `recent_sends` has its parts.
         own_load_history: this balancer's load there, round by round.
         own_load_at_report: the same, at the time that the last report describes.
-        health_check_sent_us: start of the health check in flight; below 0 if there is none.
-        last_checked_us: start of the last health check.
+        health_check_sent_at_us: start of the health check in flight; below 0 if there is none.
+        last_checked_at_us: start of the last health check.
         order: position in the order in which servers were first listed, from 0.
-        added_us: when the server was first listed.
-        last_heard_us: when its last set-up, load or report arrived.
+        first_listed_at_us: when the server was first listed.
+        last_heard_at_us: when its last set-up, load or report arrived.
         delayed_at_us: when slow messages were last reported.
-        objective_missed_us: when messages were last reported that missed their objective.
+        objective_missed_at_us: when messages were last reported that missed their objective.
         migrate_by_us: deadline for its clients to migrate, if it drains or is gone; 0 otherwise.
         connections: connections of this balancer there, by request id.
         slow_start_sends: load sent there during its slow start.
@@ -74,16 +74,16 @@
     own_load_history: list[TimedLoad] = field(default_factory=list)
     own_load_at_report: float = 0.0
     delay_samples: list[DelaySample] = field(default_factory=list)
-    weight_cut_us: int = NEVER_US
+    weight_cut_at_us: int = NEVER_US
     ejected_until_us: int = 0
     consecutive_failures: int = 0
-    health_check_sent_us: int = -1
-    last_checked_us: int = NEVER_US
+    health_check_sent_at_us: int = -1
+    last_checked_at_us: int = NEVER_US
     order: int = 0
-    added_us: int = NEVER_US
-    last_heard_us: int = NEVER_US
+    first_listed_at_us: int = NEVER_US
+    last_heard_at_us: int = NEVER_US
     delayed_at_us: int = NEVER_US
-    objective_missed_us: int = NEVER_US
+    objective_missed_at_us: int = NEVER_US
     migrated_at_us: int = NEVER_US
     migrate_by_us: int = 0
     connections: dict[str, RoutedRequest] = field(default_factory=dict)
@@ -176,7 +176,7 @@
     """The last gossip summary of another balancer."""
 
     stamp: int
-    heard_us: int
+    received_at_us: int
     active_load: float
     clients: int
     waiting: list[WaitingLoad]
--- a/glenrock/routing/token_budget.py
+++ b/glenrock/routing/token_budget.py
@@ -1,4 +1,4 @@
-"""Token budgets: the first attempts of clients earn tokens, and acts that have a cost spend them."""
+"""Token budgets: the first attempts of clients refill tokens, and acts that have a cost spend them."""
 
 from __future__ import annotations
 
@@ -8,29 +8,31 @@
 MIN_COST = 1e-4  # bounds a division
 
 HEALTH_CHECK_BUDGET = 0.016  # fraction of the platform's result that health checks may cost
-INITIAL_HEALTH_CHECKS = 10.0
-MAX_HEALTH_CHECKS = 60.0  # saved up
+INITIAL_HEALTH_CHECK_TOKENS = 10.0
+MAX_HEALTH_CHECK_TOKENS = 60.0  # saved up
 
 HEALTH_CONNECTION_LIFETIME_US = 8_000_000  # after a check; `UNUSED_TIMEOUT_MS` of net is the same
-CONNECTIONS_EARNED = 1.0  # per first attempt, so that health checks open no more connections than clients
-MAX_CONNECTIONS = 64.0  # at the start, and saved up
+CONNECTION_TOKENS_PER_ATTEMPT = (
+    1.0  # per first attempt, so that health checks open no more connections than clients
+)
+MAX_CONNECTION_TOKENS = 64.0  # at the start, and saved up
 
 GOSSIP_BUDGET = 0.004  # fraction of the platform's result that gossip may cost
-INITIAL_GOSSIP_BYTES = 1024.0  # times receivers
-MAX_SUMMARIES = 64.0  # saved up, per balancer
+INITIAL_GOSSIP_TOKENS = 1024.0  # times receivers
+MAX_SAVED_SUMMARIES = 64.0  # saved up, per balancer
 
 
 class TokenBudget:
     """Tokens, of which at most `maximum` are saved up."""
 
-    def __init__(self, initial: float, earned: float, maximum: float) -> None:
+    def __init__(self, initial: float, tokens_per_attempt: float, maximum: float) -> None:
         self.tokens = initial
-        self._earned = earned
+        self._tokens_per_attempt = tokens_per_attempt
         self._maximum = maximum
 
-    def earn(self) -> None:
+    def refill(self) -> None:
         """Adds the tokens that a client's first attempt earns."""
-        self.tokens = min(self._maximum, self.tokens + self._earned)
+        self.tokens = min(self._maximum, self.tokens + self._tokens_per_attempt)
 
     def try_spend(self, cost: float) -> bool:
         """Spends tokens. Returns False, and spends none, if there are too few."""
@@ -42,16 +44,18 @@
 
 def health_check_budget(settings: Settings) -> TokenBudget:
     """Returns the budget of health checks. A token pays for one check."""
-    earned = HEALTH_CHECK_BUDGET / max(settings.health_check_cost, MIN_COST)
-    return TokenBudget(INITIAL_HEALTH_CHECKS, earned, MAX_HEALTH_CHECKS)
+    tokens_per_attempt = HEALTH_CHECK_BUDGET / max(settings.health_check_cost, MIN_COST)
+    return TokenBudget(INITIAL_HEALTH_CHECK_TOKENS, tokens_per_attempt, MAX_HEALTH_CHECK_TOKENS)
 
 
 def health_connection_budget() -> TokenBudget:
     """Returns the budget of a large fleet's health check connections. A token pays for a new one."""
-    return TokenBudget(MAX_CONNECTIONS, CONNECTIONS_EARNED, MAX_CONNECTIONS)
+    return TokenBudget(MAX_CONNECTION_TOKENS, CONNECTION_TOKENS_PER_ATTEMPT, MAX_CONNECTION_TOKENS)
 
 
 def gossip_budget(settings: Settings) -> TokenBudget:
     """Returns the budget of gossip. A token pays for one byte to one receiver."""
-    earned = MAX_BYTES * GOSSIP_BUDGET / max(settings.gossip_cost, MIN_COST)
-    return TokenBudget(INITIAL_GOSSIP_BYTES, earned, MAX_SUMMARIES * MAX_BYTES * settings.balancers)
+    tokens_per_attempt = MAX_BYTES * GOSSIP_BUDGET / max(settings.gossip_cost, MIN_COST)
+    return TokenBudget(
+        INITIAL_GOSSIP_TOKENS, tokens_per_attempt, MAX_SAVED_SUMMARIES * MAX_BYTES * settings.balancers
+    )
--- a/glenrock/routing/waiting_queue.py
+++ b/glenrock/routing/waiting_queue.py
@@ -10,8 +10,8 @@
 from .event_batch import EventBatch
 from .state import RoutedRequest
 
-MAX_WAITING = 20_000  # clients; bounds the memory in a flood
-MAX_BUCKETS_UNSEEN = 4  # a client not seen for so many buckets is forgotten
+MAX_WAITING_CLIENTS = 20_000  # clients; bounds the memory in a flood
+CLIENT_EXPIRY_BUCKETS = 4  # a client not seen for so many buckets is forgotten
 NO_BUCKET = 1 << 62  # beyond all buckets, which may be negative on a clock near 0
 
 
@@ -21,7 +21,7 @@
 
     bucket: int
     load: float
-    last_seen_us: int
+    last_seen_at_us: int
 
 
 class WaitingQueue:
@@ -56,8 +56,8 @@
         """Adds a rejected client while the queue has space; one that waits already keeps its bucket."""
         client = self.clients.get(request.key)
         if client:
-            client.last_seen_us = self._batch.now_us
-        elif len(self.clients) < MAX_WAITING:
+            client.last_seen_at_us = self._batch.now_us
+        elif len(self.clients) < MAX_WAITING_CLIENTS:
             self.clients[request.key] = WaitingClient(bucket, request.load, self._batch.now_us)
 
     def requeue(self, request: RoutedRequest) -> None:
@@ -69,16 +69,16 @@
         """Returns the waiting load by bucket, of clients seen lately: others may wait elsewhere by now."""
         loads: dict[int, float] = {}
         for client in self.clients.values():
-            if self._batch.now_us - client.last_seen_us <= self.bucket_us:
+            if self._batch.now_us - client.last_seen_at_us <= self.bucket_us:
                 loads[client.bucket] = loads.get(client.bucket, 0.0) + client.load
         return loads
 
     def expire(self) -> None:
-        """Removes clients that have not retried for `MAX_BUCKETS_UNSEEN` buckets."""
-        max_unseen_us = MAX_BUCKETS_UNSEEN * self.bucket_us
+        """Removes clients that have not retried for `CLIENT_EXPIRY_BUCKETS` buckets."""
+        max_unseen_us = CLIENT_EXPIRY_BUCKETS * self.bucket_us
         now_us = self._batch.now_us
         expired = [
-            key for key, client in self.clients.items() if now_us - client.last_seen_us > max_unseen_us
+            key for key, client in self.clients.items() if now_us - client.last_seen_at_us > max_unseen_us
         ]
         for key in expired:
             del self.clients[key]
--- a/tests/admin/test_metrics.py
+++ b/tests/admin/test_metrics.py
@@ -40,13 +40,13 @@
     for name in names[::4]:
         balancer.servers[name].is_ready = False
     started_s = time.process_time()
-    assert balancer.count_avoided([*names, "never:1"]) == 1025
+    assert balancer.count_unavailable([*names, "never:1"]) == 1025
     assert time.process_time() - started_s < MAX_COUNT_S
 
 
 def test_count_avoided_includes_ejected_and_suspended_servers(make_harness: HarnessFactory) -> None:
     harness = make_harness()
-    assert harness.balancer.count_avoided(harness.balancer.servers) == 0
+    assert harness.balancer.count_unavailable(harness.balancer.servers) == 0
     harness.balancer.servers["a:1"].ejected_until_us = harness.balancer.batch.now_us + 1
     harness.deliver(interface.OperatorOverride("b:1", True))
-    assert harness.balancer.count_avoided(harness.balancer.servers) == 2
+    assert harness.balancer.count_unavailable(harness.balancer.servers) == 2
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -17,7 +17,7 @@
 
 from glenrock.routing import Balancer, interface
 
-T0 = 5_000_000_000
+START_US = 5_000_000_000
 """Start of simulated time, in microseconds."""
 SECOND = 1_000_000
 
@@ -61,10 +61,10 @@
         action_log: all actions so far.
     """
 
-    def __init__(self, harness_settings: interface.Settings, seed: int = 1) -> None:
-        self.settings = harness_settings
-        self.balancer = Balancer(harness_settings, seed)
-        self.now_us = T0
+    def __init__(self, balancer_settings: interface.Settings, seed: int = 1) -> None:
+        self.settings = balancer_settings
+        self.balancer = Balancer(balancer_settings, seed)
+        self.now_us = START_US
         self.timers: list[PendingTimer] = []
         self.action_log: list[LoggedAction] = []
         self._request_count = 0
@@ -98,12 +98,12 @@
         """Delivers an endpoint list of these servers; `fields` has further fields of each `interface.Endpoint`."""
         return self.deliver(interface.EndpointList(kind, tuple(interface.Endpoint(name, **fields) for name in names)))
 
-    def send_request(self, key: int | None = None, life_us: int = SECOND, **fields: Any) -> str:
-        """Delivers a request with a deadline in `life_us` and these `fields`. Returns its id."""
+    def send_request(self, key: int | None = None, deadline_in_us: int = SECOND, **fields: Any) -> str:
+        """Delivers a request with a deadline in `deadline_in_us` and these `fields`. Returns its id."""
         self._request_count += 1
         request_id = f"r{self._request_count}"
-        fields.setdefault("service", "read")
-        self.deliver(interface.Request(request_id, deadline_us=self.now_us + life_us, key=key, **fields))
+        fields.setdefault("class_name", "read")
+        self.deliver(interface.Request(request_id, deadline_us=self.now_us + deadline_in_us, key=key, **fields))
         return request_id
 
     def actions_for(self, request_id: str) -> list[interface.Action]:
--- a/tests/routing/scenarios.py
+++ b/tests/routing/scenarios.py
@@ -11,7 +11,7 @@
 from glenrock.routing.gossip_codec import encode
 from glenrock.routing.state import Server
 
-ENOUGH_ROUNDS = 10
+ROUNDS_TO_LEARN_CAPACITY = 10
 """Rounds after which usual capacities are known."""
 
 NO_CLIENTS_WAIT: tuple[tuple[int, float], ...] = ()
--- a/tests/routing/test_admission.py
+++ b/tests/routing/test_admission.py
@@ -10,7 +10,7 @@
 from glenrock.routing.admission import NO_CAP
 
 from .scenarios import (
-    ENOUGH_ROUNDS,
+    ROUNDS_TO_LEARN_CAPACITY,
     establish_requests,
     first_server,
     is_rejected_at_once,
@@ -187,7 +187,7 @@
 def test_few_slow_servers_do_not_close_the_cap(make_harness: HarnessFactory) -> None:
     loads = {"a:1": 0.5, "b:1": 0.5, "c:1": 0.6, "d:1": 0.5, "e:1": 0.6}
     harness = with_loaded_servers(make_harness, loads)
-    run_rounds(harness, loads, ENOUGH_ROUNDS)
+    run_rounds(harness, loads, ROUNDS_TO_LEARN_CAPACITY)
     run_rounds(harness, loads | {"d:1": 1.6, "e:1": 2.4}, 8)
     # Three healthy servers and two with 0.3 to 0.4 of their capacity bear 0.84 of the load; a plain mean allows 0.64.
     balancer = harness.balancer
--- a/tests/routing/test_layout.py
+++ b/tests/routing/test_layout.py
@@ -63,7 +63,7 @@
     assert path.stem in ADAPTERS or "sys" not in outside
 
 
-def test_imports_form_no_circle() -> None:
+def test_imports_have_no_cycle() -> None:
     remaining = {path.stem: siblings(path) for path in MODULES}
     while free := [name for name, needs in remaining.items() if not needs & remaining.keys()]:
         for name in free:
--- a/tests/routing/test_load_estimation.py
+++ b/tests/routing/test_load_estimation.py
@@ -114,7 +114,7 @@
     before = loads.load(server)
     cancel_connections(harness, list(server.connections)[1:])
     assert len(server.connections) == 1 and loads.load(server) == before
-    server.objective_missed_us = NEVER_US
+    server.objective_missed_at_us = NEVER_US
     assert loads.remaining_load_fraction(server) == 1.0
 
 
@@ -155,7 +155,7 @@
         harness.deliver()
         balancer.ejection.record_load(server, reported_load)
         balancer.capacity.server_capacity = 1000.0
-        server.health_check_sent_us, server.capacity_ratio = -1, 1.0
+        server.health_check_sent_at_us, server.capacity_ratio = -1, 1.0
         assert balancer.selection.expected_load(server) == pytest.approx(expected_load)
 
 
--- a/tests/routing/test_many_balancers.py
+++ b/tests/routing/test_many_balancers.py
@@ -6,7 +6,7 @@
 from typing import Any, NamedTuple
 
 import pytest
-from conftest import SECOND, T0, Harness, settings
+from conftest import SECOND, START_US, Harness, settings
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -134,12 +134,12 @@
 def test_guessed_mean_load_only_rises_and_is_bounded(loads: list[float], remaining: int) -> None:
     balancer = one_of_forty(names=NAMES[: len(loads)]).balancer
     warm = list(balancer.servers.values())
-    balancer.batch.now_us, balancer.loads.fleet_load = T0, sum(loads) / len(loads)
+    balancer.batch.now_us, balancer.loads.fleet_load = START_US, sum(loads) / len(loads)
     balancer.capacity.follow_membership(warm)
     before = balancer.loads.fleet_load
     balancer.capacity.follow_membership(warm[:remaining])
     assert before <= balancer.loads.fleet_load <= max(before, capacity_estimation.MAX_GUESSED_LOAD)
-    assert (balancer.capacity.servers_lost_us == T0) == (remaining < len(warm))
+    assert (balancer.capacity.servers_lost_us == START_US) == (remaining < len(warm))
 
 
 def test_single_connection_does_not_change_a_capacity() -> None:
@@ -212,7 +212,7 @@
 def test_no_sliding_window_exceeds_the_slow_start_budget(begin_ms: int) -> None:
     window_settings = settings(balancers=2, **SLOW_START_SETTINGS)
     window_us = window_settings.slow_start_window_us
-    batch, server = EventBatch(), Server("a:1", "", 0, 7, started_us=T0)
+    batch, server = EventBatch(), Server("a:1", "", 0, 7, started_us=START_US)
     servers = {server.server_id: server}
     loads = LoadEstimator(batch, window_settings)
     loads.fleet_load = 0.6
@@ -221,7 +221,7 @@
     budgets.reference_load = 100_000.0
     sent: list[SentLoad] = []
     for now_ms in range(begin_ms, 9000, 20):
-        batch.now_us = T0 + 1000 * now_ms
+        batch.now_us = START_US + 1000 * now_ms
         if budgets.headroom(server) >= 1000:
             budgets.record_sent(server, 1000)
             sent.append(SentLoad(batch.now_us, 1000))
--- a/tests/routing/test_migration.py
+++ b/tests/routing/test_migration.py
@@ -7,7 +7,7 @@
 from glenrock.routing import interface
 
 from .scenarios import (
-    ENOUGH_ROUNDS,
+    ROUNDS_TO_LEARN_CAPACITY,
     establish_requests,
     migrated_requests,
     receive_summary,
@@ -53,7 +53,7 @@
 def test_server_that_lost_capacity_is_emptied_before_it_is_full(make_harness: HarnessFactory) -> None:
     loads = dict.fromkeys(FOUR_SERVERS, 0.25)
     harness = with_loaded_servers(make_harness, loads, connections_each=10)
-    assert not migrated_requests(run_rounds(harness, loads, ENOUGH_ROUNDS))
+    assert not migrated_requests(run_rounds(harness, loads, ROUNDS_TO_LEARN_CAPACITY))
     migrated = set(migrated_requests(run_rounds(harness, loads | {"d:1": 0.9}, 3)))
     assert len(migrated) >= 6 and migrated <= set(harness.balancer.servers["d:1"].connections)
 
@@ -70,7 +70,7 @@
     loads = dict.fromkeys(FOUR_SERVERS, 0.75)
     harness = with_loaded_servers(make_harness, loads, connections_each=10)
     own_load = harness.balancer.sessions.active_load
-    for peer_load in [own_load] * ENOUGH_ROUNDS + [0.0] * ENOUGH_ROUNDS:
+    for peer_load in [own_load] * ROUNDS_TO_LEARN_CAPACITY + [0.0] * ROUNDS_TO_LEARN_CAPACITY:
         receive_summary(harness, 1, peer_load, 10)
         assert not migrated_requests(run_rounds(harness, loads, 1))
     assert min(server.capacity_ratio for server in harness.balancer.servers.values()) > 0.8
--- a/tests/routing/test_random_events.py
+++ b/tests/routing/test_random_events.py
@@ -124,15 +124,15 @@
 
     def _send_request(self) -> None:
         rng = self.rng
-        life_us = rng.choice([3_000, 20_000, 300_000, SECOND])
+        deadline_in_us = rng.choice([3_000, 20_000, 300_000, SECOND])
         request_id = self.harness.send_request(
             key=rng.randrange(60),
             group=rng.choice([None, rng.randrange(5)]),
-            life_us=life_us,
+            deadline_in_us=deadline_in_us,
             load=rng.choice([0, 500, 9000]),
             is_midstream=rng.random() < 0.05,
         )
-        self.deadlines_us[request_id] = self.harness.now_us + life_us
+        self.deadlines_us[request_id] = self.harness.now_us + deadline_in_us
 
     def _change_endpoint(self) -> None:
         now_us = self.harness.now_us
--- a/tests/routing/test_request_lifecycle.py
+++ b/tests/routing/test_request_lifecycle.py
@@ -9,7 +9,7 @@
 
 def test_request_without_outcome_gets_its_answer_before_the_deadline(make_harness: HarnessFactory) -> None:
     harness = make_harness()
-    request_id = harness.send_request(life_us=400_000)
+    request_id = harness.send_request(deadline_in_us=400_000)
     harness.advance(400_000)
     actions = harness.actions_for(request_id)
     assert any(isinstance(action, interface.Reject | interface.Fail) for action in actions)
--- a/tests/routing/test_retries.py
+++ b/tests/routing/test_retries.py
@@ -42,7 +42,7 @@
 ) -> None:
     """A connection established after the window could execute the request twice."""
     harness = make_harness(classes=(keyed_class(scope),))
-    request_id = harness.send_request(life_us=2 * SECOND)
+    request_id = harness.send_request(deadline_in_us=2 * SECOND)
     harness.advance(200_000)
     harness.end_attempt(request_id, interface.AttemptOutcome.BROKEN)
     harness.advance(20_000)
@@ -53,7 +53,7 @@
 
 def test_no_retry_that_a_paused_process_could_write_after_the_window(make_harness: HarnessFactory) -> None:
     harness = make_harness(classes=(keyed_class(interface.IdempotencyScope.ALL),))
-    request_id = harness.send_request(life_us=2 * SECOND)
+    request_id = harness.send_request(deadline_in_us=2 * SECOND)
     harness.advance(300_000)
     harness.end_attempt(request_id, interface.AttemptOutcome.BROKEN)
     harness.advance(2 * SECOND)
--- a/tests/routing/test_server_selection.py
+++ b/tests/routing/test_server_selection.py
@@ -6,7 +6,7 @@
 
 from glenrock.routing import interface
 
-from .scenarios import ENOUGH_ROUNDS, first_server, run_rounds, with_loaded_servers
+from .scenarios import ROUNDS_TO_LEARN_CAPACITY, first_server, run_rounds, with_loaded_servers
 
 
 def test_draining_server_receives_nothing(make_harness: HarnessFactory) -> None:
@@ -27,7 +27,7 @@
 def test_emptied_slow_server_counts_as_more_loaded_than_a_healthy_one(make_harness: HarnessFactory) -> None:
     loads = {"a:1": 0.5, "b:1": 0.5, "c:1": 0.5, "d:1": 0.5}
     harness = with_loaded_servers(make_harness, loads)
-    run_rounds(harness, loads, ENOUGH_ROUNDS)
+    run_rounds(harness, loads, ROUNDS_TO_LEARN_CAPACITY)
     run_rounds(harness, loads | {"d:1": 2.5}, 4)
     balancer = harness.balancer
     slow, healthy = balancer.servers["d:1"], balancer.servers["a:1"]
--- a/tests/routing/test_slow_start.py
+++ b/tests/routing/test_slow_start.py
@@ -68,7 +68,7 @@
     for step in range(100):
         for harness in harnesses:
             harness.now_us = started_us + 4 * SECOND + step * 40_000
-            request_id = harness.send_request(key=1000 + step, load=CONNECTION_LOAD, life_us=SECOND)
+            request_id = harness.send_request(key=1000 + step, load=CONNECTION_LOAD, deadline_in_us=SECOND)
             attempts = harness.attempts_of(request_id)
             if attempts and attempts[0].server_id == "cold:1":
                 sent_at_us.append(harness.now_us)
