--- a/glenrock/routing/balancer.py
+++ b/glenrock/routing/balancer.py
@@ -1,6 +1,6 @@
-"""The balancer: wires the parts of routing, dispatches events to them, and runs the round.
+"""The balancer: connects the modules of routing, dispatches events to them, and runs the periodic round.
 
-A process has one `Balancer`. It has no clock, does no I/O, and shares nothing with other balancers. The
+A process has one `Balancer`. It reads no clock, does no I/O, and shares no state with other balancers. The
 reasons for its decisions are in docs/design.md.
 """
 
@@ -58,14 +58,14 @@
 
 
 class Balancer:
-    """The decisions of one balancer.
+    """Makes the routing decisions of one balancer.
 
     Attributes:
-        settings: as given.
-        batch: the batch of events that is being handled; `batch.ignored_summaries` is for the log.
-        is_draining: the clients of this balancer migrate to the others.
+        settings: the settings, which do not change.
+        batch: the batch of events that is being handled; the caller logs `batch.ignored_summaries`.
+        is_draining: the clients of this balancer migrate to the other balancers.
         servers: known servers, by id.
-        requests: requests under way and their connections, by id.
+        requests: requests in progress and open connections, by request id.
     """
 
     def __init__(self, settings: Settings, seed: int) -> None:
@@ -75,7 +75,9 @@
         self._rng = random.Random(seed)  # noqa: S311 - draws need be repeatable, not secret
         salt = self._rng.getrandbits(64)
         self._classes = {request_class.name: request_class for request_class in settings.classes}
-        objectives_us = [kind.message_objective_us for kind in settings.classes if kind.message_objective_us]
+        objectives_us = [
+            class_.message_objective_us for class_ in settings.classes if class_.message_objective_us
+        ]
         self._message_objective_us = min(objectives_us, default=0)
         self._build_state(salt)
         self._build_server_policies()
@@ -99,12 +101,12 @@
         }
 
     def _build_state(self, salt: int) -> None:
-        """Builds the records and estimates."""
+        """Builds the records of servers, sessions and peers, and the load estimates."""
         settings, batch = self.settings, self.batch
-        # A client whose connection broke returns within about the longest Retry-After.
+        # A client whose connection broke reconnects within about the longest Retry-After.
         session_timeout_us = max(MIN_SESSION_US, 2 * settings.max_retry_after_us)
         bucket_us = max(MIN_BUCKET_US, settings.max_retry_after_us)
-        shortest_objective_us = min(kind.latency_objective_us for kind in settings.classes)
+        shortest_objective_us = min(class_.latency_objective_us for class_ in settings.classes)
         self.sessions = ClientSessions(batch, session_timeout_us)
         self.waiting_queue = WaitingQueue(batch, bucket_us)
         self.connection_loads = ConnectionLoads()
@@ -174,7 +176,7 @@
         )
 
     def _build_load_policies(self, salt: int) -> None:
-        """Builds the policies that observe and bound the load of the servers."""
+        """Builds the policies that observe and limit the load of the servers."""
         settings, batch, rng = self.settings, self.batch, self._rng
         self.admission = AdmissionController(
             batch=batch,
@@ -212,7 +214,7 @@
         )
 
     def _build_lifecycle(self) -> None:
-        """Builds the handling of requests, which uses all policies."""
+        """Builds the request lifecycle, which applies all policies."""
         self.lifecycle = RequestLifecycle(
             batch=self.batch,
             settings=self.settings,
@@ -231,14 +233,14 @@
             migration=self.migration,
         )
 
-    # -- calls of the owner --------------------------------------------------------------------------
+    # -- public methods ------------------------------------------------------------------------------
 
     def handle(self, now_us: int, events: Sequence[Event]) -> list[Action]:
-        """Handles a batch of events. Returns the actions to carry out, in order.
+        """Handles a batch of events. Returns the actions for the caller to execute, in order.
 
         Args:
-            now_us: the present time, which must not go back.
-            events: in the order in which they happened.
+            now_us: the current time, which must not be earlier than that of the previous batch.
+            events: the events, in the order in which they happened.
         """
         is_first_batch = not self.batch.now_us
         self.batch.begin(now_us)
@@ -252,16 +254,16 @@
         return self.batch.actions
 
     def schedule_round(self, at_us: int) -> None:
-        """Sets the timer of the next round. The caller does so after an error, since rounds must continue."""
+        """Sets the timer of the next round. The caller uses this after an error, so that rounds continue."""
         self.batch.set_timer(at_us, RoundTimer())
 
     def load_of(self, request_id: str) -> int:
-        """Returns the last known load of a request's connection; 0 if the request is not under way."""
+        """Returns the last known load of a request's connection; 0 if the request is not known."""
         request = self.requests.get(request_id)
         return int(request.load) if request else 0
 
     def may_reject(self, request_id: str) -> bool:
-        """Returns whether the request may be rejected; true for a request that is not known yet."""
+        """Returns whether the request may be rejected; True for a request that is not known yet."""
         request = self.requests.get(request_id)
         return request is None or self.retries.may_reject(request)
 
@@ -289,7 +291,7 @@
         if event.request_id in self.requests:
             return
         request = self._routed_request(event)
-        # The platform counts costs per first attempt, so only first attempts add tokens to the budgets.
+        # Costs are accounted per client, so only a client's first attempt adds tokens to the budgets.
         if not event.is_returning and request.key not in self.waiting_queue:
             self.health_checks.refill_budgets()
             self.gossip.budget.refill()
@@ -301,7 +303,7 @@
             return
         self.endpoints.schedule_migration(server)
         self.lifecycle.adopt(self._routed_request(event.request), server)
-        self.health_checks.refill_budgets()  # the connection began with a first attempt
+        self.health_checks.refill_budgets()  # the first attempt was made before this balancer started
 
     def _routed_request(self, event: Request) -> RoutedRequest:
         request_class = self._classes.get(event.class_name) or self.settings.classes[0]
@@ -318,7 +320,7 @@
         if request is None:
             return
         if event.load is not None and event.load >= 0:
-            # Without load hints, reported loads are the only source of the mean that new requests count as.
+            # If requests carry no load hints, only reported loads yield the expected load of new requests.
             self.connection_loads.record(request.event.class_name, event.load)
             self.sessions.change_load(request, event.load)
         server = self.servers.get(event.server_id)
@@ -359,9 +361,9 @@
         self.is_draining = event.is_draining
         self.gossip.send_at_next_round()
         if event.is_draining:
-            self.slow_start.clear_reference_load()  # the other balancers serve these clients from now on
+            self.slow_start.clear_reference_load()  # the other balancers take over these clients
 
-    # -- the round -----------------------------------------------------------------------------------
+    # -- periodic round ------------------------------------------------------------------------------
 
     def _run_round(self) -> None:
         self.schedule_round(self.batch.now_us + ROUND_US)
@@ -383,8 +385,8 @@
 
     def _update_estimates(self) -> None:
         peers = self.gossip.peers.values()
-        # Balancers carry unequal loads, most of all while one drains, so capacity follows the whole tier's
-        # load, scaled up for balancers that were not heard from.
+        # Capacity is estimated from the load of all balancers, since their loads differ, most of all while
+        # one drains. The sum is scaled up for balancers without a recent gossip summary.
         tier_load = self.gossip.tier_load() * self.settings.balancers / (1 + len(peers))
         self.capacity.update_server_capacity(tier_load, len(self.endpoints.index.ready))
         own_load = sum(request.load for request in self.requests.values() if request.server)
--- a/glenrock/routing/event_batch.py
+++ b/glenrock/routing/event_batch.py
@@ -1,4 +1,4 @@
-"""The batch of events that is being handled: its time, the resulting actions, and the pending timers."""
+"""The batch of events that is being handled: its time, the resulting actions, and pending timers."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 SECOND_US = 1_000_000
 ROUND_US = SECOND_US // 2
-"""Interval of the periodic work: load cap, quotas, migration, health checks, gossip."""
+"""Interval of the round, the periodic work: load cap, quotas, migration, health checks, gossip."""
 
 NEVER_US = -(1 << 40)
-"""A time before all others, for an event that has not happened yet."""
+"""A time before all others, which stands for an event that has not happened yet."""
 
 
 @dataclass(frozen=True, slots=True)
 class IgnoredSummary:
-    """A gossip summary that was ignored, and the reason."""
+    """A gossip summary that was ignored, with the reason."""
 
     peer_index: int
     reason: str
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True)
 class RequestTimer:
-    """A request's deadline is near, or its wait for health checks is over."""
+    """A request is near its deadline, or its wait for health checks is over."""
 
     request_id: str
 
@@ -38,12 +38,13 @@
 
 
 class EventBatch:
-    """State that all parts share while a batch is handled.
+    """State that all modules of routing share while a batch is handled.
 
     Attributes:
         now_us: time of the batch; 0 before the first one.
         actions: actions for the caller, in order.
-        ignored_summaries: gossip summaries of the batch that were ignored, for the log.
+        ignored_summaries: gossip summaries of the batch that were ignored; the caller logs them.
+        timers: pending timers, by timer id.
     """
 
     __slots__ = ("_next_timer_id", "actions", "ignored_summaries", "now_us", "timers")
@@ -56,21 +57,21 @@
         self._next_timer_id = 1
 
     def begin(self, now_us: int) -> None:
-        """Starts a batch at that time."""
+        """Starts a batch with the time `now_us`, without actions."""
         self.now_us = now_us
         self.actions = []
         self.ignored_summaries = []
 
     def emit(self, action: Action) -> None:
-        """Adds an action."""
+        """Adds an action for the caller."""
         self.actions.append(action)
 
     def set_timer(self, at_us: int, timer: Timer) -> None:
-        """Requests a timer, which `pop_timer` returns once it has fired."""
+        """Requests a timer that expires at `at_us`; `pop_timer` then returns it."""
         self.timers[self._next_timer_id] = timer
         self.emit(SetTimer(at_us, self._next_timer_id))
         self._next_timer_id += 1
 
     def pop_timer(self, timer_id: int) -> Timer | None:
-        """Returns the timer with that id; None if it was never set or has fired before."""
+        """Removes and returns the timer with that id; None if it was not set or has already fired."""
         return self.timers.pop(timer_id, None)
--- a/glenrock/routing/interface.py
+++ b/glenrock/routing/interface.py
@@ -1,7 +1,7 @@
-"""The public interface of the routing decisions: settings, events in, actions out.
+"""The public interface of the routing decisions: the settings, the events and the actions.
 
-All times are whole microseconds on the caller's clock. Load is work per second, in microseconds on a standard
-core, as the request's load hint states it. This module decides nothing.
+All times are whole microseconds on the caller's clock. A load is work per second, in microseconds of a
+standard core's time, as in the load hint of a request. This module contains data types only.
 """
 
 from __future__ import annotations
@@ -14,17 +14,17 @@
     """Whether a request may execute twice."""
 
     SAFE = "safe"
-    """It may execute any number of times."""
+    """The request may execute any number of times."""
     KEYED = "keyed"
-    """It carries an idempotency key, by which servers in its scope drop the duplicate."""
+    """The request carries an idempotency key, by which the servers in its scope drop duplicates."""
     UNSAFE = "unsafe"
-    """It must not execute twice."""
+    """The request must not execute twice."""
 
     __hash__ = str.__hash__
 
 
 class IdempotencyScope(StrEnum):
-    """Which servers drop the duplicate of a keyed request, relative to the server of its first attempt."""
+    """Which servers drop duplicates of a keyed request, relative to the server of its first attempt."""
 
     ALL = "all"
     ZONE = "zone"
@@ -34,7 +34,7 @@
 
 
 class EndpointState(StrEnum):
-    """State of a server in service discovery."""
+    """The state of a server in service discovery."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -47,11 +47,11 @@
     """What an `EndpointList` event carries."""
 
     CHANGES = "changes"
-    """Rows that changed; all other servers stay as they are."""
+    """The rows that changed; all other servers keep their state."""
     FULL = "full"
     """All servers."""
     CACHED = "remembered"
-    """All servers as of an earlier run, until discovery answers."""
+    """The list of an earlier run, which is used until service discovery answers."""
     FAILED = "failed"
     """No rows: the call to service discovery failed."""
 
@@ -66,34 +66,34 @@
     ERROR = "error"
     """The server reported an error."""
     FULL = "full"
-    """The server was full, and did not accept the attempt."""
+    """The server was full and did not accept the attempt."""
     TIMEOUT = "timeout"
     """The server did not answer in time."""
     NO_CONNECTION = "no_connection"
-    """The server did not get the whole request: no connection, or the request was written in part."""
+    """The server did not receive the whole request: the connection failed, or only a part was written."""
     BROKEN = "broken"
     """The connection broke."""
     CANCELLED = "cancelled"
-    """The client or this balancer cancelled it, or closed its connection."""
+    """The client or this balancer cancelled the attempt or closed the connection."""
     UNSENT = "unsent"
-    """It was not sent: the server drains or is gone, or this machine had no resources."""
+    """The attempt was not sent: the server drains or is gone, or this machine lacked resources."""
 
     __hash__ = str.__hash__
 
 
 ATTEMPT_OUTCOMES = tuple(AttemptOutcome)
 NOT_EXECUTED_OUTCOMES = frozenset((AttemptOutcome.FULL, AttemptOutcome.NO_CONNECTION, AttemptOutcome.UNSENT))
-"""Outcomes that prove that the request did not execute."""
+"""The outcomes that prove that the request did not execute."""
 
 LOAD_RATIO = "load_ratio"
 UTILIZATION = "utilization"
-"""Fields of a load report that the decisions read; all others are ignored."""
+"""The fields of a load report that affect decisions, with `LOAD_RATIO`; all others are ignored."""
 
 MAX_SETTING = 1e12
 
 
 class SettingsError(ValueError):
-    """A setting has an impossible value; the message names the field."""
+    """A setting has an invalid value; the message names the field."""
 
 
 def _require(condition: bool, name: str, requirement: str) -> None:
@@ -112,14 +112,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """Properties that all requests of a class share.
+    """The properties that all requests of a class share.
 
     Attributes:
-        latency_objective_us: target for the time to set up a connection.
-        deadline_us: longest time from a request's arrival to its final answer.
-        message_objective_us: target for the time of one message on an open connection; 0 if there is none.
-        priority_weight: weight of the class relative to the others.
-        idempotency_window_us: how long servers in the scope drop the duplicate of a keyed request.
+        latency_objective_us: target for the time to establish a connection.
+        deadline_us: longest time from the arrival of a request to its final answer.
+        message_objective_us: target for the duration of a message on an open connection; 0 if there is none.
+        priority_weight: weight of the class relative to the other classes.
+        idempotency_window_us: how long the servers in the scope drop duplicates of a keyed request.
     """
 
     name: str
@@ -132,7 +132,7 @@
     idempotency_window_us: int = 0
 
     def validate(self) -> None:
-        """Checks each field. Raises SettingsError, which names the first invalid one."""
+        """Checks each field. Raises SettingsError, which names the first invalid field."""
         _require(bool(self.name), "classes.name", "must not be empty")
         _require_member(self.idempotency, Idempotency, "classes.idempotency")
         _require_member(self.idempotency_scope, IdempotencyScope, "classes.idempotency_scope")
@@ -151,8 +151,8 @@
     """A tenant of the servers.
 
     Attributes:
-        connections: its quota over all balancers; 0 for no limit. Routing does not enforce it: it only bounds
-            the load that a gossip summary may plausibly state.
+        connections: quota of connections over all balancers; 0 for no limit. Routing does not enforce the
+            quota; it only uses it to bound the load that a valid gossip summary can state.
     """
 
     name: str
@@ -161,28 +161,32 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """Settings of a balancer, fixed for its lifetime. Impossible values raise SettingsError.
+    """The settings of a balancer, fixed for its lifetime. Invalid values raise SettingsError.
 
     Attributes:
-        index: number of this balancer among `balancers`.
+        index: index of this balancer, from 0.
+        balancers: number of balancers.
         tick_us: interval at which the caller fires due timers.
-        may_hedge: a second attempt may be in flight beside the first. Routing never uses it.
-        may_send_retry_after: a rejection states a delay, of at most `max_retry_after_us`.
+        may_hedge: a second attempt may be in flight beside the first. Routing does not use it.
+        may_send_retry_after: a rejection states a delay of at most `max_retry_after_us`.
         connect_timeout_us: longest time to establish a connection to a server.
-        must_poll_endpoints: the endpoint list comes only after a call, which is due within `poll_within_us`.
-        answer_grace_us: accepted delay of an answer after its deadline. Routing does not use it.
+        must_poll_endpoints: the balancer has to call service discovery to get the endpoint list, first within
+            `poll_within_us`.
+        answer_grace_us: tolerated delay of an answer after its deadline. Routing does not use it.
         drain_grace_us: time from the notice of a drain until the server closes. Routing does not use it.
-        slow_start_initial_fraction: part of its capacity that a server has when it starts; it has all of it
-            after `slow_start_us`.
+        slow_start_initial_fraction: fraction of its capacity that a server has when it starts; it has its
+            whole capacity after `slow_start_us`.
         slow_start_multiple: a server that is warming up fails if it receives more than this multiple of its
             capacity within `slow_start_window_us`.
         is_weighted_by_work: priority weights apply to work, not to requests. Routing does not use it.
         over_quota_weight: weight of a tenant's connections beyond its quota, 0 to 1. Routing does not use it.
         load_report_fields: names of the fields that health checks return.
-        has_message_delay_reports: servers report connections whose messages are slow.
-        cross_zone_cost: cost of one connection to another zone, as a part of the platform's result; the other
-            costs are in the same unit.
-        migration_cost: cost of one migration. Routing does not use it.
+        has_message_delay_reports: servers report the connections whose messages are slow.
+        cross_zone_cost: cost of one connection to another zone, as a fraction of the value of one served
+            client.
+        health_check_cost: cost of one health check, in the same unit.
+        gossip_cost: cost of one gossip summary of the maximum size to one balancer, in the same unit.
+        migration_cost: cost of one migration, in the same unit. Routing does not use it.
     """
 
     classes: tuple[RequestClass, ...]
@@ -248,11 +252,12 @@
 
 @dataclass(slots=True)
 class Endpoint:
-    """A server's row in service discovery.
+    """A row of the endpoint list: a server as listed by service discovery.
 
     Attributes:
-        size: relative capacity.
-        started_us: start of the server's process; 0 if unknown or long ago.
+        cell: group of servers within which idempotency keys may be valid, as `IdempotencyScope.CELL` states.
+        size: capacity relative to the other servers.
+        started_us: start time of the server's process; 0 if it is unknown or long ago.
     """
 
     server_id: str
@@ -265,7 +270,7 @@
 
 @dataclass(slots=True)
 class EndpointList:
-    """An answer of service discovery, the cached list of an earlier run, or a failed call."""
+    """An answer of service discovery, the cached list of an earlier run, or the notice of a failed call."""
 
     kind: EndpointListKind
     entries: tuple[Endpoint, ...] = ()
@@ -277,11 +282,11 @@
 
     Attributes:
         class_name: name of the request class.
-        key: identity of the client; None if the request names none.
+        key: identity of the client; None if the request states none.
         group: affinity group, whose connections share servers where possible; None for no group.
-        load: hint of the connection's usual load; 0 if there is none.
-        is_returning: the client reconnects after a break or a migration.
-        is_midstream: the connection is open already, and its packets are under way; only in the simulator.
+        load: load hint, the usual load of the connection; 0 if there is none.
+        is_returning: the client reconnects after its connection broke or was migrated.
+        is_midstream: the connection is already open and carries messages; only in the simulator.
     """
 
     request_id: str
@@ -305,7 +310,7 @@
 
 @dataclass(slots=True)
 class ConnectionEstablished:
-    """An attempt succeeded: the client has its first answer."""
+    """An attempt succeeded: the client has received its first answer."""
 
     request_id: str
     attempt_number: int
@@ -315,7 +320,12 @@
 
 @dataclass(slots=True)
 class ConnectionFeedback:
-    """A server's report on an open connection: its present load, or the present time of a message."""
+    """A server's report on an open connection: its current load, or the duration of a recent message.
+
+    Attributes:
+        load: current load of the connection; None if it is not reported.
+        message_us: duration of a message; None if it is not reported.
+    """
 
     request_id: str
     server_id: str
@@ -327,7 +337,9 @@
 class AttemptEnded:
     """An attempt, or the connection that it established, ended.
 
-    `is_final`: the client needs no further answer.
+    Attributes:
+        is_final: the client needs no further answer.
+        report: load report of the server, by field name; empty if there is none.
     """
 
     request_id: str
@@ -348,14 +360,18 @@
 
 @dataclass(slots=True)
 class TimerFired:
-    """The timer that `SetTimer` requested with this id is due."""
+    """The timer that `SetTimer` requested with this id has expired."""
 
     timer_id: int
 
 
 @dataclass(slots=True)
 class HealthCheckResult:
-    """The result of a health check."""
+    """The result of a health check.
+
+    Attributes:
+        report: load report of the server, by field name; empty if there is none.
+    """
 
     server_id: str
     outcome: AttemptOutcome
@@ -365,9 +381,10 @@
 
 @dataclass(slots=True)
 class OperatorOverride:
-    """An operator suspends a server, or resumes it. The override prevails over the endpoint list.
+    """An operator suspends or resumes a server. The override takes precedence over the endpoint list.
 
-    `at_us`: time at which the server was resumed; 0 for now.
+    Attributes:
+        at_us: time at which the server was resumed; 0 for now.
     """
 
     server_id: str
@@ -377,7 +394,7 @@
 
 @dataclass(slots=True)
 class DrainMode:
-    """This balancer starts or stops draining: its clients migrate to the other balancers."""
+    """This balancer starts or stops draining. While it drains, its clients migrate to other balancers."""
 
     is_draining: bool
 
@@ -411,7 +428,7 @@
 
 @dataclass(slots=True)
 class StartAttempt:
-    """Send the request to that server; cancel the attempt after `timeout_us`."""
+    """Send the request to the server, and cancel the attempt after `timeout_us`."""
 
     request_id: str
     server_id: str
@@ -420,7 +437,7 @@
 
 @dataclass(slots=True)
 class CancelAttempt:
-    """Cancel that attempt: its outcome is no longer needed."""
+    """Cancel the attempt: its outcome is no longer needed."""
 
     request_id: str
     attempt_number: int
@@ -450,7 +467,7 @@
 
 @dataclass(slots=True)
 class SetTimer:
-    """Deliver `TimerFired` with this id at that time."""
+    """Deliver `TimerFired` with `timer_id` at `at_us`."""
 
     at_us: int
     timer_id: int
@@ -458,21 +475,21 @@
 
 @dataclass(slots=True)
 class SendHealthCheck:
-    """Check whether a server answers, and ask for its load report."""
+    """Check whether the server answers, and request its load report."""
 
     server_id: str
 
 
 @dataclass(slots=True)
 class SendGossip:
-    """Send this summary, of at most 256 bytes, to every peer."""
+    """Send this gossip summary, of at most 256 bytes, to every other balancer."""
 
     data: bytes
 
 
 @dataclass(slots=True)
 class WatchEndpoints:
-    """Subscribe to changes of the endpoint list."""
+    """Request the endpoint list, and subscribe to its changes."""
 
 
 Action = (
--- a/glenrock/routing/request_lifecycle.py
+++ b/glenrock/routing/request_lifecycle.py
@@ -1,6 +1,6 @@
-"""The life of a request, from its arrival to the end of its connection.
+"""The lifecycle of a request, from its arrival to the end of its connection.
 
-Asks the policies for each decision, and emits the actions that follow.
+Consults the policies for each decision, and emits the resulting actions.
 """
 
 from __future__ import annotations
@@ -42,14 +42,15 @@
         AttemptOutcome.BROKEN,
     )
 )
+"""The outcomes that count as faults of the server and cut its weight."""
 
 
 @dataclass(eq=False)
 class RequestLifecycle:
-    """All requests under way.
+    """All requests in progress, and the connections that they established.
 
     Attributes:
-        requests: by id, until the request is rejected, or it or its connection has ended.
+        requests: by request id, until the request is rejected or fails, or its connection ends.
     """
 
     batch: EventBatch
@@ -72,7 +73,7 @@
     _awaiting_server: dict[str, None] = field(init=False, default_factory=dict)
 
     def start(self, request: RoutedRequest) -> None:
-        """Handles a request that has just arrived: admits and routes it, or rejects it."""
+        """Handles a request that has just arrived: admits it and selects a server, or rejects it."""
         self.requests[request.event.request_id] = request
         if not self.admission.admit(request):
             self._reject(request)
@@ -81,7 +82,7 @@
         self._route(request)
 
     def adopt(self, request: RoutedRequest, server: Server) -> None:
-        """Takes over a connection that was open at a server before this balancer started."""
+        """Records a connection that was open at a server before this balancer started."""
         request.attempts.append(Attempt(server, self.batch.now_us))
         request.server, request.is_answered = server, True
         self.requests[request.event.request_id] = request
@@ -91,7 +92,7 @@
     # -- attempts ------------------------------------------------------------------------------------
 
     def _route(self, request: RoutedRequest) -> None:
-        """Sends the request to the best candidate, or lets it wait, or ends it."""
+        """Sends the request to the best candidate. Without one, the request waits or is answered."""
         may_attempt = self.concurrency.may_start() and self.retries.may_attempt(request)
         request.candidates = self.selection.draw_candidates(request) if may_attempt else []
         if not request.candidates:
@@ -100,7 +101,7 @@
             self._send_to_best(request)
 
     def _await_checks(self, request: RoutedRequest) -> bool:
-        """Returns whether the request waits for load reports of its candidates."""
+        """Sends health checks to the candidates as needed. Returns whether the request waits for results."""
         request.pending_checks = self.health_checks.check_candidates(request)
         if not request.pending_checks:
             return False
@@ -109,7 +110,7 @@
         return True
 
     def finish_check(self, server_id: str) -> None:
-        """Handles the end of a health check: sends the requests that waited for no other check."""
+        """Handles the end of a health check: sends the requests that do not wait for another check."""
         requests = self._awaiting_checks.values()
         waiting = [request for request in requests if server_id in request.pending_checks]
         for request in waiting:
@@ -144,15 +145,15 @@
             self._reject_or_fail(request)
 
     def retry_waiting(self) -> None:
-        """Routes, once a round, the requests that wait for a server."""
+        """Routes the requests that wait for a server; called once per round."""
         for request_id in list(self._awaiting_server):
-            # The end of one request may have routed or ended another of this list.
+            # Routing one request may already have routed or removed another one of the list.
             if request_id in self._awaiting_server:
                 del self._awaiting_server[request_id]
                 self._route(self.requests[request_id])
 
     def _route_next_waiting(self) -> None:
-        """Routes the first waiting request at once, after a set-up has ended under a concurrency limit."""
+        """Routes the first waiting request if an attempt has ended while the concurrency limit applies."""
         if self._awaiting_server and self.concurrency.is_limited and self.concurrency.may_start():
             first = next(iter(self._awaiting_server))
             del self._awaiting_server[first]
@@ -161,7 +162,7 @@
     # -- outcomes of attempts ------------------------------------------------------------------------
 
     def establish(self, event: ConnectionEstablished) -> None:
-        """Handles an attempt that established its connection."""
+        """Handles an attempt that established a connection."""
         request = self.requests.get(event.request_id)
         if request is None or request.is_answered or not 0 <= event.attempt_number < len(request.attempts):
             return
@@ -183,8 +184,8 @@
         """Handles the end of an attempt, or of the connection that it established.
 
         Args:
-            event: how it ended.
-            is_balancer_draining: this balancer migrates its clients to the others, on an operator's call.
+            event: the attempt and its outcome.
+            is_balancer_draining: an operator drains this balancer, so its clients migrate to the others.
         """
         request = self.requests.get(event.request_id)
         if request is None or not 0 <= event.attempt_number < len(request.attempts):
@@ -198,7 +199,7 @@
             self._route_next_waiting()
         keep_session = self._record_outcome(request, attempt, is_balancer_draining)
         if event.is_final or request.server:
-            # The client of a connection that broke has no final answer yet.
+            # The client of a broken connection still needs a final answer.
             if not event.is_final and not request.event.is_midstream:
                 self.batch.emit(Fail(event.request_id))
             self._remove(request, keep_session)
@@ -206,8 +207,9 @@
             self._route(request)
 
     def _record_outcome(self, request: RoutedRequest, attempt: Attempt, is_balancer_draining: bool) -> bool:
-        """Records what the outcome shows of the server. Returns whether the client keeps its session."""
-        # The session of a client that migrates to another balancer would count at both for seconds.
+        """Records the outcome as evidence on the server. Returns whether the client keeps its session."""
+        # While this balancer drains, its clients migrate to other balancers. A session that was kept here
+        # would be counted at both balancers for some seconds.
         keep_session = not is_balancer_draining
         if attempt.outcome in SERVER_FAULT_OUTCOMES:
             self.ejection.cut_weight(attempt.server)
@@ -218,15 +220,15 @@
             self.health_checks.record_broken(attempt.server)
         return keep_session
 
-    # -- the end of a request ------------------------------------------------------------------------
+    # -- end of a request ----------------------------------------------------------------------------
 
     def client_disconnected(self, request_id: str) -> None:
-        """Forgets the request of a client that closed its connection or cancelled."""
+        """Removes the request of a client that closed its connection or cancelled the request."""
         if request := self.requests.get(request_id):
             self._remove(request, keep_session=False)
 
     def timer_fired(self, request_id: str) -> None:
-        """Ends a request whose deadline is near, or sends one whose wait for health checks is over."""
+        """Answers a request whose deadline is near, or sends one that has waited long enough for checks."""
         request = self.requests.get(request_id)
         if request is None or request.is_answered:
             return
@@ -240,7 +242,7 @@
         self.requests.pop(request.event.request_id, None)
 
     def _reject_or_fail(self, request: RoutedRequest) -> None:
-        """Rejects or fails a request that was admitted and could not be served."""
+        """Rejects or fails a request that was admitted but could not be served."""
         if request.is_answered:
             return
         if self.settings.may_cancel:
--- a/glenrock/routing/retries.py
+++ b/glenrock/routing/retries.py
@@ -1,14 +1,16 @@
-"""Whether and where a request may be sent or retried, for how long, and whether it may be rejected.
+"""Whether and where a request may be sent or retried, with which timeout, and whether it may be rejected.
 
-Rules of this package that include others:
+The rules for sending a request build on each other:
 
-- `RetryPolicy.may_send`: `may_attempt`, `OutlierEjection.may_receive`, and that the attempt is safe.
-- `OutlierEjection.may_receive`: the server is ready, `is_usable` unless in panic mode, and
-  `SlowStart.headroom` for the load.
-- `OutlierEjection.is_usable`: the server is not ejected, and `FailureDomains.may_use` of its zone.
+- `RetryPolicy.may_send` requires `RetryPolicy.may_attempt`, `OutlierEjection.may_receive`, and that the
+  attempt cannot execute the request a second time, unless that is harmless.
+- `OutlierEjection.may_receive` requires that the server is ready, that it `is_usable` except in panic mode,
+  and that `SlowStart.headroom` covers the load.
+- `OutlierEjection.is_usable` requires that the server is not ejected, and `FailureDomains.may_use` of its
+  zone.
 
-`RetryPolicy.may_wait` and `may_reject` say what becomes of a request without a server, and
-`ConcurrencyLimit.may_start` limits set-ups at all servers together. They include none of these rules.
+Other rules are independent of these: `RetryPolicy.may_wait` and `RetryPolicy.may_reject` decide on a request
+without a server, and `ConcurrencyLimit.may_start` limits the attempts in flight at all servers together.
 """
 
 from __future__ import annotations
@@ -23,15 +25,15 @@
 from .outlier_ejection import OutlierEjection
 from .state import Attempt, RoutedRequest, Server
 
-ATTEMPT_TIMEOUT_PERCENT = 60  # of the time left, while a further attempt is allowed
-MIN_CONNECT_TIMEOUTS = 2  # the shortest attempt timeout, in connect timeouts
+ATTEMPT_TIMEOUT_PERCENT = 60  # of the remaining time, while a further attempt is allowed
+MIN_CONNECT_TIMEOUTS = 2  # minimum attempt timeout, as a multiple of the connect timeout
 MAX_PROCESS_PAUSE_US = 150_000  # longest pause of this process between a decision and the write to the server
-ANSWER_MARGIN_TICKS = 2  # between the final answer and the deadline
+ANSWER_MARGIN_TICKS = 2  # time between the final answer and the deadline, in timer ticks
 
 
 @dataclass(eq=False)
 class RetryPolicy:
-    """Rules on the attempts of a request. At most one attempt is in flight at a time."""
+    """The rules for the attempts of a request. At most one attempt is in flight at a time."""
 
     batch: EventBatch
     settings: Settings
@@ -41,7 +43,7 @@
     ejection: OutlierEjection
 
     def answer_due_us(self, request: RoutedRequest) -> int:
-        """Returns when a request without a connection gets its final answer, shortly before its deadline."""
+        """Returns when a request without a connection gets a final answer, shortly before its deadline."""
         return request.event.deadline_us - ANSWER_MARGIN_TICKS * self.settings.tick_us
 
     def is_overdue(self, request: RoutedRequest) -> bool:
@@ -49,33 +51,33 @@
         return self.batch.now_us >= self.answer_due_us(request)
 
     def may_attempt(self, request: RoutedRequest) -> bool:
-        """Returns whether a further attempt is allowed at any server."""
+        """Returns whether the request may have a further attempt, whatever the server."""
         if request.is_answered or request.server or len(request.attempts) >= self.settings.max_attempts:
             return False
         return not request.attempt_is_in_flight and not self.is_overdue(request)
 
     def may_send(self, request: RoutedRequest, server: Server) -> bool:
-        """Returns whether the request may be sent to that server now. Every send obeys this rule."""
+        """Returns whether the request may be sent to the server now. All attempts are subject to this rule."""
         if not self.may_attempt(request) or not self.ejection.may_receive(server, request.load):
             return False
         first = request.first_possibly_executed
         return first is None or self._is_safe_to_retry(request.request_class, first, server)
 
     def _is_safe_to_retry(self, request_class: RequestClass, first: Attempt, server: Server) -> bool:
-        """Returns whether a request that may have executed cannot take effect again at that server."""
+        """Returns whether a request that may have executed can be sent to the server without harm."""
         if request_class.idempotency == Idempotency.SAFE:
             return True
         if request_class.idempotency == Idempotency.UNSAFE:
             return False
         if self.batch.now_us > _last_retry_us(first, request_class):
             return False
-        # Servers outside the scope of the first attempt's server do not know the idempotency key.
+        # Servers outside the scope of the first attempt do not know the idempotency key.
         if request_class.idempotency_scope == IdempotencyScope.ZONE:
             return server.zone == first.server.zone
         return request_class.idempotency_scope == IdempotencyScope.ALL or server.cell == first.server.cell
 
     def may_reject(self, request: RoutedRequest) -> bool:
-        """Returns whether the request may be rejected: the client retries then, so this must be safe."""
+        """Returns whether the request may be rejected: the client then retries it, which must be safe."""
         if request.is_answered or request.server:
             return False
         request_class = request.request_class
@@ -87,10 +89,10 @@
         return is_harmless or not request.first_possibly_executed
 
     def may_wait(self, request: RoutedRequest) -> bool:
-        """Returns whether a request that no server may receive now waits for a server.
+        """Returns whether a request waits for a server if no server may receive it now.
 
-        It waits until its latency objective, even if it is not safe to retry at any server. If operators have
-        suspended the last server, no server will become available soon.
+        It waits until its latency objective, even if it is not safe to retry at any server. It does not wait
+        if no server is ready and some are suspended, since no server will become available soon.
         """
         if not self.endpoints.ring and self.overrides.suspended_servers:
             return False
@@ -98,14 +100,15 @@
         return len(request.attempts) < self.settings.max_attempts and self.batch.now_us < wait_end_us
 
     def retry_after_us(self) -> int:
-        """Draws a Retry-After between half and all of the longest, so that rejected clients spread out."""
-        longest_us = self.settings.max_retry_after_us if self.settings.may_send_retry_after else 0
-        return int(longest_us * (0.5 + self.rng.random() / 2))
+        """Returns a Retry-After between 0.5 and 1 times the maximum, at random to spread the retries."""
+        max_us = self.settings.max_retry_after_us if self.settings.may_send_retry_after else 0
+        return int(max_us * (0.5 + self.rng.random() / 2))
 
     def attempt_timeout_us(self, request: RoutedRequest) -> int:
         """Returns the timeout of the next attempt in microseconds.
 
-        It leaves time for a further attempt, and an attempt of a keyed request ends within the key's window.
+        The timeout leaves time for a further attempt. A retry of a keyed request ends within the idempotency
+        window.
         """
         remaining_us = self.answer_due_us(request) - self.batch.now_us
         timeout_us = remaining_us
@@ -120,5 +123,8 @@
 
 
 def _last_retry_us(first: Attempt, request_class: RequestClass) -> int:
-    """Returns the latest time at which a retry, written after a pause of this process, is in the window."""
+    """Returns the latest time of a decision to retry.
+
+    The write of the retry falls within the idempotency window, even if this process is paused before it.
+    """
     return first.sent_at_us + request_class.idempotency_window_us - MAX_PROCESS_PAUSE_US
--- a/glenrock/routing/server_selection.py
+++ b/glenrock/routing/server_selection.py
@@ -1,4 +1,4 @@
-"""Which servers are candidates for a request, and which candidate receives it."""
+"""Selects the candidate servers of a request, and the candidate that receives it."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 from .slow_start import SlowStart
 from .state import RoutedRequest, Server
 
-HEALTH_CHECK_WAIT_US = 40_000  # a request's longest wait for health checks
-MAX_CANDIDATES = 5  # compared for one request
-MAX_DRAWS = 16  # from the rings, for one request
-AFFINITY_PENALTY = 0.10  # load, for each rank of a candidate in its group's order
-ZONE_CROSSING_FACTOR = 3.0  # load that a connection to another zone has to save, as a multiple of its cost
-UNANSWERED_CHECK_LOAD = 1.0  # least load assumed of a server that leaves a health check unanswered
+HEALTH_CHECK_WAIT_US = 40_000  # longest wait of a request for health checks
+MAX_CANDIDATES = 5  # per request
+MAX_DRAWS = 16  # draws from the rings, per request
+AFFINITY_PENALTY = 0.10  # load added to a candidate of a group, per rank in the group's order of servers
+ZONE_CROSSING_FACTOR = 3.0  # load added to a candidate in another zone, as a multiple of the crossing cost
+UNANSWERED_CHECK_LOAD = 1.0  # minimum load assumed for a server that has not answered a health check
 
 
 @dataclass(eq=False)
 class ServerSelection:
-    """Weighted random draws, which agree at all balancers for the connections of a group."""
+    """Draws candidates at random by weight. For a group, all balancers draw the same candidates."""
 
     batch: EventBatch
     settings: Settings
@@ -42,11 +42,12 @@
     affinity: GroupAffinity
 
     def draw_candidates(self, request: RoutedRequest) -> list[Server]:
-        """Draws servers that may receive the request, by weight, and seeded by the group if there is one.
+        """Draws servers that may receive the request, by weight; the group, if there is one, is the seed.
 
-        Each server that holds connections of a group bears the group's common work once more. So all
-        balancers try a group's servers in the same order, after the server where the group was last seen: by
-        weights and zones of their own they would spread it over all servers.
+        A server does the common work of a group once, however many connections of the group it holds, so a
+        group should use few servers. All balancers therefore try the servers of a group in the same order,
+        after the server where the group was last seen. If each balancer preferred its own zone and used its
+        own weights, the group would be spread over all servers.
         """
         group = request.event.group
         seed = self.rng.getrandbits(64) if group is None else mix(group)
@@ -68,9 +69,10 @@
         return candidates or self._fallback_server(request, seed, tried)
 
     def _warming_candidates(self, request: RoutedRequest, seed: int, tried: set[str]) -> list[Server]:
-        """Returns servers that are warming up, if the request is only for them or the others are full.
+        """Returns servers that are warming up, if only they may receive the request or the others are full.
 
-        As ordinary candidates they would stay nearly empty: each of many balancers rarely draws them.
+        As ordinary candidates these servers would stay nearly empty, since each of many balancers rarely
+        draws them.
         """
         if not request.is_slow_start_only and self.loads.fleet_load <= load_targets.TARGET_LOAD:
             return []
@@ -83,9 +85,13 @@
         return candidates
 
     def _draw(self, request: RoutedRequest, seed: int, tried: set[str], candidates: list[Server]) -> None:
-        """Adds candidates from the rings, each server with a probability proportional to its weight."""
+        """Adds candidates from the rings. A drawn server is accepted at random, according to its weight.
+
+        The probability is weight / `full_weight`, at most 1. The draws of a group use a `full_weight` of 1,
+        so that only servers of reduced weight may be skipped.
+        """
         is_grouped = request.event.group is not None
-        scale = 1 if is_grouped else MAX_WEIGHT / 2
+        full_weight = 1 if is_grouped else MAX_WEIGHT / 2
         for draw in range(MAX_DRAWS):
             is_zone_draw = draw % 2 == 0 or draw > MAX_DRAWS // 2
             uses_zone = not is_grouped and self.endpoints.zone_ring and is_zone_draw
@@ -97,13 +103,13 @@
                 or not self.retries.may_send(request, server)
             ):
                 continue
-            if mix(seed ^ server.hash) / MASK * scale <= server.weight:
+            if mix(seed ^ server.hash) / MASK * full_weight <= server.weight:
                 candidates.append(server)
                 if len(candidates) == MAX_CANDIDATES:
                     return
 
     def _fallback_server(self, request: RoutedRequest, seed: int, tried: set[str]) -> list[Server]:
-        """Returns the first server on the ring that may receive the request; tried servers come last."""
+        """Returns the first server on the ring that may receive the request, preferably an untried one."""
         servers_on_ring = self.endpoints.ring.around(mix(seed))
         allowed = [server for server in servers_on_ring if self.retries.may_send(request, server)]
         return [server for server in allowed if server.server_id not in tried][:1] or allowed[:1]
@@ -111,7 +117,7 @@
     def best_candidate(self, request: RoutedRequest) -> Server | None:
         """Returns the least loaded candidate that may still receive the request; None if there is none.
 
-        Candidates in other zones, and later candidates of a group, count with a penalty.
+        Candidates in other zones, and the later candidates of a group, have a penalty added to their load.
         """
         best, lowest_cost = None, 0.0
         for rank, server in enumerate(request.candidates):
@@ -125,14 +131,14 @@
         return best
 
     def expected_load(self, server: Server) -> float:
-        """Returns the estimated load of a server, including load sent there since its last report."""
+        """Returns the estimated load of a server, including the load sent to it since its last report."""
         load = self.loads.load(server)
         check_sent_at_us = server.health_check_sent_at_us
         if check_sent_at_us >= 0 and self.batch.now_us - check_sent_at_us >= HEALTH_CHECK_WAIT_US:
             load = max(load, UNANSWERED_CHECK_LOAD)
         if not self.capacity.server_capacity:
             return load
-        # A slow server reports little load once it is emptied, and few clients fill it again.
+        # A slow server reports little load after its clients have migrated, but a few clients fill it again.
         slowness = min(1.0, server.capacity_ratio / load_targets.SLOW_CAPACITY_RATIO)
         is_large_fleet = self.endpoints.index.is_large
         unreported_load = self.loads.recently_sent_load(server) if is_large_fleet else server.unreported_load
