--- a/glenrock/routing/client_sessions.py
+++ b/glenrock/routing/client_sessions.py
@@ -1,6 +1,6 @@
-"""Sessions of admitted clients.
+"""The sessions of admitted clients.
 
-A session outlives its connections for a while, so that a client whose connection broke may return.
+A session outlasts its connections by a timeout, so that a client whose connection broke is admitted again.
 """
 
 from __future__ import annotations
@@ -13,7 +13,13 @@
 
 @dataclass(slots=True)
 class Session:
-    """An admitted client: the load and the number of its connections."""
+    """The session of an admitted client.
+
+    Attributes:
+        load: total load of the client's connections; after the last one has ended, the load of that one.
+        last_seen_at_us: when a connection of the client last began or ended.
+        connections: number of the client's requests in progress and open connections.
+    """
 
     load: float
     last_seen_at_us: int
@@ -21,9 +27,10 @@
 
 
 class ClientSessions:
-    """The sessions of this balancer.
+    """The sessions at this balancer.
 
     Attributes:
+        by_key: the sessions by client key.
         active_load: total load of all sessions.
         session_timeout_us: a session without connections ends after this time.
     """
@@ -43,7 +50,7 @@
         return self.by_key.get(key)
 
     def add_connection(self, request: RoutedRequest) -> None:
-        """Adds the request to its client's session, and begins one if there is none."""
+        """Adds the request to its client's session, which begins if there is none."""
         session = self.by_key.get(request.key)
         if session is None:
             session = self.by_key[request.key] = Session(0.0, self._batch.now_us)
@@ -56,7 +63,10 @@
         self.active_load += request.load
 
     def remove_connection(self, request: RoutedRequest, keep_session: bool) -> None:
-        """Removes a request that ended. Its session ends with the last one, or expires if it is kept."""
+        """Removes a request that has ended.
+
+        After the last one, the session ends at once, or by timeout if `keep_session` is set.
+        """
         session = self.by_key.get(request.key)
         if session is None:
             return
@@ -73,7 +83,7 @@
         self.active_load -= self.by_key.pop(key).load
 
     def change_load(self, request: RoutedRequest, load: float) -> None:
-        """Changes the load of the request's connection."""
+        """Changes the load of the request's connection, and of its session."""
         session = self.by_key.get(request.key)
         if session:
             self.active_load += load - request.load
@@ -91,4 +101,4 @@
         for key in expired:
             self.end(key)
         if not self.by_key:
-            self.active_load = 0.0  # removes rounding errors
+            self.active_load = 0.0  # discards accumulated rounding errors
--- a/glenrock/routing/endpoint_table.py
+++ b/glenrock/routing/endpoint_table.py
@@ -1,4 +1,4 @@
-"""The known servers, as the endpoint list and the operators state them, and the rings for weighted draws."""
+"""The known servers, from the endpoint list and the operators' overrides, and the rings to draw from."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from .server_index import ServerIndex
 from .state import RoutedRequest, Server, stable_hash
 
-MIN_INITIAL_WEIGHT = 0.25
+MIN_INITIAL_WEIGHT = 0.25  # of a server; 1 is the weight of a server of mean size
 MAX_WEIGHT = 3.0
 
 
@@ -32,10 +32,10 @@
     """All known servers.
 
     Attributes:
-        servers: by id. Only this class adds and removes servers; others store observations in the records.
+        servers: by server id. Only this class adds and removes servers; other classes update the records.
         index: indices over the servers.
-        ring: ready servers.
-        zone_ring: ready servers in this balancer's zone; empty if crossing zones costs nothing.
+        ring: the ready servers.
+        zone_ring: the ready servers in this balancer's zone; empty if connections to other zones are free.
     """
 
     def __init__(
@@ -53,7 +53,11 @@
         self._added_count = 0
 
     def apply(self, event: EndpointList, requests: Mapping[str, RoutedRequest]) -> None:
-        """Applies a list or changes. A server stays known while `requests` under way have attempts there."""
+        """Applies an endpoint list or changes to it.
+
+        A full list removes the servers that it lacks, unless they have connections, or `requests` in progress
+        have attempts there.
+        """
         if event.kind != EndpointListKind.CHANGES:
             self._mark_others_unlisted(event, requests)
         sizes = [entry.size for entry in event.entries]
@@ -69,7 +73,7 @@
         self._apply_ring_changes()
 
     def apply_override(self, event: OperatorOverride) -> None:
-        """Suspends or resumes a server, as an operator demands."""
+        """Suspends or resumes a server."""
         changed = self._overrides.apply(event, self._batch.now_us)
         server = self.servers.get(event.server_id)
         if changed and server:
@@ -80,7 +84,7 @@
             self._apply_ring_changes()
 
     def schedule_migration(self, server: Server) -> None:
-        """Sets the deadline to migrate off a server that is not ready, when a connection there is adopted."""
+        """Sets the deadline to migrate clients off a server that is not ready and has an open connection."""
         if not server.is_ready and not server.migrate_by_us:
             server.migrate_by_us = self._batch.now_us + self._migration_us
 
@@ -120,14 +124,14 @@
             return
         server.is_ready = is_ready
         self.index.invalidate_ready()
-        # The clients of a server that is gone migrate too: half-open connections to it may remain.
+        # The clients of a server that is gone migrate too, since half-open connections to it may remain.
         server.migrate_by_us = 0 if is_ready else self._batch.now_us + self._migration_us
         is_in_zone = server.zone == self._settings.zone and self._settings.cross_zone_cost > 0
         change = RingChange(server, ring_points(server.hash), is_ready)
         self._pending_changes.append(_PendingRingChange(change, is_in_zone))
 
     def _apply_ring_changes(self) -> None:
-        """Applies all pending changes at once: thousands of single changes would take seconds."""
+        """Applies all pending changes to the rings at once: thousands of single ones would take seconds."""
         self.ring.change([change.ring_change for change in self._pending_changes])
         self.zone_ring.change([change.ring_change for change in self._pending_changes if change.is_in_zone])
         self._pending_changes.clear()
--- a/glenrock/routing/group_affinity.py
+++ b/glenrock/routing/group_affinity.py
@@ -1,17 +1,18 @@
-"""Where the connections of each affinity group were last seen.
+"""The server at which each affinity group last had a connection.
 
-Each server that holds connections of a group bears the group's common work once more.
+A server does the common work of a group once, however many connections of the group it holds, so a group
+should use few servers.
 """
 
 from __future__ import annotations
 
 from .state import Server
 
-MAX_GROUPS = 20_000
+MAX_GROUPS = 20_000  # limits the memory use
 
 
 class GroupAffinity:
-    """The last server of each group. The least recently seen groups are forgotten first."""
+    """The last server of each group. Above `MAX_GROUPS`, the least recently seen group is removed."""
 
     def __init__(self) -> None:
         self._servers: dict[int, Server] = {}
@@ -26,5 +27,5 @@
             del self._servers[next(iter(self._servers))]
 
     def last_server(self, group: int | None) -> Server | None:
-        """Returns the server where the group was last seen; None if it is not known."""
+        """Returns the server at which the group last had a connection; None if it is not known."""
         return None if group is None else self._servers.get(group)
--- a/glenrock/routing/load_targets.py
+++ b/glenrock/routing/load_targets.py
@@ -1,7 +1,7 @@
-"""Loads, as fractions of capacity, at which several decisions aim or act."""
+"""Target loads and load thresholds that several modules share, as fractions of capacity."""
 
 from __future__ import annotations
 
-TARGET_LOAD = 0.72  # of the fleet; messages are late well before all cores are busy
-HIGH_LOAD = 0.86  # above it the cap and the weights are cut
-SLOW_CAPACITY_RATIO = 0.6  # of its usual capacity; a server with no more is slow
+TARGET_LOAD = 0.72  # mean load of the fleet; messages miss their objective well before all cores are busy
+HIGH_LOAD = 0.86  # above this load the load cap and the weights of servers are cut
+SLOW_CAPACITY_RATIO = 0.6  # a server with at most this fraction of its usual capacity is slow
--- a/glenrock/routing/retries.py
+++ b/glenrock/routing/retries.py
@@ -57,7 +57,7 @@
         return not request.attempt_is_in_flight and not self.is_overdue(request)
 
     def may_send(self, request: RoutedRequest, server: Server) -> bool:
-        """Returns whether the request may be sent to the server now. All attempts are subject to this rule."""
+        """Returns whether the request may be sent to the server now. This rule applies to every attempt."""
         if not self.may_attempt(request) or not self.ejection.may_receive(server, request.load):
             return False
         first = request.first_possibly_executed
--- a/glenrock/routing/server_index.py
+++ b/glenrock/routing/server_index.py
@@ -1,7 +1,7 @@
-"""Indices over the servers, updated where servers change, so that no round has to visit each of thousands.
+"""Indices over the servers, updated on each change, so that a round need not visit thousands of servers.
 
-The work of a round depends on this balancer's traffic and on recent faults: servers with connections, servers
-that failed lately, servers that are warming up.
+The work of a round depends on this balancer's traffic and on recent faults: the round visits the servers with
+connections, those that failed recently, and those that are warming up.
 """
 
 from __future__ import annotations
@@ -10,11 +10,11 @@
 
 from .state import Server
 
-LARGE_FLEET = 128  # servers; in a larger fleet a new connection for health checks costs a token
+LARGE_FLEET = 128  # servers; above this number a new connection for health checks costs a token
 
 
 class ServerIndex:
-    """Servers by the state that a round needs. All lists are in the order of the first listing."""
+    """The servers by the states that a round needs. All lists are in the order of first listing."""
 
     def __init__(self, servers: Mapping[str, Server]) -> None:
         self._servers = servers
@@ -26,11 +26,11 @@
     # -- changes ---------------------------------------------------------------------------------------
 
     def invalidate_ready(self) -> None:
-        """Discards the list of ready servers, after a server became ready or ceased to be."""
+        """Discards the cached list of ready servers, after a server has become ready or not ready."""
         self._ready = None
 
     def add_occupied(self, server: Server) -> None:
-        """Adds a server that holds a connection of this balancer."""
+        """Adds a server at which this balancer has a connection."""
         self._occupied[server.server_id] = server
 
     def add_suspect(self, server: Server) -> None:
@@ -45,24 +45,24 @@
 
     @property
     def ready(self) -> list[Server]:
-        """Ready servers. The list object stays the same until its content changes; do not modify it."""
+        """The ready servers. It is the same list object until its content changes; do not modify it."""
         if self._ready is None:
             self._ready = [server for server in self._servers.values() if server.is_ready]
         return self._ready
 
     @property
     def is_large(self) -> bool:
-        """Whether so many servers are ready that each is checked rarely, on a new connection."""
+        """Whether so many servers are ready that each is checked rarely, and then on a new connection."""
         return len(self.ready) > LARGE_FLEET
 
     def with_connections(self) -> list[Server]:
-        """Returns the servers that hold connections of this balancer."""
+        """Returns the servers at which this balancer has connections."""
         for server_id in [id_ for id_, server in self._occupied.items() if not server.connections]:
             del self._occupied[server_id]
         return sorted(self._occupied.values(), key=_listing_order)
 
     def ready_without_suspects(self, now_us: int) -> list[Server]:
-        """Returns the ready servers without a recent failure; the object `ready` itself if none failed."""
+        """Returns the ready servers without a recent failure; the list `ready` itself if none has failed."""
         for server_id, server in list(self._suspects.items()):
             if not server.consecutive_failures and now_us >= server.ejected_until_us:
                 del self._suspects[server_id]
@@ -71,7 +71,10 @@
     def split_by_warmth(
         self, servers: list[Server], is_warm: Callable[[Server], bool]
     ) -> tuple[list[Server], list[Server]]:
-        """Splits servers into warm ones (the same list object if all are) and those that are warming up."""
+        """Splits servers into the warm ones and those that are warming up.
+
+        If all servers are warm, the first result is the list `servers` itself.
+        """
         for server_id, server in list(self._warming.items()):
             if is_warm(server):
                 del self._warming[server_id]
--- a/glenrock/routing/state.py
+++ b/glenrock/routing/state.py
@@ -1,6 +1,7 @@
-"""Records of servers, requests and peers, without decisions.
+"""Records of servers, requests and peers; this module makes no decisions.
 
-Times are microseconds on the caller's clock, loads as in the interface.
+Times are microseconds on the caller's clock. Loads are work per second, as defined in `interface`, unless
+stated as fractions of a server's capacity.
 """
 
 from __future__ import annotations
@@ -14,14 +15,14 @@
 
 
 class TimedLoad(NamedTuple):
-    """A load, and the time at which it was sent or observed."""
+    """A load, with the time at which it was sent or observed."""
 
     at_us: int
     load: float
 
 
 class DelaySample(NamedTuple):
-    """The duration of a message at a server, and this balancer's load there at that time."""
+    """The duration of a message at a server, with this balancer's load there at that time."""
 
     at_us: int
     delay_s: float
@@ -29,34 +30,41 @@
 
 
 def stable_hash(server_id: str) -> int:
-    """Returns a 64-bit hash of the id, the same at every balancer and in every run."""
+    """Returns a 64-bit hash of the id, which is the same at every balancer and in every run."""
     return int.from_bytes(blake2b(server_id.encode(), digest_size=8).digest(), "big")
 
 
 @dataclass(slots=True, eq=False)
 class Server:
-    """A server, as listed and as observed from this balancer. Its loads are fractions of its capacity.
+    """A server, as listed by service discovery and as observed by this balancer.
 
     Attributes:
+        hash: stable hash of the server id.
         is_ready: listed as ready, and not suspended by an operator.
-        is_listed_ready: listed as ready, so neither draining nor gone.
-        reported_load: last reported load; below 0 if it is not known.
-        unreported_load: load sent there that no report can show yet, in total; `recent_sends` has its parts.
-        own_load_history: this balancer's load there, round by round.
-        own_load_at_report: the same, at the time that the last report describes.
+        is_listed_ready: listed as ready, neither draining nor gone.
+        started_us: start time of its process; 0 if it is unknown or long ago.
+        weight: probability of being drawn, relative to other servers.
+        reported_load: last reported load as a fraction of its capacity; below 0 if it is not known.
+        unreported_load: total load sent to the server that no report can include yet.
+        recent_sends: loads that were sent to the server recently, one for each attempt.
+        own_load_history: load of this balancer's connections there, recorded each round.
+        own_load_at_report: load of this balancer's connections at the time that the last report describes.
+        delay_samples: at most two recent durations of messages, oldest first.
+        ejected_until_us: end of its ejection.
+        consecutive_failures: failed connections since the last success.
         health_check_sent_at_us: start of the health check in flight; below 0 if there is none.
         last_checked_at_us: start of the last health check.
         order: position in the order in which servers were first listed, from 0.
-        first_listed_at_us: when the server was first listed.
-        last_heard_at_us: when its last set-up, load or report arrived.
+        last_heard_at_us: when the server last established a connection, or reported a load or a delay.
         delayed_at_us: when slow messages were last reported.
-        objective_missed_at_us: when messages were last reported that missed their objective.
-        migrate_by_us: deadline for its clients to migrate, if it drains or is gone; 0 otherwise.
-        connections: connections of this balancer there, by request id.
-        slow_start_sends: load sent there during its slow start.
-        capacity: load that would fill it, as of late; 0 if it is not known.
-        usual_capacity: the same, over a longer time.
-        capacity_ratio: the fraction of its usual capacity that it still has, at most 1.
+        objective_missed_at_us: when messages that missed their objective were last reported.
+        migrated_at_us: when clients were last migrated off the server because of its load.
+        migrate_by_us: deadline for its clients to migrate, if it is not ready; 0 otherwise.
+        connections: this balancer's connections at the server, by request id.
+        slow_start_sends: load sent to the server during its slow start.
+        capacity: recent estimate of the load that would fill the server; 0 if it is not known.
+        usual_capacity: the same estimate over a longer time.
+        capacity_ratio: fraction of its usual capacity that the server still has, at most 1.
     """
 
     server_id: str
@@ -94,16 +102,16 @@
 
     @property
     def own_load(self) -> float:
-        """Total load of this balancer's connections there."""
+        """The total load of this balancer's connections at the server."""
         return sum(request.load for request in self.connections.values())
 
     def clear_failures(self) -> None:
-        """Forgets failures in a row, and ends the ejection that they caused."""
+        """Resets the count of consecutive failures, and ends the ejection that they caused."""
         self.consecutive_failures = 0
         self.ejected_until_us = 0
 
     def reset_for_restart(self, at_us: int) -> None:
-        """Discards what was observed of the server's previous process."""
+        """Discards what was observed of the server's previous process, and records the new start time."""
         self.started_us = at_us
         self.clear_failures()
         self.reported_load = -1.0
@@ -112,7 +120,11 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One try to set a request up at a server. `outcome` is None while the attempt is in flight."""
+    """An attempt to establish a request's connection at a server.
+
+    Attributes:
+        outcome: how the attempt or its connection ended; None before.
+    """
 
     server: Server
     sent_at_us: int
@@ -125,13 +137,14 @@
 
     Attributes:
         event: the request as it arrived.
-        key: identity of the client; the request's id if the client named none.
-        load: load of the connection, as hinted, reported or expected.
-        server: where the connection is established; None before.
-        is_answered: the request has its final answer or its connection.
-        is_slow_start_only: admitted for servers that are warming up only.
-        pending_checks: ids of the servers whose health checks the request awaits.
-        candidates: servers drawn for the request; those of a group in the group's order.
+        key: identity of the client; the request id if the request states none.
+        load: load of the connection: as reported, as stated in the load hint, or the expected load.
+        attempts: attempts so far, in order.
+        server: server at which the connection is established; None before.
+        is_answered: the client has its final answer, or the connection is established.
+        is_slow_start_only: admitted only for servers that are warming up.
+        pending_checks: ids of the servers whose health checks the request waits for.
+        candidates: servers drawn for the request; those of a group are in the group's order.
     """
 
     event: Request
@@ -148,7 +161,7 @@
 
     @property
     def first_possibly_executed(self) -> Attempt | None:
-        """The first attempt without proof that it did not execute; one in flight counts. None without one."""
+        """The first attempt that may have executed the request, in flight or ended; None if there is none."""
         for attempt in self.attempts:
             if attempt.outcome not in NOT_EXECUTED_OUTCOMES:
                 return attempt
@@ -156,16 +169,16 @@
 
     @property
     def attempt_is_in_flight(self) -> bool:
-        """Whether an attempt has no outcome yet."""
+        """Whether any attempt has no outcome yet."""
         return any(attempt.outcome is None for attempt in self.attempts)
 
     def tried_servers(self) -> set[str]:
-        """Returns the ids of the servers that had an attempt."""
+        """Returns the ids of the servers to which the request has been sent."""
         return {attempt.server.server_id for attempt in self.attempts}
 
 
 class WaitingLoad(NamedTuple):
-    """Load of a bucket of the waiting queue."""
+    """The total load of a bucket of the waiting queue."""
 
     bucket: int
     load: float
@@ -173,7 +186,15 @@
 
 @dataclass(slots=True)
 class Peer:
-    """The last gossip summary of another balancer."""
+    """The last gossip summary of another balancer.
+
+    Attributes:
+        stamp: time of the summary by the sender's clock, as a counter that wraps around.
+        received_at_us: when the summary arrived.
+        active_load: total load of the sender's client sessions.
+        clients: number of the sender's clients; 0 if it drains or has just started.
+        waiting: load of the sender's waiting queue, by bucket.
+    """
 
     stamp: int
     received_at_us: int
--- a/glenrock/routing/token_budget.py
+++ b/glenrock/routing/token_budget.py
@@ -1,29 +1,31 @@
-"""Token budgets: the first attempts of clients refill tokens, and acts that have a cost spend them."""
+"""Token budgets: each client's first attempt adds tokens, and actions that have a cost spend them."""
 
 from __future__ import annotations
 
 from .gossip_codec import MAX_BYTES
 from .interface import Settings
 
-MIN_COST = 1e-4  # bounds a division
+MIN_COST = 1e-4  # lower bound of a divisor
 
-HEALTH_CHECK_BUDGET = 0.016  # fraction of the platform's result that health checks may cost
+HEALTH_CHECK_BUDGET = 0.016  # cost of health checks per client, as a fraction of the value of serving it
 INITIAL_HEALTH_CHECK_TOKENS = 10.0
-MAX_HEALTH_CHECK_TOKENS = 60.0  # saved up
+MAX_HEALTH_CHECK_TOKENS = 60.0
 
-HEALTH_CONNECTION_LIFETIME_US = 8_000_000  # after a check; `UNUSED_TIMEOUT_MS` of net is the same
-CONNECTION_TOKENS_PER_ATTEMPT = (
-    1.0  # per first attempt, so that health checks open no more connections than clients
-)
-MAX_CONNECTION_TOKENS = 64.0  # at the start, and saved up
+HEALTH_CONNECTION_LIFETIME_US = 8_000_000  # after the last check; the same as `UNUSED_TIMEOUT_MS` of net
+CONNECTION_TOKENS_PER_ATTEMPT = 1.0  # so that health checks open no more connections than clients do
+MAX_CONNECTION_TOKENS = 64.0  # also the number of tokens at the start
 
-GOSSIP_BUDGET = 0.004  # fraction of the platform's result that gossip may cost
-INITIAL_GOSSIP_TOKENS = 1024.0  # times receivers
-MAX_SAVED_SUMMARIES = 64.0  # saved up, per balancer
+GOSSIP_BUDGET = 0.004  # cost of gossip per client, as a fraction of the value of serving it
+INITIAL_GOSSIP_TOKENS = 1024.0  # bytes, summed over the receivers
+MAX_SAVED_SUMMARIES = 64.0  # of the maximum size, per balancer
 
 
 class TokenBudget:
-    """Tokens, of which at most `maximum` are saved up."""
+    """A token bucket with at most `maximum` tokens.
+
+    Attributes:
+        tokens: tokens that can be spent.
+    """
 
     def __init__(self, initial: float, tokens_per_attempt: float, maximum: float) -> None:
         self.tokens = initial
@@ -31,11 +33,11 @@
         self._maximum = maximum
 
     def refill(self) -> None:
-        """Adds the tokens that a client's first attempt earns."""
+        """Adds the tokens for a client's first attempt."""
         self.tokens = min(self._maximum, self.tokens + self._tokens_per_attempt)
 
     def try_spend(self, cost: float) -> bool:
-        """Spends tokens. Returns False, and spends none, if there are too few."""
+        """Spends `cost` tokens and returns True; returns False, and spends none, if there are too few."""
         if self.tokens < cost:
             return False
         self.tokens -= cost
--- a/glenrock/routing/waiting_queue.py
+++ b/glenrock/routing/waiting_queue.py
@@ -1,6 +1,6 @@
-"""The waiting queue: rejected clients by the time of their first rejection.
+"""The waiting queue: rejected clients, ordered by the time of their first rejection.
 
-The oldest are admitted first.
+The clients that have waited longest are admitted first.
 """
 
 from __future__ import annotations
@@ -10,14 +10,20 @@
 from .event_batch import EventBatch
 from .state import RoutedRequest
 
-MAX_WAITING_CLIENTS = 20_000  # clients; bounds the memory in a flood
-CLIENT_EXPIRY_BUCKETS = 4  # a client not seen for so many buckets is forgotten
-NO_BUCKET = 1 << 62  # beyond all buckets, which may be negative on a clock near 0
+MAX_WAITING_CLIENTS = 20_000  # limits the memory use in a flood of requests
+CLIENT_EXPIRY_BUCKETS = 4  # a client that has not retried for this many buckets is removed
+NO_BUCKET = 1 << 62  # above all buckets, and -NO_BUCKET below all: buckets may be negative near time 0
 
 
 @dataclass(slots=True)
 class WaitingClient:
-    """A rejected client that is expected to retry."""
+    """A rejected client that is expected to retry.
+
+    Attributes:
+        bucket: period of its first rejection, as a number of `WaitingQueue.bucket_us`.
+        load: load of its request.
+        last_seen_at_us: when it was last rejected.
+    """
 
     bucket: int
     load: float
@@ -25,7 +31,7 @@
 
 
 class WaitingQueue:
-    """Clients that this balancer rejected, grouped into buckets of `bucket_us` by their first rejection."""
+    """The clients that this balancer rejected, in buckets of `bucket_us` by the time of first rejection."""
 
     def __init__(self, batch: EventBatch, bucket_us: int) -> None:
         self._batch = batch
@@ -33,15 +39,15 @@
         self.clients: dict[int | str, WaitingClient] = {}
 
     def __len__(self) -> int:
-        """Number of waiting clients."""
+        """The number of waiting clients."""
         return len(self.clients)
 
     def __contains__(self, key: int | str) -> bool:
-        """Whether that client waits."""
+        """Whether the client waits."""
         return key in self.clients
 
     def current_bucket(self) -> int:
-        """Returns the bucket of a client that is first rejected now."""
+        """Returns the bucket of a client whose first rejection is now."""
         return self._batch.now_us // self.bucket_us
 
     def get(self, key: int | str) -> WaitingClient | None:
@@ -53,7 +59,7 @@
         self.clients.pop(key, None)
 
     def add_rejected(self, request: RoutedRequest, bucket: int) -> None:
-        """Adds a rejected client while the queue has space; one that waits already keeps its bucket."""
+        """Adds a rejected client, unless the queue is full. A client that already waits keeps its bucket."""
         client = self.clients.get(request.key)
         if client:
             client.last_seen_at_us = self._batch.now_us
@@ -61,12 +67,16 @@
             self.clients[request.key] = WaitingClient(bucket, request.load, self._batch.now_us)
 
     def requeue(self, request: RoutedRequest) -> None:
-        """Adds an admitted client whose request was rejected or failed, to the bucket of its arrival."""
+        """Adds a client whose admitted request was rejected or failed, to the bucket of its arrival."""
         bucket = request.arrived_us // self.bucket_us
         self.clients.setdefault(request.key, WaitingClient(bucket, request.load, self._batch.now_us))
 
     def load_by_bucket(self) -> dict[int, float]:
-        """Returns the waiting load by bucket, of clients seen lately: others may wait elsewhere by now."""
+        """Returns the waiting load by bucket.
+
+        Clients that were last rejected more than a bucket ago are left out, since they may be waiting at
+        another balancer by now.
+        """
         loads: dict[int, float] = {}
         for client in self.clients.values():
             if self._batch.now_us - client.last_seen_at_us <= self.bucket_us:
