--- a/tests/routing/scenarios.py
+++ b/tests/routing/scenarios.py
@@ -1,4 +1,4 @@
-"""States and helpers that several tests of routing share."""
+"""Set-ups and helpers that several tests of routing share."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from glenrock.routing.state import Server
 
 ROUNDS_TO_LEARN_CAPACITY = 10
-"""Rounds after which usual capacities are known."""
+"""Rounds after which the usual capacities of the servers are known."""
 
-NO_CLIENTS_WAIT: tuple[tuple[int, float], ...] = ()
+NO_WAITING_CLIENTS: tuple[tuple[int, float], ...] = ()
 
 
 class ConnectedServer(NamedTuple):
-    """A harness, one of its servers, and a request with a connection there."""
+    """A harness, one of its servers, and a request with a connection to that server."""
 
     harness: Harness
     server: Server
@@ -26,17 +26,17 @@
 
 
 def health_report(server_id: str, load: float) -> interface.HealthCheckResult:
-    """Returns the result of a health check whose report states that load."""
+    """Returns the result of a successful health check that reports this load."""
     return interface.HealthCheckResult(server_id, interface.AttemptOutcome.SERVED, 1000, {"load_ratio": load})
 
 
 def report_loads(harness: Harness, loads: Mapping[str, float]) -> list[interface.Action]:
-    """Delivers a health check result for each server. Returns the actions."""
+    """Delivers a health check result for each server, in one batch. Returns the actions."""
     return harness.deliver(*(health_report(server_id, load) for server_id, load in loads.items()))
 
 
 def run_rounds(harness: Harness, loads: Mapping[str, float], rounds: int) -> list[interface.Action]:
-    """Reports these loads and advances, round by round. Returns the actions of the rounds."""
+    """Runs rounds, and reports these loads before each. Returns the actions of the rounds."""
     actions: list[interface.Action] = []
     for _ in range(rounds):
         report_loads(harness, loads)
@@ -45,7 +45,7 @@
 
 
 def summary_stamp(harness: Harness) -> int:
-    """Returns the stamp of a gossip summary that is sent now."""
+    """Returns the time stamp of a gossip summary that is sent now."""
     return harness.now_us // 100_000 & 0xFFFF
 
 
@@ -54,16 +54,16 @@
     peer: int,
     active_load: float,
     clients: int,
-    waiting: Sequence[tuple[int, float]] = NO_CLIENTS_WAIT,
+    waiting: Sequence[tuple[int, float]] = NO_WAITING_CLIENTS,
 ) -> None:
-    """Delivers a gossip summary of another balancer, stamped now.
+    """Delivers a gossip summary of another balancer, with the current time as its stamp.
 
     Args:
-        harness: of the balancer that receives it.
-        peer: index of the other balancer.
-        active_load: of the other balancer.
-        clients: of the other balancer.
-        waiting: age and load of each bucket of its waiting queue.
+        harness: harness of the balancer that receives the summary.
+        peer: index of the sender.
+        active_load: total load of the sender's sessions.
+        clients: number of the sender's clients.
+        waiting: age and load of each bucket of the sender's waiting queue.
     """
     data = encode(summary_stamp(harness), active_load, clients, waiting)
     harness.deliver(interface.GossipReceived(peer, data))
@@ -85,30 +85,30 @@
 
 
 def is_rejected_at_once(harness: Harness, request_id: str) -> bool:
-    """Returns whether the first action on the request rejects it."""
+    """Returns whether the first action on the request is its rejection."""
     return isinstance(harness.actions_for(request_id)[0], interface.Reject)
 
 
 def first_server(harness: Harness, request_id: str) -> str:
-    """Returns the id of the server of the request's first attempt."""
+    """Returns the id of the server that received the request's first attempt."""
     return harness.attempts_of(request_id)[0].server_id
 
 
 def reject_newcomers(harness: Harness, load_cap: float = 0.0, quota: float = 0.0) -> None:
-    """Sets the cap, and a quota that new clients have to share, until the next round."""
+    """Sets the load cap and the quota of new clients, and makes both apply until the next round."""
     admission = harness.balancer.admission
     admission.load_cap, admission.quota = load_cap, quota
     admission.may_admit_newcomers = False
 
 
 def establish_requests(harness: Harness, count: int, load: int = 0, wait_us: int = 0) -> list[str]:
-    """Establishes a connection for each of so many clients. Returns the ids of the requests.
+    """Establishes one connection for each of `count` clients. Returns the ids of the requests.
 
     Args:
-        harness: of the balancer.
-        count: number of clients; their keys count from 0.
-        load: hint of each connection's load; 0 for none.
-        wait_us: time between the requests and their connections, in which no health check is answered.
+        harness: harness of the balancer.
+        count: number of clients; their keys are 0 to `count` - 1.
+        load: load hint of each request; 0 for none.
+        wait_us: time between the requests and their connections, during which no health check is answered.
     """
     request_ids = [harness.send_request(key=key, load=load) for key in range(count)]
     if wait_us:
@@ -127,7 +127,7 @@
 
 
 def with_one_connection(make_harness: HarnessFactory) -> ConnectedServer:
-    """Returns a harness with one connection at its only server, whose load and slow messages are reported."""
+    """Returns a harness with one connection to its only server, which reports its load and slow messages."""
     harness = make_harness(
         may_health_check=True, load_report_fields=("load_ratio",), has_message_delay_reports=True, names=("a:1",)
     )
@@ -137,7 +137,10 @@
 
 
 def with_loaded_servers(make_harness: HarnessFactory, loads: Mapping[str, float], connections_each: int = 6) -> Harness:
-    """Returns a harness with servers of the names in `loads`, each with that number of connections."""
+    """Returns a harness with the servers named in `loads`, each with `connections_each` connections.
+
+    The servers report a load of 0.3. The connections are distributed evenly, whatever server was selected.
+    """
     harness = make_harness(may_health_check=True, load_report_fields=("load_ratio",), names=tuple(loads))
     report_loads(harness, dict.fromkeys(loads, 0.3))
     for key in range(connections_each * len(loads)):
--- a/tests/routing/test_invalid_summaries.py
+++ b/tests/routing/test_invalid_summaries.py
@@ -1,4 +1,4 @@
-"""Gossip summaries that cannot be of a balancer: ignored with a reason, and the previous summary stays."""
+"""Malformed or implausible gossip summaries: each is ignored with a reason, and the previous summary is kept."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 from .scenarios import open_connection
 
-TIER_LOAD = 9_000_000 + 5 * 25_000  # of the peer's summary and of this balancer's connections
+TIER_LOAD = 9_000_000 + 5 * 25_000  # load in the peer's summary, and of this balancer's connections
 
 
 def harness_with_a_peer() -> Harness:
-    """Returns a harness with five connections, after a summary of balancer 1."""
+    """Returns a harness with five connections that has received a summary of balancer 1."""
     harness = Harness(settings(tenants=(interface.Tenant("t", 600.0),)))
     harness.list_servers("a:1")
     for key in range(5):
@@ -28,7 +28,7 @@
 
 def test_balancer_without_known_loads_accepts_a_summary() -> None:
     harness = Harness(settings(tenants=(interface.Tenant("t", 600.0),)))
-    harness.balancer.connection_loads.mean_load = 1.0  # no load of a connection is known
+    harness.balancer.connection_loads.mean_load = 1.0  # as if no load of a connection were known
     harness.deliver(interface.GossipReceived(1, encode(1, 9_000_000, 300, [])))
     assert harness.balancer.gossip.tier_load() == 9_000_000 and not harness.balancer.batch.ignored_summaries
 
@@ -44,7 +44,7 @@
         (4, encode(2, 1e6, 3, []), "the settings name 4"),
     ],
 )
-def test_invalid_summary_is_ignored_with_a_reason_and_the_previous_one_stays(
+def test_invalid_summary_is_ignored_with_a_reason_and_the_previous_one_is_kept(
     peer: int, data: bytes, reason: str
 ) -> None:
     harness = harness_with_a_peer()
@@ -64,7 +64,7 @@
     waiting=st.lists(st.tuples(st.integers(0, 60), st.floats(0, 1e7)), max_size=20),
     peer=st.integers(0, 39),
 )
-def test_possible_summary_is_accepted(
+def test_plausible_summary_is_accepted(
     active_load: float, clients: int, waiting: list[tuple[int, float]], peer: int
 ) -> None:
     summary = decode(encode(7, active_load, clients, waiting))
--- a/tests/routing/test_layout.py
+++ b/tests/routing/test_layout.py
@@ -1,4 +1,4 @@
-"""The structure of routing: what its modules import, and which of them decide (docs/notes/readable.md)."""
+"""The structure of routing: what its modules import, and which of them make decisions (docs/notes/readable.md)."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 ROUTING = ROOT / "glenrock/routing"
 MODULES = sorted(ROUTING.glob("*.py"))
 IMPURE = {"asyncio", "datetime", "os", "pathlib", "select", "signal", "socket", "subprocess", "threading", "time"}
-ADAPTERS = {"simulator_adapter"}  # read standard input; the program does not use them
+ADAPTERS = {"simulator_adapter"}  # modules that read standard input; the program does not use them
 ADAPTER_FILES = {"glenrock/routing/simulator_adapter.py", "glenrock/routing/simulator_codec.py"}
-REQUEST_ACTIONS = {"StartAttempt", "CancelAttempt", "Reject", "Fail", "Migrate"}  # actions on requests and connections
+REQUEST_ACTIONS = {"StartAttempt", "CancelAttempt", "Reject", "Fail", "Migrate"}  # they act on requests or connections
 WIRE_MODULES = {"simulator_adapter", "simulator_codec", "settings_codec"}
 ARITHMETIC_NAMES = {
     "SECOND_US",
@@ -37,7 +37,7 @@
 
 
 def imported(path: Path) -> set[str]:
-    """Returns the modules that a file imports; those of routing have a leading dot."""
+    """Returns the names of the modules that a file imports; relative imports have a leading dot."""
     found: set[str] = set()
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.Import):
@@ -49,8 +49,8 @@
     return found
 
 
-def siblings(path: Path) -> set[str]:
-    """Returns the modules of routing that a file imports."""
+def imported_siblings(path: Path) -> set[str]:
+    """Returns the names of the modules of routing that a file imports."""
     return {name[1:].partition(".")[0] for name in imported(path) if name.startswith(".")}
 
 
@@ -59,27 +59,28 @@
     outside = {name.partition(".")[0] for name in imported(path) if not name.startswith(".")}
     assert "glenrock" not in outside
     assert not outside & IMPURE
-    assert all((ROUTING / f"{name}.py").exists() for name in siblings(path)), "a relative import leaves the package"
+    is_inside = all((ROUTING / f"{name}.py").exists() for name in imported_siblings(path))
+    assert is_inside, "a relative import leaves the package"
     assert path.stem in ADAPTERS or "sys" not in outside
 
 
 def test_imports_have_no_cycle() -> None:
-    remaining = {path.stem: siblings(path) for path in MODULES}
-    while free := [name for name, needs in remaining.items() if not needs & remaining.keys()]:
-        for name in free:
+    remaining = {path.stem: imported_siblings(path) for path in MODULES}
+    while leaves := [name for name, imports in remaining.items() if not imports & remaining.keys()]:
+        for name in leaves:
             del remaining[name]
-    assert not remaining, f"in circles: {sorted(remaining)}"
+    assert not remaining, f"import cycles among: {sorted(remaining)}"
 
 
 def test_each_module_is_listed_as_policy_or_node_or_is_an_adapter() -> None:
-    named = DEPLOY["policy"] + DEPLOY["node"]
+    listed = DEPLOY["policy"] + DEPLOY["node"]
     routing_modules = {str(path.relative_to(ROOT)) for path in MODULES}
-    assert routing_modules == {name for name in named if name.startswith("glenrock/routing")} | ADAPTER_FILES
-    assert len(named) == len(set(named)) and all((ROOT / name).exists() for name in named)
+    assert routing_modules == {name for name in listed if name.startswith("glenrock/routing")} | ADAPTER_FILES
+    assert len(listed) == len(set(listed)) and all((ROOT / name).exists() for name in listed)
 
 
 def emitted_actions(path: Path) -> set[str]:
-    """Returns the classes of the actions that a file constructs in a call of `emit`."""
+    """Returns the names of the action classes that a file constructs in calls of `emit`."""
     found = set()
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.Call) and isinstance(node.func, ast.Attribute) and node.func.attr == "emit":
@@ -91,12 +92,12 @@
 
 def test_modules_that_emit_request_actions_are_listed_as_policy() -> None:
     emitting = {str(path.relative_to(ROOT)) for path in MODULES if emitted_actions(path) & REQUEST_ACTIONS}
-    assert emitting, "no action was found: the way in which modules emit has changed"
-    assert emitting <= set(DEPLOY["policy"]), f"not named as policy: {sorted(emitting - set(DEPLOY['policy']))}"
+    assert emitting, "no action was found, so modules no longer emit actions in this form"
+    assert emitting <= set(DEPLOY["policy"]), f"not listed as policy: {sorted(emitting - set(DEPLOY['policy']))}"
 
 
 def constant_numbers(path: Path) -> list[str]:
-    """Returns the names of a module's constants that are numbers."""
+    """Returns the names of a module's numeric constants."""
     module = importlib.import_module(f"glenrock.routing.{path.stem}")
     assignments = [node for node in ast.parse(path.read_text()).body if isinstance(node, ast.Assign)]
     targets = [target for assignment in assignments for target in assignment.targets]
@@ -105,7 +106,7 @@
 
 
 def test_each_number_that_limits_or_tunes_is_on_the_capacity_page() -> None:
-    """Numbers of the wires and of arithmetic are excepted by module or by name."""
+    """Constants of wire formats are excluded by module, and constants of pure arithmetic by name."""
     page = (ROOT / "docs/capacity.md").read_text()
     missing = []
     for path in MODULES:
--- a/tests/routing/test_many_balancers.py
+++ b/tests/routing/test_many_balancers.py
@@ -1,4 +1,4 @@
-"""Behaviour of one of 40 balancers, each of which has little traffic."""
+"""One of 40 balancers, each of which has little traffic and sends few connections to each server."""
 
 from __future__ import annotations
 
@@ -35,7 +35,13 @@
 
 
 def one_of_forty(seed: int = 1, names: tuple[str, ...] = NAMES, **fields: Any) -> Harness:
-    """Returns a harness of a balancer in zone a, with servers in two zones; `fields` replaces settings."""
+    """Returns a harness of a balancer in zone a, with servers in two zones.
+
+    Args:
+        seed: seed of the balancer.
+        names: ids of the servers, which are in the zones a and b in turn.
+        fields: fields of the settings to replace.
+    """
     usual: dict[str, Any] = {
         "balancers": 40,
         "may_health_check": True,
@@ -55,7 +61,7 @@
 
 
 def server_of_new_connection(harness: Harness, key: int, group: int) -> str:
-    """Sends a request and establishes its attempt. Returns the id of the server."""
+    """Delivers a request and establishes its connection. Returns the id of the server."""
     request_id = harness.send_request(key=key, group=group)
     harness.advance(50_000)  # the wait for health checks
     harness.establish(request_id)
@@ -86,7 +92,7 @@
 
 
 def lose_zone(harness: Harness) -> None:
-    """Breaks the connections at five servers, whose health checks then find no connection."""
+    """Breaks the connections to five servers, and lets the health checks that follow fail to connect."""
     for number, server_id in enumerate(FIVE_SERVERS):
         open_connection(harness, f"o{number}", server_id, key=100 + number, load=10_000)
     report_load(harness, 0.45)
@@ -110,7 +116,7 @@
     harness.advance(SECOND // 2)
     assert loads.fleet_load == pytest.approx(capacity_estimation.MAX_GUESSED_LOAD)
     assert harness.balancer.admission.load_cap < NO_CAP
-    # Reports from before the clients have reconnected do not open the cap; later ones do.
+    # Reports that describe the time before the clients reconnected do not open the cap; later reports do.
     report_load(harness, 0.2, FOUR_SERVERS)
     harness.advance(SECOND // 4)
     assert loads.fleet_load == pytest.approx(capacity_estimation.MAX_GUESSED_LOAD)
@@ -163,7 +169,7 @@
 
 
 def start_five_servers(harness: Harness, started_us: int) -> None:
-    """Lists five of the servers, in zone a, as started at that time."""
+    """Lists `FIVE_SERVERS` in zone a as started at `started_us`."""
     harness.list_servers(*FIVE_SERVERS, kind=EndpointListKind.CHANGES, zone="a", started_us=started_us)
 
 
@@ -181,11 +187,16 @@
     assert admission.load_cap < NO_CAP
     assert slow_start_caps[9] < 5 / 4 * 0.72 * 1_000_000 / 0.9
     harness.advance(3 * SECOND)
-    assert admission.slow_start_load_cap == 0  # warm servers count in the cap
+    assert admission.slow_start_load_cap == 0  # warm servers count in the load cap instead
 
 
 def full_fleet_with_warming_servers(seed: int = 1, load: float = 0.95) -> Harness:
-    """Returns a harness with four full servers, five that started lately, and a closed cap."""
+    """Returns a harness with four full servers, five servers that are warming up, and a closed load cap.
+
+    Args:
+        seed: seed of the balancer.
+        load: load that the four servers report.
+    """
     harness = one_of_forty(seed, **SLOW_START_SETTINGS)
     for number in range(8):
         open_connection(harness, f"o{number}", FOUR_SERVERS[number % 4], key=500 + number, load=10_000)
@@ -202,7 +213,7 @@
 
 
 class SentLoad(NamedTuple):
-    """Load sent to a server at a time."""
+    """A load, with the time at which it was sent to a server."""
 
     at_us: int
     load: float
@@ -232,13 +243,13 @@
         in_window = [send for send in sent if first.at_us <= send.at_us < first.at_us + window_us]
         batch.now_us = in_window[-1].at_us
         assert sum(send.load for send in in_window) <= budget * budgets.warmth(server) + 1
-    assert sum(send.load for send in sent) > budget, "the budget is used"
+    assert sum(send.load for send in sent) > budget, "in total, more than the budget of one window is sent"
 
 
 @pytest.mark.parametrize("seed", range(5))
 def test_warming_servers_get_requests_beyond_the_cap_within_their_budgets(seed: int) -> None:
     harness = full_fleet_with_warming_servers(seed)
-    report_load(harness, 1.3, FIVE_SERVERS)  # more loaded than the others, but with a budget
+    report_load(harness, 1.3, FIVE_SERVERS)  # their load is higher than that of the others, but they have a budget
     budgets = harness.balancer.slow_start
     total_budget = sum(max(0.0, budgets.headroom(server)) for server in budgets.warming)
     assert len(budgets.warming) == 5 and total_budget > 0
@@ -260,7 +271,7 @@
     balancer.admission.may_admit_newcomers = True
     warming = balancer.slow_start.warming
     for server in warming:
-        server.slow_start_sends = [TimedLoad(harness.now_us, -1e9)]  # budget for all
+        server.slow_start_sends = [TimedLoad(harness.now_us, -1e9)]  # leaves budget for every request
     first_candidates = []
     for key in range(20):
         balancer.health_checks.budget.tokens = 0.0
@@ -297,6 +308,6 @@
 
 def test_just_warmed_server_gets_nothing_beyond_the_cap() -> None:
     harness = full_fleet_with_warming_servers()
-    harness.now_us += 9 * SECOND  # without a round since
+    harness.now_us += 9 * SECOND  # the slow start is over, but no round has run since
     request_ids = [harness.send_request(key=key, load=1000, group=key) for key in range(20)]
     assert all(is_rejected_at_once(harness, request_id) for request_id in request_ids)
--- a/tests/routing/test_operator_overrides.py
+++ b/tests/routing/test_operator_overrides.py
@@ -1,4 +1,4 @@
-"""Operator overrides: a suspended server receives nothing, whatever the list reports, and warms up after its return."""
+"""Operator overrides: a suspended server receives nothing, and a resumed one warms up, whatever the list states."""
 
 from __future__ import annotations
 
@@ -19,31 +19,31 @@
 from .scenarios import establish_requests, migrated_requests, receive_summary, rejections, run_rounds
 
 NAMES = [f"s{number}:1" for number in range(5)]
-FIRST = NAMES[0]
-HEALTH_CHECK_WAIT_US = SECOND // 10  # longer than a request waits for health checks
+SERVER = NAMES[0]
+BEYOND_CHECK_WAIT_US = SECOND // 10  # longer than a request waits for health checks
 
 
 def suspend(harness: Harness, *server_ids: str) -> None:
-    """Delivers, in one batch, the overrides that suspend these servers."""
+    """Delivers overrides that suspend these servers, in one batch."""
     harness.deliver(*(interface.OperatorOverride(server_id, True) for server_id in server_ids))
 
 
 def resume(harness: Harness, *server_ids: str) -> None:
-    """Delivers, in one batch, the overrides that resume these servers."""
+    """Delivers overrides that resume these servers, in one batch."""
     harness.deliver(*(interface.OperatorOverride(server_id, False) for server_id in server_ids))
 
 
 def migrated_during(harness: Harness, load: float, rounds: int) -> set[str]:
-    """Returns the requests whose clients migrate while all servers report this load."""
+    """Runs rounds in which all servers report this load. Returns the requests whose clients migrate."""
     return set(migrated_requests(run_rounds(harness, dict.fromkeys(NAMES, load), rounds)))
 
 
 def test_suspended_server_drains(make_harness: HarnessFactory) -> None:
     harness = make_harness(names=NAMES)
     request_ids = establish_requests(harness, 40)
-    at_first = [request_id for request_id in request_ids if harness.attempts_of(request_id)[-1].server_id == FIRST]
+    at_first = [request_id for request_id in request_ids if harness.attempts_of(request_id)[-1].server_id == SERVER]
     assert at_first
-    suspend(harness, FIRST, FIRST)
+    suspend(harness, SERVER, SERVER)
     harness.advance(3 * SECOND)
     migrated = set(migrated_requests(action for _, action in harness.action_log))
     assert sorted(migrated) == sorted(at_first)
@@ -51,25 +51,25 @@
 
 def test_clients_of_a_suspended_server_stay_while_the_others_are_full(make_harness: HarnessFactory) -> None:
     harness = make_harness(names=NAMES, may_health_check=True, load_report_fields=("load_ratio",))
-    establish_requests(harness, 60, load=10, wait_us=HEALTH_CHECK_WAIT_US)
-    server = harness.balancer.servers[FIRST]
+    establish_requests(harness, 60, load=10, wait_us=BEYOND_CHECK_WAIT_US)
+    server = harness.balancer.servers[SERVER]
     assert server.connections and not migrated_during(harness, 0.75, rounds=8)
-    suspend(harness, FIRST)
-    assert not migrated_during(harness, 0.75, rounds=8), "the others are above the target of 0.72"
+    suspend(harness, SERVER)
+    assert not migrated_during(harness, 0.75, rounds=8), "the others are above the target load of 0.72"
     connections = set(server.connections)
-    some = migrated_during(harness, 0.65, rounds=7)
-    assert some and some < connections, "a part each round, within the free capacity"
-    assert migrated_during(harness, 0.3, rounds=8) | some == connections
+    migrated = migrated_during(harness, 0.65, rounds=7)
+    assert migrated and migrated < connections, "a part migrates each round, within the free capacity"
+    assert migrated_during(harness, 0.3, rounds=8) | migrated == connections
 
 
 def test_clients_of_a_suspended_server_that_is_gone_migrate_at_once(make_harness: HarnessFactory) -> None:
     harness = make_harness(names=NAMES, may_health_check=True, load_report_fields=("load_ratio",))
-    establish_requests(harness, 60, load=10, wait_us=HEALTH_CHECK_WAIT_US)
+    establish_requests(harness, 60, load=10, wait_us=BEYOND_CHECK_WAIT_US)
     migrated_during(harness, 0.75, rounds=8)
-    connections = set(harness.balancer.servers[FIRST].connections)
-    suspend(harness, FIRST)
+    connections = set(harness.balancer.servers[SERVER].connections)
+    suspend(harness, SERVER)
     assert connections and not migrated_during(harness, 0.75, rounds=6)
-    harness.list_servers(FIRST, kind=EndpointListKind.CHANGES, state=EndpointState.GONE)
+    harness.list_servers(SERVER, kind=EndpointListKind.CHANGES, state=EndpointState.GONE)
     assert migrated_during(harness, 0.75, rounds=1) >= connections
 
 
@@ -82,7 +82,7 @@
         slow_start_multiple=3.0,
         slow_start_window_us=3 * SECOND,
     )
-    establish_requests(harness, 100, load=10, wait_us=HEALTH_CHECK_WAIT_US)
+    establish_requests(harness, 100, load=10, wait_us=BEYOND_CHECK_WAIT_US)
     harness.advance(6 * SECOND)
     slow_start = harness.balancer.slow_start
     reference_load_before = slow_start.reference_load
@@ -102,7 +102,7 @@
             harness.establish(request_id)
             sent_count += 1
         harness.advance(25_000)
-    warmth = slow_start.warmth(harness.balancer.servers[FIRST])
+    warmth = slow_start.warmth(harness.balancer.servers[SERVER])
     budgets = 0.45 * 3 * 3 / 9 * warmth * 100 / harness.balancer.loads.fleet_load
     assert 10 <= sent_count <= budgets + len(NAMES)
     assert slow_start.reference_load == reference_load_before
@@ -110,31 +110,31 @@
 
 def test_resumed_server_warms_up_whatever_the_list_reports(make_harness: HarnessFactory) -> None:
     harness = make_harness(names=NAMES)
-    suspend(harness, FIRST)
-    suspend(harness, FIRST)
-    server, slow_start = harness.balancer.servers[FIRST], harness.balancer.slow_start
+    suspend(harness, SERVER)
+    suspend(harness, SERVER)
+    server, slow_start = harness.balancer.servers[SERVER], harness.balancer.slow_start
     assert not server.is_ready and slow_start.warmth(server) == 1
     harness.advance(SECOND)
-    resume(harness, FIRST)
+    resume(harness, SERVER)
     assert server.is_ready and slow_start.warmth(server) < 0.2
     harness.list_servers(*NAMES, started_us=0)
     assert server.is_ready and slow_start.warmth(server) < 0.2
-    resume(harness, FIRST)  # a repeated resumption changes nothing
+    resume(harness, SERVER)  # a repeated resumption changes nothing
     assert server.started_us == harness.now_us
 
 
 def test_suspension_survives_removal_from_the_list(make_harness: HarnessFactory) -> None:
     harness = make_harness(names=NAMES)
     servers = harness.balancer.servers
-    suspend(harness, FIRST)
+    suspend(harness, SERVER)
     harness.list_servers(*NAMES[1:])
-    assert FIRST not in servers
+    assert SERVER not in servers
     harness.list_servers(*NAMES)
-    assert not servers[FIRST].is_ready
+    assert not servers[SERVER].is_ready
     harness.list_servers(*NAMES[1:])
-    resume(harness, FIRST)
+    resume(harness, SERVER)
     harness.list_servers(*NAMES)
-    assert servers[FIRST].is_ready and harness.balancer.slow_start.warmth(servers[FIRST]) < 0.2
+    assert servers[SERVER].is_ready and harness.balancer.slow_start.warmth(servers[SERVER]) < 0.2
 
 
 def test_requests_are_rejected_at_once_while_the_only_server_is_suspended(make_harness: HarnessFactory) -> None:
@@ -150,7 +150,7 @@
 
 
 def last_summary(harness: Harness) -> GossipSummary:
-    """Returns the last gossip summary that the balancer sent."""
+    """Returns the last gossip summary that the balancer has sent."""
     sent = [action.data for _, action in harness.action_log if isinstance(action, interface.SendGossip)]
     summary = decode(sent[-1])
     assert summary
@@ -169,7 +169,7 @@
         harness.end_attempt(request_id, AttemptOutcome.CANCELLED, is_final=True)
     assert sessions.active_load == 50  # they keep no session
     harness.advance(SECOND)
-    assert last_summary(harness)[1:3] == (50.0, 0)  # the others divide its quota
+    assert last_summary(harness)[1:3] == (50.0, 0)  # no clients, so the other balancers share its quota
     harness.deliver(interface.DrainMode(False))
     harness.end_attempt(request_ids[15], AttemptOutcome.CANCELLED, is_final=True)
     assert sessions.active_load == 50  # the session of a client that migrated off a server is kept
@@ -182,7 +182,7 @@
     harness.advance(SECOND)
     harness.establish(harness.send_request(key=1, load=10))
     harness.advance(5 * SECOND)
-    harness.list_servers(FIRST, kind=EndpointListKind.CHANGES, started_us=harness.now_us)
+    harness.list_servers(SERVER, kind=EndpointListKind.CHANGES, started_us=harness.now_us)
     balancer = harness.balancer
     for peer_clients, client_fraction, expected_reference_load in ((99, 0.01, 10), (0, 1.0, 2010)):
         harness.advance(SECOND)
@@ -193,7 +193,13 @@
 
 
 class TierMember(NamedTuple):
-    """A balancer of a drawn tier. Only a serving one has clients, and a new one has no history of its own."""
+    """A balancer of a randomly drawn tier.
+
+    Attributes:
+        active_load: load of its connections.
+        state: "serving", "draining", or "new": it has just started and has seen no clients.
+        clients: number of its clients, if it is serving.
+    """
 
     active_load: float
     state: str
@@ -201,7 +207,7 @@
 
     @property
     def reported_clients(self) -> int:
-        """The number of clients in its gossip summary."""
+        """The number of clients that its gossip summary states."""
         return self.clients if self.state == "serving" else 0
 
 
@@ -211,7 +217,7 @@
 
 
 def reference_load_of(own_index: int, tier: list[TierMember]) -> float:
-    """Returns the reference load at a balancer that has heard the summaries of all others."""
+    """Returns the reference load at a balancer that has received the summaries of all others."""
     own = tier[own_index]
     others = [member for index, member in enumerate(tier) if index != own_index]
     peers = [Peer(0, 0, member.active_load, member.reported_clients, []) for member in others]
@@ -233,10 +239,12 @@
 
 
 class RandomOverrides:
-    """Delivers random events to one balancer, with overrides among them.
+    """Delivers random events, including overrides, to one balancer.
 
     Attributes:
-        suspended: ids of the servers that are suspended.
+        rng: source of the random events.
+        harness: harness of the balancer.
+        suspended: ids of the suspended servers.
     """
 
     def __init__(self, seed: int) -> None:
@@ -248,7 +256,7 @@
         self.suspended: set[str] = set()
 
     def step(self) -> None:
-        """Delivers an event, or advances."""
+        """Delivers a random event, or advances time."""
         roll = self.rng.random()
         if roll < 0.15:
             self._override()
@@ -301,7 +309,7 @@
         run.step()
         for _, action in harness.action_log[checked_count:]:
             if isinstance(action, interface.StartAttempt | interface.SendHealthCheck):
-                assert action.server_id not in run.suspended, f"{action} while it is suspended"
+                assert action.server_id not in run.suspended, f"{action} while the server is suspended"
         checked_count = len(harness.action_log)
     for server_id in run.suspended:
         resume(harness, server_id)
--- a/tests/routing/test_random_events.py
+++ b/tests/routing/test_random_events.py
@@ -1,4 +1,4 @@
-"""The rules on attempts and answers, under random sequences of events, seeded."""
+"""The rules for attempts and answers hold under random sequences of events, which are repeatable by seed."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 class PendingAttempt(NamedTuple):
-    """An attempt, or its connection, that ends at a time."""
+    """An attempt that will be established or end at a time, or its connection that will end."""
 
     ends_at_us: int
     request_id: str
@@ -48,7 +48,7 @@
 
 
 class SentAttempt(NamedTuple):
-    """An attempt as the log has it."""
+    """An attempt, as found in the action log."""
 
     at_us: int
     server_id: str
@@ -56,20 +56,21 @@
 
 @dataclass
 class NotReadySpan:
-    """A time in which a server was not ready. It is open until the server's state changes."""
+    """A period in which a server was not ready. Its end is open until the server's state changes."""
 
     start_us: int
     end_us: int = FOREVER_US
 
 
 class RandomRun:
-    """Delivers random events to one balancer, and records what the rules are checked against.
+    """Delivers random events to one balancer, and records the facts against which the rules are checked.
 
     Attributes:
-        not_ready_spans: by server, each time in which it was not ready.
-        outcomes: by request and number of the attempt.
-        deadlines_us: deadline of each request.
-        established_at_us: when a request was established.
+        endpoints: rows of the endpoint list, by server id.
+        not_ready_spans: by server id, the periods in which the server was not ready.
+        outcomes: outcomes of attempts, by request id and attempt number.
+        deadlines_us: deadline of each request, by request id.
+        established_at_us: when each request was established, by request id.
     """
 
     def __init__(self, idempotency: Idempotency, scope: IdempotencyScope, seed: int) -> None:
@@ -101,7 +102,7 @@
         self.harness.deliver(EndpointList(EndpointListKind.CACHED, tuple(self.endpoints.values())))
 
     def run(self, steps: int) -> None:
-        """Runs that number of steps, and three seconds without events."""
+        """Runs that number of steps, and then advances by three seconds without events."""
         for _ in range(steps):
             self._deliver_event()
             self.harness.advance(self.rng.choice([4_000, 8_000, 40_000, 150_000]))
@@ -148,7 +149,7 @@
         self.harness.deliver(EndpointList(EndpointListKind.CHANGES, (endpoint,)))
 
     def _answer_actions(self) -> None:
-        """Plans the ends of new attempts, and answers most health checks."""
+        """Schedules the ends of new attempts, and delivers the results of most health checks."""
         rng = self.rng
         for _, action in self.harness.action_log[self._read_count :]:
             if isinstance(action, StartAttempt):
@@ -163,7 +164,7 @@
         self._read_count = len(self.harness.action_log)
 
     def _end_due_attempts(self) -> None:
-        """Establishes or ends the attempts whose time has come."""
+        """Establishes or ends the attempts that are due."""
         harness = self.harness
         for due in [pending for pending in self._pending if pending.ends_at_us <= harness.now_us]:
             self._pending.remove(due)
@@ -181,7 +182,12 @@
 
 
 class RuleChecker:
-    """Checks the action log of a run."""
+    """Checks the action log of a run against the rules.
+
+    Attributes:
+        sent: attempts so far, by request id.
+        answered_at_us: when each request got its final answer, by request id.
+    """
 
     def __init__(self, run: RandomRun) -> None:
         self.run = run
@@ -189,7 +195,7 @@
         self.answered_at_us: dict[str, int] = {}
 
     def check(self) -> None:
-        """Checks each action, and that each request has its answer in time."""
+        """Checks each action, and that each request was established or answered before its deadline."""
         for at_us, action in self.run.harness.action_log:
             if isinstance(action, StartAttempt):
                 self._check_attempt(at_us, action)
@@ -198,14 +204,14 @@
         for request_id, deadline_us in self.run.deadlines_us.items():
             if request_id not in self.run.established_at_us:
                 is_in_time = self.answered_at_us.get(request_id, FOREVER_US) <= deadline_us
-                assert is_in_time, f"{request_id} was lost"
+                assert is_in_time, f"{request_id} was not answered before its deadline"
 
     def _check_attempt(self, at_us: int, action: StartAttempt) -> None:
         run = self.run
         assert action.request_id not in self.answered_at_us, "sent after its final answer"
         assert at_us < run.established_at_us.get(action.request_id, FOREVER_US), "sent after it was established"
         spans = run.not_ready_spans[action.server_id]
-        assert not any(span.start_us < at_us < span.end_us for span in spans), "sent to a draining server"
+        assert not any(span.start_us < at_us < span.end_us for span in spans), "sent to a server that is not ready"
         attempts = self.sent.setdefault(action.request_id, [])
         outcomes = run.outcomes.get(action.request_id, {})
         assert all(number in outcomes for number in range(len(attempts))), "two attempts in flight"
@@ -218,7 +224,7 @@
     def _check_retry(self, at_us: int, action: StartAttempt, first: SentAttempt) -> None:
         run = self.run
         assert run.idempotency == Idempotency.KEYED, "an unsafe request was retried"
-        assert at_us <= first.at_us + WINDOW_US, "outside the window"
+        assert at_us <= first.at_us + WINDOW_US, "retried after the idempotency window"
         before, now = run.endpoints[first.server_id], run.endpoints[action.server_id]
         if run.scope == IdempotencyScope.ZONE:
             assert before.zone == now.zone
--- a/tests/routing/test_request_lifecycle.py
+++ b/tests/routing/test_request_lifecycle.py
@@ -1,4 +1,4 @@
-"""The lifecycle of a request: final answers, and removal of its state."""
+"""The lifecycle of a request: its final answer, and the removal of its state."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from glenrock.routing import interface
 
 
-def test_request_without_outcome_gets_its_answer_before_the_deadline(make_harness: HarnessFactory) -> None:
+def test_request_whose_attempt_does_not_end_is_answered_before_the_deadline(make_harness: HarnessFactory) -> None:
     harness = make_harness()
     request_id = harness.send_request(deadline_in_us=400_000)
     harness.advance(400_000)
@@ -22,7 +22,7 @@
     assert isinstance(harness.actions_for(request_id)[-1], interface.Reject)
 
 
-def test_admitted_client_that_no_server_accepts_joins_the_waiting_queue(make_harness: HarnessFactory) -> None:
+def test_admitted_client_that_no_server_accepts_is_added_to_the_waiting_queue(make_harness: HarnessFactory) -> None:
     harness = make_harness(max_attempts=2)
     request_id = harness.send_request(key=1)
     for _ in range(2):
@@ -43,7 +43,7 @@
     balancer = harness.balancer
     assert not balancer.requests and not balancer.waiting_queue.clients
     assert not balancer.sessions.by_key and balancer.sessions.active_load == 0
-    assert len(balancer.batch.timers) == 1, "the next round's"
+    assert len(balancer.batch.timers) == 1, "only the timer of the next round is pending"
     assert not any(server.connections for server in balancer.servers.values())
 
 
--- a/tests/routing/test_server_selection.py
+++ b/tests/routing/test_server_selection.py
@@ -1,4 +1,4 @@
-"""Server selection: which servers receive requests."""
+"""Server selection: which server receives a request."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from .scenarios import ROUNDS_TO_LEARN_CAPACITY, first_server, run_rounds, with_loaded_servers
 
 
-def test_draining_server_receives_nothing(make_harness: HarnessFactory) -> None:
+def test_draining_server_receives_no_requests(make_harness: HarnessFactory) -> None:
     harness = make_harness(names=("a:1", "b:1"))
     harness.list_servers("a:1", kind=interface.EndpointListKind.CHANGES, state=interface.EndpointState.DRAINING)
     assert {first_server(harness, harness.send_request(key=key)) for key in range(20)} == {"b:1"}
 
 
-def test_group_gets_the_same_server_at_every_balancer(make_harness: HarnessFactory) -> None:
+def test_every_balancer_selects_the_same_server_for_a_group(make_harness: HarnessFactory) -> None:
     names = tuple(f"s{number}:1" for number in range(50))
     chosen = set()
     for seed in range(8):
--- a/tests/routing/test_settings.py
+++ b/tests/routing/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings: validation, and balancers under unusual settings."""
+"""Settings: their validation, and balancers with unusual settings."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from glenrock.routing import interface
 
-ODD_IDEMPOTENCY = cast("interface.Idempotency", "odd")
+INVALID_IDEMPOTENCY = cast("interface.Idempotency", "odd")
 
 
 @pytest.mark.parametrize(
@@ -29,10 +29,10 @@
         ("max_retry_after_us", -1),
         ("classes", (interface.RequestClass("x", 0, 5),)),
         ("classes", (interface.RequestClass("x", 9, 5),)),
-        ("classes", (interface.RequestClass("x", 1, 5, idempotency=ODD_IDEMPOTENCY),)),
+        ("classes", (interface.RequestClass("x", 1, 5, idempotency=INVALID_IDEMPOTENCY),)),
     ],
 )
-def test_impossible_settings_raise_an_error_that_names_the_field(
+def test_invalid_settings_raise_an_error_that_names_the_field(
     make_harness: HarnessFactory, field: str, value: object
 ) -> None:
     with pytest.raises(ValueError, match=field):
@@ -56,7 +56,7 @@
         {"balancers": 500, "index": 499, "gossip_cost": 0.01},
     ],
 )
-def test_requests_are_answered_under_unusual_settings(make_harness: HarnessFactory, fields: dict[str, Any]) -> None:
+def test_requests_are_answered_with_unusual_settings(make_harness: HarnessFactory, fields: dict[str, Any]) -> None:
     harness = make_harness(names=("a:1",), **fields)
     request_ids = []
     for number in range(20):
