--- a/glenrock/routing/balancer.py
+++ b/glenrock/routing/balancer.py
@@ -89,7 +89,7 @@
             EndpointList: self._on_endpoint_list,
             Request: self._on_request,
             OpenConnection: self._on_open_connection,
-            ConnectionEstablished: self.lifecycle.establish,
+            ConnectionEstablished: self.lifecycle.on_established,
             ConnectionFeedback: self._on_feedback,
             AttemptEnded: self._on_attempt_ended,
             ClientDisconnected: self._on_client_disconnected,
@@ -295,14 +295,14 @@
         if not event.is_returning and request.key not in self.waiting_queue:
             self.health_checks.refill_budgets()
             self.gossip.budget.refill()
-        self.lifecycle.start(request)
+        self.lifecycle.on_request(request)
 
     def _on_open_connection(self, event: OpenConnection) -> None:
         server = self.servers.get(event.server_id)
         if server is None or event.request.request_id in self.requests:
             return
         self.endpoints.schedule_migration(server)
-        self.lifecycle.adopt(self._routed_request(event.request), server)
+        self.lifecycle.add_open_connection(self._routed_request(event.request), server)
         self.health_checks.refill_budgets()  # the first attempt was made before this balancer started
 
     def _routed_request(self, event: Request) -> RoutedRequest:
@@ -333,24 +333,24 @@
             self.ejection.cut_weight(server)
 
     def _on_attempt_ended(self, event: AttemptEnded) -> None:
-        self.lifecycle.end_attempt(event, self.is_draining)
+        self.lifecycle.on_attempt_ended(event, self.is_draining)
 
     def _on_client_disconnected(self, event: ClientDisconnected) -> None:
-        self.lifecycle.client_disconnected(event.request_id)
+        self.lifecycle.on_client_disconnected(event.request_id)
 
     def _on_timer(self, event: TimerFired) -> None:
         match self.batch.pop_timer(event.timer_id):
             case RoundTimer():
                 self._run_round()
             case RequestTimer(request_id):
-                self.lifecycle.timer_fired(request_id)
+                self.lifecycle.on_timer(request_id)
 
     def _on_health_check_result(self, event: HealthCheckResult) -> None:
         server = self.servers.get(event.server_id)
         if server is None:
             return
         self.health_checks.record_result(server, event)
-        self.lifecycle.finish_check(server.server_id)
+        self.lifecycle.on_health_check_ended(server.server_id)
 
     def _on_gossip(self, event: GossipReceived) -> None:
         new_peer = self.gossip.receive(event)
--- a/glenrock/routing/client_sessions.py
+++ b/glenrock/routing/client_sessions.py
@@ -42,7 +42,7 @@
         self.active_load = 0.0
 
     def __len__(self) -> int:
-        """Number of clients with a session."""
+        """The number of clients with a session."""
         return len(self.by_key)
 
     def get(self, key: int | str) -> Session | None:
--- a/glenrock/routing/interface.py
+++ b/glenrock/routing/interface.py
@@ -85,11 +85,11 @@
 NOT_EXECUTED_OUTCOMES = frozenset((AttemptOutcome.FULL, AttemptOutcome.NO_CONNECTION, AttemptOutcome.UNSENT))
 """The outcomes that prove that the request did not execute."""
 
+# The fields of a load report that affect decisions; all others are ignored.
 LOAD_RATIO = "load_ratio"
 UTILIZATION = "utilization"
-"""The fields of a load report that affect decisions, with `LOAD_RATIO`; all others are ignored."""
 
-MAX_SETTING = 1e12
+MAX_SETTING = 1e12  # exclusive upper bound of costs, weights, quotas and multiples
 
 
 class SettingsError(ValueError):
@@ -107,7 +107,7 @@
 
 
 def _require_non_negative(value: float, name: str) -> None:
-    _require(0 <= value < MAX_SETTING, name, "must be a number, 0 or more")
+    _require(0 <= value < MAX_SETTING, name, f"must be at least 0 and below {MAX_SETTING:g}")
 
 
 @dataclass(frozen=True, slots=True)
@@ -231,20 +231,23 @@
             _require_non_negative(getattr(self, name), name)
         fraction = self.slow_start_initial_fraction
         _require(0 < fraction <= 1, "slow_start_initial_fraction", "must be above 0 and at most 1")
-        _require(0 < self.slow_start_multiple < MAX_SETTING, "slow_start_multiple", "must be above 0")
-        _require(0 <= self.over_quota_weight <= 1, "over_quota_weight", "must lie between 0 and 1")
+        multiple = self.slow_start_multiple
+        _require(
+            0 < multiple < MAX_SETTING, "slow_start_multiple", f"must be above 0 and below {MAX_SETTING:g}"
+        )
+        _require(0 <= self.over_quota_weight <= 1, "over_quota_weight", "must be between 0 and 1")
 
     def _validate_members(self) -> None:
-        _require(len(self.classes) > 0, "classes", "at least one class is needed")
+        _require(len(self.classes) > 0, "classes", "must contain at least one class")
         for request_class in self.classes:
             request_class.validate()
         names = {request_class.name for request_class in self.classes}
         _require(len(names) == len(self.classes), "classes.name", "must be unique")
         for tenant in self.tenants:
             _require_non_negative(tenant.connections, "tenants.connections")
-        _require(self.balancers >= 1, "balancers", "must be 1 or more")
+        _require(self.balancers >= 1, "balancers", "must be at least 1")
         _require(self.index >= 0, "index", "must not be negative")
-        _require(self.max_attempts >= 1, "max_attempts", "must be 1 or more")
+        _require(self.max_attempts >= 1, "max_attempts", "must be at least 1")
 
 
 # -- events ------------------------------------------------------------------------------------------
@@ -310,7 +313,12 @@
 
 @dataclass(slots=True)
 class ConnectionEstablished:
-    """An attempt succeeded: the client has received its first answer."""
+    """An attempt succeeded: the client has received its first answer.
+
+    Attributes:
+        attempt_number: number of the attempt among those of its request, from 0.
+        latency_us: time from the attempt to the answer.
+    """
 
     request_id: str
     attempt_number: int
@@ -338,6 +346,7 @@
     """An attempt, or the connection that it established, ended.
 
     Attributes:
+        attempt_number: number of the attempt among those of its request, from 0.
         is_final: the client needs no further answer.
         report: load report of the server, by field name; empty if there is none.
     """
@@ -437,7 +446,7 @@
 
 @dataclass(slots=True)
 class CancelAttempt:
-    """Cancel the attempt: its outcome is no longer needed."""
+    """Cancel the attempt: its outcome is no longer needed. Attempts of a request are numbered from 0."""
 
     request_id: str
     attempt_number: int
--- a/glenrock/routing/request_lifecycle.py
+++ b/glenrock/routing/request_lifecycle.py
@@ -72,7 +72,7 @@
     _awaiting_checks: dict[str, RoutedRequest] = field(init=False, default_factory=dict)
     _awaiting_server: dict[str, None] = field(init=False, default_factory=dict)
 
-    def start(self, request: RoutedRequest) -> None:
+    def on_request(self, request: RoutedRequest) -> None:
         """Handles a request that has just arrived: admits it and selects a server, or rejects it."""
         self.requests[request.event.request_id] = request
         if not self.admission.admit(request):
@@ -81,7 +81,7 @@
         self.batch.set_timer(self.retries.answer_due_us(request), RequestTimer(request.event.request_id))
         self._route(request)
 
-    def adopt(self, request: RoutedRequest, server: Server) -> None:
+    def add_open_connection(self, request: RoutedRequest, server: Server) -> None:
         """Records a connection that was open at a server before this balancer started."""
         request.attempts.append(Attempt(server, self.batch.now_us))
         request.server, request.is_answered = server, True
@@ -109,7 +109,7 @@
         self.batch.set_timer(self.batch.now_us + HEALTH_CHECK_WAIT_US, RequestTimer(request.event.request_id))
         return True
 
-    def finish_check(self, server_id: str) -> None:
+    def on_health_check_ended(self, server_id: str) -> None:
         """Handles the end of a health check: sends the requests that do not wait for another check."""
         requests = self._awaiting_checks.values()
         waiting = [request for request in requests if server_id in request.pending_checks]
@@ -161,7 +161,7 @@
 
     # -- outcomes of attempts ------------------------------------------------------------------------
 
-    def establish(self, event: ConnectionEstablished) -> None:
+    def on_established(self, event: ConnectionEstablished) -> None:
         """Handles an attempt that established a connection."""
         request = self.requests.get(event.request_id)
         if request is None or request.is_answered or not 0 <= event.attempt_number < len(request.attempts):
@@ -180,7 +180,7 @@
         server.last_heard_at_us = self.batch.now_us
         self.affinity.record_connection(request.event.group, server)
 
-    def end_attempt(self, event: AttemptEnded, is_balancer_draining: bool) -> None:
+    def on_attempt_ended(self, event: AttemptEnded, is_balancer_draining: bool) -> None:
         """Handles the end of an attempt, or of the connection that it established.
 
         Args:
@@ -222,12 +222,12 @@
 
     # -- end of a request ----------------------------------------------------------------------------
 
-    def client_disconnected(self, request_id: str) -> None:
+    def on_client_disconnected(self, request_id: str) -> None:
         """Removes the request of a client that closed its connection or cancelled the request."""
         if request := self.requests.get(request_id):
             self._remove(request, keep_session=False)
 
-    def timer_fired(self, request_id: str) -> None:
+    def on_timer(self, request_id: str) -> None:
         """Answers a request whose deadline is near, or sends one that has waited long enough for checks."""
         request = self.requests.get(request_id)
         if request is None or request.is_answered:
--- a/tests/admin/test_metrics.py
+++ b/tests/admin/test_metrics.py
@@ -34,7 +34,7 @@
     )
 
 
-def test_count_avoided_is_fast_for_the_largest_endpoint_list(make_harness: HarnessFactory) -> None:
+def test_count_unavailable_is_fast_for_the_largest_endpoint_list(make_harness: HarnessFactory) -> None:
     names = [f"s{number}:1" for number in range(4096)]
     balancer = make_harness(names=names).balancer
     for name in names[::4]:
@@ -44,7 +44,7 @@
     assert time.process_time() - started_s < MAX_COUNT_S
 
 
-def test_count_avoided_includes_ejected_and_suspended_servers(make_harness: HarnessFactory) -> None:
+def test_count_unavailable_includes_ejected_and_suspended_servers(make_harness: HarnessFactory) -> None:
     harness = make_harness()
     assert harness.balancer.count_unavailable(harness.balancer.servers) == 0
     harness.balancer.servers["a:1"].ejected_until_us = harness.balancer.batch.now_us + 1
--- a/tests/net/rig.py
+++ b/tests/net/rig.py
@@ -302,7 +302,7 @@
         balancer = self.program.routing.balancer
         request_id = connection.request_line.request_id
         if request_id in balancer.requests:
-            balancer.lifecycle.client_disconnected(request_id)
+            balancer.lifecycle.on_client_disconnected(request_id)
             connection.reject(500.0)
 
     async def check_nothing_was_sent(self) -> None:
