--- a/glenrock/routing/balancer.py
+++ b/glenrock/routing/balancer.py
@@ -53,8 +53,8 @@
 from .token_budget import health_check_budget, health_connection_budget
 from .waiting_queue import WaitingQueue
 
-MIN_SESSION_US = 2 * SECOND_US
-MIN_BUCKET_US = SECOND_US
+MIN_SESSION_TIMEOUT_US = 2 * SECOND_US
+MIN_BUCKET_US = SECOND_US  # of the waiting queue
 
 
 class Balancer:
@@ -104,7 +104,7 @@
         """Builds the records of servers, sessions and peers, and the load estimates."""
         settings, batch = self.settings, self.batch
         # A client whose connection broke reconnects within about the longest Retry-After.
-        session_timeout_us = max(MIN_SESSION_US, 2 * settings.max_retry_after_us)
+        session_timeout_us = max(MIN_SESSION_TIMEOUT_US, 2 * settings.max_retry_after_us)
         bucket_us = max(MIN_BUCKET_US, settings.max_retry_after_us)
         shortest_objective_us = min(class_.latency_objective_us for class_ in settings.classes)
         self.sessions = ClientSessions(batch, session_timeout_us)
--- a/tests/routing/test_operator_overrides.py
+++ b/tests/routing/test_operator_overrides.py
@@ -41,12 +41,12 @@
 def test_suspended_server_drains(make_harness: HarnessFactory) -> None:
     harness = make_harness(names=NAMES)
     request_ids = establish_requests(harness, 40)
-    at_first = [request_id for request_id in request_ids if harness.attempts_of(request_id)[-1].server_id == SERVER]
-    assert at_first
+    on_server = [request_id for request_id in request_ids if harness.attempts_of(request_id)[-1].server_id == SERVER]
+    assert on_server
     suspend(harness, SERVER, SERVER)
     harness.advance(3 * SECOND)
     migrated = set(migrated_requests(action for _, action in harness.action_log))
-    assert sorted(migrated) == sorted(at_first)
+    assert sorted(migrated) == sorted(on_server)
 
 
 def test_clients_of_a_suspended_server_stay_while_the_others_are_full(make_harness: HarnessFactory) -> None:
@@ -103,6 +103,7 @@
             sent_count += 1
         harness.advance(25_000)
     warmth = slow_start.warmth(harness.balancer.servers[SERVER])
+    # Connections: budget fraction * slow-start multiple * window / slow start * warmth * connections / fleet load.
     budgets = 0.45 * 3 * 3 / 9 * warmth * 100 / harness.balancer.loads.fleet_load
     assert 10 <= sent_count <= budgets + len(NAMES)
     assert slow_start.reference_load == reference_load_before
--- a/tests/routing/test_random_events.py
+++ b/tests/routing/test_random_events.py
@@ -215,9 +215,11 @@
         attempts = self.sent.setdefault(action.request_id, [])
         outcomes = run.outcomes.get(action.request_id, {})
         assert all(number in outcomes for number in range(len(attempts))), "two attempts in flight"
-        executed = [sent for number, sent in enumerate(attempts) if outcomes.get(number) not in NOT_EXECUTED_OUTCOMES]
-        if executed and run.idempotency != Idempotency.SAFE:
-            self._check_retry(at_us, action, executed[0])
+        possibly_executed = [
+            sent for number, sent in enumerate(attempts) if outcomes.get(number) not in NOT_EXECUTED_OUTCOMES
+        ]
+        if possibly_executed and run.idempotency != Idempotency.SAFE:
+            self._check_retry(at_us, action, possibly_executed[0])
         attempts.append(SentAttempt(at_us, action.server_id))
         assert len(attempts) <= run.harness.settings.max_attempts
 
