--- a/glenrock/routing/admission.py
+++ b/glenrock/routing/admission.py
@@ -24,7 +24,7 @@
 from .server_index import ServerIndex
 from .slow_start import SlowStart
 from .state import Attempt, RoutedRequest
-from .waiting_queue import MAX_WAITING, NO_BUCKET, WaitingQueue
+from .waiting_queue import MAX_WAITING_CLIENTS, NO_BUCKET, WaitingQueue
 
 NO_CAP = float("inf")
 CLIENT_COUNT_LAG_US = 4 * SECOND_US
@@ -163,7 +163,7 @@
         An overloaded server drops its newest connections. Their clients lose their sessions and have to wait,
         since they would otherwise return at once and be dropped again.
         """
-        is_long_established = self.batch.now_us - attempt.sent_at_us > self.sessions.session_us
+        is_long_established = self.batch.now_us - attempt.sent_at_us > self.sessions.session_timeout_us
         keep_session = not request.server or is_long_established
         if attempt.outcome in DROP_OUTCOMES and not (request.server and keep_session):
             self._dropped += 1
@@ -270,7 +270,7 @@
             # The clients of the partial bucket did not use up the quota, because they retry at other
             # balancers, while clients of younger buckets were rejected. Therefore more of the younger buckets
             # may use it.
-            self.extra_buckets = min(2 * self.extra_buckets + 1, MAX_WAITING)
+            self.extra_buckets = min(2 * self.extra_buckets + 1, MAX_WAITING_CLIENTS)
         elif self.quota <= 0:
             self.extra_buckets = 0
         if self.has_rejected_young_bucket and free_load < NO_CAP:
