--- a/glenrock/coordination/leases/candidate.py
+++ b/glenrock/coordination/leases/candidate.py
@@ -1,10 +1,11 @@
 """The election state machine of one candidate for one job: when to request the lease, and whether it may act.
 
-Pure. Times are whole microseconds of the candidate's own clock. That clock must advance during a suspend
-(CLOCK_BOOTTIME), and may run faster or slower than the store's by at most `LeaseTiming.max_drift_fraction`. Clocks of
-two machines are never compared.
+This module does no I/O and reads no clock; callers pass the time. Times are whole microseconds of the candidate's own
+clock. That clock must keep running while the machine is asleep (CLOCK_BOOTTIME does), and may drift against the store's
+clock by at most `LeaseTiming.max_drift_fraction`. Timestamps of two machines are never compared.
 
-A caller checks `current_term` immediately before each effect, not once before several.
+An effect is a message by which the lease holder acts on other processes. A caller checks `current_term` immediately
+before it sends each effect, not once for several.
 """
 
 from __future__ import annotations
@@ -16,11 +17,11 @@
 class CandidateState(StrEnum):
     """The state of a candidate in the election for one job.
 
-    IDLE: the candidate neither holds the lease nor requests it.
+    IDLE: the candidate neither holds the lease nor has a request pending.
     ACQUIRING: a request to acquire the lease is pending.
     HOLDER: the candidate holds the lease until `LeaseCandidate.expires_us`.
     RELEASING: a request to release the lease is pending.
-    BACKING_OFF: the store did not answer the last request to acquire or release.
+    BACKING_OFF: the store did not answer the last request to acquire or release; the next request is delayed.
     """
 
     IDLE = "idle"
@@ -33,7 +34,7 @@
 
 
 class RequestKind(StrEnum):
-    """What a candidate requests from the store."""
+    """The kind of a request to the store."""
 
     ACQUIRE = "acquire"
     RENEW = "renew"
@@ -45,8 +46,8 @@
 class LossReason(StrEnum):
     """Why a lease is no longer held.
 
-    EXPIRED: it was not renewed in time.
-    REVOKED: the store rejected a renewal.
+    EXPIRED: the lease was not renewed in time.
+    REVOKED: the store rejected a renewal, or its answer came too late to extend the lease.
     SUPERSEDED: a receiver has seen a higher term.
     RELEASED: the holder stepped down.
     """
@@ -62,10 +63,10 @@
     """A request to the store for one job's lease.
 
     Attributes:
-        sequence: the request's number among those of this holder; the store ignores a number that is not
-            above the last.
-        kind: what is requested.
-        term: the term to renew or release.
+        sequence: sequence number of the request among those of this holder; the store ignores a request whose number
+            is not above that of the last one.
+        kind: whether the lease is acquired, renewed or released.
+        term: the term to renew or release; ignored when a lease is acquired.
         term_floor: the highest term that a receiver has seen; a granted term must be above it.
     """
 
@@ -77,7 +78,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseAcquired:
-    """The lease is held from now until `expires_us`, unless it is renewed."""
+    """The lease of `term` was acquired. Unless it is renewed, it is held until `expires_us`."""
 
     term: int
     expires_us: int
@@ -100,11 +101,11 @@
 
     Attributes:
         lease_us: duration of a lease, counted from when the store accepts the request.
-        max_drift_fraction: bound on the drift of the store's clock and the holder's against each other.
-        renew_after_fraction: the part of the lease after which the holder renews it.
-        request_timeout_us: how long an answer may take.
-        retry_interval_us: time from a rejected request until the next.
-        unreachable_backoff_us: time from a request without an answer until the next.
+        max_drift_fraction: bound on the drift between the store's clock and the holder's, as a fraction.
+        renew_after_fraction: fraction of the holder's part of the lease after which it is renewed.
+        request_timeout_us: how long a candidate waits for the store's answer.
+        retry_interval_us: delay before the next request after a rejection, a lost lease or a renewal that timed out.
+        unreachable_backoff_us: delay before the next request after one to acquire or release timed out.
     """
 
     lease_us: int = 10_000_000
@@ -116,24 +117,29 @@
 
     @property
     def holder_lease_us(self) -> int:
-        """The part of a lease that the holder may use, counted from the request on the holder's clock."""
+        """How long a holder may use a lease, counted from its request on its own clock.
+
+        This is shorter than `lease_us` by the drift that is allowed for.
+        """
         return int(self.lease_us / (1 + self.max_drift_fraction))
 
 
 @dataclass(slots=True)
 class LeaseCandidate:
-    """The election state of one candidate for one job. Each method takes the time and returns the actions to carry out.
+    """The election state of one candidate for one job.
+
+    Methods take the current time. Those that return actions leave it to the caller to carry them out.
 
     Attributes:
         timing: durations of the lease.
         state: the state in the election.
-        term: the term held now, or the last one held.
-        expires_us: when `term` ends, regardless of any later answer.
-        last_sequence: number of the last request.
-        pending_kind: kind of the request that has no answer yet; None while there is none.
+        term: the term that is held, or the last one that was; 0 before the first.
+        expires_us: when the lease of `term` expires for this holder, unless it is renewed.
+        last_sequence: sequence number of the last request.
+        pending_kind: kind of the request that has no answer yet; None if no request is pending.
         request_sent_us: when the last request was sent.
-        next_request_us: no request is sent before this time.
-        term_floor: the highest term that a receiver has seen.
+        next_request_us: `tick` sends no request before this time.
+        term_floor: the highest term that a receiver has seen; only a higher one is accepted from the store.
     """
 
     timing: LeaseTiming
@@ -147,11 +153,11 @@
     term_floor: int = 0
 
     def current_term(self, now_us: int) -> int | None:
-        """Returns the term in which an effect may be sent now; None if the lease is not held."""
+        """Returns the term under which an effect may be sent now; None if the lease is not held."""
         return self.term if self.state is CandidateState.HOLDER and now_us < self.expires_us else None
 
     def tick(self, now_us: int) -> list[CandidateAction]:
-        """Applies the passage of time: expires the lease or the pending request, and sends the next request."""
+        """Expires the lease and the pending request if they are due, and sends the next request if it is due."""
         actions: list[CandidateAction] = []
         if self.state is CandidateState.HOLDER and now_us >= self.expires_us:
             actions += self._end_term(now_us, LossReason.EXPIRED)
@@ -173,7 +179,7 @@
         return self._request(now_us, RequestKind.RENEW, self.term)
 
     def step_down(self, now_us: int) -> list[CandidateAction]:
-        """Releases the lease if it is held. The answer to a pending request is ignored."""
+        """Releases the lease if it is held. The answer to a request that is still pending will be ignored."""
         if self.state is not CandidateState.HOLDER:
             return []
         self.state = CandidateState.RELEASING
@@ -181,18 +187,18 @@
         return [lost, *self._request(now_us, RequestKind.RELEASE, self.term)]
 
     def handle_answer(self, now_us: int, sequence: int, granted_term: int) -> list[CandidateAction]:
-        """Applies the store's answer to a request; an answer to an earlier request than the last is ignored.
+        """Applies the store's answer to a request. Only the answer to the last request counts.
 
         Args:
             now_us: when the answer is read.
-            sequence: number of the request.
-            granted_term: the term granted, or 0.
+            sequence: sequence number of the request.
+            granted_term: the term that was granted or renewed; 0 if the request was rejected, or was a release.
         """
         if sequence != self.last_sequence or not self.pending_kind:
             return []
         kind, self.pending_kind = self.pending_kind, None
-        # Counted from the request: counted from the answer, the lease would last beyond the store's by the answer's
-        # time on the network or in a suspended process.
+        # The lease is counted from the request. Counted from the answer, it would outlast the store's lease by the time
+        # that the answer spent on the network or in a paused process.
         expires_us = self.request_sent_us + self.timing.holder_lease_us
         if kind is RequestKind.RELEASE:
             return self._handle_release(now_us)
@@ -203,18 +209,21 @@
         return self._handle_acquisition(now_us, granted_term, expires_us)
 
     def handle_timeout(self, now_us: int, sequence: int) -> None:
-        """Handles the timeout of a request. The store may have carried the request out."""
+        """Handles the timeout of a request. The store may have carried it out nevertheless."""
         if sequence != self.last_sequence or not self.pending_kind:
             return
         kind, self.pending_kind = self.pending_kind, None
         if self.state is CandidateState.HOLDER and kind is RequestKind.RENEW:
-            self.next_request_us = now_us + self.timing.retry_interval_us  # the lease is held until it expires
+            self.next_request_us = now_us + self.timing.retry_interval_us  # the lease is still held until it expires
         elif self.state in (CandidateState.ACQUIRING, CandidateState.RELEASING):
             self.state = CandidateState.BACKING_OFF
             self.next_request_us = now_us + self.timing.unreachable_backoff_us
 
     def handle_rejection(self, now_us: int, highest_term: int) -> list[CandidateAction]:
-        """Handles a rejection by a receiver: another holder is newer, or the store lost its state."""
+        """Handles a rejection by a receiver that has seen `highest_term`.
+
+        Either there is a newer holder, or the store lost its state and granted a term a second time.
+        """
         self.term_floor = max(self.term_floor, highest_term)
         if self.state is CandidateState.HOLDER and highest_term > self.term:
             return self._end_term(now_us, LossReason.SUPERSEDED)
@@ -242,7 +251,7 @@
             self._become_idle(now_us)
             return []
         if granted_term <= self.term_floor or now_us >= expires_us:
-            # Receivers would reject the term, or it expired before the answer was read.
+            # Receivers would reject the term, or the lease expired before the answer was read.
             self._become_idle(now_us)
             return self._release_unused(now_us, granted_term)
         self.state = CandidateState.HOLDER
@@ -252,7 +261,7 @@
         return [LeaseAcquired(granted_term, expires_us)]
 
     def _release_unused(self, now_us: int, granted_term: int) -> list[CandidateAction]:
-        """Releases a term that was granted and that this candidate does not use."""
+        """Releases a lease that the store granted and that this candidate does not use."""
         if not granted_term or self.pending_kind:
             return []
         if self.state is CandidateState.IDLE:
--- a/glenrock/coordination/leases/fence.py
+++ b/glenrock/coordination/leases/fence.py
@@ -1,8 +1,8 @@
-"""The receiver's side of a lease: accepts effects in the order of their terms, and rejects those of past terms.
+"""The receiver's side of a lease: a fence that accepts effects in the order of their terms and rejects past terms.
 
-Pure. A term lower than the highest one seen is rejected, also after a restart of the receiver: until the positions are
-restored, from the receiver's file or from the store, everything is rejected. Within a term, effects are accepted in the
-order of their sequence numbers, each at most once.
+This module does no I/O. An effect of a term lower than the highest one seen is rejected, also after a restart of the
+receiver: until the fence positions are restored, from the receiver's file or from the store, everything is rejected.
+Within a term, effects are accepted in the order of their sequence numbers, each at most once.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class FencePosition(NamedTuple):
-    """The highest term seen of a job, and the sequence number of the last effect accepted in that term."""
+    """The highest term seen for a job, and the sequence number of the last effect accepted in that term."""
 
     term: int
     sequence: int
@@ -28,9 +28,9 @@
     """Whether an effect or heartbeat is accepted.
 
     Attributes:
-        is_accepted: whether it is.
-        highest_term: the highest term seen; a rejected sender learns from it that its lease is superseded.
-        reason: why it is rejected, in words for operators; empty if it is accepted.
+        is_accepted: whether the effect or heartbeat is accepted.
+        highest_term: the highest term seen, returned to a rejected sender so that it knows that it is superseded.
+        reason: why it is rejected, as a message for operators; empty if it is accepted.
     """
 
     is_accepted: bool
@@ -40,12 +40,12 @@
 
 @dataclass(slots=True)
 class Fence:
-    """The positions of one receiver.
+    """The fence positions of one receiver.
 
     Attributes:
-        is_restored: False from a start until the positions of before are read back.
-        positions: by job.
-        rejected_count: effects and heartbeats rejected since the start.
+        is_restored: whether the positions from before the start have been read back.
+        positions: the fence positions, by job.
+        rejected_count: number of effects and heartbeats rejected since the start.
     """
 
     is_restored: bool = False
@@ -57,7 +57,7 @@
         return self.positions.get(job, NO_POSITION)
 
     def merge(self, positions: Mapping[str, FencePosition]) -> None:
-        """Merges positions; the higher one of each job counts."""
+        """Merges positions; for each job the higher one is kept."""
         for job, position in positions.items():
             self.positions[job] = max(self.position(job), position)
 
@@ -67,9 +67,9 @@
         self.is_restored = True
 
     def check_effect(self, job: str, term: int, sequence: int) -> FenceVerdict:
-        """Checks an effect, and advances the position if it is accepted.
+        """Checks an effect, and advances the position of its job if it is accepted.
 
-        The caller must store the new position before it carries the effect out.
+        The caller must store the new position durably before it carries the effect out.
         """
         position = self.position(job)
         reason = ""
@@ -86,7 +86,7 @@
         return FenceVerdict(True, term)
 
     def check_heartbeat(self, job: str, term: int) -> FenceVerdict:
-        """Checks a holder's heartbeat. A higher term raises the position: lower terms are rejected from then on."""
+        """Checks a holder's heartbeat. A higher term advances the position, and rejects lower terms from then on."""
         position = self.position(job)
         if self.is_restored and term >= position.term:
             if term > position.term:
--- a/glenrock/coordination/leases/lease_manager.py
+++ b/glenrock/coordination/leases/lease_manager.py
@@ -1,8 +1,10 @@
-"""All leases of one process: for which jobs it requests the lease, and when, in as few calls to the store as possible.
+"""All leases of one process: which leases it requests, and when, with as few calls to the store as possible.
 
-Pure. Times are whole microseconds of the process's own clock, as in `candidate`. All leases are renewed in one call. A
-free job is requested by the first member in its rendezvous order at once, and by each further member one step later, so
-that members do not all request it. That order only saves calls; the store alone grants terms.
+This module does no I/O and reads no clock. Times are whole microseconds of the process's own clock, as in `candidate`.
+
+All leases are renewed in one call. Requests for a free lease are staggered: the first member in the job's rendezvous
+order requests it at once, and each further member one stagger interval later, so that they do not all call the store.
+The order only saves calls; exclusion rests on the store alone, which grants the terms.
 """
 
 from __future__ import annotations
@@ -24,12 +26,12 @@
 )
 from .store import TIME_UNKNOWN, JobRequest, Lease, LeaseAnswers
 
-MAX_POLLING_MEMBERS = 3  # members that watch a job's lease; the others read it at a full watch only
-MAX_STAGGER_INTERVALS = 10  # bound on the steps that a member waits for the members before it
+MAX_POLLING_MEMBERS = 3  # members that read a job's lease in each poll; the others read it only in a full poll
+MAX_STAGGER_INTERVALS = 10  # bound on the intervals for which a member waits for those before it in the order
 MAX_REBALANCE_DELAY_LEASES = 256
-REBALANCE_DELAY_FACTOR = 4
-NO_WORK_COOLDOWN_LEASES = 3  # a job whose lease was held without work is not requested for this many leases
-REBALANCE_DIVISOR = 10  # the misplaced jobs over those released at a time
+REBALANCE_DELAY_FACTOR = 4  # growth of the delay with each release of a misplaced job
+NO_WORK_COOLDOWN_LEASES = 3  # during which a member does not request a lease that it held without working
+REBALANCE_DIVISOR = 10  # 1 + misplaced jobs / 10 are released at a time
 NO_LEASE = Lease("", 0, 0)
 
 
@@ -42,7 +44,7 @@
 
 @dataclass(slots=True)
 class LeaseActions:
-    """What the caller must do: submit `requests` in one call, and publish `events`."""
+    """What the caller must do: submit `requests` to the store in one call, and publish `events`."""
 
     requests: list[JobRequest] = field(default_factory=list)
     events: list[JobEvent] = field(default_factory=list)
@@ -55,11 +57,11 @@
 
 @dataclass(slots=True)
 class ObservedLease:
-    """What the store last reported of a lease that this process does not hold.
+    """What the store last reported about a lease that this process does not hold.
 
     Attributes:
-        holder: the process that held it; empty if it was free.
-        free_since_us: when it became free, or will; TIME_UNKNOWN if the store did not report it.
+        holder: the process that held the lease; empty if it was free.
+        free_since_us: when the lease became free, or will expire; TIME_UNKNOWN if the store did not report it.
     """
 
     holder: str = ""
@@ -72,15 +74,15 @@
 
 
 class LeaseManager:
-    """Decides on the lease requests of one process.
+    """Decides which lease requests one process makes, and when.
 
-    Leases of `jobs` are requested when they are free. Leases of other jobs are requested only after `request_lease`.
+    The leases of `jobs` are requested whenever they are free, those of other jobs only after `request_lease`.
 
     Attributes:
-        membership: the members among which the jobs are distributed.
+        membership: the members among which the jobs are distributed, and their liveness.
         timing: durations of a lease.
         jobs: the jobs that all members share.
-        candidates: by job.
+        candidates: the election state of this process, by job.
     """
 
     def __init__(self, membership: Membership, timing: LeaseTiming, jobs: Iterable[str], stagger_us: int) -> None:
@@ -89,21 +91,21 @@
         self.jobs = tuple(jobs)
         self.candidates = {job: LeaseCandidate(timing) for job in self.jobs}
         self._stagger_us = stagger_us
-        self._requested_jobs: set[str] = set()  # by `request_lease`
+        self._requested_jobs: set[str] = set()  # requested by `request_lease`, even if they are not known to be free
         self._observed: dict[str, ObservedLease] = {}
-        self._active_jobs: set[str] = set()  # held, requested or free: the jobs that a tick may act on
+        self._active_jobs: set[str] = set()  # jobs that a tick may act on: held, requested or free
         self._members: list[int] = []
-        self._polled_jobs: list[str] = []  # jobs whose lease this member reads at each watch
+        self._polled_jobs: list[str] = []  # jobs whose leases this member reads in each poll
         self._cooldown_until_us: dict[str, int] = {}
         self._last_work_us: dict[str, int] = {}
         self._acquired_us: dict[str, int] = {}
         self._rebalanced_us = 0
-        self._rebalance_delay_leases: dict[str, int] = {}  # lease durations for which a misplaced job is held
+        self._rebalance_delay_leases: dict[str, int] = {}  # lease durations for which a misplaced job is kept
 
     # -- leases held -----------------------------------------------------------------------------------
 
     def current_term(self, job: str, now_us: int) -> int | None:
-        """Returns the term in which an effect may be sent now; None if the lease is not held."""
+        """Returns the term under which an effect may be sent now; None if the lease is not held."""
         candidate = self.candidates.get(job)
         return candidate.current_term(now_us) if candidate else None
 
@@ -112,11 +114,14 @@
         return [job for job in self.candidates if self.current_term(job, now_us) is not None]
 
     def record_work(self, job: str, now_us: int) -> None:
-        """Records that the holder is working on the job; a holder that does not work for a lease steps down."""
+        """Records that this holder works on the job. Without such a record for a lease duration, it steps down."""
         self._last_work_us[job] = now_us
 
     def raise_term_floor(self, job: str, term: int) -> None:
-        """Requires terms above `term`, which this process has seen as a receiver; the store may have lost it."""
+        """Accepts only terms above `term` from now on.
+
+        This process has seen `term` as a receiver, and the store may have lost it.
+        """
         if job in self.candidates:
             self.candidates[job].term_floor = max(self.candidates[job].term_floor, term)
 
@@ -128,7 +133,7 @@
     # -- requests of the caller ------------------------------------------------------------------------
 
     def request_lease(self, job: str, now_us: int) -> None:
-        """Requests a job's lease at the next tick, until `step_down` or `stop_requesting`."""
+        """Requests a job's lease, from the next tick until `step_down` or `stop_requesting`."""
         self.candidates.setdefault(job, LeaseCandidate(self.timing)).next_request_us = now_us
         self._requested_jobs.add(job)
         self._active_jobs.add(job)
@@ -154,7 +159,7 @@
     # -- time ------------------------------------------------------------------------------------------
 
     def tick(self, now_us: int) -> LeaseActions:
-        """Applies the passage of time."""
+        """Returns the requests and events that are due."""
         actions = LeaseActions()
         for job in sorted(self._active_jobs):
             actions.add(self._tick_job(job, now_us))
@@ -165,7 +170,7 @@
         return actions
 
     def _tick_job(self, job: str, now_us: int) -> LeaseActions:
-        """Applies the passage of time to one candidate, or removes a job on which nothing can happen."""
+        """Ticks the candidate of one job. A job on which nothing can happen is removed from the active ones."""
         candidate = self.candidates[job]
         is_idle = candidate.state is CandidateState.IDLE and not candidate.pending_kind
         is_backing_off = candidate.state is CandidateState.BACKING_OFF
@@ -176,7 +181,7 @@
         return self._collect(job, candidate.tick(now_us))
 
     def _step_down_if_not_working(self, job: str, now_us: int) -> LeaseActions:
-        """Lets another member take over from a holder that renews the lease and does not do the work."""
+        """Steps down if this holder renews the lease without working on the job, so that another member takes over."""
         candidate = self.candidates[job]
         without_work_us = now_us - self._last_work_us.get(job, now_us)
         if candidate.state is not CandidateState.HOLDER or without_work_us <= self.timing.lease_us:
@@ -185,7 +190,7 @@
         return self._collect(job, candidate.step_down(now_us))
 
     def _renew_all(self, now_us: int) -> LeaseActions:
-        """Renews all leases in the call that renews one of them."""
+        """Renews all leases early, so that the call that renews one renews all."""
         actions = LeaseActions()
         for job in sorted(self._active_jobs):
             candidate = self.candidates[job]
@@ -194,22 +199,22 @@
         return actions
 
     def _may_request_later(self, job: str) -> bool:
-        """Returns whether the lease is requested once it is free, or by a call."""
+        """Returns whether the lease may be requested at a later tick without further information."""
         return job in self._requested_jobs or self._observed.get(job, ObservedLease()).is_free_time_known
 
     def _may_request(self, job: str, now_us: int) -> bool:
-        """Returns whether the lease may be requested now."""
+        """Returns whether the lease may be requested now, with regard to its holder, the cooldown and the stagger."""
         if job in self._requested_jobs:
             return True
         observed = self._observed.get(job)
         is_cooling_down = now_us < self._cooldown_until_us.get(job, 0)
         if job not in self.jobs or is_cooling_down or observed is None or not observed.is_free_time_known:
             return False
-        steps = rank(job, self.membership.me, self.membership.members(now_us), MAX_STAGGER_INTERVALS)
-        return now_us >= observed.free_since_us + steps * self._stagger_us
+        intervals = rank(job, self.membership.me, self.membership.members(now_us), MAX_STAGGER_INTERVALS)
+        return now_us >= observed.free_since_us + intervals * self._stagger_us
 
     def _rebalance(self, now_us: int) -> LeaseActions:
-        """Releases some of the jobs that another member is preferred for, since after a start one member may do all."""
+        """Releases some of the misplaced jobs: the first member to start may have acquired all of them."""
         actions = LeaseActions()
         if now_us - self._rebalanced_us < self.timing.lease_us:
             return actions
@@ -217,14 +222,15 @@
         members = list(self.membership.members(now_us))
         misplaced = [job for job in self.jobs if self._is_misplaced(job, members, now_us)]
         for job in misplaced[: 1 + len(misplaced) // REBALANCE_DIVISOR]:
-            # The time is longer at each release: a job has no holder while the preferred member does not acquire it.
+            # The delay grows with each release: a released job has no holder until another member acquires it, which
+            # the preferred member may fail to do.
             delay_leases = REBALANCE_DELAY_FACTOR * self._rebalance_delay_leases.get(job, 1)
             self._rebalance_delay_leases[job] = min(MAX_REBALANCE_DELAY_LEASES, delay_leases)
             actions.add(self._collect(job, self.candidates[job].step_down(now_us)))
         return actions
 
     def _is_misplaced(self, job: str, members: Sequence[int], now_us: int) -> bool:
-        """Whether this member holds a job that another member is preferred for, and has held it long enough."""
+        """Returns whether another member is preferred for a job held here, and the rebalance delay has passed."""
         candidate = self.candidates[job]
         if candidate.current_term(now_us) is None or candidate.pending_kind:
             return False
@@ -236,7 +242,11 @@
     # -- the store's answers ---------------------------------------------------------------------------
 
     def jobs_to_poll(self, now_us: int, is_full_poll: bool) -> list[str]:
-        """Returns the jobs whose leases are to be read: all that this process does not hold, or those it watches."""
+        """Returns the jobs whose leases are to be read now.
+
+        Leases that this process holds are left out. A full poll covers all other jobs; another poll covers those for
+        which this member is among the first `MAX_POLLING_MEMBERS` in the rendezvous order.
+        """
         members = list(self.membership.members(now_us))
         if members != self._members:
             self._members = members
@@ -248,7 +258,7 @@
         return [job for job in jobs if self.candidates[job].current_term(now_us) is None]
 
     def record_leases(self, jobs: Iterable[str], leases: Mapping[str, Lease], now_us: int) -> None:
-        """Records the leases of these jobs as the store reports them. A job without a lease is free."""
+        """Records the leases of these jobs as the store reported them. A job that it did not report is free."""
         for job in jobs:
             lease = leases.get(job, NO_LEASE)
             observed = self._observed.setdefault(job, ObservedLease())
@@ -263,7 +273,7 @@
                 self._active_jobs.add(job)
 
     def handle_answers(self, requests: Iterable[JobRequest], answers: LeaseAnswers, now_us: int) -> LeaseActions:
-        """Applies the store's answers, read at `now_us`. A request that was not decided counts as unanswered."""
+        """Applies the store's answers, which were read at `now_us`. A request without a decision has timed out."""
         actions = LeaseActions()
         for job, request in requests:
             candidate = self.candidates[job]
@@ -277,12 +287,12 @@
         return actions
 
     def handle_timeouts(self, requests: Iterable[JobRequest], now_us: int) -> None:
-        """Handles the timeout of requests."""
+        """Handles the timeout of a call to the store."""
         for job, request in requests:
             self.candidates[job].handle_timeout(now_us, request.sequence)
 
     def _collect(self, job: str, actions: Iterable[CandidateAction]) -> LeaseActions:
-        """Sorts a candidate's actions into requests and events, and records what the events change."""
+        """Splits a candidate's actions into requests and events, and records what the events change."""
         collected = LeaseActions()
         for action in actions:
             match action:
@@ -295,5 +305,5 @@
                     pass
             collected.events.append(JobEvent(job, action))
             if job in self._observed:
-                self._observed[job].free_since_us = TIME_UNKNOWN  # reported before the change
+                self._observed[job].free_since_us = TIME_UNKNOWN  # what the store reported is outdated
         return collected
--- a/glenrock/coordination/leases/store.py
+++ b/glenrock/coordination/leases/store.py
@@ -1,9 +1,9 @@
 """The interface of a lease store. `sqlite_store` and `consul_store` implement it.
 
-Each call is bounded in time and raises `StoreUnavailableError` if the store does not answer.
+Each call has a timeout, and raises `StoreUnavailableError` if the store does not answer.
 
-A record is written by the holder of a job's lease, in the name of a term. A proposal is written by any process, for the
-holder of a job to carry out; the record that answers a proposal deletes it.
+A record is a key and value that the holder of a job's lease writes under its term. A proposal is a key and value that
+any process writes for the holder to carry out. The holder deletes a proposal in the call that writes its answer.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 
 from .candidate import LeaseRequest
 
-NOT_GRANTED = 0  # in place of a term: the request is rejected, or it was a release
+NOT_GRANTED = 0  # in place of a term: the request was rejected, or was a release
 TIME_UNKNOWN = -1  # in place of a time or duration that the store does not report
 
 
 class StoreUnavailableError(Exception):
-    """The store did not answer. It may have carried the call out."""
+    """The store did not answer. It may have carried the call out nevertheless."""
 
 
 class JobRequest(NamedTuple):
@@ -36,7 +36,7 @@
     Attributes:
         holder: the process that holds it; empty if the lease is free.
         term: the last term granted.
-        remaining_us: until it expires; TIME_UNKNOWN if the store does not report it.
+        remaining_us: time until the lease expires; TIME_UNKNOWN if the store does not report it.
     """
 
     holder: str
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """A value written in the name of a term. `sequence` counts within the term."""
+    """A value written under a term. `sequence` is its sequence number within the term."""
 
     value: str
     term: int
@@ -64,11 +64,11 @@
 
 @dataclass(slots=True)
 class LeaseAnswers:
-    """The store's answers to the requests of one call.
+    """The store's answers to the lease requests of one call.
 
     Attributes:
-        granted_terms: by job, the term granted, or NOT_GRANTED. A job that is missing was not decided, and its request
-            counts as unanswered.
+        granted_terms: by job, the term granted or renewed, or NOT_GRANTED. If a job is missing, the store has not
+            decided on its request, which counts as unanswered.
     """
 
     granted_terms: dict[str, int] = field(default_factory=dict)
@@ -78,12 +78,20 @@
         self.granted_terms[job] = granted_term
 
     def granted_term(self, job: str) -> int:
-        """Returns the term granted, or NOT_GRANTED. Raises KeyError if the request was not decided."""
+        """Returns the term granted or renewed, or NOT_GRANTED.
+
+        Raises:
+            KeyError: the store has not decided on the request.
+        """
         return self.granted_terms[job]
 
 
 class LeaseStore(Protocol):
-    """A store of leases, records and proposals. `holder` names one incarnation of one process."""
+    """A store of leases, records and proposals.
+
+    Attributes:
+        holder: name of this incarnation of this process, under which it holds leases.
+    """
 
     holder: str
 
@@ -91,7 +99,7 @@
         """Submits the lease requests of this process in one call.
 
         Args:
-            requests: in the order in which the store must apply them.
+            requests: the requests, in the order in which the store must apply them.
             lease_us: how long a granted lease lasts.
         """
         ...
@@ -101,22 +109,22 @@
         ...
 
     async def put(self, job: str, term: int, sequence: int, values: Mapping[str, str], proposal: str = "") -> bool:
-        """Writes records in the name of a term that this holder holds, and deletes the proposal that they answer.
+        """Writes records under a term that this holder holds, and deletes the proposal that they answer.
 
         Args:
             job: the job whose records are written.
-            term: the term of this holder.
-            sequence: number of the records within the term.
-            values: by key.
+            term: the term under which they are written.
+            sequence: sequence number of the records within the term.
+            values: the values of the records, by key.
             proposal: key of the proposal to delete; empty for none.
 
         Returns:
-            False if this holder does not hold the term; then nothing is written.
+            Whether the records were written; they are not if this holder does not hold the term.
         """
         ...
 
     async def records(self, job: str) -> dict[str, Record]:
-        """Returns a job's records by key, in the order of their revisions."""
+        """Returns a job's records by key, ordered by term and sequence number."""
         ...
 
     async def propose(self, job: str, proposal: str, value: str) -> None:
@@ -128,7 +136,7 @@
         ...
 
     async def release_for(self, job: str, holder: str, term: int) -> None:
-        """Releases the lease of an earlier incarnation of this process, if that incarnation still holds the term."""
+        """Releases the lease that an earlier incarnation of this process holds, if it still holds it under `term`."""
         ...
 
     async def wait_for_change(self, timeout_s: float) -> None:
@@ -136,7 +144,7 @@
         ...
 
     async def past_terms(self, job: str) -> list[PastTerm]:
-        """Returns the terms of a job, oldest first."""
+        """Returns the last terms of a job, oldest first; the store keeps a bounded number."""
         ...
 
     async def close(self) -> None:
