--- a/glenrock/coordination/__init__.py
+++ b/glenrock/coordination/__init__.py
@@ -1,4 +1,5 @@
-"""The work that balancers share: leases, replicated overrides, drain permits, sharded health checks, and warm starts.
+"""Coordination among balancers: leases, replicated overrides, drain permits, sharded health checks, and warm starts.
 
-Imported only if the configuration names the coordination file (`fleet`, or LB_FLEET). Operators' page: docs/fleet.md.
+It is imported only if the configuration names a coordination file (`fleet`, or LB_FLEET). Operators' guide:
+docs/fleet.md.
 """
--- a/glenrock/coordination/leases/consul_store.py
+++ b/glenrock/coordination/leases/consul_store.py
@@ -1,14 +1,16 @@
-"""The lease store of balancers on several machines: Consul, through its HTTP API (sessions, KV, transactions, watches).
+"""The lease store for balancers on several machines: Consul, through its HTTP API.
 
-Keys: `PREFIX/jobs/JOB` is the lock of a job, with the term, its holder and the past terms as its value;
-`PREFIX/work/JOB/record/KEY` and `PREFIX/work/JOB/wish/KEY` are records and proposals.
+It uses Consul's sessions, key-value store, transactions and blocking queries. `PREFIX/jobs/JOB` is the lock of a job;
+its value has the term, its holder and the past terms. `PREFIX/work/JOB/record/KEY` and `PREFIX/work/JOB/wish/KEY` are
+records and proposals.
 
-A term is granted by one transaction that checks the lock's index and acquires the lock. So of two processes that read
-the same state one fails, and a call that was given up and arrives late changes nothing.
+A term is granted by one transaction that checks the lock's modify index and acquires the lock. So if two processes read
+the same state, the transaction of one of them fails, and a call that arrives after its sender timed out changes
+nothing.
 
-A session lives at least its TTL from when the store accepted the last renewal, possibly longer; a holder counts from
-before its request. A live session does not prove that its locks are held, since an operator may have removed one, so
-a renewal also checks the index of each lock.
+A session lives for at least its TTL from when Consul accepted the last renewal, possibly longer. A holder counts from
+before its request, so its lease ends first. A live session does not prove that its locks are held, since an operator
+may have removed one; a renewal therefore also checks the index of each lock.
 """
 
 from __future__ import annotations
@@ -29,12 +31,12 @@
 SECOND_US = 1_000_000
 SECOND_MS = 1000
 CALL_TIMEOUT_S = 1.5
-MAX_TRANSACTION_OPERATIONS = 64  # in a transaction, a limit of Consul
-OPERATIONS_PER_ACQUISITION = 2  # a check of the index, and the lock
-MAX_PAST_TERMS = 20  # in the value of a lock
-MAX_SEPARATE_READS = 4  # of locks; more are read in one call
-MAX_ERROR_BYTES = 100  # of an error's body, in the message
-TERM_TIME_DECIMALS = 3  # of the Unix time at which a term began
+MAX_TRANSACTION_OPERATIONS = 64  # a limit of Consul
+OPERATIONS_PER_ACQUISITION = 2  # the check of the index, and the lock
+MAX_PAST_TERMS = 20  # stored in the value of a lock
+MAX_SEPARATE_READS = 4  # locks read by a call each; if there are more, all locks are read in one call
+MAX_ERROR_BYTES = 100  # of the body of an error response, quoted in the exception
+TERM_TIME_DECIMALS = 3  # of the Unix time in seconds at which a term began
 
 HTTP_OK, HTTP_NOT_FOUND, HTTP_CONFLICT, HTTP_SERVER_ERROR = 200, 404, 409, 500
 UNSAFE_CHARACTER = re.compile(r"[^A-Za-z0-9_.-]")
@@ -44,18 +46,18 @@
 """A key with its value, as Consul's API returns it."""
 
 Operation = dict[str, Any]
-"""An operation of a transaction on one key, as Consul's API takes it."""
+"""An operation on one key within a transaction, as Consul's API takes it."""
 
 
 class HeldLock(NamedTuple):
-    """A lock that this process holds: its term, and the index of its last modification."""
+    """A lock that this process holds: its term, and Consul's modify index of the lock."""
 
     term: int
     modify_index: int
 
 
 class LockValue(NamedTuple):
-    """The value of a lock. `past` has a row for each past term: term, holder, Unix time in seconds."""
+    """The value of a lock. `past` has a row for each past term: term, holder, and its start as Unix time in seconds."""
 
     term: int
     holder: str
@@ -63,7 +65,7 @@
 
 
 class Reply(NamedTuple):
-    """Consul's answer to a call. `watch_index` is the position for the next blocking query."""
+    """Consul's answer to a call. `watch_index` is the index for the next blocking query."""
 
     status: int
     body: Any
@@ -71,21 +73,21 @@
 
 
 class ReadResult(NamedTuple):
-    """The entries that a read found, and the position for the next blocking query."""
+    """The entries that a read found, and the index for the next blocking query."""
 
     entries: list[Entry]
     watch_index: int
 
 
 class TransactionResult(NamedTuple):
-    """The entries that a transaction returned, or the positions of the operations that made it fail."""
+    """The entries that a transaction returned, and the positions of the operations that made it fail."""
 
     entries: list[Entry]
     failed: set[int]
 
 
 class _Acquisition(NamedTuple):
-    """The operations that acquire a job's lock in `term`."""
+    """The operations that acquire a job's lock for a new term."""
 
     job: str
     term: int
@@ -97,23 +99,23 @@
 
 
 def escape_key(name: str) -> str:
-    """Returns a name as one part of a key; bytes with a meaning in a path are written as =XX."""
+    """Returns a name as one segment of a key. Bytes other than letters, digits, `_`, `.` and `-` become =XX."""
     return UNSAFE_CHARACTER.sub(lambda found: "".join(f"={byte:02X}" for byte in found[0].encode()), name)
 
 
-def unescape_key(part: str) -> str:
-    """Returns the name that `escape_key` was given."""
-    plain = ESCAPED_BYTE.sub(lambda code: chr(int(code[1], 16)), part)
+def unescape_key(segment: str) -> str:
+    """Returns the name that `escape_key` has escaped."""
+    plain = ESCAPED_BYTE.sub(lambda code: chr(int(code[1], 16)), segment)
     return plain.encode("latin-1").decode("utf-8", "replace")
 
 
 def encode_value(value: Any) -> str:
-    """Returns a value in the form that Consul's transactions take."""
+    """Returns a value as JSON in base64, the form that Consul's transactions take."""
     return base64.b64encode(json.dumps(value).encode()).decode()
 
 
 def decode_lock_value(entry: Entry | None) -> LockValue:
-    """Returns the value of a lock; NO_LOCK if there is none or another program wrote it."""
+    """Returns the value of a lock; NO_LOCK if there is no lock, or its value is not of this form."""
     try:
         value = json.loads(base64.b64decode(entry["Value"] or "")) if entry else {}
         return LockValue(int(value["term"]), str(value["holder"]), list(value["past"]))
@@ -122,14 +124,14 @@
 
 
 class ConsulStore:
-    """The store's calls.
+    """The `LeaseStore` over Consul.
 
     Attributes:
         holder: name of this incarnation of this process.
-        session: Consul's session that holds the locks; empty while there is none.
-        call_count: HTTP calls made.
-        addresses: `host:port` of Consul's servers or agents. The first is called; an address that does not answer
-            becomes the last.
+        session: identifier of the Consul session that holds the locks; empty if there is none.
+        call_count: number of HTTP calls made.
+        addresses: `host:port` of Consul's servers or agents. The first is called; an address that does not answer is
+            moved to the end.
     """
 
     def __init__(
@@ -150,14 +152,18 @@
         self._lock_delay = f"{lock_delay_us / SECOND_US:.3f}s"
         self._headers = {"X-Consul-Token": token} if token else {}
         self._held: dict[str, HeldLock] = {}
-        self._watch_index = 0  # of the last blocking query
+        self._watch_index = 0  # returned by the last blocking query; 0 before the first
         self._client: aiohttp.ClientSession | None = None
         self._submit_lock = asyncio.Lock()  # keeps this holder's requests in order
 
     # -- calls -----------------------------------------------------------------------------------------
 
     async def _call(self, method: str, path: str, body: Any = None, wait_s: float = 0.0) -> Reply:
-        """Calls Consul; `wait_s` is added to the timeout. Raises StoreUnavailableError, also for a server error."""
+        """Calls Consul. `wait_s` is added to the timeout, for blocking queries.
+
+        Raises:
+            StoreUnavailableError: no answer came in time, or the answer was a server error.
+        """
         if self._client is None:
             self._client = aiohttp.ClientSession(headers=self._headers)
         self.call_count += 1
@@ -177,18 +183,18 @@
             raise StoreUnavailableError(f"{address}: {error or 'no answer in time'}") from error
 
     def _unexpected_status(self, status: int, call: str) -> StoreUnavailableError:
-        return StoreUnavailableError(f"{self.addresses[0]}: {status} to {call}")
+        return StoreUnavailableError(f"{self.addresses[0]}: unexpected status {status} in answer to {call}")
 
     async def _read(self, path: str, query: str = "", wait_s: float = 0.0) -> ReadResult:
-        """Returns the entries below a path."""
-        # Without `consistent`, a server that has lost its leadership may return a past state.
+        """Returns the entries at a path. Raises StoreUnavailableError."""
+        # Without `consistent`, a Consul server that has lost its leadership may return a stale state.
         reply = await self._call("GET", f"kv/{self._prefix}/{path}?consistent{query}", wait_s=wait_s)
         if reply.status not in (HTTP_OK, HTTP_NOT_FOUND):
             raise self._unexpected_status(reply.status, "a read")
         return ReadResult(reply.body or [], reply.watch_index)
 
     async def transaction(self, operations: list[Operation]) -> TransactionResult:
-        """Carries out all of the operations, or none."""
+        """Carries out all of the operations, or none. Raises StoreUnavailableError."""
         reply = await self._call("PUT", "txn", [{"KV": operation} for operation in operations])
         if reply.status == HTTP_OK:
             return TransactionResult([result["KV"] for result in reply.body.get("Results") or []], set())
@@ -212,14 +218,18 @@
             acquisitions = _requests_of_kind(requests, RequestKind.ACQUIRE)
             await self._release(_requests_of_kind(requests, RequestKind.RELEASE), answers)
             if renewals or acquisitions:
-                # Renewed first: a lock acquired in a session lives only for the rest of the session's TTL.
+                # The session is renewed first: an acquired lock lives only for the rest of the session's TTL.
                 is_renewed = await self._renew_session(may_create=bool(acquisitions))
                 await self._check_renewals(renewals, answers, is_renewed)
                 await self._acquire(acquisitions, answers)
             return answers
 
     async def _renew_session(self, may_create: bool) -> bool:
-        """Renews the session, or creates one. Returns whether an existing session was renewed."""
+        """Renews the session; creates one if there is none and `may_create` is set.
+
+        Returns:
+            Whether an existing session was renewed, so that its locks may still be held.
+        """
         if self.session:
             reply = await self._call("PUT", f"session/renew/{self.session}")
             if reply.status == HTTP_OK:
@@ -235,7 +245,7 @@
         return False
 
     async def _check_renewals(self, renewals: list[JobRequest], answers: LeaseAnswers, is_renewed: bool) -> None:
-        """Adds to `answers` the renewals of locks that are still held."""
+        """Checks which locks are still held, and adds the result of each renewal to `answers`."""
         renewable = []
         for renewal in renewals:
             if is_renewed and self._held.get(renewal.job, NOT_HELD).term == renewal.request.term:
@@ -257,7 +267,7 @@
         return {"Verb": "check-index", "Key": self._lock_key(job), "Index": index}
 
     async def _acquire(self, requests: list[JobRequest], answers: LeaseAnswers) -> None:
-        """Adds to `answers` the terms of the locks that are acquired."""
+        """Acquires the locks that are free, and adds the result of each request to `answers`."""
         if not requests:
             return
         locks = await self._read_locks([job for job, _ in requests])
@@ -270,22 +280,25 @@
                 acquisitions.append(self._build_acquisition(job, request, entry))
         await self._submit_acquisitions(acquisitions, answers)
 
-    async def _submit_acquisitions(self, waiting: list[_Acquisition], answers: LeaseAnswers) -> None:
-        """Submits transactions with as many acquisitions as fit, and retries each without those that made it fail."""
+    async def _submit_acquisitions(self, pending: list[_Acquisition], answers: LeaseAnswers) -> None:
+        """Submits acquisitions in batches. A failed batch is retried without those that made it fail."""
         batch_size = MAX_TRANSACTION_OPERATIONS // OPERATIONS_PER_ACQUISITION
-        while waiting:
-            batch, waiting = waiting[:batch_size], waiting[batch_size:]
-            result = await self.transaction([operation for item in batch for operation in item.operations])
+        while pending:
+            batch, pending = pending[:batch_size], pending[batch_size:]
+            result = await self.transaction(
+                [operation for acquisition in batch for operation in acquisition.operations]
+            )
             if result.failed:
                 failed = {position // OPERATIONS_PER_ACQUISITION for position in result.failed}
                 for position in failed:
                     answers.add(batch[position].job, NOT_GRANTED)
-                waiting = [item for position, item in enumerate(batch) if position not in failed] + waiting
+                allowed = [acquisition for position, acquisition in enumerate(batch) if position not in failed]
+                pending = allowed + pending
                 continue
             self._record_acquired(batch, result.entries, answers)
 
     async def _read_locks(self, jobs: list[str]) -> dict[str, Entry]:
-        """Returns the locks that exist, by key."""
+        """Returns the locks of at least these jobs by key, without those that do not exist."""
         if len(jobs) > MAX_SEPARATE_READS:
             entries = (await self._read("jobs/", "&recurse")).entries
             return {entry["Key"]: entry for entry in entries}
@@ -296,10 +309,10 @@
         return locks
 
     def _build_acquisition(self, job: str, request: LeaseRequest, entry: Entry | None) -> _Acquisition:
-        before = decode_lock_value(entry)
-        term = max(before.term, request.term_floor) + 1
+        previous = decode_lock_value(entry)
+        term = max(previous.term, request.term_floor) + 1
         row = [term, self.holder, round(time.time(), TERM_TIME_DECIMALS)]
-        past = [*before.past, row][-MAX_PAST_TERMS:]
+        past = [*previous.past, row][-MAX_PAST_TERMS:]
         check = {"Verb": "check-not-exists", "Key": self._lock_key(job)}
         if entry:
             check = self._index_check(job, entry["ModifyIndex"])
@@ -308,7 +321,7 @@
         return _Acquisition(job, term, [check, lock])
 
     def _record_acquired(self, acquired: list[_Acquisition], entries: list[Entry], answers: LeaseAnswers) -> None:
-        """Records the acquired locks with the indexes in the answer; the checks return no entries."""
+        """Records the acquired locks, with the modify indexes that the transaction returned for them."""
         indexes = {entry["Key"]: int(entry["ModifyIndex"]) for entry in entries}
         for job, term, _ in acquired:
             answers.add(job, term)
@@ -323,7 +336,7 @@
                 self._held.pop(job, None)
 
     async def _unlock(self, job: str, index: int, session: str) -> None:
-        # The index is checked too: a late call must not release a lock that was acquired again since.
+        # The check of the index keeps a late call from releasing a lock that has been acquired again since.
         unlock = {"Verb": "unlock", "Key": self._lock_key(job), "Session": session}
         await self.transaction([self._index_check(job, index), unlock])
 
@@ -342,12 +355,12 @@
             entries = (await self.transaction(operations)).entries
         else:
             entries = (await self._read("jobs/", "&recurse")).entries
-        start = len(f"{self._prefix}/jobs/")
+        prefix_length = len(f"{self._prefix}/jobs/")
         leases = {}
         for entry in entries:
             value = decode_lock_value(entry)
             holder = value.holder if entry.get("Session") else ""
-            leases[unescape_key(entry["Key"][start:])] = Lease(holder, value.term, TIME_UNKNOWN)
+            leases[unescape_key(entry["Key"][prefix_length:])] = Lease(holder, value.term, TIME_UNKNOWN)
         return leases
 
     async def past_terms(self, job: str) -> list[PastTerm]:
@@ -375,9 +388,9 @@
 
     async def records(self, job: str) -> dict[str, Record]:
         """See `LeaseStore`."""
-        found = await self._read_values(job, "record")
-        records = {key: Record(raw["value"], raw["term"], raw["number"]) for key, raw in found.items()}
-        return dict(sorted(records.items(), key=lambda pair: (pair[1].term, pair[1].sequence)))
+        values = await self._read_values(job, "record")
+        records = {key: Record(raw["value"], raw["term"], raw["number"]) for key, raw in values.items()}
+        return dict(sorted(records.items(), key=lambda item: (item[1].term, item[1].sequence)))
 
     async def propose(self, job: str, proposal: str, value: str) -> None:
         """See `LeaseStore`."""
@@ -390,11 +403,11 @@
 
     async def _read_values(self, job: str, kind: str) -> dict[str, Any]:
         """Returns the decoded values of a job's records or proposals, oldest first."""
-        start = self._work_key(job, kind, "")
-        entries = (await self._read(start[len(self._prefix) + 1 :], "&recurse")).entries
+        key_prefix = self._work_key(job, kind, "")
+        entries = (await self._read(key_prefix[len(self._prefix) + 1 :], "&recurse")).entries
         oldest_first = sorted(entries, key=lambda entry: int(entry["CreateIndex"]))
         return {
-            unescape_key(entry["Key"][len(start) :]): json.loads(base64.b64decode(entry["Value"]))
+            unescape_key(entry["Key"][len(key_prefix) :]): json.loads(base64.b64decode(entry["Value"]))
             for entry in oldest_first
         }
 
@@ -404,7 +417,7 @@
         if self._watch_index:
             query += f"&index={self._watch_index}&wait={max(1, round(timeout_s * SECOND_MS))}ms"
         index = (await self._read("work/", query, timeout_s)).watch_index
-        # A lower index is that of a restored store; the next query starts anew.
+        # The index goes back when Consul is restored from a snapshot. Then the next query is made without one.
         self._watch_index = index if index >= self._watch_index else 0
 
     async def close(self) -> None:
@@ -415,4 +428,4 @@
 
 
 def _requests_of_kind(requests: Sequence[JobRequest], kind: RequestKind) -> list[JobRequest]:
-    return [item for item in requests if item.request.kind is kind]
+    return [job_request for job_request in requests if job_request.request.kind is kind]
--- a/glenrock/coordination/leases/sqlite_store.py
+++ b/glenrock/coordination/leases/sqlite_store.py
@@ -1,8 +1,9 @@
-"""The lease store of the balancers of one machine, in an SQLite file.
+"""The lease store for balancers on one machine, in an SQLite file.
 
-Each call is one IMMEDIATE transaction: processes wait for each other, and a killed process leaves no partial write.
-Leases run on CLOCK_BOOTTIME, which all processes of a machine share and which advances during a suspend; leases of an
-earlier boot are void. Calls block for up to the busy timeout; `AsyncSqliteStore` makes them in threads.
+Each write is one IMMEDIATE transaction: processes wait for each other, and a killed process leaves no partial write.
+Leases are timed by CLOCK_BOOTTIME, which all processes of a machine share and which keeps running while the machine is
+asleep. Leases of an earlier boot are void. Calls block for up to the busy timeout, so `AsyncSqliteStore` makes them in
+threads.
 """
 
 from __future__ import annotations
@@ -20,14 +21,14 @@
 from .candidate import LeaseRequest, RequestKind
 from .store import NOT_GRANTED, JobRequest, Lease, LeaseAnswers, PastTerm, Record, StoreUnavailableError
 
-T = TypeVar("T")
+ResultT = TypeVar("ResultT")
 
 BUSY_TIMEOUT_S = 1.0
 BOOT_ID_PATH = Path("/proc/sys/kernel/random/boot_id")
-MAX_PAST_TERMS = 50  # stored of each job
-POLL_INTERVAL_S = 0.1  # between two reads of the file's version in shared memory
-RELEASED_US = 0  # in place of the expiry time of a lease that was released
-# Earlier versions have written files with these names of tables and columns.
+MAX_PAST_TERMS = 50  # stored for each job
+POLL_INTERVAL_S = 0.1  # between two reads of the data version, which needs no access to the disk
+RELEASED_US = 0  # stored as the expiry time of a lease that was released
+# The names of tables and columns must not change, since files of earlier versions have them.
 SCHEMA = """
 CREATE TABLE IF NOT EXISTS lease (job TEXT PRIMARY KEY, holder TEXT, term INTEGER NOT NULL, until INTEGER NOT NULL,
                                   boot TEXT NOT NULL, request INTEGER NOT NULL);
@@ -40,7 +41,7 @@
 
 
 class Access(enum.Enum):
-    """Whether a call writes to the file."""
+    """Whether a call writes to the file or only reads it."""
 
     WRITE = enum.auto()
     READ = enum.auto()
@@ -60,10 +61,10 @@
     """A row of the lease table.
 
     Attributes:
-        holder: the last holder; empty if there was none since the boot.
+        holder: the last holder; empty if there was none since the machine booted.
         term: the last term granted.
         expires_us: when the lease expires; RELEASED_US if it was released.
-        last_sequence: number of the holder's last request that was accepted.
+        last_sequence: sequence number of the holder's last request that was accepted.
     """
 
     holder: str
@@ -73,14 +74,14 @@
 
 
 class _Submission(NamedTuple):
-    """A request of a process, as the store applies it.
+    """A request of a process, with what the store needs to apply it.
 
     Attributes:
-        job: the job.
+        job: the job whose lease is requested.
         holder: name of the incarnation that submits the request.
-        request: the request.
+        request: what it requests.
         now_us: when the request is applied.
-        expires_us: when a lease that is granted or renewed now expires.
+        expires_us: when the lease expires if the request grants or renews it.
     """
 
     job: str
@@ -94,10 +95,10 @@
     """The store's blocking calls.
 
     Args:
-        path: of the file.
+        path: path of the SQLite file.
         lock_delay_us: time from the expiry of a lease until another holder may acquire it.
-        now_us: the clock of the leases.
-        boot: identifier of the machine's boot.
+        now_us: returns the time, in microseconds, by which leases expire.
+        boot_id: identifier of the machine's boot; None for the current one.
         busy_timeout_s: bound on the wait for another process's transaction.
 
     Raises:
@@ -109,16 +110,16 @@
         path: Path,
         lock_delay_us: int = 0,
         now_us: Callable[[], int] = boottime_us,
-        boot: str | None = None,
+        boot_id: str | None = None,
         busy_timeout_s: float = BUSY_TIMEOUT_S,
     ) -> None:
         self._now_us = now_us
         self._lock_delay_us = lock_delay_us
-        self._boot_id = boot if boot is not None else current_boot_id()
+        self._boot_id = boot_id if boot_id is not None else current_boot_id()
         try:
             self.db = sqlite3.connect(path, timeout=busy_timeout_s, isolation_level=None, check_same_thread=False)
             self.db.execute("PRAGMA journal_mode=WAL")
-            # A term that was granted must not be granted again after a crash of the machine.
+            # A crash of the machine must not lose a granted term, since it would be granted a second time.
             self.db.execute("PRAGMA synchronous=FULL")
             self.db.executescript(SCHEMA)
         except sqlite3.Error as error:
@@ -130,7 +131,7 @@
 
     @contextlib.contextmanager
     def _write_transaction(self) -> Iterator[sqlite3.Connection]:
-        """Opens a transaction that is rolled back if its body fails."""
+        """Runs the body in a write transaction, which is rolled back if the body raises."""
         try:
             self.db.execute("BEGIN IMMEDIATE")
         except sqlite3.Error as error:
@@ -150,7 +151,7 @@
 
     @contextlib.contextmanager
     def _read_transaction(self) -> Iterator[sqlite3.Connection]:
-        """Opens a transaction that reads one state of the file, without the lock of the writers."""
+        """Runs the body in a read transaction: a consistent snapshot that does not wait for writers."""
         try:
             self.db.execute("BEGIN")
             yield self.db
@@ -165,29 +166,30 @@
     def acquire(self, job: str, holder: str, sequence: int, lease_us: int, term_floor: int = 0) -> int:
         """Acquires a job's lease.
 
-        A holder's requests must arrive in order: a late request that its sender gave up could otherwise undo the one
-        sent in its place. So requests are numbered, and a holder's name is used by one incarnation only.
+        Requests carry sequence numbers, and the store ignores those that arrive out of order: a late request whose
+        sender timed out could otherwise undo the request sent in its place. For the same reason, a holder's name is
+        used by one incarnation only.
 
         Args:
-            job: the job.
+            job: the job whose lease is requested.
             holder: name of the incarnation that requests the lease.
-            sequence: number of the request among those of this holder.
-            lease_us: how long the lease lasts.
-            term_floor: the granted term is above it.
+            sequence: sequence number of the request among those of this holder.
+            lease_us: duration of the lease.
+            term_floor: a granted term is above this one.
 
         Returns:
-            The new term, or 0 if another process holds the lease.
+            The new term, or 0 if another process holds the lease or the request is out of order.
         """
         request = JobRequest(job, LeaseRequest(sequence, RequestKind.ACQUIRE, 0, term_floor))
         return self.submit(holder, [request], lease_us).granted_term(job)
 
     def renew(self, job: str, holder: str, sequence: int, term: int, lease_us: int) -> int:
-        """Renews a lease. Returns its term, or 0 if it has expired."""
+        """Renews a lease. Returns its term, or 0 if it has expired or this holder does not hold the term."""
         request = JobRequest(job, LeaseRequest(sequence, RequestKind.RENEW, term, 0))
         return self.submit(holder, [request], lease_us).granted_term(job)
 
     def release(self, job: str, holder: str, sequence: int, term: int) -> None:
-        """Releases a lease."""
+        """Releases a lease, if this holder holds the term."""
         self.submit(holder, [JobRequest(job, LeaseRequest(sequence, RequestKind.RELEASE, term, 0))], 0)
 
     def submit(self, holder: str, requests: Iterable[JobRequest], lease_us: int) -> LeaseAnswers:
@@ -201,7 +203,7 @@
         return answers
 
     def _apply(self, db: sqlite3.Connection, submission: _Submission) -> int:
-        """Applies a request. Returns the term granted or renewed, or NOT_GRANTED."""
+        """Applies a request. Returns the term that is granted or renewed, or NOT_GRANTED."""
         job, holder, request, now_us, expires_us = submission
         row = self._read_row(db, job)
         if row.holder == holder and request.sequence <= row.last_sequence:
@@ -219,11 +221,11 @@
         return row.term
 
     def _acquire(self, db: sqlite3.Connection, submission: _Submission, row: _LeaseRow) -> int:
-        """Grants a new term, unless another holder's lease lasts. Returns the term, or NOT_GRANTED."""
+        """Grants a new term, unless another holder's lease and its lock delay have not expired."""
         job, holder, request, now_us, expires_us = submission
-        is_of_another = row.holder and row.holder != holder
+        has_other_holder = row.holder and row.holder != holder
         is_released = row.expires_us == RELEASED_US
-        if is_of_another and not is_released and now_us < row.expires_us + self._lock_delay_us:
+        if has_other_holder and not is_released and now_us < row.expires_us + self._lock_delay_us:
             return NOT_GRANTED
         term = max(row.term, request.term_floor) + 1
         self._write_row(db, job, _LeaseRow(holder, term, expires_us, request.sequence))
@@ -232,12 +234,12 @@
         return term
 
     def _read_row(self, db: sqlite3.Connection, job: str) -> _LeaseRow:
-        """Reads a job's row. A lease of an earlier boot has no holder, and its term still counts."""
+        """Reads a job's row. A lease of an earlier boot is returned without its holder, but with its term."""
         found = db.execute("SELECT holder, term, until, request, boot FROM lease WHERE job = ?", (job,)).fetchone()
         if found is None:
             return _LeaseRow("", 0, RELEASED_US, 0)
-        holder, term, expires_us, last_sequence, boot = found
-        if boot != self._boot_id:
+        holder, term, expires_us, last_sequence, boot_id = found
+        if boot_id != self._boot_id:
             return _LeaseRow("", term, RELEASED_US, 0)
         return _LeaseRow(holder, term, expires_us, last_sequence)
 
@@ -246,7 +248,7 @@
         db.execute("INSERT OR REPLACE INTO lease VALUES (?, ?, ?, ?, ?, ?)", values)
 
     def release_for(self, job: str, holder: str, term: int) -> None:
-        """Releases the lease of an earlier incarnation, if it still holds the term."""
+        """Releases the lease of an earlier incarnation; see `LeaseStore.release_for`."""
         with self._write_transaction() as db:
             row = self._read_row(db, job)
             if (row.holder, row.term) == (holder, term) and row.expires_us != RELEASED_US:
@@ -268,7 +270,7 @@
     def put(
         self, job: str, holder: str, term: int, sequence: int, values: Mapping[str, str], proposal: str = ""
     ) -> bool:
-        """Writes records in the name of a term; see `LeaseStore.put`."""
+        """Writes records under a term; see `LeaseStore.put`."""
         with self._write_transaction() as db:
             row = self._read_row(db, job)
             if (row.holder, row.term) != (holder, term) or self._now_us() >= row.expires_us:
@@ -279,7 +281,7 @@
             return True
 
     def records(self, job: str) -> dict[str, Record]:
-        """Returns a job's records by key, in the order of their revisions."""
+        """Returns a job's records by key, ordered by term and sequence number."""
         with self._read_transaction() as db:
             found = db.execute(
                 "SELECT key, value, term, number FROM record WHERE job = ? ORDER BY term, number", (job,)
@@ -297,13 +299,13 @@
             return dict(db.execute("SELECT key, value FROM wish WHERE job = ? ORDER BY rowid", (job,)).fetchall())
 
     def past_terms(self, job: str) -> list[PastTerm]:
-        """Returns the terms of a job, oldest first."""
+        """Returns the last terms of a job, oldest first."""
         with self._read_transaction() as db:
             found = db.execute("SELECT term, holder, at FROM past WHERE job = ? ORDER BY term", (job,))
             return [PastTerm(*row) for row in found]
 
     def data_version(self) -> int:
-        """Returns a number that differs after another connection has changed the file."""
+        """Returns SQLite's data version, which changes when another connection has changed the file."""
         return int(self.db.execute("PRAGMA data_version").fetchone()[0])
 
 
@@ -313,10 +315,10 @@
 
 
 class AsyncSqliteStore:
-    """A `SqliteStore` behind the interface `LeaseStore`.
+    """The `LeaseStore` over an SQLite file, which runs `SqliteStore` in threads.
 
-    Writes are made by one thread, so that they keep their order, and reads by another: a process that is suspended in
-    its transaction blocks the writers, and reads must not wait behind them.
+    One thread makes the writes, so that they keep their order, and another makes the reads: a process that is paused in
+    its transaction blocks all writers, and reads must not wait behind them.
     """
 
     def __init__(self, path: Path, holder: str, lock_delay_us: int = 0, busy_timeout_s: float = BUSY_TIMEOUT_S) -> None:
@@ -331,13 +333,13 @@
         self._stores: dict[Access, SqliteStore] = {}
         self._version = -1
 
-    async def _run_in_thread(self, work: Callable[[SqliteStore], T], access: Access = Access.WRITE) -> T:
-        def in_thread() -> T:
+    async def _run_in_thread(self, call: Callable[[SqliteStore], ResultT], access: Access = Access.WRITE) -> ResultT:
+        def run_in_this_thread() -> ResultT:
             if access not in self._stores:
                 self._stores[access] = SqliteStore(self._path, self._lock_delay_us, busy_timeout_s=self._busy_timeout_s)
-            return work(self._stores[access])
+            return call(self._stores[access])
 
-        return await asyncio.get_running_loop().run_in_executor(self._executors[access], in_thread)
+        return await asyncio.get_running_loop().run_in_executor(self._executors[access], run_in_this_thread)
 
     async def submit(self, requests: Sequence[JobRequest], lease_us: int) -> LeaseAnswers:
         """See `LeaseStore`."""
@@ -372,7 +374,7 @@
         return await self._run_in_thread(lambda store: store.past_terms(job), Access.READ)
 
     async def wait_for_change(self, timeout_s: float) -> None:
-        """Returns when the file's version differs from that of the last call, or after `timeout_s`."""
+        """Returns when the file has changed since the last call, or after `timeout_s`."""
         loop = asyncio.get_running_loop()
         deadline_s = loop.time() + timeout_s
         while loop.time() < deadline_s:
@@ -385,7 +387,7 @@
     async def close(self) -> None:
         """Closes the file in the threads that opened it, and ends the threads."""
         loop = asyncio.get_running_loop()
-        for access, thread in self._executors.items():
+        for access, executor in self._executors.items():
             if store := self._stores.get(access):
-                await loop.run_in_executor(thread, store.close)
-            thread.shutdown(wait=False)
+                await loop.run_in_executor(executor, store.close)
+            executor.shutdown(wait=False)
--- a/tests/coordination/leases/test_sqlite_store.py
+++ b/tests/coordination/leases/test_sqlite_store.py
@@ -27,7 +27,7 @@
 
 def test_leases_expire_terms_grow_and_records_require_the_term(tmp_path: Path) -> None:
     clock = SettableClock()
-    store = SqliteStore(tmp_path / "s", now_us=clock, boot="one")
+    store = SqliteStore(tmp_path / "s", now_us=clock, boot_id="one")
     assert store.acquire("job", "a", 1, LEASE_US) == 1
     assert store.acquire("job", "b", 1, LEASE_US) == 0
     assert store.put("job", "a", 1, 1, {"k": "old"})
@@ -44,14 +44,14 @@
     assert store.records("job") == {"k": Record("old", 1, 1)}
     store.release("job", "b", 4, 6)
     assert store.acquire("job", "a", 5, LEASE_US) == 7, "a released lease is free at once"
-    after_boot = SqliteStore(tmp_path / "s", now_us=clock, boot="two")
+    after_boot = SqliteStore(tmp_path / "s", now_us=clock, boot_id="two")
     assert after_boot.lease("job").holder == "", "leases of an earlier boot are void"
     assert after_boot.acquire("job", "b", 1, LEASE_US) == 8
 
 
 def test_requests_of_a_holder_are_accepted_in_order(tmp_path: Path) -> None:
     # A release and an acquire that were given up arrive after the acquire sent in their place.
-    store = SqliteStore(tmp_path / "s", now_us=SettableClock(), boot="one")
+    store = SqliteStore(tmp_path / "s", now_us=SettableClock(), boot_id="one")
     assert store.acquire("job", "a", 3, LEASE_US) == 1
     store.release("job", "a", 2, 1)
     assert store.acquire("job", "a", 1, LEASE_US) == 0
@@ -61,7 +61,7 @@
 
 def test_expired_lease_is_free_after_the_lock_delay(tmp_path: Path) -> None:
     clock = SettableClock()
-    store = SqliteStore(tmp_path / "s", lock_delay_us=500, now_us=clock, boot="one")
+    store = SqliteStore(tmp_path / "s", lock_delay_us=500, now_us=clock, boot_id="one")
     store.acquire("job", "a", 1, LEASE_US)
     clock.now_us += 1400
     assert store.acquire("job", "b", 1, LEASE_US) == 0
--- a/tests/test_recorded.py
+++ b/tests/test_recorded.py
@@ -82,7 +82,7 @@
 
 def test_sqlite_store_is_read(tmp_path: Path) -> None:
     shutil.copy(RECORDED / "owner.sqlite", tmp_path)
-    store = SqliteStore(tmp_path / "owner.sqlite", now_us=lambda: 2000, boot="boot-one")
+    store = SqliteStore(tmp_path / "owner.sqlite", now_us=lambda: 2000, boot_id="boot-one")
     lease = store.lease("bans")
     assert (lease.holder, lease.term) == ("n1.5", 7)
     assert store.records("bans") == {"a:1": Record('{"out": true}', 7, 1)}
