--- a/glenrock/coordination/agent.py
+++ b/glenrock/coordination/agent.py
@@ -1,7 +1,7 @@
 """Builds, starts and stops the coordination of one balancer.
 
-The module is imported only if the configuration names the coordination file. Clients do not depend on the coordination:
-without the store, the balancer serves and the jobs rest.
+The module is imported only if the configuration names a coordination file. Clients do not depend on coordination:
+without the store, the balancer goes on serving them, and only the jobs that need a lease stop.
 """
 
 from __future__ import annotations
@@ -43,13 +43,15 @@
 
 MS_US = 1000
 SECOND_MS = 1000
-RETRY_LEASE_DIVISOR = 10  # a lease over the time from a rejected request until the next
-BACKOFF_LEASE_DIVISOR = 5  # a lease over the time from a request without an answer until the next
-STAGGER_LEASE_FRACTION = POLL_LEASE_FRACTION  # a shorter step would end before the next member reads the lease
+RETRY_LEASE_DIVISOR = 10  # lease duration / delay after a rejected request
+BACKOFF_LEASE_DIVISOR = 5  # lease duration / delay after a request that timed out
+# Interval between the requests of two members, as a fraction of the lease duration. With a shorter one, the next member
+# would request the lease before it has read that the first one acquired it.
+STAGGER_LEASE_FRACTION = POLL_LEASE_FRACTION
 
 
 def build_timing(file: CoordinationFile) -> LeaseTiming:
-    """Returns the durations of a lease from the coordination file."""
+    """Returns the durations of a lease that the coordination file sets."""
     lease_us = round(file.lease.lease_ms * MS_US)
     return LeaseTiming(
         lease_us=lease_us,
@@ -61,12 +63,12 @@
 
 
 def build_store(file: CoordinationFile, holder: str) -> LeaseStore:
-    """Returns the store that the coordination file names. Raises OSError if its token cannot be read."""
+    """Returns the lease store that the coordination file selects. Raises OSError if its token cannot be read."""
     settings = file.store
     lock_delay_us = round(settings.lock_delay_ms * MS_US)
     if settings.kind is StoreKind.SQLITE:
         return AsyncSqliteStore(Path(settings.path), holder, lock_delay_us, file.lease.ask_ms / SECOND_MS)
-    from .leases.consul_store import ConsulStore  # loads aiohttp
+    from .leases.consul_store import ConsulStore  # imports aiohttp, which is an optional dependency
 
     token = Path(settings.token_file).read_text().strip() if settings.token_file else ""
     lease_us = round(file.lease.lease_ms * MS_US)
@@ -77,8 +79,8 @@
     """The coordination of one balancer.
 
     Attributes:
-        overrides: the overrides at all balancers; None if the coordination file disables them.
-        drain_limiter: the drain permits; None if the coordination file disables them.
+        overrides: replicates overrides among the balancers; None if the coordination file disables that.
+        drain_limiter: the drain permit of this balancer; None if the coordination file sets no limit.
     """
 
     def __init__(self, host: BalancerHost, path: str) -> None:
@@ -103,12 +105,12 @@
         return StartBackoff(folder, self._context.name, policy, self._host.clock.now_ms)
 
     async def wait_before_start(self, stop: asyncio.Event) -> None:
-        """Delays the start of a balancer that crashed repeatedly, before it serves or calls anything."""
+        """Delays the start of a balancer that crashed repeatedly; awaited before it serves or calls anything."""
         if self._start_backoff:
             await self._start_backoff.wait(stop)
 
     def start(self) -> None:
-        """Reads the cached list and the durable state, and starts the tasks."""
+        """Reads the cached endpoint list and the durable state, and starts the tasks."""
         self._milestones.start(self._load_cached_list())
         self._context.tasks.run(self._milestones.watch())
         self._context.state.read()
@@ -117,7 +119,7 @@
                 part.start()
 
     def _load_cached_list(self) -> ListSource:
-        """Puts the cached endpoint list into the configuration if it is newer. Returns where the list is from."""
+        """Puts the cached endpoint list into the configuration if it is newer. Returns the source of the list."""
         configured = self._host.config.raw_cached_endpoints
         if self._start_cache:
             table = self._start_cache.read(configured)
@@ -128,11 +130,11 @@
         return ListSource.CONFIGURED if configured.get("endpoints") else ListSource.NONE
 
     async def stop(self) -> None:
-        """Releases all leases but the drain permit, which must cover the restart that follows, and ends the tasks."""
+        """Releases all leases except the drain permit, which must cover a restart that follows, and ends the tasks."""
         context = self._context
         await context.leases.step_down_from_all(except_job=self._permit_job())
         context.tasks.cancel()
-        if self._start_backoff:  # after the leases are released, since a disk may take seconds
+        if self._start_backoff:  # after the leases are released, since the write to disk may take seconds
             await asyncio.to_thread(self._start_backoff.record_orderly_end)
         await context.leases.close()
 
@@ -140,7 +142,7 @@
         return self.drain_limiter.permit_job if self.drain_limiter else None
 
     def view(self) -> str:
-        """Returns the operators' view, as JSON."""
+        """Returns the operators' view of the coordination, as JSON."""
         cache_status = self._start_cache.status if self._start_cache else "disabled"
         return build_view(
             self._context,
@@ -152,7 +154,7 @@
 
 
 def _load(path: str) -> tuple[CoordinationFile, Path]:
-    """Reads the coordination file and creates the folder that it names. Raises ConfigError."""
+    """Reads the coordination file, and creates the folder that it names. Raises ConfigError."""
     try:
         file = load(Path(path))
         folder = Path(file.folder)
@@ -163,7 +165,7 @@
 
 
 def _build_context(host: BalancerHost, file: CoordinationFile, folder: Path, path: str) -> CoordinationContext:
-    """Builds the shared objects. Raises ConfigError."""
+    """Builds the shared objects. Raises ConfigError if the store's token cannot be read."""
     settings = host.config.settings
     name = host.config.name or f"balancer-{settings.index}"
     holder = f"{name}/{os.getpid()}-{boottime_us()}"
--- a/glenrock/coordination/background_tasks.py
+++ b/glenrock/coordination/background_tasks.py
@@ -1,4 +1,4 @@
-"""The tasks of the coordination. An exception in a task is logged, and ends no client's connection."""
+"""The background tasks of the coordination. An exception in a task is logged, and does not affect clients."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 class BackgroundTasks:
-    """The owner of the coordination's tasks."""
+    """Starts background tasks, keeps references to them, and cancels them."""
 
     def __init__(self) -> None:
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def run(self, work: Coroutine[Any, Any, object]) -> None:
-        """Starts a task. Its result is ignored."""
-        task = asyncio.get_running_loop().create_task(_run_logged(work))
+    def run(self, coroutine: Coroutine[Any, Any, object]) -> None:
+        """Starts a task that runs a coroutine. The coroutine's result is ignored."""
+        task = asyncio.get_running_loop().create_task(_run_logged(coroutine))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
@@ -29,8 +29,8 @@
             task.cancel()
 
 
-async def _run_logged(work: Coroutine[Any, Any, object]) -> None:
+async def _run_logged(coroutine: Coroutine[Any, Any, object]) -> None:
     try:
-        await work
+        await coroutine
     except Exception:
         logger.exception("coordination task failed")
--- a/glenrock/coordination/config.py
+++ b/glenrock/coordination/config.py
@@ -1,4 +1,7 @@
-"""The operators' coordination file (`fleet.toml`). Times are milliseconds. Operators' files have these keys."""
+"""The coordination file of operators (`fleet.toml`). Times are in milliseconds.
+
+The attributes of the sections are the keys of the file, so their names must not change.
+"""
 
 from __future__ import annotations
 
@@ -11,30 +14,30 @@
 from .. import toml_file
 from ..toml_file import input_error
 
-CONSUL_MIN_TTL_MS = 10_000  # Consul's bound on a session's TTL, unless its own configuration lowers it
+CONSUL_MIN_TTL_MS = 10_000  # Consul's lower bound on a session's TTL, unless Consul's configuration lowers it
 DAY_MS = 86_400_000
 
 
 class StoreKind(StrEnum):
-    """The lease store. SQLITE serves the balancers of one machine, CONSUL those of several."""
+    """The kind of the lease store: SQLITE for balancers on one machine, CONSUL for several machines."""
 
     SQLITE = "sqlite"
     CONSUL = "consul"
 
 
 class Section(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """A table of the file. An unknown key is an error."""
+    """A table of the file. A key that it does not declare is an error."""
 
 
 class StoreSettings(Section, frozen=True):
     """The lease store.
 
     Attributes:
-        kind: which store.
-        path: of the SQLite file.
+        kind: the kind of the store.
+        path: path of the SQLite file.
         addresses: `host:port` of Consul's servers or agents.
-        prefix: of Consul's keys.
-        token_file: path of a file with Consul's token; empty if none is needed.
+        prefix: prefix of the keys in Consul.
+        token_file: path of a file with the token for Consul; empty if Consul requires none.
         lock_delay_ms: time from the expiry of a lease until another holder may acquire it.
         shortest_ms: the shortest TTL of a session that Consul accepts.
     """
@@ -52,8 +55,8 @@
     """Durations of a lease.
 
     Attributes:
-        lease_ms: how long a lease lasts.
-        drift: bound on the drift of two clocks against each other, as a fraction.
+        lease_ms: duration of a lease.
+        drift: bound on the drift between the store's clock and a balancer's, as a fraction.
         ask_ms: timeout of a request to the store.
     """
 
@@ -63,12 +66,12 @@
 
 
 class JobSettings(Section, frozen=True):
-    """The work that balancers share.
+    """The work that balancers coordinate.
 
     Attributes:
-        bans: whether operators' overrides are replicated.
-        turnstile: how many balancers may drain at a time by an operator's call; 0 for no bound.
-        probe_shards: whether health checks are sharded.
+        bans: whether operators' overrides are replicated to all balancers.
+        turnstile: how many balancers may drain at a time on operators' calls; 0 for no limit.
+        probe_shards: whether health checks are divided among the balancers.
     """
 
     bans: bool = True
@@ -77,15 +80,15 @@
 
 
 class StartSettings(Section, frozen=True):
-    """What a start uses from earlier incarnations.
+    """What a starting balancer uses from its earlier incarnations.
 
     Attributes:
-        keep: whether the endpoint list and the learned loads are cached for the next start.
-        list_ms: an older cached list is not used.
-        half_ms: age at which learned loads count half.
+        keep: whether the endpoint list and the learned loads are cached on disk for the next start.
+        list_ms: maximum age of a cached endpoint list; an older one is not used.
+        half_ms: age at which the weight of cached loads has fallen to one half.
         spaced: whether a start is delayed after repeated crashes.
-        sound_ms: an incarnation that ran for this long did not crash at its start.
-        most_wait_ms: bound on the delay.
+        sound_ms: time after which an incarnation is no longer counted as one that crashed at its start.
+        most_wait_ms: maximum delay of a start.
     """
 
     keep: bool = False
@@ -97,7 +100,15 @@
 
 
 class CoordinationFile(Section, frozen=True):
-    """The whole file. `folder` is where each balancer stores what must outlive its restart."""
+    """The whole file.
+
+    Attributes:
+        folder: path of the folder in which each balancer stores the state that must survive a restart.
+        store: the lease store.
+        lease: durations of a lease.
+        jobs: the work that balancers coordinate.
+        start: what a start uses from earlier incarnations.
+    """
 
     folder: str
     store: StoreSettings
@@ -107,7 +118,7 @@
 
 
 class _Requirement(NamedTuple):
-    """A condition across keys, the key at fault if it is not met, and the message."""
+    """A condition on one or several keys, and the key and message that are reported if it is not met."""
 
     is_met: bool
     key: str
@@ -115,7 +126,7 @@
 
 
 def load(path: Path) -> CoordinationFile:
-    """Reads and checks the file. Raises InputFileError, which names file, line and key."""
+    """Reads and checks the file. Raises InputFileError, which states the file, line and key at fault."""
     raw, text = toml_file.read(path)
     file: CoordinationFile = toml_file.convert(path, text, raw, CoordinationFile)
     for requirement in _requirements(file):
@@ -128,10 +139,12 @@
     store, lease = file.store, file.lease
     is_consul = store.kind is StoreKind.CONSUL
     return [
-        _Requirement(bool(file.folder), "folder", "a folder is needed"),
-        _Requirement(is_consul or bool(store.path), "store.path", "a file is needed where kind is sqlite"),
+        _Requirement(bool(file.folder), "folder", "must not be empty"),
+        _Requirement(is_consul or bool(store.path), "store.path", 'required if store.kind is "sqlite"'),
         _Requirement(
-            not is_consul or bool(store.addresses), "store.addresses", "at least one is needed where kind is consul"
+            not is_consul or bool(store.addresses),
+            "store.addresses",
+            'at least one is required if store.kind is "consul"',
         ),
         _Requirement(
             not is_consul or lease.lease_ms >= store.shortest_ms,
@@ -141,6 +154,6 @@
         _Requirement(
             lease.ask_ms * 2 <= lease.lease_ms,
             "lease.ask_ms",
-            "at most half of lease_ms, so that one renewal may be lost",
+            "at most half of lease_ms, so that a lease survives one renewal that is lost",
         ),
     ]
--- a/glenrock/coordination/context.py
+++ b/glenrock/coordination/context.py
@@ -1,4 +1,4 @@
-"""The objects that all parts of the coordination share. The agent builds them."""
+"""The objects that all parts of the coordination share. `CoordinationAgent` builds them."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
     """The shared objects of one balancer.
 
     Attributes:
-        host: the balancer.
-        name: of this balancer.
+        host: the parts of the balancer that the coordination uses.
+        name: name of this balancer, the same across restarts.
         holder: name of this incarnation, under which it holds leases.
-        membership: the peers that are alive.
-        overrides: the overrides known here.
+        membership: which balancers are alive.
+        overrides: the overrides known at this balancer.
         fence: rejects effects of past terms.
-        state: writes what must outlive a restart.
+        state: writes the state that must survive a restart.
         transport: sends and receives datagrams.
-        leases: the leases of this process.
-        tasks: runs the coordination's tasks.
+        leases: runs the leases of this process.
+        tasks: runs the coordination's background tasks.
     """
 
     host: BalancerHost
--- a/glenrock/coordination/drain_limiter.py
+++ b/glenrock/coordination/drain_limiter.py
@@ -1,7 +1,8 @@
-"""Bounds how many balancers drain at a time by operators' calls. A drain permit is a lease of the draining process.
+"""Limits how many balancers drain at a time on operators' calls. A drain permit is a lease that a balancer holds.
 
-A balancer whose drain permit has expired stops draining and accepts clients again. A permit is not released when its
-process ends, so that it covers a restart; the next incarnation releases it once it serves, and otherwise it expires.
+A balancer whose drain permit has expired stops draining and accepts clients again. A permit is not released when the
+process ends, so that it covers a restart: the next incarnation releases it once it serves clients. If none does, the
+permit expires.
 """
 
 from __future__ import annotations
@@ -22,12 +23,12 @@
 SECOND_US = 1_000_000
 STORE_RETRY_INTERVAL_S = 0.5
 SERVING_POLL_INTERVAL_S = 0.1
-ACQUIRE_TIMEOUT_S = 0.8  # for the store; with a fast disk operators get an answer within 1 s
-WORK_RECORDS_PER_LEASE = 4
+ACQUIRE_TIMEOUT_S = 0.8  # for the store; on a fast disk, operators then get an answer within 1 s
+WORK_RECORDS_PER_LEASE = 4  # how often a drain is recorded as work in a lease duration
 
 
 def permit_job(index: int) -> str:
-    """Returns the job of a drain permit, as the store names it."""
+    """Returns the name of a drain permit's job in the store."""
     return f"turnstile/{index}"
 
 
@@ -43,15 +44,16 @@
         self._context = context
         self._leases = context.leases
         self._stored_permits = context.state.permits
-        first = stable_hash(context.name) % max_permits  # differs, so that calls at several balancers do not collide
-        self._jobs = [permit_job((first + offset) % max_permits) for offset in range(max_permits)]
-        self._answers: dict[str, asyncio.Future[bool]] = {}
+        # Balancers start at different permits, so that simultaneous calls at several of them do not compete for one.
+        first_index = stable_hash(context.name) % max_permits
+        self._jobs = [permit_job((first_index + offset) % max_permits) for offset in range(max_permits)]
+        self._pending_answers: dict[str, asyncio.Future[bool]] = {}
         self._call_lock = asyncio.Lock()
         context.leases.event_listeners.append(self._on_lease_event)
         context.leases.answer_listeners.append(self._on_answer)
 
     def start(self) -> None:
-        """Starts the tasks that release permits of earlier incarnations, and keep this one's held."""
+        """Starts the tasks that release permits of earlier incarnations and keep this one's permit."""
         self._context.tasks.run(self._release_old_permits())
         self._context.tasks.run(self._record_work())
 
@@ -61,7 +63,8 @@
         """Acquires a drain permit, unless one is held.
 
         Raises:
-            OperationRejectedError: all permits are held by others, or the store does not answer in time.
+            OperationRejectedError: others hold all permits, the store does not answer in time, or the permit cannot be
+                stored on disk.
         """
         async with self._call_lock:
             if self.permit_job:
@@ -77,13 +80,13 @@
             raise OperationRejectedError(self._rejection_reason(leases))
 
     def drain_permit_is_valid(self) -> bool:
-        """Ends the drain if the lease of its permit has expired. Returns whether a permit is held."""
+        """Returns whether a permit is held. Ends the drain if the lease of its permit has expired."""
         if self.permit_job and self._leases.current_term(self.permit_job) is None:
             self._lose_permit(self.permit_job, LossReason.EXPIRED)
         return self.permit_job is not None
 
     def release_permit(self) -> None:
-        """Releases the permit, if one is held."""
+        """Releases the permit if one is held."""
         job, self.permit_job = self.permit_job, None
         if job:
             self._stored_permits.pop(job, None)
@@ -91,7 +94,7 @@
             self._leases.step_down(job)
 
     async def _read_leases(self) -> dict[str, Lease]:
-        """Returns the leases of all permits. Raises OperationRejectedError."""
+        """Returns the leases of all permits. Raises OperationRejectedError if the store does not answer in time."""
         try:
             return await asyncio.wait_for(self._leases.store.leases(self._jobs), ACQUIRE_TIMEOUT_S)
         except (StoreUnavailableError, TimeoutError) as error:
@@ -109,14 +112,14 @@
         )
 
     async def _acquire(self, job: str, timeout_s: float) -> bool:
-        """Acquires a permit and stores it. Returns whether it is held."""
-        answer = self._answers[job] = asyncio.get_running_loop().create_future()
+        """Acquires a permit and stores that on disk. Returns whether the permit is held."""
+        answer = self._pending_answers[job] = asyncio.get_running_loop().create_future()
         self._leases.request_lease(job)
         try:
             is_acquired = await asyncio.wait_for(answer, max(0.0, timeout_s))
         except TimeoutError:
             is_acquired = False
-        self._answers.pop(job, None)
+        self._pending_answers.pop(job, None)
         term = self._leases.current_term(job)
         if not is_acquired or term is None:
             self._leases.step_down(job)
@@ -131,7 +134,7 @@
     # -- events of the lease ---------------------------------------------------------------------------
 
     def _on_answer(self, job: str) -> None:
-        answer = self._answers.get(job)
+        answer = self._pending_answers.get(job)
         if answer and not answer.done():
             answer.set_result(self._leases.current_term(job) is not None)
 
@@ -140,28 +143,28 @@
             self._lose_permit(job, event.reason)
 
     def _lose_permit(self, job: str, reason: LossReason) -> None:
-        """Ends the drain, since another balancer may drain now."""
+        """Ends the drain, since another balancer may acquire the permit now."""
         logger.warning("drain permit lost", job=job, reason=reason)
         self._leases.stop_requesting(job)
         self.permit_job = None
-        with contextlib.suppress(OperationRejectedError):  # a stopping process ends no drain
+        with contextlib.suppress(OperationRejectedError):  # raised if the process is stopping
             self._context.host.shutdown.end_manual_drain()
 
     # -- tasks -----------------------------------------------------------------------------------------
 
     async def _record_work(self) -> None:
-        """Counts a drain as work, so that the lease manager does not step down from the permit."""
+        """Records a drain as work periodically, so that the lease manager does not release the permit."""
         while True:
             if self.permit_job:
                 self._leases.record_work(self.permit_job)
             await asyncio.sleep(self._leases.timing.lease_us / SECOND_US / WORK_RECORDS_PER_LEASE)
 
     async def _release_old_permits(self) -> None:
-        """Releases permits of earlier incarnations once this one serves."""
+        """Releases the permits of earlier incarnations once this one serves clients."""
         old_permits = dict(self._stored_permits)
         if not old_permits:
             return
-        while not self._is_serving():  # noqa: ASYNC110 - the host has a flag, not an event
+        while not self._is_serving():  # noqa: ASYNC110 - the host offers a flag, not an event
             await asyncio.sleep(SERVING_POLL_INTERVAL_S)
         for job, permit in old_permits.items():
             await self._release_for(job, permit)
--- a/glenrock/coordination/host.py
+++ b/glenrock/coordination/host.py
@@ -1,4 +1,4 @@
-"""The parts of a balancer that the coordination uses. Nothing here imports the program that builds them."""
+"""The interface of a balancer to its coordination. The module does not import the program that implements it."""
 
 from __future__ import annotations
 
@@ -18,14 +18,22 @@
 
 
 class OperatorParts(Protocol):
-    """The operators' calls, and the overrides that both processes of an upgrade share."""
+    """The parts of a balancer that exist only if it listens for operators' calls.
+
+    Attributes:
+        override_sync: the overrides that the two processes of an upgrade share.
+        operations: carries out operators' calls.
+    """
 
     override_sync: OverrideSync
     operations: Operations
 
 
 class BalancerHost(Protocol):
-    """The parts of a balancer. `config` may be replaced until the first endpoint list is read."""
+    """The parts of a balancer that the coordination uses.
+
+    `config` may be replaced until the first endpoint list is read.
+    """
 
     config: Config
     clock: Clock
@@ -39,5 +47,5 @@
 
     @property
     def operators(self) -> OperatorParts | None:
-        """The operators' calls; None if the balancer does not listen for them."""
+        """The parts for operators' calls; None if the balancer does not listen for them."""
         ...
--- a/glenrock/coordination/lease_runner.py
+++ b/glenrock/coordination/lease_runner.py
@@ -1,4 +1,4 @@
-"""Runs the leases of this process: submits the lease manager's requests to the store and publishes its events."""
+"""Runs the lease manager of this process: submits its requests to the store, and publishes its events."""
 
 from __future__ import annotations
 
@@ -19,31 +19,31 @@
 logger = get_logger(__name__)
 
 SECOND_US = 1_000_000
-TICK_LEASE_FRACTION = 0.0125  # of a lease, between two ticks of the manager
+TICK_LEASE_FRACTION = 0.0125  # interval between two ticks of the manager, as a fraction of the lease duration
 MIN_TICK_S = 0.02
-POLL_LEASE_FRACTION = 0.2  # of a lease, between two reads of the leases of others
-POLLS_PER_FULL_POLL = 5  # every so many reads cover all jobs
+POLL_LEASE_FRACTION = 0.2  # interval between two reads of others' leases, as a fraction of the lease duration
+POLLS_PER_FULL_POLL = 5  # one poll in five reads the leases of all jobs
 STORE_RETRY_INTERVAL_S = 0.5
-STOP_TIMEOUT_S = 0.3  # of each call to the store while the process stops
+STOP_TIMEOUT_S = 0.3  # for each call to the store while the process stops
 
 EventListener = Callable[[str, LeaseAcquired | LeaseLost], None]
-"""Called with a job, and the event of its lease."""
+"""Called with a job and an event of its lease."""
 
 AnswerListener = Callable[[str], None]
-"""Called with a job for whose lease a request was answered or timed out."""
+"""Called with a job after a request for its lease was answered or timed out."""
 
 
 class LeaseRunner:
-    """Runs the leases of one process.
+    """Runs the lease manager of one process.
 
     Attributes:
         store: the lease store.
-        manager: decides on the requests.
+        manager: decides which requests are made, and when.
         timing: durations of a lease.
-        event_listeners: called for each lease that is acquired or lost.
-        answer_listeners: called for each request that is answered or timed out.
-        store_error: why a call to the store failed last, or that there was no call yet; empty once a lease request is
-            answered after it. Failed reads of others' leases, and releases as the process ends, are not recorded.
+        event_listeners: called when a lease is acquired or lost.
+        answer_listeners: called when a request is answered or times out.
+        store_error: the error of the last failed call to the store, shown to operators; empty once a later lease
+            request was answered. Errors of polls, and of releases while the process stops, are not recorded.
     """
 
     def __init__(
@@ -60,7 +60,7 @@
         self.timing = timing
         self.event_listeners: list[EventListener] = []
         self.answer_listeners: list[AnswerListener] = []
-        self.store_error = "not asked yet"  # in the operators' view
+        self.store_error = "not asked yet"  # until the first answer to a lease request
         self._fence = fence
         self._transport = transport
         self._tasks = tasks
@@ -69,14 +69,14 @@
         transport.register(datagrams.LeaseReleased, self._on_lease_released)
 
     def start(self) -> None:
-        """Starts the tasks that request leases."""
-        for work in (self._run_requests, self._poll_leases, self._restore_fence):
-            self._tasks.run(work())
+        """Starts the tasks that request leases, poll the leases of others, and restore the fence."""
+        for task in (self._run_requests, self._poll_leases, self._restore_fence):
+            self._tasks.run(task())
 
     def current_term(self, job: str) -> int | None:
-        """Returns the term in which an effect may be sent now; None if the lease is not held.
+        """Returns the term under which an effect may be sent now; None if the lease is not held.
 
-        Callers check it immediately before each effect.
+        Callers check it immediately before they send each effect.
         """
         return self.manager.current_term(job, boottime_us())
 
@@ -90,7 +90,7 @@
         self.manager.stop_requesting(job)
 
     def poll_now(self) -> None:
-        """Reads the leases of others at once, since one may have changed."""
+        """Reads the leases of others at once, for a caller that knows that one may have changed."""
         self._poll_now.set()
 
     def step_down(self, job: str) -> None:
@@ -109,12 +109,12 @@
         self.manager.record_work(job, boottime_us())
 
     def record_store_error(self, error: Exception) -> None:
-        """Records that the store did not answer. Clients do not depend on the store."""
+        """Records and logs that the store did not answer. Clients do not depend on the store, so serving goes on."""
         self.store_error = str(error) or "no answer in time"
         logger.warning("lease store unavailable", error=self.store_error)
 
     def publish(self, events: list[JobEvent]) -> None:
-        """Calls the listeners, and broadcasts each lease that was released."""
+        """Logs the events, calls the listeners, and tells the peers of each lease that was released."""
         for job, event in events:
             _log_event(job, event)
             for listener in self.event_listeners:
@@ -123,7 +123,7 @@
                 self._transport.broadcast(datagrams.LeaseReleased(job))
 
     async def step_down_from_all(self, except_job: str | None) -> None:
-        """Releases all leases but that of `except_job`, and waits for the store's answers."""
+        """Releases all leases except that of `except_job`, and waits for the store's answers."""
         for job in [job for job in self.manager.candidates if job != except_job]:
             actions = self.manager.step_down(job, boottime_us())
             self.publish(actions.events)
@@ -134,7 +134,7 @@
                 self._transport.broadcast(datagrams.LeaseReleased(job))
 
     async def close(self) -> None:
-        """Closes the store."""
+        """Closes the store. Errors are ignored, since the process is stopping."""
         with contextlib.suppress(Exception):
             await asyncio.wait_for(self.store.close(), STOP_TIMEOUT_S)
 
@@ -171,7 +171,7 @@
                 listener(job)
 
     async def _poll_leases(self) -> None:
-        """Reads the leases of others, so that a job without a holder is requested."""
+        """Reads the leases of others periodically, so that the manager requests a job without a holder."""
         timeout_s = self.timing.request_timeout_us / SECOND_US
         interval_s = self.timing.lease_us * POLL_LEASE_FRACTION / SECOND_US
         poll_count = 0
@@ -188,7 +188,7 @@
                 await asyncio.wait_for(self._poll_now.wait(), interval_s)
 
     async def _restore_fence(self) -> None:
-        """Restores the fence from the store if the durable state did not."""
+        """Restores the fence from the terms in the store, unless the durable state has restored it."""
         while not self._fence.is_restored:
             try:
                 leases = await self.store.leases()
--- a/tests/coordination/leases/store_fixture.py
+++ b/tests/coordination/leases/store_fixture.py
@@ -1,4 +1,4 @@
-"""A lease store of each kind for tests, with as many clients as wanted."""
+"""Lease stores of both kinds for tests, with any number of clients."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 from glenrock.testbed.consul_server import ConsulServer
 from glenrock.testbed.loopback import LoopbackNetwork
 
-SHORT_LEASE_US = 300_000  # for tests that wait for its expiry
-LONG_LEASE_US = 30_000_000  # far above a stall of the disk
-MAX_ADDRESSES = 16  # a run's network follows from its process id, so that two runs may have the same
+SHORT_LEASE_US = 300_000  # for tests that wait until a lease expires
+LONG_LEASE_US = 30_000_000  # does not expire even if the disk stalls
+MAX_ADDRESSES = 16  # a run derives its loopback network from its process id, so two runs may have the same addresses
 
 
 def lease_request(job: str, sequence: int, kind: RequestKind, term: int = 0, term_floor: int = 0) -> JobRequest:
@@ -26,20 +26,20 @@
 
 
 class StoreFixture(Protocol):
-    """A store's service, and as many clients of it as wanted.
+    """A store's service, and any number of clients of it.
 
     Attributes:
-        lease_us: how long a lease lasts.
+        lease_us: duration of a lease.
     """
 
     lease_us: int
 
     def client(self, holder: str) -> LeaseStore:
-        """Returns a new client of the store, for a process with the name `holder`."""
+        """Returns a new client of the store, for the incarnation `holder` of a process."""
         ...
 
     def call_count(self) -> int:
-        """Returns how many HTTP calls the service has answered; 0 for a store without HTTP."""
+        """Returns the number of HTTP calls that the service has answered; 0 for a store without HTTP."""
         ...
 
     async def open(self) -> None:
@@ -52,18 +52,18 @@
 
 
 async def submit(fixture: StoreFixture, store: LeaseStore, *requests: JobRequest) -> LeaseAnswers:
-    """Submits requests in one call."""
+    """Submits lease requests in one call."""
     return await store.submit(requests, fixture.lease_us)
 
 
 async def acquire(fixture: StoreFixture, store: LeaseStore, job: str, sequence: int, term_floor: int = 0) -> int:
-    """Requests a job's lease. Returns the term, or 0."""
+    """Acquires a job's lease. Returns the term, or 0 if the request is rejected."""
     request = lease_request(job, sequence, RequestKind.ACQUIRE, term_floor=term_floor)
     return (await submit(fixture, store, request)).granted_term(job)
 
 
 async def renew(fixture: StoreFixture, store: LeaseStore, job: str, sequence: int, term: int) -> int:
-    """Renews a job's lease. Returns the term, or 0."""
+    """Renews a job's lease. Returns the term, or 0 if the request is rejected."""
     return (await submit(fixture, store, lease_request(job, sequence, RequestKind.RENEW, term))).granted_term(job)
 
 
@@ -94,10 +94,10 @@
 
 
 class ConsulFixture:
-    """The stand-in for Consul, and its clients.
+    """A fake Consul server, and its clients.
 
     Attributes:
-        server: the stand-in.
+        server: the fake server.
     """
 
     def __init__(self, lease_us: int) -> None:
@@ -107,7 +107,7 @@
         self._clients: list[ConsulStore] = []
 
     def client(self, holder: str, lock_delay_us: int = 0) -> ConsulStore:
-        """Returns a new client, whose sessions have the lock delay."""
+        """Returns a new client, whose sessions have this lock delay."""
         host, port = self.server.address
         store = ConsulStore([f"{host}:{port}"], holder, self.lease_us, lock_delay_us=lock_delay_us)
         self._clients.append(store)
@@ -118,7 +118,7 @@
         return self.server.calls
 
     async def open(self) -> None:
-        """Starts the service. Another address is tried if a stand-in of another run has the first one."""
+        """Starts the service, on the next address if the fake server of another test run has the first one."""
         for _ in range(MAX_ADDRESSES):
             try:
                 await self.server.open()
@@ -129,7 +129,7 @@
                 self.server = ConsulServer(self._network.next(), 0.0)
             else:
                 return
-        raise RuntimeError(f"no free address among {MAX_ADDRESSES}")
+        raise RuntimeError(f"none of {MAX_ADDRESSES} loopback addresses is free")
 
     async def close(self) -> None:
         """See `StoreFixture`."""
@@ -159,7 +159,7 @@
 def run_with_store(
     kind: str, folder: Path, scenario: Callable[[StoreFixture], Awaitable[None]], lease_us: int = LONG_LEASE_US
 ) -> None:
-    """Runs a scenario on a store of a kind, `sqlite` or `consul`."""
+    """Runs a scenario on a store of this kind, `sqlite` or `consul`."""
 
     def build() -> StoreFixture:
         return ConsulFixture(lease_us) if kind == "consul" else SqliteFixture(folder, lease_us)
@@ -168,5 +168,5 @@
 
 
 def run_with_consul(scenario: Callable[[ConsulFixture], Awaitable[None]], lease_us: int = LONG_LEASE_US) -> None:
-    """Runs a scenario on the stand-in for Consul."""
+    """Runs a scenario on a fake Consul server."""
     run_scenario(lambda: ConsulFixture(lease_us), scenario)
--- a/tests/coordination/leases/test_candidate.py
+++ b/tests/coordination/leases/test_candidate.py
@@ -1,4 +1,4 @@
-"""A candidate's election for one job."""
+"""The election state machine of one candidate: how long it may use a lease, and how it loses one."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def holding_candidate() -> LeaseCandidate:
-    """Returns a candidate that requested the lease at time 0, and holds term 7."""
+    """Returns a candidate that holds term 7 and requested it at time 0."""
     candidate = LeaseCandidate(TIMING)
     request = only_request(candidate.tick(0))
     assert candidate.handle_answer(10, request.sequence, 7) == [LeaseAcquired(7, HOLDER_LEASE_US)]
@@ -46,7 +46,7 @@
 )
 def test_term_expires_by_the_holders_clock_counted_from_its_request(now_us: int, held_term: int | None) -> None:
     candidate = holding_candidate()
-    assert candidate.current_term(now_us) == held_term  # also before the next tick
+    assert candidate.current_term(now_us) == held_term  # even if no tick has expired the lease yet
     ended = [action for action in candidate.tick(now_us) if isinstance(action, LeaseLost)]
     assert bool(ended) == (held_term is None)
     assert candidate.current_term(now_us) == held_term
@@ -94,18 +94,18 @@
     assert candidate.current_term(501) is None
 
 
-EVENTS = ["tick", "grant", "reject", "lose", "higher term seen", "step down"]
+EVENTS = ["tick", "grant", "reject", "time out", "higher term seen", "step down"]
 
 
 class DrawnEvent(NamedTuple):
-    """An event, and the time since the one before it."""
+    """A randomly drawn event, and the time since the one before it."""
 
     kind: str
     gap_us: int
 
 
 class SentRequest(NamedTuple):
-    """A request that has no answer yet, and when it was sent."""
+    """A request without an answer, and when it was sent."""
 
     sent_us: int
     request: LeaseRequest
@@ -121,7 +121,7 @@
         actions: list[CandidateAction] = []
         if kind == "tick":
             actions = candidate.tick(now_us)
-        elif kind == "lose":
+        elif kind == "time out":
             candidate.handle_timeout(now_us, candidate.last_sequence)
         elif kind == "step down":
             actions = candidate.step_down(now_us)
--- a/tests/coordination/leases/test_consul_store.py
+++ b/tests/coordination/leases/test_consul_store.py
@@ -1,4 +1,4 @@
-"""The Consul store against the stand-in's faults."""
+"""The Consul store on a fake server: lost and late answers, removed locks, dead sessions, stale and restored state."""
 
 from __future__ import annotations
 
@@ -33,7 +33,9 @@
             await acquire(fixture, store_b, "k", 1)
         setattr(fixture.server, fault, False)
         assert await renew(fixture, store_a, "j", 3, 1) in (0, 1)
-        assert await acquire(fixture, store_b, "k", 2) > 0, "the late lock of its own session does not block it"
+        assert await acquire(fixture, store_b, "k", 2) > 0, (
+            "a lock that the lost call acquired in this client's session does not block it"
+        )
 
     run_with_consul(scenario)
 
@@ -56,7 +58,7 @@
         store_a, store_b = fixture.client("a", lock_delay_us=400_000), fixture.client("b")
         assert await acquire(fixture, store_a, "j", 1) == 1
         fixture.server.state.destroy_session(store_a.session)
-        assert await acquire(fixture, store_b, "j", 1) == 0, "free, but not granted within the lock delay"
+        assert await acquire(fixture, store_b, "j", 1) == 0, "the lock is free, but not granted within the lock delay"
         assert await renew(fixture, store_a, "j", 2, 1) == 0
         await asyncio.sleep(0.5)
         assert await acquire(fixture, store_b, "j", 2) == 2
@@ -95,8 +97,8 @@
         assert await acquire(fixture, store_a, "j", 1) == 1
         assert (await store_b.leases())["j"].holder == "a"
         monkeypatch.setattr(ConsulStore, "_call", stale_call)
-        assert await store_b.leases() == {}, "planted: a read of a past state"
-        assert await acquire(fixture, store_b, "j", 1) == 0, "and the transaction fails"
+        assert await store_b.leases() == {}, "without `consistent`, a read returns a past state"
+        assert await acquire(fixture, store_b, "j", 1) == 0, "the transaction fails, since the index has changed"
 
     run_with_consul(scenario)
 
--- a/tests/coordination/leases/test_fence.py
+++ b/tests/coordination/leases/test_fence.py
@@ -1,4 +1,4 @@
-"""A receiver's fence."""
+"""The fence of a receiver accepts effects in order and at most once, also across restarts."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class DrawnEffect(NamedTuple):
-    """An effect, and whether the receiver restarts before it arrives."""
+    """A randomly drawn effect, and whether the receiver restarts before it arrives."""
 
     term: int
     sequence: int
--- a/tests/coordination/leases/test_lease_manager.py
+++ b/tests/coordination/leases/test_lease_manager.py
@@ -1,4 +1,4 @@
-"""Lease managers of several members on one store, in simulated time."""
+"""The lease managers of several members on one simulated store, in simulated time."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 SECOND_US = 1_000_000
 TICK_US = 50_000
 POLL_US = 200_000
-STAGGER_US = 200_000  # between the requests of two members
+STAGGER_US = 200_000  # between the requests of two members for a free lease
 NO_MEMBER = -1
 TIMING = LeaseTiming(
     lease_us=1_000_000,
@@ -24,7 +24,7 @@
 
 
 def preference_order(key: str, members: range) -> list[int]:
-    """Returns the members in their rendezvous order for a job, checked against `preferred_member` and `rank`."""
+    """Returns the members in their rendezvous order for a job, and checks `preferred_member` and `rank` against it."""
     order = sorted(members, key=lambda member: rendezvous_score(member, stable_hash(key)))
     assert preferred_member(key, members) == order[0]
     assert [rank(key, member, members, 99) for member in order] == list(members)
@@ -43,16 +43,16 @@
 
 
 class SimulatedMembers:
-    """SimulatedMembers on one store in simulated time.
+    """Members on one simulated store.
 
     Attributes:
-        now_us: simulated time.
-        call_count: calls to the store.
+        now_us: the simulated time.
+        call_count: number of calls to the store.
         jobs: the jobs that the members share.
-        liveness: by member, the others that it has heard.
-        managers: by member.
-        leases: by job, what the store has.
-        paused: members that do nothing.
+        liveness: which other members each member regards as alive, by member.
+        managers: the lease managers, by member.
+        leases: the leases in the store, by job.
+        paused: members whose processes are paused.
     """
 
     def __init__(self, count: int, job_count: int) -> None:
@@ -65,7 +65,7 @@
         self.paused: set[int] = set()
 
     def run(self, duration_s: float, idle_member: int = NO_MEMBER) -> None:
-        """Advances time. `idle_member` renews its leases and does no work."""
+        """Advances the simulated time. `idle_member` renews its leases without working on the jobs."""
         end_us = self.now_us + round(duration_s * SECOND_US)
         while self.now_us < end_us:
             self.now_us += TICK_US
@@ -82,10 +82,12 @@
             self._poll(manager)
         requests = manager.tick(self.now_us).requests
         self.call_count += bool(requests)
-        further = manager.handle_answers(requests, self._answer_all(member, requests), self.now_us).requests
-        manager.handle_answers(further, self._answer_all(member, further), self.now_us)
+        further_requests = manager.handle_answers(requests, self._answer_all(member, requests), self.now_us).requests
+        manager.handle_answers(further_requests, self._answer_all(member, further_requests), self.now_us)
         for job in manager.held_jobs(self.now_us):
-            assert self.leases[job].holder == member, "a holder by its own clock is the holder at the store"
+            assert self.leases[job].holder == member, (
+                "a member that regards itself as holder is the holder at the store"
+            )
             if not is_idle:
                 manager.record_work(job, self.now_us)
 
@@ -104,7 +106,7 @@
         return LeaseAnswers({job: self._answer(member, job, request) for job, request in requests})
 
     def _answer(self, member: int, job: str, request: LeaseRequest) -> int:
-        """Applies a request at the store. Returns the term granted, or NOT_GRANTED."""
+        """Applies a request at the store. Returns the term that is granted or renewed, or NOT_GRANTED."""
         stored = self.leases.get(job, NO_LEASE)
         is_free = stored.expires_us <= self.now_us
         is_held_term = (stored.holder, stored.term) == (member, request.term)
@@ -136,11 +138,11 @@
     assert len(later_holders) == 60
     assert not set(later_holders.values()) & members.paused
     unaffected = [job for job in members.jobs if holders[job] not in members.paused]
-    assert all(later_holders[job] == holders[job] for job in unaffected), "no other job moves"
+    assert all(later_holders[job] == holders[job] for job in unaffected), "jobs of other members keep their holder"
     members.paused = set()
     members.run(14)
     at_preferred = sum(members.holders()[job] == holders[job] for job in members.jobs)
-    assert at_preferred >= 58, "misplaced jobs go back, some at a time"
+    assert at_preferred >= 58, "misplaced jobs return to the preferred member, a few at a time"
 
 
 def test_store_calls_do_not_grow_with_the_number_of_jobs() -> None:
@@ -163,11 +165,13 @@
     members.run(2.0, idle_member=idle_member)
     assert members.holders()["j0"] != idle_member
     free_intervals = 0
-    for _ in range(100):  # the new holder rebalances to the preferred member, which does not acquire it
+    for _ in range(100):  # the new holder releases the job for the preferred member, which does not acquire it
         members.run(0.1, idle_member=idle_member)
         free_intervals += not members.holders()
-    assert free_intervals <= 12, "with growing patience"
-    assert preference_order("j0", range(3))[0] == idle_member, "the preferred member is penalized"
+    assert free_intervals <= 12, "the rebalance delay grows with each release"
+    assert preference_order("j0", range(3))[0] == idle_member, (
+        "the preferred member is the idle one, which is in its cooldown"
+    )
 
 
 def test_members_that_resume_together_leave_one_holder_for_each_job() -> None:
--- a/tests/coordination/leases/test_sqlite_store.py
+++ b/tests/coordination/leases/test_sqlite_store.py
@@ -1,4 +1,4 @@
-"""The SQLite store's calls, with a clock of the test."""
+"""The blocking calls of the SQLite store, with a clock that the test sets."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 
 
 def test_requests_of_a_holder_are_accepted_in_order(tmp_path: Path) -> None:
-    # A release and an acquire that were given up arrive after the acquire sent in their place.
+    # Requests 1 and 2 arrive late, after their sender timed out and sent request 3 in their place.
     store = SqliteStore(tmp_path / "s", now_us=SettableClock(), boot_id="one")
     assert store.acquire("job", "a", 3, LEASE_US) == 1
     store.release("job", "a", 2, 1)
--- a/tests/coordination/leases/test_store_processes.py
+++ b/tests/coordination/leases/test_store_processes.py
@@ -1,4 +1,4 @@
-"""Several processes on one SQLite store."""
+"""Several processes on one SQLite store, while they are paused and killed."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
             candidate.handle_answer(boottime_us(), action.sequence, answers.granted_term("job"))
     if (term := candidate.current_term(boottime_us())) is not None:
         sequence += 1
-        time.sleep(0.02)  # a suspend may fall between check and write
+        time.sleep(0.02)  # so that a pause may fall between check and write
         is_written = store.put("job", name, term, sequence, {f"{name} {sequence}": name})
         out.write(f"{boottime_us()} {name} {term} {sequence} {int(is_written)}\\n")
     time.sleep(0.002)
@@ -47,14 +47,14 @@
 MIN_TERMS = 3
 MIN_DURATION_S = 7.0
 MAX_DURATION_S = 120.0  # on a busy machine the records take longer
-SUSPENDS_S = [0.05, 0.19, 0.21, 0.35]  # near the end of a lease, and past it
+PAUSES_S = [0.05, 0.19, 0.21, 0.35]  # well within a lease, just before and just after its end, and far beyond it
 
 
 class Workers:
-    """Processes that request one job's lease, and write records while they hold it.
+    """Processes that request the lease of one job, and write records while they hold it.
 
     Attributes:
-        fault_count: processes suspended or killed so far.
+        fault_count: how often a process was paused or killed so far.
     """
 
     def __init__(self, folder: Path) -> None:
@@ -70,7 +70,7 @@
         return subprocess.Popen([sys.executable, "-c", WORKER, name, *paths], cwd=ROOT)
 
     def inject_fault(self) -> None:
-        """Suspends or kills the holder, or another process."""
+        """Pauses or kills a process, more often the holder than another."""
         with contextlib.closing(SqliteStore(self._store_path)) as store:
             holder = store.lease("job").holder.partition("/")[0]
         name = holder if holder and self._random.random() < 0.6 else self._random.choice(sorted(self._processes))
@@ -81,42 +81,42 @@
             self._processes[name] = self._start(name)
         else:
             process.send_signal(signal.SIGSTOP)
-            time.sleep(self._random.choice(SUSPENDS_S))
+            time.sleep(self._random.choice(PAUSES_S))
             process.send_signal(signal.SIGCONT)
         self.fault_count += 1
         time.sleep(0.05 * self._random.random())
 
     def stop(self) -> None:
-        """Lets all processes end by themselves."""
+        """Tells all processes to end, and waits until they have."""
         self._stop_path.touch()
         for process in self._processes.values():
             process.wait(20)
 
     def kill(self) -> None:
-        """Kills the processes that still run."""
+        """Kills the processes that are still running."""
         for process in self._processes.values():
             process.kill()
             process.wait()
 
     def records(self) -> list[tuple[int, str]]:
-        """Returns term and writer of each record, in the order of writing."""
+        """Returns the term and the writer of each record, in the order in which they were written."""
         with contextlib.closing(sqlite3.connect(self._store_path)) as connection:
             return connection.execute("SELECT term, value FROM record ORDER BY rowid").fetchall()
 
     def has_rejected_writes(self) -> bool:
-        """Returns whether the store has rejected a write, which a process then logs."""
+        """Returns whether the store has rejected a write, as the processes log it."""
         return any(line.endswith(" 0") for line in self._log_path.read_text().splitlines())
 
     def has_enough_work(self) -> bool:
-        """Returns whether there are enough faults, records, terms and rejected late writes for the checks."""
+        """Returns whether there were enough faults, records, terms and rejected writes for the final checks."""
         records = self.records()
         terms = {term for term, _ in records}
         is_enough = self.fault_count > MIN_FAULTS and len(records) > MIN_RECORDS and len(terms) > MIN_TERMS
         return is_enough and self.has_rejected_writes()
 
 
-def test_suspended_and_killed_processes_write_in_the_order_of_terms(tmp_path: Path) -> None:
-    """Suspends or kills one of four processes at a time; the store's own order of records is checked."""
+def test_paused_and_killed_processes_write_in_the_order_of_terms(tmp_path: Path) -> None:
+    """Pauses or kills one of four processes at a time, and checks the order of the records in the store."""
     started_s = time.monotonic()
     workers = Workers(tmp_path)
     try:
@@ -136,4 +136,6 @@
     assert len(set(terms)) > MIN_TERMS
     assert terms == sorted(terms), "no record of a lower term follows one of a higher term"
     assert len(set(records)) == len(set(terms)), "a term has one holder"
-    assert workers.has_rejected_writes(), "without a rejected late write the test shows nothing"
+    assert workers.has_rejected_writes(), (
+        "a pause between check and write must have happened, or the test shows nothing"
+    )
--- a/tests/coordination/leases/test_stores.py
+++ b/tests/coordination/leases/test_stores.py
@@ -1,4 +1,4 @@
-"""What every lease store guarantees, checked on both kinds."""
+"""The guarantees of `LeaseStore`, checked on both kinds of store."""
 
 from __future__ import annotations
 
--- a/tests/coordination/rig.py
+++ b/tests/coordination/rig.py
@@ -1,4 +1,4 @@
-"""The shared objects of the coordination for tests, on a stand-in for the balancer."""
+"""Builds the shared objects of the coordination for tests, on a fake balancer."""
 
 from __future__ import annotations
 
@@ -35,13 +35,13 @@
 from glenrock.upgrade.override_sync import OverrideSync
 
 BALANCER_COUNT = 3
-STAGGER_US = 200_000
+STAGGER_US = 200_000  # between the requests of two members for a free lease
 TIMING = LeaseTiming()
 
 
 @dataclass
 class FakeHost:
-    """A balancer with the parts that a test sets. A part that is not set raises AttributeError."""
+    """A fake balancer that has the parts that a test sets. Reading any other part raises AttributeError."""
 
     clock: Clock = field(default_factory=ManualClock)
     config: Config = field(init=False)
@@ -57,26 +57,26 @@
 
 @dataclass
 class FakeOperators:
-    """The operators' parts, as far as a test sets them."""
+    """Fake parts for operators' calls, as far as a test sets them."""
 
     override_sync: OverrideSync
     operations: Operations = field(init=False)
 
 
 class DeferredTasks(BackgroundTasks):
-    """Collects the coroutines of the tasks, for the test to run or close.
+    """Collects coroutines instead of starting tasks, for the test to run or close.
 
     Attributes:
-        coroutines: the coroutines, in the order of `run`.
+        coroutines: the coroutines, in the order of the calls of `run`.
     """
 
     def __init__(self) -> None:
         super().__init__()
         self.coroutines: list[Coroutine[Any, Any, object]] = []
 
-    def run(self, work: Coroutine[Any, Any, object]) -> None:
+    def run(self, coroutine: Coroutine[Any, Any, object]) -> None:
         """Adds a coroutine without starting it."""
-        self.coroutines.append(work)
+        self.coroutines.append(coroutine)
 
 
 def build_context(
@@ -88,16 +88,16 @@
     jobs: Sequence[str] = (),
     started_us: int | None = None,
 ) -> CoordinationContext:
-    """Returns the shared objects of a balancer `n1`, whose files are in `folder`.
+    """Returns the shared objects of the balancer `n1`, which has index 1.
 
     Args:
-        host: the balancer.
-        folder: of the state file, and of the store if `store` is None.
-        overrides: the override log; None for an empty log.
+        host: the fake balancer.
+        folder: folder for the state file, and for the lease store if `store` is None.
+        overrides: the override log; None for an empty one.
         store: the lease store; None for an SQLite file.
-        tasks: runs the tasks; None for tasks that run.
+        tasks: starts the tasks; None for tasks that run in the event loop.
         jobs: the jobs that all members share.
-        started_us: when the peers were heard of; None for now.
+        started_us: when the process started, which is when each peer counts as last heard; None for now.
     """
     holder = "n1/5-6"
     overrides = overrides if overrides is not None else OverrideLog()
--- a/tests/coordination/test_config.py
+++ b/tests/coordination/test_config.py
@@ -1,4 +1,4 @@
-"""The coordination file."""
+"""Validation of the coordination file, and the file that is shipped."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 @pytest.mark.parametrize(
     "text, message",
     [
-        (VALID.replace('path = "/p"', ""), "store.path: a file is needed"),
+        (VALID.replace('path = "/p"', ""), "store.path: required if"),
         (VALID.replace("sqlite", "consul"), "store.addresses: at least one"),
         (VALID.replace("sqlite", "etcd"), "fleet.toml:3: store.kind: Invalid enum value 'etcd'"),
         (VALID + "[lease]\nlease_ms = 500\nask_ms = 400\n", "fleet.toml:7: lease.ask_ms: at most half"),
@@ -38,8 +38,8 @@
     assert "\n" not in report
 
 
-def test_shipped_file_is_valid_and_off_by_default() -> None:
+def test_shipped_file_is_valid_and_coordination_is_off_by_default() -> None:
     deploy = Path(__file__).resolve().parents[2] / "deploy"
     assert config.load(deploy / "fleet.toml").jobs.turnstile == 1
-    platform = (deploy / "balancer.toml").read_text()
-    assert "fleet" not in platform, "coordination is off by default"
+    balancer_file = (deploy / "balancer.toml").read_text()
+    assert "fleet" not in balancer_file, "coordination is off by default"
--- a/tests/coordination/test_drain_limiter.py
+++ b/tests/coordination/test_drain_limiter.py
@@ -1,4 +1,4 @@
-"""Drain permits."""
+"""The drain permit of a balancer that is stopping."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     """The shutdown of a process that is stopping.
 
     Attributes:
-        call_count: calls of `end_manual_drain`.
+        call_count: number of calls of `end_manual_drain`.
     """
 
     def __init__(self) -> None:
