--- a/glenrock/coordination/lease_runner.py
+++ b/glenrock/coordination/lease_runner.py
@@ -43,7 +43,8 @@
         event_listeners: called when a lease is acquired or lost.
         answer_listeners: called when a request is answered or times out.
         store_error: the error of the last failed call to the store, shown to operators; empty once a later lease
-            request was answered. Errors of polls, and of releases while the process stops, are not recorded.
+            request is answered, and "not asked yet" until the first call. Errors of polls, and of releases while the
+            process stops, are not recorded.
     """
 
     def __init__(
@@ -60,7 +61,7 @@
         self.timing = timing
         self.event_listeners: list[EventListener] = []
         self.answer_listeners: list[AnswerListener] = []
-        self.store_error = "not asked yet"  # until the first answer to a lease request
+        self.store_error = "not asked yet"
         self._fence = fence
         self._transport = transport
         self._tasks = tasks
--- a/glenrock/coordination/leases/consul_store.py
+++ b/glenrock/coordination/leases/consul_store.py
@@ -99,7 +99,7 @@
 
 
 def escape_key(name: str) -> str:
-    """Returns a name as one segment of a key. Bytes other than letters, digits, `_`, `.` and `-` become =XX."""
+    """Returns a name as one segment of a key. Bytes other than ASCII letters and digits, `_`, `.`, `-` become =XX."""
     return UNSAFE_CHARACTER.sub(lambda found: "".join(f"={byte:02X}" for byte in found[0].encode()), name)
 
 
@@ -186,7 +186,7 @@
         return StoreUnavailableError(f"{self.addresses[0]}: unexpected status {status} in answer to {call}")
 
     async def _read(self, path: str, query: str = "", wait_s: float = 0.0) -> ReadResult:
-        """Returns the entries at a path. Raises StoreUnavailableError."""
+        """Returns the entry at a path, or those below it if `query` has `recurse`. Raises StoreUnavailableError."""
         # Without `consistent`, a Consul server that has lost its leadership may return a stale state.
         reply = await self._call("GET", f"kv/{self._prefix}/{path}?consistent{query}", wait_s=wait_s)
         if reply.status not in (HTTP_OK, HTTP_NOT_FOUND):
--- a/glenrock/coordination/leases/lease_manager.py
+++ b/glenrock/coordination/leases/lease_manager.py
@@ -273,7 +273,7 @@
                 self._active_jobs.add(job)
 
     def handle_answers(self, requests: Iterable[JobRequest], answers: LeaseAnswers, now_us: int) -> LeaseActions:
-        """Applies the store's answers, which were read at `now_us`. A request without a decision has timed out."""
+        """Applies the store's answers, read at `now_us`. A request that was not decided counts as timed out."""
         actions = LeaseActions()
         for job, request in requests:
             candidate = self.candidates[job]
--- a/glenrock/coordination/leases/sqlite_store.py
+++ b/glenrock/coordination/leases/sqlite_store.py
@@ -26,7 +26,7 @@
 BUSY_TIMEOUT_S = 1.0
 BOOT_ID_PATH = Path("/proc/sys/kernel/random/boot_id")
 MAX_PAST_TERMS = 50  # stored for each job
-POLL_INTERVAL_S = 0.1  # between two reads of the data version, which needs no access to the disk
+POLL_INTERVAL_S = 0.1  # between two reads of SQLite's data version, which is in shared memory
 RELEASED_US = 0  # stored as the expiry time of a lease that was released
 # The names of tables and columns must not change, since files of earlier versions have them.
 SCHEMA = """
