--- a/tests/coordination/__init__.py
+++ b/tests/coordination/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the coordination: leases, overrides, drain permits, shared health checks and warm starts."""
+"""Tests of the coordination: leases, overrides, drain permits, sharded health checks and warm starts."""
--- a/tests/coordination/test_config.py
+++ b/tests/coordination/test_config.py
@@ -15,7 +15,7 @@
 @pytest.mark.parametrize(
     "text, message",
     [
-        (VALID.replace('path = "/p"', ""), "store.path: required if"),
+        (VALID.replace('path = "/p"', ""), 'store.path: required if store.kind is "sqlite"'),
         (VALID.replace("sqlite", "consul"), "store.addresses: at least one"),
         (VALID.replace("sqlite", "etcd"), "fleet.toml:3: store.kind: Invalid enum value 'etcd'"),
         (VALID + "[lease]\nlease_ms = 500\nask_ms = 400\n", "fleet.toml:7: lease.ask_ms: at most half"),
