--- a/tests/docs/test_capacity.py
+++ b/tests/docs/test_capacity.py
@@ -52,7 +52,7 @@
         | {"VERSION", "HEADER_FIELDS"}  # formats
         | {"RELEASED_US", "NOT_GRANTED", "TIME_UNKNOWN"}  # markers
         | {"HASH_BITS", "HASH_MASK", "MAX_NUMBER", "MAX_STEP"}  # widths
-        | {"FIRST_FACTOR", "SECOND_FACTOR"}  # of a hash
+        | {"FIRST_MULTIPLIER", "SECOND_MULTIPLIER"}  # of a hash
         | {"HTTP_OK", "HTTP_NOT_FOUND", "HTTP_CONFLICT", "HTTP_SERVER_ERROR"}  # statuses
         | DATAGRAM_KINDS
     ),
