--- a/glenrock/coordination/agent.py
+++ b/glenrock/coordination/agent.py
@@ -37,7 +37,7 @@
 from .warm_start.milestones import ListSource, StartMilestones
 from .warm_start.start_backoff import BackoffPolicy, StartBackoff
 from .warm_start.start_cache import StartCache
-from .warm_start.start_record import RecordTrust
+from .warm_start.start_record import RecordValidity
 
 logger = get_logger(__name__)
 
@@ -95,8 +95,8 @@
         self._milestones = StartMilestones(host)
 
     def _build_start_cache(self, settings: StartSettings, folder: Path) -> StartCache:
-        trust = RecordTrust(settings.list_ms, settings.half_ms)
-        return StartCache(self._host, folder, self._context.name, trust)
+        validity = RecordValidity(settings.list_ms, settings.half_ms)
+        return StartCache(self._host, folder, self._context.name, validity)
 
     def _build_start_backoff(self, settings: StartSettings, folder: Path) -> StartBackoff:
         policy = BackoffPolicy(settings.sound_ms, settings.most_wait_ms)
@@ -133,7 +133,7 @@
         await context.leases.step_down_from_all(except_job=self._permit_job())
         context.tasks.cancel()
         if self._start_backoff:  # after the leases are released, since a disk may take seconds
-            await asyncio.to_thread(self._start_backoff.record_orderly_end)
+            await asyncio.to_thread(self._start_backoff.record_graceful_exit)
         await context.leases.close()
 
     def _permit_job(self) -> str | None:
--- a/glenrock/coordination/datagrams.py
+++ b/glenrock/coordination/datagrams.py
@@ -14,13 +14,13 @@
 
 MAX_BYTES = 256
 MAX_JOB_BYTES = 32
-MAX_NUMBER = (1 << 64) - 1
-HEADER = struct.Struct(">BB")  # kind, length of the job's name in bytes
+MAX_UINT64 = (1 << 64) - 1
+HEADER_LAYOUT = struct.Struct(">BB")  # kind, length of the job's name in bytes
 
 HEARTBEAT, SYNC_REQUEST, OVERRIDE_UPDATE, ACKNOWLEDGEMENT = 0xF1, 0xF2, 0xF3, 0xF4
 SHARED_LOADS, LEASE_RELEASED, KNOWN_OVERRIDE = 0xF5, 0xF6, 0xF7
 FIRST_KIND, LAST_KIND = HEARTBEAT, KNOWN_OVERRIDE
-BODIES = {
+BODY_LAYOUTS = {
     HEARTBEAT: struct.Struct(">QQ"),
     SYNC_REQUEST: struct.Struct(">QQQB"),
     OVERRIDE_UPDATE: struct.Struct(">QQQQB"),
@@ -131,9 +131,9 @@
 Message = KnownOverride | HolderHeartbeat | SyncRequest | OverrideUpdate | Acknowledgement | SharedLoads | LeaseReleased
 
 
-def _clamp(*numbers: int) -> list[int]:
+def _clamp_to_uint64(*numbers: int) -> list[int]:
     """Returns the numbers, each limited to 64 bits without a sign."""
-    return [max(0, min(MAX_NUMBER, number)) for number in numbers]
+    return [max(0, min(MAX_UINT64, number)) for number in numbers]
 
 
 def encode(message: Message) -> bytes | None:
@@ -144,8 +144,8 @@
     job = message.job.encode()
     if len(job) > MAX_JOB_BYTES:
         return None
-    body = _body_of(message)
-    data = HEADER.pack(body.kind, len(job)) + job + body.data
+    body = _encode_body(message)
+    data = HEADER_LAYOUT.pack(body.kind, len(job)) + job + body.data
     return data if len(data) <= MAX_BYTES else None
 
 
@@ -156,23 +156,23 @@
     data: bytes
 
 
-def _body_of(
+def _encode_body(
     message: KnownOverride | HolderHeartbeat | SyncRequest | OverrideUpdate | Acknowledgement | LeaseReleased,
 ) -> _Body:
     match message:
         case HolderHeartbeat(_, term, digest):
-            return _Body(HEARTBEAT, BODIES[HEARTBEAT].pack(*_clamp(term, digest)))
+            return _Body(HEARTBEAT, BODY_LAYOUTS[HEARTBEAT].pack(*_clamp_to_uint64(term, digest)))
         case SyncRequest(_, term, up_to, wants_all):
-            return _Body(SYNC_REQUEST, BODIES[SYNC_REQUEST].pack(*_clamp(term, *up_to), wants_all))
+            return _Body(SYNC_REQUEST, BODY_LAYOUTS[SYNC_REQUEST].pack(*_clamp_to_uint64(term, *up_to), wants_all))
         case OverrideUpdate(_, term, sequence, revision, is_suspended, server_id):
-            data = BODIES[OVERRIDE_UPDATE].pack(*_clamp(term, sequence, *revision), is_suspended)
+            data = BODY_LAYOUTS[OVERRIDE_UPDATE].pack(*_clamp_to_uint64(term, sequence, *revision), is_suspended)
             return _Body(OVERRIDE_UPDATE, data + server_id.encode())
         case Acknowledgement(_, is_accepted, highest_term, term, sequence, revision, verdict_sequence, server_id):
-            numbers = _clamp(highest_term, term, sequence, *revision, verdict_sequence)
-            data = BODIES[ACKNOWLEDGEMENT].pack(is_accepted, *numbers)
+            numbers = _clamp_to_uint64(highest_term, term, sequence, *revision, verdict_sequence)
+            data = BODY_LAYOUTS[ACKNOWLEDGEMENT].pack(is_accepted, *numbers)
             return _Body(ACKNOWLEDGEMENT, data + server_id.encode())
         case KnownOverride(_, revision, is_suspended, server_id):
-            data = BODIES[KNOWN_OVERRIDE].pack(*_clamp(*revision), is_suspended)
+            data = BODY_LAYOUTS[KNOWN_OVERRIDE].pack(*_clamp_to_uint64(*revision), is_suspended)
             return _Body(KNOWN_OVERRIDE, data + server_id.encode())
         case LeaseReleased():
             return _Body(LEASE_RELEASED, b"")
@@ -181,27 +181,27 @@
 
 def decode(data: bytes) -> Message | None:
     """Returns the message; None if the data are not a valid datagram."""
-    if not HEADER.size <= len(data) <= MAX_BYTES or not FIRST_KIND <= data[0] <= LAST_KIND:
+    if not HEADER_LAYOUT.size <= len(data) <= MAX_BYTES or not FIRST_KIND <= data[0] <= LAST_KIND:
         return None
     kind = data[0]
     if kind == SHARED_LOADS:
         return SharedLoads(data[1:])
-    body = BODIES[kind]
-    body_start = HEADER.size + data[1]
+    body = BODY_LAYOUTS[kind]
+    body_start = HEADER_LAYOUT.size + data[1]
     body_end = body_start + body.size
     if len(data) < body_end:
         return None
     try:
-        job = data[HEADER.size : body_start].decode()
+        job = data[HEADER_LAYOUT.size : body_start].decode()
         server_id = data[body_end:].decode()
     except UnicodeDecodeError:
         return None
     if not job or len(job.encode()) > MAX_JOB_BYTES or (kind in KINDS_WITH_SERVER) != bool(server_id):
         return None
-    return _message_of(kind, job, body.unpack(data[body_start:body_end]), server_id)
+    return _build_message(kind, job, body.unpack(data[body_start:body_end]), server_id)
 
 
-def _message_of(kind: int, job: str, values: tuple[int, ...], server_id: str) -> Message:
+def _build_message(kind: int, job: str, values: tuple[int, ...], server_id: str) -> Message:
     """Builds the message of a kind from the numbers of its body."""
     if kind == HEARTBEAT:
         return HolderHeartbeat(job, *values)
--- a/glenrock/coordination/durable_state.py
+++ b/glenrock/coordination/durable_state.py
@@ -1,8 +1,9 @@
-"""What a balancer must know after its own restart: fence positions, overrides, pending overrides and drain permits.
+"""The state that a balancer keeps across restarts: fence positions, overrides, pending overrides and drain permits.
 
-Each balancer has one file, which is replaced as a whole before the new state is acted on. The two processes of an
-upgrade have one name and share the file: under a lock, each merges what the other has written. The keys of the file are
-those of earlier versions; this module alone knows them, but for those of a pending override (`override_log`).
+Each balancer has one file, which is replaced as a whole before the new state is acted on. During an upgrade, the old
+and the new process have the same balancer name and share the file: under a lock, each merges what the other has
+written. The keys of the file must stay readable by other versions. They are defined in this module only, except those
+of a pending override, which `override_log` defines.
 """
 
 from __future__ import annotations
@@ -27,18 +28,18 @@
 
 
 class DurableStateError(ValueError):
-    """The file cannot be used; the message is the reason."""
+    """The state file cannot be used; the message gives the reason."""
 
 
 class StoredPermit(NamedTuple):
-    """A drain permit that an incarnation may still hold: its holder, and the term of its lease."""
+    """A drain permit that an incarnation may still hold: the permit's holder, and the term of its lease."""
 
     holder: str
     term: int
 
 
 class FileStamp(NamedTuple):
-    """Identifies one version of the file."""
+    """File metadata that changes whenever the file is replaced."""
 
     modified_ns: int
     inode: int
@@ -50,12 +51,12 @@
     """The content of the file.
 
     Attributes:
-        boot: identifier of the machine's boot.
+        boot: identifier of the machine's boot in which the file was written.
         positions: fence positions by job.
         permits: drain permits by job.
         committed_up_to: see `OverrideLog`.
-        entries: overrides by server.
-        pending: pending overrides by identifier; None for an entry that cannot be read.
+        entries: committed overrides by server.
+        pending: pending overrides by encoded `PendingId`; None for an entry that cannot be decoded.
     """
 
     boot: Any
@@ -66,7 +67,7 @@
     pending: dict[str, PendingOverride | None]
 
     def to_json(self) -> dict[str, Any]:
-        """Returns the content in the file's form."""
+        """Returns the content as the JSON object of the file."""
         return {
             "version": VERSION,
             "boot": self.boot,
@@ -83,11 +84,14 @@
 
 
 class DurableState:
-    """The file of one balancer. `adopt` and `_adopt_*` merge into the fence and the log, `_merge_*` into a snapshot.
+    """The file of one balancer.
+
+    `load_snapshot` and the `_load_*` functions merge file content into the fence and the override log; the `_merge_*`
+    functions merge it into a snapshot that is about to be written.
 
     Attributes:
-        boot: identifier of the machine's boot.
-        path: of the file.
+        boot: identifier of the machine's current boot.
+        path: the path of the file.
         permits: by job, the drain permits of this and earlier incarnations that may still be held.
     """
 
@@ -95,18 +99,19 @@
         self.boot = current_boot()
         self.path = folder / f"glenrock-{name}.fleet.json"
         self.permits: dict[str, StoredPermit] = {}
-        self._stamp: FileStamp | None = None  # of the version that this process last read or wrote
+        self._stamp: FileStamp | None = None  # of the file as this process last read or wrote it
 
     # -- reading ---------------------------------------------------------------------------------------
 
     def read(self, fence: Fence, overrides: OverrideLog) -> bool:
         """Merges the file into the fence and the override log.
 
-        A file of an earlier boot is merged, but may lack the last writes; the fence must then be restored from the
-        store too. If the file is corrupt, its previous version is merged in the same way.
+        A file written in an earlier boot is merged, but the last writes before the machine stopped may be missing, so
+        the fence is not marked as restored and must also be restored from the lease store. If the file is corrupt, the
+        previous version of the file is merged in the same way before the error is raised.
 
         Returns:
-            True if the file has everything that was known before the restart.
+            True if the file contains everything that was known before the restart.
 
         Raises:
             DurableStateError: the file cannot be used.
@@ -122,41 +127,41 @@
         try:
             content = _decode(data)
         except DurableStateError:
-            self._adopt_previous(fence, overrides)
+            self._load_previous_version(fence, overrides)
             raise
         is_complete = bool(content.boot == self.boot)
-        self._adopt_file(content, fence, overrides)
+        self._load_content(content, fence, overrides)
         fence.is_restored |= is_complete
         return is_complete
 
-    def _adopt_previous(self, fence: Fence, overrides: OverrideLog) -> None:
-        """Merges the previous version of the file, if it can be read."""
+    def _load_previous_version(self, fence: Fence, overrides: OverrideLog) -> None:
+        """Merges the previous version of the file into the fence and the log, if it can be read."""
         with contextlib.suppress(OSError, DurableStateError):
             content = _decode(durable_file.previous_path(self.path).read_bytes()[: MAX_BYTES + 1])
-            self._adopt_file(content, fence, overrides)
+            self._load_content(content, fence, overrides)
 
-    def _adopt_file(self, content: StateSnapshot, fence: Fence, overrides: OverrideLog) -> None:
-        """Merges the content of a file into the fence and the log."""
+    def _load_content(self, content: StateSnapshot, fence: Fence, overrides: OverrideLog) -> None:
+        """Merges the content of a file into the fence, the override log and the permits."""
         fence.merge(content.positions)
-        _adopt_overrides(content, overrides)
+        _load_overrides(content, overrides)
         for pending_id, pending in content.pending.items():
             if pending and pending_id not in overrides.pending:
                 overrides.add_pending(pending_id, pending.server_id, pending.is_suspended)
         self.permits.update(content.permits)
 
-    def adopt(self, snapshot: StateSnapshot, fence: Fence, overrides: OverrideLog) -> list[OverrideChange]:
-        """Merges a snapshot, which `write` has merged with the other process's file, into the fence and the log.
+    def load_snapshot(self, snapshot: StateSnapshot, fence: Fence, overrides: OverrideLog) -> list[OverrideChange]:
+        """Merges a snapshot into the fence and the log, after `write` has merged the other process's file into it.
 
         Returns:
-            What that changes here.
+            The servers whose suspension at this balancer changes.
         """
         fence.merge(snapshot.positions)
-        return _adopt_overrides(snapshot, overrides)
+        return _load_overrides(snapshot, overrides)
 
     # -- writing ---------------------------------------------------------------------------------------
 
     def snapshot(self, fence: Fence, overrides: OverrideLog) -> StateSnapshot:
-        """Returns a copy of the current state, to be written."""
+        """Returns a copy of the current state, for `write`."""
         return StateSnapshot(
             boot=self.boot,
             positions=dict(fence.positions),
@@ -167,22 +172,23 @@
         )
 
     def write(self, snapshot: StateSnapshot) -> bool:
-        """Replaces the file. Call it in a thread, since a disk may take seconds.
+        """Replaces the file. Must be called in a thread, since a slow disk may block for seconds.
 
         Returns:
-            True if the other process of this name has written since; its content is merged into the snapshot.
+            True if the other process with this balancer's name has written the file since this process last read or
+            wrote it; the other process's content is then merged into the snapshot.
 
         Raises:
-            OSError: the file cannot be written; then the snapshot must not be acted on.
+            OSError: the file cannot be written; the snapshot must then not be acted on.
         """
-        with self._locked():
+        with self._file_lock():
             is_merged = self._merge_file(snapshot)
             durable_file.replace(self.path, durable_file.encode_with_digest(snapshot.to_json()), sync=True)
             self._stamp = _stamp_of(os.stat(self.path))
             return is_merged
 
     @contextlib.contextmanager
-    def _locked(self) -> Iterator[None]:
+    def _file_lock(self) -> Iterator[None]:
         with open(self.path.with_suffix(".lock"), "wb") as file:
             fcntl.flock(file, fcntl.LOCK_EX)
             yield
@@ -195,12 +201,12 @@
         return False
 
 
-def _adopt_overrides(content: StateSnapshot, overrides: OverrideLog) -> list[OverrideChange]:
-    """Merges the committed overrides of a file into the log. Returns what that changes."""
+def _load_overrides(content: StateSnapshot, overrides: OverrideLog) -> list[OverrideChange]:
+    """Merges the committed overrides of a file into the log. Returns the servers whose suspension changes."""
     merged = [overrides.merge_entry(server_id, entry) for server_id, entry in content.entries.items()]
     changes = [change for change in merged if change is not None]
-    for incarnation, count in content.committed_up_to.items():
-        changes += overrides.record_committed(incarnation, count)
+    for incarnation, sequence in content.committed_up_to.items():
+        changes += overrides.record_committed(incarnation, sequence)
     return changes
 
 
@@ -215,7 +221,7 @@
     except ValueError as error:
         raise DurableStateError(str(error)) from error
     if not isinstance(raw, dict) or raw.get("version") != VERSION:
-        raise DurableStateError(f"not of version {VERSION}")
+        raise DurableStateError(f"not a JSON object of version {VERSION}")
     try:
         durable_file.check_digest(raw)
         return StateSnapshot(
@@ -229,7 +235,7 @@
             },
         )
     except (KeyError, TypeError, ValueError, AttributeError) as error:
-        raise DurableStateError(f"not what it should be: {error!r}") from error
+        raise DurableStateError(f"invalid content: {error!r}") from error
 
 
 def _decode_positions(raw: dict[str, Any]) -> dict[str, FencePosition]:
@@ -237,7 +243,7 @@
 
 
 def _decode_committed(raw: dict[str, Any]) -> dict[str, int]:
-    return {str(incarnation): int(count) for incarnation, count in raw["lives"].items()}
+    return {str(incarnation): int(sequence) for incarnation, sequence in raw["lives"].items()}
 
 
 def _decode_entries(raw: dict[str, Any]) -> dict[str, OverrideEntry]:
@@ -248,7 +254,10 @@
 
 
 def _merge_json(snapshot: StateSnapshot, raw: Any) -> bool:
-    """Merges the other process's file where it is newer; pending overrides and permits are each process's own."""
+    """Merges the other process's file into the snapshot where the file is newer. Returns whether it was merged.
+
+    Pending overrides and permits belong to the process that created them and are not merged.
+    """
     if raw.get("version") != VERSION:
         return False
     for job, position in _decode_positions(raw).items():
@@ -257,6 +266,6 @@
         own = snapshot.entries.get(server_id)
         if entry.revision > (own.revision if own else NO_REVISION):
             snapshot.entries[server_id] = entry
-    for incarnation, count in _decode_committed(raw).items():
-        snapshot.committed_up_to[incarnation] = max(snapshot.committed_up_to.get(incarnation, 0), count)
+    for incarnation, sequence in _decode_committed(raw).items():
+        snapshot.committed_up_to[incarnation] = max(snapshot.committed_up_to.get(incarnation, 0), sequence)
     return True
--- a/glenrock/coordination/override_applier.py
+++ b/glenrock/coordination/override_applier.py
@@ -1,4 +1,4 @@
-"""Applies overrides from the store and from datagrams: stores them, puts them into effect, then sends the replies."""
+"""Applies overrides from the store and from datagrams: stores them in the state file, then applies and replies."""
 
 from __future__ import annotations
 
@@ -20,27 +20,29 @@
 
 
 class OverrideApplier:
-    """Applies the overrides of the log; `OverrideSync` applies those that the other process of an upgrade has written.
+    """Applies the overrides of the log at this balancer.
+
+    During an upgrade, `OverrideSync` passes overrides between the old and the new process.
 
     Attributes:
-        has_changes: set when there is something to store, put into effect or reply to.
+        has_changes: set when there are changes to store or to apply, or replies to send.
     """
 
     def __init__(self, context: CoordinationContext) -> None:
         self.has_changes = asyncio.Event()
         self._context = context
-        self._applied: dict[str, bool] = {}  # by server, whether it is suspended at this balancer
-        self._unapplied: dict[str, bool] = {}  # by server, what is to be put into effect
+        self._applied: dict[str, bool] = {}  # by server, the last override applied: whether it is suspended
+        self._unapplied: dict[str, bool] = {}  # by server, the override to apply next
         self._is_dirty = False
         self._replies: list[PeerMessage] = []
-        context.transport.after_batch.append(self.has_changes.set)
+        context.transport.batch_listeners.append(self.has_changes.set)
         context.state.change_listeners.append(self._add_changes)
 
     def start(self) -> None:
-        """Puts the stored overrides into effect, and starts the task that applies changes.
+        """Applies the stored overrides, and starts the task that applies changes.
 
-        A process that was killed after it stored an override, and before it put the override into effect, left a
-        different state in the file of operators' overrides. Without this step, the server would stay in that state.
+        A process that was killed after it stored an override and before it applied it left the server's earlier state
+        in the file of operators' overrides. The server would keep that state if stored overrides were not applied here.
         """
         overrides = self._context.overrides
         if operators := self._context.host.operators:
@@ -49,30 +51,30 @@
         self._context.tasks.run(self._run())
 
     def merge_entry(self, server_id: str, entry: OverrideEntry) -> None:
-        """Merges an entry into the override log; it takes effect after it is stored."""
+        """Merges an entry into the override log. It is applied after it has been stored."""
         overrides = self._context.overrides
         change = overrides.merge_entry(server_id, entry)
         if change is not None:
             self._add_changes([change])
         self._is_dirty |= overrides.entries.get(server_id) == entry
 
-    def record_committed(self, incarnation: str, count: int) -> None:
-        """Records that an incarnation's pending overrides are committed up to `count`."""
+    def record_committed(self, incarnation: str, sequence: int) -> None:
+        """Records that an incarnation's pending overrides are committed up to a sequence number."""
         overrides = self._context.overrides
         before = overrides.committed_up_to.get(incarnation, 0)
-        self._add_changes(overrides.record_committed(incarnation, count))
+        self._add_changes(overrides.record_committed(incarnation, sequence))
         self._is_dirty |= overrides.committed_up_to[incarnation] != before
 
     def mark_dirty(self) -> None:
-        """Records that the state has changed and must be stored."""
+        """Marks the state as changed, so that it is stored before the next replies are sent."""
         self._is_dirty = True
 
     def reply(self, peer: int, message: Message) -> None:
-        """Sends a reply after the state is stored."""
+        """Queues a reply that is sent after the state has been stored."""
         self._replies.append(PeerMessage(peer, message))
 
     async def apply(self, server_id: str, is_suspended: bool) -> None:
-        """Puts an override into effect at this balancer, or logs why that was rejected."""
+        """Applies an override at this balancer. A rejection is logged."""
         host = self._context.host
         self._applied[server_id] = is_suspended
         if host.operators:
--- a/glenrock/coordination/override_holder.py
+++ b/glenrock/coordination/override_holder.py
@@ -1,4 +1,4 @@
-"""The lease holder's side of overrides: commits proposals to the store, and sends committed overrides to all peers."""
+"""The lease holder's part of override replication: commits proposals to the store, and sends overrides to all peers."""
 
 from __future__ import annotations
 
@@ -26,16 +26,19 @@
 logger = get_logger(__name__)
 
 HEARTBEAT_INTERVAL_S = 1.0
-HOLDER_INTERVAL_S = 0.08
-FOLLOWER_INTERVAL_S = 0.5
+HOLDER_POLL_INTERVAL_S = 0.08
+FOLLOWER_POLL_INTERVAL_S = 0.5
 MAX_LOGGED_CHARACTERS = 100
 
 
 class OverrideHolder:
-    """Acts only while the job's lease is held; `current_term` is checked immediately before each effect.
+    """Commits and sends overrides while this balancer holds the lease of the overrides' job.
+
+    Before each write to the store and each datagram, `current_term` is checked again, since the lease may expire at any
+    time.
 
     Attributes:
-        has_work: set when there may be proposals to commit, or overrides to send.
+        has_work: set when there may be proposals to commit or overrides to send.
     """
 
     def __init__(self, context: CoordinationContext, applier: OverrideApplier) -> None:
@@ -44,18 +47,18 @@
         self._applier = applier
         self._leases = context.leases
         self._retransmissions = Retransmissions()
-        self._is_ready = False  # all records of the store are read in this term
-        self._record_sequence = 0  # in this term
-        self._datagram_sequence = 0  # of this incarnation
+        self._is_ready = False  # the store has been read and repaired in this term
+        self._record_sequence = 0  # last sequence number of a record in this term
+        self._datagram_sequence = 0  # last sequence number of an update sent by this incarnation
         self._last_heartbeat_s = 0.0
-        self._must_repair_store = False  # a peer has an override that the store has lost
+        self._must_repair_store = False  # a peer knows an override that the store has lost
         context.leases.event_listeners.append(self._on_lease_event)
         context.transport.register(datagrams.SyncRequest, self._on_sync_request)
         context.transport.register(datagrams.Acknowledgement, self._on_acknowledgement)
         context.transport.register(datagrams.KnownOverride, self._on_known_override)
 
     def start(self) -> None:
-        """Starts the task that works while the lease is held."""
+        """Starts the task that commits and sends overrides while the lease is held."""
         self._context.tasks.run(self._run())
 
     def is_holder(self) -> bool:
@@ -74,16 +77,16 @@
         while True:
             term = self._leases.current_term(OVERRIDES_JOB)
             if term is None:
-                self.has_work.clear()  # a new holder reads the store instead
-                interval_s = FOLLOWER_INTERVAL_S
+                self.has_work.clear()  # at the start of its term, a new holder reads the store anyway
+                interval_s = FOLLOWER_POLL_INTERVAL_S
             else:
                 await self._work(term)
-                interval_s = HOLDER_INTERVAL_S
+                interval_s = HOLDER_POLL_INTERVAL_S
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(self.has_work.wait(), interval_s)
 
     async def _work(self, term: int) -> None:
-        """Commits proposals, and sends the heartbeat and the overrides that are due."""
+        """Commits proposals, and sends the heartbeats and updates that are due."""
         self._leases.record_work(OVERRIDES_JOB)
         await self._commit_if_due(term)
         if not self._is_ready:
@@ -106,7 +109,11 @@
     # -- commits ---------------------------------------------------------------------------------------
 
     async def _commit_proposals(self, term: int) -> None:
-        """Commits all proposals. Each record is in the store before any peer gets the override."""
+        """Commits all proposals. Each record is written to the store before the override is sent to any peer.
+
+        Raises:
+            StoreUnavailableError: the store did not answer.
+        """
         if not await self._begin_term(term):
             return
         for proposal_id, value in (await self._leases.store.proposals(OVERRIDES_JOB)).items():
@@ -120,10 +127,13 @@
         self._send_due_updates()
 
     async def _begin_term(self, term: int) -> bool:
-        """Reads all records and repairs the store, once in each term and after a loss.
+        """Reads all records and repairs the store, once in each term and whenever the store has lost an override.
 
         Returns:
             False if the lease is lost.
+
+        Raises:
+            StoreUnavailableError: the store did not answer.
         """
         if self._is_ready and not self._must_repair_store:
             return True
@@ -137,28 +147,43 @@
         return True
 
     async def _commit(self, term: int, proposal_id: str, proposal: PendingOverride) -> bool:
-        """Commits a proposal, or deletes it if it is committed already. Returns False if the lease is lost."""
+        """Commits a proposal, or deletes it if it is already committed.
+
+        Returns:
+            False if the lease is lost.
+
+        Raises:
+            StoreUnavailableError: the store did not answer.
+        """
         self._record_sequence += 1
         entry = OverrideEntry(proposal.is_suspended, Revision(term, self._record_sequence))
-        incarnation, count = decode_pending_id(proposal_id)
-        is_committed = count <= self._context.overrides.committed_up_to.get(incarnation, 0)
-        # Without records the store only deletes the proposal.
-        records = {} if is_committed else {proposal.server_id: entry.encode(), incarnation_key(incarnation): str(count)}
+        incarnation, sequence = decode_pending_id(proposal_id)
+        is_committed = sequence <= self._context.overrides.committed_up_to.get(incarnation, 0)
+        # Without records, `put` only deletes the proposal.
+        records = (
+            {} if is_committed else {proposal.server_id: entry.encode(), incarnation_key(incarnation): str(sequence)}
+        )
         if not await self._leases.store.put(OVERRIDES_JOB, term, self._record_sequence, records, proposal_id):
             logger.warning("record rejected by the lease store", job=OVERRIDES_JOB, term=term)
             self._leases.watch_now()
             return False
         if not is_committed:
             self._applier.merge_entry(proposal.server_id, entry)
-            self._applier.record_committed(incarnation, count)
+            self._applier.record_committed(incarnation, sequence)
             self._applier.has_changes.set()
             self._send_to_all(proposal.server_id, entry)
         return True
 
     async def _repair_store(self, term: int) -> bool:
-        """Commits again the overrides that the store has lost. Returns False if the lease is lost.
+        """Commits again, with a new revision, each override that this balancer knows and the store has lost.
+
+        Otherwise the balancers that know such an override and those that do not would never converge.
+
+        Returns:
+            False if the lease is lost.
 
-        Without this step, the balancers that know such an override and those that do not would differ forever.
+        Raises:
+            StoreUnavailableError: the store did not answer.
         """
         stored = await self._leases.store.records(OVERRIDES_JOB)
         for server_id, entry in self._context.overrides.entries_after(NO_REVISION):
@@ -166,20 +191,27 @@
             if record is not None and Revision(record.term, record.sequence) >= entry.revision:
                 continue
             self._record_sequence += 1
-            renewed = OverrideEntry(entry.is_suspended, Revision(term, self._record_sequence))
+            recommitted = OverrideEntry(entry.is_suspended, Revision(term, self._record_sequence))
             if self._leases.current_term(OVERRIDES_JOB) != term:
                 return False
-            values = {server_id: renewed.encode()}
+            values = {server_id: recommitted.encode()}
             if not await self._leases.store.put(OVERRIDES_JOB, term, self._record_sequence, values):
                 return False
-            logger.warning("override lost by the lease store restored", server=server_id, suspended=entry.is_suspended)
-            self._applier.merge_entry(server_id, renewed)
-            self._send_to_all(server_id, renewed)
+            logger.warning(
+                "override that the lease store had lost is committed again",
+                server=server_id,
+                suspended=entry.is_suspended,
+            )
+            self._applier.merge_entry(server_id, recommitted)
+            self._send_to_all(server_id, recommitted)
         self._applier.has_changes.set()
         return True
 
     def _fence_own_term(self, term: int) -> None:
-        """Rejects lower terms at this balancer too, since a holder is also a receiver."""
+        """Raises this balancer's own fence to the holder's term, since a holder receives datagrams too.
+
+        From then on, this balancer rejects datagrams of earlier holders.
+        """
         self._context.fence.check_heartbeat(OVERRIDES_JOB, term)
         self._applier.mark_dirty()
         self._applier.has_changes.set()
@@ -224,7 +256,7 @@
             self._leases.handle_rejection(OVERRIDES_JOB, message.highest_term)
 
     def _on_known_override(self, peer: int, message: datagrams.KnownOverride) -> None:
-        """Merges an override that a peer knows and this holder does not: the store has lost it."""
+        """Merges an override that a peer knows and this holder does not, since the store must have lost it."""
         entry = self._context.overrides.entries.get(message.server_id)
         revision = entry.revision if entry else NO_REVISION
         if self.is_holder() and self._is_ready and message.revision > revision:
--- a/glenrock/coordination/override_receiver.py
+++ b/glenrock/coordination/override_receiver.py
@@ -1,4 +1,4 @@
-"""The receiver's side of overrides: checks the lease holder's datagrams against the fence, and answers them."""
+"""The receiver's part of override replication: checks the holder's datagrams against the fence, and answers them."""
 
 from __future__ import annotations
 
@@ -14,13 +14,22 @@
 
 logger = get_logger(__name__)
 
-MAX_KNOWN_OVERRIDES = 64  # sent to a holder if the digests still differ after a sync
-MAX_REJECTIONS = 50  # in the operators' view
-NO_SERVER = "-"  # in the rejection of a heartbeat
+MAX_KNOWN_OVERRIDES = 64  # sent to the holder at once, if the digests still differ after a sync
+MAX_REJECTIONS = 50  # shown in the operators' view
+NO_SERVER = "-"  # server name in the rejection of a heartbeat; the datagram's server name must not be empty
 
 
 class Rejection(NamedTuple):
-    """An effect or heartbeat that was rejected. `highest_term` is the highest term seen."""
+    """An update or heartbeat that the fence rejected.
+
+    Attributes:
+        at_ms: when it was rejected, in Unix milliseconds.
+        peer: index of the sender.
+        job: the job.
+        term: the sender's term.
+        highest_term: the highest term seen by this balancer.
+        reason: why it was rejected, for operators.
+    """
 
     at_ms: int
     peer: int
@@ -31,7 +40,7 @@
 
 
 class _Digests(NamedTuple):
-    """The digests of the holder's override log and of this balancer's."""
+    """The digests of the holder's override log and of this balancer's override log."""
 
     holder: int
     own: int
@@ -41,7 +50,7 @@
     """Receives the lease holder's datagrams.
 
     Attributes:
-        rejections: the last effects and heartbeats that were rejected.
+        rejections: the last updates and heartbeats that were rejected, oldest first.
     """
 
     def __init__(self, context: CoordinationContext, applier: OverrideApplier) -> None:
@@ -49,7 +58,7 @@
         self._context = context
         self._applier = applier
         self._verdict_count = 0
-        self._synced_digests: _Digests | None = None  # at the last sync request
+        self._synced_digests: _Digests | None = None  # when the last sync was requested
         context.transport.register(datagrams.HolderHeartbeat, self._on_heartbeat)
         context.transport.register(datagrams.OverrideUpdate, self._on_update)
 
@@ -67,11 +76,17 @@
             self._request_sync(peer, message)
 
     def _request_sync(self, peer: int, message: datagrams.HolderHeartbeat) -> None:
-        """Requests the overrides after the last known revision; all of them if the digests still differ after that."""
+        """Requests the overrides after the highest known revision.
+
+        If the digests are unchanged since the last request, that sync did not help. In that case, all overrides are
+        requested, and this balancer's own overrides are sent to the holder, which may lack some of them.
+        """
         overrides = self._context.overrides
         digests = _Digests(message.digest, overrides.digest)
         wants_all = self._synced_digests == digests
-        self._applier.reply(peer, datagrams.SyncRequest(message.job, message.term, overrides.last, wants_all))
+        self._applier.reply(
+            peer, datagrams.SyncRequest(message.job, message.term, overrides.highest_revision, wants_all)
+        )
         if wants_all:
             for server_id, entry in overrides.entries_after(NO_REVISION)[-MAX_KNOWN_OVERRIDES:]:
                 known = datagrams.KnownOverride(message.job, entry.revision, entry.is_suspended, server_id)
@@ -99,7 +114,10 @@
         revision: Revision = NO_REVISION,
         server_id: str = NO_SERVER,
     ) -> None:
-        """Replies with the verdict on an update, or on a heartbeat, which has no sequence, revision and server."""
+        """Replies with the verdict on an update or a heartbeat.
+
+        The last three arguments describe an update; for a heartbeat they keep their defaults.
+        """
         self._verdict_count += 1
         acknowledgement = datagrams.Acknowledgement(
             job=job,
--- a/glenrock/coordination/override_records.py
+++ b/glenrock/coordination/override_records.py
@@ -1,4 +1,4 @@
-"""The overrides' job, and its records in the store."""
+"""Reads the records of the overrides' job from the lease store."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from .shared_work.override_log import decode_entry, decode_incarnation_key
 from .shared_work.revision import Revision
 
-OVERRIDES_JOB = "bans"  # the name in the store and in datagrams
+OVERRIDES_JOB = "bans"  # the job's name in the store and in datagrams
 
 
 async def read_records(store: LeaseStore, applier: OverrideApplier) -> None:
--- a/glenrock/coordination/override_replication.py
+++ b/glenrock/coordination/override_replication.py
@@ -1,4 +1,4 @@
-"""Replicates operators' overrides: each takes effect at all balancers, in one order, and outlives restarts."""
+"""Replicates operators' overrides: each takes effect at all balancers, in the same order, and survives restarts."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
 
 WATCH_TIMEOUT_S = 10.0
 STORE_RETRY_S = 0.5
-PROPOSE_INTERVAL_S = 0.5
-REPOST_INTERVAL_S = 2.0
-CONFIRM_TIMEOUT_MS = 700.0  # for the commit; with a fast disk operators get an answer within 1 s
-CONFIRM_POLL_MS = 10.0
+PROPOSAL_CHECK_INTERVAL_S = 0.5
+PROPOSAL_RETRY_INTERVAL_S = 2.0
+COMMIT_TIMEOUT_MS = 700.0  # so that operators get an answer within 1 s if the disk is fast
+COMMIT_POLL_INTERVAL_MS = 10.0
 
 
 class OverrideReplication:
-    """The overrides submitted at this balancer, and those in the store.
+    """Proposes the overrides submitted at this balancer to the store, and follows the overrides in the store.
 
     Attributes:
-        applier: puts overrides into effect.
-        holder: the work of the lease holder.
-        receiver: the receiver of the lease holder's datagrams.
+        applier: stores overrides and puts them into effect.
+        holder: commits and sends overrides while this balancer holds the lease.
+        receiver: receives the lease holder's datagrams.
     """
 
     def __init__(self, context: CoordinationContext) -> None:
@@ -37,24 +37,24 @@
         self.receiver = OverrideReceiver(context, self.applier)
         self._context = context
         self._leases = context.leases
-        self._submitted_count = 0  # by this incarnation
-        self._posted_s: dict[str, float] = {}  # by pending override, when it was last proposed to the store
-        self._has_proposals = asyncio.Event()
+        self._submitted_count = 0  # overrides submitted by this incarnation
+        self._last_proposed_s: dict[str, float] = {}  # by pending override, on the event loop's clock
+        self._has_new_pending = asyncio.Event()
 
     def start(self) -> None:
-        """Starts the tasks."""
+        """Starts the tasks of the applier and the holder, and those that follow the store and propose overrides."""
         self.applier.start()
         self.holder.start()
         self._context.tasks.run(self._follow_store())
-        self._context.tasks.run(self._post_proposals())
+        self._context.tasks.run(self._run_proposals())
 
     async def set_override(self, server_id: str, is_suspended: bool) -> None:
-        """Takes a server out of rotation at all balancers, or back.
+        """Suspends a server at all balancers, or resumes it.
 
         Raises:
-            OperationRejectedError: the override cannot be stored.
-            OperationPendingError: the override is stored here, and not in the log yet. It is in effect here unless
-                `override not applied` was logged.
+            OperationRejectedError: the override could not be written to this balancer's state file.
+            OperationPendingError: the override is stored at this balancer but not committed yet. It is in effect at
+                this balancer unless `override not applied` was logged.
         """
         overrides = self._context.overrides
         self._submitted_count += 1
@@ -64,24 +64,24 @@
             overrides.pending.pop(pending_id, None)
             raise OperationRejectedError(f"not done: the state file {self._context.state.path} cannot be written")
         await self.applier.apply(server_id, is_suspended)
-        self._has_proposals.set()
+        self._has_new_pending.set()
         if not await self._wait_for_commit(pending_id):
             reason = self._leases.store_error or "not committed by a lease holder yet"
             raise OperationPendingError(
-                f"accepted and stored here; the other balancers get it once it is in the lease store: {reason}"
+                f"accepted and stored at this balancer; the others get it once it is in the lease store: {reason}"
             )
 
     async def _wait_for_commit(self, pending_id: str) -> bool:
-        """Returns whether the override is committed within CONFIRM_TIMEOUT_MS."""
+        """Waits until the override is committed. Returns False if it is not within COMMIT_TIMEOUT_MS."""
         pending = self._context.overrides.pending
         clock = self._context.host.clock
-        deadline_ms = clock.now_ms() + CONFIRM_TIMEOUT_MS
+        deadline_ms = clock.now_ms() + COMMIT_TIMEOUT_MS
         while pending_id in pending and clock.now_ms() < deadline_ms:
-            await clock.sleep(CONFIRM_POLL_MS)
+            await clock.sleep(COMMIT_POLL_INTERVAL_MS)
         return pending_id not in pending
 
     async def _follow_store(self) -> None:
-        """Reads the store's records, and wakes the holder for proposals, whenever the store changes."""
+        """Reads the store's records whenever the store changes, and has the holder check for new proposals."""
         while True:
             try:
                 await read_records(self._leases.store, self.applier)
@@ -92,29 +92,35 @@
                 self._leases.record_store_error(error)
                 await asyncio.sleep(STORE_RETRY_S)
 
-    async def _post_proposals(self) -> None:
-        """Proposes pending overrides to the store, and retries until they are committed."""
+    async def _run_proposals(self) -> None:
+        """Proposes pending overrides to the store, and repeats each proposal until the override is committed."""
         while True:
-            self._has_proposals.clear()
+            self._has_new_pending.clear()
             try:
-                await self._post_pending()
+                await self._propose_pending()
             except StoreUnavailableError as error:
                 self._leases.record_store_error(error)
             pending = self._context.overrides.pending
-            self._posted_s = {id_: posted_s for id_, posted_s in self._posted_s.items() if id_ in pending}
+            self._last_proposed_s = {id_: posted_s for id_, posted_s in self._last_proposed_s.items() if id_ in pending}
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(self._has_proposals.wait(), PROPOSE_INTERVAL_S)
+                await asyncio.wait_for(self._has_new_pending.wait(), PROPOSAL_CHECK_INTERVAL_S)
 
-    async def _post_pending(self) -> None:
-        """Proposes each pending override that was not proposed lately. Raises StoreUnavailableError.
+    async def _propose_pending(self) -> None:
+        """Proposes each pending override that was not proposed within PROPOSAL_RETRY_INTERVAL_S.
 
-        A store that is restored from an earlier state has lost proposals, so they are posted again. The holder drops a
-        proposal that is committed already.
+        A store that was restored from a backup may have lost proposals, so they are repeated. The holder deletes a
+        proposal that is already committed.
+
+        Raises:
+            StoreUnavailableError: the store did not answer.
         """
         loop = asyncio.get_running_loop()
         for pending_id, pending in list(self._context.overrides.pending.items()):
-            if loop.time() - self._posted_s.get(pending_id, -REPOST_INTERVAL_S) < REPOST_INTERVAL_S:
+            if (
+                loop.time() - self._last_proposed_s.get(pending_id, -PROPOSAL_RETRY_INTERVAL_S)
+                < PROPOSAL_RETRY_INTERVAL_S
+            ):
                 continue
             await self._leases.store.propose(OVERRIDES_JOB, pending_id, pending.encode())
-            self._posted_s[pending_id] = loop.time()
-            self.holder.has_work.set()  # the store does not report this process's own change
+            self._last_proposed_s[pending_id] = loop.time()
+            self.holder.has_work.set()  # the store does not notify a process of its own changes
--- a/glenrock/coordination/sharded_health_checks.py
+++ b/glenrock/coordination/sharded_health_checks.py
@@ -16,7 +16,7 @@
 
 SECOND_US = 1_000_000
 MS_US = 1000
-ROUNDS_PER_INTERVAL = 5  # in the time between two checks of a server
+ROUNDS_PER_CHECK_INTERVAL = 5  # in the time between two checks of a server
 LOAD_FIELDS = (interface.LOAD_RATIO, interface.UTILIZATION)
 
 
@@ -33,7 +33,7 @@
         self._post = host.servers.post
         context.transport.register(datagrams.SharedLoads, self._on_shared_loads)
         if self._load_fields:
-            host.routing.send_health_check = self._check
+            host.routing.send_health_check = self._answer_health_check
             host.servers.post = self._post_and_record
         else:
             logger.warning("health checks not sharded, load reports have no load")
@@ -43,7 +43,7 @@
         if self._load_fields:
             self._context.tasks.run(self._run())
 
-    def _check(self, server_id: str) -> None:
+    def _answer_health_check(self, server_id: str) -> None:
         """Answers routing's health check by a fresh shared load, or sends the health check."""
         load = self._shards.fresh_load(server_id, boottime_us())
         if load is None:
@@ -71,16 +71,16 @@
             self._post_load(server_id, load)
 
     async def _run(self) -> None:
-        interval_s = CHECK_INTERVAL_US / ROUNDS_PER_INTERVAL / SECOND_US
+        interval_s = CHECK_INTERVAL_US / ROUNDS_PER_CHECK_INTERVAL / SECOND_US
         while True:
-            self._shards.update_servers(self._warm_servers())
+            self._shards.update_servers(self._warmed_up_servers())
             for server_id in self._shards.start_due_checks(boottime_us()):
                 self._send_health_check(server_id)
             for data in self._shards.pop_datagrams():
                 self._context.transport.broadcast(datagrams.SharedLoads(data))
             await asyncio.sleep(interval_s)
 
-    def _warm_servers(self) -> list[str]:
+    def _warmed_up_servers(self) -> list[str]:
         """Returns the listed servers that are no longer warming up."""
         host = self._context.host
         warm_since_ms = host.clock.now_ms() - host.config.settings.slow_start_us / MS_US
--- a/glenrock/coordination/shared_work/health_check_shards.py
+++ b/glenrock/coordination/shared_work/health_check_shards.py
@@ -43,14 +43,14 @@
     load: float
 
 
-def step_of(load: float) -> int:
+def encode_load(load: float) -> int:
     """Returns the step that encodes a load; 0 encodes no load."""
     if load < SMALLEST_LOAD / 2:
         return 0
     return max(0, min(MAX_STEP, 1 + round(log(load / SMALLEST_LOAD) / log(STEP_FACTOR))))
 
 
-def load_of(step: int) -> float:
+def decode_load(step: int) -> float:
     """Returns the load that a step encodes."""
     return SMALLEST_LOAD * STEP_FACTOR ** (step - 1) if step else 0.0
 
@@ -75,7 +75,7 @@
         self._received: dict[str, _TimedLoad] = {}
         self._unshared: dict[str, float] = {}  # loads that the next datagrams share
         self._members: list[int] = []
-        self._own: list[str] = []
+        self._own_server_ids: list[str] = []
 
     def update_servers(self, server_ids: Iterable[str]) -> None:
         """Sets the servers that are listed and no longer warming up.
@@ -99,9 +99,11 @@
         members = list(self.membership.members(now_us))
         if members != self._members:
             me = self.membership.me
-            self._own = [server_id for server_id in self._codes if preferred_member(server_id, members) == me]
+            self._own_server_ids = [
+                server_id for server_id in self._codes if preferred_member(server_id, members) == me
+            ]
             self._members = members
-        return self._own
+        return self._own_server_ids
 
     def start_due_checks(self, now_us: int) -> list[str]:
         """Returns the servers of this balancer's shard that are due for a check, and counts them as checked."""
@@ -130,7 +132,7 @@
     def pop_datagrams(self) -> list[bytes]:
         """Returns the loads recorded since the last call, as the data of datagrams for all peers."""
         entries = [
-            LOAD_ENTRY.pack(self._codes[server_id] << STEP_BITS | step_of(load))
+            LOAD_ENTRY.pack(self._codes[server_id] << STEP_BITS | encode_load(load))
             for server_id, load in self._unshared.items()
             if self._server_ids.get(self._codes[server_id]) == server_id
         ]
@@ -145,7 +147,7 @@
         loads = []
         for (entry,) in LOAD_ENTRY.iter_unpack(data):
             server_id = self._server_ids.get(entry >> STEP_BITS)
-            load = load_of(entry & MAX_STEP)
+            load = decode_load(entry & MAX_STEP)
             if server_id is not None:
                 self._received[server_id] = _TimedLoad(now_us, load)
                 loads.append(ReceivedLoad(server_id, load))
--- a/glenrock/coordination/shared_work/retransmissions.py
+++ b/glenrock/coordination/shared_work/retransmissions.py
@@ -28,10 +28,10 @@
     """The revision that a peer has not acknowledged, and when it is sent again."""
 
     revision: Revision
-    next_us: int
+    next_send_us: int
 
 
-NOTHING = Unacknowledged(NO_REVISION, 0)
+NOTHING_UNACKNOWLEDGED = Unacknowledged(NO_REVISION, 0)
 
 
 @dataclass(slots=True)
@@ -55,19 +55,19 @@
     def acknowledge(self, peer: int, server_id: str, revision: Revision) -> None:
         """Removes a delivery whose peer has the override up to `revision`."""
         delivery = Delivery(peer, server_id)
-        if self.unacknowledged.get(delivery, NOTHING).revision <= revision:
+        if self.unacknowledged.get(delivery, NOTHING_UNACKNOWLEDGED).revision <= revision:
             self.unacknowledged.pop(delivery, None)
             self.attempts.pop(delivery, None)
 
     def start_due_sends(self, now_us: int) -> list[Delivery]:
         """Returns the deliveries to send now, and schedules their next attempts."""
-        due = [delivery for delivery, waiting in self.unacknowledged.items() if waiting.next_us <= now_us]
+        due = [delivery for delivery, waiting in self.unacknowledged.items() if waiting.next_send_us <= now_us]
         del due[MAX_SENDS_PER_ROUND:]
         for delivery in due:
             self.attempts[delivery] += 1
             backoff_us = FIRST_BACKOFF_US << min(MAX_DOUBLINGS, self.attempts[delivery] - 1)
-            next_us = now_us + min(MAX_BACKOFF_US, backoff_us)
-            self.unacknowledged[delivery] = self.unacknowledged[delivery]._replace(next_us=next_us)
+            next_send_us = now_us + min(MAX_BACKOFF_US, backoff_us)
+            self.unacknowledged[delivery] = self.unacknowledged[delivery]._replace(next_send_us=next_send_us)
         return due
 
     def clear(self) -> None:
--- a/glenrock/coordination/state_writer.py
+++ b/glenrock/coordination/state_writer.py
@@ -77,7 +77,7 @@
             self._is_failing = False
             logger.info("coordination state writable again", path=self._file.path)
         if is_merged:
-            changes = self._file.adopt(snapshot, self._fence, self._overrides)
+            changes = self._file.load_snapshot(snapshot, self._fence, self._overrides)
             for listener in self.change_listeners:
                 listener(changes)
         duration_ms = self._clock.now_ms() - started_ms
--- a/glenrock/coordination/status_view.py
+++ b/glenrock/coordination/status_view.py
@@ -17,14 +17,14 @@
 
 MS_US = 1000
 
-STATE_WORDS = {
+STATE_NAMES = {
     CandidateState.IDLE: "idle",
     CandidateState.ACQUIRING: "asking",
     CandidateState.HOLDER: "owner",
     CandidateState.RELEASING: "leaving",
     CandidateState.BACKING_OFF: "wary",
 }
-LIST_WORDS = {
+LIST_SOURCE_NAMES = {
     ListSource.CACHED: "kept",
     ListSource.CONFIGURED: "given",
     ListSource.NONE: "none",
@@ -76,7 +76,7 @@
         job: {
             "term": candidate.term,
             "left_ms": max(0, candidate.expires_us - now_us) // MS_US,
-            "state": STATE_WORDS[candidate.state],
+            "state": STATE_NAMES[candidate.state],
         }
         for job, candidate in manager.candidates.items()
         if candidate.state is not CandidateState.IDLE or job in manager.jobs
@@ -102,7 +102,7 @@
         "ready_ms": round(start.ready_ms),
         "heard_ms": round(start.list_ms),
         "served_ms": round(start.served_ms),
-        "list": LIST_WORDS[start.list_source],
+        "list": LIST_SOURCE_NAMES[start.list_source],
         "calls": {"answered": calls.answered, "refused": calls.rejected, "failed": calls.failed} if calls else {},
         "first": {
             "attempts": connections.attempts,
--- a/glenrock/coordination/transport.py
+++ b/glenrock/coordination/transport.py
@@ -14,7 +14,7 @@
 
 logger = get_logger(__name__)
 
-MAX_INBOX = 4096  # datagrams waiting for delivery
+MAX_INBOX_MESSAGES = 4096  # datagrams waiting for delivery
 
 MessageT = TypeVar("MessageT", bound=datagrams.Message)
 Handler = Callable[[int, MessageT], None]
@@ -31,16 +31,17 @@
 class DatagramTransport:
     """Sends and receives datagrams.
 
-    The handlers of all datagrams received in one iteration of the event loop run together, followed by `after_batch`.
+    The handlers of all datagrams received in one iteration of the event loop run as one batch, followed by the
+    `batch_listeners`.
 
     Attributes:
         membership: records from which peers a datagram arrived.
-        after_batch: called after each batch.
+        batch_listeners: called after each batch.
     """
 
     def __init__(self, membership: PeerLiveness, peers: Peers | None) -> None:
         self.membership = membership
-        self.after_batch: list[Callable[[], None]] = []
+        self.batch_listeners: list[Callable[[], None]] = []
         self._peers = peers
         self._handlers: dict[type, Handler[Any]] = {}
         self._inbox: list[PeerMessage] = []
@@ -62,14 +63,14 @@
             return
         if not self._inbox:
             asyncio.get_running_loop().call_soon(self._deliver)
-        if len(self._inbox) < MAX_INBOX:
+        if len(self._inbox) < MAX_INBOX_MESSAGES:
             self._inbox.append(PeerMessage(peer, message))
 
     def _deliver(self) -> None:
         received, self._inbox = self._inbox, []
         for peer, message in received:
             self._handlers[type(message)](peer, message)
-        for call in self.after_batch:
+        for call in self.batch_listeners:
             call()
 
     def send(self, peer: int, message: datagrams.Message) -> None:
--- a/glenrock/coordination/warm_start/milestones.py
+++ b/glenrock/coordination/warm_start/milestones.py
@@ -24,8 +24,8 @@
     NONE = "none"
 
 
-CHECK_INTERVAL_MS = 20.0
-FIRST_SERVICE_MS = 5000.0  # connections in this time after `ready` count as the start's
+POLL_INTERVAL_MS = 20.0
+FIRST_CONNECTIONS_WINDOW_MS = 5000.0  # connections in this time after `ready` count as the start's
 MAX_WATCH_MS = 600_000.0
 
 
@@ -140,11 +140,15 @@
                 self._list_ms = now_ms
             if not self._served_ms and self._connection_counts().established > 0:
                 self._served_ms = now_ms
-            if self._ready_ms and not self._first_connections and now_ms >= self._ready_ms + FIRST_SERVICE_MS:
+            if (
+                self._ready_ms
+                and not self._first_connections
+                and now_ms >= self._ready_ms + FIRST_CONNECTIONS_WINDOW_MS
+            ):
                 self._first_connections = self._connection_counts()
             if self._first_connections and self._list_ms and self._served_ms:
                 return
-            await self._clock.sleep(CHECK_INTERVAL_MS)
+            await self._clock.sleep(POLL_INTERVAL_MS)
 
     def progress(self) -> StartProgress:
         """Returns the milestones reached so far."""
--- a/glenrock/coordination/warm_start/start_backoff.py
+++ b/glenrock/coordination/warm_start/start_backoff.py
@@ -20,7 +20,7 @@
 
 MAX_STARTS = 16  # in the file; the delay reaches its bound after fewer crashes
 FIRST_DELAY_DIVISOR = 16  # `min_lifetime_ms` over the first delay, which then doubles
-FREE_CRASHES = 1  # in a row, without a delay
+CRASHES_WITHOUT_DELAY = 1  # in a row, without a delay
 MAX_BYTES = 4096
 SECOND_MS = 1000
 
@@ -53,9 +53,9 @@
     def delay_ms(self, starts_ms: Sequence[float], now_ms: float) -> float:
         """Returns the delay of this start."""
         crashes = self.recent_crashes(starts_ms, now_ms)
-        if crashes <= FREE_CRASHES:
+        if crashes <= CRASHES_WITHOUT_DELAY:
             return 0.0
-        doublings = crashes - FREE_CRASHES - 1
+        doublings = crashes - CRASHES_WITHOUT_DELAY - 1
         return min(self.max_delay_ms, self.min_lifetime_ms / FIRST_DELAY_DIVISOR * 2.0**doublings)
 
 
@@ -109,7 +109,7 @@
         self._own_start_ms = self._now()  # the delay is not part of the incarnation's run time
         self.write([*starts_ms, self._own_start_ms])
 
-    def record_orderly_end(self) -> None:
+    def record_graceful_exit(self) -> None:
         """Removes this incarnation's start, since it ended by SIGTERM and did not crash."""
         if self._own_start_ms:
             self.write([start_ms for start_ms in self.read() if start_ms != self._own_start_ms])
--- a/glenrock/coordination/warm_start/start_cache.py
+++ b/glenrock/coordination/warm_start/start_cache.py
@@ -14,14 +14,14 @@
 from .start_record import (
     MAX_BYTES,
     EndpointTable,
-    RecordTrust,
-    StartKnowledge,
+    RecordValidity,
+    StartData,
     StartRecord,
     decode,
     encode,
     encode_table,
+    select_start_data,
     table_version,
-    usable_knowledge,
 )
 
 logger = get_logger(__name__)
@@ -45,12 +45,12 @@
         status: what the start used of the cache, for operators.
     """
 
-    def __init__(self, host: BalancerHost, folder: Path, name: str, trust: RecordTrust) -> None:
+    def __init__(self, host: BalancerHost, folder: Path, name: str, validity: RecordValidity) -> None:
         self.path = folder / f"glenrock-{name}.start"
         self.status = "no cache file"
         self._host = host
         self._clock = host.clock
-        self._trust = trust
+        self._validity = validity
         self._boot = current_boot()
         self._last_write: _LastWrite | None = None
 
@@ -71,21 +71,23 @@
             with contextlib.suppress(OSError):
                 os.replace(self.path, f"{self.path}.spoilt")
             return configured
-        knowledge = self._usable(record, configured)
+        start_data = self._select_start_data(record, configured)
         balancer = self._host.routing.balancer
         classes = [request_class.name for request_class in balancer.settings.classes]
-        balancer.connection_loads.restore(knowledge.means, classes)
-        self.status = knowledge.summary
+        balancer.connection_loads.restore(start_data.means, classes)
+        self.status = start_data.summary
         logger.info("endpoint list and loads of the last run", result=self.status)
-        return knowledge.table
+        return start_data.table
 
-    def _usable(self, record: StartRecord, configured: EndpointTable) -> StartKnowledge:
-        return usable_knowledge(record, configured, self._clock.now_ms(), self._boot, self._discovery(), self._trust)
+    def _select_start_data(self, record: StartRecord, configured: EndpointTable) -> StartData:
+        return select_start_data(
+            record, configured, self._clock.now_ms(), self._boot, self._discovery(), self._validity
+        )
 
     def _discovery(self) -> str:
         return str(self._host.endpoints.address)
 
-    def current_record(self) -> StartRecord | None:
+    def build_record(self) -> StartRecord | None:
         """Returns the record to write; None until discovery has answered, since the file is newer until then."""
         watcher = self._host.endpoints
         if watcher.newest_version < 0 or not watcher.has_answered.is_set():
@@ -120,7 +122,7 @@
         is_same_list = last is not None and last.version == self._host.endpoints.newest_version
         if last and is_same_list and now_ms - last.at_ms < WRITE_INTERVAL_MS:
             return
-        record = self.current_record()
+        record = self.build_record()
         if record is None:
             return
         try:
--- a/glenrock/coordination/warm_start/start_record.py
+++ b/glenrock/coordination/warm_start/start_record.py
@@ -54,7 +54,7 @@
 
 
 @dataclass(frozen=True)
-class RecordTrust:
+class RecordValidity:
     """How long a record counts.
 
     Attributes:
@@ -67,7 +67,7 @@
 
 
 @dataclass(frozen=True)
-class StartKnowledge:
+class StartData:
     """What a start uses.
 
     Attributes:
@@ -132,10 +132,10 @@
         raise StartRecordError(f"version {fields[1].decode('ascii', 'replace')[:20]}, {VERSION} is known")
     if hashlib.sha256(body).hexdigest().encode() != fields[2]:
         raise StartRecordError("the digest is wrong: it is cut short or spoilt")
-    return _record_of(json.loads(body))
+    return _validate_record(json.loads(body))
 
 
-def _record_of(raw: Any) -> StartRecord:
+def _validate_record(raw: Any) -> StartRecord:
     """Checks the types of the JSON. Raises StartRecordError."""
     try:
         table = raw["table"]
@@ -151,9 +151,9 @@
     return StartRecord(at_ms, raw["boot"], raw["discovery"], table, means)
 
 
-def usable_knowledge(
-    record: StartRecord, configured: EndpointTable, now_ms: float, boot: str, discovery: str, trust: RecordTrust
-) -> StartKnowledge:
+def select_start_data(
+    record: StartRecord, configured: EndpointTable, now_ms: float, boot: str, discovery: str, validity: RecordValidity
+) -> StartData:
     """Returns what a start uses of a record.
 
     Versions of lists compare only if they are from the same discovery; otherwise the configured list is used. A record
@@ -165,19 +165,19 @@
         now_ms: time of the start.
         boot: identifier of the machine's current boot.
         discovery: host and port of the discovery that this start uses.
-        trust: how long a record counts.
+        validity: how long a record counts.
     """
     age_ms = now_ms - record.at_ms
     if age_ms < 0:
-        return StartKnowledge(configured, {}, f"written {-age_ms / SECOND_MS:.0f} s in the future: not used")
-    means = _faded(record.means, 0.5 ** (age_ms / trust.half_life_ms))
-    if age_ms > trust.max_list_age_ms:
+        return StartData(configured, {}, f"written {-age_ms / SECOND_MS:.0f} s in the future: not used")
+    means = _decayed_means(record.means, 0.5 ** (age_ms / validity.half_life_ms))
+    if age_ms > validity.max_list_age_ms:
         summary = f"{age_ms / SECOND_MS:.0f} s old: its list is not used, loads of {len(means)} classes are"
-        return StartKnowledge(configured, means, summary)
+        return StartData(configured, means, summary)
     age = f"{age_ms / SECOND_MS:.1f} s old"
-    if _is_configured_list_as_new(record, configured, discovery):
+    if _is_configured_list_preferred(record, configured, discovery):
         summary = f"{age}: the configured list is as new; loads of {len(means)} classes are used"
-        return StartKnowledge(configured, means, summary)
+        return StartData(configured, means, summary)
     table = record.table
     is_after_boot = record.boot != boot
     if is_after_boot:
@@ -185,16 +185,16 @@
         table = {**table, "endpoints": [{**row, "since_ms": now_ms} for row in table["endpoints"]]}
     note = ", its servers count as warming up after a boot" if is_after_boot else ""
     summary = f"{age}: its list of {len(table['endpoints'])} servers is used{note}"
-    return StartKnowledge(table, means, summary)
+    return StartData(table, means, summary)
 
 
-def _faded(means: MeanLoads, fraction: float) -> MeanLoads:
+def _decayed_means(means: MeanLoads, fraction: float) -> MeanLoads:
     """Returns the means with a fraction of their samples, without those that have none left."""
     faded = {name: LoadMean(mean.load, round(mean.sample_count * fraction)) for name, mean in means.items()}
     return {name: mean for name, mean in faded.items() if mean.sample_count > 0}
 
 
-def _is_configured_list_as_new(record: StartRecord, configured: EndpointTable, discovery: str) -> bool:
+def _is_configured_list_preferred(record: StartRecord, configured: EndpointTable, discovery: str) -> bool:
     if not configured.get("endpoints"):
         return False
     version = configured.get("index", -1)
--- a/glenrock/coordination/warm_start/start_report.py
+++ b/glenrock/coordination/warm_start/start_report.py
@@ -8,10 +8,10 @@
 from dataclasses import dataclass
 from typing import Any, NamedTuple
 
-COUNT_COLUMNS = ("attempts", "up", "refused", "failed")
-HEADER = ("balancer", "began", "waited", "list", "ready", "heard", "served", "calls", *COUNT_COLUMNS)
+CONNECTION_COLUMNS = ("attempts", "up", "refused", "failed")
+HEADER = ("balancer", "began", "waited", "list", "ready", "heard", "served", "calls", *CONNECTION_COLUMNS)
 CALL_OUTCOMES = ("answered", "refused", "failed")
-MAX_NAMED = 5  # balancers that have not reached a milestone
+MAX_NAMED_BALANCERS = 5  # balancers that have not reached a milestone
 SECOND_MS = 1000
 
 
@@ -19,7 +19,7 @@
     """A milestone's key in the views, and the text for when all balancers have reached it."""
 
     key: str
-    meaning: str
+    description: str
 
 
 MILESTONES = (
@@ -62,7 +62,7 @@
         list_source=start["list"],
         reached_ms={milestone: start[milestone.key] for milestone in MILESTONES},
         calls={outcome: start["calls"].get(outcome, 0) for outcome in CALL_OUTCOMES},
-        connections={column: start["first"].get(column, 0) for column in COUNT_COLUMNS},
+        connections={column: start["first"].get(column, 0) for column in CONNECTION_COLUMNS},
     )
 
 
@@ -103,7 +103,7 @@
         start.list_source,
         *(_seconds_after(start.reached_ms[milestone], start.started_ms) for milestone in MILESTONES),
         _calls_cell(start),
-        *(str(start.connections[column]) for column in COUNT_COLUMNS),
+        *(str(start.connections[column]) for column in CONNECTION_COLUMNS),
     )
 
 
@@ -115,10 +115,10 @@
 def _milestone_line(starts: list[_Start], milestone: Milestone, first_ms: float) -> str:
     missing = [start.name for start in starts if not start.reached_ms[milestone]]
     if missing:
-        more = " and more" if len(missing) > MAX_NAMED else ""
-        return f"{milestone.meaning}: not yet: {', '.join(missing[:MAX_NAMED])}{more}"
+        more = " and more" if len(missing) > MAX_NAMED_BALANCERS else ""
+        return f"{milestone.description}: not yet: {', '.join(missing[:MAX_NAMED_BALANCERS])}{more}"
     last_ms = max(start.reached_ms[milestone] for start in starts)
-    return f"{milestone.meaning}: {(last_ms - first_ms) / SECOND_MS:.2f} s after the first process began"
+    return f"{milestone.description}: {(last_ms - first_ms) / SECOND_MS:.2f} s after the first process began"
 
 
 def _calls_line(starts: list[_Start]) -> str:
--- a/tests/coordination/shared_work/test_health_check_shards.py
+++ b/tests/coordination/shared_work/test_health_check_shards.py
@@ -7,7 +7,12 @@
 import pytest
 
 from glenrock.coordination.membership import LIVENESS_TIMEOUT_US, PeerLiveness
-from glenrock.coordination.shared_work.health_check_shards import CHECK_INTERVAL_US, HealthCheckShards, load_of, step_of
+from glenrock.coordination.shared_work.health_check_shards import (
+    CHECK_INTERVAL_US,
+    HealthCheckShards,
+    decode_load,
+    encode_load,
+)
 from glenrock.routing.load_estimation import FRESH_REPORT_US
 
 BALANCER_COUNT = 4
@@ -52,4 +57,4 @@
 
 @pytest.mark.parametrize("load", [0.0, 0.01, 0.3, 0.86, 1.0, 1.9])
 def test_load_is_encoded_within_a_step(load: float) -> None:
-    assert abs(load_of(step_of(load)) - load) <= 0.0126 * load
+    assert abs(decode_load(encode_load(load)) - load) <= 0.0126 * load
--- a/tests/coordination/shared_work/test_override_log.py
+++ b/tests/coordination/shared_work/test_override_log.py
@@ -45,7 +45,7 @@
     repeated = received + draw.sample(received, len(received) // 2)
     draw.shuffle(repeated)
     log, other = merge_all(received), merge_all(repeated)
-    assert (log.entries, log.digest, log.last) == (other.entries, other.digest, other.last)
+    assert (log.entries, log.digest, log.highest_revision) == (other.entries, other.digest, other.highest_revision)
     for server_id in {item.server_id for item in received}:
         newest = max(item.entry.revision for item in received if item.server_id == server_id)
         assert log.is_suspended(server_id) == entry_of(newest).is_suspended
--- a/tests/coordination/test_datagrams.py
+++ b/tests/coordination/test_datagrams.py
@@ -11,7 +11,7 @@
 from glenrock.coordination.shared_work.revision import Revision
 
 FIRST_KIND_BYTE = 0xF1
-numbers = st.integers(0, datagrams.MAX_NUMBER)
+numbers = st.integers(0, datagrams.MAX_UINT64)
 revisions = st.builds(Revision, numbers, numbers)
 servers = st.text(min_size=1, max_size=60).filter(str.isprintable)
 jobs = st.sampled_from(["bans", "j", "x" * datagrams.MAX_JOB_BYTES])
--- a/tests/coordination/test_durable_state.py
+++ b/tests/coordination/test_durable_state.py
@@ -66,7 +66,7 @@
     first.write()
     snapshot = successor.state.snapshot(successor.fence, successor.overrides)
     assert successor.state.write(snapshot), "the other process of an upgrade has written since"
-    assert successor.state.adopt(snapshot, successor.fence, successor.overrides) == []
+    assert successor.state.load_snapshot(snapshot, successor.fence, successor.overrides) == []
     assert successor.fence.positions["bans"] == (6, 1)
     third = start_incarnation(tmp_path)
     assert third.read()
--- a/tests/coordination/test_override_replication.py
+++ b/tests/coordination/test_override_replication.py
@@ -36,7 +36,7 @@
         self.applied.append(OverrideChange(server_id, is_suspended))
 
 
-class ForgetfulStore(AsyncSqliteStore):
+class ProposalDroppingStore(AsyncSqliteStore):
     """A store that loses all proposals.
 
     Attributes:
@@ -76,15 +76,15 @@
 
 
 def test_pending_override_is_reposted_in_order_until_committed(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("glenrock.coordination.override_replication.REPOST_INTERVAL_S", 0.3)
+    monkeypatch.setattr("glenrock.coordination.override_replication.PROPOSAL_RETRY_INTERVAL_S", 0.3)
 
     async def scenario() -> None:
-        store = ForgetfulStore(tmp_path)
+        store = ProposalDroppingStore(tmp_path)
         context = build_context(HostStandIn(), tmp_path, store=store)
         replication = OverrideReplication(context)
         context.overrides.add_pending("n/1#1", "s", True)
         context.overrides.add_pending("n/1#2", "t", True)
-        posting = asyncio.create_task(replication._post_proposals())
+        posting = asyncio.create_task(replication._run_proposals())
         posts = store.proposals_received
         await wait_until(lambda: len(posts) >= 4)
         context.overrides.record_committed("n/1", 2)
--- a/tests/coordination/warm_start/records.py
+++ b/tests/coordination/warm_start/records.py
@@ -5,13 +5,13 @@
 from dataclasses import replace
 
 from glenrock.config import Address
-from glenrock.coordination.warm_start.start_record import EndpointTable, RecordTrust, StartRecord, encode_table
+from glenrock.coordination.warm_start.start_record import EndpointTable, RecordValidity, StartRecord, encode_table
 from glenrock.net.endpoint_rows import EndpointRow
 from glenrock.routing import interface
 from glenrock.routing.connection_load import ALL_CLASSES, LoadMean
 
 NOW_MS = 1_000_000.0
-TRUST = RecordTrust(max_list_age_ms=60_000.0, half_life_ms=10_000.0)
+VALIDITY = RecordValidity(max_list_age_ms=60_000.0, half_life_ms=10_000.0)
 SETTINGS = interface.Settings(
     classes=(interface.RequestClass("look", 300_000, 1_500_000), interface.RequestClass("write", 1, 2))
 )
--- a/tests/coordination/warm_start/test_start_backoff.py
+++ b/tests/coordination/warm_start/test_start_backoff.py
@@ -69,7 +69,7 @@
             await starts.wait(stop)
             clock.time_ms += 100
             if number == 3:
-                starts.record_orderly_end()
+                starts.record_graceful_exit()
         assert delays_ms == [0.0, 0.0, 500.0, 1000.0, 1000.0]
         prefix = "start delayed after repeated crashes crashes="
         logged = [line.partition(" sound_ms")[0] for line in caplog.messages]
--- a/tests/coordination/warm_start/test_start_cache.py
+++ b/tests/coordination/warm_start/test_start_cache.py
@@ -25,7 +25,7 @@
 from glenrock.routing.interface import EndpointState
 
 from ..rig import HostStandIn
-from .records import NOW_MS, ROW, SETTINGS, TRUST
+from .records import NOW_MS, ROW, SETTINGS, VALIDITY
 
 
 class RecordingCache(StartCache):
@@ -36,7 +36,7 @@
     """
 
     def __init__(self, host: HostStandIn, folder: Path) -> None:
-        super().__init__(host, folder, "n0", TRUST)
+        super().__init__(host, folder, "n0", VALIDITY)
         self.versions: list[int] = []
 
     def write(self, data: bytes) -> None:
@@ -112,7 +112,7 @@
 
 
 @pytest.mark.parametrize(
-    "spoil, status",
+    "damage, status",
     [
         (truncate, "is renamed: the digest is wrong"),
         (fill_with_zeros, "is renamed: not a file of this kind"),
@@ -121,14 +121,14 @@
     ],
 )
 def test_unusable_cache_is_renamed_and_the_start_continues_without(
-    tmp_path: Path, caplog: pytest.LogCaptureFixture, spoil: Callable[[Path], None], status: str
+    tmp_path: Path, caplog: pytest.LogCaptureFixture, damage: Callable[[Path], None], status: str
 ) -> None:
     is_unusable = "renamed" in status
 
     async def scenario() -> None:
         cache = build_cache(tmp_path).cache
         await cache.write_if_due()
-        spoil(cache.path)
+        damage(cache.path)
         next_cache = build_cache(tmp_path).cache
         assert next_cache.read({"index": 1}) == {"index": 1}
         assert status in next_cache.status
--- a/tests/coordination/warm_start/test_start_record.py
+++ b/tests/coordination/warm_start/test_start_record.py
@@ -17,12 +17,12 @@
     decode,
     encode,
     encode_table,
-    usable_knowledge,
+    select_start_data,
 )
 from glenrock.routing import Balancer
 from glenrock.routing.connection_load import ConnectionLoads, LoadMean
 
-from .records import NOW_MS, RECORD, ROW, SETTINGS, TRUST, table
+from .records import NOW_MS, RECORD, ROW, SETTINGS, VALIDITY, table
 
 CLASS_NAMES = ["look", "write"]
 numbers = st.floats(0, 1e12)
@@ -76,43 +76,43 @@
 
 
 OTHER_DISCOVERY = replace(RECORD, discovery="e:1")
-SECOND_OLD_MEANS = {"": LoadMean(3.0, 37)}
+MEANS_AFTER_ONE_SECOND = {"": LoadMean(3.0, 37)}
 
 
 @pytest.mark.parametrize(
     "configured, record, age_ms, names, means",
     [
-        ({}, RECORD, 1000.0, ["s1", "s2"], SECOND_OLD_MEANS),
+        ({}, RECORD, 1000.0, ["s1", "s2"], MEANS_AFTER_ONE_SECOND),
         ({}, RECORD, 20_000.0, ["s1", "s2"], {"": LoadMean(3.0, 10)}),
         ({}, RECORD, 59_000.0, ["s1", "s2"], {"": LoadMean(3.0, 1)}),
         ({}, RECORD, 61_000.0, None, {"": LoadMean(3.0, 1)}),
         ({}, RECORD, 86_400_000.0, None, {}),
         ({}, RECORD, -1.0, None, {}),  # the clock went back
-        (table(6, "old"), RECORD, 1000.0, ["s1", "s2"], SECOND_OLD_MEANS),
-        (table(7, "given"), RECORD, 1000.0, ["given"], SECOND_OLD_MEANS),
-        (table(9, "given"), RECORD, 1000.0, ["given"], SECOND_OLD_MEANS),
-        (table(6, "given"), OTHER_DISCOVERY, 1000.0, ["given"], SECOND_OLD_MEANS),
-        ({"index": 9, "endpoints": []}, RECORD, 1000.0, ["s1", "s2"], SECOND_OLD_MEANS),
-        ({"index": "x", "endpoints": [1]}, RECORD, 1000.0, None, SECOND_OLD_MEANS),
+        (table(6, "old"), RECORD, 1000.0, ["s1", "s2"], MEANS_AFTER_ONE_SECOND),
+        (table(7, "given"), RECORD, 1000.0, ["given"], MEANS_AFTER_ONE_SECOND),
+        (table(9, "given"), RECORD, 1000.0, ["given"], MEANS_AFTER_ONE_SECOND),
+        (table(6, "given"), OTHER_DISCOVERY, 1000.0, ["given"], MEANS_AFTER_ONE_SECOND),
+        ({"index": 9, "endpoints": []}, RECORD, 1000.0, ["s1", "s2"], MEANS_AFTER_ONE_SECOND),
+        ({"index": "x", "endpoints": [1]}, RECORD, 1000.0, None, MEANS_AFTER_ONE_SECOND),
     ],
 )
 def test_knowledge_that_a_start_uses(
     configured: EndpointTable, record: StartRecord, age_ms: float, names: list[str] | None, means: MeanLoads
 ) -> None:
-    knowledge = usable_knowledge(record, configured, NOW_MS + age_ms, "b", "d:1", TRUST)
-    assert knowledge.means == means
+    start_data = select_start_data(record, configured, NOW_MS + age_ms, "b", "d:1", VALIDITY)
+    assert start_data.means == means
     if names is None:
-        assert knowledge.table == configured
+        assert start_data.table == configured
     else:
-        assert [row["name"] for row in knowledge.table["endpoints"]] == names
-    assert knowledge.summary
+        assert [row["name"] for row in start_data.table["endpoints"]] == names
+    assert start_data.summary
 
 
 def test_servers_of_a_cached_list_count_as_warming_up_after_a_boot() -> None:
     now_ms = NOW_MS + 1000
-    knowledge = usable_knowledge(RECORD, {}, now_ms, "another", "d:1", TRUST)
-    assert [row["since_ms"] for row in knowledge.table["endpoints"]] == [now_ms] * 2
-    assert "warming up" in knowledge.summary
+    start_data = select_start_data(RECORD, {}, now_ms, "another", "d:1", VALIDITY)
+    assert [row["since_ms"] for row in start_data.table["endpoints"]] == [now_ms] * 2
+    assert "warming up" in start_data.summary
     assert [row["since_ms"] for row in RECORD.table["endpoints"]] == [5.0] * 2, "the record is not changed"
 
 
--- a/tests/docs/test_capacity.py
+++ b/tests/docs/test_capacity.py
@@ -51,7 +51,7 @@
         {"SECOND_US", "SECOND_MS", "MS_US", "DAY_MS"}  # units
         | {"VERSION", "HEADER_FIELDS"}  # formats
         | {"RELEASED_US", "NOT_GRANTED", "TIME_UNKNOWN"}  # markers
-        | {"HASH_BITS", "HASH_MASK", "MAX_NUMBER", "MAX_STEP"}  # widths
+        | {"HASH_BITS", "HASH_MASK", "MAX_UINT64", "MAX_STEP"}  # widths
         | {"FIRST_FACTOR", "SECOND_FACTOR"}  # of a hash
         | {"HTTP_OK", "HTTP_NOT_FOUND", "HTTP_CONFLICT", "HTTP_SERVER_ERROR"}  # statuses
         | DATAGRAM_KINDS
