--- a/glenrock/coordination/datagrams.py
+++ b/glenrock/coordination/datagrams.py
@@ -1,7 +1,8 @@
 """The datagrams of the coordination, of at most 256 bytes, on the same socket as the gossip summaries.
 
-Pure. The first byte is the kind; that of a gossip summary is its version, 1. Integers are big-endian. `decode` rejects
-data that are truncated, have trailing bytes or are of an unknown kind.
+Pure. The first byte is the kind. The first byte of a gossip summary is its version, 1, which is below all kinds.
+Integers are big-endian. `decode` rejects data that are truncated, have trailing bytes or are of an unknown kind; a
+server name at the end of a datagram has no length, so its truncation is not detected.
 """
 
 from __future__ import annotations
@@ -33,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HolderHeartbeat:
-    """Sent by a lease holder each second: its term, and the digest of its override log."""
+    """Sent by a lease holder each second, with its term and the digest of its override log."""
 
     job: str
     term: int
@@ -46,9 +47,10 @@
 
     Attributes:
         job: the job.
-        term: of the heartbeat.
-        up_to: the highest revision known; the holder sends later overrides.
-        wants_all: whether the holder must send all overrides, since those after `up_to` did not suffice.
+        term: the term of the heartbeat.
+        up_to: the highest revision known to the sender; the holder sends the overrides after it.
+        wants_all: whether the holder must send all overrides, since the digests still differ after those after `up_to`
+            were sent.
     """
 
     job: str
@@ -59,14 +61,14 @@
 
 @dataclass(frozen=True, slots=True)
 class OverrideUpdate:
-    """An effect of a lease holder: an override.
+    """Sent by a lease holder: a committed override.
 
     Attributes:
         job: the job.
-        term: of the holder.
-        sequence: number of this datagram within the term.
-        revision: of the override.
-        is_suspended: whether the server is out of rotation.
+        term: the holder's term.
+        sequence: number of this datagram, which increases within the term.
+        revision: the revision of the override.
+        is_suspended: whether the server is suspended.
         server_id: the server.
     """
 
@@ -86,12 +88,12 @@
         job: the job.
         is_accepted: whether the receiver's fence accepted it.
         highest_term: the highest term that the receiver has seen.
-        term: of the sender.
-        sequence: of the update; 0 for a heartbeat.
-        revision: of the update.
-        verdict_sequence: number of this verdict among those of the receiver's process; acknowledgements may be
-            reordered.
-        server_id: of the update.
+        term: the term of the update or heartbeat.
+        sequence: the sequence number of the update; 0 for a heartbeat.
+        revision: the revision of the update; `NO_REVISION` for a heartbeat.
+        verdict_sequence: number of this verdict among those of the receiver's process. It tells the order of verdicts
+            whose acknowledgements were reordered.
+        server_id: the server of the update; a placeholder for a heartbeat, since it must not be empty.
     """
 
     job: str
@@ -106,21 +108,21 @@
 
 @dataclass(frozen=True, slots=True)
 class SharedLoads:
-    """Loads from health checks of the sender, in the form of `HealthCheckShards`."""
+    """Loads from the sender's health checks, as `HealthCheckShards.pop_datagrams` encodes them."""
 
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseReleased:
-    """The sender has released the lease of a job."""
+    """Announces that the sender has released the lease of a job."""
 
     job: str
 
 
 @dataclass(frozen=True, slots=True)
 class KnownOverride:
-    """Sent to a lease holder whose digest still differs after a full sync: an override that it may lack."""
+    """Sent to a lease holder whose digest still differs after a sync: an override that the holder may lack."""
 
     job: str
     revision: Revision
@@ -132,12 +134,12 @@
 
 
 def _clamp_to_uint64(*numbers: int) -> list[int]:
-    """Returns the numbers, each limited to 64 bits without a sign."""
+    """Returns the numbers, each clamped to the range of an unsigned 64-bit integer."""
     return [max(0, min(MAX_UINT64, number)) for number in numbers]
 
 
 def encode(message: Message) -> bytes | None:
-    """Returns the datagram; None if it would be longer than MAX_BYTES."""
+    """Returns the datagram; None if it would be longer than MAX_BYTES, or the job's name than MAX_JOB_BYTES."""
     if isinstance(message, SharedLoads):
         data = bytes([SHARED_LOADS]) + message.data
         return data if len(data) <= MAX_BYTES else None
@@ -202,7 +204,7 @@
 
 
 def _build_message(kind: int, job: str, values: tuple[int, ...], server_id: str) -> Message:
-    """Builds the message of a kind from the numbers of its body."""
+    """Builds the message of a kind from the unpacked values of its body."""
     if kind == HEARTBEAT:
         return HolderHeartbeat(job, *values)
     if kind == SYNC_REQUEST:
--- a/glenrock/coordination/sharded_health_checks.py
+++ b/glenrock/coordination/sharded_health_checks.py
@@ -1,4 +1,4 @@
-"""Sharded health checks: checks the servers of this balancer's shard, and shares their loads with the peers."""
+"""Sharded health checks: checks the servers of this balancer's shard, and sends their loads to the peers."""
 
 from __future__ import annotations
 
@@ -16,12 +16,16 @@
 
 SECOND_US = 1_000_000
 MS_US = 1000
-ROUNDS_PER_CHECK_INTERVAL = 5  # in the time between two checks of a server
-LOAD_FIELDS = (interface.LOAD_RATIO, interface.UTILIZATION)
+ROUNDS_PER_CHECK_INTERVAL = 5  # rounds of `_run` in the time between two checks of a server
+LOAD_FIELDS = (interface.LOAD_RATIO, interface.UTILIZATION)  # fields of a load report that state a load
 
 
 class ShardedHealthChecks:
-    """Answers health checks of the routing actor by loads that peers have shared, if load reports state a load."""
+    """Answers the routing actor's health checks with loads received from peers.
+
+    It replaces the routing actor's function that sends health checks, and the registry's function that posts events.
+    If load reports contain no load, it does neither, and each balancer checks all servers itself.
+    """
 
     def __init__(self, context: CoordinationContext) -> None:
         self._context = context
@@ -36,15 +40,15 @@
             host.routing.send_health_check = self._answer_health_check
             host.servers.post = self._post_and_record
         else:
-            logger.warning("health checks not sharded, load reports have no load")
+            logger.warning("health checks not sharded: load reports contain no load")
 
     def start(self) -> None:
-        """Starts the task that checks this balancer's shard."""
+        """Starts the task that checks the servers of this balancer's shard."""
         if self._load_fields:
             self._context.tasks.run(self._run())
 
     def _answer_health_check(self, server_id: str) -> None:
-        """Answers routing's health check by a fresh shared load, or sends the health check."""
+        """Answers a health check with a fresh load received from a peer; without one, sends the health check."""
         load = self._shards.fresh_load(server_id, boottime_us())
         if load is None:
             self._send_health_check(server_id)
@@ -56,7 +60,7 @@
         self._post(interface.HealthCheckResult(server_id, interface.AttemptOutcome.SERVED, 0, report))
 
     def _post_and_record(self, event: interface.Event) -> bool:
-        """Posts a server's event to the routing actor, and records the load in the result of a health check."""
+        """Records the load if the event is the result of a health check, and posts the event to the routing actor."""
         if isinstance(event, interface.HealthCheckResult) and event.outcome == interface.AttemptOutcome.SERVED:
             load = event.report.get(self._load_fields[0])
             self._shards.record_result(event.server_id, load, boottime_us())
--- a/glenrock/coordination/shared_work/__init__.py
+++ b/glenrock/coordination/shared_work/__init__.py
@@ -1,1 +1,1 @@
-"""The work that balancers share: the replicated log of operators' overrides, and sharded health checks. Pure."""
+"""Work that is shared among balancers: the replicated log of operators' overrides, and sharded health checks. Pure."""
--- a/glenrock/coordination/shared_work/revision.py
+++ b/glenrock/coordination/shared_work/revision.py
@@ -1,4 +1,4 @@
-"""The order of overrides: by the lease holder's term, then by the number within it."""
+"""Revisions of overrides. They are ordered by the lease holder's term, then by the sequence number within the term."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Revision(NamedTuple):
-    """A number given by a lease holder; revisions compare in the order in which they were given."""
+    """The version of an override. The lease holder assigns it; a revision assigned later is higher."""
 
     term: int
     sequence: int
--- a/glenrock/coordination/state_writer.py
+++ b/glenrock/coordination/state_writer.py
@@ -1,4 +1,4 @@
-"""Writes the durable state while the balancer serves, and applies what the other process of its name has written."""
+"""Writes the durable state while the balancer serves, and merges what the other process of an upgrade has written."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 SLOW_WRITE_MS = 200.0  # a write that takes longer is logged
 
 ChangeListener = Callable[[Sequence[OverrideChange]], None]
-"""Called with the changes of overrides that the other process of this name has written."""
+"""Called with the changes that the overrides written by the other process of an upgrade make at this balancer."""
 
 
 class StateWriter:
-    """The durable state of one balancer: fence, override log, drain permits, and the file that they are written to.
+    """Reads and writes the durable state of one balancer: the fence, the override log and the drain permits.
 
     Attributes:
-        change_listeners: called for each write that merged changes of overrides from the file.
+        change_listeners: called after each write that merged the file of the other process.
     """
 
     def __init__(
@@ -47,11 +47,11 @@
 
     @property
     def permits(self) -> dict[str, StoredPermit]:
-        """By job, the drain permits that this or an earlier incarnation may hold; `DrainLimiter` changes them."""
+        """By job, the drain permits that this or an earlier incarnation may hold. `DrainLimiter` modifies them."""
         return self._file.permits
 
     def read(self) -> None:
-        """Merges the file of the incarnation before this one. A file that cannot be used is logged."""
+        """Merges the file of the previous incarnation. A file that cannot be used is logged."""
         try:
             if self._file.read(self._fence, self._overrides):
                 overrides, terms = len(self._overrides.entries), len(self._fence.positions)
@@ -63,7 +63,7 @@
         """Writes the state to its file, in a thread.
 
         Returns:
-            False if the file cannot be written; the caller must then not apply what has changed.
+            False if the file cannot be written; the caller must then not act on what has changed.
         """
         async with self._write_lock:
             snapshot = self._file.snapshot(self._fence, self._overrides)
@@ -86,7 +86,7 @@
         return True
 
     def _record_failure(self, error: OSError) -> None:
-        if not self._is_failing:  # logged at the first failure, since the write is retried each half second
+        if not self._is_failing:  # only the first failure in a row is logged, since callers retry each half second
             logger.error("coordination state not writable", path=self._file.path, error=error)
         self._is_failing = True
         self._metrics.add_system_error(error)
--- a/glenrock/coordination/status_view.py
+++ b/glenrock/coordination/status_view.py
@@ -1,7 +1,7 @@
 """The operators' view of one balancer's coordination, as JSON.
 
-This module alone writes the view's keys and the words of states; `warm_start/start_report` and
-`cli/coordination_history` read them. The texts of `says`, `store` and `why` are from the modules that know the cause.
+The view's keys and the names of states are defined in this module only; `warm_start/start_report` and
+`cli/coordination_history` read them. The values of `says`, `store` and `why` are texts from other modules.
 """
 
 from __future__ import annotations
@@ -41,11 +41,11 @@
     """Returns the view.
 
     Args:
-        context: the coordination's shared objects.
-        rejections: the last effects and heartbeats that were rejected.
-        cache_status: what the start used of the start cache, in words.
+        context: the shared objects of the coordination.
+        rejections: the last updates and heartbeats that were rejected.
+        cache_status: a text that says what the start used from the start cache.
         start: the milestones of the start.
-        permit_job: the job of the drain permit that is held; None if there is none.
+        permit_job: the job of the drain permit that this balancer holds; None if it holds none.
     """
     overrides = context.overrides
     view = {
--- a/glenrock/coordination/transport.py
+++ b/glenrock/coordination/transport.py
@@ -14,15 +14,15 @@
 
 logger = get_logger(__name__)
 
-MAX_INBOX_MESSAGES = 4096  # datagrams waiting for delivery
+MAX_INBOX_MESSAGES = 4096  # waiting for delivery; further ones are dropped
 
 MessageT = TypeVar("MessageT", bound=datagrams.Message)
 Handler = Callable[[int, MessageT], None]
-"""Called with the sender's index, and a message of the type that the handler was registered for."""
+"""Called with the sender's index and a message of the type that the handler was registered for."""
 
 
 class PeerMessage(NamedTuple):
-    """A message, and the index of the balancer that sent it or is to get it."""
+    """A message, and the index of the balancer that sent it or to which it is sent."""
 
     peer: int
     message: datagrams.Message
@@ -35,7 +35,7 @@
     `batch_listeners`.
 
     Attributes:
-        membership: records from which peers a datagram arrived.
+        membership: records when a datagram of each peer last arrived.
         batch_listeners: called after each batch.
     """
 
@@ -53,13 +53,16 @@
         self._handlers[message_type] = handler
 
     def receive(self, peer: int, data: bytes) -> None:
-        """Records that a peer is alive, and queues its message. A gossip summary is recorded only."""
+        """Records that a peer is alive, and queues its message. A gossip summary is not queued.
+
+        A malformed datagram, and one of a type without a handler, is logged and ignored.
+        """
         self.membership.record_heard(peer, boottime_us())
         if not data or data[0] < datagrams.FIRST_KIND:
             return
         message = datagrams.decode(data)
         if message is None or type(message) not in self._handlers:
-            logger.warning("malformed datagram ignored", peer=peer, length_bytes=len(data))
+            logger.warning("malformed or unexpected datagram ignored", peer=peer, length_bytes=len(data))
             return
         if not self._inbox:
             asyncio.get_running_loop().call_soon(self._deliver)
@@ -70,11 +73,14 @@
         received, self._inbox = self._inbox, []
         for peer, message in received:
             self._handlers[type(message)](peer, message)
-        for call in self.batch_listeners:
-            call()
+        for listener in self.batch_listeners:
+            listener()
 
     def send(self, peer: int, message: datagrams.Message) -> None:
-        """Sends a message to a peer. A message that is too long for a datagram is dropped; the store replicates it."""
+        """Sends a message to a peer.
+
+        A message that is too long for a datagram is dropped; the peer reads the override from the store instead.
+        """
         data = datagrams.encode(message)
         if data is not None and self._peers:
             self._peers.send_to(peer, data)
