--- a/glenrock/coordination/warm_start/__init__.py
+++ b/glenrock/coordination/warm_start/__init__.py
@@ -1,1 +1,1 @@
-"""What a start uses from earlier incarnations, and the delay of a start after crashes. See docs/notes/cold-start.md."""
+"""The data that a start uses from earlier incarnations, and the start backoff. See docs/notes/cold-start.md."""
--- a/glenrock/coordination/warm_start/milestones.py
+++ b/glenrock/coordination/warm_start/milestones.py
@@ -1,4 +1,4 @@
-"""The milestones of this balancer's start: ready, first endpoint list, first connection, and its calls' results."""
+"""The milestones of this balancer's start, and the results of its first connections and of its discovery calls."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 
 class ListSource(StrEnum):
-    """Where the endpoint list of a start is from.
+    """The source of the endpoint list that a balancer starts with.
 
-    CACHED: the cache of an earlier incarnation.
+    CACHED: the start cache of an earlier incarnation.
     CONFIGURED: the configuration.
     NONE: there is no list until discovery answers.
     """
@@ -25,13 +25,20 @@
 
 
 POLL_INTERVAL_MS = 20.0
-FIRST_CONNECTIONS_WINDOW_MS = 5000.0  # connections in this time after `ready` count as the start's
+FIRST_CONNECTIONS_WINDOW_MS = 5000.0  # connections within this time of the ready milestone are reported
 MAX_WATCH_MS = 600_000.0
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionCounts:
-    """Connections of this process: attempts sent to servers, and answers to clients by outcome."""
+    """Connections of this process.
+
+    Attributes:
+        attempts: attempts sent to servers.
+        established: clients connected to a server.
+        rejected: clients rejected.
+        failed: clients whose request failed.
+    """
 
     attempts: int
     established: int
@@ -41,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallCounts:
-    """Calls for the endpoint list, by result."""
+    """Calls to discovery for the endpoint list, by result."""
 
     answered: int
     rejected: int
@@ -54,13 +61,13 @@
 
     Attributes:
         process_started_ms: when the process started.
-        delay_ms: the delay by the start backoff.
-        ready_ms: when the balancer accepted clients.
+        delay_ms: the delay of the start by the start backoff, in milliseconds.
+        ready_ms: when the balancer began to accept clients.
         list_ms: when discovery first answered.
         served_ms: when the first connection was established.
-        list_source: where the endpoint list of the start is from.
-        calls: for the endpoint list; None before the start.
-        connections: in the first time after `ready_ms`, or so far.
+        list_source: the source of the endpoint list that the balancer started with.
+        calls: calls for the endpoint list; None before the start.
+        connections: connections until FIRST_CONNECTIONS_WINDOW_MS after `ready_ms`, or until now if that is earlier.
     """
 
     process_started_ms: float
@@ -74,14 +81,14 @@
 
 
 class CountingPollBackoff:
-    """Counts the results of calls for the endpoint list, and delegates everything to another `PollBackoff`."""
+    """Counts the results of calls for the endpoint list. All delays are those of the `PollBackoff` that it wraps."""
 
     def __init__(self, backoff: PollBackoff) -> None:
         self.answered = self.rejected = self.failed = 0
         self._backoff = backoff
 
     def __getattr__(self, name: str) -> Any:
-        """Delegates all other attributes."""
+        """Returns an attribute of the wrapped backoff."""
         return getattr(self._backoff, name)
 
     def record_answer(self) -> None:
@@ -90,18 +97,18 @@
         self._backoff.record_answer()
 
     def overload_delay_ms(self) -> float:
-        """Records that a call was rejected. Returns the pause before the next one, in milliseconds."""
+        """Records that a call was rejected. Returns the delay until the next call, in milliseconds."""
         self.rejected += 1
         return self._backoff.overload_delay_ms()
 
     def retry_delay_ms(self, failures: int) -> float:
-        """Records that a call failed. Returns the pause before the next one, in milliseconds."""
+        """Records the `failures`th failed call in a row. Returns the delay until the next one, in milliseconds."""
         self.failed += 1
         return self._backoff.retry_delay_ms(failures)
 
 
 class StartMilestones:
-    """Records the milestones. Times are Unix milliseconds, 0 until a milestone is reached."""
+    """Records the milestones of the start. Times are Unix milliseconds, 0 until a milestone is reached."""
 
     def __init__(self, host: BalancerHost) -> None:
         self._host = host
@@ -113,14 +120,14 @@
         self._calls: CountingPollBackoff | None = None
 
     def start(self, list_source: ListSource) -> None:
-        """Starts the recording, before the first call for the endpoint list."""
+        """Starts recording. Must be called before the first call for the endpoint list."""
         self._list_source = list_source
         self._delay_ms = self._clock.now_ms() - self._started_ms
         self._calls = CountingPollBackoff(self._host.endpoints.backoff)
-        self._host.endpoints.backoff = self._calls  # type: ignore[assignment] # it delegates what it does not define
+        self._host.endpoints.backoff = self._calls  # type: ignore[assignment] # __getattr__ provides the other members
 
     def _connection_counts(self) -> ConnectionCounts:
-        """Returns the connections since the process started."""
+        """Returns the counts since the process started."""
         metrics = self._host.connections.metrics
         totals = {outcome: sum(counts.values()) for outcome, counts in metrics.outcomes.items()}
         return ConnectionCounts(
@@ -131,7 +138,10 @@
         )
 
     async def watch(self) -> None:
-        """Polls until all milestones are reached, so that the serving parts need no hooks."""
+        """Polls until all milestones are reached, at most for MAX_WATCH_MS.
+
+        Polling keeps the modules that serve clients free of callbacks for milestones.
+        """
         while self._clock.now_ms() < self._started_ms + MAX_WATCH_MS:
             now_ms = self._clock.now_ms()
             if not self._ready_ms and self._host.acceptor.listener is not None:
--- a/glenrock/coordination/warm_start/start_backoff.py
+++ b/glenrock/coordination/warm_start/start_backoff.py
@@ -1,7 +1,7 @@
-"""Start backoff: delays the start of a balancer whose incarnations end soon after their starts.
+"""Start backoff: delays the start of a balancer whose incarnations repeatedly crash soon after their start.
 
-The file has the times of the last starts, in Unix milliseconds. A start is added before anything is served; an end by
-SIGTERM removes it, since that is no crash.
+A file contains the times of the last starts, in Unix milliseconds. A start is added before the balancer serves
+anything, and removed when the process exits by SIGTERM, since that is not a crash.
 """
 
 from __future__ import annotations
@@ -18,29 +18,29 @@
 
 logger = get_logger(__name__)
 
-MAX_STARTS = 16  # in the file; the delay reaches its bound after fewer crashes
-FIRST_DELAY_DIVISOR = 16  # `min_lifetime_ms` over the first delay, which then doubles
-CRASHES_WITHOUT_DELAY = 1  # in a row, without a delay
+MAX_STARTS = 16  # kept in the file; the delay reaches its maximum after fewer crashes
+FIRST_DELAY_DIVISOR = 16  # the first delay is `min_lifetime_ms` divided by this; it doubles with each further crash
+CRASHES_WITHOUT_DELAY = 1  # crashes in a row after which the start is not delayed
 MAX_BYTES = 4096
 SECOND_MS = 1000
 
 
 @dataclass(frozen=True)
 class BackoffPolicy:
-    """When a start is delayed.
+    """When and for how long a start is delayed.
 
     Attributes:
-        min_lifetime_ms: an incarnation that ran for this long did not crash at its start.
-        max_delay_ms: bound on the delay.
+        min_lifetime_ms: an incarnation that ran at least this long did not crash at its start.
+        max_delay_ms: the longest delay.
     """
 
     min_lifetime_ms: float
     max_delay_ms: float
 
     def recent_crashes(self, starts_ms: Sequence[float], now_ms: float) -> int:
-        """Returns how many incarnations in a row ended too soon before this start.
+        """Returns how many incarnations in a row, up to this start, ran for less than `min_lifetime_ms`.
 
-        A start with a time in the future was written before the clock went back, and is ignored.
+        A start time in the future is ignored: it was written before the clock was set back.
         """
         crashes, next_ms = 0, now_ms
         for start_ms in sorted((start_ms for start_ms in starts_ms if start_ms <= now_ms), reverse=True):
@@ -51,7 +51,7 @@
         return crashes
 
     def delay_ms(self, starts_ms: Sequence[float], now_ms: float) -> float:
-        """Returns the delay of this start."""
+        """Returns the delay of a start at `now_ms`."""
         crashes = self.recent_crashes(starts_ms, now_ms)
         if crashes <= CRASHES_WITHOUT_DELAY:
             return 0.0
@@ -60,16 +60,20 @@
 
 
 class StartBackoff:
-    """The file of one balancer's starts. `path` is that of the file."""
+    """Delays the start of one balancer, and records its starts in a file.
+
+    Attributes:
+        path: the path of the file.
+    """
 
     def __init__(self, folder: Path, name: str, policy: BackoffPolicy, now: Callable[[], float]) -> None:
         self.path = folder / f"glenrock-{name}.starts"
         self._policy = policy
         self._now = now
-        self._own_start_ms = 0.0  # this incarnation's start in the file
+        self._own_start_ms = 0.0  # this incarnation's start time in the file; 0 until it is recorded
 
     def read(self) -> list[float]:
-        """Returns the times of the last starts; none if the file cannot be read."""
+        """Returns the times of the last starts, in Unix milliseconds; an empty list if the file cannot be used."""
         try:
             with open(self.path, "rb") as file:
                 raw = json.loads(file.read(MAX_BYTES))
@@ -97,7 +101,7 @@
         """Waits for the delay of this start, or until `stop` is set."""
         starts_ms, now_ms = self.read(), self._now()
         delay_ms = self._policy.delay_ms(starts_ms, now_ms)
-        self.write([*starts_ms, now_ms])  # counts a crash during the delay
+        self.write([*starts_ms, now_ms])  # so that a crash during the delay counts
         if delay_ms:
             crashes = self._policy.recent_crashes(starts_ms, now_ms)
             min_lifetime_ms = self._policy.min_lifetime_ms
@@ -106,10 +110,10 @@
             )
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(stop.wait(), delay_ms / SECOND_MS)
-        self._own_start_ms = self._now()  # the delay is not part of the incarnation's run time
+        self._own_start_ms = self._now()  # the delay does not count towards this incarnation's lifetime
         self.write([*starts_ms, self._own_start_ms])
 
     def record_graceful_exit(self) -> None:
-        """Removes this incarnation's start, since it ended by SIGTERM and did not crash."""
+        """Removes this incarnation's start from the file, since the process exits by SIGTERM and did not crash."""
         if self._own_start_ms:
             self.write([start_ms for start_ms in self.read() if start_ms != self._own_start_ms])
--- a/glenrock/coordination/warm_start/start_cache.py
+++ b/glenrock/coordination/warm_start/start_cache.py
@@ -1,4 +1,4 @@
-"""The start cache: the start record on disk, read at a start and written in a thread while the balancer serves."""
+"""The start cache: a file with the start record, read at the start and written while the balancer serves."""
 
 from __future__ import annotations
 
@@ -26,23 +26,23 @@
 
 logger = get_logger(__name__)
 
-CHECK_INTERVAL_MS = 500.0  # between two checks whether the list has changed
-WRITE_INTERVAL_MS = 10_000.0  # between two writes while the list does not change
+CHECK_INTERVAL_MS = 500.0  # between two checks for a changed endpoint list
+WRITE_INTERVAL_MS = 10_000.0  # between two writes while the list is unchanged
 
 
 class _LastWrite(NamedTuple):
-    """The version of the list that was written last, and when."""
+    """The version of the endpoint list that was written last, and the time of that write."""
 
     version: int
     at_ms: float
 
 
 class StartCache:
-    """The cache of one balancer.
+    """The start cache of one balancer.
 
     Attributes:
-        path: of the file.
-        status: what the start used of the cache, for operators.
+        path: the path of the file.
+        status: a text for operators that says what the start used from the cache.
     """
 
     def __init__(self, host: BalancerHost, folder: Path, name: str, validity: RecordValidity) -> None:
@@ -55,7 +55,7 @@
         self._last_write: _LastWrite | None = None
 
     def read(self, configured: EndpointTable) -> EndpointTable:
-        """Reads the cache, and restores the learned loads into routing. A file that cannot be used is renamed.
+        """Reads the cache, and restores the learned loads in the routing actor. An unusable file is logged and renamed.
 
         Returns:
             The endpoint list to start with: the cached one, or `configured`.
@@ -88,7 +88,10 @@
         return str(self._host.endpoints.address)
 
     def build_record(self) -> StartRecord | None:
-        """Returns the record to write; None until discovery has answered, since the file is newer until then."""
+        """Returns the record to write; None until discovery has answered.
+
+        Before that, the list in use may be older than the one in the file.
+        """
         watcher = self._host.endpoints
         if watcher.newest_version < 0 or not watcher.has_answered.is_set():
             return None
@@ -97,7 +100,9 @@
         return StartRecord(self._clock.now_ms(), self._boot, self._discovery(), table, means)
 
     def write(self, data: bytes) -> None:
-        """Replaces the file as a whole, after a sync. Call it in a thread, since a disk may take seconds.
+        """Writes and syncs a temporary file, then renames it to replace the cache file.
+
+        Must be called in a thread, since a slow disk may block for seconds.
 
         Raises:
             OSError: the file cannot be written.
@@ -116,7 +121,7 @@
             await self.write_if_due()
 
     async def write_if_due(self) -> None:
-        """Writes the file if the list has changed, or WRITE_INTERVAL_MS after the last write."""
+        """Writes the file if the list has changed or the last write was WRITE_INTERVAL_MS ago. A failure is logged."""
         now_ms = self._clock.now_ms()
         last = self._last_write
         is_same_list = last is not None and last.version == self._host.endpoints.newest_version
--- a/glenrock/coordination/warm_start/start_report.py
+++ b/glenrock/coordination/warm_start/start_report.py
@@ -1,6 +1,6 @@
-"""The report of a start of several balancers, side by side, from their operators' views. Pure.
+"""The report that compares the starts of several balancers, made from their operators' views. Pure.
 
-`status_view` writes the views. `_decode_start` alone knows the keys that the report reads.
+`status_view` writes the views. Only `_decode_start` and `MILESTONES` contain the keys that the report reads.
 """
 
 from __future__ import annotations
@@ -11,12 +11,12 @@
 CONNECTION_COLUMNS = ("attempts", "up", "refused", "failed")
 HEADER = ("balancer", "began", "waited", "list", "ready", "heard", "served", "calls", *CONNECTION_COLUMNS)
 CALL_OUTCOMES = ("answered", "refused", "failed")
-MAX_NAMED_BALANCERS = 5  # balancers that have not reached a milestone
+MAX_NAMED_BALANCERS = 5  # listed by name if they have not reached a milestone
 SECOND_MS = 1000
 
 
 class Milestone(NamedTuple):
-    """A milestone's key in the views, and the text for when all balancers have reached it."""
+    """A milestone's key in the views, and the text that says that all balancers have reached it."""
 
     key: str
     description: str
@@ -35,12 +35,12 @@
 
     Attributes:
         started_ms: when the process started.
-        name: of the balancer.
-        delay_ms: the delay by the start backoff.
-        list_source: where the endpoint list of the start is from, in the view's words.
+        name: the name of the balancer.
+        delay_ms: the delay of the start by the start backoff, in milliseconds.
+        list_source: the source of the endpoint list, as the view names it.
         reached_ms: by milestone, when it was reached; 0 if it was not.
-        calls: for the endpoint list, by outcome.
-        connections: in the first time after `ready`, by column.
+        calls: by outcome, the number of calls for the endpoint list.
+        connections: by column, the number of connections shortly after the start.
     """
 
     started_ms: float
@@ -67,24 +67,25 @@
 
 
 def _seconds_after(at_ms: float, since_ms: float) -> str:
-    """Returns the time between, in seconds; `-` if the milestone is not reached."""
+    """Formats the time from `since_ms` to `at_ms` in seconds; `-` if `at_ms` is 0, for a milestone not reached."""
     return f"{(at_ms - since_ms) / SECOND_MS:.2f} s" if at_ms else "-"
 
 
 def _calls_cell(start: _Start) -> str:
-    """Returns the number of calls that were answered, and of those that were not."""
+    """Formats the number of calls that were answered, and the number of those that were not, if there are any."""
     answered, *others = start.calls.values()
-    lost = sum(others)
-    return f"{answered}" + (f" and {lost} not" if lost else "")
+    unanswered = sum(others)
+    return f"{answered}" + (f" and {unanswered} not" if unanswered else "")
 
 
 def format_report(views: list[dict[str, Any]]) -> list[str]:
     """Returns the lines of the report: a row for each balancer, then a summary of all.
 
-    Times count from the start of the balancer's own process; those in column `began` from the first process's.
+    Times are counted from the start of the balancer's own process, those in column `began` from the start of the first
+    process.
 
     Raises:
-        KeyError: a view lacks a key.
+        KeyError: a key is missing in a view.
         TypeError: a view's value has the wrong type.
     """
     starts = sorted((_decode_start(view) for view in views), key=lambda start: (start.started_ms, start.name))
--- a/tests/coordination/warm_start/__init__.py
+++ b/tests/coordination/warm_start/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of warm starts: the start cache, the start backoff, and the report of a start."""
+"""Tests of the start cache, the start backoff, and the milestones and the report of a start."""
--- a/tests/coordination/warm_start/records.py
+++ b/tests/coordination/warm_start/records.py
@@ -1,4 +1,4 @@
-"""Start records for tests."""
+"""A start record and its parts, for the tests of this package."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
     classes=(interface.RequestClass("look", 300_000, 1_500_000), interface.RequestClass("write", 1, 2))
 )
 ROW = EndpointRow("s1", Address("127.0.0.1", 9), interface.EndpointState.READY, zone="a", since_ms=5.0)
-"""A server in the list, which started at 5 ms."""
+"""A server of the endpoint list; it started at 5 ms."""
 
 
 def table(version: int = 7, *names: str) -> EndpointTable:
-    """Returns an endpoint list with servers of these names; with two servers if none are named."""
+    """Returns an endpoint list with servers of these names, by default s1 and s2."""
     return encode_table(version, (replace(ROW, name=name) for name in names or ("s1", "s2")))
 
 
 RECORD = StartRecord(NOW_MS, "b", "d:1", table(), {ALL_CLASSES: LoadMean(3.0, 40)})
-"""A record written now, with a list of two servers and a mean load."""
+"""A record written at NOW_MS, with a list of two servers and a mean load."""
--- a/tests/coordination/warm_start/test_milestones.py
+++ b/tests/coordination/warm_start/test_milestones.py
@@ -1,4 +1,4 @@
-"""The milestones of a start."""
+"""The counters of discovery calls in the milestones of a start."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from glenrock.net.poll_backoff import PollBackoff
 
 
-def test_calls_are_counted_and_the_backoff_is_unchanged() -> None:
+def test_calls_are_counted_and_delays_are_those_of_the_wrapped_backoff() -> None:
     wrapped, other = (PollBackoff(200, True, random.Random(1)) for _ in range(2))
     counted = CountingPollBackoff(wrapped)
     assert (counted.must_poll, counted.watch_timeout_ms, counted.answer_grace_ms) == (
--- a/tests/coordination/warm_start/test_start_backoff.py
+++ b/tests/coordination/warm_start/test_start_backoff.py
@@ -1,4 +1,4 @@
-"""The delay of a start after crashes."""
+"""The start backoff: the delay of a start after repeated crashes."""
 
 from __future__ import annotations
 
@@ -22,17 +22,17 @@
     [
         ([], 0, 0.0),
         ([0], 100, 0.0),
-        ([0], 9000, 0.0),  # the first crash is free
+        ([0], 9000, 0.0),  # the first crash causes no delay
         ([0, 100], 200, 500.0),
         ([0, 100, 200], 300, 1000.0),
         ([0, 1, 2, 3], 4, 2000.0),
         ([0, 1, 2, 3, 4], 5, 4000.0),
-        ([0, 1, 2, 3, 4, 5], 6, 5000.0),  # bounded
-        ([0, 100, 8200], 8300, 0.0),  # a long run ends the row
+        ([0, 1, 2, 3, 4, 5], 6, 5000.0),  # the longest delay
+        ([0, 100, 8200], 8300, 0.0),  # crashes before an incarnation that ran long do not count
         ([0, 7000, 14_000], 21_000, 1000.0),
-        ([0, 100], 8200, 0.0),  # the last run was long
-        ([300, 100, 200], 400, 1000.0),  # in any order
-        ([10_000, 20_000, 30_000], 100, 0.0),  # the clock went back
+        ([0, 100], 8200, 0.0),  # the last incarnation ran long
+        ([300, 100, 200], 400, 1000.0),  # start times in any order
+        ([10_000, 20_000, 30_000], 100, 0.0),  # start times in the future: the clock was set back
     ],
 )
 def test_start_delay_after_crashes(starts_ms: list[int], now_ms: int, delay_ms: float) -> None:
@@ -44,7 +44,7 @@
 
 
 @given(st.lists(times_ms, max_size=MAX_STARTS), times_ms, durations_ms, durations_ms)
-def test_delay_is_bounded_and_one_crash_is_free(
+def test_delay_is_bounded_and_one_crash_causes_none(
     starts_ms: list[int], now_ms: int, min_lifetime_ms: int, max_delay_ms: int
 ) -> None:
     policy = BackoffPolicy(min_lifetime_ms, max_delay_ms)
@@ -53,16 +53,20 @@
     crashes = policy.recent_crashes(starts_ms, now_ms)
     oldest_ms = min([start_ms for start_ms in starts_ms if start_ms <= now_ms] + [now_ms])
     long_before_ms = oldest_ms - min_lifetime_ms
-    assert policy.recent_crashes([long_before_ms, *starts_ms], now_ms) == crashes, "a long run ends the row"
+    assert policy.recent_crashes([long_before_ms, *starts_ms], now_ms) == crashes, (
+        "an incarnation that ran long ends the series"
+    )
     assert policy.recent_crashes([long_before_ms + 1, *starts_ms], now_ms) >= crashes
 
 
-def test_restart_backoff_grows_and_an_orderly_end_is_no_crash(tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
+def test_delay_grows_with_crashes_and_a_graceful_exit_is_not_a_crash(
+    tmp_path: Path, caplog: pytest.LogCaptureFixture
+) -> None:
     async def scenario() -> None:
         clock = ManualClock(NOW_MS)
         delays_ms: list[float] = []
         stop = asyncio.Event()
-        stop.set()  # no start of this test waits
+        stop.set()  # so that no start in this test waits
         for number in range(5):
             starts = StartBackoff(tmp_path, "n0", POLICY, clock.now_ms)
             delays_ms.append(POLICY.delay_ms(starts.read(), clock.now_ms()))
@@ -86,7 +90,7 @@
     asyncio.run(scenario())
 
 
-def test_delay_lasts_its_time_and_ends_when_the_process_stops(tmp_path: Path) -> None:
+def test_start_is_delayed_for_the_whole_delay_or_until_the_process_stops(tmp_path: Path) -> None:
     async def scenario() -> None:
         clock, stop = ManualClock(NOW_MS), asyncio.Event()
         starts = StartBackoff(tmp_path, "n0", BackoffPolicy(1600.0, 60_000.0), clock.now_ms)
@@ -95,7 +99,7 @@
         started_s = loop.time()
         await starts.wait(stop)
         assert loop.time() - started_s >= 0.099
-        starts.write([NOW_MS - age_ms for age_ms in range(1, 12)])  # 51 s
+        starts.write([NOW_MS - age_ms for age_ms in range(1, 12)])  # 10 crashes above the first: the delay is 51 s
         waiting = asyncio.create_task(starts.wait(stop))
         await asyncio.sleep(0)
         assert not waiting.done()
@@ -106,7 +110,7 @@
 
 
 @pytest.mark.parametrize("data", [b"", b"{}", b'["x"]', b"[1, ", b"\xff"])
-def test_unreadable_start_times_count_as_none_and_are_logged(
+def test_unreadable_file_of_start_times_is_logged_and_ignored(
     tmp_path: Path, caplog: pytest.LogCaptureFixture, data: bytes
 ) -> None:
     starts = StartBackoff(tmp_path, "n0", POLICY, lambda: NOW_MS)
--- a/tests/coordination/warm_start/test_start_cache.py
+++ b/tests/coordination/warm_start/test_start_cache.py
@@ -1,4 +1,4 @@
-"""The start cache on disk."""
+"""The start cache: when its file is written, and what a start does without a usable file."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class RecordingCache(StartCache):
-    """A cache that records what it writes.
+    """A start cache that records what it writes.
 
     Attributes:
         versions: of the lists written, in order.
@@ -47,7 +47,7 @@
 
 @dataclass
 class CacheRig:
-    """A cache, and the parts of its balancer that a test changes."""
+    """A start cache, and the parts of its balancer that a test changes."""
 
     clock: ManualClock
     endpoints: EndpointWatcher
@@ -55,7 +55,7 @@
 
 
 def build_cache(folder: Path) -> CacheRig:
-    """Returns the cache of a balancer with a list of version 3: a server that is ready, and one that is gone."""
+    """Returns the start cache of a balancer whose list, of version 3, has a ready server and a removed one."""
     clock = ManualClock(NOW_MS)
     host = HostStandIn(clock=clock)
     host.routing = RoutingActor(SETTINGS, 1, clock)
@@ -96,17 +96,17 @@
 
 
 def truncate(path: Path) -> None:
-    """Cuts the file's last bytes off."""
+    """Removes the file's last bytes."""
     path.write_bytes(path.read_bytes()[:-3])
 
 
 def fill_with_zeros(path: Path) -> None:
-    """Replaces the file's content by zeros."""
+    """Replaces the file's content with zeros."""
     path.write_bytes(b"\0" * 50)
 
 
 def replace_by_folder(path: Path) -> None:
-    """Puts a folder in the place of the file."""
+    """Replaces the file with a folder."""
     path.unlink()
     path.mkdir()
 
@@ -114,8 +114,8 @@
 @pytest.mark.parametrize(
     "damage, status",
     [
-        (truncate, "is renamed: the digest is wrong"),
-        (fill_with_zeros, "is renamed: not a file of this kind"),
+        (truncate, "is renamed: wrong digest"),
+        (fill_with_zeros, "is renamed: not a start cache file"),
         (replace_by_folder, "is renamed"),
         (Path.unlink, "no cache file"),
     ],
@@ -145,7 +145,7 @@
 
 
 def raise_disk_full(*_: object, **__: object) -> NoReturn:
-    """Fails as a call on a full disk."""
+    """Raises the error of a system call on a full disk."""
     raise OSError(28, "No space left on device")
 
 
@@ -153,7 +153,7 @@
 def test_failed_write_is_logged_and_keeps_the_file(
     tmp_path: Path, caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch, call: str
 ) -> None:
-    """The disk is full at any step; a start still reads the old record."""
+    """The disk is full when the file is opened, synced or renamed; a start can still read the previous record."""
 
     async def scenario() -> None:
         rig = build_cache(tmp_path)
--- a/tests/coordination/warm_start/test_start_record.py
+++ b/tests/coordination/warm_start/test_start_record.py
@@ -1,4 +1,4 @@
-"""The start record's form, and what a start uses of it."""
+"""The start record: its file format, and the data that a start uses from it."""
 
 from __future__ import annotations
 
@@ -56,13 +56,13 @@
 @pytest.mark.parametrize(
     "data, message",
     [
-        (b"", "not a file of this kind"),
-        (b"x" * (MAX_BYTES + 1), "too large"),
-        (encode(RECORD).replace(b"start 1", b"start 2", 1), "version 2, 1 is known"),
-        (encode(RECORD) + b" ", "the digest is wrong"),
-        (encode(replace(RECORD, table={"index": "7", "snapshot": True, "endpoints": []})), "not what it should be"),
-        (encode(replace(RECORD, means={"": LoadMean(float("nan"), 1)})), "not what it should be"),
-        (encode(replace(RECORD, means={"": LoadMean(-1.0, 1)})), "not what it should be"),
+        (b"", "not a start cache file"),
+        (b"x" * (MAX_BYTES + 1), f"larger than {MAX_BYTES} bytes"),
+        (encode(RECORD).replace(b"start 1", b"start 2", 1), "unsupported version 2, expected 1"),
+        (encode(RECORD) + b" ", "wrong digest"),
+        (encode(replace(RECORD, table={"index": "7", "snapshot": True, "endpoints": []})), "invalid content"),
+        (encode(replace(RECORD, means={"": LoadMean(float("nan"), 1)})), "invalid content"),
+        (encode(replace(RECORD, means={"": LoadMean(-1.0, 1)})), "invalid content"),
     ],
 )
 def test_unusable_file_raises_with_the_reason(data: bytes, message: str) -> None:
@@ -70,8 +70,8 @@
         decode(data)
 
 
-def test_record_longer_than_a_start_reads_is_not_written() -> None:
-    with pytest.raises(ValueError, match="at most"):
+def test_record_longer_than_a_start_reads_is_not_encoded() -> None:
+    with pytest.raises(ValueError, match=f"at most {MAX_BYTES} are allowed"):
         encode(replace(RECORD, table=table(1, *(f"s{number:060d}" for number in range(30_000)))))
 
 
@@ -87,7 +87,7 @@
         ({}, RECORD, 59_000.0, ["s1", "s2"], {"": LoadMean(3.0, 1)}),
         ({}, RECORD, 61_000.0, None, {"": LoadMean(3.0, 1)}),
         ({}, RECORD, 86_400_000.0, None, {}),
-        ({}, RECORD, -1.0, None, {}),  # the clock went back
+        ({}, RECORD, -1.0, None, {}),  # the clock was set back
         (table(6, "old"), RECORD, 1000.0, ["s1", "s2"], MEANS_AFTER_ONE_SECOND),
         (table(7, "given"), RECORD, 1000.0, ["given"], MEANS_AFTER_ONE_SECOND),
         (table(9, "given"), RECORD, 1000.0, ["given"], MEANS_AFTER_ONE_SECOND),
@@ -96,7 +96,7 @@
         ({"index": "x", "endpoints": [1]}, RECORD, 1000.0, None, MEANS_AFTER_ONE_SECOND),
     ],
 )
-def test_knowledge_that_a_start_uses(
+def test_data_that_a_start_uses(
     configured: EndpointTable, record: StartRecord, age_ms: float, names: list[str] | None, means: MeanLoads
 ) -> None:
     start_data = select_start_data(record, configured, NOW_MS + age_ms, "b", "d:1", VALIDITY)
@@ -117,23 +117,23 @@
 
 
 def loads_after_restart(samples: int) -> ConnectionLoads:
-    """Returns the loads of a start with a restored mean of 2.0 for each class, from so many samples."""
+    """Returns the loads after a restart that restored a mean of 2.0 from `samples` loads for each class."""
     loads = Balancer(SETTINGS, 1).connection_loads
     restored = LoadMean(2.0, samples)
-    unusable = {"gone": LoadMean(9.0, 9), "write": LoadMean(0.0, 9)}
+    unusable = {"removed": LoadMean(9.0, 9), "write": LoadMean(0.0, 9)}
     loads.restore({"": restored, "look": restored, **unusable}, CLASS_NAMES)
     return loads
 
 
-def test_restored_loads_are_expected_but_not_those_of_classes_that_are_gone() -> None:
+def test_restored_loads_are_expected_except_those_of_removed_classes() -> None:
     loads = loads_after_restart(40)
     assert loads.expected("look") == 2.0
     assert loads.expected("write") == 2.0, "the mean of all classes, since its own is 0"
-    assert "gone" not in loads.means
+    assert "removed" not in loads.means
 
 
 def test_restored_loads_weigh_less_the_older_they_are() -> None:
-    """Fresh restored loads delay the new mean of a class that became three times as heavy; old ones hardly do."""
+    """The load of a class triples: its mean follows slowly after a restart with fresh loads, fast with old ones."""
     draw = random.Random(1)
     fresh, old = loads_after_restart(40), loads_after_restart(4)
     for loads in (fresh, old):
--- a/tests/coordination/warm_start/test_start_report.py
+++ b/tests/coordination/warm_start/test_start_report.py
@@ -1,4 +1,4 @@
-"""The report of a start."""
+"""The report that compares the starts of several balancers."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def view(name: str, started_ms: float, **over: object) -> View:
-    """Returns the part of an operators' view that the report reads; `over` replaces keys of `start`."""
+    """Returns the part of an operators' view that the report reads; `over` replaces values of `start`."""
     start: View = {
         "begun_ms": started_ms,
         "waited_ms": 0,
