--- a/tests/coordination/shared_work/__init__.py
+++ b/tests/coordination/shared_work/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the work that balancers share: the override log, and health-check shards."""
+"""Tests of the work that is shared among balancers: the override log, and sharded health checks."""
--- a/tests/coordination/shared_work/test_health_check_shards.py
+++ b/tests/coordination/shared_work/test_health_check_shards.py
@@ -1,4 +1,4 @@
-"""Shards of health checks."""
+"""The shards of health checks, and the loads that balancers share."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 
 
 def start_checks(shards: list[HealthCheckShards], now_us: int) -> list[list[str]]:
-    """Starts the checks that are due. Returns the servers by balancer."""
+    """Starts the checks that are due. Returns for each balancer the servers that it checks."""
     return [shard.start_due_checks(now_us) for shard in shards]
 
 
-def test_each_server_has_one_checker_loads_age_and_a_silent_members_shard_is_taken_over() -> None:
+def test_servers_are_checked_once_loads_become_stale_and_the_shard_of_a_dead_member_is_redistributed() -> None:
     memberships = [PeerLiveness(index, range(BALANCER_COUNT), 0) for index in range(BALANCER_COUNT)]
     shards = [HealthCheckShards(membership) for membership in memberships]
     for shard in shards:
@@ -51,10 +51,10 @@
             membership.record_heard(other, LIVENESS_TIMEOUT_US)
     now_us = LIVENESS_TIMEOUT_US + 1
     checked_later = set(chain.from_iterable(start_checks(shards[1:], now_us)))
-    assert checked_later == set(NAMES), "the silent member's servers go to the others"
+    assert checked_later == set(NAMES), "the other members check the dead member's servers"
     assert receiving.receive(data[:3], now_us) is None
 
 
 @pytest.mark.parametrize("load", [0.0, 0.01, 0.3, 0.86, 1.0, 1.9])
-def test_load_is_encoded_within_a_step(load: float) -> None:
+def test_load_is_encoded_to_the_nearest_step(load: float) -> None:
     assert abs(decode_load(encode_load(load)) - load) <= 0.0126 * load
--- a/tests/coordination/shared_work/test_override_log.py
+++ b/tests/coordination/shared_work/test_override_log.py
@@ -1,4 +1,4 @@
-"""The log of overrides."""
+"""The override log, and the stored form of its entries."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def entry_of(revision: Revision) -> OverrideEntry:
-    """Returns the override that a revision has in these tests: two entries of a revision are the same."""
+    """Returns the entry of a revision; entries of the same revision are always equal."""
     return OverrideEntry(bool(revision.sequence % 2), revision)
 
 
@@ -33,7 +33,7 @@
 
 
 def merge_all(entries: list[ServerEntry]) -> OverrideLog:
-    """Returns a log into which the entries are merged in their order."""
+    """Returns a log into which the entries were merged in this order."""
     log = OverrideLog()
     for server_id, entry in entries:
         log.merge_entry(server_id, entry)
@@ -57,12 +57,12 @@
     log = OverrideLog()
     log.add_pending("n1/5#1", "s", True)
     assert log.merge_entry("s", OverrideEntry(False, Revision(1, 1))) is None
-    assert log.is_suspended("s"), "an older entry changes nothing here"
+    assert log.is_suspended("s"), "a committed entry does not change the effect of a pending override"
     log.add_pending("n1/5#2", "s", False)
     assert list(log.pending) == ["n1/5#2"]
-    assert not log.is_suspended("s"), "the last pending override counts"
+    assert not log.is_suspended("s"), "the last pending override of a server counts"
     log.add_pending("n1/5#3", "t", True)
-    log.merge_entry("t", OverrideEntry(False, Revision(1, 3)))  # the entry of a later override, without its own entry
+    log.merge_entry("t", OverrideEntry(False, Revision(1, 3)))  # a later override superseded the entry of n1/5#3
     assert log.record_committed("n2/9", 9) == []
     assert log.record_committed("n1/5", 3) == [OverrideChange("t", False)]
     assert not log.pending
@@ -85,7 +85,7 @@
     assert decode_pending_id(pending_id) == expected
 
 
-def test_key_of_an_incarnation_is_no_servers_name() -> None:
+def test_key_of_an_incarnation_is_not_a_server_name() -> None:
     key = incarnation_key("a")
     assert key[0] == "\n"
     assert decode_incarnation_key(key) == "a"
--- a/tests/coordination/shared_work/test_retransmissions.py
+++ b/tests/coordination/shared_work/test_retransmissions.py
@@ -1,4 +1,4 @@
-"""Retransmissions of overrides."""
+"""Retransmissions of overrides until they are acknowledged."""
 
 from __future__ import annotations
 
--- a/tests/coordination/test_datagrams.py
+++ b/tests/coordination/test_datagrams.py
@@ -1,4 +1,4 @@
-"""Datagrams of the coordination."""
+"""Encoding and decoding of the coordination's datagrams."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 @given(messages, st.data())
-def test_datagram_round_trip_and_truncated_datagrams_are_rejected(
+def test_datagram_round_trip_and_truncation_is_rejected_or_shortens_the_server_name(
     message: datagrams.Message, draw: st.DataObject
 ) -> None:
     encoded = datagrams.encode(message)
@@ -40,7 +40,7 @@
     assert datagrams.decode(encoded) == message
     truncated = encoded[: draw.draw(st.integers(0, len(encoded) - 1))]
     decoded = datagrams.decode(truncated)
-    if decoded is not None:  # the end of a server's name is missing
+    if decoded is not None:  # only the end of the server name is missing, which cannot be detected
         assert isinstance(message, MESSAGES_WITH_SERVER)
         assert isinstance(decoded, type(message))
         assert message.server_id.startswith(decoded.server_id)
--- a/tests/coordination/test_durable_state.py
+++ b/tests/coordination/test_durable_state.py
@@ -1,4 +1,4 @@
-"""The state file of a balancer."""
+"""The durable state: restored after a restart, merged between processes, and unusable files."""
 
 from __future__ import annotations
 
@@ -16,23 +16,23 @@
 
 @dataclass
 class Incarnation:
-    """What one process knows, and its file."""
+    """The state of one process, and its file."""
 
     state: DurableState
     fence: Fence
     overrides: OverrideLog
 
     def read(self) -> bool:
-        """Reads the file. Returns whether it has everything that was known."""
+        """Reads the file. Returns whether it contains everything that was known before."""
         return self.state.read(self.fence, self.overrides)
 
     def write(self) -> bool:
-        """Writes the file. Returns whether another process's content was merged."""
+        """Writes the file. Returns whether the file of another process was merged."""
         return self.state.write(self.state.snapshot(self.fence, self.overrides))
 
 
 def start_incarnation(folder: Path, is_restored: bool = False) -> Incarnation:
-    """Returns a process that has not read its file yet; `is_restored` is that of its fence."""
+    """Returns a process that has not read its file yet; `is_restored` says whether its fence is restored."""
     return Incarnation(DurableState(folder, "n"), Fence(is_restored=is_restored), OverrideLog())
 
 
@@ -47,7 +47,7 @@
     return first
 
 
-def test_state_outlives_a_restart(tmp_path: Path) -> None:
+def test_state_survives_a_restart(tmp_path: Path) -> None:
     first = first_incarnation(tmp_path)
     successor = start_incarnation(tmp_path)
     assert successor.read()
@@ -58,14 +58,14 @@
     assert not successor.fence.check_effect("bans", 3, 1).is_accepted
 
 
-def test_fence_positions_of_both_processes_of_a_name_are_merged_and_only_grow(tmp_path: Path) -> None:
+def test_fence_positions_of_both_processes_of_an_upgrade_are_merged_and_never_decrease(tmp_path: Path) -> None:
     first = first_incarnation(tmp_path)
     successor = start_incarnation(tmp_path)
     successor.read()
     first.fence.check_effect("bans", 6, 1)
     first.write()
     snapshot = successor.state.snapshot(successor.fence, successor.overrides)
-    assert successor.state.write(snapshot), "the other process of an upgrade has written since"
+    assert successor.state.write(snapshot), "the other process has written the file since"
     assert successor.state.load_snapshot(snapshot, successor.fence, successor.overrides) == []
     assert successor.fence.positions["bans"] == (6, 1)
     third = start_incarnation(tmp_path)
@@ -74,9 +74,9 @@
 
 
 @pytest.mark.parametrize("content", ["{", "[]", '{"version": 9}', '{"version": 1, "boot": "x", "seen": {"a": 1}}'])
-def test_corrupt_file_restores_nothing(tmp_path: Path, content: str) -> None:
+def test_corrupt_file_does_not_restore_the_fence(tmp_path: Path, content: str) -> None:
     first = first_incarnation(tmp_path)
-    first.write()  # keeps a previous version of the file, which is merged
+    first.write()  # the second write keeps the first as the previous version, which is merged
     first.state.path.write_text(content)
     incarnation = start_incarnation(tmp_path)
     with pytest.raises(ValueError):
@@ -91,4 +91,4 @@
     first.state.path.write_text(json.dumps({**empty, "seen": {"bans": [6, 1]}}))
     incarnation = start_incarnation(tmp_path)
     assert not incarnation.read()
-    assert not incarnation.fence.is_restored, "the store must restore the fence too"
+    assert not incarnation.fence.is_restored, "the fence must be restored from the store too"
--- a/tests/coordination/test_override_replication.py
+++ b/tests/coordination/test_override_replication.py
@@ -1,4 +1,4 @@
-"""Replication of overrides, without a store's service."""
+"""Replication of overrides at one balancer, with an SQLite store and without peers."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
 
 
 class RecordingSync(OverrideSync):
-    """The overrides of this balancer; records those that are set.
+    """Records the overrides that are set.
 
     Attributes:
-        applied: the overrides set, in order.
+        applied: these overrides, in order.
     """
 
     def __init__(self, suspended: set[str]) -> None:
@@ -37,10 +37,10 @@
 
 
 class ProposalDroppingStore(AsyncSqliteStore):
-    """A store that loses all proposals.
+    """A store that drops all proposals.
 
     Attributes:
-        proposals_received: their keys, in order.
+        proposals_received: the keys of the proposals, in order.
     """
 
     def __init__(self, folder: Path) -> None:
@@ -48,17 +48,18 @@
         self.proposals_received: list[str] = []
 
     async def propose(self, job: str, proposal: str, value: str) -> None:
-        """Records the key."""
+        """Records the proposal's key, and drops the proposal."""
         self.proposals_received.append(proposal)
 
 
 async def wait_until(condition: Callable[[], bool]) -> None:
-    """Waits until a condition holds."""
+    """Waits until the condition is true."""
     while not condition():  # noqa: ASYNC110 - the condition has no event
         await asyncio.sleep(POLL_S)
 
 
-def test_stored_override_without_effect_is_applied_at_the_next_start(tmp_path: Path) -> None:
+def test_stored_override_that_was_not_applied_is_applied_at_the_next_start(tmp_path: Path) -> None:
+    """A process was killed after it stored overrides and before it applied them."""
     overrides = OverrideLog()
     overrides.merge_entry("back", OverrideEntry(False, Revision(1, 1)))
     overrides.merge_entry("out", OverrideEntry(True, Revision(1, 2)))
@@ -75,7 +76,9 @@
     assert sorted(override_sync.applied) == expected, "a server suspended at this balancer only is not changed"
 
 
-def test_pending_override_is_reposted_in_order_until_committed(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_pending_overrides_are_proposed_repeatedly_in_order_until_committed(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr("glenrock.coordination.override_replication.PROPOSAL_RETRY_INTERVAL_S", 0.3)
 
     async def scenario() -> None:
@@ -84,14 +87,14 @@
         replication = OverrideReplication(context)
         context.overrides.add_pending("n/1#1", "s", True)
         context.overrides.add_pending("n/1#2", "t", True)
-        posting = asyncio.create_task(replication._run_proposals())
-        posts = store.proposals_received
-        await wait_until(lambda: len(posts) >= 4)
+        proposing = asyncio.create_task(replication._run_proposals())
+        proposals = store.proposals_received
+        await wait_until(lambda: len(proposals) >= 4)
         context.overrides.record_committed("n/1", 2)
-        posts_before = len(posts)
+        count_before = len(proposals)
         await asyncio.sleep(0.7)
-        assert posts[:4] == ["n/1#1", "n/1#2"] * 2
-        assert len(posts) == posts_before
-        posting.cancel()
+        assert proposals[:4] == ["n/1#1", "n/1#2"] * 2
+        assert len(proposals) == count_before
+        proposing.cancel()
 
     asyncio.run(asyncio.wait_for(scenario(), 20))
--- a/tests/coordination/test_state_writer.py
+++ b/tests/coordination/test_state_writer.py
@@ -1,4 +1,4 @@
-"""Writing the durable state while the balancer serves."""
+"""The state writer: merges the other process's writes, and reports failed writes."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclass
 class Process:
-    """What one process of a name knows, and what writes it."""
+    """The state of one process of a balancer name; two of them share a file during an upgrade."""
 
     folder: Path
     overrides: OverrideLog = field(default_factory=OverrideLog)
@@ -27,7 +27,7 @@
     metrics: ConnectionMetrics = field(default_factory=lambda: ConnectionMetrics([]))
 
     def writer(self) -> StateWriter:
-        """Returns the writer of this process's state."""
+        """Returns a writer of this process's state."""
         return StateWriter(DurableState(self.folder, "n1"), self.fence, self.overrides, ManualClock(), self.metrics)
 
 
--- a/tests/coordination/test_status_view.py
+++ b/tests/coordination/test_status_view.py
@@ -1,4 +1,4 @@
-"""The operators' view is byte for byte that of the version before (tests/recorded/README.md)."""
+"""The operators' view is byte for byte that of an earlier version; see tests/recorded/README.md."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 EXPIRES_US = 9_000_000
 
 
-def test_view_is_the_recorded_one(monkeypatch: pytest.MonkeyPatch, tmp_path: Path) -> None:
+def test_view_equals_the_recorded_view(monkeypatch: pytest.MonkeyPatch, tmp_path: Path) -> None:
     monkeypatch.setattr(status_view, "boottime_us", lambda: NOW_US)
     overrides = OverrideLog()
     overrides.merge_entry("s1", OverrideEntry(True, Revision(3, 2)))
--- a/tests/test_recorded.py
+++ b/tests/test_recorded.py
@@ -91,7 +91,7 @@
     store.close()
 
 
-def test_consul_keys_are_read() -> None:
+def test_consul_store_is_read() -> None:
     async def read_keys() -> None:
         consul = ConsulServer(LoopbackNetwork().next(), 0.0)
         await consul.open()
@@ -112,7 +112,7 @@
 
 
 def connection_table() -> ConnectionTable:
-    """Returns the table of a balancer with the one class of the recorded request."""
+    """Returns a connection table whose settings have the request class of the recorded relay message."""
     settings = interface.Settings(classes=(interface.RequestClass("look", 300_000, 1_000_000),))
     clock = ManualClock()
     routing = RoutingActor(settings, 7, clock)
@@ -153,16 +153,16 @@
 
 
 @pytest.mark.parametrize("name", sorted(path.name for path in (RECORDED / "experiments").glob("*.toml")))
-def test_experiments_of_that_version_are_read(name: str) -> None:
+def test_experiments_of_an_earlier_version_are_read(name: str) -> None:
     assert spec.points(RECORDED / "experiments" / name, {})
 
 
 @pytest.mark.parametrize("name", sorted(path.name for path in (RECORDED / "scenes").glob("*.toml")))
-def test_scenarios_of_that_version_are_read(name: str) -> None:
+def test_scenarios_of_an_earlier_version_are_read(name: str) -> None:
     assert scenario.load(RECORDED / "scenes" / name)
 
 
-def test_results_of_that_version_are_read() -> None:
+def test_results_of_an_earlier_version_are_read() -> None:
     assert record.read_summary(RECORDED / "lab" / "results")["policy"] == "glenrock"
     header, table = record.read_table(RECORDED / "lab" / "results" / "series.csv")
     assert header[0] == "second" and len(table)
