--- a/glenrock/coordination/override_applier.py
+++ b/glenrock/coordination/override_applier.py
@@ -1,4 +1,4 @@
-"""Applies overrides from the store and from datagrams: stores them in the state file, then applies and replies."""
+"""Applies overrides from the store and datagrams: writes them to the state file, applies them, then sends replies."""
 
 from __future__ import annotations
 
@@ -31,8 +31,8 @@
     def __init__(self, context: CoordinationContext) -> None:
         self.has_changes = asyncio.Event()
         self._context = context
-        self._applied: dict[str, bool] = {}  # by server, the last override applied: whether it is suspended
-        self._unapplied: dict[str, bool] = {}  # by server, the override to apply next
+        self._applied: dict[str, bool] = {}  # by server, whether the last override that was applied suspends it
+        self._unapplied: dict[str, bool] = {}  # by server, whether the override to be applied next suspends it
         self._is_dirty = False
         self._replies: list[PeerMessage] = []
         context.transport.batch_listeners.append(self.has_changes.set)
--- a/glenrock/coordination/override_receiver.py
+++ b/glenrock/coordination/override_receiver.py
@@ -58,7 +58,7 @@
         self._context = context
         self._applier = applier
         self._verdict_count = 0
-        self._synced_digests: _Digests | None = None  # when the last sync was requested
+        self._synced_digests: _Digests | None = None  # at the time of the last sync request
         context.transport.register(datagrams.HolderHeartbeat, self._on_heartbeat)
         context.transport.register(datagrams.OverrideUpdate, self._on_update)
 
@@ -78,8 +78,8 @@
     def _request_sync(self, peer: int, message: datagrams.HolderHeartbeat) -> None:
         """Requests the overrides after the highest known revision.
 
-        If the digests are unchanged since the last request, that sync did not help. In that case, all overrides are
-        requested, and this balancer's own overrides are sent to the holder, which may lack some of them.
+        If the digests are unchanged since the last request, the sync that it asked for was not enough. In that case,
+        all overrides are requested, and this balancer's own are sent to the holder, which may lack some of them.
         """
         overrides = self._context.overrides
         digests = _Digests(message.digest, overrides.digest)
--- a/glenrock/coordination/override_replication.py
+++ b/glenrock/coordination/override_replication.py
@@ -101,7 +101,7 @@
             except StoreUnavailableError as error:
                 self._leases.record_store_error(error)
             pending = self._context.overrides.pending
-            self._last_proposed_s = {id_: posted_s for id_, posted_s in self._last_proposed_s.items() if id_ in pending}
+            self._last_proposed_s = {id_: at_s for id_, at_s in self._last_proposed_s.items() if id_ in pending}
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(self._has_new_pending.wait(), PROPOSAL_CHECK_INTERVAL_S)
 
@@ -116,10 +116,8 @@
         """
         loop = asyncio.get_running_loop()
         for pending_id, pending in list(self._context.overrides.pending.items()):
-            if (
-                loop.time() - self._last_proposed_s.get(pending_id, -PROPOSAL_RETRY_INTERVAL_S)
-                < PROPOSAL_RETRY_INTERVAL_S
-            ):
+            last_s = self._last_proposed_s.get(pending_id, -PROPOSAL_RETRY_INTERVAL_S)
+            if loop.time() - last_s < PROPOSAL_RETRY_INTERVAL_S:
                 continue
             await self._leases.store.propose(OVERRIDES_JOB, pending_id, pending.encode())
             self._last_proposed_s[pending_id] = loop.time()
--- a/glenrock/coordination/sharded_health_checks.py
+++ b/glenrock/coordination/sharded_health_checks.py
@@ -87,5 +87,5 @@
     def _warmed_up_servers(self) -> list[str]:
         """Returns the listed servers that are no longer warming up."""
         host = self._context.host
-        warm_since_ms = host.clock.now_ms() - host.config.settings.slow_start_us / MS_US
-        return [row.name for row in host.servers.listed_rows() if row.since_ms <= warm_since_ms]
+        latest_start_ms = host.clock.now_ms() - host.config.settings.slow_start_us / MS_US
+        return [row.name for row in host.servers.listed_rows() if row.since_ms <= latest_start_ms]
