--- a/glenrock/coordination/datagrams.py
+++ b/glenrock/coordination/datagrams.py
@@ -1,8 +1,8 @@
 """The datagrams of the coordination, of at most 256 bytes, on the same socket as the gossip summaries.
 
 Pure. The first byte is the kind. The first byte of a gossip summary is its version, 1, which is below all kinds.
-Integers are big-endian. `decode` rejects data that are truncated, have trailing bytes or are of an unknown kind; a
-server name at the end of a datagram has no length, so its truncation is not detected.
+Integers are big-endian. `decode` rejects an unknown kind, and a length that does not fit the kind. The server
+name at the end of a datagram has no length field, so a truncated or extended name is not detected.
 """
 
 from __future__ import annotations
--- a/glenrock/coordination/warm_start/start_report.py
+++ b/glenrock/coordination/warm_start/start_report.py
@@ -1,6 +1,6 @@
 """The report that compares the starts of several balancers, made from their operators' views. Pure.
 
-`status_view` writes the views. Only `_decode_start` and `MILESTONES` contain the keys that the report reads.
+`status_view` writes the views. `_decode_start` is the only function that reads their keys.
 """
 
 from __future__ import annotations
