--- a/tests/routing/test_failure_domains.py
+++ b/tests/routing/test_failure_domains.py
@@ -1,4 +1,4 @@
-"""Failure domains: start and end of a partition, error rates, and the effect on requests and checks."""
+"""Failure domains: the start and end of a partition, the error rates, and the effects on requests and checks."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 DOMAIN = "b"
 MEMBERS = "uvwxyz"
 EVIDENCE = st.tuples(st.sampled_from(["b", "c"]), st.sampled_from(MEMBERS), st.booleans())
-"""Domain, member, and whether the member answered."""
+"""A domain, a member, and whether the member was reached."""
 
 
 def rounded_states(domains: FailureDomains) -> dict[str, DomainState]:
-    """Returns the states with scores that can be compared."""
+    """Returns the states with rounded scores, so that they can be compared."""
     return {name: replace(state, score=round(state.score, 9)) for name, state in domains.states.items()}
 
 
@@ -43,11 +43,11 @@
             domains.record(domain, member, is_reachable)
         for domain, member, is_reachable in shuffled_evidence:
             shuffled_domains.record(domain, member, is_reachable)
-        # An answer adds no state for a domain without failures, whatever the order.
+        # A reached member adds no state for a domain without failures, whatever the order.
         assert sorted(domains.evaluate(now_us)) == sorted(shuffled_domains.evaluate(now_us))
         assert rounded_states(domains) == rounded_states(shuffled_domains)
         for state in domains.states.values():
-            assert 0 <= state.score <= failure_domains.PARTITION_BOUND and len(state.evidence_us) <= 6
+            assert 0 <= state.score <= failure_domains.PARTITION_THRESHOLD and len(state.failure_counted_at_us) <= 6
 
 
 def record_failures(domains: FailureDomains, now_us: int, members: str) -> list[str]:
@@ -61,12 +61,12 @@
     domains = FailureDomains()
     for number in range(200):
         assert record_failures(domains, number * 20_000, "u") == []
-        domains.record(DOMAIN, "v", True)  # other members answer
+        domains.record(DOMAIN, "v", True)  # another member is reached
         domains.evaluate(number * 20_000 + 1)
     assert not domains.is_partitioned(DOMAIN) and domains.usable_fraction(5 * SECOND, DOMAIN) == 1.0
 
 
-def test_three_failed_members_cause_a_partition_and_an_answer_starts_the_recovery_ramp() -> None:
+def test_three_failed_members_cause_a_partition_and_a_reached_one_starts_the_recovery_ramp() -> None:
     domains = FailureDomains()
     assert record_failures(domains, 0, "u") == []
     assert record_failures(domains, 100_000, "v") == []
@@ -85,20 +85,20 @@
 def test_failures_of_a_member_count_again_once_a_member_was_reached() -> None:
     domains = FailureDomains()
     record_failures(domains, 0, "u")
-    suspicion = domains.suspicion(0, DOMAIN)
+    score_fraction = domains.score_fraction(0, DOMAIN)
     assert record_failures(domains, 100_000, "u") == []
-    assert domains.suspicion(100_000, DOMAIN) < suspicion, "within the window they count once"
+    assert domains.score_fraction(100_000, DOMAIN) < score_fraction, "failures within the window count once"
     domains.record(DOMAIN, "v", True)
     domains.evaluate(200_000)
     record_failures(domains, 300_000, "u")
-    assert domains.suspicion(300_000, DOMAIN) == pytest.approx(suspicion)
+    assert domains.score_fraction(300_000, DOMAIN) == pytest.approx(score_fraction)
 
 
 def test_score_and_partition_expire_without_evidence() -> None:
     domains = FailureDomains()
     record_failures(domains, 0, "uv")
-    before = domains.suspicion(0, DOMAIN)
-    assert domains.suspicion(20 * SECOND, DOMAIN) < before / 20
+    before = domains.score_fraction(0, DOMAIN)
+    assert domains.score_fraction(20 * SECOND, DOMAIN) < before / 20
     assert record_failures(domains, 20 * SECOND, "w") == []
     record_failures(domains, 20 * SECOND + 1, "xy")
     assert domains.is_partitioned(DOMAIN)
@@ -109,12 +109,12 @@
 def test_partitioned_domain_is_checked_at_the_interval() -> None:
     domains = FailureDomains()
     record_failures(domains, 0, "uvw")
-    checked_at_us = [now_us for now_us in range(0, 4 * SECOND, 10_000) if domains.due_health_checks(now_us)]
-    assert len(checked_at_us) == 4 * SECOND // failure_domains.HEALTH_CHECK_INTERVAL_US
+    check_times_us = [now_us for now_us in range(0, 4 * SECOND, 10_000) if domains.due_health_checks(now_us)]
+    assert len(check_times_us) == 4 * SECOND // failure_domains.HEALTH_CHECK_INTERVAL_US
 
 
 def test_stated_error_rates_hold() -> None:
-    """Draws healthy and partitioned domains of six members; each error rate stays below twice the stated one."""
+    """Simulates healthy and partitioned domains of six members. Each error rate is below twice the stated rate."""
     rng = random.Random(7)
     healthy_count, partitioned_count = 4000, 2000
     false_alarms = detected = 0
@@ -126,14 +126,14 @@
                 domains.record(DOMAIN, member, rng.random() >= failure_domains.HEALTHY_FAILURE_PROBABILITY)
             false_alarms += domains.evaluate(now_us) == [DOMAIN]
     assert false_alarms / healthy_count < 2 * failure_domains.FALSE_ALARM_RATE
-    for _ in range(partitioned_count):  # a partition is detected by the third failing member
+    for _ in range(partitioned_count):  # three failed members are enough to detect a partition
         domains = FailureDomains()
         for number, member in enumerate("uvw"):
             has_failed = rng.random() < failure_domains.PARTITIONED_FAILURE_PROBABILITY
             domains.record(DOMAIN, member, not has_failed)
             domains.evaluate(number * 50_000)
         detected += domains.is_partitioned(DOMAIN)
-    assert detected / partitioned_count > 1 - 2 * failure_domains.MISSED_RATE
+    assert detected / partitioned_count > 1 - 2 * failure_domains.MISSED_DETECTION_RATE
 
 
 # -- effects on requests and checks ------------------------------------------------------------------
@@ -153,7 +153,7 @@
 
 
 def time_out_checks(harness: Harness, *server_ids: str) -> None:
-    """Delivers, one by one, health checks of these servers that timed out."""
+    """Delivers the results of health checks of these servers, one by one, as timed out."""
     for server_id in server_ids:
         harness.deliver(interface.HealthCheckResult(server_id, interface.AttemptOutcome.TIMEOUT))
 
@@ -165,7 +165,8 @@
     request_ids = [harness.send_request(key=key, group=key) for key in range(40)]
     harness.advance(100_000)
     assert {first_server(harness, request_id)[0] for request_id in request_ids} == {"a"}
-    # After one answer no server is ejected for the partition: a part is used at once, and then all.
+    # After one answer, no server is still ejected because of the partition: part of the zone is usable at once, and all
+    # of it after the recovery ramp.
     harness.deliver(health_report("b3:1", 0.1))
     harness.advance(4 * failure_domains.RECOVERY_STEP_US)
     servers = harness.balancer.servers.values()
