--- a/glenrock/coordination/datagrams.py
+++ b/glenrock/coordination/datagrams.py
@@ -1,7 +1,8 @@
 """The datagrams of the coordination, of at most 256 bytes, on the same socket as the gossip summaries.
 
-Pure. The first byte is the kind; that of a gossip summary is its version, 1. Integers are big-endian. `decode` rejects
-data that are truncated, have trailing bytes or are of an unknown kind.
+Pure. The first byte is the kind. The first byte of a gossip summary is its version, 1, which is below all kinds.
+Integers are big-endian. `decode` rejects an unknown kind, and a length that does not fit the kind. The server
+name at the end of a datagram has no length field, so a truncated or extended name is not detected.
 """
 
 from __future__ import annotations
@@ -14,13 +15,13 @@
 
 MAX_BYTES = 256
 MAX_JOB_BYTES = 32
-MAX_NUMBER = (1 << 64) - 1
-HEADER = struct.Struct(">BB")  # kind, length of the job's name in bytes
+MAX_UINT64 = (1 << 64) - 1
+HEADER_LAYOUT = struct.Struct(">BB")  # kind, length of the job's name in bytes
 
 HEARTBEAT, SYNC_REQUEST, OVERRIDE_UPDATE, ACKNOWLEDGEMENT = 0xF1, 0xF2, 0xF3, 0xF4
 SHARED_LOADS, LEASE_RELEASED, KNOWN_OVERRIDE = 0xF5, 0xF6, 0xF7
 FIRST_KIND, LAST_KIND = HEARTBEAT, KNOWN_OVERRIDE
-BODIES = {
+BODY_LAYOUTS = {
     HEARTBEAT: struct.Struct(">QQ"),
     SYNC_REQUEST: struct.Struct(">QQQB"),
     OVERRIDE_UPDATE: struct.Struct(">QQQQB"),
@@ -33,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HolderHeartbeat:
-    """Sent by a lease holder each second: its term, and the digest of its override log."""
+    """Sent by a lease holder each second, with its term and the digest of its override log."""
 
     job: str
     term: int
@@ -46,9 +47,10 @@
 
     Attributes:
         job: the job.
-        term: of the heartbeat.
-        up_to: the highest revision known; the holder sends later overrides.
-        wants_all: whether the holder must send all overrides, since those after `up_to` did not suffice.
+        term: the term of the heartbeat.
+        up_to: the highest revision known to the sender; the holder sends the overrides after it.
+        wants_all: whether the holder must send all overrides, since the digests still differ after those after `up_to`
+            were sent.
     """
 
     job: str
@@ -59,14 +61,14 @@
 
 @dataclass(frozen=True, slots=True)
 class OverrideUpdate:
-    """An effect of a lease holder: an override.
+    """Sent by a lease holder: a committed override.
 
     Attributes:
         job: the job.
-        term: of the holder.
-        sequence: number of this datagram within the term.
-        revision: of the override.
-        is_suspended: whether the server is out of rotation.
+        term: the holder's term.
+        sequence: number of this datagram, which increases within the term.
+        revision: the revision of the override.
+        is_suspended: whether the server is suspended.
         server_id: the server.
     """
 
@@ -86,12 +88,12 @@
         job: the job.
         is_accepted: whether the receiver's fence accepted it.
         highest_term: the highest term that the receiver has seen.
-        term: of the sender.
-        sequence: of the update; 0 for a heartbeat.
-        revision: of the update.
-        verdict_sequence: number of this verdict among those of the receiver's process; acknowledgements may be
-            reordered.
-        server_id: of the update.
+        term: the term of the update or heartbeat.
+        sequence: the sequence number of the update; 0 for a heartbeat.
+        revision: the revision of the update; `NO_REVISION` for a heartbeat.
+        verdict_sequence: number of this verdict among those of the receiver's process. It tells the order of verdicts
+            whose acknowledgements were reordered.
+        server_id: the server of the update; a placeholder for a heartbeat, since it must not be empty.
     """
 
     job: str
@@ -106,21 +108,21 @@
 
 @dataclass(frozen=True, slots=True)
 class SharedLoads:
-    """Loads from health checks of the sender, in the form of `HealthCheckShards`."""
+    """Loads from the sender's health checks, as `HealthCheckShards.pop_datagrams` encodes them."""
 
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseReleased:
-    """The sender has released the lease of a job."""
+    """Announces that the sender has released the lease of a job."""
 
     job: str
 
 
 @dataclass(frozen=True, slots=True)
 class KnownOverride:
-    """Sent to a lease holder whose digest still differs after a full sync: an override that it may lack."""
+    """Sent to a lease holder whose digest still differs after a sync: an override that the holder may lack."""
 
     job: str
     revision: Revision
@@ -131,21 +133,21 @@
 Message = KnownOverride | HolderHeartbeat | SyncRequest | OverrideUpdate | Acknowledgement | SharedLoads | LeaseReleased
 
 
-def _clamp(*numbers: int) -> list[int]:
-    """Returns the numbers, each limited to 64 bits without a sign."""
-    return [max(0, min(MAX_NUMBER, number)) for number in numbers]
+def _clamp_to_uint64(*numbers: int) -> list[int]:
+    """Returns the numbers, each clamped to the range of an unsigned 64-bit integer."""
+    return [max(0, min(MAX_UINT64, number)) for number in numbers]
 
 
 def encode(message: Message) -> bytes | None:
-    """Returns the datagram; None if it would be longer than MAX_BYTES."""
+    """Returns the datagram; None if it would be longer than MAX_BYTES, or the job's name than MAX_JOB_BYTES."""
     if isinstance(message, SharedLoads):
         data = bytes([SHARED_LOADS]) + message.data
         return data if len(data) <= MAX_BYTES else None
     job = message.job.encode()
     if len(job) > MAX_JOB_BYTES:
         return None
-    body = _body_of(message)
-    data = HEADER.pack(body.kind, len(job)) + job + body.data
+    body = _encode_body(message)
+    data = HEADER_LAYOUT.pack(body.kind, len(job)) + job + body.data
     return data if len(data) <= MAX_BYTES else None
 
 
@@ -156,23 +158,23 @@
     data: bytes
 
 
-def _body_of(
+def _encode_body(
     message: KnownOverride | HolderHeartbeat | SyncRequest | OverrideUpdate | Acknowledgement | LeaseReleased,
 ) -> _Body:
     match message:
         case HolderHeartbeat(_, term, digest):
-            return _Body(HEARTBEAT, BODIES[HEARTBEAT].pack(*_clamp(term, digest)))
+            return _Body(HEARTBEAT, BODY_LAYOUTS[HEARTBEAT].pack(*_clamp_to_uint64(term, digest)))
         case SyncRequest(_, term, up_to, wants_all):
-            return _Body(SYNC_REQUEST, BODIES[SYNC_REQUEST].pack(*_clamp(term, *up_to), wants_all))
+            return _Body(SYNC_REQUEST, BODY_LAYOUTS[SYNC_REQUEST].pack(*_clamp_to_uint64(term, *up_to), wants_all))
         case OverrideUpdate(_, term, sequence, revision, is_suspended, server_id):
-            data = BODIES[OVERRIDE_UPDATE].pack(*_clamp(term, sequence, *revision), is_suspended)
+            data = BODY_LAYOUTS[OVERRIDE_UPDATE].pack(*_clamp_to_uint64(term, sequence, *revision), is_suspended)
             return _Body(OVERRIDE_UPDATE, data + server_id.encode())
         case Acknowledgement(_, is_accepted, highest_term, term, sequence, revision, verdict_sequence, server_id):
-            numbers = _clamp(highest_term, term, sequence, *revision, verdict_sequence)
-            data = BODIES[ACKNOWLEDGEMENT].pack(is_accepted, *numbers)
+            numbers = _clamp_to_uint64(highest_term, term, sequence, *revision, verdict_sequence)
+            data = BODY_LAYOUTS[ACKNOWLEDGEMENT].pack(is_accepted, *numbers)
             return _Body(ACKNOWLEDGEMENT, data + server_id.encode())
         case KnownOverride(_, revision, is_suspended, server_id):
-            data = BODIES[KNOWN_OVERRIDE].pack(*_clamp(*revision), is_suspended)
+            data = BODY_LAYOUTS[KNOWN_OVERRIDE].pack(*_clamp_to_uint64(*revision), is_suspended)
             return _Body(KNOWN_OVERRIDE, data + server_id.encode())
         case LeaseReleased():
             return _Body(LEASE_RELEASED, b"")
@@ -181,28 +183,28 @@
 
 def decode(data: bytes) -> Message | None:
     """Returns the message; None if the data are not a valid datagram."""
-    if not HEADER.size <= len(data) <= MAX_BYTES or not FIRST_KIND <= data[0] <= LAST_KIND:
+    if not HEADER_LAYOUT.size <= len(data) <= MAX_BYTES or not FIRST_KIND <= data[0] <= LAST_KIND:
         return None
     kind = data[0]
     if kind == SHARED_LOADS:
         return SharedLoads(data[1:])
-    body = BODIES[kind]
-    body_start = HEADER.size + data[1]
+    body = BODY_LAYOUTS[kind]
+    body_start = HEADER_LAYOUT.size + data[1]
     body_end = body_start + body.size
     if len(data) < body_end:
         return None
     try:
-        job = data[HEADER.size : body_start].decode()
+        job = data[HEADER_LAYOUT.size : body_start].decode()
         server_id = data[body_end:].decode()
     except UnicodeDecodeError:
         return None
     if not job or len(job.encode()) > MAX_JOB_BYTES or (kind in KINDS_WITH_SERVER) != bool(server_id):
         return None
-    return _message_of(kind, job, body.unpack(data[body_start:body_end]), server_id)
+    return _build_message(kind, job, body.unpack(data[body_start:body_end]), server_id)
 
 
-def _message_of(kind: int, job: str, values: tuple[int, ...], server_id: str) -> Message:
-    """Builds the message of a kind from the numbers of its body."""
+def _build_message(kind: int, job: str, values: tuple[int, ...], server_id: str) -> Message:
+    """Builds the message of a kind from the unpacked values of its body."""
     if kind == HEARTBEAT:
         return HolderHeartbeat(job, *values)
     if kind == SYNC_REQUEST:
--- a/glenrock/coordination/warm_start/start_cache.py
+++ b/glenrock/coordination/warm_start/start_cache.py
@@ -1,4 +1,4 @@
-"""The start cache: the start record on disk, read at a start and written in a thread while the balancer serves."""
+"""The start cache: a file with the start record, read at the start and written while the balancer serves."""
 
 from __future__ import annotations
 
@@ -14,48 +14,48 @@
 from .start_record import (
     MAX_BYTES,
     EndpointTable,
-    RecordTrust,
-    StartKnowledge,
+    RecordValidity,
+    StartData,
     StartRecord,
     decode,
     encode,
     encode_table,
+    select_start_data,
     table_version,
-    usable_knowledge,
 )
 
 logger = get_logger(__name__)
 
-CHECK_INTERVAL_MS = 500.0  # between two checks whether the list has changed
-WRITE_INTERVAL_MS = 10_000.0  # between two writes while the list does not change
+CHECK_INTERVAL_MS = 500.0  # between two checks for a changed endpoint list
+WRITE_INTERVAL_MS = 10_000.0  # between two writes while the list is unchanged
 
 
 class _LastWrite(NamedTuple):
-    """The version of the list that was written last, and when."""
+    """The version of the endpoint list that was written last, and the time of that write."""
 
     version: int
     at_ms: float
 
 
 class StartCache:
-    """The cache of one balancer.
+    """The start cache of one balancer.
 
     Attributes:
-        path: of the file.
-        status: what the start used of the cache, for operators.
+        path: the path of the file.
+        status: a text for operators that says what the start used from the cache.
     """
 
-    def __init__(self, host: BalancerHost, folder: Path, name: str, trust: RecordTrust) -> None:
+    def __init__(self, host: BalancerHost, folder: Path, name: str, validity: RecordValidity) -> None:
         self.path = folder / f"glenrock-{name}.start"
         self.status = "no cache file"
         self._host = host
         self._clock = host.clock
-        self._trust = trust
+        self._validity = validity
         self._boot = current_boot_id()
         self._last_write: _LastWrite | None = None
 
     def read(self, configured: EndpointTable) -> EndpointTable:
-        """Reads the cache, and restores the learned loads into routing. A file that cannot be used is renamed.
+        """Reads the cache, and restores the learned loads in the routing actor. An unusable file is logged and renamed.
 
         Returns:
             The endpoint list to start with: the cached one, or `configured`.
@@ -71,22 +71,27 @@
             with contextlib.suppress(OSError):
                 os.replace(self.path, f"{self.path}.spoilt")
             return configured
-        knowledge = self._usable(record, configured)
+        start_data = self._select_start_data(record, configured)
         balancer = self._host.routing.balancer
         classes = [request_class.name for request_class in balancer.settings.classes]
-        balancer.connection_loads.restore(knowledge.means, classes)
-        self.status = knowledge.summary
+        balancer.connection_loads.restore(start_data.means, classes)
+        self.status = start_data.summary
         logger.info("endpoint list and loads of the last run", result=self.status)
-        return knowledge.table
+        return start_data.table
 
-    def _usable(self, record: StartRecord, configured: EndpointTable) -> StartKnowledge:
-        return usable_knowledge(record, configured, self._clock.now_ms(), self._boot, self._discovery(), self._trust)
+    def _select_start_data(self, record: StartRecord, configured: EndpointTable) -> StartData:
+        return select_start_data(
+            record, configured, self._clock.now_ms(), self._boot, self._discovery(), self._validity
+        )
 
     def _discovery(self) -> str:
         return str(self._host.endpoints.address)
 
-    def current_record(self) -> StartRecord | None:
-        """Returns the record to write; None until discovery has answered, since the file is newer until then."""
+    def build_record(self) -> StartRecord | None:
+        """Returns the record to write; None until discovery has answered.
+
+        Before that, the list in use may be older than the one in the file.
+        """
         watcher = self._host.endpoints
         if watcher.newest_version < 0 or not watcher.has_answered.is_set():
             return None
@@ -95,7 +100,9 @@
         return StartRecord(self._clock.now_ms(), self._boot, self._discovery(), table, means)
 
     def write(self, data: bytes) -> None:
-        """Replaces the file as a whole, after a sync. Call it in a thread, since a disk may take seconds.
+        """Writes and syncs a temporary file, then renames it to replace the cache file.
+
+        Must be called in a thread, since a slow disk may block for seconds.
 
         Raises:
             OSError: the file cannot be written.
@@ -114,13 +121,13 @@
             await self.write_if_due()
 
     async def write_if_due(self) -> None:
-        """Writes the file if the list has changed, or WRITE_INTERVAL_MS after the last write."""
+        """Writes the file if the list has changed or the last write was WRITE_INTERVAL_MS ago. A failure is logged."""
         now_ms = self._clock.now_ms()
         last = self._last_write
         is_same_list = last is not None and last.version == self._host.endpoints.newest_version
         if last and is_same_list and now_ms - last.at_ms < WRITE_INTERVAL_MS:
             return
-        record = self.current_record()
+        record = self.build_record()
         if record is None:
             return
         try:
