--- a/glenrock/routing/balancer.py
+++ b/glenrock/routing/balancer.py
@@ -246,6 +246,8 @@
         self.batch.begin(now_us)
         if is_first_batch:
             self.polling.start()
+            # The first round is at a random time, so that balancers that start together do not send their
+            # gossip all at once.
             self.schedule_round(now_us + 1 + int(self._rng.random() * ROUND_US))
         self.ejection.update_failure_domains()
         for event in events:
@@ -321,6 +323,8 @@
             return
         if event.load is not None and event.load >= 0:
             # If requests carry no load hints, only reported loads yield the expected load of new requests.
+            # Without it, new requests would count as almost nothing, and a mass reconnect would be sent to
+            # the servers that were checked last.
             self.connection_loads.record(request.event.class_name, event.load)
             self.sessions.change_load(request, event.load)
         server = self.servers.get(event.server_id)
@@ -388,7 +392,8 @@
     def _update_estimates(self) -> None:
         peers = self.gossip.peers.values()
         # Capacity is estimated from the load of all balancers, since their loads differ, most of all while
-        # one drains. The sum is scaled up for balancers without a recent gossip summary.
+        # one drains: from this balancer's load alone, a server would seem full at once. The sum is scaled up
+        # for balancers without a recent gossip summary.
         total_active_load = self.gossip.total_active_load() * self.settings.balancers / (1 + len(peers))
         self.capacity.update_server_capacity(total_active_load, len(self.endpoints.index.ready))
         own_load = sum(request.load for request in self.requests.values() if request.server)
--- a/glenrock/routing/capacity_estimation.py
+++ b/glenrock/routing/capacity_estimation.py
@@ -20,7 +20,7 @@
 USUAL_CAPACITY_GAIN = 0.04  # per round, of the long-term average of the capacity
 MIN_USUAL_CAPACITY_FRACTION = 0.15  # minimum usual capacity, as a fraction of the servers' mean
 MIN_MEASURED_LOAD = 0.1  # at a lower load the capacity cannot be estimated
-MAX_PREDICTED_LOAD = 1.0  # of the fleet, after servers were lost
+MAX_PREDICTED_LOAD = 1.0  # of the fleet, after servers were lost; a higher load has to be shown by reports
 MIN_BALANCER_FRACTION = 0.05  # avoids a division by a value near 0
 STEADY_FRACTION = 0.67  # a value is steady if its lowest is at least this fraction of its highest
 STEADY_WINDOW_US = 4 * SECOND_US
@@ -81,8 +81,8 @@
         """Predicts the mean load when servers join or are lost: the load of lost servers moves to the others.
 
         Without this prediction all balancers would admit the clients of a lost zone at once, before reports
-        show their load, and overload the remaining servers. Servers that drain, or are no longer listed, do
-        not count as lost: their clients leave gradually, so that reports show the change in time.
+        show their load, and overload the remaining servers for seconds. Servers that drain, or are no longer
+        listed, do not count as lost: their clients leave gradually, so that reports show the change in time.
         """
         self.warm_server_count = len(warm) or self.warm_server_count
         self.has_warm_server = bool(warm)
@@ -145,8 +145,8 @@
 
         The weight of a server is its `capacity_ratio`. If its usual capacity is not known and its load is
         above 1, the weight is the median reported load divided by the server's load, at most 1. This assumes
-        that the server receives the median amount of work and has lost capacity. With a weight of 1, a few
-        servers that hang would cut the cap repeatedly.
+        that the server receives the median amount of work and has lost capacity. With a weight of 1, two
+        hanging servers of eight would cut the cap repeatedly, while the others are nearly empty.
         """
         if all(server.usual_capacity or load <= 1 for server, load in observed):
             return [server.capacity_ratio for server, _ in observed]
@@ -182,7 +182,8 @@
         usual = [server.usual_capacity for server, _ in observed if server.usual_capacity]
         for server, _ in observed:
             # A server that was already slow when it was first observed has too low a usual capacity, so the
-            # mean of the other servers sets a lower bound.
+            # mean of the other servers sets a lower bound. The bound is only a small fraction of the mean,
+            # since a balancer holds different parts of the servers' connections.
             if server.usual_capacity:
                 minimum = MIN_USUAL_CAPACITY_FRACTION * sum(usual) / len(usual)
                 server.capacity_ratio = min(1.0, server.capacity / max(server.usual_capacity, minimum))
@@ -192,7 +193,7 @@
 
         The capacity estimate assumes that this balancer has the same fraction of the load at each server as
         of the total load. That is wrong while clients arrive from another balancer: a slow server that has
-        just received such clients would seem to have a high capacity.
+        just received a dozen such clients would seem to bear ten times as much, and no longer count as slow.
         """
         now_us = self._batch.now_us
         history = [past for past in self._own_load_history if now_us - past.at_us <= STEADY_WINDOW_US]
@@ -206,7 +207,9 @@
 
         The error of an estimated capacity is proportional to the error of the fraction. After a change, all
         servers would seem to have lost capacity, and their clients would be migrated. The gain stays high for
-        `STEADY_WINDOW_US` after the change, since late reports still describe the time before it.
+        `STEADY_WINDOW_US` after the change, since late reports still describe the time before it. After a
+        start, when the servers held few connections, usual capacities that are learned from such reports are
+        twice the true ones, and any later load would make the servers seem slow.
         """
         now_us = self._batch.now_us
         lowest, highest = STEADY_FRACTION * self._balancer_fraction, self._balancer_fraction / STEADY_FRACTION
--- a/glenrock/routing/connection_concurrency.py
+++ b/glenrock/routing/connection_concurrency.py
@@ -4,7 +4,8 @@
 it is not the lease store.) When many clients reconnect at once, a slow store times out at all servers, failed
 set-ups are retried at once, and the store spends its time on attempts that were already abandoned. Limiting
 the number of set-ups in flight keeps the store busy and its queue short, whatever its rate (Little's law). A
-limit on the rate would instead adapt to the low rate of the overloaded store.
+limit on the rate would instead adapt to the low rate of the overloaded store; it kept the servers nearly
+without new connections for ten seconds.
 """
 
 from __future__ import annotations
--- a/glenrock/routing/connection_load.py
+++ b/glenrock/routing/connection_load.py
@@ -1,7 +1,7 @@
 """The expected load of a connection whose own load is not known yet: the mean load of its class.
 
 The means may be restored after a restart. The cap, the quotas and the loads of servers may not be restored,
-since they depend on the present load.
+since they depend on the present load, and would be wrong for the load at the next start.
 """
 
 from __future__ import annotations
@@ -38,7 +38,8 @@
         """Records the load of a connection, as stated by a hint, a server or another balancer process.
 
         The gain falls with the number of samples, so that the load of the first connection does not dominate
-        the mean at a balancer with few clients.
+        the mean at a balancer with few clients. After a heavy first connection, such a balancer would expect
+        that load of every new one for hours, and reject clients while the servers are half empty.
         """
         for name in (ALL_CLASSES, class_name):
             mean, sample_count = self.means.get(name, LoadMean(0.0, 0))
--- a/glenrock/routing/endpoint_table.py
+++ b/glenrock/routing/endpoint_table.py
@@ -84,7 +84,10 @@
             self._apply_ring_changes()
 
     def schedule_migration(self, server: Server) -> None:
-        """Sets the deadline to migrate clients off a server that is not ready and has an open connection."""
+        """Sets the deadline to migrate clients off a server that is not ready and has an open connection.
+
+        A server that already drained when this balancer started has no deadline yet.
+        """
         if not server.is_ready and not server.migrate_by_us:
             server.migrate_by_us = self._batch.now_us + self._migration_us
 
--- a/glenrock/routing/health_checks.py
+++ b/glenrock/routing/health_checks.py
@@ -92,7 +92,8 @@
         """Records that a connection broke, and checks its server.
 
         With many balancers, each holds only a few connections of a server that has died. If each balancer
-        waited for several failures of its own, all of them would send returning clients to that server.
+        waited for several failures of its own, all of them would send returning clients to that server, and
+        admit the rest to the others as if no server were lost.
         """
         if not server.consecutive_failures:
             server.consecutive_failures = 1
@@ -109,11 +110,13 @@
             self.ejection.record_report(server, event.report)
         elif has_timed_out and self.loads.was_slow_recently(server):
             # A full server does not answer checks in time. It is overloaded rather than unreachable.
+            # Ejections would keep it unused for half a minute (1 + 2 + 4 + 8 + 16 s), and the mean load would
+            # be computed from the few servers that are left.
             self.ejection.record_load(server, max(MISSED_OBJECTIVE_MIN_LOAD, server.reported_load))
         elif event.outcome == AttemptOutcome.NO_CONNECTION or (
             has_timed_out and not self.loads.was_heard_recently(server)
         ):
-            self.ejection.record_unreachable(server)
+            self.ejection.record_unreachable(server)  # shows nothing of the server's load
 
     def run_round(self, is_uncapped: bool) -> None:
         """Sends the round's periodic checks."""
@@ -126,6 +129,9 @@
     def _check_oldest_report(self, is_uncapped: bool) -> None:
         """Checks the server with the oldest report, if the budget allows.
 
+        Other checks favor servers in use or with faults; this one gives an unbiased sample. The oldest report
+        comes first, since random draws left a server that had become slow unchecked for six seconds.
+
         While the fleet is lightly loaded, half of the tokens are reserved for the checks that requests await.
         In a busy fleet nothing is reserved: if few requests arrived, the reserved tokens would remain unused
         and overload would go unnoticed.
@@ -160,7 +166,8 @@
     def _check_silent_servers(self) -> None:
         """Checks busy servers that hold connections and have no fresh report.
 
-        This is needed only where slow messages are not reported, which would show an overload otherwise.
+        This is needed only where slow messages are not reported, which would show an overload otherwise. In a
+        lightly loaded fleet the checks are not worth their cost.
         """
         for server in self.endpoints.index.with_connections():
             is_stale = self.batch.now_us - server.reported_at_us > FRESH_REPORT_US
--- a/glenrock/routing/load_estimation.py
+++ b/glenrock/routing/load_estimation.py
@@ -13,7 +13,12 @@
 from .interface import LOAD_RATIO, UTILIZATION, Settings
 from .state import DelaySample, Server, TimedLoad
 
-FEEDBACK_DELAY_US = 2 * SECOND_US  # maximum age of a load report on arrival: refresh interval plus delivery
+FEEDBACK_DELAY_US = 2 * SECOND_US
+"""Maximum age of a load report on arrival: refresh interval plus delivery.
+
+Reports show the effect of a cut only after this delay, so the cap and the weights are cut at most once in it.
+"""
+
 MEAN_REPORT_AGE_US = FEEDBACK_DELAY_US // 2
 FRESH_REPORT_US = 1 * SECOND_US  # up to this age, a report is taken as the present load
 VALID_REPORT_US = 10 * SECOND_US  # up to this age, a report is preferred to the mean load of the fleet
@@ -24,15 +29,18 @@
 SLOW_MESSAGES_LOAD = 0.82  # assumed load of a server with slow messages
 MISSED_OBJECTIVE_MIN_LOAD = 1.1  # minimum load assumed of a server whose messages miss their objective
 LIGHT_LOAD = 0.58  # also assumed of a server without load reports or slow messages, so that the cap can rise
-MIN_DELAY_GROWTH_LOAD = 0.3  # minimum load derived from the growth of a delay
-MAX_DELAY_GROWTH_LOAD = 3.0  # maximum load derived from the growth of a delay
+MIN_DELAY_GROWTH_LOAD = 0.3  # minimum load derived from the growth of a delay; a lower one is noise
+MAX_DELAY_GROWTH_LOAD = 3.0  # maximum load derived from the growth of a delay; a higher one is noise
 INITIAL_FLEET_LOAD = 0.5
 MIN_FLEET_LOAD = 0.1  # avoids a division by a value near 0
 MIN_REPRESENTATIVE_CONNECTIONS = 5  # own connections at a server that represent all its connections
 
 
 def load_of_report(report: dict[str, float]) -> float | None:
-    """Returns the load in a report, as a fraction of capacity; None if the report has no valid load."""
+    """Returns the load in a report, as a fraction of capacity; None if the report has no valid load.
+
+    A negative load is not valid, since `Server.reported_load` below 0 means that the load is not known.
+    """
     load = report.get(LOAD_RATIO, report.get(UTILIZATION))
     return load if load is not None and load >= 0 else None
 
@@ -91,7 +99,8 @@
         """Records a reported load, as a fraction of capacity.
 
         Load that was sent after the time that the report describes still counts in addition to it. Otherwise
-        a server would seem empty until a newer report arrives.
+        a server would seem empty for the second by which reports are late, and would receive every new
+        connection of that second.
         """
         now_us = self._batch.now_us
         server.reported_load = load
@@ -157,8 +166,8 @@
         A server with a load of 1 + g falls behind by g seconds of work per second, so its delay grows by g
         seconds per second. Working off the delay within one feedback delay takes another
         delay / `FEEDBACK_DELAY_US` of its capacity, which is added to the load. The growth also tells a
-        backlog that shrinks from one that grows. Load reports are older, and would cause the same excess load
-        to be migrated twice.
+        backlog that shrinks from one that grows; otherwise a server that only works off its backlog would be
+        emptied. Load reports are older, and would cause the same excess load to be migrated twice.
         """
         at_us, delay_s, own_load = server.delay_samples[-1]
         growth = delay_s  # per second: no delay was reported one second before the first sample
--- a/glenrock/routing/migration.py
+++ b/glenrock/routing/migration.py
@@ -99,9 +99,11 @@
         misses_objective = self.loads.misses_message_objective(server)
         # Discounts connections that ended since the report; their load would be migrated a second time.
         load = self.loads.load(server) * self.loads.remaining_load_fraction(server)
+        # Late messages are reason enough to migrate clients while the others have free capacity.
         if not is_capacity_scarce and misses_objective:
             load = max(load, MISSED_OBJECTIVE_MIN_LOAD)
-        # A server that lost capacity usually loses more, so it is relieved earlier and to a lower load.
+        # A server that lost capacity usually loses more, and in the end drops all its connections, so it is
+        # relieved earlier and to a lower load.
         is_slow = server.capacity_ratio <= load_targets.SLOW_CAPACITY_RATIO and not is_capacity_scarce
         if load <= (load_targets.TARGET_LOAD if is_slow else OVERLOAD_THRESHOLD):
             return
--- a/glenrock/routing/outlier_ejection.py
+++ b/glenrock/routing/outlier_ejection.py
@@ -53,7 +53,7 @@
         """Returns whether the server may receive new work of that load now.
 
         Conditions that depend on the request are not checked here. A server that is draining, or suspended by
-        an operator, is not ready and receives no new work.
+        an operator, is not ready and receives no new work: an attempt after the notice would break the drain.
         """
         is_allowed = server.is_ready and (self.is_usable(server) or self.is_panicking)
         return is_allowed and self.slow_start.headroom(server) >= load
--- a/glenrock/routing/request_lifecycle.py
+++ b/glenrock/routing/request_lifecycle.py
@@ -228,7 +228,10 @@
             self._remove(request, keep_session=False)
 
     def on_timer(self, request_id: str) -> None:
-        """Answers a request whose deadline is near, or sends one that has waited long enough for checks."""
+        """Answers a request whose deadline is near, or sends one that has waited long enough for checks.
+
+        A request that is not answered by its deadline is lost.
+        """
         request = self.requests.get(request_id)
         if request is None or request.is_answered:
             return
--- a/glenrock/routing/retries.py
+++ b/glenrock/routing/retries.py
@@ -108,7 +108,7 @@
         """Returns the timeout of the next attempt in microseconds.
 
         The timeout leaves time for a further attempt. A retry of a keyed request ends within the idempotency
-        window.
+        window, since after it the server may execute the request a second time.
         """
         remaining_us = self.answer_due_us(request) - self.batch.now_us
         timeout_us = remaining_us
--- a/glenrock/routing/simulator_adapter.py
+++ b/glenrock/routing/simulator_adapter.py
@@ -121,6 +121,7 @@
         self._events.pop(number, None)
 
     def _add_event(self, number: int, event: Event) -> None:
+        # A balancer that was not started has no state, so events for it are dropped.
         if number in self._balancers or number in self._starts:
             self._events.setdefault(number, []).append(event)
 
--- a/glenrock/routing/simulator_codec.py
+++ b/glenrock/routing/simulator_codec.py
@@ -152,7 +152,10 @@
 
 
 def endpoint_from(fields: Fields) -> Endpoint:
-    """Decodes a row of the endpoint list. An unknown state counts as draining."""
+    """Decodes a row of the endpoint list.
+
+    An unknown state, of a later version of the wire, counts as draining, the cautious assumption.
+    """
     return Endpoint(
         server_id=fields.text("server"),
         state=STATES.get(fields.text_or("availability", "Ready"), EndpointState.DRAINING),
@@ -237,7 +240,11 @@
 
 
 def _outcome_from(fields: Fields) -> AttemptOutcome:
-    """Decodes an outcome. An unknown one counts as an error after which the request may have executed."""
+    """Decodes an outcome.
+
+    An unknown one, of a later version of the wire, counts as an error after which the request may have
+    executed, the cautious assumption.
+    """
     return OUTCOMES.get(fields.text("verdict"), AttemptOutcome.ERROR)
 
 
--- a/glenrock/routing/waiting_queue.py
+++ b/glenrock/routing/waiting_queue.py
@@ -67,7 +67,10 @@
             self.clients[request.key] = WaitingClient(bucket, request.load, self._batch.now_us)
 
     def requeue(self, request: RoutedRequest) -> None:
-        """Adds a client whose admitted request was rejected or failed, to the bucket of its arrival."""
+        """Adds a client whose admitted request was rejected or failed.
+
+        It joins the bucket of its arrival, so that it keeps its place in the order.
+        """
         bucket = request.arrived_us // self.bucket_us
         self.clients.setdefault(request.key, WaitingClient(bucket, request.load, self._batch.now_us))
 
