--- a/glenrock/simulation/engine.py
+++ b/glenrock/simulation/engine.py
@@ -31,7 +31,7 @@
 
 
 class HeapEngine:
-    """An engine that runs as fast as its calls do."""
+    """An engine that runs as fast as its calls do; docs/notes/lab.md compares it with SimPy."""
 
     def __init__(self, start_us: int = 0) -> None:
         self.now, self.events = start_us, 0
--- a/glenrock/simulation/model/store.py
+++ b/glenrock/simulation/model/store.py
@@ -1,6 +1,7 @@
 """The store that every attempt asks: one queue, first come first served, for all servers together.
 
-A call cannot be withdrawn, so the store also serves calls of clients that have disconnected.
+A call cannot be withdrawn, so the store also serves calls of clients that have disconnected. Clients that give up and
+retry together wait behind their own abandoned calls.
 """
 
 from __future__ import annotations
--- a/glenrock/simulation/policies/oracle.py
+++ b/glenrock/simulation/policies/oracle.py
@@ -3,6 +3,7 @@
 Each request goes to the reachable server with the least load in relation to its capacity, with attempts in flight
 counted, and to a cold server only up to half of its slow-start budget. It neither rejects a request nor migrates a
 connection for load. A real balancer cannot have this information; the result is a reference, not an upper bound.
+Where it is ahead of a policy, the difference shows how much is left to gain.
 """
 
 from __future__ import annotations
--- a/glenrock/simulation/policies/prequal.py
+++ b/glenrock/simulation/policies/prequal.py
@@ -2,7 +2,8 @@
 
 Wydrowski, Kleinberg, Rumble and Archer, Load is not what you should balance: Introducing Prequal, NSDI 2024.
 The paper's counters of the server are taken from load reports here: requests in flight are `inflight` where reports
-hold it, else the load ratio; the latency is that of the health check itself.
+hold it, else the load ratio; the latency is that of the health check itself, since the servers of this
+platform report none.
 """
 
 from __future__ import annotations
--- a/glenrock/simulation/process_control.py
+++ b/glenrock/simulation/process_control.py
@@ -12,8 +12,9 @@
 from .server_attempts import ServerAttempts
 from .spec_types import drawn_number
 
-# A manual drain, as `glenrock.net.graceful_shutdown` does it: the front notices, then clients migrate in steps.
-FRONT_NOTICES_DRAIN_US = 250_000
+# A manual drain, as `glenrock.net.graceful_shutdown` does it: the front notices, then clients migrate in steps. The
+# times of the migration are those of `FRONT_END_NOTICE_MS`, `MANUAL_DRAIN_MS` and `DRAIN_STEP_MS` there.
+FRONT_NOTICES_DRAIN_US = 250_000  # the modelled front polls each 0.1 s, and sends clients for 0.2 s more
 MIGRATION_STARTS_AFTER_US = 450_000
 MIGRATION_US = 3_000_000
 MIGRATION_STEP_US = 50_000
--- a/glenrock/simulation/server_attempts.py
+++ b/glenrock/simulation/server_attempts.py
@@ -77,7 +77,7 @@
         is_established = answer == SetupAnswer.ESTABLISHED
         if is_established and name in self.error_chances and self.draw_error() < self.error_chances[name]:
             answer, is_established = SetupAnswer.ERROR, False
-            self.abandon_attempt(attempt)
+            self.abandon_attempt(attempt)  # a server that answers ERR keeps nothing of the attempt
         sent_us = self.store.call(self.engine.now) if is_established else self.engine.now
         self.engine.at(sent_us + one_way_us, self._answer_arrives, attempt, answer)
 
@@ -284,7 +284,7 @@
                     self.engine.at(self.engine.now + one_way_us, self._gossip_arrives, peer, balancer.index, data)
 
     def _gossip_arrives(self, balancer: BalancerProcess, peer: int, data: bytes) -> None:
-        if not balancer.is_up:
+        if not balancer.is_up:  # the sender may have ended meanwhile: a datagram on its way still arrives
             return
         if self.shared_health_checks and self.shared_health_checks.receive(balancer, peer, data):
             return
--- a/glenrock/simulation/shared_health_checks.py
+++ b/glenrock/simulation/shared_health_checks.py
@@ -13,7 +13,7 @@
 from .model.balancer import BalancerProcess
 
 UPDATE_INTERVAL_US = CHECK_INTERVAL_US // 5  # as in the program
-START_STEP_US = 997  # between the first updates of two balancers, so that they are out of step
+START_STEP_US = 997  # between the first updates of two balancers: processes of a fleet do not start at one time
 SHARED_LOADS_TYPE = bytes([SHARED_LOADS])
 
 
