--- a/glenrock/coordination/override_applier.py
+++ b/glenrock/coordination/override_applier.py
@@ -82,7 +82,7 @@
                 logger.warning("override not applied", server=server_id, suspended=is_suspended, error=error.reason)
         else:
             host.servers.set_suspended(server_id, is_suspended)
-            host.routing.post_first(interface.OperatorOverride(server_id, is_suspended, 0))
+            host.routing.post_priority_event(interface.OperatorOverride(server_id, is_suspended, 0))
 
     def _add_changes(self, changes: Iterable[OverrideChange]) -> None:
         self._unapplied.update((change.server_id, change.is_suspended) for change in changes)
--- a/glenrock/net/clock.py
+++ b/glenrock/net/clock.py
@@ -23,7 +23,7 @@
     return us / 1000
 
 
-def _finish(done: asyncio.Future[None]) -> None:
+def _complete(done: asyncio.Future[None]) -> None:
     if not done.done():
         done.set_result(None)
 
@@ -46,7 +46,7 @@
     async def sleep(self, ms: float) -> None:
         """Waits for that time by this clock."""
         done: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        handle = self.call_at(self.now_ms() + ms, _finish, done)
+        handle = self.call_at(self.now_ms() + ms, _complete, done)
         try:
             await done
         finally:
@@ -62,8 +62,8 @@
 
     def __init__(self, now_ms: float = 1_000_000.0) -> None:
         self.time_ms = now_ms
-        self._due: list[tuple[float, int, asyncio.Handle]] = []
-        self._count = 0
+        self._scheduled: list[tuple[float, int, asyncio.Handle]] = []
+        self._scheduled_count = 0
 
     def now_ms(self) -> float:
         """Returns the time that was set."""
@@ -72,15 +72,15 @@
     def call_at(self, when_ms: float, call: Callable[..., object], *args: object) -> asyncio.Handle:
         """Calls `call` once `advance` has reached that time."""
         handle = asyncio.Handle(call, args, asyncio.get_running_loop())
-        self._count += 1
-        heapq.heappush(self._due, (when_ms, self._count, handle))
+        self._scheduled_count += 1
+        heapq.heappush(self._scheduled, (when_ms, self._scheduled_count, handle))
         return handle
 
     def advance(self, ms: float) -> None:
         """Advances the clock, and makes the calls that are due, in order."""
         self.time_ms += ms
-        while self._due and self._due[0][0] <= self.time_ms:
-            handle = heapq.heappop(self._due)[2]
+        while self._scheduled and self._scheduled[0][0] <= self.time_ms:
+            handle = heapq.heappop(self._scheduled)[2]
             if not handle.cancelled():
                 handle._run()
 
@@ -97,10 +97,10 @@
 
     async def __aenter__(self) -> TimeLimit:
         self._task = asyncio.current_task()
-        self._handle = self._clock.call_at(self._clock.now_ms() + self._ms, self.stop)
+        self._handle = self._clock.call_at(self._clock.now_ms() + self._ms, self.expire)
         return self
 
-    def stop(self) -> None:
+    def expire(self) -> None:
         """Ends the block now."""
         if not self.has_expired and self._task:  # a second cancellation would not be suppressed
             self.has_expired = True
--- a/glenrock/net/connection_table.py
+++ b/glenrock/net/connection_table.py
@@ -57,7 +57,7 @@
         self.budget = budget
         self.by_id: dict[str, ClientConnection] = {}
         self.count_other_descriptors: Callable[[], int] = _no_other_descriptors
-        routing.connection_of = self.by_id.get
+        routing.find_connection = self.by_id.get
         settings = routing.balancer.settings
         self.known_names = protocol.KnownNames(
             {
@@ -87,7 +87,7 @@
             "program": descriptor_budget.PROGRAM_DESCRIPTORS,
             "operators": self.budget.operators,
             "other_process": self.budget.other_process,
-            "health_checks": self.servers.count_health_connections(),
+            "health_checks": self.servers.count_health_check_connections(),
             "relays": descriptor_budget.DESCRIPTORS_PER_RELAY * len(self.by_id),
         }
 
@@ -158,7 +158,7 @@
                         request_id=connection.request_line.request_id,
                     )
                     connection.mailbox.try_put(MigrateClient(interface.AttemptOutcome.BROKEN))
-            self.servers.close_unused()
+            self.servers.close_idle_connections()
 
 
 def _slow_message_ms(settings: interface.Settings) -> float:
--- a/glenrock/net/descriptor_budget.py
+++ b/glenrock/net/descriptor_budget.py
@@ -12,8 +12,8 @@
 DESCRIPTORS_PER_RELAY = 2
 MIN_IDLE_CONNECTIONS = 16
 IDLE_CONNECTIONS_DIVISOR = 4  # of the limit
-MIN_HEALTH_CONNECTIONS = 8
-HEALTH_CONNECTIONS_DIVISOR = 8  # of the limit
+MIN_HEALTH_CHECK_CONNECTIONS = 8
+HEALTH_CHECK_CONNECTIONS_DIVISOR = 8  # of the limit
 
 
 class DescriptorBudgetError(ValueError):
@@ -37,13 +37,13 @@
         self.servers = 0
 
     @property
-    def health_connections(self) -> int:
+    def max_health_check_connections(self) -> int:
         """The number of connections for health checks that may be open."""
-        return min(self.servers, _health_connection_pool(self.limit))
+        return min(self.servers, _health_check_pool_size(self.limit))
 
     def free(self, relays: int) -> int:
         """Returns the descriptors that are neither reserved nor used by so many relays."""
-        reserved = PROGRAM_DESCRIPTORS + self.operators + self.other_process + self.health_connections
+        reserved = PROGRAM_DESCRIPTORS + self.operators + self.other_process + self.max_health_check_connections
         return self.limit - reserved - DESCRIPTORS_PER_RELAY * relays
 
     def allows_relay(self, relays: int) -> bool:
@@ -63,7 +63,7 @@
         needed = (
             PROGRAM_DESCRIPTORS
             + self.operators
-            + _health_connection_pool(limit)
+            + _health_check_pool_size(limit)
             + MIN_IDLE_CONNECTIONS
             + DESCRIPTORS_PER_RELAY
         )
@@ -71,5 +71,5 @@
             raise DescriptorBudgetError(f"at least {needed} are needed to serve one client, got {limit}")
 
 
-def _health_connection_pool(limit: int) -> int:
-    return max(MIN_HEALTH_CONNECTIONS, limit // HEALTH_CONNECTIONS_DIVISOR)
+def _health_check_pool_size(limit: int) -> int:
+    return max(MIN_HEALTH_CHECK_CONNECTIONS, limit // HEALTH_CHECK_CONNECTIONS_DIVISOR)
--- a/glenrock/net/discovery_client.py
+++ b/glenrock/net/discovery_client.py
@@ -16,9 +16,9 @@
 
 OVERLOAD_STATUSES = (429, 503)
 HTTP_OK = 200
-MAX_ANSWER_BYTES = 4 << 20
-MAX_SILENCE_MS = 400.0  # between two parts of an answer
-MAX_ANSWER_MS = 30_000.0  # for a whole answer
+MAX_RESPONSE_BYTES = 4 << 20
+READ_TIMEOUT_MS = 400.0  # between two parts of an answer
+RESPONSE_TIMEOUT_MS = 30_000.0  # for a whole answer
 READ_BYTES = 16384
 
 
@@ -34,11 +34,11 @@
     """Discovery answered with another status than 200."""
 
 
-class NoAnswerError(DiscoveryError):
+class DiscoveryTimeoutError(DiscoveryError):
     """Discovery did not answer in time."""
 
 
-class HttpAnswer:
+class HttpResponse:
     """Collects one HTTP answer from the callbacks of httptools.
 
     Attributes:
@@ -83,7 +83,7 @@
 
         Raises:
             DiscoveryOverloadedError, DiscoveryStatusError: discovery rejected the call.
-            NoAnswerError: no answer came in time.
+            DiscoveryTimeoutError: no answer came in time.
             DiscoveryError: the answer is too large, or the connection was closed.
             OSError: discovery cannot be reached.
             ValueError: the answer is not JSON.
@@ -98,23 +98,23 @@
             raise DiscoveryStatusError(f"status {status}")
         return json.loads(bytes(answer.body))
 
-    async def run_within(self, timeout_ms: float, work: Coroutine[None, None, Any]) -> Any:
+    async def run_with_timeout(self, timeout_ms: float, work: Coroutine[None, None, Any]) -> Any:
         """Returns the result of some work.
 
         Raises:
-            NoAnswerError: the work took longer, or `interrupt` was called.
+            DiscoveryTimeoutError: the work took longer, or `interrupt` was called.
         """
         async with self._clock.time_limit(timeout_ms) as self._limit:
             try:
                 return await work
             finally:
                 self._limit = None
-        raise NoAnswerError("no answer in time")
+        raise DiscoveryTimeoutError("no answer in time")
 
     def interrupt(self) -> None:
         """Ends the present wait."""
         if self._limit:
-            self._limit.stop()
+            self._limit.expire()
 
     def disconnect(self) -> None:
         """Closes the connection."""
@@ -128,32 +128,32 @@
             await asyncio.get_running_loop().sock_connect(self._sock, self.address)
         return self._sock
 
-    async def _exchange(self, path: str, timeout_ms: float) -> HttpAnswer:
+    async def _exchange(self, path: str, timeout_ms: float) -> HttpResponse:
         """Sends a request and reads the answer.
 
         A list of thousands of servers takes long to send. After its first bytes only a silence ends the call, since a
         retry would transfer all of it again.
         """
-        answer = HttpAnswer()
+        answer = HttpResponse()
         buffer = bytearray(READ_BYTES)
-        deadline_ms = self._clock.now_ms() + MAX_ANSWER_MS
-        await self.run_within(timeout_ms, self._send(path, answer, buffer))
+        deadline_ms = self._clock.now_ms() + RESPONSE_TIMEOUT_MS
+        await self.run_with_timeout(timeout_ms, self._send_request(path, answer, buffer))
         while not answer.is_complete:
-            left_ms = min(MAX_SILENCE_MS, deadline_ms - self._clock.now_ms())
-            await self.run_within(left_ms, self._read(answer, buffer))
+            left_ms = min(READ_TIMEOUT_MS, deadline_ms - self._clock.now_ms())
+            await self.run_with_timeout(left_ms, self._read(answer, buffer))
         return answer
 
-    async def _send(self, path: str, answer: HttpAnswer, buffer: bytearray) -> None:
+    async def _send_request(self, path: str, answer: HttpResponse, buffer: bytearray) -> None:
         sock = await self._connect()
         request = f"GET {path} HTTP/1.1\r\nHost: {self.address}\r\n\r\n".encode()
         await asyncio.get_running_loop().sock_sendall(sock, request)
         await self._read(answer, buffer)
 
-    async def _read(self, answer: HttpAnswer, buffer: bytearray) -> None:
+    async def _read(self, answer: HttpResponse, buffer: bytearray) -> None:
         assert self._sock is not None, "the call has a connection"
         count = await asyncio.get_running_loop().sock_recv_into(self._sock, buffer)
         if not count:
             raise DiscoveryError("discovery closed the connection")
         answer.parser.feed_data(bytes(buffer[:count]))
-        if len(answer.body) > MAX_ANSWER_BYTES:
+        if len(answer.body) > MAX_RESPONSE_BYTES:
             raise DiscoveryError("the answer is too large")
--- a/glenrock/net/endpoint_rows.py
+++ b/glenrock/net/endpoint_rows.py
@@ -10,12 +10,12 @@
 
 from ..config import Address, ConfigError, parse_address
 
-STATES_BY_STATUS = {
+STATE_BY_STATUS = {
     "SERVING": EndpointState.READY,
     "DRAINING": EndpointState.DRAINING,
     "DELETED": EndpointState.GONE,
 }
-STATUS_BY_STATE = {state: status for status, state in STATES_BY_STATUS.items()}
+STATUS_BY_STATE = {state: status for status, state in STATE_BY_STATUS.items()}
 MAX_NAME_LENGTH = 256  # characters
 
 
@@ -60,12 +60,12 @@
         raise ValueError(str(error)) from error
     name = str(raw["name"])
     status = str(raw["status"])
-    if not 0 < len(name) <= MAX_NAME_LENGTH or status not in STATES_BY_STATUS or not address.port:
+    if not 0 < len(name) <= MAX_NAME_LENGTH or status not in STATE_BY_STATUS or not address.port:
         raise ValueError("invalid name, status or port")
     row = EndpointRow(
         name=name,
         address=address,
-        state=STATES_BY_STATUS[status],
+        state=STATE_BY_STATUS[status],
         zone=str(raw.get("zone", "")),
         group=int(raw.get("group", 0)),
         weight=float(raw.get("weight", 1.0)),
--- a/glenrock/net/endpoint_watcher.py
+++ b/glenrock/net/endpoint_watcher.py
@@ -17,20 +17,20 @@
     DiscoveryError,
     DiscoveryOverloadedError,
     DiscoveryStatusError,
-    NoAnswerError,
+    DiscoveryTimeoutError,
 )
 from .endpoint_rows import EndpointRow, parse_row
 from .poll_backoff import PollBackoff
 
-NO_LIST_ANSWER_GRACE_MS = 5000.0  # without a list the balancer can only wait
+NO_LIST_RESPONSE_GRACE_MS = 5000.0  # without a list the balancer can only wait
 MIN_POLL_INTERVAL_MS = 50.0  # after an empty answer; a watch ends if its next call does not follow within 200 ms
-OLDER_ANSWERS_BELIEVED = 4  # in a row; a whole list of an older version then replaces the present list
+OLDER_RESPONSES_TO_ACCEPT = 4  # in a row; a whole list of an older version then replaces the present list
 NO_VERSION = -1
 
 logger = get_logger(__name__)
 
 
-class EndpointAnswer(NamedTuple):
+class EndpointListResponse(NamedTuple):
     """An answer of discovery: a list or changes to it, with its version."""
 
     version: int
@@ -38,7 +38,7 @@
     rows: list[EndpointRow]
 
 
-def parse_answer(raw: dict[str, Any]) -> EndpointAnswer:
+def parse_response(raw: dict[str, Any]) -> EndpointListResponse:
     """Returns an answer without its unreadable rows; of two rows with one name the later counts.
 
     Raises:
@@ -63,7 +63,7 @@
     is_full = raw["snapshot"]
     if not isinstance(version, int) or not isinstance(is_full, bool):
         raise ValueError(f"index {version!r}, snapshot {is_full!r}")  # noqa: TRY004 - as for an invalid row
-    return EndpointAnswer(version, is_full, list(rows.values()))
+    return EndpointListResponse(version, is_full, list(rows.values()))
 
 
 class EndpointWatcher:
@@ -93,8 +93,8 @@
         self._on_failure = on_failure
         self._on_answer = on_answer
         self._watch_version: int | None = None  # that the next watch starts from; None to poll the whole list
-        self._older_answers = 0  # in a row
-        self._failures = 0  # in a row
+        self._consecutive_older_responses = 0  # in a row
+        self._consecutive_failures = 0  # in a row
 
     @property
     def address(self) -> Address:
@@ -109,7 +109,7 @@
     def use_cached_list(self, raw: dict[str, Any]) -> None:
         """Uses the list of an earlier run until discovery answers. An unusable list is logged and ignored."""
         try:
-            answer = parse_answer(raw)
+            answer = parse_response(raw)
         except (KeyError, TypeError, ValueError) as error:
             logger.warning("cached endpoint list unusable", error=error)
             self._update(EndpointListKind.CACHED, [])
@@ -127,9 +127,9 @@
         # nothing to another, so the whole list is polled.
         self._client.address = address
         self._watch_version = None
-        self._failures = 0
+        self._consecutive_failures = 0
         self.newest_version = NO_VERSION
-        self._older_answers = 0
+        self._consecutive_older_responses = 0
         self._client.interrupt()
 
     async def run(self) -> None:
@@ -140,7 +140,7 @@
             address = self.address
             try:
                 await self._poll()
-                self._failures = 0
+                self._consecutive_failures = 0
                 self.backoff.record_answer()
             except Exception as error:  # noqa: BLE001 - the last list stays in use, whatever discovery sends
                 if not isinstance(error, DiscoveryOverloadedError) or address != self.address:
@@ -150,15 +150,15 @@
                 await self._handle_failure(error)
 
     async def _handle_failure(self, error: Exception) -> None:
-        self._failures += 1
+        self._consecutive_failures += 1
         self._on_failure()
         # Without a list, a call without an answer counts as rejected: discovery is probably overloaded, and a retry
         # within a second would add to its load.
-        has_no_answer = isinstance(error, NoAnswerError)
+        has_no_answer = isinstance(error, DiscoveryTimeoutError)
         if isinstance(error, DiscoveryOverloadedError) or (has_no_answer and self.has_no_list):
             delay_ms = self.backoff.overload_delay_ms()
         else:
-            delay_ms = self.backoff.retry_delay_ms(self._failures)
+            delay_ms = self.backoff.retry_delay_ms(self._consecutive_failures)
         if has_no_answer and not self.backoff.must_poll:
             # The list counts as reported as soon as the agent answers again. A watch is answered only after the next
             # change, so the whole list is polled.
@@ -168,33 +168,33 @@
 
     async def _sleep(self, delay_ms: float) -> None:
         """Waits for that time, or until discovery's address changes."""
-        # `change_address` interrupts `run_within`; the sleep in it is longer, so that it never ends first.
+        # `change_address` interrupts `run_with_timeout`; the sleep in it is longer, so that it never ends first.
         with contextlib.suppress(OSError):
-            await self._client.run_within(delay_ms, self._clock.sleep(2 * delay_ms))
+            await self._client.run_with_timeout(delay_ms, self._clock.sleep(2 * delay_ms))
 
     async def _poll(self) -> None:
         version = self._watch_version
         watch_ms = self.backoff.watch_timeout_ms if version is not None else 0
         query = f"?index={version}&wait={watch_ms:.0f}" if version is not None else ""
         started_ms = self._clock.now_ms()
-        grace_ms = NO_LIST_ANSWER_GRACE_MS if self.has_no_list else self.backoff.answer_grace_ms
+        grace_ms = NO_LIST_RESPONSE_GRACE_MS if self.has_no_list else self.backoff.response_grace_ms
         try:
             raw = await self._client.get(f"/discovery/hosts{query}", watch_ms + grace_ms)
         except DiscoveryStatusError:
             self._watch_version = None  # discovery may no longer know that version
             raise
-        answer = parse_answer(raw)
-        self._check(answer)
+        answer = parse_response(raw)
+        self._reject_empty_or_older(answer)
         self._watch_version = answer.version
         if not answer.rows and self._clock.now_ms() - started_ms < MIN_POLL_INTERVAL_MS:
             # A discovery that answers a watch at once would make the loop spin.
-            await self._client.run_within(2 * MIN_POLL_INTERVAL_MS, self._clock.sleep(MIN_POLL_INTERVAL_MS))
+            await self._client.run_with_timeout(2 * MIN_POLL_INTERVAL_MS, self._clock.sleep(MIN_POLL_INTERVAL_MS))
         if answer.rows or answer.is_full:
             self._update(EndpointListKind.FULL if answer.is_full else EndpointListKind.CHANGES, answer.rows)
         self._on_answer()
         self.has_answered.set()
 
-    def _check(self, answer: EndpointAnswer) -> None:
+    def _reject_empty_or_older(self, answer: EndpointListResponse) -> None:
         """Rejects an answer that must not replace the present list.
 
         An empty list would take all servers out of use, and an old one brings back servers that are gone. A discovery
@@ -206,9 +206,9 @@
         if answer.is_full and not answer.rows:
             raise DiscoveryError("an empty list")
         if answer.version < self.newest_version:
-            self._older_answers += 1
-            if self._older_answers < OLDER_ANSWERS_BELIEVED or not answer.is_full:
+            self._consecutive_older_responses += 1
+            if self._consecutive_older_responses < OLDER_RESPONSES_TO_ACCEPT or not answer.is_full:
                 self._watch_version = None  # to poll the whole list
                 raise DiscoveryError(f"version {answer.version} after {self.newest_version}")
         self.newest_version = answer.version
-        self._older_answers = 0
+        self._consecutive_older_responses = 0
--- a/glenrock/net/graceful_shutdown.py
+++ b/glenrock/net/graceful_shutdown.py
@@ -92,7 +92,7 @@
             logger.info("drain started", clients=len(self._table.by_id))
             self._acceptor.is_manually_draining = True
             self._acceptor.drain_permit_check = drain_permit_is_valid
-            self._table.routing.post_first(interface.DrainMode(True))
+            self._table.routing.post_priority_event(interface.DrainMode(True))
             self._manual_drain = asyncio.get_running_loop().create_task(self._drain())
 
     def end_manual_drain(self) -> None:
@@ -113,7 +113,7 @@
     def _cancel_manual_drain(self) -> None:
         if self._manual_drain:
             self._manual_drain.cancel()
-            self._table.routing.post_first(interface.DrainMode(False))
+            self._table.routing.post_priority_event(interface.DrainMode(False))
         self._manual_drain = None
         self._acceptor.is_manually_draining = False
         self._acceptor.rejects_requests = False
@@ -168,7 +168,7 @@
         self._is_stopping = True
         self._cancel_manual_drain()
         routing = self._table.routing
-        routing.post_first(interface.DrainMode(True))
+        routing.post_priority_event(interface.DrainMode(True))
         end_ms = self._end_ms()
         if has_inherited_listener:
             self._acceptor.close()
--- a/glenrock/net/health_check_connection.py
+++ b/glenrock/net/health_check_connection.py
@@ -16,22 +16,22 @@
 from .health_check_pool import HealthCheckPool
 from .protocol import ServerWord
 from .socket_io import close_socket, create_socket
-from .system_errors import is_local_error
+from .system_errors import is_local_connect_error
 
 HEALTH_CHECK_TIMEOUT_MS = 250.0  # for the answer to a health check
-UNUSED_TIMEOUT_MS = 8000.0  # an unused connection is closed after this time
+HEALTH_CHECK_IDLE_TIMEOUT_MS = 8000.0  # an unused connection is closed after this time
 
 
-class HealthAnswer(NamedTuple):
+class CheckResult(NamedTuple):
     """The result of a health check, with the load report of the server."""
 
     outcome: interface.AttemptOutcome
     report: dict[str, float]
 
 
-NO_CONNECTION = HealthAnswer(interface.AttemptOutcome.NO_CONNECTION, {})
-NO_ANSWER = HealthAnswer(interface.AttemptOutcome.TIMEOUT, {})
-NOT_SENT = HealthAnswer(interface.AttemptOutcome.UNSENT, {})  # because of this machine: says nothing about the server
+NO_CONNECTION = CheckResult(interface.AttemptOutcome.NO_CONNECTION, {})
+NO_ANSWER = CheckResult(interface.AttemptOutcome.TIMEOUT, {})
+NOT_SENT = CheckResult(interface.AttemptOutcome.UNSENT, {})  # because of this machine: says nothing about the server
 
 
 class HealthCheckConnection:
@@ -43,7 +43,7 @@
         self._pool = pool
         self._sock: socket.socket | None = None
         self._is_connected = False
-        self._used_ms = 0.0
+        self._last_used_ms = 0.0
 
     async def check(self, row: EndpointRow) -> None:
         """Sends a health check and posts its result, which is UNSENT if all connections of the pool are in use."""
@@ -54,18 +54,18 @@
             return
         try:
             async with self._clock.time_limit(HEALTH_CHECK_TIMEOUT_MS):
-                answer = await self._ask(row)
+                answer = await self._check_with_reconnect(row)
         except OSError as error:
-            answer = NOT_SENT if is_local_error(error) and not self._is_connected else NO_CONNECTION
+            answer = NOT_SENT if is_local_connect_error(error) and not self._is_connected else NO_CONNECTION
         finally:
             if answer.outcome is not interface.AttemptOutcome.SERVED:
                 self.disconnect()
             self._pool.release(self)
-        self._used_ms = self._clock.now_ms()
-        latency_us = us_from_ms(self._used_ms - sent_ms)
+        self._last_used_ms = self._clock.now_ms()
+        latency_us = us_from_ms(self._last_used_ms - sent_ms)
         self._post(interface.HealthCheckResult(row.name, answer.outcome, latency_us, answer.report))
 
-    async def _ask(self, row: EndpointRow) -> HealthAnswer:
+    async def _check_with_reconnect(self, row: EndpointRow) -> CheckResult:
         if self._sock:
             # A server may just have closed an unused connection, which says nothing about its health: two such ends
             # would eject a healthy server. The check is repeated on a new connection.
@@ -80,7 +80,7 @@
         self._is_connected = True
         return await self._exchange(self._sock)
 
-    async def _exchange(self, sock: socket.socket) -> HealthAnswer:
+    async def _exchange(self, sock: socket.socket) -> CheckResult:
         """Sends the health check and reads its answer. Raises OSError."""
         loop = asyncio.get_running_loop()
         await loop.sock_sendall(sock, protocol.HEALTH_CHECK)
@@ -93,10 +93,10 @@
             for line in splitter.feed(bytes(buffer[:count])):
                 word, rest = protocol.split_first_word(line)
                 if word != ServerWord.HEALTHY and "=" not in word:
-                    return HealthAnswer(interface.AttemptOutcome.ERROR, {})
+                    return CheckResult(interface.AttemptOutcome.ERROR, {})
                 text = rest if word == ServerWord.HEALTHY else word
                 if "=" in text:
-                    return HealthAnswer(interface.AttemptOutcome.SERVED, protocol.parse_load_report(text))
+                    return CheckResult(interface.AttemptOutcome.SERVED, protocol.parse_load_report(text))
 
     def disconnect(self) -> None:
         """Closes the connection."""
@@ -110,7 +110,7 @@
         """Whether there is a connection."""
         return self._sock is not None
 
-    def close_if_unused(self) -> None:
+    def close_if_idle(self) -> None:
         """Closes a connection that has been unused for a while. No health check may be in flight."""
-        if self._sock and self._clock.now_ms() - self._used_ms > UNUSED_TIMEOUT_MS:
+        if self._sock and self._clock.now_ms() - self._last_used_ms > HEALTH_CHECK_IDLE_TIMEOUT_MS:
             self.disconnect()
--- a/glenrock/net/idle_connections.py
+++ b/glenrock/net/idle_connections.py
@@ -78,7 +78,7 @@
     def stop_all_reading(self) -> None:
         """Ends the wait of all connections for a line."""
         for limit in list(self._read_limits.values()):
-            limit.stop()
+            limit.expire()
 
     def shed_oldest(self) -> bool:
         """Frees a descriptor.
@@ -111,4 +111,4 @@
         del connections[task]
         self._shed.add(task)
         if limit := self._read_limits.get(task):
-            limit.stop()
+            limit.expire()
--- a/glenrock/net/listening_socket.py
+++ b/glenrock/net/listening_socket.py
@@ -10,7 +10,7 @@
 from ..log import get_logger
 from .clock import Clock
 from .metrics import ConnectionMetrics
-from .system_errors import is_gone_before_accept, is_shortage
+from .system_errors import is_resource_exhausted, was_aborted_before_accept
 
 SHORTAGE_MS = 100.0  # an idle connection is closed once a shortage of resources has lasted this long
 ACCEPT_PAUSE_MS = 20.0
@@ -87,7 +87,7 @@
                 return
             except OSError as error:
                 self._metrics.add_system_error(error)
-                if is_gone_before_accept(error):
+                if was_aborted_before_accept(error):
                     continue
                 self._pause(self.sock, error)
                 return
@@ -98,7 +98,7 @@
         """Pauses accepting: the listening socket stays readable, and the loop would spin."""
         logger.warning("accepting paused after a resource error", error=error, pause_ms=ACCEPT_PAUSE_MS)
         now_ms = self._clock.now_ms()
-        if is_shortage(error):
+        if is_resource_exhausted(error):
             if self._shortage_since_ms is None:
                 self._shortage_since_ms = now_ms
             if now_ms - self._shortage_since_ms >= SHORTAGE_MS:
--- a/glenrock/net/peers.py
+++ b/glenrock/net/peers.py
@@ -16,7 +16,7 @@
 from ..log import get_logger
 
 MAX_DATAGRAM_BYTES = 256
-FIRST_COORDINATION_KIND = b"\xf1"  # of the first byte; a gossip summary begins with its version, a lower number
+FIRST_COORDINATION_MESSAGE_TYPE = b"\xf1"  # of the first byte; a gossip summary begins with its version, a lower number
 MAX_READS_PER_WAKEUP = 64  # bounds the time that a flood of datagrams takes from connections
 
 logger = get_logger(__name__)
@@ -39,7 +39,7 @@
         broadcast: Address | None,
         post: Callable[[interface.Event], bool],
         balancers: int,
-        shares_address: bool = False,
+        reuses_address: bool = False,
     ) -> None:
         self.on_datagram: Callable[[int, bytes], None] | None = None
         self.number_by_address: dict[Address, int] = {}
@@ -51,7 +51,7 @@
         self.change_addresses(peers, broadcast)
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.sock.setblocking(False)
-        if shares_address:
+        if reuses_address:
             # Both processes of an upgrade bind the address, and the later one gets the datagrams.
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.sock.bind(listen)
@@ -67,7 +67,7 @@
             peers: one address for each balancer.
             broadcast: an address that reaches all of them; None without one.
         """
-        number_by_address, fault = _number_addresses(peers, self._balancers)
+        number_by_address, fault = _assign_numbers(peers, self._balancers)
         if fault:
             if self.number_by_address:
                 logger.error("peer addresses invalid: previous addresses stay", fault=fault)
@@ -92,7 +92,7 @@
                 continue
             if self.on_datagram:
                 self.on_datagram(peer, data)
-            if not self.on_datagram or data[:1] < FIRST_COORDINATION_KIND:
+            if not self.on_datagram or data[:1] < FIRST_COORDINATION_MESSAGE_TYPE:
                 self._post(interface.GossipReceived(peer, data))
 
     def send_to(self, peer: int, data: bytes) -> None:
@@ -118,7 +118,7 @@
         self.sock.close()
 
 
-def _number_addresses(peers: tuple[Address, ...], balancers: int) -> tuple[dict[Address, int], str]:
+def _assign_numbers(peers: tuple[Address, ...], balancers: int) -> tuple[dict[Address, int], str]:
     """Returns the number of the first balancer of each address, and why the addresses are invalid; empty if valid."""
     number_by_address: dict[Address, int] = {}
     fault = ""
--- a/glenrock/net/routing_actor.py
+++ b/glenrock/net/routing_actor.py
@@ -18,7 +18,7 @@
 from .clock import Clock, ms_from_us, us_from_ms
 from .mailbox import Mailbox
 
-MAX_EVENTS = 65536  # in the mailbox; with more, new requests are rejected
+MAX_QUEUED_EVENTS = 65536  # in the mailbox; with more, new requests are rejected
 TIMER_MARGIN_MS = 0.5  # a wake-up before its time would find no timer due
 
 logger = get_logger(__name__)
@@ -54,7 +54,7 @@
     Attributes:
         balancer: the decisions.
         mailbox: events that wait for the next batch.
-        connection_of: finds the connection of a request; set by the table of connections.
+        find_connection: finds the connection of a request; set by the table of connections.
         send_health_check: sends a health check to a server.
         send_gossip: sends a gossip summary to the peers.
         watch_endpoints: subscribes to the endpoint list; the program polls by itself and does not set it.
@@ -62,15 +62,15 @@
 
     def __init__(self, settings: interface.Settings, seed: int, clock: Clock) -> None:
         self.balancer = Balancer(settings, seed)
-        self.mailbox: Mailbox[interface.Event] = Mailbox(MAX_EVENTS)
-        self.connection_of: Callable[[str], RoutedConnection | None] = _no_connection
-        self.send_health_check: Callable[[str], None] = _ignore_server
-        self.send_gossip: Callable[[bytes], None] = _ignore_data
-        self.watch_endpoints: Callable[[], None] = _ignore
+        self.mailbox: Mailbox[interface.Event] = Mailbox(MAX_QUEUED_EVENTS)
+        self.find_connection: Callable[[str], RoutedConnection | None] = _find_no_connection
+        self.send_health_check: Callable[[str], None] = _ignore_health_check
+        self.send_gossip: Callable[[bytes], None] = _ignore_gossip
+        self.watch_endpoints: Callable[[], None] = _ignore_watch_request
         self._clock = clock
         self._timers: list[tuple[int, int]] = []  # a heap of times in microseconds and timer ids
-        self._last_us = 0
-        self._first_events: list[interface.Event] = []  # of the next batch, however full the mailbox is
+        self._last_batch_us = 0
+        self._priority_events: list[interface.Event] = []  # of the next batch, however full the mailbox is
         self._batch_waiters: list[asyncio.Future[None]] = []
 
     def post(self, event: interface.Event) -> bool:
@@ -85,14 +85,14 @@
         """Returns whether a request may be rejected, as a retry of it would be harmless."""
         return self.balancer.may_reject(request_id)
 
-    def post_first(self, event: interface.Event) -> None:
+    def post_priority_event(self, event: interface.Event) -> None:
         """Puts an operator's event at the start of the next batch."""
-        self._first_events.append(event)
+        self._priority_events.append(event)
         self.mailbox.wake()
 
     def stop_gossip(self) -> None:
         """Sends no more gossip, as another process does so for this balancer."""
-        self.send_gossip = _ignore_data
+        self.send_gossip = _ignore_gossip
 
     async def wait_for_batch(self) -> None:
         """Waits until the events posted before this call have been handled."""
@@ -105,9 +105,9 @@
         """Handles batches for as long as the program runs."""
         while True:
             batch = await self._next_batch()
-            first_events, self._first_events = self._first_events, []
+            priority_events, self._priority_events = self._priority_events, []
             waiters, self._batch_waiters = self._batch_waiters, []
-            self.handle_batch(first_events + batch)
+            self.handle_batch(priority_events + batch)
             for done in waiters:
                 if not done.done():
                     done.set_result(None)
@@ -119,14 +119,14 @@
             wake_up = self._clock.call_at(at_ms, self.mailbox.wake)
         # A wake-up is lost before `get_all` waits, so what came until now must not wait for a message. Afterwards a
         # wake-up ends the wait in `get_all`, which returns the events in the mailbox too.
-        batch = [] if self._first_events or self._batch_waiters else await self.mailbox.get_all()
+        batch = [] if self._priority_events or self._batch_waiters else await self.mailbox.get_all()
         if wake_up:
             wake_up.cancel()
         return batch
 
     def handle_batch(self, batch: list[interface.Event]) -> None:
         """Passes a batch and the timers that are due to routing, and carries out the actions."""
-        now_us = self._last_us = max(self._last_us, us_from_ms(self._clock.now_ms()))
+        now_us = self._last_batch_us = max(self._last_batch_us, us_from_ms(self._clock.now_ms()))
         while self._timers and self._timers[0][0] <= now_us:
             batch.append(interface.TimerFired(heapq.heappop(self._timers)[1]))
         try:
@@ -138,7 +138,7 @@
                 self.balancer.schedule_round(now_us + ROUND_US)
         self._log_changes()
         for action in actions:
-            self.act(action)
+            self.execute_action(action)
 
     def _log_changes(self) -> None:
         for ignored in self.balancer.batch.ignored_summaries:
@@ -149,7 +149,7 @@
             else:
                 logger.info("zone no longer believed partitioned: recovery ramp begins", zone=zone)
 
-    def act(self, action: interface.Action) -> None:
+    def execute_action(self, action: interface.Action) -> None:
         """Carries out an action."""
         match action:
             case interface.SetTimer(at_us, timer_id):
@@ -161,8 +161,8 @@
             case interface.WatchEndpoints():
                 self.watch_endpoints()
             case _:
-                if connection := self.connection_of(action.request_id):
-                    _act_on(connection, action)
+                if connection := self.find_connection(action.request_id):
+                    _execute_on_connection(connection, action)
 
 
 ConnectionAction = (
@@ -170,7 +170,7 @@
 )
 
 
-def _act_on(connection: RoutedConnection, action: ConnectionAction) -> None:
+def _execute_on_connection(connection: RoutedConnection, action: ConnectionAction) -> None:
     match action:
         case interface.StartAttempt(_, server, timeout_us):
             connection.start_attempt(server, ms_from_us(timeout_us))
@@ -184,18 +184,18 @@
             connection.migrate()
 
 
-def _no_connection(request_id: str) -> RoutedConnection | None:
+def _find_no_connection(request_id: str) -> RoutedConnection | None:
     """Finds no connection: no table is set."""
     return None
 
 
-def _ignore() -> None:
+def _ignore_watch_request() -> None:
     """Does nothing: the port is not set."""
 
 
-def _ignore_server(server: str) -> None:
+def _ignore_health_check(server: str) -> None:
     """Does nothing: the port is not set."""
 
 
-def _ignore_data(data: bytes) -> None:
+def _ignore_gossip(data: bytes) -> None:
     """Does nothing: the port is not set."""
--- a/glenrock/net/server_actor.py
+++ b/glenrock/net/server_actor.py
@@ -21,17 +21,17 @@
 from .metrics import ConnectionMetrics
 from .protocol import ServerWord
 from .socket_io import close_socket, create_socket
-from .system_errors import is_local_error
+from .system_errors import is_local_connect_error
 
-MAX_MESSAGES = 1024  # health checks and attempts that wait for one actor
-LOCAL_RETRY_MS = 20.0  # after this machine could not begin a connection
-ENDS_BY_WORD: dict[str, AttemptEnd] = {
+MAX_QUEUED_MESSAGES = 1024  # health checks and attempts that wait for one actor
+LOCAL_RETRY_DELAY_MS = 20.0  # after this machine could not begin a connection
+END_BY_KEYWORD: dict[str, AttemptEnd] = {
     ServerWord.REJECTED: AttemptEnd.REJECTED,
     ServerWord.SERVED: AttemptEnd.SERVED,
     ServerWord.MIGRATE: AttemptEnd.MIGRATED,
 }
 
-Post = Callable[[interface.Event], bool]
+PostEvent = Callable[[interface.Event], bool]
 
 logger = get_logger(__name__)
 
@@ -60,7 +60,7 @@
         row: EndpointRow,
         clock: Clock,
         connect_timeout_ms: float,
-        post: Post,
+        post: PostEvent,
         metrics: ConnectionMetrics,
         pool: HealthCheckPool,
     ) -> None:
@@ -68,13 +68,13 @@
         self.connect_timeout_ms = connect_timeout_ms
         self.is_suspended = False
         self.post = post
-        self.mailbox: Mailbox[ConnectionAttempt | ServerCommand] = Mailbox(MAX_MESSAGES)
+        self.mailbox: Mailbox[ConnectionAttempt | ServerCommand] = Mailbox(MAX_QUEUED_MESSAGES)
         self.health_check_task: asyncio.Task[None] | None = None
         self.tasks: set[asyncio.Task[None]] = set()
         self._clock = clock
         self._metrics = metrics
         self._health_check_connection = HealthCheckConnection(clock, lambda event: self.post(event), pool)
-        self._actor = asyncio.get_running_loop().create_task(self._run())
+        self._run_task = asyncio.get_running_loop().create_task(self._run())
 
     @property
     def accepts_connections(self) -> bool:
@@ -87,36 +87,36 @@
         return not (self.tasks or self.mailbox.messages or self._health_check_connection.is_open)
 
     @property
-    def _checks_health(self) -> bool:
+    def _is_health_check_running(self) -> bool:
         return self.health_check_task is not None and not self.health_check_task.done()
 
     def stop(self) -> None:
         """Ends the actor."""
-        self._actor.cancel()
+        self._run_task.cancel()
         if self.health_check_task:
             self.health_check_task.cancel()
 
     def update(self, row: EndpointRow) -> None:
         """Replaces the server's row."""
         has_restarted = row.since_ms != self.row.since_ms or row.address != self.row.address
-        if has_restarted and not self._checks_health:
+        if has_restarted and not self._is_health_check_running:
             self._health_check_connection.disconnect()  # the connection belongs to the earlier process
         self.row = row
 
-    def close_unused_connection(self) -> None:
+    def close_idle_connection(self) -> None:
         """Closes the connection for health checks if it has been unused for a while."""
-        if not self._checks_health:
-            self._health_check_connection.close_if_unused()
+        if not self._is_health_check_running:
+            self._health_check_connection.close_if_idle()
 
     async def _run(self) -> None:
         while True:
             for job in await self.mailbox.get_all():
                 if isinstance(job, ConnectionAttempt):
-                    job.task = self._start(self._run_attempt(job))
-                elif not self._checks_health:
-                    self.health_check_task = self._start(self._health_check_connection.check(self.row))
+                    job.task = self._create_task(self._run_attempt(job))
+                elif not self._is_health_check_running:
+                    self.health_check_task = self._create_task(self._health_check_connection.check(self.row))
 
-    def _start(self, work: Coroutine[None, None, None]) -> asyncio.Task[None]:
+    def _create_task(self, work: Coroutine[None, None, None]) -> asyncio.Task[None]:
         task = asyncio.get_running_loop().create_task(work)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
@@ -127,7 +127,7 @@
     async def _run_attempt(self, attempt: ConnectionAttempt) -> None:
         attempt.started_ms = self._clock.now_ms()
         try:
-            result = await self.attempt(attempt)
+            result = await self.connect_and_request(attempt)
         except asyncio.CancelledError:
             result = AttemptResult(AttemptEnd.CANCELLED, attempt.reach)
         except OSError:
@@ -142,10 +142,10 @@
         attempt.latency_ms = self._clock.now_ms() - attempt.started_ms
         attempt.on_result(attempt, result)
 
-    def _left_ms(self, attempt: ConnectionAttempt) -> float:
+    def _remaining_ms(self, attempt: ConnectionAttempt) -> float:
         return attempt.started_ms + attempt.timeout_ms - self._clock.now_ms()
 
-    async def attempt(self, attempt: ConnectionAttempt) -> AttemptResult:
+    async def connect_and_request(self, attempt: ConnectionAttempt) -> AttemptResult:
         """Connects, writes the request line and awaits the answer.
 
         Raises:
@@ -158,7 +158,7 @@
         try:
             sock = await self._connect(attempt)
         except OSError as error:
-            if not is_local_error(error):
+            if not is_local_connect_error(error):
                 raise
             self._record_local_error(attempt, error)
             return AttemptResult(AttemptEnd.NOT_SENT, attempt.reach)
@@ -188,27 +188,27 @@
         Raises:
             OSError: the connect failed, or this machine could not begin it within the connect timeout.
         """
-        deadline_ms = self._clock.now_ms() + min(self.connect_timeout_ms, self._left_ms(attempt))
+        deadline_ms = self._clock.now_ms() + min(self.connect_timeout_ms, self._remaining_ms(attempt))
         while True:
             try:
                 sock = attempt.sock = create_socket()
                 async with self._clock.time_limit(deadline_ms - self._clock.now_ms()) as limit:
                     await asyncio.get_running_loop().sock_connect(sock, self.row.address)
             except OSError as error:
-                if not is_local_error(error) or self._clock.now_ms() + LOCAL_RETRY_MS >= deadline_ms:
+                if not is_local_connect_error(error) or self._clock.now_ms() + LOCAL_RETRY_DELAY_MS >= deadline_ms:
                     raise
                 if attempt.sock:
                     attempt.sock.close()
                     attempt.sock = None
             else:
                 return None if limit.has_expired else sock
-            await self._clock.sleep(LOCAL_RETRY_MS)
+            await self._clock.sleep(LOCAL_RETRY_DELAY_MS)
 
     async def _send_request(self, attempt: ConnectionAttempt, sock: socket.socket) -> AttemptResult:
         loop = asyncio.get_running_loop()
-        async with self._clock.time_limit(self._left_ms(attempt)):
+        async with self._clock.time_limit(self._remaining_ms(attempt)):
             attempt.reach = Reach.PARTLY_WRITTEN
-            await loop.sock_sendall(sock, protocol.with_time_left(attempt.line, self._left_ms(attempt)))
+            await loop.sock_sendall(sock, protocol.with_time_left(attempt.line, self._remaining_ms(attempt)))
             attempt.reach = Reach.WRITTEN
             self._metrics.attempts_written += 1
             return await self._read_answer(attempt, sock)
@@ -234,5 +234,5 @@
             return AttemptResult(AttemptEnd.ESTABLISHED, attempt.reach)
         if word == ServerWord.MALFORMED:
             logger.error("server rejected the form of a request line", server=self.row.name, line=attempt.line)
-        end = ENDS_BY_WORD.get(word, AttemptEnd.ERROR)
+        end = END_BY_KEYWORD.get(word, AttemptEnd.ERROR)
         return AttemptResult(end, attempt.reach, protocol.parse_load_report(rest))
--- a/glenrock/net/server_connections.py
+++ b/glenrock/net/server_connections.py
@@ -13,11 +13,13 @@
 from .endpoint_rows import EndpointRow
 from .health_check_pool import HealthCheckPool
 from .metrics import ConnectionMetrics
-from .server_actor import Post, ServerActor, ServerCommand
+from .server_actor import PostEvent, ServerActor, ServerCommand
 from .start_times import StartTimes
 
 MAX_SERVERS = 8192  # bounds the memory for rows
-RETIRE_AFTER_MS = 10_000.0  # without work; checked at this interval, so an actor is retired within twice this time
+RETIRE_CHECK_INTERVAL_MS = (
+    10_000.0  # without work; checked at this interval, so an actor is retired within twice this time
+)
 
 logger = get_logger(__name__)
 
@@ -41,7 +43,7 @@
         self,
         clock: Clock,
         connect_timeout_ms: float,
-        post: Post,
+        post: PostEvent,
         metrics: ConnectionMetrics,
         budget: DescriptorBudget,
         start_times: StartTimes,
@@ -56,11 +58,11 @@
         self._metrics = metrics
         self._budget = budget
         self._start_times = start_times
-        self._pool = HealthCheckPool(lambda: budget.health_connections)
-        self._retirable_names: set[str] = (
+        self._pool = HealthCheckPool(lambda: budget.max_health_check_connections)
+        self._retirable_at_last_check: set[str] = (
             set()
         )  # servers whose actors had no work at the last check; without work at two checks in a row an actor is retired
-        self._retirable_checked_ms = clock.now_ms()
+        self._last_retire_check_ms = clock.now_ms()
 
     def set_suspended(self, name: str, is_suspended: bool) -> None:
         """Takes a server out of rotation, for attempts that wait too, or back into rotation."""
@@ -83,7 +85,7 @@
         """Returns whether the server is listed, or was."""
         return name in self.rows
 
-    def count_health_connections(self) -> int:
+    def count_health_check_connections(self) -> int:
         """Returns the number of open connections for health checks."""
         return len(self._pool)
 
@@ -107,12 +109,12 @@
         if kind is not EndpointListKind.CHANGES:
             self._mark_others_gone({row.name for row in rows})
         for row in rows:
-            self._update_row(row)
+            self._replace_row(row)
         self._budget.servers = len(self.rows)
         self.has_list = self.has_list or kind is EndpointListKind.FULL
         accepted = [row for row in rows if row.name in self.rows]
-        started_ms = self._start_times.started_ms(accepted)
-        endpoints = tuple(_endpoint_of(row, at_ms) for row, at_ms in zip(accepted, started_ms, strict=True))
+        started_ms = self._start_times.start_times_ms(accepted)
+        endpoints = tuple(_to_endpoint(row, at_ms) for row, at_ms in zip(accepted, started_ms, strict=True))
         self.post(interface.EndpointList(kind, endpoints))
 
     def _mark_others_gone(self, listed: set[str]) -> None:
@@ -120,9 +122,9 @@
             if name not in listed:
                 row.state = EndpointState.GONE
 
-    def _update_row(self, row: EndpointRow) -> None:
+    def _replace_row(self, row: EndpointRow) -> None:
         if row.name not in self.rows and len(self.rows) >= MAX_SERVERS:
-            self._forget_gone()
+            self._remove_gone_rows()
             if len(self.rows) >= MAX_SERVERS:
                 logger.error("endpoint row ignored: too many servers", server=row.name, max_servers=MAX_SERVERS)
                 return
@@ -130,7 +132,7 @@
         if actor := self.actors.get(row.name):
             actor.update(row)
 
-    def _forget_gone(self) -> None:
+    def _remove_gone_rows(self) -> None:
         gone = [
             row.name for row in self.rows.values() if row.state is EndpointState.GONE and not self._has_tasks(row.name)
         ]
@@ -149,22 +151,22 @@
         if actor is None or not actor.mailbox.try_put(ServerCommand.HEALTH_CHECK):
             self.post(interface.HealthCheckResult(name, interface.AttemptOutcome.UNSENT))
 
-    def close_unused(self) -> None:
+    def close_idle_connections(self) -> None:
         """Closes unused connections for health checks, and retires actors without work."""
         for actor in self.actors.values():
-            actor.close_unused_connection()
-        if self._clock.now_ms() - self._retirable_checked_ms < RETIRE_AFTER_MS:
+            actor.close_idle_connection()
+        if self._clock.now_ms() - self._last_retire_check_ms < RETIRE_CHECK_INTERVAL_MS:
             return
-        self._retirable_checked_ms = self._clock.now_ms()
+        self._last_retire_check_ms = self._clock.now_ms()
         retirable_names = {name for name, actor in self.actors.items() if actor.may_retire}
-        for name in retirable_names & self._retirable_names:
+        for name in retirable_names & self._retirable_at_last_check:
             self._retire(name)
-        self._retirable_names = retirable_names
+        self._retirable_at_last_check = retirable_names
 
     def _retire(self, name: str) -> None:
         if actor := self.actors.pop(name, None):
             actor.stop()
 
 
-def _endpoint_of(row: EndpointRow, started_ms: float) -> interface.Endpoint:
+def _to_endpoint(row: EndpointRow, started_ms: float) -> interface.Endpoint:
     return interface.Endpoint(row.name, row.state, row.zone, row.group, row.weight, us_from_ms(started_ms))
--- a/glenrock/net/start_times.py
+++ b/glenrock/net/start_times.py
@@ -6,10 +6,10 @@
 machine's clock. Each age is computed once, when `since_ms` is first reported, and a later step of a clock does not
 change it:
 
-1. By two clocks: `now - since_ms` by the process's clock and by the wall clock, and the lesser of both (`_age`).
-2. In a later list: at most the time since discovery's last answer plus `REPORT_DELAY_MS` (`_age_of_new_report`).
+1. By two clocks: `now - since_ms` by the process's clock and by the wall clock, and the lesser of both (`_min_age_ms`).
+2. In a later list: at most the time since discovery's last answer plus `REPORT_DELAY_MS` (`_age_in_later_list_ms`).
 3. In the first list: a clock that shows an earlier time than the newest `since_ms` is behind, so it counts as showing
-   that time (`_ages_in_first_list`).
+   that time (`_ages_in_first_list_ms`).
 4. In the first list, for servers that started within one slow start of the newest: the time between both starts, so
    that they count as warming up. Not if they are more than half of all servers: the others would get all load.
 
@@ -28,7 +28,7 @@
 from .endpoint_rows import EndpointRow
 
 REPORT_DELAY_MS = 3000.0  # from a server's start until discovery reports it
-LONG_AGO = 0.0
+LONG_AGO_MS = 0.0
 
 
 def wall_now_ms() -> float:
@@ -57,43 +57,43 @@
         self._slow_start_ms = slow_start_ms
         self._wall_ms = wall_ms
         self._known: dict[str, _KnownStart] = {}
-        self._answered_ms: float | None = None
+        self._last_response_ms: float | None = None
 
     def record_answer(self) -> None:
         """Records that discovery has answered, so that starts first reported from now on are recent."""
-        self._answered_ms = self._clock.now_ms()
+        self._last_response_ms = self._clock.now_ms()
 
     def forget(self, name: str) -> None:
         """Removes a server that is no longer listed."""
         self._known.pop(name, None)
 
-    def started_ms(self, rows: Sequence[EndpointRow]) -> list[float]:
+    def start_times_ms(self, rows: Sequence[EndpointRow]) -> list[float]:
         """Returns the start of each server in milliseconds of this process's clock; 0 for a start long ago."""
         now_ms = self._clock.now_ms()
         fresh = [row for row in rows if row.since_ms and not self._is_known(row)]
-        if self._answered_ms is None:
-            ages_ms = self._ages_in_first_list(rows, fresh)
+        if self._last_response_ms is None:
+            ages_ms = self._ages_in_first_list_ms(rows, fresh)
         else:
-            ages_ms = [self._age_of_new_report(row) for row in fresh]
+            ages_ms = [self._age_in_later_list_ms(row) for row in fresh]
         for row, age_ms in zip(fresh, ages_ms, strict=True):
             self._known[row.name] = _KnownStart(row.since_ms, now_ms - age_ms)
-        return [self._known[row.name].started_ms if row.since_ms else LONG_AGO for row in rows]
+        return [self._known[row.name].started_ms if row.since_ms else LONG_AGO_MS for row in rows]
 
     def _is_known(self, row: EndpointRow) -> bool:
         known = self._known.get(row.name)
         return known is not None and known.since_ms == row.since_ms
 
-    def _age(self, since_ms: float, least_now_ms: float = 0.0) -> float:
+    def _min_age_ms(self, since_ms: float, least_now_ms: float = 0.0) -> float:
         """Returns the lesser age by this process's clock and by the wall clock."""
         readings = (self._clock.now_ms(), self._wall_ms())
         return min(max(0.0, max(reading, least_now_ms) - since_ms) for reading in readings)
 
-    def _age_of_new_report(self, row: EndpointRow) -> float:
-        assert self._answered_ms is not None, "discovery has answered"
-        max_age_ms = self._clock.now_ms() - self._answered_ms + REPORT_DELAY_MS
-        return min(self._age(row.since_ms), max_age_ms)
+    def _age_in_later_list_ms(self, row: EndpointRow) -> float:
+        assert self._last_response_ms is not None, "discovery has answered"
+        max_age_ms = self._clock.now_ms() - self._last_response_ms + REPORT_DELAY_MS
+        return min(self._min_age_ms(row.since_ms), max_age_ms)
 
-    def _ages_in_first_list(self, rows: Sequence[EndpointRow], fresh: Sequence[EndpointRow]) -> list[float]:
+    def _ages_in_first_list_ms(self, rows: Sequence[EndpointRow], fresh: Sequence[EndpointRow]) -> list[float]:
         newest_ms = max((row.since_ms for row in fresh), default=0.0)
         recently_started = sum(newest_ms - row.since_ms < self._slow_start_ms for row in fresh)
         may_have_just_started = 2 * recently_started <= len(rows)
@@ -103,5 +103,5 @@
             if may_have_just_started and behind_newest_ms < self._slow_start_ms:
                 ages.append(behind_newest_ms)
             else:
-                ages.append(self._age(row.since_ms, newest_ms))
+                ages.append(self._min_age_ms(row.since_ms, newest_ms))
         return ages
--- a/glenrock/net/system_errors.py
+++ b/glenrock/net/system_errors.py
@@ -19,10 +19,10 @@
 
 import errno
 
-SHORTAGE = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
+EXHAUSTION_ERRNOS = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
 """A resource of this process or machine is exhausted."""
 
-GONE_BEFORE_ACCEPT = frozenset(
+ABORTED_BEFORE_ACCEPT_ERRNOS = frozenset(
     (
         errno.ECONNABORTED,
         errno.EPROTO,
@@ -41,7 +41,7 @@
 )
 """Errors of a connection that ended in the queue; accept(2) says to treat them like EAGAIN."""
 
-LOCAL = SHORTAGE | {
+LOCAL_CONNECT_ERRNOS = EXHAUSTION_ERRNOS | {
     errno.EADDRNOTAVAIL,
     errno.EAGAIN,
     errno.ENETUNREACH,
@@ -53,16 +53,16 @@
 """Errors that prevent a connect on this machine, and say nothing about the server."""
 
 
-def is_shortage(error: OSError) -> bool:
+def is_resource_exhausted(error: OSError) -> bool:
     """Returns whether a resource of this process or machine is exhausted."""
-    return error.errno in SHORTAGE
+    return error.errno in EXHAUSTION_ERRNOS
 
 
-def is_gone_before_accept(error: OSError) -> bool:
+def was_aborted_before_accept(error: OSError) -> bool:
     """Returns whether the connection at the head of the queue has ended already."""
-    return error.errno in GONE_BEFORE_ACCEPT
+    return error.errno in ABORTED_BEFORE_ACCEPT_ERRNOS
 
 
-def is_local_error(error: OSError) -> bool:
+def is_local_connect_error(error: OSError) -> bool:
     """Returns whether a connect failed because of this machine."""
-    return error.errno in LOCAL
+    return error.errno in LOCAL_CONNECT_ERRNOS
--- a/glenrock/program.py
+++ b/glenrock/program.py
@@ -232,7 +232,7 @@
             config.peer_broadcast,
             self.routing.post,
             config.settings.balancers,
-            shares_address=config.accept_fd is not None,
+            reuses_address=config.accept_fd is not None,
         )
         self.routing.send_gossip = peers.send_gossip
         return peers
--- a/glenrock/routing/token_budget.py
+++ b/glenrock/routing/token_budget.py
@@ -11,7 +11,7 @@
 INITIAL_HEALTH_CHECKS = 10.0
 MAX_HEALTH_CHECKS = 60.0  # saved up
 
-HEALTH_CONNECTION_LIFETIME_US = 8_000_000  # after a check; `UNUSED_TIMEOUT_MS` of net is the same
+HEALTH_CONNECTION_LIFETIME_US = 8_000_000  # after a check; `HEALTH_CHECK_IDLE_TIMEOUT_MS` of net is the same
 CONNECTIONS_EARNED = 1.0  # per first attempt, so that health checks open no more connections than clients
 MAX_CONNECTIONS = 64.0  # at the start, and saved up
 
--- a/glenrock/upgrade/override_sync.py
+++ b/glenrock/upgrade/override_sync.py
@@ -168,7 +168,9 @@
     def _apply(self, server_id: str, is_suspended: bool, resumed_at_ms: float) -> None:
         """Passes an override on to the server's connections and to routing. `resumed_at_ms`: 0 means now."""
         self._servers.set_suspended(server_id, is_suspended)
-        self._routing.post_first(interface.OperatorOverride(server_id, is_suspended, us_from_ms(resumed_at_ms)))
+        self._routing.post_priority_event(
+            interface.OperatorOverride(server_id, is_suspended, us_from_ms(resumed_at_ms))
+        )
 
 
 def _suspend(server_id: str, shared: SharedOverrides) -> None:
--- a/tests/coordination/warm_start/test_milestones.py
+++ b/tests/coordination/warm_start/test_milestones.py
@@ -11,10 +11,10 @@
 def test_calls_are_counted_and_the_backoff_is_unchanged() -> None:
     wrapped, other = (PollBackoff(200, True, random.Random(1)) for _ in range(2))
     counted = CountingPollBackoff(wrapped)
-    assert (counted.must_poll, counted.watch_timeout_ms, counted.answer_grace_ms) == (
+    assert (counted.must_poll, counted.watch_timeout_ms, counted.response_grace_ms) == (
         other.must_poll,
         other.watch_timeout_ms,
-        other.answer_grace_ms,
+        other.response_grace_ms,
     )
     for _ in range(3):
         assert counted.overload_delay_ms() == other.overload_delay_ms()
--- a/tests/net/discovery_answers.py
+++ b/tests/net/discovery_answers.py
@@ -20,7 +20,7 @@
     since_ms: float
 
 
-class EndpointAnswer(TypedDict):
+class EndpointListResponse(TypedDict):
     """Holds an answer of discovery: a whole list, or changes to it."""
 
     index: int
@@ -37,12 +37,12 @@
     )
 
 
-def endpoint_answer(version: int, rows: Iterable[EndpointRow], is_full: bool = True) -> EndpointAnswer:
+def endpoint_list_response(version: int, rows: Iterable[EndpointRow], is_full: bool = True) -> EndpointListResponse:
     """Returns an answer of that version: a whole list, or changes to it."""
-    return EndpointAnswer(index=version, snapshot=is_full, endpoints=list(rows))
+    return EndpointListResponse(index=version, snapshot=is_full, endpoints=list(rows))
 
 
-def http_answer(body: object) -> bytes:
+def http_response(body: object) -> bytes:
     """Returns an HTTP answer with this JSON as its body."""
     data = json.dumps(body).encode()
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(data), data)
--- a/tests/net/exchange_player.py
+++ b/tests/net/exchange_player.py
@@ -16,7 +16,7 @@
 from glenrock.net.socket_io import LINGER_ON_FOR_ZERO_S
 from glenrock.program import Program
 
-from .discovery_answers import EndpointRow, endpoint_answer, endpoint_row, http_answer
+from .discovery_answers import EndpointRow, endpoint_list_response, endpoint_row, http_response
 from .loopback_delivery import ManualTime
 from .rig import StreamEnd
 from .settings import SETTINGS
@@ -132,7 +132,7 @@
             "listen": "127.0.0.1:0",
             "discovery": f"127.0.0.1:{self._ports['discovery']}",
             "seed": "7",
-            "known": endpoint_answer(1, rows),
+            "known": endpoint_list_response(1, rows),
             "peer_listen": "127.0.0.1:0",
             "peers": ["127.0.0.1:9", f"127.0.0.1:{self._peer.getsockname()[1]}"],
             **config,
@@ -145,7 +145,7 @@
                 await self._time.advance(50)
         else:
             await self._expect_line("discovery", "GET /discovery/hosts HTTP/1.1")
-            self._answer_discovery("discovery", endpoint_answer(2, rows))
+            self._answer_discovery("discovery", endpoint_list_response(2, rows))
         await starting
         assert self._program.acceptor.listener is not None
         self._port: int = self._program.acceptor.listener.getsockname()[1]
@@ -205,7 +205,7 @@
         return [self._row(*part.split("=")) for part in text.split()]
 
     def _answer_discovery(self, name: str, body: object) -> None:
-        self._connections[name].send(http_answer(body))
+        self._connections[name].send(http_response(body))
 
     async def _expect_line(self, name: str, pattern: str) -> None:
         connection = await self._connection(name)
@@ -250,7 +250,7 @@
         self._shutdown = asyncio.create_task(self._program.run_until(stop))
 
     async def _play_table(self, text: str) -> None:
-        self._answer_discovery("discovery", endpoint_answer(3, self._rows(text), is_full=False))
+        self._answer_discovery("discovery", endpoint_list_response(3, self._rows(text), is_full=False))
 
     async def _play_peer(self, text: str) -> None:
         assert self._program.peers is not None
@@ -268,7 +268,7 @@
     def _play_on_discovery(self, step: ExchangeStep) -> None:
         match step.step:
             case "lists":
-                self._answer_discovery(step.party, endpoint_answer(2, self._rows(step.text)))
+                self._answer_discovery(step.party, endpoint_list_response(2, self._rows(step.text)))
             case "says":
                 self._answer_discovery(step.party, json.loads(step.text))
             case "refuses":
--- a/tests/net/rig.py
+++ b/tests/net/rig.py
@@ -17,7 +17,7 @@
 from glenrock.net.socket_io import LINGER_ON_FOR_ZERO_S
 from glenrock.program import Program
 
-from .discovery_answers import EndpointAnswer, endpoint_answer, endpoint_row, http_answer
+from .discovery_answers import EndpointListResponse, endpoint_list_response, endpoint_row, http_response
 from .loopback_delivery import CLOCK_STEP_MS, ConnectTrackingLoop, ManualTime
 from .settings import SETTINGS
 
@@ -198,16 +198,16 @@
 
     # -- discovery -------------------------------------------------------------------------------------
 
-    def _endpoint_list(self, statuses: dict[str, str]) -> EndpointAnswer:
+    def _endpoint_list(self, statuses: dict[str, str]) -> EndpointListResponse:
         rows = [
             endpoint_row(name, address_of(sock), statuses.get(name, "SERVING")) for name, sock in self.listeners.items()
         ]
-        return endpoint_answer(self.version, rows)
+        return endpoint_list_response(self.version, rows)
 
     def report_endpoints(self, **statuses: str) -> None:
         """Answers the program's call with a list of all servers, which have these statuses, or `SERVING`."""
         self.version += 1
-        self.discovery_connection.sendall(http_answer(self._endpoint_list(statuses)))
+        self.discovery_connection.sendall(http_response(self._endpoint_list(statuses)))
 
     def server_actor(self, name: str = "s1") -> ServerActor:
         """Returns the actor of a listed server, created if necessary."""
--- a/tests/net/single_server_rig.py
+++ b/tests/net/single_server_rig.py
@@ -12,7 +12,7 @@
 from glenrock.net.metrics import ConnectionOutcome
 from glenrock.program import Program
 
-from .discovery_answers import endpoint_answer, endpoint_row
+from .discovery_answers import endpoint_list_response, endpoint_row
 from .rig import address_of
 from .settings import SETTINGS, caps
 
@@ -63,7 +63,7 @@
             "settings": {**SETTINGS, "balancers": 1, "caps": caps(maxAttempts=1)},
             "seed": "7",
             "discovery": address_of(self._silent_discovery),
-            "known": endpoint_answer(1, [endpoint_row("s1", f"127.0.0.1:{port}")]),
+            "known": endpoint_list_response(1, [endpoint_row("s1", f"127.0.0.1:{port}")]),
         }
         self.program = Program(parse_config(raw_config), Clock())
         await self.program.start()
--- a/tests/net/test_clients_that_leave.py
+++ b/tests/net/test_clients_that_leave.py
@@ -122,7 +122,7 @@
     def post_disconnected_then_start_attempt() -> None:
         post_disconnected()
         rig.server_actor().row.state = interface.EndpointState.READY
-        rig.program.routing.act(interface.StartAttempt(REQUEST_ID, "s1", 900_000))
+        rig.program.routing.execute_action(interface.StartAttempt(REQUEST_ID, "s1", 900_000))
 
     monkeypatch.setattr(reports, "post_disconnected", post_disconnected_then_start_attempt)
     leave(client)
@@ -139,7 +139,7 @@
     """The client's end and the server's connection are ready in one iteration; the server's actor runs first."""
     await rig.open()
     actor = rig.server_actor()
-    make_attempt = actor.attempt
+    make_attempt = actor.connect_and_request
 
     async def leave_then_make_attempt(attempt: ConnectionAttempt) -> AttemptResult:
         pump = rig.connections[REQUEST_ID].tasks[0]
@@ -148,7 +148,7 @@
         leave(client)
         return await make_attempt(attempt)
 
-    monkeypatch.setattr(actor, "attempt", leave_then_make_attempt)
+    monkeypatch.setattr(actor, "connect_and_request", leave_then_make_attempt)
     client = rig.connect_client(REQUEST_LINE)
     await wait_until(lambda: rig.connections)
 
--- a/tests/net/test_endpoint_watcher.py
+++ b/tests/net/test_endpoint_watcher.py
@@ -5,12 +5,12 @@
 import pytest
 
 from glenrock.config import Address
-from glenrock.net.endpoint_watcher import parse_answer
+from glenrock.net.endpoint_watcher import parse_response
 
 
 def test_server_listed_twice_is_logged_and_its_later_row_counts(caplog: pytest.LogCaptureFixture) -> None:
     row = {"name": "s1", "status": "SERVING"}
-    answer = parse_answer(
+    answer = parse_response(
         {
             "index": 1,
             "snapshot": True,
--- a/tests/net/test_layout.py
+++ b/tests/net/test_layout.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parents[2]
-EXCEPTED = {"HTTP_OK", "NO_VERSION", "LONG_AGO"}  # of the wires and of arithmetic
+EXCEPTED = {"HTTP_OK", "NO_VERSION", "LONG_AGO_MS"}  # of the wires and of arithmetic
 
 
 def test_each_number_is_on_the_capacity_page() -> None:
--- a/tests/net/test_poll_backoff.py
+++ b/tests/net/test_poll_backoff.py
@@ -50,11 +50,11 @@
 
     def first_call_delay_ms(self, has_list: bool = True) -> float:
         """Returns a delay that does not depend on the number of balancers."""
-        return self.random_numbers.random() * 300
+        return self.rng.random() * 300
 
     def overload_delay_ms(self) -> float:
         """Returns a delay under a second, however many calls were rejected."""
-        return 500 + 500 * self.random_numbers.random()
+        return 500 + 500 * self.rng.random()
 
 
 class ImmediatePollBackoff(PollBackoff):
@@ -131,18 +131,18 @@
     The same holds after failed calls, however many failed before.
     """
     backoff = PollBackoff(200, False, random.Random(seed), grace_ms)
-    assert backoff.watch_timeout_ms + backoff.answer_grace_ms + backoff.retry_delay_ms(1) < grace_ms
-    assert max(backoff.answer_grace_ms + backoff.retry_delay_ms(failures) for failures in range(1, 20)) < grace_ms
+    assert backoff.watch_timeout_ms + backoff.response_grace_ms + backoff.retry_delay_ms(1) < grace_ms
+    assert max(backoff.response_grace_ms + backoff.retry_delay_ms(failures) for failures in range(1, 20)) < grace_ms
 
 
 @given(st.floats(300.0, 20_000.0), st.integers(0, 2**32))
 def test_polled_discovery_is_called_again_within_the_drain_grace(grace_ms: float, seed: int) -> None:
     """A change that a silent watch missed counts as reported 2 s after the watch; half of the grace is left."""
     backoff = PollBackoff(4, True, random.Random(seed), grace_ms)
-    missed_ms = backoff.answer_grace_ms + backoff.retry_delay_ms(1) - 2000.0
+    missed_ms = backoff.response_grace_ms + backoff.retry_delay_ms(1) - 2000.0
     assert missed_ms <= max(grace_ms / 2, grace_ms / 4 + 100)
 
 
 def test_polled_discovery_has_time_for_its_queue() -> None:
     backoff = PollBackoff(4, True, random.Random(1))
-    assert (backoff.watch_timeout_ms, backoff.answer_grace_ms) == (10_000.0, 2500.0)
+    assert (backoff.watch_timeout_ms, backoff.response_grace_ms) == (10_000.0, 2500.0)
--- a/tests/net/test_start_times.py
+++ b/tests/net/test_start_times.py
@@ -45,7 +45,7 @@
         ]
         return {
             row.name: self.clock.now_ms() - started_ms if started_ms else float("inf")
-            for row, started_ms in zip(rows, self.times.started_ms(rows), strict=True)
+            for row, started_ms in zip(rows, self.times.start_times_ms(rows), strict=True)
         }
 
 
--- a/tests/upgrade/conftest.py
+++ b/tests/upgrade/conftest.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 
 import pytest
-from net.discovery_answers import endpoint_answer, endpoint_row, http_answer
+from net.discovery_answers import endpoint_list_response, endpoint_row, http_response
 
 ROOT = Path(__file__).resolve().parents[2]
 SETTINGS = {
@@ -67,7 +67,7 @@
             server = await asyncio.start_server(functools.partial(self._serve, name), "127.0.0.1", 0)
             self._servers.append(server)
             rows.append(endpoint_row(name, address_of(server)))
-        self._endpoint_list = endpoint_answer(2, rows)
+        self._endpoint_list = endpoint_list_response(2, rows)
         self._servers.append(await asyncio.start_server(self._discover, "127.0.0.1", 0))
 
     async def _serve(self, name: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -81,7 +81,7 @@
     async def _discover(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while line := await reader.readline():
             if line.startswith(b"GET /discovery/hosts HTTP"):
-                writer.write(http_answer(self._endpoint_list))
+                writer.write(http_response(self._endpoint_list))
 
     async def start_process(self) -> int:
         """Starts a further process. Returns its operators' port once it is ready."""
