--- a/glenrock/net/discovery_client.py
+++ b/glenrock/net/discovery_client.py
@@ -1,4 +1,4 @@
-"""One HTTP connection to service discovery, and the answers on it."""
+"""An HTTP client for service discovery, which reuses one connection."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
 OVERLOAD_STATUSES = (429, 503)
 HTTP_OK = 200
-MAX_RESPONSE_BYTES = 4 << 20
-READ_TIMEOUT_MS = 400.0  # between two parts of an answer
-RESPONSE_TIMEOUT_MS = 30_000.0  # for a whole answer
-READ_BYTES = 16384
+MAX_RESPONSE_BYTES = 4 << 20  # of the body
+READ_TIMEOUT_MS = 400.0  # for each further part of a response
+RESPONSE_TIMEOUT_MS = 30_000.0  # for a whole response, with the connect
+READ_BUFFER_BYTES = 16384
 
 
 class DiscoveryError(OSError):
@@ -27,25 +27,25 @@
 
 
 class DiscoveryOverloadedError(DiscoveryError):
-    """Discovery rejected the call because of its load. The last list stays valid."""
+    """Discovery rejected the call because it is overloaded. The last list stays valid."""
 
 
 class DiscoveryStatusError(DiscoveryError):
-    """Discovery answered with another status than 200."""
+    """Discovery responded with a status other than 200."""
 
 
 class DiscoveryTimeoutError(DiscoveryError):
-    """Discovery did not answer in time."""
+    """Discovery did not respond in time, or the wait was interrupted."""
 
 
 class HttpResponse:
-    """Collects one HTTP answer from the callbacks of httptools.
+    """An HTTP response, assembled by callbacks of the httptools parser.
 
     Attributes:
-        body: the bytes of the body so far.
-        is_complete: whether the whole answer has been received.
-        keeps_alive: whether the connection stays open.
-        parser: parses the bytes of the connection.
+        body: the bytes of the body received so far.
+        is_complete: whether the whole response has been received.
+        keeps_alive: whether the connection can be reused; known once the response is complete.
+        parser: the parser, to which received bytes are fed.
     """
 
     def __init__(self) -> None:
@@ -55,66 +55,70 @@
         self.parser = httptools.HttpResponseParser(self)
 
     def on_body(self, data: bytes) -> None:
-        """Adds a part of the body."""
+        """Appends a part of the body."""
         self.body += data
 
     def on_message_complete(self) -> None:
-        """Records the end of the answer."""
+        """Records the end of the response."""
         self.is_complete = True
-        # The parser resets its state after this callback.
+        # Read here, since the parser resets its state after this callback.
         self.keeps_alive = self.parser.should_keep_alive()
 
 
 class DiscoveryClient:
-    """Calls discovery on a connection that is kept between calls.
+    """Sends requests to discovery, one at a time, on a connection that stays open between them.
 
     Attributes:
-        address: the address of discovery.
+        address: the address of discovery; a change takes effect at the next connect.
     """
 
     def __init__(self, address: Address, clock: Clock) -> None:
         self.address = address
         self._clock = clock
         self._sock: socket.socket | None = None
-        self._limit: TimeLimit | None = None  # of the present wait
+        self._time_limit: TimeLimit | None = None  # of the wait in progress
 
     async def get(self, path: str, timeout_ms: float) -> Any:
-        """Returns the JSON of an answer, whose first bytes are awaited for `timeout_ms`.
+        """Returns the decoded JSON body of a response.
+
+        Args:
+            path: the path of the request, with its query.
+            timeout_ms: the time until the first bytes of the response, with the connect.
 
         Raises:
             DiscoveryOverloadedError, DiscoveryStatusError: discovery rejected the call.
-            DiscoveryTimeoutError: no answer came in time.
-            DiscoveryError: the answer is too large, or the connection was closed.
+            DiscoveryTimeoutError: the response, or its next part, did not come in time.
+            DiscoveryError: the response is too large, or the connection was closed.
             OSError: discovery cannot be reached.
-            ValueError: the answer is not JSON.
+            ValueError: the body is not JSON.
         """
-        answer = await self._exchange(path, timeout_ms)
-        if not answer.keeps_alive:
+        response = await self._exchange(path, timeout_ms)
+        if not response.keeps_alive:
             self.disconnect()
-        status = answer.parser.get_status_code()
+        status = response.parser.get_status_code()
         if status in OVERLOAD_STATUSES:
             raise DiscoveryOverloadedError(f"status {status}: overloaded")
         if status != HTTP_OK:
             raise DiscoveryStatusError(f"status {status}")
-        return json.loads(bytes(answer.body))
+        return json.loads(bytes(response.body))
 
-    async def run_with_timeout(self, timeout_ms: float, work: Coroutine[None, None, Any]) -> Any:
-        """Returns the result of some work.
+    async def run_with_timeout(self, timeout_ms: float, coroutine: Coroutine[None, None, Any]) -> Any:
+        """Returns the result of a coroutine.
 
         Raises:
-            DiscoveryTimeoutError: the work took longer, or `interrupt` was called.
+            DiscoveryTimeoutError: the coroutine took longer than `timeout_ms`, or `interrupt` was called.
         """
-        async with self._clock.time_limit(timeout_ms) as self._limit:
+        async with self._clock.time_limit(timeout_ms) as self._time_limit:
             try:
-                return await work
+                return await coroutine
             finally:
-                self._limit = None
-        raise DiscoveryTimeoutError("no answer in time")
+                self._time_limit = None
+        raise DiscoveryTimeoutError("no response in time")
 
     def interrupt(self) -> None:
-        """Ends the present wait."""
-        if self._limit:
-            self._limit.expire()
+        """Ends the wait in progress, which raises `DiscoveryTimeoutError`."""
+        if self._time_limit:
+            self._time_limit.expire()
 
     def disconnect(self) -> None:
         """Closes the connection."""
@@ -129,31 +133,33 @@
         return self._sock
 
     async def _exchange(self, path: str, timeout_ms: float) -> HttpResponse:
-        """Sends a request and reads the answer.
+        """Sends a request and reads the response.
 
-        A list of thousands of servers takes long to send. After its first bytes only a silence ends the call, since a
-        retry would transfer all of it again.
+        A list of thousands of servers takes long to transfer, and a retry would transfer all of it again. So once the
+        first bytes have come, the call goes on while each further part comes within `READ_TIMEOUT_MS`, for at most
+        `RESPONSE_TIMEOUT_MS` in all.
         """
-        answer = HttpResponse()
-        buffer = bytearray(READ_BYTES)
+        response = HttpResponse()
+        buffer = bytearray(READ_BUFFER_BYTES)
         deadline_ms = self._clock.now_ms() + RESPONSE_TIMEOUT_MS
-        await self.run_with_timeout(timeout_ms, self._send_request(path, answer, buffer))
-        while not answer.is_complete:
-            left_ms = min(READ_TIMEOUT_MS, deadline_ms - self._clock.now_ms())
-            await self.run_with_timeout(left_ms, self._read(answer, buffer))
-        return answer
-
-    async def _send_request(self, path: str, answer: HttpResponse, buffer: bytearray) -> None:
+        await self.run_with_timeout(timeout_ms, self._send_request(path, response, buffer))
+        while not response.is_complete:
+            remaining_ms = min(READ_TIMEOUT_MS, deadline_ms - self._clock.now_ms())
+            await self.run_with_timeout(remaining_ms, self._read(response, buffer))
+        return response
+
+    async def _send_request(self, path: str, response: HttpResponse, buffer: bytearray) -> None:
+        """Connects if necessary, sends a request and reads the first bytes of the response."""
         sock = await self._connect()
         request = f"GET {path} HTTP/1.1\r\nHost: {self.address}\r\n\r\n".encode()
         await asyncio.get_running_loop().sock_sendall(sock, request)
-        await self._read(answer, buffer)
+        await self._read(response, buffer)
 
-    async def _read(self, answer: HttpResponse, buffer: bytearray) -> None:
-        assert self._sock is not None, "the call has a connection"
+    async def _read(self, response: HttpResponse, buffer: bytearray) -> None:
+        assert self._sock is not None, "the request was sent on a connection"
         count = await asyncio.get_running_loop().sock_recv_into(self._sock, buffer)
         if not count:
             raise DiscoveryError("discovery closed the connection")
-        answer.parser.feed_data(bytes(buffer[:count]))
-        if len(answer.body) > MAX_RESPONSE_BYTES:
-            raise DiscoveryError("the answer is too large")
+        response.parser.feed_data(bytes(buffer[:count]))
+        if len(response.body) > MAX_RESPONSE_BYTES:
+            raise DiscoveryError("the response is too large")
--- a/glenrock/net/endpoint_rows.py
+++ b/glenrock/net/endpoint_rows.py
@@ -1,4 +1,4 @@
-"""Rows of the endpoint list, parsed from discovery's answers."""
+"""Rows of the endpoint list, parsed from discovery's responses."""
 
 from __future__ import annotations
 
@@ -28,8 +28,8 @@
         address: where the server accepts connections.
         state: whether the server is ready, draining or gone.
         zone: the failure domain of the server; empty if unknown.
-        group: the cell of the server, within which idempotency keys may be valid; `Endpoint.cell` of routing.
-        weight: the listed size of the server relative to others.
+        group: the cell of the server, within which idempotency keys may be valid; routing has it as `Endpoint.cell`.
+        weight: the listed capacity of the server, relative to others.
         since_ms: the Unix time at which the server's process started; 0 if unknown.
     """
 
@@ -43,16 +43,16 @@
 
     @property
     def status(self) -> str:
-        """Discovery's word for the state, which stored files use too."""
+        """The state as discovery and stored files name it."""
         return STATUS_BY_STATE[self.state]
 
 
 def parse_row(raw: dict[str, Any]) -> EndpointRow:
-    """Returns the row that a JSON object describes.
+    """Parses a row from a JSON object.
 
     Raises:
         KeyError: the row has no name, address or status.
-        ValueError, TypeError, OverflowError: a value is invalid.
+        ValueError, TypeError, OverflowError: a value is invalid or out of range.
     """
     try:
         address = parse_address(raw["address"], "address")
@@ -73,5 +73,5 @@
     )
     numbers = (row.weight, row.since_ms)
     if not all(isfinite(number) and number >= 0 for number in numbers):
-        raise ValueError("weight or since_ms out of range")
+        raise ValueError("weight and since_ms must be finite and not negative")
     return row
--- a/glenrock/net/endpoint_watcher.py
+++ b/glenrock/net/endpoint_watcher.py
@@ -1,4 +1,4 @@
-"""Keeps the endpoint list up to date: polls service discovery for the whole list, then watches its changes."""
+"""Keeps the endpoint list up to date: polls service discovery for the whole list, then watches it for changes."""
 
 from __future__ import annotations
 
@@ -22,16 +22,22 @@
 from .endpoint_rows import EndpointRow, parse_row
 from .poll_backoff import PollBackoff
 
-NO_LIST_RESPONSE_GRACE_MS = 5000.0  # without a list the balancer can only wait
-MIN_POLL_INTERVAL_MS = 50.0  # after an empty answer; a watch ends if its next call does not follow within 200 ms
-OLDER_RESPONSES_TO_ACCEPT = 4  # in a row; a whole list of an older version then replaces the present list
+NO_LIST_RESPONSE_GRACE_MS = 5000.0  # longer than with a list, since a balancer without a list cannot serve anyway
+MIN_POLL_INTERVAL_MS = 50.0  # after a response without rows; discovery ends a watch that is not renewed within 200 ms
+OLDER_RESPONSES_TO_ACCEPT = 4  # the number of consecutive older responses from which on a whole list is used
 NO_VERSION = -1
 
 logger = get_logger(__name__)
 
 
 class EndpointListResponse(NamedTuple):
-    """An answer of discovery: a list or changes to it, with its version."""
+    """A response of discovery with the version of the endpoint list.
+
+    Attributes:
+        version: the version of the list.
+        is_full: whether `rows` are the whole list, and not only the rows that changed.
+        rows: the valid rows, one for each server.
+    """
 
     version: int
     is_full: bool
@@ -39,10 +45,12 @@
 
 
 def parse_response(raw: dict[str, Any]) -> EndpointListResponse:
-    """Returns an answer without its unreadable rows; of two rows with one name the later counts.
+    """Parses a response of discovery.
+
+    Invalid rows are logged and skipped. If a server is listed twice, its later row is used.
 
     Raises:
-        KeyError, TypeError, ValueError: the object is not an answer of discovery.
+        KeyError, TypeError, ValueError: the object is not a valid response of discovery.
     """
     rows: dict[str, EndpointRow] = {}
     for item in raw["endpoints"]:
@@ -62,7 +70,7 @@
     version = raw["index"]
     is_full = raw["snapshot"]
     if not isinstance(version, int) or not isinstance(is_full, bool):
-        raise ValueError(f"index {version!r}, snapshot {is_full!r}")  # noqa: TRY004 - as for an invalid row
+        raise ValueError(f"invalid index {version!r} or snapshot {is_full!r}")  # noqa: TRY004 - as for an invalid row
     return EndpointListResponse(version, is_full, list(rows.values()))
 
 
@@ -70,31 +78,40 @@
     """The actor that polls discovery.
 
     Attributes:
-        newest_version: the highest version that the present discovery has reported.
-        has_answered: set at the first valid answer.
-        backoff: the delays between calls.
+        newest_version: the version last accepted from the current discovery, or that of the cached list; `NO_VERSION`
+            if there is none.
+        has_answered: set at the first valid response.
+        backoff: computes the timeouts of calls and the delays between them.
+
+    Args:
+        address: the address of discovery.
+        clock: the process's clock.
+        on_endpoints: called with each list or change.
+        on_failure: called after each failed call.
+        backoff: computes the timeouts of calls and the delays between them.
+        on_response: called after each valid response.
     """
 
     def __init__(
         self,
         address: Address,
         clock: Clock,
-        update: Callable[[EndpointListKind, list[EndpointRow]], None],
+        on_endpoints: Callable[[EndpointListKind, list[EndpointRow]], None],
         on_failure: Callable[[], None],
         backoff: PollBackoff,
-        on_answer: Callable[[], None] = lambda: None,
+        on_response: Callable[[], None] = lambda: None,
     ) -> None:
         self.backoff = backoff
         self.newest_version = NO_VERSION
         self.has_answered = asyncio.Event()
         self._clock = clock
         self._client = DiscoveryClient(address, clock)
-        self._update = update
+        self._on_endpoints = on_endpoints
         self._on_failure = on_failure
-        self._on_answer = on_answer
-        self._watch_version: int | None = None  # that the next watch starts from; None to poll the whole list
-        self._consecutive_older_responses = 0  # in a row
-        self._consecutive_failures = 0  # in a row
+        self._on_response = on_response
+        self._watch_version: int | None = None  # for the next watch; None to poll the whole list
+        self._consecutive_older_responses = 0
+        self._consecutive_failures = 0
 
     @property
     def address(self) -> Address:
@@ -103,28 +120,28 @@
 
     @property
     def has_no_list(self) -> bool:
-        """Whether there is no list, and no agent on this machine that reports it: no client can be served."""
+        """Whether the list is polled from a shared service and none is known yet, so that no client can be served."""
         return self.backoff.must_poll and self.newest_version < 0 and not self.has_answered.is_set()
 
     def use_cached_list(self, raw: dict[str, Any]) -> None:
-        """Uses the list of an earlier run until discovery answers. An unusable list is logged and ignored."""
+        """Uses the cached list of an earlier run until discovery responds. An invalid list is logged and ignored."""
         try:
-            answer = parse_response(raw)
+            response = parse_response(raw)
         except (KeyError, TypeError, ValueError) as error:
             logger.warning("cached endpoint list unusable", error=error)
-            self._update(EndpointListKind.CACHED, [])
+            self._on_endpoints(EndpointListKind.CACHED, [])
             return
-        self._update(EndpointListKind.CACHED, answer.rows)
-        if answer.rows and self.backoff.must_poll:
-            # A watch from the cached version is one call; the whole list and a watch would be two.
-            self._watch_version = self.newest_version = answer.version
+        self._on_endpoints(EndpointListKind.CACHED, response.rows)
+        if response.rows and self.backoff.must_poll:
+            # Watching from the cached version costs one call. Polling the whole list first would cost two.
+            self._watch_version = self.newest_version = response.version
 
     def change_address(self, address: Address) -> None:
-        """Polls discovery at another address. The present list is used until the first answer."""
+        """Polls discovery at another address. The present list is used until the first response."""
         if address == self.address:
             return
-        # The earlier discovery may delay its answer for seconds, so the call is ended. Versions of one discovery mean
-        # nothing to another, so the whole list is polled.
+        # The call in progress is interrupted, because the previous discovery may delay its response for seconds. The
+        # whole list is polled, because versions of one discovery are unknown to another.
         self._client.address = address
         self._watch_version = None
         self._consecutive_failures = 0
@@ -142,7 +159,7 @@
                 await self._poll()
                 self._consecutive_failures = 0
                 self.backoff.record_answer()
-            except Exception as error:  # noqa: BLE001 - the last list stays in use, whatever discovery sends
+            except Exception as error:  # noqa: BLE001 - the last list stays in use, whatever the error
                 if not isinstance(error, DiscoveryOverloadedError) or address != self.address:
                     self._client.disconnect()
                 if address != self.address:
@@ -152,23 +169,24 @@
     async def _handle_failure(self, error: Exception) -> None:
         self._consecutive_failures += 1
         self._on_failure()
-        # Without a list, a call without an answer counts as rejected: discovery is probably overloaded, and a retry
-        # within a second would add to its load.
-        has_no_answer = isinstance(error, DiscoveryTimeoutError)
-        if isinstance(error, DiscoveryOverloadedError) or (has_no_answer and self.has_no_list):
+        # Without a list, a timeout counts as a rejection: discovery is probably overloaded, and a retry within a second
+        # would add to its load.
+        has_timed_out = isinstance(error, DiscoveryTimeoutError)
+        if isinstance(error, DiscoveryOverloadedError) or (has_timed_out and self.has_no_list):
             delay_ms = self.backoff.overload_delay_ms()
         else:
             delay_ms = self.backoff.retry_delay_ms(self._consecutive_failures)
-        if has_no_answer and not self.backoff.must_poll:
-            # The list counts as reported as soon as the agent answers again. A watch is answered only after the next
-            # change, so the whole list is polled.
+        if has_timed_out and not self.backoff.must_poll:
+            # The list counts as reported as soon as the agent responds again. A watch would get its response only after
+            # the next change, so the whole list is polled.
             self._watch_version = None
         logger.warning("endpoint poll failed", error=error, retry_ms=round(delay_ms))
         await self._sleep(delay_ms)
 
     async def _sleep(self, delay_ms: float) -> None:
-        """Waits for that time, or until discovery's address changes."""
-        # `change_address` interrupts `run_with_timeout`; the sleep in it is longer, so that it never ends first.
+        """Waits for `delay_ms`, or until discovery's address changes."""
+        # `change_address` interrupts `run_with_timeout`. The inner sleep is longer than the timeout, so that the wait
+        # always ends by the timeout or by the interruption.
         with contextlib.suppress(OSError):
             await self._client.run_with_timeout(delay_ms, self._clock.sleep(2 * delay_ms))
 
@@ -181,34 +199,34 @@
         try:
             raw = await self._client.get(f"/discovery/hosts{query}", watch_ms + grace_ms)
         except DiscoveryStatusError:
-            self._watch_version = None  # discovery may no longer know that version
+            self._watch_version = None  # discovery may no longer have this version
             raise
-        answer = parse_response(raw)
-        self._reject_empty_or_older(answer)
-        self._watch_version = answer.version
-        if not answer.rows and self._clock.now_ms() - started_ms < MIN_POLL_INTERVAL_MS:
-            # A discovery that answers a watch at once would make the loop spin.
+        response = parse_response(raw)
+        self._reject_empty_or_older(response)
+        self._watch_version = response.version
+        if not response.rows and self._clock.now_ms() - started_ms < MIN_POLL_INTERVAL_MS:
+            # Without a delay, a discovery that ends each watch at once would make this a busy loop.
             await self._client.run_with_timeout(2 * MIN_POLL_INTERVAL_MS, self._clock.sleep(MIN_POLL_INTERVAL_MS))
-        if answer.rows or answer.is_full:
-            self._update(EndpointListKind.FULL if answer.is_full else EndpointListKind.CHANGES, answer.rows)
-        self._on_answer()
+        if response.rows or response.is_full:
+            self._on_endpoints(EndpointListKind.FULL if response.is_full else EndpointListKind.CHANGES, response.rows)
+        self._on_response()
         self.has_answered.set()
 
-    def _reject_empty_or_older(self, answer: EndpointListResponse) -> None:
-        """Rejects an answer that must not replace the present list.
+    def _reject_empty_or_older(self, response: EndpointListResponse) -> None:
+        """Rejects a response that must not replace the present list.
 
-        An empty list would take all servers out of use, and an old one brings back servers that are gone. A discovery
-        that has restarted with lower versions repeats its answer.
+        An empty list would remove all servers, and an older list would restore servers that are gone. A discovery that
+        has restarted with lower versions is recognized by `OLDER_RESPONSES_TO_ACCEPT` consecutive older responses.
 
         Raises:
-            DiscoveryError: the list is empty, or of an older version.
+            DiscoveryError: the list is empty, or its version is older than that of the present list.
         """
-        if answer.is_full and not answer.rows:
-            raise DiscoveryError("an empty list")
-        if answer.version < self.newest_version:
+        if response.is_full and not response.rows:
+            raise DiscoveryError("discovery sent an empty endpoint list")
+        if response.version < self.newest_version:
             self._consecutive_older_responses += 1
-            if self._consecutive_older_responses < OLDER_RESPONSES_TO_ACCEPT or not answer.is_full:
-                self._watch_version = None  # to poll the whole list
-                raise DiscoveryError(f"version {answer.version} after {self.newest_version}")
-        self.newest_version = answer.version
+            if self._consecutive_older_responses < OLDER_RESPONSES_TO_ACCEPT or not response.is_full:
+                self._watch_version = None  # the next call asks for the whole list
+                raise DiscoveryError(f"endpoint list version {response.version} is older than {self.newest_version}")
+        self.newest_version = response.version
         self._consecutive_older_responses = 0
--- a/glenrock/net/poll_backoff.py
+++ b/glenrock/net/poll_backoff.py
@@ -1,11 +1,12 @@
-"""When one balancer calls service discovery: its first call, retries, and the delay after a rejected call.
+"""Timeouts and delays of one balancer's calls to service discovery: first call, retries, delay after a rejection.
 
-Where the endpoint list must be polled, discovery is one service for all balancers and handles one call at a time. Each
-new watch is such a call. Calls queue, and a call that has queued too long is rejected but still costs discovery its
-time. Balancers that start together or retry within a second would keep the queue full of calls that no balancer waits
-for. So delays grow with the number of balancers, until the calls of all of them fit.
+Where the endpoint list must be polled, discovery is one service for all balancers and handles one call at a time. The
+start of each watch is such a call. Calls are queued, and a call that has been queued for too long is rejected but still
+takes as much of discovery's time as an answered call. If all balancers called at the same time or retried within a
+second, the queue would stay full of calls that no balancer waits for any longer. So the delays grow with the number of
+balancers, until discovery can handle the calls of all of them.
 
-No clock and no I/O. Times are milliseconds.
+This module uses no clock and does no I/O. Times are in milliseconds.
 """
 
 from __future__ import annotations
@@ -13,25 +14,25 @@
 import random
 from dataclasses import dataclass
 
-CALL_SPACING_MS = 250.0  # of discovery's time for the call of each balancer
+CALL_SPACING_MS = 250.0  # average time between calls of different balancers
 MAX_FIRST_CALL_DELAY_MS = 10_000.0  # with a cached list
-FIRST_CALL_SPACING_MS = 10.0  # without a list, for each balancer after the first ones
-IMMEDIATE_FIRST_CALLS = 8
+FIRST_CALL_SPACING_MS = 10.0  # average time between first calls without a cached list
+IMMEDIATE_FIRST_CALLS = 8  # up to this number of balancers make the first call without delay if they have no list
 MIN_OVERLOAD_DELAY_MS = 1000.0
-MAX_OVERLOAD_DELAY_MS = 20_000.0  # up to 20 balancers; MAX_OVERLOAD_SPACING_MS for each balancer beyond
+MAX_OVERLOAD_DELAY_MS = 20_000.0  # for up to 20 balancers; for more, MAX_OVERLOAD_SPACING_MS times their number
 MAX_OVERLOAD_SPACING_MS = 1000.0  # discovery may need a second for a call
-OVERLOAD_DELAY_MULTIPLIER = 3.0
+OVERLOAD_DELAY_MULTIPLIER = 3.0  # for each further rejection in a row
 MAX_OVERLOAD_DELAY_EXPONENT = 10
-BASE_RETRY_DELAY_MS = 50.0  # shortest delay after the first failure; doubled already for the longest, 100 ms
+BASE_RETRY_DELAY_MS = 50.0  # the first retry comes after this delay to twice this delay
 MAX_RETRY_DOUBLINGS = 6
-MAX_RETRY_DELAY_MS = 1000.0  # discovery must be found again within 4 s of a change of address
+MAX_RETRY_DELAY_MS = 1000.0  # discovery must be reached again within 4 s of a change of its address
 
-# By the protocol a change counts as reported at most 2 s after the end of the watch in which it happened, answered or
-# not. The grace of a draining server runs from then on.
+# The protocol counts a change as reported at the latest 2 s after the end of the watch in which it happened, whether or
+# not the watch was answered. The drain grace of a server starts at that time.
 WATCH_TIMEOUT_MS = 10_000.0
 MISSED_CHANGE_GRACE_MS = 2000.0
 MAX_RESPONSE_GRACE_MS = 2500.0  # an overloaded discovery queues a call for up to 2 s
-# A change that an agent on this machine knows counts as reported at once, so its watch is short.
+# A change that an agent on this machine has received counts as reported at once, so watches of an agent are short.
 MIN_AGENT_WATCH_MS = 400.0
 MAX_AGENT_WATCH_MS = 3000.0
 AGENT_RESPONSE_GRACE_MS = 400.0
@@ -39,14 +40,14 @@
 
 @dataclass
 class PollBackoff:
-    """Times of one balancer's calls.
+    """Timeouts and delays of one balancer's calls to discovery.
 
     Attributes:
         balancers: the number of balancers.
         must_poll: whether discovery is one service for all balancers, and not an agent on this machine.
-        rng: for jitter.
-        drain_grace_ms: the time from the notice of a drain until the server closes.
-        rejections: rejected calls in a row.
+        rng: the source of jitter.
+        drain_grace_ms: the time from the report that a server drains until the server closes.
+        rejections: the number of consecutive rejected calls.
     """
 
     balancers: int
@@ -57,31 +58,31 @@
 
     @property
     def watch_timeout_ms(self) -> float:
-        """How long discovery may delay the answer to a watch."""
+        """How long discovery may delay the response to a watch."""
         if self.must_poll:
             return WATCH_TIMEOUT_MS
         return min(MAX_AGENT_WATCH_MS, max(MIN_AGENT_WATCH_MS, self.drain_grace_ms / 2))
 
     @property
     def response_grace_ms(self) -> float:
-        """How much later an answer is still awaited."""
+        """How long a response is awaited beyond the watch timeout."""
         if self.must_poll:
             return min(MAX_RESPONSE_GRACE_MS, MISSED_CHANGE_GRACE_MS + self.drain_grace_ms / 4)
         return AGENT_RESPONSE_GRACE_MS
 
     def retry_delay_ms(self, failures: int) -> float:
-        """Returns the delay after a call without an answer, the `failures`th in a row."""
-        longest_ms = MAX_RETRY_DELAY_MS if self.must_poll else self.watch_timeout_ms / 2
+        """Returns the delay after a failed call, with jitter. `failures` is the number of consecutive failed calls."""
+        max_delay_ms = MAX_RETRY_DELAY_MS if self.must_poll else self.watch_timeout_ms / 2
         doubled_ms: float = BASE_RETRY_DELAY_MS * 2 ** min(failures, MAX_RETRY_DOUBLINGS)
-        return min(longest_ms, doubled_ms) * (0.5 + self.rng.random() / 2)
+        return min(max_delay_ms, doubled_ms) * (0.5 + self.rng.random() / 2)
 
     def first_call_delay_ms(self, has_list: bool = True) -> float:
-        """Returns the delay until the first call. `has_list`: a cached list serves until then."""
+        """Returns the delay until the first call. `has_list` is whether a cached list can be used until then."""
         if not self.must_poll or self.balancers < 2:
             return 0.0
         if not has_list:
-            later_balancers = max(0, self.balancers - IMMEDIATE_FIRST_CALLS)
-            return self.rng.random() * FIRST_CALL_SPACING_MS * later_balancers
+            delayed_balancers = max(0, self.balancers - IMMEDIATE_FIRST_CALLS)
+            return self.rng.random() * FIRST_CALL_SPACING_MS * delayed_balancers
         return self.rng.random() * min(MAX_FIRST_CALL_DELAY_MS, CALL_SPACING_MS * self.balancers)
 
     def record_answer(self) -> None:
@@ -93,6 +94,6 @@
         self.rejections += 1
         growth = OVERLOAD_DELAY_MULTIPLIER ** min(self.rejections - 1, MAX_OVERLOAD_DELAY_EXPONENT)
         spread_ms = CALL_SPACING_MS * self.balancers * growth
-        longest_ms = max(MAX_OVERLOAD_DELAY_MS, MAX_OVERLOAD_SPACING_MS * self.balancers)
+        max_delay_ms = max(MAX_OVERLOAD_DELAY_MS, MAX_OVERLOAD_SPACING_MS * self.balancers)
         jitter = 0.25 + 0.75 * self.rng.random()
-        return max(MIN_OVERLOAD_DELAY_MS, min(longest_ms, spread_ms)) * jitter
+        return max(MIN_OVERLOAD_DELAY_MS, min(max_delay_ms, spread_ms)) * jitter
--- a/glenrock/net/routing_actor.py
+++ b/glenrock/net/routing_actor.py
@@ -1,7 +1,7 @@
-"""The routing actor: the only caller of `Balancer.handle`.
+"""The routing actor, which is the only caller of `Balancer.handle`.
 
-All events that arrive between two calls are one batch. Actions leave through ports, so that the actor knows neither the
-clients' protocol nor the source of endpoints.
+Events that arrive between two calls are handled as one batch. Actions are passed to callbacks, so that the actor
+depends neither on the clients' protocol nor on the source of the endpoint list.
 """
 
 from __future__ import annotations
@@ -18,25 +18,25 @@
 from .clock import Clock, ms_from_us, us_from_ms
 from .mailbox import Mailbox
 
-MAX_QUEUED_EVENTS = 65536  # in the mailbox; with more, new requests are rejected
-TIMER_MARGIN_MS = 0.5  # a wake-up before its time would find no timer due
+MAX_QUEUED_EVENTS = 65536  # while the mailbox is full, new requests are rejected
+TIMER_MARGIN_MS = 0.5  # added to each wake-up, since a wake-up before the due time would find no timer due
 
 logger = get_logger(__name__)
 
 
 class RoutedConnection(Protocol):
-    """A client's connection, as actions use it."""
+    """The operations of a client's connection that actions need."""
 
     def start_attempt(self, server: str, timeout_ms: float) -> None:
-        """Sends the request to that server."""
+        """Sends the request to a server. The whole attempt may take `timeout_ms`."""
         ...
 
     def cancel_attempt(self, attempt: int) -> None:
-        """Cancels the attempt of that number."""
+        """Cancels the attempt with this number."""
         ...
 
     def reject(self, retry_after_ms: float) -> None:
-        """Rejects the request: the client may retry after that time."""
+        """Rejects the request. The client may retry after `retry_after_ms`."""
         ...
 
     def fail(self) -> None:
@@ -49,15 +49,16 @@
 
 
 class RoutingActor:
-    """Owns routing's decisions, timers and events.
+    """Feeds events and timers to routing, and carries out the actions that routing returns.
 
     Attributes:
-        balancer: the decisions.
+        balancer: makes the routing decisions.
         mailbox: events that wait for the next batch.
-        find_connection: finds the connection of a request; set by the table of connections.
+        find_connection: returns the connection of a request, or None; set by the table of connections.
         send_health_check: sends a health check to a server.
         send_gossip: sends a gossip summary to the peers.
-        watch_endpoints: subscribes to the endpoint list; the program polls by itself and does not set it.
+        watch_endpoints: subscribes to the endpoint list; left unset by the program, whose endpoint watcher polls on its
+            own.
     """
 
     def __init__(self, settings: interface.Settings, seed: int, clock: Clock) -> None:
@@ -68,9 +69,9 @@
         self.send_gossip: Callable[[bytes], None] = _ignore_gossip
         self.watch_endpoints: Callable[[], None] = _ignore_watch_request
         self._clock = clock
-        self._timers: list[tuple[int, int]] = []  # a heap of times in microseconds and timer ids
+        self._timers: list[tuple[int, int]] = []  # heap of (due time in microseconds, timer id)
         self._last_batch_us = 0
-        self._priority_events: list[interface.Event] = []  # of the next batch, however full the mailbox is
+        self._priority_events: list[interface.Event] = []  # start the next batch; accepted even if the mailbox is full
         self._batch_waiters: list[asyncio.Future[None]] = []
 
     def post(self, event: interface.Event) -> bool:
@@ -78,20 +79,20 @@
         return self.mailbox.try_put(event)
 
     def load_of(self, request_id: str) -> int:
-        """Returns the load of a connection as last known; 0 for an unknown connection."""
+        """Returns the last known load of a request's connection; 0 for an unknown request."""
         return self.balancer.load_of(request_id)
 
     def may_reject(self, request_id: str) -> bool:
-        """Returns whether a request may be rejected, as a retry of it would be harmless."""
+        """Returns whether a request may be rejected, because the client can safely retry it."""
         return self.balancer.may_reject(request_id)
 
     def post_priority_event(self, event: interface.Event) -> None:
-        """Puts an operator's event at the start of the next batch."""
+        """Puts an operator's event at the start of the next batch, even if the mailbox is full."""
         self._priority_events.append(event)
         self.mailbox.wake()
 
     def stop_gossip(self) -> None:
-        """Sends no more gossip, as another process does so for this balancer."""
+        """Stops sending gossip, because another process now sends it for this balancer."""
         self.send_gossip = _ignore_gossip
 
     async def wait_for_batch(self) -> None:
@@ -117,24 +118,24 @@
         if self._timers:
             at_ms = ms_from_us(self._timers[0][0]) + TIMER_MARGIN_MS
             wake_up = self._clock.call_at(at_ms, self.mailbox.wake)
-        # A wake-up is lost before `get_all` waits, so what came until now must not wait for a message. Afterwards a
-        # wake-up ends the wait in `get_all`, which returns the events in the mailbox too.
+        # A wake-up has no effect before `get_all` starts to wait. So if there are priority events or waiters already,
+        # the next batch must not wait for a message. A wake-up that comes later ends the wait in `get_all`.
         batch = [] if self._priority_events or self._batch_waiters else await self.mailbox.get_all()
         if wake_up:
             wake_up.cancel()
         return batch
 
     def handle_batch(self, batch: list[interface.Event]) -> None:
-        """Passes a batch and the timers that are due to routing, and carries out the actions."""
+        """Passes a batch of events and the due timers to routing, and carries out the resulting actions."""
         now_us = self._last_batch_us = max(self._last_batch_us, us_from_ms(self._clock.now_ms()))
         while self._timers and self._timers[0][0] <= now_us:
             batch.append(interface.TimerFired(heapq.heappop(self._timers)[1]))
         try:
             actions = self.balancer.handle(now_us, batch)
-        except Exception:  # the edge of the actor: connections are answered at their own deadline
+        except Exception:  # the actor must not end: connections are answered at their own deadlines
             logger.exception("unexpected error in routing", events=len(batch))
             actions = self.balancer.batch.actions
-            if not self._timers:  # without a timer there would be no further round
+            if not self._timers:  # without a timer, routing would have no further round
                 self.balancer.schedule_round(now_us + ROUND_US)
         self._log_changes()
         for action in actions:
@@ -185,17 +186,17 @@
 
 
 def _find_no_connection(request_id: str) -> RoutedConnection | None:
-    """Finds no connection: no table is set."""
+    """Returns None, because no connection table has been set."""
     return None
 
 
 def _ignore_watch_request() -> None:
-    """Does nothing: the port is not set."""
+    """Does nothing, because no callback has been set."""
 
 
 def _ignore_health_check(server: str) -> None:
-    """Does nothing: the port is not set."""
+    """Does nothing, because no callback has been set."""
 
 
 def _ignore_gossip(data: bytes) -> None:
-    """Does nothing: the port is not set."""
+    """Does nothing, because no callback has been set."""
--- a/tests/coordination/warm_start/test_start_cache.py
+++ b/tests/coordination/warm_start/test_start_cache.py
@@ -62,7 +62,7 @@
     host.endpoints = EndpointWatcher(
         address=Address("d", 1),
         clock=clock,
-        update=lambda kind, rows: None,
+        on_endpoints=lambda kind, rows: None,
         on_failure=lambda: None,
         backoff=PollBackoff(1, False, random.Random(1)),
     )
