--- a/glenrock/net/clock.py
+++ b/glenrock/net/clock.py
@@ -1,7 +1,7 @@
-"""The clock of the process: Unix time in milliseconds, as a float, that never goes back.
+"""The clock of the process: monotonic Unix time in milliseconds, as a float.
 
-Routing uses whole microseconds. `us_from_ms` and `ms_from_us` are the only conversions, also for the Unix times of the
-endpoint list.
+Routing uses whole microseconds. All conversions between both, including those of Unix times in the endpoint list, are
+made by `us_from_ms` and `ms_from_us`.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 
 
 def us_from_ms(ms: float) -> int:
-    """Returns milliseconds as whole microseconds."""
+    """Converts milliseconds to microseconds, rounded toward zero."""
     return int(ms * 1000)
 
 
 def ms_from_us(us: int) -> float:
-    """Returns microseconds as milliseconds."""
+    """Converts microseconds to milliseconds."""
     return us / 1000
 
 
@@ -29,7 +29,7 @@
 
 
 class Clock:
-    """A monotonic clock that starts at Unix time, so that a step of the machine's clock changes no deadline."""
+    """A monotonic clock that starts at the Unix time, so that a step of the wall clock changes no deadline."""
 
     def __init__(self) -> None:
         self._offset_ms = (time.time() - time.monotonic()) * 1000
@@ -38,13 +38,13 @@
         """Returns the time in Unix milliseconds."""
         return time.monotonic() * 1000 + self._offset_ms
 
-    def call_at(self, when_ms: float, call: Callable[..., object], *args: object) -> asyncio.Handle:
-        """Calls `call` at that time, or at once if the time is past."""
+    def call_at(self, when_ms: float, callback: Callable[..., object], *args: object) -> asyncio.Handle:
+        """Schedules a call of `callback` at a time of this clock, or as soon as possible if the time has passed."""
         delay_s = max(0.0, when_ms - self.now_ms()) / 1000
-        return asyncio.get_running_loop().call_later(delay_s, call, *args)
+        return asyncio.get_running_loop().call_later(delay_s, callback, *args)
 
     async def sleep(self, ms: float) -> None:
-        """Waits for that time by this clock."""
+        """Waits for a duration on this clock."""
         done: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         handle = self.call_at(self.now_ms() + ms, _complete, done)
         try:
@@ -53,12 +53,12 @@
             handle.cancel()
 
     def time_limit(self, ms: float) -> TimeLimit:
-        """Returns a context manager that ends its block after that time."""
+        """Returns a context manager that ends its block after a duration on this clock."""
         return TimeLimit(self, ms)
 
 
 class ManualClock(Clock):
-    """A clock for tests, which advances only by `advance`."""
+    """A clock for tests, which is advanced only by `advance`."""
 
     def __init__(self, now_ms: float = 1_000_000.0) -> None:
         self.time_ms = now_ms
@@ -66,18 +66,18 @@
         self._scheduled_count = 0
 
     def now_ms(self) -> float:
-        """Returns the time that was set."""
+        """Returns the time to which the clock has been advanced."""
         return self.time_ms
 
-    def call_at(self, when_ms: float, call: Callable[..., object], *args: object) -> asyncio.Handle:
-        """Calls `call` once `advance` has reached that time."""
-        handle = asyncio.Handle(call, args, asyncio.get_running_loop())
+    def call_at(self, when_ms: float, callback: Callable[..., object], *args: object) -> asyncio.Handle:
+        """Schedules a call of `callback`, which `advance` makes once it reaches that time."""
+        handle = asyncio.Handle(callback, args, asyncio.get_running_loop())
         self._scheduled_count += 1
         heapq.heappush(self._scheduled, (when_ms, self._scheduled_count, handle))
         return handle
 
     def advance(self, ms: float) -> None:
-        """Advances the clock, and makes the calls that are due, in order."""
+        """Advances the clock, and makes the calls that are due in the order of their times."""
         self.time_ms += ms
         while self._scheduled and self._scheduled[0][0] <= self.time_ms:
             handle = heapq.heappop(self._scheduled)[2]
@@ -86,7 +86,18 @@
 
 
 class TimeLimit:
-    """`async with clock.time_limit(ms) as limit:` ends the block after that time; then `limit.has_expired` is true."""
+    """A context manager that ends its block after a duration.
+
+    The block is cancelled at its current `await`, and execution continues after the `async with` statement:
+
+        async with clock.time_limit(ms) as limit:
+            result = await read()
+        if limit.has_expired:
+            ...
+
+    Attributes:
+        has_expired: whether the block was ended by the time limit or by `expire`.
+    """
 
     def __init__(self, clock: Clock, ms: float) -> None:
         self.has_expired = False
@@ -102,14 +113,14 @@
 
     def expire(self) -> None:
         """Ends the block now."""
-        if not self.has_expired and self._task:  # a second cancellation would not be suppressed
+        if not self.has_expired and self._task:  # only one cancellation is suppressed at the end of the block
             self.has_expired = True
             self._task.cancel()
 
     async def __aexit__(
-        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
+        self, exc_type: type[BaseException] | None, exc: BaseException | None, traceback: TracebackType | None
     ) -> bool:
         assert self._task is not None and self._handle is not None
         self._handle.cancel()
-        # Only the cancellation by `stop` is suppressed, no other one.
-        return self.has_expired and self._task.uncancel() == 0 and kind is asyncio.CancelledError
+        # Only the cancellation by `expire` is suppressed, not one by another caller.
+        return self.has_expired and self._task.uncancel() == 0 and exc_type is asyncio.CancelledError
--- a/glenrock/net/connection_table.py
+++ b/glenrock/net/connection_table.py
@@ -85,8 +85,8 @@
         """Returns descriptors in use for clients and health checks, and those reserved for the rest."""
         return {
             "program": descriptor_budget.PROGRAM_DESCRIPTORS,
-            "operators": self.budget.operators,
-            "other_process": self.budget.other_process,
+            "operators": self.budget.operator_descriptors,
+            "other_process": self.budget.other_process_descriptors,
             "health_checks": self.servers.count_health_check_connections(),
             "relays": descriptor_budget.DESCRIPTORS_PER_RELAY * len(self.by_id),
         }
@@ -147,7 +147,7 @@
         """Migrates clients of servers that do not answer, for as long as the program runs."""
         while True:
             await self.clock.sleep(SWEEP_INTERVAL_MS)
-            self.budget.other_process = self.count_other_descriptors()
+            self.budget.other_process_descriptors = self.count_other_descriptors()
             oldest_ms = self.clock.now_ms() - UNANSWERED_TIMEOUT_MS
             for connection in self.by_id.values():
                 since_ms = connection.unanswered_since_ms
--- a/glenrock/net/health_check_connection.py
+++ b/glenrock/net/health_check_connection.py
@@ -18,12 +18,12 @@
 from .socket_io import close_socket, create_socket
 from .system_errors import is_local_connect_error
 
-HEALTH_CHECK_TIMEOUT_MS = 250.0  # for the answer to a health check
-HEALTH_CHECK_IDLE_TIMEOUT_MS = 8000.0  # an unused connection is closed after this time
+HEALTH_CHECK_TIMEOUT_MS = 250.0  # for a whole health check, with the connect
+HEALTH_CHECK_IDLE_TIMEOUT_MS = 8000.0  # a connection that has been idle for longer is closed
 
 
 class CheckResult(NamedTuple):
-    """The result of a health check, with the load report of the server."""
+    """The outcome of a health check, with the server's load report."""
 
     outcome: interface.AttemptOutcome
     report: dict[str, float]
@@ -31,11 +31,13 @@
 
 NO_CONNECTION = CheckResult(interface.AttemptOutcome.NO_CONNECTION, {})
 NO_ANSWER = CheckResult(interface.AttemptOutcome.TIMEOUT, {})
-NOT_SENT = CheckResult(interface.AttemptOutcome.UNSENT, {})  # because of this machine: says nothing about the server
+NOT_SENT = CheckResult(
+    interface.AttemptOutcome.UNSENT, {}
+)  # failed on this machine, which says nothing about the server
 
 
 class HealthCheckConnection:
-    """Owns the connection for health checks of one server."""
+    """Owns the connection for health checks of one server. One check at a time may be in flight."""
 
     def __init__(self, clock: Clock, post: Callable[[interface.Event], bool], pool: HealthCheckPool) -> None:
         self._clock = clock
@@ -46,7 +48,7 @@
         self._last_used_ms = 0.0
 
     async def check(self, row: EndpointRow) -> None:
-        """Sends a health check and posts its result, which is UNSENT if all connections of the pool are in use."""
+        """Runs a health check and posts its result, which is UNSENT if all connections of the pool are in use."""
         sent_ms = self._clock.now_ms()
         answer = NO_ANSWER
         if not self._pool.acquire(self):
@@ -67,8 +69,8 @@
 
     async def _check_with_reconnect(self, row: EndpointRow) -> CheckResult:
         if self._sock:
-            # A server may just have closed an unused connection, which says nothing about its health: two such ends
-            # would eject a healthy server. The check is repeated on a new connection.
+            # The server may just have closed the idle connection, which says nothing about its health. Two such ends
+            # counted as failures would eject a healthy server. So the check is repeated on a new connection.
             with contextlib.suppress(OSError):
                 answer = await self._exchange(self._sock)
                 if answer.outcome is not interface.AttemptOutcome.NO_CONNECTION:
@@ -81,7 +83,11 @@
         return await self._exchange(self._sock)
 
     async def _exchange(self, sock: socket.socket) -> CheckResult:
-        """Sends the health check and reads its answer. Raises OSError."""
+        """Sends a health check and reads the answer.
+
+        Raises:
+            OSError: the connection failed.
+        """
         loop = asyncio.get_running_loop()
         await loop.sock_sendall(sock, protocol.HEALTH_CHECK)
         buffer = bytearray(protocol.MAX_LINE_BYTES)
@@ -107,10 +113,13 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether there is a connection."""
+        """Whether the connection is open or being established."""
         return self._sock is not None
 
     def close_if_idle(self) -> None:
-        """Closes a connection that has been unused for a while. No health check may be in flight."""
+        """Closes the connection if it has been idle for `HEALTH_CHECK_IDLE_TIMEOUT_MS`.
+
+        No health check may be in flight.
+        """
         if self._sock and self._clock.now_ms() - self._last_used_ms > HEALTH_CHECK_IDLE_TIMEOUT_MS:
             self.disconnect()
--- a/glenrock/net/health_check_pool.py
+++ b/glenrock/net/health_check_pool.py
@@ -1,4 +1,4 @@
-"""The bounded pool of connections for health checks, of all servers together."""
+"""The bounded pool of connections for health checks, shared by all servers."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class HealthCheckPool:
-    """Bounds the open connections for health checks.
+    """Bounds the number of open connections for health checks.
 
     Args:
         limit: returns the number of connections that may be open.
@@ -23,30 +23,32 @@
 
     def __init__(self, limit: Callable[[], int]) -> None:
         self._limit = limit
-        self._in_use_by_connection: dict[PooledConnection, bool] = {}  # the least recently used first
+        self._in_use_by_connection: dict[PooledConnection, bool] = {}  # least recently used first
 
     def __len__(self) -> int:
-        """Returns the number of connections that are open, or about to be."""
+        """Returns the number of connections that are open or about to be."""
         return len(self._in_use_by_connection)
 
     def acquire(self, connection: PooledConnection) -> bool:
-        """Reserves a place for a health check, and closes the least recently used connection if the pool is full.
+        """Reserves a place in the pool for a connection that is about to carry a health check.
+
+        If the pool is full, the least recently used connection without a health check in flight is closed.
 
         Returns:
-            False if a health check is in flight on each connection of the pool.
+            False if the pool is full and a health check is in flight on each of its connections.
         """
         self._in_use_by_connection.pop(connection, None)
         while len(self._in_use_by_connection) >= max(1, self._limit()):
-            unused = next((pooled for pooled, is_busy in self._in_use_by_connection.items() if not is_busy), None)
-            if unused is None:
+            idle = next((pooled for pooled, in_use in self._in_use_by_connection.items() if not in_use), None)
+            if idle is None:
                 return False
-            self.remove(unused)
-            unused.disconnect()
+            self.remove(idle)
+            idle.disconnect()
         self._in_use_by_connection[connection] = True
         return True
 
     def release(self, connection: PooledConnection) -> None:
-        """Records that the health check has ended, and the connection stays open."""
+        """Records that the health check has ended and that the connection, if still in the pool, stays open."""
         if connection in self._in_use_by_connection:
             self._in_use_by_connection[connection] = False
 
--- a/glenrock/net/peers.py
+++ b/glenrock/net/peers.py
@@ -1,6 +1,7 @@
-"""Datagrams between balancers: gossip summaries, and messages of the coordination.
+"""Datagrams between balancers: gossip summaries and coordination messages.
 
-uvloop has no `sock_recvfrom` and `sock_sendto`, so the socket is read when the loop reports it readable.
+uvloop does not implement `sock_recvfrom` and `sock_sendto`. So a reader callback receives the datagrams when the socket
+is readable, and they are sent without waiting.
 """
 
 from __future__ import annotations
@@ -16,20 +17,31 @@
 from ..log import get_logger
 
 MAX_DATAGRAM_BYTES = 256
-FIRST_COORDINATION_MESSAGE_TYPE = b"\xf1"  # of the first byte; a gossip summary begins with its version, a lower number
-MAX_READS_PER_WAKEUP = 64  # bounds the time that a flood of datagrams takes from connections
+FIRST_COORDINATION_MESSAGE_TYPE = b"\xf1"  # lowest first byte; a gossip summary starts with its version, which is lower
+MAX_READS_PER_WAKEUP = 64  # so that a flood of datagrams does not hold up connections
 
 logger = get_logger(__name__)
 
 
 class Peers:
-    """The socket, and the addresses of the other balancers.
+    """Exchanges datagrams with the other balancers, which are identified by their numbers.
 
     Attributes:
         sock: the bound socket.
-        addresses: where summaries are sent.
-        number_by_address: the numbers of balancers by their addresses.
-        on_datagram: called with each datagram and its sender's number; None without coordination.
+        addresses: the addresses to which gossip summaries are sent if there is no broadcast address.
+        number_by_address: the number of each balancer by its address.
+        on_datagram: called with the number of the sender and the datagram; None without coordination.
+
+    Args:
+        listen: the address to bind.
+        peers: see `change_addresses`.
+        broadcast: see `change_addresses`.
+        post: takes events for routing.
+        balancers: the number of balancers.
+        reuses_address: whether another process may have bound the same address.
+
+    Raises:
+        OSError: the address cannot be bound.
     """
 
     def __init__(
@@ -52,20 +64,21 @@
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.sock.setblocking(False)
         if reuses_address:
-            # Both processes of an upgrade bind the address, and the later one gets the datagrams.
+            # During an upgrade both processes bind the address, and the later one receives the datagrams.
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.sock.bind(listen)
         asyncio.get_running_loop().add_reader(self.sock, self._receive)
 
     def change_addresses(self, peers: tuple[Address, ...], broadcast: Address | None) -> None:
-        """Sets the addresses of the other balancers, in the order of their numbers.
+        """Sets the addresses of the other balancers.
 
-        Invalid addresses are logged, and the previous ones stay. At the start there are no previous ones: then
-        addresses past the number of balancers are ignored, and a repeated address belongs to its first balancer.
+        If the addresses are invalid, an error is logged and the previous ones stay. At the start there are no previous
+        ones. Then addresses beyond the number of balancers are ignored, and a repeated address belongs to the first
+        balancer that it is given for.
 
         Args:
-            peers: one address for each balancer.
-            broadcast: an address that reaches all of them; None without one.
+            peers: the addresses of the balancers in the order of their numbers.
+            broadcast: an address that reaches all balancers; None if there is none.
         """
         number_by_address, fault = _assign_numbers(peers, self._balancers)
         if fault:
@@ -85,7 +98,7 @@
             except BlockingIOError:
                 return
             except OSError:
-                continue  # an ICMP error of an earlier send
+                continue  # an ICMP error in response to an earlier send
             peer = self.number_by_address.get(sender)
             if peer is None or len(data) > MAX_DATAGRAM_BYTES:
                 logger.warning("datagram ignored", sender=Address(*sender), size_bytes=len(data))
@@ -96,7 +109,7 @@
                 self._post(interface.GossipReceived(peer, data))
 
     def send_to(self, peer: int, data: bytes) -> None:
-        """Sends a message of the coordination. Errors are ignored, since the sender repeats its messages."""
+        """Sends a coordination message to a balancer. Errors are ignored, since coordination repeats its messages."""
         if address := self._address_by_number.get(peer):
             with contextlib.suppress(OSError):
                 self.sock.sendto(data, address)
@@ -119,13 +132,17 @@
 
 
 def _assign_numbers(peers: tuple[Address, ...], balancers: int) -> tuple[dict[Address, int], str]:
-    """Returns the number of the first balancer of each address, and why the addresses are invalid; empty if valid."""
+    """Numbers the addresses in their order; a repeated address gets the number of its first occurrence.
+
+    Returns:
+        The number of each address, and why the addresses are invalid; empty if they are valid.
+    """
     number_by_address: dict[Address, int] = {}
     fault = ""
     if len(peers) > balancers:
         fault = f"{len(peers)} addresses for {balancers} balancers"
     for number, address in enumerate(peers[:balancers]):
-        first = number_by_address.setdefault(address, number)
-        if first != number:
-            fault = f"{address} stands for balancers {first} and {number}"
+        first_number = number_by_address.setdefault(address, number)
+        if first_number != number:
+            fault = f"{address} is given for balancers {first_number} and {number}"
     return number_by_address, fault
--- a/glenrock/net/server_actor.py
+++ b/glenrock/net/server_actor.py
@@ -1,4 +1,4 @@
-"""The actor of one server, with its attempts and its health checks."""
+"""The actor of one server, which runs its attempts and health checks."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 from .socket_io import close_socket, create_socket
 from .system_errors import is_local_connect_error
 
-MAX_QUEUED_MESSAGES = 1024  # health checks and attempts that wait for one actor
-LOCAL_RETRY_DELAY_MS = 20.0  # after this machine could not begin a connection
+MAX_QUEUED_MESSAGES = 1024  # attempts and health checks queued for one actor
+LOCAL_RETRY_DELAY_MS = 20.0  # after a connect that failed because of this machine
 END_BY_KEYWORD: dict[str, AttemptEnd] = {
     ServerWord.REJECTED: AttemptEnd.REJECTED,
     ServerWord.SERVED: AttemptEnd.SERVED,
@@ -37,22 +37,22 @@
 
 
 class ServerCommand(Enum):
-    """Jobs of a server's actor beside attempts."""
+    """Messages to a server's actor other than attempts."""
 
     HEALTH_CHECK = "health check"
 
 
 class ServerActor:
-    """One server.
+    """Runs the attempts and health checks of one server.
 
     Attributes:
         row: the server's row of the endpoint list.
-        is_suspended: whether an operator has taken the server out of rotation.
-        connect_timeout_ms: the time for a connection to be established.
+        is_suspended: whether an operator has suspended the server.
+        connect_timeout_ms: the timeout for establishing a connection.
         post: takes events for routing.
-        mailbox: attempts and jobs that wait.
-        health_check_task: the health check in flight, or the last one.
-        tasks: attempts and health checks in flight.
+        mailbox: queued attempts and commands.
+        health_check_task: the task of the health check in flight, or of the last one.
+        tasks: the tasks of attempts and health checks in flight.
     """
 
     def __init__(
@@ -78,7 +78,7 @@
 
     @property
     def accepts_connections(self) -> bool:
-        """Whether new connections may be sent to the server."""
+        """Whether new connections may be established at the server."""
         return self.row.state is interface.EndpointState.READY and not self.is_suspended
 
     @property
@@ -91,7 +91,7 @@
         return self.health_check_task is not None and not self.health_check_task.done()
 
     def stop(self) -> None:
-        """Ends the actor."""
+        """Stops the actor and its health check."""
         self._run_task.cancel()
         if self.health_check_task:
             self.health_check_task.cancel()
@@ -100,24 +100,24 @@
         """Replaces the server's row."""
         has_restarted = row.since_ms != self.row.since_ms or row.address != self.row.address
         if has_restarted and not self._is_health_check_running:
-            self._health_check_connection.disconnect()  # the connection belongs to the earlier process
+            self._health_check_connection.disconnect()  # the connection is to the previous process
         self.row = row
 
     def close_idle_connection(self) -> None:
-        """Closes the connection for health checks if it has been unused for a while."""
+        """Closes the connection for health checks if it has been idle for `HEALTH_CHECK_IDLE_TIMEOUT_MS`."""
         if not self._is_health_check_running:
             self._health_check_connection.close_if_idle()
 
     async def _run(self) -> None:
         while True:
-            for job in await self.mailbox.get_all():
-                if isinstance(job, ConnectionAttempt):
-                    job.task = self._create_task(self._run_attempt(job))
+            for message in await self.mailbox.get_all():
+                if isinstance(message, ConnectionAttempt):
+                    message.task = self._create_task(self._run_attempt(message))
                 elif not self._is_health_check_running:
                     self.health_check_task = self._create_task(self._health_check_connection.check(self.row))
 
-    def _create_task(self, work: Coroutine[None, None, None]) -> asyncio.Task[None]:
-        task = asyncio.get_running_loop().create_task(work)
+    def _create_task(self, coroutine: Coroutine[None, None, None]) -> asyncio.Task[None]:
+        task = asyncio.get_running_loop().create_task(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
         return task
@@ -132,11 +132,11 @@
             result = AttemptResult(AttemptEnd.CANCELLED, attempt.reach)
         except OSError:
             result = AttemptResult(AttemptEnd.BROKEN, attempt.reach)
-        except Exception:  # the client needs an answer whatever has failed
+        except Exception:  # the client must get an answer, whatever the error
             logger.exception("unexpected error in an attempt", server=self.row.name, request_id=attempt.request_id)
             result = AttemptResult(AttemptEnd.BROKEN, attempt.reach)
         if result.end is not AttemptEnd.ESTABLISHED and attempt.sock:
-            # Closed before routing learns of the end, so that two attempts are never in flight.
+            # Closed before routing is notified, so that a request never has two attempts in flight.
             close_socket(attempt.sock)
             attempt.sock = None
         attempt.latency_ms = self._clock.now_ms() - attempt.started_ms
@@ -146,10 +146,10 @@
         return attempt.started_ms + attempt.timeout_ms - self._clock.now_ms()
 
     async def connect_and_request(self, attempt: ConnectionAttempt) -> AttemptResult:
-        """Connects, writes the request line and awaits the answer.
+        """Connects to the server, writes the request line and waits for the answer.
 
         Raises:
-            OSError: the connection to the server failed.
+            OSError: the connection could not be established, or it failed.
         """
         if attempt.is_cancelled:
             return AttemptResult(AttemptEnd.CANCELLED, attempt.reach)
@@ -164,7 +164,7 @@
             return AttemptResult(AttemptEnd.NOT_SENT, attempt.reach)
         if sock is None:
             return AttemptResult(AttemptEnd.NO_ANSWER, attempt.reach)
-        if not self._may_send(attempt):  # the endpoint list may have changed during the connect
+        if not self._may_send(attempt):  # the server's state may have changed during the connect
             return AttemptResult(AttemptEnd.NOT_SENT, attempt.reach)
         if not attempt.client_waits():
             return AttemptResult(AttemptEnd.CANCELLED, attempt.reach)
@@ -180,13 +180,14 @@
         return self.accepts_connections or attempt.ignores_endpoint_state
 
     async def _connect(self, attempt: ConnectionAttempt) -> socket.socket | None:
-        """Returns a connection; None if none was established in time.
+        """Returns an established connection, or None if the connect timed out.
 
-        A connect that fails because of this machine is retried: it says nothing about the server, and another
-        server would probably not help. After the connect timeout the attempt fails, and routing may try elsewhere.
+        A connect that fails because of this machine is retried. Such a failure says nothing about the server, and a
+        connect to another server would probably fail too. After the connect timeout the attempt fails, and routing may
+        select another server.
 
         Raises:
-            OSError: the connect failed, or this machine could not begin it within the connect timeout.
+            OSError: the connect failed, or this machine could not start it within the connect timeout.
         """
         deadline_ms = self._clock.now_ms() + min(self.connect_timeout_ms, self._remaining_ms(attempt))
         while True:
@@ -212,7 +213,7 @@
             attempt.reach = Reach.WRITTEN
             self._metrics.attempts_written += 1
             return await self._read_answer(attempt, sock)
-        attempt.reach = Reach.WRITTEN  # a write that was stopped may have sent the whole line
+        attempt.reach = Reach.WRITTEN  # an interrupted write may have sent the whole line
         return AttemptResult(AttemptEnd.NO_ANSWER, attempt.reach)
 
     async def _read_answer(self, attempt: ConnectionAttempt, sock: socket.socket) -> AttemptResult:
@@ -233,6 +234,6 @@
             attempt.reach = Reach.ESTABLISHED
             return AttemptResult(AttemptEnd.ESTABLISHED, attempt.reach)
         if word == ServerWord.MALFORMED:
-            logger.error("server rejected the form of a request line", server=self.row.name, line=attempt.line)
+            logger.error("server reported a malformed request line", server=self.row.name, line=attempt.line)
         end = END_BY_KEYWORD.get(word, AttemptEnd.ERROR)
         return AttemptResult(end, attempt.reach, protocol.parse_load_report(rest))
--- a/glenrock/net/server_connections.py
+++ b/glenrock/net/server_connections.py
@@ -1,4 +1,4 @@
-"""All servers by name, and an actor for each server that has work."""
+"""The registry of servers by name, with an actor for each server that is in use."""
 
 from __future__ import annotations
 
@@ -17,26 +17,25 @@
 from .start_times import StartTimes
 
 MAX_SERVERS = 8192  # bounds the memory for rows
-RETIRE_CHECK_INTERVAL_MS = (
-    10_000.0  # without work; checked at this interval, so an actor is retired within twice this time
-)
+RETIRE_CHECK_INTERVAL_MS = 10_000.0  # an actor is retired after one to two intervals without work
 
 logger = get_logger(__name__)
 
 
 class ServerRegistry:
-    """All servers by name. The name is the identity: an address may change, and a process may restart.
+    """All servers by name. A server is identified by its name, since its address may change and it may restart.
 
-    Actors are created at first use and retired without work, so that memory depends on traffic and not on the length of
-    the endpoint list.
+    An actor is created when a server is first used, and is retired when it has no work. So the memory for actors
+    depends on the traffic and not on the length of the endpoint list.
 
     Attributes:
-        rows: rows of the endpoint list by name; rows of servers that are gone stay while there is room.
+        rows: rows of the endpoint list by server name; the rows of servers that are gone stay until `MAX_SERVERS` is
+            reached.
         actors: actors by server name.
-        has_list: whether discovery has reported an endpoint list.
-        suspended: names of servers that operators have taken out of rotation, listed or not.
+        has_list: whether discovery has reported a whole endpoint list.
+        suspended: names of suspended servers, listed or not.
         post: takes events for routing. Coordination may replace it, so actors call `_post`, which reads it each time.
-        connect_timeout_ms: the time for a connection to be established.
+        connect_timeout_ms: the timeout for establishing a connection to a server.
     """
 
     def __init__(
@@ -59,13 +58,12 @@
         self._budget = budget
         self._start_times = start_times
         self._pool = HealthCheckPool(lambda: budget.max_health_check_connections)
-        self._retirable_at_last_check: set[str] = (
-            set()
-        )  # servers whose actors had no work at the last check; without work at two checks in a row an actor is retired
+        # An actor that has no work at two consecutive checks is retired.
+        self._retirable_at_last_check: set[str] = set()
         self._last_retire_check_ms = clock.now_ms()
 
     def set_suspended(self, name: str, is_suspended: bool) -> None:
-        """Takes a server out of rotation, for attempts that wait too, or back into rotation."""
+        """Suspends or resumes a server. A suspension also applies to attempts that are already queued."""
         if is_suspended:
             self.suspended.add(name)
         else:
@@ -82,15 +80,15 @@
         return (row for row in self.rows.values() if row.state is not EndpointState.GONE)
 
     def was_ever_listed(self, name: str) -> bool:
-        """Returns whether the server is listed, or was."""
+        """Returns whether the server is listed, or was listed and still has its row."""
         return name in self.rows
 
     def count_health_check_connections(self) -> int:
-        """Returns the number of open connections for health checks."""
+        """Returns the number of connections for health checks that are open or about to be."""
         return len(self._pool)
 
     def get(self, name: str) -> ServerActor | None:
-        """Returns the actor of a server, created if necessary; None for an unknown server."""
+        """Returns the actor of a server, and creates it if necessary. Returns None for an unknown server."""
         if actor := self.actors.get(name):
             return actor
         row = self.rows.get(name)
@@ -105,12 +103,12 @@
         return self.post(event)
 
     def update(self, kind: EndpointListKind, rows: list[EndpointRow]) -> None:
-        """Takes an endpoint list or changes to it, and passes them to routing."""
+        """Stores an endpoint list or changes to it, and passes them to routing."""
         if kind is not EndpointListKind.CHANGES:
             self._mark_others_gone({row.name for row in rows})
         for row in rows:
             self._replace_row(row)
-        self._budget.servers = len(self.rows)
+        self._budget.server_count = len(self.rows)
         self.has_list = self.has_list or kind is EndpointListKind.FULL
         accepted = [row for row in rows if row.name in self.rows]
         started_ms = self._start_times.start_times_ms(accepted)
@@ -146,13 +144,13 @@
         return actor is not None and bool(actor.tasks)
 
     def send_health_check(self, name: str) -> None:
-        """Sends a health check. Routing gets the result, also if the check cannot be sent."""
+        """Sends a health check. Routing receives a result even if the check cannot be sent."""
         actor = self.get(name)
         if actor is None or not actor.mailbox.try_put(ServerCommand.HEALTH_CHECK):
             self.post(interface.HealthCheckResult(name, interface.AttemptOutcome.UNSENT))
 
     def close_idle_connections(self) -> None:
-        """Closes unused connections for health checks, and retires actors without work."""
+        """Closes idle connections for health checks, and retires actors without work."""
         for actor in self.actors.values():
             actor.close_idle_connection()
         if self._clock.now_ms() - self._last_retire_check_ms < RETIRE_CHECK_INTERVAL_MS:
--- a/glenrock/net/start_times.py
+++ b/glenrock/net/start_times.py
@@ -12,9 +12,9 @@
    (`_age_in_later_list_ms`).
 3. In the first list, a clock that shows an earlier time than the newest `since_ms` must be behind. It is read as if it
    showed that time (`_ages_in_first_list_ms`).
-4. In the first list, a server that started less than one slow start period before the newest one may have just started. Its
-   age is the time between both starts, so that it counts as warming up. This rule is not applied if it concerns more
-   than half of all servers, because the others would get all of the load.
+4. In the first list, a server that started less than one slow start period before the newest one may have just
+   started. Its age is the time between both starts, so that it counts as warming up. This rule is not applied if it
+   concerns more than half of all servers, because the others would get all of the load.
 
 For example, a server is first reported in a later list, with a start 20 s ago by the process's clock. The wall clock
 has been stepped back by 5 s, so rule 1 gives 15 s. Discovery's last response was 1 s ago, so by rule 2 the age is at
--- a/glenrock/program.py
+++ b/glenrock/program.py
@@ -71,7 +71,7 @@
             program.routing, program.servers, program.connections, program.shutdown, self.override_sync
         )
         self.listener = Listener(self.operations, program.clock)
-        program.budget.operators = RESERVED_DESCRIPTORS
+        program.budget.operator_descriptors = RESERVED_DESCRIPTORS
 
     def start(self, program: Program) -> None:
         """Reads the stored overrides and starts listening.
@@ -123,7 +123,7 @@
             logger.warning("process not registered: the descriptor limit may be exceeded", error=error)
         connections = self._program.connections
         connections.count_other_descriptors = self._processes.count_other_descriptors
-        connections.budget.other_process = self._processes.count_other_descriptors()
+        connections.budget.other_process_descriptors = self._processes.count_other_descriptors()
 
     def receive_relays(self) -> None:
         """Starts to accept relays that the predecessor hands over."""
--- a/tests/admin/test_idle_callers.py
+++ b/tests/admin/test_idle_callers.py
@@ -29,7 +29,7 @@
         writer.close()
         assert len(listener.callers) <= MAX_CALLERS + 1
     assert await asyncio.wait_for(silent[0][0].read(), 1) == b"", "the oldest caller is closed"
-    assert rig.program.budget.operators >= MAX_CALLERS
+    assert rig.program.budget.operator_descriptors >= MAX_CALLERS
 
 
 def test_idle_callers_use_few_descriptors_and_delay_no_call() -> None:
--- a/tests/net/test_descriptor_budget.py
+++ b/tests/net/test_descriptor_budget.py
@@ -20,10 +20,10 @@
 @pytest.mark.parametrize("servers", [0, 9, 200, 3200, 100_000])
 def test_reserved_descriptors_do_not_grow_with_the_endpoint_list(limit: int, servers: int) -> None:
     budget = DescriptorBudget(limit)
-    budget.servers = servers
+    budget.server_count = servers
     budget.check_limit(limit)
     assert budget.allows_relay(0)
-    assert budget.free(0) >= limit * 3 // 4 - 24 - 8
+    assert budget.free_descriptors(0) >= limit * 3 // 4 - 24 - 8
 
 
 @pytest.mark.usefixtures("runner")
