--- a/glenrock/net/system_errors.py
+++ b/glenrock/net/system_errors.py
@@ -8,7 +8,7 @@
 | EADDRNOTAVAIL, EAGAIN | connect | no local port is free | retried within the attempt |
 | ENETUNREACH, ENETDOWN, EPERM, EACCES | connect | no route from this machine | retried within the attempt |
 | EINTR | all | interrupted by a signal | the call is repeated |
-| ECONNREFUSED, ECONNRESET, ETIMEDOUT, EHOSTUNREACH | connect | the server refused or is not reachable | counts as no connection |
+| ECONNREFUSED, ECONNRESET, ETIMEDOUT, EHOSTUNREACH | connect | refused or unreachable | counts as no connection |
 | ECONNRESET, EPIPE, ETIMEDOUT, EHOSTUNREACH | read, write | the connection failed | that connection is closed |
 | ENOBUFS, EPERM, ECONNREFUSED, ... | sendto | the datagram is lost | logged |
 
