--- a/tests/net/discovery_answers.py
+++ b/tests/net/discovery_answers.py
@@ -1,4 +1,4 @@
-"""Endpoint lists in the form in which service discovery answers, as JSON and HTTP, for stand-ins of discovery."""
+"""Builds responses of service discovery, as JSON and as HTTP, for tests that simulate discovery."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class EndpointRow(TypedDict):
-    """Holds the fields of a server's row, under the names that discovery gives them."""
+    """A server's row in the endpoint list, with the field names that discovery uses."""
 
     name: str
     address: str
@@ -21,7 +21,7 @@
 
 
 class EndpointListResponse(TypedDict):
-    """Holds an answer of discovery: a whole list, or changes to it."""
+    """A response of discovery: a whole endpoint list, or changes to it."""
 
     index: int
     snapshot: bool
@@ -31,18 +31,18 @@
 def endpoint_row(
     name: str, address: str, status: str = "SERVING", zone: str = "a", group: int = 0, since_ms: float = 0
 ) -> EndpointRow:
-    """Returns the row of a server; `status` as discovery states it, `since_ms` its start in Unix ms."""
+    """Returns the row of a server. `status` is a status of discovery, and `since_ms` is the start in Unix ms."""
     return EndpointRow(
         name=name, address=address, zone=zone, type="m", group=group, status=status, weight=1.0, since_ms=since_ms
     )
 
 
 def endpoint_list_response(version: int, rows: Iterable[EndpointRow], is_full: bool = True) -> EndpointListResponse:
-    """Returns an answer of that version: a whole list, or changes to it."""
+    """Returns a response with this version: a whole endpoint list, or changes to it."""
     return EndpointListResponse(index=version, snapshot=is_full, endpoints=list(rows))
 
 
 def http_response(body: object) -> bytes:
-    """Returns an HTTP answer with this JSON as its body."""
+    """Returns an HTTP response whose body is the JSON of an object."""
     data = json.dumps(body).encode()
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(data), data)
--- a/tests/net/test_descriptor_budget.py
+++ b/tests/net/test_descriptor_budget.py
@@ -1,4 +1,4 @@
-"""Limits that keep descriptors from running out, and connections beyond them."""
+"""The descriptor budget, and connections that are closed because they exceed it."""
 
 from __future__ import annotations
 
@@ -34,15 +34,15 @@
 
 
 async def test_connection_closed_for_lack_of_descriptors_has_its_buffered_request_answered(rig: LoopbackRig) -> None:
-    """More idle connections than allowed: the oldest has sent a request that has not been read."""
+    """There are more idle connections than allowed, and the oldest has sent a request that has not been read."""
     await rig.open()
     assert rig.acceptor.listener is not None
     asyncio.get_running_loop().remove_reader(rig.acceptor.listener)
     max_idle = rig.program.connections.max_idle_connections()
     first = rig.connect_client(REQUEST_LINE)
     idle = [rig.connect_client() for _ in range(max_idle + 3)]
-    rig.acceptor._socket.accept(max_idle + 4)  # at once, before any task has run
-    async with asyncio.timeout(5):  # a lost request would reach no server
+    rig.acceptor._socket.accept(max_idle + 4)  # all at once, before any task of a connection runs
+    async with asyncio.timeout(5):  # a request that was lost would never reach a server
         server_side = await rig.accept_request("s1")
     server_side.sendall(ESTABLISHED_LINE)
     assert await receive(first) == ESTABLISHED_LINE
--- a/tests/net/test_discovery_client.py
+++ b/tests/net/test_discovery_client.py
@@ -1,16 +1,16 @@
-"""HTTP answers of discovery, cut at any place."""
+"""HTTP responses of discovery that arrive in two parts."""
 
 from __future__ import annotations
 
 from glenrock.net.discovery_client import HttpResponse
 
 
-def test_answer_is_the_same_wherever_it_is_cut() -> None:
+def test_response_split_at_any_byte_is_parsed() -> None:
     body = b'{"index":1,"snapshot":true,"endpoints":[]}'
-    text = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
-    for cut in range(1, len(text)):
-        answer = HttpResponse()
-        answer.parser.feed_data(text[:cut])
-        assert not answer.is_complete
-        answer.parser.feed_data(text[cut:])
-        assert answer.is_complete and answer.keeps_alive and bytes(answer.body) == body
+    data = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
+    for split in range(1, len(data)):
+        response = HttpResponse()
+        response.parser.feed_data(data[:split])
+        assert not response.is_complete
+        response.parser.feed_data(data[split:])
+        assert response.is_complete and response.keeps_alive and bytes(response.body) == body
--- a/tests/net/test_health_check_pool.py
+++ b/tests/net/test_health_check_pool.py
@@ -1,12 +1,12 @@
-"""The pool of connections for health checks."""
+"""Limits of the pool of connections for health checks."""
 
 from __future__ import annotations
 
 from glenrock.net.health_check_pool import HealthCheckPool
 
 
-class CountedConnection:
-    """Counts how often the pool closes it."""
+class FakeConnection:
+    """A connection that counts how often the pool closes it."""
 
     def __init__(self) -> None:
         self.disconnects = 0
@@ -18,7 +18,7 @@
 
 def test_pool_closes_the_least_recently_used_connection_and_none_in_use() -> None:
     pool = HealthCheckPool(lambda: 2)
-    first, second, third, fourth = connections = [CountedConnection() for _ in range(4)]
+    first, second, third, fourth = connections = [FakeConnection() for _ in range(4)]
     assert pool.acquire(first)
     assert pool.acquire(second)
     assert not pool.acquire(third)
--- a/tests/net/test_large_endpoint_list.py
+++ b/tests/net/test_large_endpoint_list.py
@@ -17,7 +17,7 @@
 
 
 async def has_list(bed: Testbed) -> bool:
-    """Returns whether the balancer has the whole endpoint list; clients before that are always admitted."""
+    """Returns whether the balancer has the whole endpoint list. Until then it admits all clients."""
     reader, writer = await asyncio.open_connection(*bed.network.admin(0))
     writer.write(b"GET /v1/metrics HTTP/1.1\r\n\r\n")
     metrics = await reader.read()
@@ -26,10 +26,10 @@
 
 
 async def answers_of_clients(descriptors: int) -> list[str]:
-    """Returns the answers to clients that resume and to new clients, which all connect at once."""
+    """Returns the answers to resuming and new clients that all connect at the same time."""
     async with Testbed(FleetShape(servers=SERVERS, descriptors=descriptors)) as bed:
         await bed.start_balancers()
-        while not await has_list(bed):  # noqa: ASYNC110 - another process has the list
+        while not await has_list(bed):  # noqa: ASYNC110 - the list is in another process
             await asyncio.sleep(POLL_INTERVAL_S)
         names = list(bed.servers)
         clients = [bed.start_client(0, resumes_at=names[number * 97 % len(names)]) for number in range(RESUMED_CLIENTS)]
--- a/tests/net/test_large_fleet.py
+++ b/tests/net/test_large_fleet.py
@@ -1,4 +1,4 @@
-"""Real processes with thousands of servers: releases in waves, restarts, slow and truncated endpoint lists."""
+"""Real processes with thousands of servers: rolling releases, restarts, slow and truncated endpoint lists."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from glenrock.testbed.testbed import FleetShape, Testbed
 
 SERVERS = 3200
-WAVES = 3  # of a release
-WAVE_SERVERS = 320  # that drain in each wave
+WAVES = 3  # in a rolling release
+WAVE_SERVERS = 320  # the servers that drain in each wave
 DRAIN_GRACE_S = 2.5
 MAX_TIMER_DELAY_S = 0.05
-KILL_AFTER_S = 1.8 + 1.2 + 0.7  # 3 s for a longest deadline below that, and 0.7 s
+SIGKILL_AFTER_S = 1.8 + 1.2 + 0.7  # 0.7 s after the longest deadline (1.8 s), which counts as at least 3 s
 
 
 def run_on_testbed(descriptors: int, scenario: Callable[[Testbed], Awaitable[None]], balancers: int = 1) -> None:
@@ -32,11 +32,11 @@
 
 
 @pytest.mark.parametrize("descriptors", (256, 512, 1024))
-def test_release_in_waves_costs_no_answer_and_draining_servers_get_nothing(descriptors: int) -> None:
+def test_rolling_release_loses_no_answer_and_sends_nothing_to_draining_servers(descriptors: int) -> None:
     async def scenario(bed: Testbed) -> None:
         names = list(bed.servers)
         clients: list[Client] = []
-        drained_s: dict[str, float] = {}
+        drain_started_s: dict[str, float] = {}
         resumed = [bed.start_client(0, resumes_at=names[number * 97 % SERVERS], stays_s=30.0) for number in range(20)]
         assert await bed.wait_until(lambda: all(client.up.is_set() for client in resumed), 5.0)
         for wave in range(WAVES):
@@ -45,7 +45,7 @@
                 bed.directory.set_status(drained, EndpointStatus.DELETED)
             draining = names[wave * WAVE_SERVERS : (wave + 1) * WAVE_SERVERS]
             bed.directory.set_status(draining, EndpointStatus.DRAINING)
-            drained_s |= dict.fromkeys(draining, time.monotonic())
+            drain_started_s |= dict.fromkeys(draining, time.monotonic())
             for number in range(10):
                 bed.add_server(f"t-{wave}-{number}", since_ms=time.time() * 1000)
             for _ in range(10):
@@ -54,9 +54,9 @@
         assert await bed.wait_until(lambda: all(client.request.answer for client in clients), 4.0)
         assert {client.request.answer.split(" ")[0] for client in clients} == {"UP"}
         for attempt in bed.record.attempts:
-            draining_s = drained_s.get(attempt.server, float("inf"))
-            assert attempt.is_resumed or attempt.first_byte_s < draining_s + DRAIN_GRACE_S + MAX_TIMER_DELAY_S
-        on_draining = [client for client in resumed if client.request.resumes_at in drained_s]
+            started_s = drain_started_s.get(attempt.server, float("inf"))
+            assert attempt.is_resumed or attempt.first_byte_s < started_s + DRAIN_GRACE_S + MAX_TIMER_DELAY_S
+        on_draining = [client for client in resumed if client.request.resumes_at in drain_started_s]
         assert await bed.wait_until(lambda: all(client.request.is_migrated for client in on_draining), 4.0)
         others = [client for client in resumed if client not in on_draining]
         assert not any(client.request.is_migrated or client.request.ended_s < float("inf") for client in others)
@@ -77,8 +77,8 @@
         killed.start()
         await bed.wait_until_ready(killed)
         assert time.monotonic() - signals_s < 6.0
-        left_s = KILL_AFTER_S - (time.monotonic() - signals_s)
-        assert await bed.wait_until(lambda: not terminated.is_running, left_s)
+        remaining_s = SIGKILL_AFTER_S - (time.monotonic() - signals_s)
+        assert await bed.wait_until(lambda: not terminated.is_running, remaining_s)
         assert terminated.exit_code == 0
         assert all(client.request.is_migrated for client in clients[:10])
         terminated.start()
@@ -90,7 +90,7 @@
 
 
 @pytest.mark.parametrize("fault", ("slow", "truncated"))
-def test_slow_or_truncated_list_interrupts_no_service(fault: str) -> None:
+def test_slow_or_truncated_list_does_not_interrupt_service(fault: str) -> None:
     async def scenario(bed: Testbed) -> None:
         agent = bed.agents[0]
         names = list(bed.servers)
@@ -101,15 +101,15 @@
         calls = agent.calls
         draining = names[: SERVERS // 2]
         bed.directory.set_status(draining, EndpointStatus.DRAINING)
-        draining_s = time.monotonic()
+        drain_started_s = time.monotonic()
         clients = []
-        while time.monotonic() < draining_s + DRAIN_GRACE_S + 1.0:
+        while time.monotonic() < drain_started_s + DRAIN_GRACE_S + 1.0:
             clients.append(bed.start_client(0, stays_s=0.5))
             await asyncio.sleep(0.05)
         assert await bed.wait_until(lambda: all(client.request.answer for client in clients), 4.0)
         assert {client.request.answer.split(" ")[0] for client in clients} == {"UP"}
         assert agent.calls > calls
-        grace_end_s = draining_s + DRAIN_GRACE_S + MAX_TIMER_DELAY_S
+        grace_end_s = drain_started_s + DRAIN_GRACE_S + MAX_TIMER_DELAY_S
         late_attempts = [attempt for attempt in bed.record.attempts if attempt.first_byte_s > grace_end_s]
         assert late_attempts and not any(attempt.server in draining for attempt in late_attempts)
 
@@ -117,7 +117,7 @@
 
 
 @pytest.mark.parametrize("answer_s", (1.5, 4.0))
-def test_first_list_may_take_seconds_and_resumed_connections_come_up(answer_s: float) -> None:
+def test_connections_are_established_after_a_first_list_that_takes_seconds(answer_s: float) -> None:
     async def scenario(bed: Testbed) -> None:
         bed.agents[0].slow_s = answer_s
         process = bed.processes[0]
--- a/tests/net/test_server_actor.py
+++ b/tests/net/test_server_actor.py
@@ -1,4 +1,4 @@
-"""Attempts at a server that an operator suspends."""
+"""Attempts at a server that is suspended while they are queued or connecting."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 @pytest.mark.usefixtures("runner")
 @pytest.mark.parametrize("iterations", [0, 1, 2])
 async def test_queued_or_connecting_attempt_sends_nothing_to_a_suspended_server(iterations: int) -> None:
-    """The server is suspended that many iterations of the loop after the attempt was queued."""
+    """The server is suspended `iterations` iterations of the event loop after the attempt was queued."""
     received = bytearray()
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/tests/net/test_start_times.py
+++ b/tests/net/test_start_times.py
@@ -1,4 +1,4 @@
-"""Ages of servers under wall clocks that are stepped, before the start or later, on this machine or on all."""
+"""Ages of servers when clocks are stepped: before the start or later, on this machine or on all machines."""
 
 from __future__ import annotations
 
@@ -22,8 +22,12 @@
 HOUR_MS = 3_600_000.0
 
 
-class Machine:
-    """A process's clock, and a wall clock that a test steps."""
+class SimulatedMachine:
+    """A machine with a process's clock and a wall clock, which a test can step.
+
+    Args:
+        ahead_ms: how far both clocks are ahead of the true time from the start.
+    """
 
     def __init__(self, ahead_ms: float = 0.0) -> None:
         self.true_ms = NOW_MS
@@ -38,7 +42,7 @@
         self.clock.advance(ms)
 
     def ages_ms(self, **since_ms: float) -> dict[str, float]:
-        """Returns the ages of listed servers by name; infinite for a server without a known start."""
+        """Lists servers with these start times, and returns their ages by name; infinite for an unknown start."""
         rows = [
             EndpointRow(name, Address("127.0.0.1", 9), EndpointState.READY, since_ms=at_ms)
             for name, at_ms in since_ms.items()
@@ -50,8 +54,8 @@
 
 
 @pytest.mark.parametrize("ahead_ms", (0.0, 10_000.0, HOUR_MS, -10_000.0, -HOUR_MS))
-def test_age_in_the_first_list_is_bounded_and_warming_up_ends_in_time(ahead_ms: float) -> None:
-    machine = Machine(ahead_ms)
+def test_age_in_the_first_list_is_bounded_and_the_warm_up_ends_in_time(ahead_ms: float) -> None:
+    machine = SimulatedMachine(ahead_ms)
     ages_ms = machine.ages_ms(a=0, b=0, c=NOW_MS - 1000, d=NOW_MS - 3 * HOUR_MS, e=NOW_MS - 3 * HOUR_MS)
     assert ages_ms["a"] == float("inf") and ages_ms["d"] > SLOW_START_MS
     assert 0 <= ages_ms["c"] <= 1000
@@ -61,29 +65,29 @@
 
 @pytest.mark.parametrize("ahead_ms", (0.0, 10_000.0, HOUR_MS, -HOUR_MS))
 @pytest.mark.parametrize("step_ms", (0.0, 7000.0, -7000.0, HOUR_MS, -HOUR_MS))
-@pytest.mark.parametrize("everywhere", (True, False))
-def test_newly_reported_server_is_young_whatever_the_clocks_show(
-    ahead_ms: float, step_ms: float, everywhere: bool
+@pytest.mark.parametrize("on_all_machines", (True, False))
+def test_age_of_a_newly_reported_server_is_low_whatever_the_clocks_show(
+    ahead_ms: float, step_ms: float, on_all_machines: bool
 ) -> None:
-    machine = Machine(ahead_ms)
+    machine = SimulatedMachine(ahead_ms)
     machine.ages_ms(a=0)
     machine.times.record_answer()
     machine.advance(60_000)
     machine.times.record_answer()
     machine.step_ms = step_ms
     machine.advance(2000)  # the server started right after the last answer
-    since_ms = machine.true_ms - 2000 + (step_ms if everywhere else 0)
+    since_ms = machine.true_ms - 2000 + (step_ms if on_all_machines else 0)
     age_ms = machine.ages_ms(n=since_ms)["n"]
     assert 0 <= age_ms <= 2000 + REPORT_DELAY_MS
     if not ahead_ms:
         assert age_ms <= 2000
     machine.advance(SLOW_START_MS)
     machine.times.record_answer()
-    assert machine.ages_ms(n=since_ms)["n"] == age_ms + SLOW_START_MS, "a repeated report changes nothing"
+    assert machine.ages_ms(n=since_ms)["n"] == age_ms + SLOW_START_MS, "a repeated report does not change the age"
 
 
 def test_servers_that_started_together_long_ago_are_not_warming_up() -> None:
-    machine = Machine()
+    machine = SimulatedMachine()
     ages_ms = machine.ages_ms(**{f"s{number}": NOW_MS - HOUR_MS + number for number in range(9)})
     assert all(age_ms > SLOW_START_MS for age_ms in ages_ms.values())
 
@@ -91,7 +95,7 @@
 @pytest.mark.parametrize("step_s", (3600, -3600, 20, -20))
 @pytest.mark.parametrize("when", ("before the start", "while it runs"))
 def test_process_serves_and_stops_in_time_after_a_clock_step(step_s: int, when: str) -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         async with Testbed(FleetShape(servers=10)) as bed:
             faults = bed.prepare_call_faults(0)
             bed.directory.set_status(["s-00000001"], EndpointStatus.SERVING, since_ms=time.time() * 1000)
@@ -112,4 +116,4 @@
             assert all(client.request.is_migrated for client in [*clients, *later_clients])
             faults.close()
 
-    uvloop.run(asyncio.wait_for(play(), 30))
+    uvloop.run(asyncio.wait_for(scenario(), 30))
