--- a/glenrock/net/endpoint_watcher.py
+++ b/glenrock/net/endpoint_watcher.py
@@ -24,7 +24,7 @@
 
 NO_LIST_RESPONSE_GRACE_MS = 5000.0  # longer than with a list, since a balancer without a list cannot serve anyway
 MIN_POLL_INTERVAL_MS = 50.0  # after a response without rows; discovery ends a watch that is not renewed within 200 ms
-OLDER_RESPONSES_TO_ACCEPT = 4  # the number of consecutive older responses from which on a whole list is used
+OLDER_RESPONSES_TO_ACCEPT = 4  # after this many consecutive responses with an older version, a whole list is used
 NO_VERSION = -1
 
 logger = get_logger(__name__)
--- a/glenrock/net/health_check_connection.py
+++ b/glenrock/net/health_check_connection.py
@@ -31,9 +31,8 @@
 
 NO_CONNECTION = CheckResult(interface.AttemptOutcome.NO_CONNECTION, {})
 NO_ANSWER = CheckResult(interface.AttemptOutcome.TIMEOUT, {})
-NOT_SENT = CheckResult(
-    interface.AttemptOutcome.UNSENT, {}
-)  # failed on this machine, which says nothing about the server
+NOT_SENT = CheckResult(interface.AttemptOutcome.UNSENT, {})
+"""The check failed on this machine, which says nothing about the server."""
 
 
 class HealthCheckConnection:
@@ -49,32 +48,32 @@
 
     async def check(self, row: EndpointRow) -> None:
         """Runs a health check and posts its result, which is UNSENT if all connections of the pool are in use."""
-        sent_ms = self._clock.now_ms()
-        answer = NO_ANSWER
+        started_ms = self._clock.now_ms()
+        result = NO_ANSWER
         if not self._pool.acquire(self):
             self._post(interface.HealthCheckResult(row.name, interface.AttemptOutcome.UNSENT))
             return
         try:
             async with self._clock.time_limit(HEALTH_CHECK_TIMEOUT_MS):
-                answer = await self._check_with_reconnect(row)
+                result = await self._check_with_reconnect(row)
         except OSError as error:
-            answer = NOT_SENT if is_local_connect_error(error) and not self._is_connected else NO_CONNECTION
+            result = NOT_SENT if is_local_connect_error(error) and not self._is_connected else NO_CONNECTION
         finally:
-            if answer.outcome is not interface.AttemptOutcome.SERVED:
+            if result.outcome is not interface.AttemptOutcome.SERVED:
                 self.disconnect()
             self._pool.release(self)
         self._last_used_ms = self._clock.now_ms()
-        latency_us = us_from_ms(self._last_used_ms - sent_ms)
-        self._post(interface.HealthCheckResult(row.name, answer.outcome, latency_us, answer.report))
+        latency_us = us_from_ms(self._last_used_ms - started_ms)
+        self._post(interface.HealthCheckResult(row.name, result.outcome, latency_us, result.report))
 
     async def _check_with_reconnect(self, row: EndpointRow) -> CheckResult:
         if self._sock:
             # The server may just have closed the idle connection, which says nothing about its health. Two such ends
             # counted as failures would eject a healthy server. So the check is repeated on a new connection.
             with contextlib.suppress(OSError):
-                answer = await self._exchange(self._sock)
-                if answer.outcome is not interface.AttemptOutcome.NO_CONNECTION:
-                    return answer
+                result = await self._exchange(self._sock)
+                if result.outcome is not interface.AttemptOutcome.NO_CONNECTION:
+                    return result
             self.disconnect()
         self._is_connected = False
         self._sock = create_socket()
--- a/glenrock/net/peers.py
+++ b/glenrock/net/peers.py
@@ -1,7 +1,7 @@
 """Datagrams between balancers: gossip summaries and coordination messages.
 
-uvloop does not implement `sock_recvfrom` and `sock_sendto`. So a reader callback receives the datagrams when the socket
-is readable, and they are sent without waiting.
+uvloop does not implement `sock_recvfrom` and `sock_sendto`. So datagrams are received by a reader callback, and are sent
+by the `sendto` of the non-blocking socket.
 """
 
 from __future__ import annotations
--- a/glenrock/net/poll_backoff.py
+++ b/glenrock/net/poll_backoff.py
@@ -23,7 +23,7 @@
 MAX_OVERLOAD_SPACING_MS = 1000.0  # discovery may need a second for a call
 OVERLOAD_DELAY_MULTIPLIER = 3.0  # for each further rejection in a row
 MAX_OVERLOAD_DELAY_EXPONENT = 10
-BASE_RETRY_DELAY_MS = 50.0  # the first retry comes after this delay to twice this delay
+BASE_RETRY_DELAY_MS = 50.0  # the first retry comes after one to two times this delay
 MAX_RETRY_DOUBLINGS = 6
 MAX_RETRY_DELAY_MS = 1000.0  # discovery must be reached again within 4 s of a change of its address
 
