--- a/glenrock/net/health_check_connection.py
+++ b/glenrock/net/health_check_connection.py
@@ -14,7 +14,7 @@
 from .clock import Clock, us_from_ms
 from .endpoint_rows import EndpointRow
 from .health_check_pool import HealthCheckPool
-from .protocol import ServerWord
+from .protocol import ServerKeyword
 from .socket_io import close_socket, create_socket
 from .system_errors import is_local_connect_error
 
@@ -88,7 +88,7 @@
             OSError: the connection failed.
         """
         loop = asyncio.get_running_loop()
-        await loop.sock_sendall(sock, protocol.HEALTH_CHECK)
+        await loop.sock_sendall(sock, protocol.HEALTH_CHECK_LINE)
         buffer = bytearray(protocol.MAX_LINE_BYTES)
         splitter = protocol.LineSplitter()
         while True:
@@ -96,12 +96,12 @@
             if not count:
                 return NO_CONNECTION
             for line in splitter.feed(bytes(buffer[:count])):
-                word, rest = protocol.split_first_word(line)
-                if word != ServerWord.HEALTHY and "=" not in word:
+                keyword, rest = protocol.split_keyword(line)
+                if keyword != ServerKeyword.HEALTHY and "=" not in keyword:
                     return CheckResult(interface.AttemptOutcome.ERROR, {})
-                text = rest if word == ServerWord.HEALTHY else word
-                if "=" in text:
-                    return CheckResult(interface.AttemptOutcome.SERVED, protocol.parse_load_report(text))
+                load_text = rest if keyword == ServerKeyword.HEALTHY else keyword
+                if "=" in load_text:
+                    return CheckResult(interface.AttemptOutcome.SERVED, protocol.parse_load_report(load_text))
 
     def disconnect(self) -> None:
         """Closes the connection."""
--- a/glenrock/net/peers.py
+++ b/glenrock/net/peers.py
@@ -1,7 +1,7 @@
 """Datagrams between balancers: gossip summaries and coordination messages.
 
-uvloop does not implement `sock_recvfrom` and `sock_sendto`. So datagrams are received by a reader callback, and are sent
-by the `sendto` of the non-blocking socket.
+uvloop does not implement `sock_recvfrom` and `sock_sendto`. So datagrams are received in a reader callback, and sent by
+the `sendto` of the non-blocking socket.
 """
 
 from __future__ import annotations
--- a/glenrock/routing/endpoint_table.py
+++ b/glenrock/routing/endpoint_table.py
@@ -1,4 +1,4 @@
-"""The known servers, as the endpoint list and the operators state them, and the rings for weighted draws."""
+"""The known servers, from the endpoint list and the operators' overrides, and the rings to draw from."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 from .server_index import ServerIndex
 from .state import RoutedRequest, Server, stable_hash
 
-MIN_INITIAL_WEIGHT = 0.25
+MIN_INITIAL_WEIGHT = 0.25  # of a server; 1 is the weight of a server of mean size
 MAX_WEIGHT = 3.0
 
 
-class _Change(NamedTuple):
+class _PendingRingChange(NamedTuple):
     ring_change: RingChange[Server]
     is_in_zone: bool
 
@@ -32,10 +32,10 @@
     """All known servers.
 
     Attributes:
-        servers: by id. Only this class adds and removes servers; others store observations in the records.
+        servers: by server id. Only this class adds and removes servers; other classes update the records.
         index: indices over the servers.
-        ring: ready servers.
-        zone_ring: ready servers in this balancer's zone; empty if crossing zones costs nothing.
+        ring: the ready servers.
+        zone_ring: the ready servers in this balancer's zone; empty if connections to other zones are free.
     """
 
     def __init__(
@@ -49,13 +49,17 @@
         self.ring: HashRing[Server] = HashRing()
         self.zone_ring: HashRing[Server] = HashRing()
         self.index = ServerIndex(self.servers)
-        self._changes: list[_Change] = []
-        self._added = 0
+        self._pending_changes: list[_PendingRingChange] = []
+        self._added_count = 0
 
     def apply(self, event: EndpointList, requests: Mapping[str, RoutedRequest]) -> None:
-        """Applies a list or changes. A server stays known while `requests` under way have attempts there."""
+        """Applies an endpoint list or changes to it.
+
+        A full list removes the servers that it lacks, unless they have connections, or `requests` in progress
+        have attempts there.
+        """
         if event.kind != EndpointListKind.CHANGES:
-            self._unlist_others(event, requests)
+            self._mark_others_unlisted(event, requests)
         sizes = [entry.size for entry in event.entries]
         mean_size = sum(sizes) / len(sizes) if sizes else 1.0
         for entry in event.entries:
@@ -65,20 +69,22 @@
             self._set_listed_ready(server, entry.state == EndpointState.READY)
             started_us = self._overrides.started_us(server.server_id, entry.started_us)
             if started_us > server.started_us:
-                self._restarted(server, started_us)
-        self._change_rings()
+                self._record_restart(server, started_us)
+        self._apply_ring_changes()
 
     def apply_override(self, event: OperatorOverride) -> None:
-        """Suspends or resumes a server, as an operator demands."""
+        """Suspends or resumes a server."""
         changed = self._overrides.apply(event, self._batch.now_us)
         server = self.servers.get(event.server_id)
         if changed and server:
-            self._restarted(server, max(server.started_us, self._overrides.started_us(server.server_id, 0)))
+            self._record_restart(
+                server, max(server.started_us, self._overrides.started_us(server.server_id, 0))
+            )
             self._set_listed_ready(server, server.is_listed_ready)
-            self._change_rings()
+            self._apply_ring_changes()
 
     def schedule_migration(self, server: Server) -> None:
-        """Sets the deadline to migrate off a server that is not ready, when a connection there is adopted."""
+        """Sets the deadline to migrate clients off a server that is not ready and has an open connection."""
         if not server.is_ready and not server.migrate_by_us:
             server.migrate_by_us = self._batch.now_us + self._migration_us
 
@@ -86,13 +92,13 @@
         """Returns the ready servers."""
         return self.index.ready
 
-    def _restarted(self, server: Server, at_us: int) -> None:
+    def _record_restart(self, server: Server, at_us: int) -> None:
         server.reset_for_restart(at_us)
-        self.index.add_starting(server)
+        self.index.add_warming(server)
 
-    def _unlist_others(self, event: EndpointList, requests: Mapping[str, RoutedRequest]) -> None:
-        named = {entry.server_id for entry in event.entries}
-        for server in [server for server in self.servers.values() if server.server_id not in named]:
+    def _mark_others_unlisted(self, event: EndpointList, requests: Mapping[str, RoutedRequest]) -> None:
+        listed_ids = {entry.server_id for entry in event.entries}
+        for server in [server for server in self.servers.values() if server.server_id not in listed_ids]:
             self._set_listed_ready(server, False)
             if (
                 event.kind == EndpointListKind.FULL
@@ -105,9 +111,9 @@
         server = Server(entry.server_id, entry.zone, entry.cell, stable_hash(entry.server_id))
         if mean_size > 0:
             server.weight = min(MAX_WEIGHT, max(MIN_INITIAL_WEIGHT, entry.size / mean_size))
-        server.order = self._added
-        server.added_us = self._batch.now_us
-        self._added += 1
+        server.order = self._added_count
+        server.first_listed_at_us = self._batch.now_us
+        self._added_count += 1
         self.servers[entry.server_id] = server
         return server
 
@@ -118,17 +124,17 @@
             return
         server.is_ready = is_ready
         self.index.invalidate_ready()
-        # The clients of a server that is gone migrate too: half-open connections to it may remain.
+        # The clients of a server that is gone migrate too, since half-open connections to it may remain.
         server.migrate_by_us = 0 if is_ready else self._batch.now_us + self._migration_us
         is_in_zone = server.zone == self._settings.zone and self._settings.cross_zone_cost > 0
         change = RingChange(server, ring_points(server.hash), is_ready)
-        self._changes.append(_Change(change, is_in_zone))
+        self._pending_changes.append(_PendingRingChange(change, is_in_zone))
 
-    def _change_rings(self) -> None:
-        """Applies all pending changes at once: thousands of single changes would take seconds."""
-        self.ring.change([change.ring_change for change in self._changes])
-        self.zone_ring.change([change.ring_change for change in self._changes if change.is_in_zone])
-        self._changes.clear()
+    def _apply_ring_changes(self) -> None:
+        """Applies all pending changes to the rings at once: thousands of single ones would take seconds."""
+        self.ring.change([change.ring_change for change in self._pending_changes])
+        self.zone_ring.change([change.ring_change for change in self._pending_changes if change.is_in_zone])
+        self._pending_changes.clear()
 
 
 def _has_attempts(server: Server, requests: Mapping[str, RoutedRequest]) -> bool:
--- a/tests/test_recorded.py
+++ b/tests/test_recorded.py
@@ -82,7 +82,7 @@
 
 def test_sqlite_store_is_read(tmp_path: Path) -> None:
     shutil.copy(RECORDED / "owner.sqlite", tmp_path)
-    store = SqliteStore(tmp_path / "owner.sqlite", now_us=lambda: 2000, boot="boot-one")
+    store = SqliteStore(tmp_path / "owner.sqlite", now_us=lambda: 2000, boot_id="boot-one")
     lease = store.lease("bans")
     assert (lease.holder, lease.term) == ("n1.5", 7)
     assert store.records("bans") == {"a:1": Record('{"out": true}', 7, 1)}
@@ -133,7 +133,11 @@
             found = relay_message.decode_relay(data, connection_table(), client, server)
     assert taken_over == [("127.0.0.1:9001", server)]
     assert (found.request_line.request_id, found.request_line.group, found.reports.load) == ("50", 255, 52000)
-    assert (found.gate.splitter.partial_line, found.last_word, found.unanswered_since_ms) == (b"HALF A", "ACTIVE", None)
+    assert (found.line_buffer.splitter.partial_line, found.last_keyword, found.unanswered_since_ms) == (
+        b"HALF A",
+        "ACTIVE",
+        None,
+    )
 
 
 def test_datagrams_are_read_and_written_in_the_same_form() -> None:
