--- a/glenrock/net/connection_table.py
+++ b/glenrock/net/connection_table.py
@@ -57,7 +57,7 @@
         self.budget = budget
         self.by_id: dict[str, ClientConnection] = {}
         self.count_other_descriptors: Callable[[], int] = _no_other_descriptors
-        routing.connection_of = self.by_id.get
+        routing.find_connection = self.by_id.get
         settings = routing.balancer.settings
         self.configured_names = protocol.ConfiguredNames(
             {
@@ -85,9 +85,9 @@
         """Returns the descriptors in use for relays and health checks, and those reserved for other purposes."""
         return {
             "program": descriptor_budget.PROGRAM_DESCRIPTORS,
-            "operators": self.budget.operators,
-            "other_process": self.budget.other_process,
-            "health_checks": self.servers.count_health_connections(),
+            "operators": self.budget.operator_descriptors,
+            "other_process": self.budget.other_process_descriptors,
+            "health_checks": self.servers.count_health_check_connections(),
             "relays": descriptor_budget.DESCRIPTORS_PER_RELAY * len(self.by_id),
         }
 
@@ -151,7 +151,7 @@
         """
         while True:
             await self.clock.sleep(SWEEP_INTERVAL_MS)
-            self.budget.other_process = self.count_other_descriptors()
+            self.budget.other_process_descriptors = self.count_other_descriptors()
             min_since_ms = self.clock.now_ms() - UNANSWERED_TIMEOUT_MS
             for connection in self.by_id.values():
                 since_ms = connection.unanswered_since_ms
@@ -162,7 +162,7 @@
                         request_id=connection.request_line.request_id,
                     )
                     connection.mailbox.try_put(MigrateClient(interface.AttemptOutcome.BROKEN))
-            self.servers.close_unused()
+            self.servers.close_idle_connections()
 
 
 def _slow_message_ms(settings: interface.Settings) -> float:
