--- a/benchmarks/findings.py
+++ b/benchmarks/findings.py
@@ -95,8 +95,8 @@
                 print(name, measure, policy, " ".join(f"{x}:{mean:.4g}" for x, mean, *_ in points))
     goal = curves(rows, axis, "worth.goal")
     cost = {"glenrock": curves(rows, axis, "clock.cpu_us_per_event")["glenrock"]}
-    (IMAGES / f"lab-{name}.png").write_bytes(plots.against(axis, "goal", goal))
-    (IMAGES / f"lab-{name}-cpu.png").write_bytes(plots.against(axis, "CPU us an event", cost))
+    (IMAGES / f"lab-{name}.png").write_bytes(plots.axis_curves(axis, "goal", goal))
+    (IMAGES / f"lab-{name}-cpu.png").write_bytes(plots.axis_curves(axis, "CPU us an event", cost))
 
 
 def main() -> None:
@@ -107,7 +107,7 @@
     sweeps = read_sweeps(folder)
     goals = print_goals(sweeps)
     plotted = {policy: goals[policy] for policy in PLOTTED_POLICIES}
-    image = plots.bars("Goal on each day, 12 seeds, 95% intervals", "goal", EXPERIMENTS, plotted)
+    image = plots.grouped_bars("Goal on each day, 12 seeds, 95% intervals", "goal", EXPERIMENTS, plotted)
     (IMAGES / "lab-days.png").write_bytes(image)
     for name, axis in SCALES.items():
         if name in sweeps:
--- a/glenrock/cli/check.py
+++ b/glenrock/cli/check.py
@@ -1,4 +1,4 @@
-"""`glenrock check FILE`: validates a file of any kind that the project reads."""
+"""`glenrock check FILE`: validates an experiment, a coordination file or a balancer's configuration."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 @click.command("check")
 @click.argument("file", type=click.Path(path_type=Path))
 def command(file: Path) -> None:
-    """Validate an experiment, a coordination file (.toml) or a configuration (.json).
+    """Validate an experiment or a coordination file (.toml), or a balancer's configuration (.json).
 
     \b
     Example:
       glenrock check experiments/calm.toml
-    Exit codes: 0 valid, 2 invalid; one line names the file, the line and the key.
+    Exit codes: 0 valid, 2 invalid. The error message names the file, the line and the key.
     """
     if file.suffix == ".toml":
         is_coordination_file = "jobs" in toml_file.read(file).content
@@ -26,28 +26,28 @@
     elif file.suffix == ".json":
         description = _check_configuration(file)
     else:
-        raise InputFileError(f"{file}: neither .toml nor .json")
+        raise InputFileError(f"{file}: unsupported file type, neither .toml nor .json")
     click.echo(f"{file}: OK: {description}")
 
 
 def _check_coordination_file(file: Path) -> str:
-    """Returns a description of a coordination file. Raises InputFileError if it is invalid."""
+    """Loads a coordination file and returns its description. Raises InputFileError if it is invalid."""
     from ..coordination import config
 
-    return f"coordination file, store {config.load(file).store.kind}"
+    return f"coordination file with a store of kind {config.load(file).store.kind}"
 
 
 def _check_experiment(file: Path) -> str:
-    """Returns a description of an experiment. Raises InputFileError if it is invalid."""
+    """Loads an experiment and returns its description. Raises InputFileError if it is invalid."""
     from ..simulation import spec
 
     points = spec.points(file)
     experiment = points[0][1]
-    return f"experiment {experiment.name}, {len(points)} point{'' if len(points) == 1 else 's'}"
+    return f"experiment {experiment.name}, {len(points)} parameter combination{'' if len(points) == 1 else 's'}"
 
 
 def _check_configuration(file: Path) -> str:
-    """Returns a description of a balancer's configuration. Raises InputFileError if it is invalid."""
+    """Loads a balancer's configuration and returns its description. Raises InputFileError if it is invalid."""
     from ..config import ConfigError, read_config
 
     try:
--- a/glenrock/cli/coordination.py
+++ b/glenrock/cli/coordination.py
@@ -1,4 +1,4 @@
-"""`glenrock fleet`: the state of coordination, from the store and from balancers."""
+"""`glenrock fleet`: the state of coordination between balancers, read from the store and from the balancers."""
 
 from __future__ import annotations
 
@@ -13,5 +13,8 @@
         "start-report": "coordination_start_report",
     },
     name="fleet",
-    help=("Show lease holders, terms, past terms and rejected messages.\n\nPage: docs/fleet.md"),
+    help=(
+        "Show the coordination of balancers: leases, past terms, rejected messages and starts."
+        "\n\nDocumentation: docs/fleet.md"
+    ),
 )
--- a/glenrock/cli/coordination_holder.py
+++ b/glenrock/cli/coordination_holder.py
@@ -1,4 +1,4 @@
-"""`glenrock fleet owner JOB`: the lease holder of one job."""
+"""`glenrock fleet owner JOB`: the holder of a job's lease."""
 
 from __future__ import annotations
 
@@ -12,23 +12,23 @@
 
 @click.command("owner")
 @click.argument("job")
-@store_queries.file_option
+@store_queries.coordination_file_option
 def command(job: str, file: Path) -> None:
-    """Show the lease holder of a job, its term, and since when it holds the lease.
+    """Show the holder of a job's lease, the term, since when the lease is held, and how long it is still valid.
 
     \b
     Example:
       glenrock fleet owner bans --file deploy/fleet.toml
-    Exit codes: 0 the lease is held, 1 it is not held or the store does not answer, 2 bad input.
+    Exit codes: 0 the lease is held, 1 it is not held or the store does not answer, 2 invalid input.
     """
     lease = store_queries.query_store(file, lambda store: store.leases([job])).get(job)
-    past = store_queries.query_store(file, lambda store: store.past_terms(job))
-    if lease is None or not past:
-        raise CommandFailedError(f"no lease of {job} was ever acquired; `glenrock fleet jobs` lists those that were")
+    past_terms = store_queries.query_store(file, lambda store: store.past_terms(job))
+    if lease is None or not past_terms:
+        raise CommandFailedError(f"the lease of {job} was never acquired; `glenrock fleet jobs` lists all leases")
     if not lease.holder:
         raise CommandFailedError(
-            f"the lease of {job} is free; its last holder was {past[-1].holder}, term {past[-1].term}"
+            f"the lease of {job} is free; its last holder was {past_terms[-1].holder}, in term {past_terms[-1].term}"
         )
-    since = store_queries.format_local_time(past[-1].started_s)
-    left = store_queries.format_seconds_left(lease.remaining_us)
-    click.echo(f"{lease.holder}  term {lease.term}  since {since}  {left}")
+    since = store_queries.format_local_time(past_terms[-1].started_s)
+    time_left = store_queries.format_time_left(lease.remaining_us)
+    click.echo(f"{lease.holder}  term {lease.term}  since {since}  {time_left}")
--- a/glenrock/cli/coordination_jobs.py
+++ b/glenrock/cli/coordination_jobs.py
@@ -10,18 +10,18 @@
 
 
 @click.command("jobs")
-@store_queries.file_option
+@store_queries.coordination_file_option
 def command(file: Path) -> None:
-    """Show the term, the holder and the remaining time of each lease that was ever acquired.
+    """Show the lease of each job: its term, its holder and its remaining time.
 
     \b
     Example:
       glenrock fleet jobs --file deploy/fleet.toml
-    Exit codes: 0 done, 1 the store does not answer, 2 bad input.
+    Exit codes: 0 done, 1 the store does not answer, 2 invalid input.
     """
     leases = store_queries.query_store(file, lambda store: store.leases())
     for job, lease in sorted(leases.items()):
-        seconds_left = store_queries.format_seconds_left(lease.remaining_us)
-        click.echo(f"{job}  term {lease.term}  {lease.holder or 'free'}  {seconds_left}")
+        time_left = store_queries.format_time_left(lease.remaining_us)
+        click.echo(f"{job}  term {lease.term}  {lease.holder or 'free'}  {time_left}")
     if not leases:
-        click.echo("no lease was ever acquired")
+        click.echo("no lease has been acquired yet")
--- a/glenrock/cli/main.py
+++ b/glenrock/cli/main.py
@@ -1,4 +1,4 @@
-"""The root of the command line; maps errors to exit codes."""
+"""The root command of the command line, and the mapping of errors to exit codes."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 
 EXIT_DONE = 0
 EXIT_FAILED = 1
-EXIT_BAD_INPUT = 2
+EXIT_INVALID_INPUT = 2
 
 
 class CommandFailedError(Exception):
-    """A command with valid input failed. The exit code is 1, and the message is written to standard error."""
+    """A command failed although its input is valid: exit code 1, with the message on standard error."""
 
 
 class LazyGroup(click.Group):
     """A group of sub-commands, each the `command` of a module that is imported when the sub-command is called.
 
     Attributes:
-        package: of the modules.
-        modules: by name of the sub-command, in the order of the help page.
-        hidden_aliases: former names of sub-commands, accepted but not on the help page.
+        package: the package of the modules.
+        modules: the module of each sub-command, by the sub-command's name, in the order of the help page.
+        hidden_aliases: the current names of renamed sub-commands, by their former names, which stay accepted.
     """
 
     def __init__(
@@ -41,7 +41,7 @@
         return list(self.modules)
 
     def get_command(self, ctx: click.Context, name: str) -> click.Command | None:
-        """Imports a sub-command. Returns None if there is none of that name."""
+        """Imports a sub-command. Returns None if there is no sub-command of that name."""
         module = self.modules.get(self.hidden_aliases.get(name, name))
         if module is None:
             return None
@@ -65,30 +65,31 @@
     HIDDEN_ALIASES,
     name="glenrock",
     help=(
-        "A balancer for long-lived connections, and the tools around it.\n\nExit codes: 0 done, 1 failed, 2 bad input."
+        "A load balancer for long-lived connections, with its simulation, testbed and operator tools."
+        "\n\nExit codes: 0 done, 1 failed, 2 invalid input."
     ),
 )
 
 
 def main(arguments: Sequence[str] | None = None) -> None:
-    """Runs the console script, and exits."""
+    """Runs the console script and exits with its code."""
     sys.exit(run(arguments))
 
 
 def run(arguments: Sequence[str] | None = None) -> int:
-    """Runs a command line, by default that of the process, and returns its exit code."""
+    """Runs a command line, by default the arguments of this process, and returns its exit code."""
     try:
-        code = ROOT.main(arguments, prog_name="glenrock", standalone_mode=False)
-        return code if isinstance(code, int) else EXIT_DONE
+        exit_code = ROOT.main(arguments, prog_name="glenrock", standalone_mode=False)
+        return exit_code if isinstance(exit_code, int) else EXIT_DONE
     except InputFileError as error:
-        return _fail(str(error), EXIT_BAD_INPUT)
+        return _fail(str(error), EXIT_INVALID_INPUT)
     except click.UsageError as error:
         prefix = f"{error.ctx.command_path}: " if error.ctx else ""
-        return _fail(f"{prefix}{error.format_message()}".replace("\n", " "), EXIT_BAD_INPUT)
+        return _fail(f"{prefix}{error.format_message()}".replace("\n", " "), EXIT_INVALID_INPUT)
     except click.ClickException as error:
-        return _fail(error.format_message(), EXIT_BAD_INPUT)
+        return _fail(error.format_message(), EXIT_INVALID_INPUT)
     except click.Abort:
-        return _fail("stopped", EXIT_FAILED)
+        return _fail("interrupted", EXIT_FAILED)
     except CommandFailedError as error:
         return _fail(str(error), EXIT_FAILED)
     except ModuleNotFoundError as error:
--- a/glenrock/cli/scenario.py
+++ b/glenrock/cli/scenario.py
@@ -1,4 +1,4 @@
-"""`glenrock stage`: written scenarios of the testbed."""
+"""`glenrock stage`: runs scenarios on the testbed."""
 
 from __future__ import annotations
 
@@ -8,5 +8,5 @@
     "glenrock.cli",
     {"run": "scenario_run"},
     name="stage",
-    help=("Run processes of the program on loopback under faults, and check the invariants.\n\nPage: docs/testbed.md"),
+    help=("Run balancer processes under injected faults on the loopback interface.\n\nDocumentation: docs/testbed.md"),
 )
--- a/glenrock/cli/scenario_run.py
+++ b/glenrock/cli/scenario_run.py
@@ -1,4 +1,4 @@
-"""`glenrock stage run`: runs one scenario on the testbed."""
+"""`glenrock stage run`: runs a scenario on the testbed."""
 
 from __future__ import annotations
 
@@ -20,27 +20,33 @@
 
 @click.command("run")
 @options.file
-@click.option("--seed", type=click.IntRange(0, 2**31), default=1, show_default=True)
+@click.option("--seed", type=click.IntRange(0, 2**31), default=1, show_default=True, help="Seed of all random draws.")
 @options.out
 @options.settings
-@click.option("--live/--no-live", default=None, help="Show a live table; the default on a terminal.")
+@click.option("--live/--no-live", default=None, help="Show a live table of the balancers. Default: only on a terminal.")
 def command(file: Path, seed: int, out: Path | None, overrides: tuple[str, ...], live: bool | None) -> None:
-    """Run a scenario with processes of the program, and write summary.json, history.txt and report.html.
+    """Run a scenario with balancer processes; write summary.json, history.txt and report.html.
 
     \b
     Examples:
       glenrock stage run scenes/three.toml
       glenrock stage run scenes/three.toml --seed 7 --set fleet.balancers=5 --out out/five
-    Exit codes: 0 done, 1 an invariant was violated or a process was not ready in time, 2 bad input.
+    Exit codes: 0 done, 1 an invariant was violated or a process was not ready in time, 2 invalid input.
     """
     from ..testbed import scenario as scenario_file
 
     scenario = scenario_file.load(file, options.parse_overrides(overrides))
-    play(scenario, seed, out or Path("out") / "stage" / f"{scenario.name}-{seed}", live)
+    run_scenario(scenario, seed, out or Path("out") / "stage" / f"{scenario.name}-{seed}", live)
 
 
-def play(scenario: Scenario, seed: int, folder: Path, live: bool | None) -> dict[str, Any]:
-    """Runs a scenario, and writes its results to a folder. Returns its summary.
+def run_scenario(scenario: Scenario, seed: int, folder: Path, live: bool | None) -> dict[str, Any]:
+    """Runs a scenario, writes its results to a folder, and returns its summary.
+
+    Args:
+        scenario: the scenario.
+        seed: of all random draws.
+        folder: for the results; results of an earlier run are replaced.
+        live: whether to show a live table; None to show it only on a terminal.
 
     Raises:
         CommandFailedError: a process was not ready in time, or an invariant was violated.
@@ -54,12 +60,12 @@
     def run_and_write(temporary: Path) -> None:
         with LiveTable(live) as table:
             try:
-                bed, bed_summary = scenario_runner.play(scenario, seed, temporary, table.update)
+                testbed, testbed_summary = scenario_runner.play(scenario, seed, temporary, table.update)
             except scenario_testbed.BalancersNotReadyError as error:
                 raise CommandFailedError(str(error)) from error
-        summary.update(bed_summary)
-        write_results(temporary, bed, bed_summary)
-        (temporary / "report.html").write_text(report.of_run(temporary), encoding="utf-8")
+        summary.update(testbed_summary)
+        write_results(temporary, testbed, testbed_summary)
+        (temporary / "report.html").write_text(report.render_run(temporary), encoding="utf-8")
 
     record.folder(folder, run_and_write)
     print_summary(summary)
@@ -70,13 +76,13 @@
     return summary
 
 
-def write_results(folder: Path, bed: ScenarioTestbed, summary: dict[str, Any]) -> None:
-    """Writes the tables and the history of a run."""
+def write_results(folder: Path, testbed: ScenarioTestbed, summary: dict[str, Any]) -> None:
+    """Writes the summary, the CSV tables, the histograms and the event history of a run."""
     from ..simulation import record
     from ..testbed.history_text import encode_event
 
-    record.write_tables(folder, bed.measure, bed.scenario, [server.name for server in bed.servers], summary)
-    lines = (encode_event(event, bed.history.measured_from_us) for event in bed.history.events)
+    record.write_tables(folder, testbed.measure, testbed.scenario, [server.name for server in testbed.servers], summary)
+    lines = (encode_event(event, testbed.history.measured_from_us) for event in testbed.history.events)
     (folder / "history.txt").write_text("".join(f"{line}\n" for line in lines), encoding="utf-8")
 
 
@@ -85,23 +91,22 @@
     fleet, worth, counts = summary["fleet"], summary["worth"], summary["counts"]
     click.echo(
         f"{summary['experiment']}, seed {summary['seed']}: {fleet['balancers']} balancers, "
-        f"{fleet['instances']} instances, {counts['clients']} clients, {counts['tries']} tries, "
-        f"{summary['clock']['wall_s']} s"
+        f"{fleet['instances']} servers, {counts['clients']} clients, {counts['tries']} requests, "
+        f"{summary['clock']['wall_s']} s of wall time"
     )
-    click.echo(f"worth: goal {worth['goal']:.3f}, whole {worth['whole']:.3f}, worst 10 s {worth['worst_window']:.3f}")
+    click.echo(summary_text.format_worth(worth))
     for fault in summary["recovery_s"]:
-        click.echo(f"{fault['kind']} at {fault['from_s']:.1f} s: {summary_text.format_recovery(fault)}")
+        click.echo(summary_text.format_recovery(fault))
     checked, excused = summary["seen"], summary["excused"]
-    rules = [
-        f"{rule} {count} of {checked.get(rule, 0)} ({excused.get(rule, 0)} by faults)"
-        for rule, count in summary["rules"].items()
-    ]
-    click.echo("rules: " + ", ".join(rules))
+    click.echo("violations of invariants, of the cases checked:")
+    for invariant, count in summary["rules"].items():
+        by_faults = f", and {excused[invariant]} caused by injected faults" if excused.get(invariant) else ""
+        click.echo(f"  {summary_text.violation_label(invariant)}: {count} of {checked.get(invariant, 0)}{by_faults}")
 
 
 def _print_violations(violations: list[dict[str, Any]]) -> None:
     """Prints the first violations, each with the events that led to it."""
     for violation in violations[:MAX_SHOWN_VIOLATIONS]:
-        click.echo(f"{violation['rule']} at {violation['at_s']} s: {violation['text']}")
-        for line in violation["led"]:
-            click.echo(f"    {line}")
+        click.echo(f"{summary_text.violation_label(violation['rule'])}, at {violation['at_s']} s: {violation['text']}")
+        for event in violation["led"]:
+            click.echo(f"    {event}")
--- a/glenrock/cli/serve.py
+++ b/glenrock/cli/serve.py
@@ -8,7 +8,11 @@
 
 
 @click.command("serve")
-@click.option("--config", type=click.Path(dir_okay=False), help="The configuration file; default LB_CONFIG.")
+@click.option(
+    "--config",
+    type=click.Path(dir_okay=False),
+    help="The configuration file. Default: the environment variable LB_CONFIG.",
+)
 def command(config: str | None) -> int:
     """Run the balancer, like `python -m glenrock`.
 
--- a/glenrock/cli/shared_options.py
+++ b/glenrock/cli/shared_options.py
@@ -1,4 +1,4 @@
-"""Options that several sub-commands share, and parsers of their values."""
+"""Command-line options that several sub-commands share, and the parsers of their values."""
 
 from __future__ import annotations
 
@@ -15,24 +15,34 @@
 
 file = click.argument("file", type=click.Path(path_type=Path))
 policy = click.option(
-    "--policy", default="glenrock", show_default=True, help="Routing policy; see `glenrock simulation list`."
+    "--policy", default="glenrock", show_default=True, help="Routing policy; `glenrock simulation list` shows all."
 )
-policies = click.option("--policy", "policies", multiple=True, help="Routing policy; repeatable.")
+policies = click.option("--policy", "policies", multiple=True, help="Routing policy. Repeatable. Default: glenrock.")
 out = click.option("--out", type=click.Path(path_type=Path), help="Folder for the results.")
 jobs = click.option(
-    "--jobs", type=click.IntRange(1), default=os.cpu_count() or 1, show_default="cores", help="Parallel processes."
+    "--jobs",
+    type=click.IntRange(1),
+    default=os.cpu_count() or 1,
+    show_default="cores",
+    help="Simulations that run in parallel.",
+)
+seeds = click.option(
+    "--seeds", default="10", show_default=True, help="Number of seeds, counted from 0, or a range such as 5-24."
 )
-seeds = click.option("--seeds", default="10", show_default=True, help="A count of seeds, or a range such as 5-24.")
 settings = click.option(
-    "--set", "overrides", multiple=True, metavar="KEY=VALUE", help="Replace a value of the file: --set traffic.load=0.6"
+    "--set",
+    "overrides",
+    multiple=True,
+    metavar="KEY=VALUE",
+    help="Override a value of the file, such as --set traffic.load=0.6. Repeatable.",
 )
 
 
 def check_policy(name: str) -> str:
-    """Returns the name of a policy.
+    """Returns the name of a policy unchanged if it exists.
 
     Raises:
-        InputFileError: no policy has this name.
+        InputFileError: there is no policy of this name.
     """
     from ..simulation.policies import POLICIES
 
@@ -42,7 +52,7 @@
 
 
 def parse_overrides(pairs: tuple[str, ...]) -> dict[str, Any]:
-    """Parses KEY=VALUE pairs. A value that is not TOML is a string.
+    """Parses KEY=VALUE pairs. A value that is not valid TOML is taken as a string.
 
     Raises:
         InputFileError: a pair has no key or no equals sign.
@@ -60,7 +70,7 @@
 
 
 def parse_seeds(text: str) -> list[int]:
-    """Parses a count (10: the seeds 0 to 9) or a range (5-24) of seeds.
+    """Parses a number of seeds (10 means the seeds 0 to 9) or a range of seeds (5-24, inclusive).
 
     Raises:
         InputFileError: the text is neither, or a seed is above 2**63.
@@ -71,5 +81,5 @@
     except ValueError:
         numbers = []
     if not numbers or numbers[-1] > MAX_SEED:
-        raise InputFileError(f"--seeds {text}: expected a count such as 10, or a range such as 5-24")
+        raise InputFileError(f"--seeds {text}: expected a number of seeds such as 10, or a range such as 5-24")
     return numbers
--- a/glenrock/cli/simulation.py
+++ b/glenrock/cli/simulation.py
@@ -1,4 +1,4 @@
-"""`glenrock simulation`: the sub-commands of the simulation."""
+"""`glenrock simulation`: simulates fleets of balancers and session servers."""
 
 from __future__ import annotations
 
@@ -14,5 +14,5 @@
         "list": "simulation_list",
     },
     name="simulation",
-    help=("Simulate a fleet: run, sweep, compare, report, list.\n\nPage: docs/simulation.md"),
+    help=("Simulate a fleet of balancers and session servers.\n\nDocumentation: docs/simulation.md"),
 )
--- a/glenrock/cli/simulation_list.py
+++ b/glenrock/cli/simulation_list.py
@@ -10,9 +10,15 @@
 
 
 @click.command("list")
-@click.option("--folder", type=click.Path(path_type=Path), default=Path("experiments"), show_default=True)
+@click.option(
+    "--folder",
+    type=click.Path(path_type=Path),
+    default=Path("experiments"),
+    show_default=True,
+    help="Folder of the experiments.",
+)
 def command(folder: Path) -> None:
-    """List the experiments of a folder, the routing policies and the faults.
+    """List the experiments of a folder, the routing policies, and the faults that experiments can inject.
 
     \b
     Example:
@@ -25,8 +31,8 @@
     for path in sorted(folder.glob("*.toml")):
         try:
             experiment = spec.load(path)
-            axes = f"; sweeps {', '.join(experiment.sweep)}" if experiment.sweep else ""
-            click.echo(f"  {path}: {experiment.title or experiment.name}{axes}")
+            axes_text = f"; sweeps {', '.join(experiment.sweep)}" if experiment.sweep else ""
+            click.echo(f"  {path}: {experiment.title or experiment.name}{axes_text}")
         except InputFileError as error:
             click.echo(f"  {error}")
     click.echo("policies:")
--- a/glenrock/cli/simulation_run.py
+++ b/glenrock/cli/simulation_run.py
@@ -1,4 +1,4 @@
-"""`glenrock simulation run`: runs one simulation."""
+"""`glenrock simulation run`: simulates an experiment once."""
 
 from __future__ import annotations
 
@@ -14,18 +14,20 @@
 
 @click.command("run")
 @options.file
-@click.option("--seed", type=click.IntRange(0, options.MAX_SEED), default=1, show_default=True)
+@click.option(
+    "--seed", type=click.IntRange(0, options.MAX_SEED), default=1, show_default=True, help="Seed of all random draws."
+)
 @options.policy
 @options.out
 @options.settings
 def command(file: Path, seed: int, policy: str, out: Path | None, overrides: tuple[str, ...]) -> None:
-    """Simulate an experiment once, and write summary.json, series.csv and report.html.
+    """Simulate an experiment once; write summary.json, series.csv and report.html.
 
     \b
     Examples:
       glenrock simulation run experiments/calm.toml
       glenrock simulation run experiments/crash-quarter.toml --seed 7 --policy two_choices --out out/seven
-    Exit codes: 0 done, 1 the policy failed or an invariant was violated, 2 bad input.
+    Exit codes: 0 done, 1 the policy failed or an invariant was violated, 2 invalid input.
     """
     options.check_policy(policy)
     from ..simulation import record, report, spec
@@ -40,49 +42,48 @@
 
     def write_results(temporary: Path) -> None:
         record.write_run(temporary, simulation, summary)
-        (temporary / "report.html").write_text(report.of_run(temporary), encoding="utf-8")
+        (temporary / "report.html").write_text(report.render_run(temporary), encoding="utf-8")
 
     record.folder(folder, write_results)
     print_summary(summary)
     click.echo(f"results: {folder}/summary.json, series.csv, report.html")
     if summary["failure"]:
-        raise CommandFailedError(f"{policy} failed: {summary['failure']}")
+        raise CommandFailedError(f"policy {policy} failed: {summary['failure']}")
     if message := summary_text.format_violations(summary["rules"], "report.html"):
         raise CommandFailedError(message)
 
 
 def _check_replaceable(folder: Path) -> None:
-    """Checks, before the simulation starts, that its results can be written.
+    """Checks that a results folder can be replaced, so that a long simulation does not fail at its end.
 
     Raises:
         InputFileError: no folder can be created beside this one.
     """
     from ..simulation import record
 
-    trial = folder.parent / f".{folder.name}.check"
-    record.folder(trial, lambda temporary: None)
-    trial.rmdir()
+    probe = folder.parent / f".{folder.name}.check"
+    record.folder(probe, lambda temporary: None)
+    probe.rmdir()
 
 
 def print_summary(summary: dict[str, Any]) -> None:
     """Prints the summary of a simulation."""
     fleet, worth, clock = summary["fleet"], summary["worth"], summary["clock"]
     click.echo(
-        f"{summary['experiment']}, seed {summary['seed']}, {summary['policy']}: {fleet['balancers']} balancers, "
-        f"{fleet['instances']} instances, {summary['counts']['clients']} clients, {summary['events']} events, "
-        f"{clock['wall_s']} s"
+        f"{summary['experiment']}, seed {summary['seed']}, policy {summary['policy']}: {fleet['balancers']} balancers, "
+        f"{fleet['instances']} servers, {summary['counts']['clients']} clients, "
+        f"{summary['events']} simulated events in {clock['wall_s']} s of wall time"
     )
     if worth:
-        click.echo(
-            f"worth: goal {worth['goal']:.3f}, whole {worth['whole']:.3f}, worst 10 s "
-            f"{worth['worst_window']:.3f}, worst class {worth['worst_class']:.3f}, "
-            f"worst tenant {worth['worst_tenant']:.3f}"
-        )
+        click.echo(summary_text.format_worth(worth))
     per_client = summary["per_client"]
     click.echo(
-        f"a client: {per_client['attempts']:.2f} attempts, {per_client['refused']:.2f} refusals, "
-        f"{per_client['broken']:.2f} breaks, {per_client['moved']:.2f} moves, {per_client['probes']:.2f} probes"
+        f"per client: {per_client['attempts']:.2f} attempts, {per_client['refused']:.2f} rejections, "
+        f"{per_client['broken']:.2f} broken connections, {per_client['moved']:.2f} migrations, "
+        f"{per_client['probes']:.2f} health checks"
     )
     for fault in summary["recovery_s"]:
-        click.echo(f"{fault['kind']} at {fault['from_s']:g} s: {summary_text.format_recovery(fault)}")
-    click.echo("rules: " + ", ".join(f"{rule} {count}" for rule, count in summary["rules"].items()))
+        click.echo(summary_text.format_recovery(fault))
+    click.echo("violations of invariants:")
+    for invariant, count in summary["rules"].items():
+        click.echo(f"  {summary_text.violation_label(invariant)}: {count}")
--- a/glenrock/cli/simulation_sweep.py
+++ b/glenrock/cli/simulation_sweep.py
@@ -1,4 +1,4 @@
-"""`glenrock simulation sweep`: simulates all points of an experiment's axes, over seeds and policies, in parallel."""
+"""`glenrock simulation sweep`: simulates every combination of an experiment's parameters, seeds and policies."""
 
 from __future__ import annotations
 
@@ -20,19 +20,19 @@
 
 
 def run_tasks(tasks: list[Task], jobs: int, run_folder: Path | None, resume: bool) -> list[dict[str, Any]]:
-    """Runs simulations with a progress bar.
+    """Runs simulations in parallel, with a progress bar on standard error.
 
     Args:
         tasks: the simulations.
-        jobs: how many run in parallel.
-        run_folder: where finished runs are stored; None to store none.
-        resume: whether to skip the runs that the folder has.
+        jobs: number of simulations that run in parallel.
+        run_folder: folder for the summaries of finished runs; None to store none.
+        resume: whether to skip runs whose summaries the folder already holds.
 
     Returns:
-        Their summaries, ordered.
+        The summaries, ordered by point, policy and seed.
 
     Raises:
-        CommandFailedError: stopped by Ctrl-C; finished runs stay in the folder.
+        CommandFailedError: interrupted by Ctrl-C; the summaries of finished runs stay in the folder.
     """
     from rich.console import Console
     from rich.progress import BarColumn, MofNCompleteColumn, Progress, TextColumn, TimeRemainingColumn
@@ -50,15 +50,15 @@
             transient=True,
         ) as progress:
             bar = progress.add_task("", total=len(tasks))
-            # Closed at once after Ctrl-C: the pool would finish all tasks before the generator is collected.
+            # Closes the generator at once after Ctrl-C; otherwise the pool finishes all tasks until it is collected.
             with closing(
                 runner.run_all(tasks, jobs, run_folder, resume, lambda count: progress.advance(bar, count))
             ) as runs:
                 for summary in runs:
                     summaries.append(summary)
     except KeyboardInterrupt as error:
-        how_to_resume = f", kept in {run_folder}; --resume goes on" if run_folder else ""
-        message = f"stopped with {len(summaries)} of {len(tasks)} runs finished{how_to_resume}"
+        how_to_resume = f"; their results are in {run_folder}, and --resume continues from them" if run_folder else ""
+        message = f"interrupted after {len(summaries)} of {len(tasks)} runs{how_to_resume}"
         raise CommandFailedError(message) from error
     return runner.order(summaries)
 
@@ -68,8 +68,9 @@
 ) -> dict[str, Any]:
     """Writes sweep.json, sweep.csv and report.html, each atomically. Returns the content of sweep.json."""
     from ..simulation import record, report
+    from ..simulation.report_labels import MEASURE_LABELS
 
-    measures = list(report.MEASURES)
+    measures = list(MEASURE_LABELS)
     failures = sorted({summary["failure"] for summary in summaries if summary["failure"]})
     sweep = {
         "format": SWEEP_FORMAT,
@@ -79,26 +80,26 @@
         "runs": len(summaries),
         "failed": sum(bool(summary["failure"]) for summary in summaries),
         "failures": failures,
-        "rows": report.table_of(summaries, measures),
+        "rows": report.estimate_points(summaries, measures),
     }
     _write_table(folder / "sweep.csv", axes, measures, summaries)
     record.file(folder / "sweep.json", record.text_of(sweep))
-    record.file(folder / "report.html", report.of_sweep(sweep))
+    record.file(folder / "report.html", report.render_sweep(sweep))
     return sweep
 
 
 def _write_table(path: Path, axes: list[str], measures: list[str], summaries: list[dict[str, Any]]) -> None:
-    """Writes a CSV table with a row for each run."""
+    """Writes a CSV table with one row per run."""
     from ..simulation import report
 
     temporary = path.with_name(f".{path.name}")
     with open(temporary, "w", newline="", encoding="utf-8") as file:
-        table = csv.writer(file)
-        table.writerow([*axes, "policy", "seed", *measures])
+        writer = csv.writer(file)
+        writer.writerow([*axes, "policy", "seed", *measures])
         for summary in summaries:
             point = [summary["where"][axis] for axis in axes]
-            values = [report.value(summary, measure) for measure in measures]
-            table.writerow([*point, summary["policy"], summary["seed"], *values])
+            values = [report.measure_value(summary, measure) for measure in measures]
+            writer.writerow([*point, summary["policy"], summary["seed"], *values])
     temporary.replace(path)
 
 
@@ -108,7 +109,9 @@
 @options.policies
 @options.jobs
 @options.out
-@click.option("--resume", is_flag=True, help="Keep the finished runs of an earlier call in the folder.")
+@click.option(
+    "--resume", is_flag=True, help="Skip the runs that an earlier, interrupted sweep into the same folder finished."
+)
 @options.settings
 def command(
     file: Path,
@@ -119,13 +122,13 @@
     resume: bool,
     overrides: tuple[str, ...],
 ) -> None:
-    """Simulate every point of the file's [sweep] with every seed and policy, and plot each measure over each axis.
+    """Simulate every parameter combination of the file's [sweep] with every seed and policy, and plot the measures.
 
     \b
     Examples:
       glenrock simulation sweep experiments/scale-instances.toml --seeds 5 --policy glenrock --policy random
       glenrock simulation sweep experiments/lag-and-gains.toml --seeds 0-19 --resume
-    Exit codes: 0 done, 1 stopped or a run failed, 2 bad input.
+    Exit codes: 0 done, 1 interrupted or a run failed, 2 invalid input.
     """
     policy_names = [options.check_policy(name) for name in policies or ("glenrock",)]
     seed_numbers = options.parse_seeds(seeds)
@@ -144,7 +147,7 @@
 
 
 def _prepare_run_folder(folder: Path, resume: bool) -> Path:
-    """Creates the folder for single runs, and deletes earlier runs unless they are resumed.
+    """Creates the folder for the summaries of single runs, and deletes earlier ones unless the sweep is resumed.
 
     Raises:
         InputFileError: the folder cannot be created.
@@ -164,5 +167,8 @@
     for row in sweep["rows"]:
         goal, violations = row["values"]["worth.goal"], row["values"]["rules_broken"]
         point = ", ".join(f"{axis} {value}" for axis, value in row["where"].items())
-        figure = f"goal {goal[0]:.3f} [{goal[1]:.3f}, {goal[2]:.3f}]" if goal else "failed"
-        click.echo(f"{point + ': ' if point else ''}{row['policy']}: {figure}, breaches a run {violations[0]:g}")
+        goal_text = f"goal {goal[0]:.3f} (95% interval {goal[1]:.3f} to {goal[2]:.3f})" if goal else "failed"
+        click.echo(
+            f"{point + ': ' if point else ''}policy {row['policy']}: {goal_text}, "
+            f"{violations[0]:g} invariant violations per run"
+        )
--- a/glenrock/cli/soak.py
+++ b/glenrock/cli/soak.py
@@ -1,4 +1,4 @@
-"""`glenrock soak`: drawn runs of the testbed under overlapping faults."""
+"""`glenrock soak`: runs the testbed with random workloads and overlapping faults."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from . import shared_options as options
 from .main import CommandFailedError
 
-MAX_JOBS = 6  # runs in parallel; each has up to twelve processes
+MAX_JOBS = 6  # each run has up to twelve balancer processes
 
 
 @click.command("soak")
@@ -21,26 +21,30 @@
     type=click.FloatRange(4.0, 600.0),
     default=10.0,
     show_default=True,
-    help="Duration of the traffic of a run.",
+    help="Duration of the traffic of each run, in seconds.",
+)
+@click.option(
+    "--jobs", type=click.IntRange(1, MAX_JOBS), default=3, show_default=True, help="Runs that are executed in parallel."
+)
+@click.option("--source", type=click.Path(path_type=Path, exists=True), help="Run the balancer of another checkout.")
+@click.option(
+    "--shrink", is_flag=True, help="For each failing run, find a smaller set of faults with which it still fails."
 )
-@click.option("--jobs", type=click.IntRange(1, MAX_JOBS), default=3, show_default=True, help="Parallel runs.")
-@click.option("--source", type=click.Path(path_type=Path, exists=True), help="Run the program of another checkout.")
-@click.option("--shrink", is_flag=True, help="Remove faults of a failing run one by one while it still fails.")
 def command(seeds: str, seconds: float, jobs: int, source: Path | None, shrink: bool) -> None:
-    """Run drawn workloads and faults on real processes, and check the invariants that clients can observe.
+    """Run balancer processes with random workloads and faults, and check the invariants that clients can observe.
 
     \b
     Examples:
       glenrock soak --seeds 50 --jobs 4
       glenrock soak --seeds 17-17 --shrink
-    Exit codes: 0 no violation, 1 an invariant was violated or a run was partial, 2 bad input.
+    Exit codes: 0 no violation, 1 an invariant was violated or a run was incomplete, 2 invalid input.
     """
     from ..testbed import soak
     from ..testbed.balancer_process import ROOT
 
     seed_numbers = options.parse_seeds(seeds)
     checkout = (source or ROOT).resolve()
-    failed = []
+    failed_results = []
     context = multiprocessing.get_context("spawn")
     with concurrent.futures.ProcessPoolExecutor(jobs, mp_context=context) as pool:
         runs = [pool.submit(soak.run_seed, seed, seconds, checkout) for seed in seed_numbers]
@@ -48,11 +52,16 @@
             result = run.result()
             click.echo(result.text())
             if not result.is_clean:
-                failed.append(result)
+                failed_results.append(result)
     if shrink:
-        for result in failed:
-            click.echo(f"shrinking seed {result.plan.seed}")
+        for result in failed_results:
+            click.echo(f"reducing the faults of seed {result.plan.seed}")
             click.echo(soak.shrink(result, checkout, click.echo).text())
-    click.echo(f"{len(seed_numbers) - len(failed)} clean, {len(failed)} not, of {len(seed_numbers)} seeds")
-    if failed:
-        raise CommandFailedError("seeds not clean: " + ", ".join(str(result.plan.seed) for result in failed))
+    click.echo(
+        f"{len(seed_numbers) - len(failed_results)} of {len(seed_numbers)} seeds passed, "
+        f"{len(failed_results)} failed or were incomplete"
+    )
+    if failed_results:
+        raise CommandFailedError(
+            "failed or incomplete seeds: " + ", ".join(str(result.plan.seed) for result in failed_results)
+        )
--- a/glenrock/cli/store_queries.py
+++ b/glenrock/cli/store_queries.py
@@ -1,4 +1,4 @@
-"""Queries that the sub-commands of `glenrock fleet` share: of the store, and of balancers."""
+"""Queries of the coordination store and of balancers, shared by the sub-commands of `glenrock fleet`."""
 
 from __future__ import annotations
 
@@ -18,21 +18,21 @@
 if TYPE_CHECKING:
     from ..coordination.leases.store import LeaseStore
 
-T = TypeVar("T")
-ANSWER_TIMEOUT_S = 5.0
+ResultT = TypeVar("ResultT")
+RESPONSE_TIMEOUT_S = 5.0
 US_PER_SECOND = 1_000_000
 
-file_option = click.option(
+coordination_file_option = click.option(
     "--file",
     type=click.Path(path_type=Path),
     envvar="LB_FLEET",
     required=True,
-    help="The coordination file; default LB_FLEET.",
+    help="The coordination file. Default: the environment variable LB_FLEET.",
 )
 
 
-def query_store(path: Path, query: Callable[[LeaseStore], Awaitable[T]]) -> T:
-    """Returns the result of a query on the store that the coordination file names.
+def query_store(path: Path, query: Callable[[LeaseStore], Awaitable[ResultT]]) -> ResultT:
+    """Runs a query on the store that a coordination file names, and returns its result.
 
     Raises:
         CommandFailedError: the store does not exist, or does not answer within 5 s.
@@ -43,33 +43,37 @@
 
     settings = config.load(path)
     if settings.store.kind == "sqlite" and not Path(settings.store.path).exists():
-        raise CommandFailedError(f"the store {settings.store.path} does not exist: no balancer has used it yet")
+        raise CommandFailedError(f"the store {settings.store.path} does not exist; no balancer has used it yet")
 
-    async def run_query() -> T:
+    async def run_query() -> ResultT:
         store = build_store(settings, "operator")
         try:
-            return await asyncio.wait_for(query(store), ANSWER_TIMEOUT_S)
+            return await asyncio.wait_for(query(store), RESPONSE_TIMEOUT_S)
         finally:
             await store.close()
 
     try:
         return asyncio.run(run_query())
     except (StoreUnavailableError, TimeoutError, OSError) as error:
-        raise CommandFailedError(f"the store does not answer: {error or 'no answer in time'}") from error
+        raise CommandFailedError(
+            f"the store does not answer: {error or f'no answer within {RESPONSE_TIMEOUT_S:g} s'}"
+        ) from error
 
 
-def fetch_view(address: str) -> dict[str, Any]:
-    """Returns the coordination view of a balancer, from its operators' address `host:port`.
+def fetch_coordination_view(address: str) -> dict[str, Any]:
+    """Fetches the coordination state of a balancer as JSON from its operators' address `host:port`.
 
     Raises:
         CommandFailedError: the balancer does not answer, or has no coordination configured.
     """
     try:
-        with urllib.request.urlopen(f"http://{address}/v1/fleet", timeout=ANSWER_TIMEOUT_S) as response:
+        with urllib.request.urlopen(f"http://{address}/v1/fleet", timeout=RESPONSE_TIMEOUT_S) as response:
             view: dict[str, Any] = json.loads(response.read())
             return view
     except urllib.error.HTTPError as error:
-        raise CommandFailedError(f"{address}: status {error.code}: coordination is not configured there") from error
+        raise CommandFailedError(
+            f"{address}: HTTP status {error.code}; coordination may not be configured at this balancer"
+        ) from error
     except (OSError, ValueError) as error:
         raise CommandFailedError(f"{address}: {error}") from error
 
@@ -79,6 +83,6 @@
     return time.strftime("%Y-%m-%d %H:%M:%S", time.localtime(unix_s))
 
 
-def format_seconds_left(left_us: int) -> str:
-    """Formats the remaining time of a lease in seconds; a dash if it is unknown, which a negative time means."""
-    return "-" if left_us < 0 else f"{left_us / US_PER_SECOND:.1f} s"
+def format_time_left(remaining_us: int) -> str:
+    """Formats the remaining time of a lease in seconds. A negative time means that it is unknown."""
+    return "time left unknown" if remaining_us < 0 else f"{remaining_us / US_PER_SECOND:.1f} s left"
--- a/glenrock/simulation/report.py
+++ b/glenrock/simulation/report.py
@@ -1,4 +1,4 @@
-"""Reports: one self-contained HTML file from the results of a run, a sweep or a comparison."""
+"""HTML reports of a run, a sweep or a comparison, each one self-contained file, and the estimates that they show."""
 
 from __future__ import annotations
 
@@ -11,53 +11,35 @@
 import numpy.typing as npt
 
 from ..toml_file import InputFileError
-from . import plots, record
+from . import plots, record, report_labels
+from .report_labels import MEASURE_LABELS
 from .stats import interval, sign_test
 
-Numbers = npt.NDArray[np.float64]
+FloatArray = npt.NDArray[np.float64]
 
 COMPARISON_FORMAT = 1
-RATES = ("attempts", "refused", "broken")  # counts of which a report shows the changes
-MEASURES = {
-    "worth.goal": "goal: the mix of worth, less prices",
-    "worth.whole": "worth served over worth asked",
-    "worth.worst_window": "worth in the worst 10 s",
-    "worth.worst_class": "worth of the worst class",
-    "worth.worst_tenant": "worth of the worst tenant",
-    "fairness": "fairness over tenants (Jain)",
-    "per_client.attempts": "attempts a client",
-    "per_client.refused": "refusals a client",
-    "per_client.failed": "failures a client",
-    "per_client.broken": "breaks a client",
-    "per_client.moved": "moves a client",
-    "per_client.probes": "probes a client",
-    "per_client.peer_bytes": "peer bytes a client",
-    "crossing_part": "part of the time that crosses zones",
-    "rules_broken": "breaches of rules",
-    "clock.cpu_us_per_event": "CPU of the decisions an event (us)",
-    "clock.balancer_bytes": "memory of a balancer's decisions (bytes)",
-}
-
-
+RATE_LABELS = {"attempts": "attempts at servers", "refused": "rejected requests", "broken": "broken connections"}
+"""Labels of the columns of series.csv that count from the start of a run and are plotted as rates."""
 Summary = dict[str, Any]
 """A summary as `record.read_summary` returns it."""
 
 
-def value(summary: Summary, measure: str) -> float | None:
-    """Returns a measure of a run; None if the run has none, as one that failed."""
+def measure_value(summary: Summary, measure: str) -> float | None:
+    """Returns a measure of a run, by its path in the summary; None if the run lacks it, as a failed run does."""
     if measure == "rules_broken":
         return float(sum(summary["rules"].values()))
     found: Any = summary
-    for step in measure.split("."):
-        found = found.get(step) if isinstance(found, dict) else None
+    for key in measure.split("."):
+        found = found.get(key) if isinstance(found, dict) else None
     return float(found) if isinstance(found, int | float) else None
 
 
-def page(name: str, **values: Any) -> str:
-    """Renders a template of this package."""
+def render_template(name: str, **values: Any) -> str:
+    """Renders a template of `glenrock/simulation/templates`."""
     loader = jinja2.FileSystemLoader(Path(__file__).parent / "templates")
     environment = jinja2.Environment(loader=loader, autoescape=True, undefined=jinja2.StrictUndefined)
     environment.filters["n"] = _format_number
+    environment.globals["labels"] = report_labels
     return environment.get_template(name).render(**values)
 
 
@@ -67,8 +49,8 @@
     return f"{number:.4g}" if isinstance(number, float) else f"{number:,}"
 
 
-def of_run(folder: Path) -> str:
-    """Returns the report of the results of a run. Raises InputFileError if the folder holds none."""
+def render_run(folder: Path) -> str:
+    """Returns the report of the run in a folder as HTML. Raises InputFileError if a file of the results is missing."""
     summary = record.read_summary(folder)
     header, table = record.read_table(folder / "series.csv")
     _, loads = record.read_table(folder / "heat.csv")
@@ -77,52 +59,56 @@
     except (OSError, ValueError) as error:
         raise InputFileError(f"{folder / 'histograms.json'}: {error}") from None
     columns = dict(zip(header, table.T, strict=True))
-    images = [*_time_series(columns, loads[:, 1:].T, summary["recovery_s"]), plots.waits(histograms)]
-    return page("run.html", s=summary, images=[plots.address(image) for image in images])
+    images = [*_plot_time_series(columns, loads[:, 1:].T, summary["recovery_s"]), plots.percentiles(histograms)]
+    return render_template("run.html", s=summary, images=[plots.data_url(image) for image in images])
 
 
-def _time_series(columns: dict[str, Numbers], loads: Numbers, faults: list[dict[str, Any]]) -> list[bytes]:
+def _plot_time_series(columns: dict[str, FloatArray], loads: FloatArray, faults: list[dict[str, Any]]) -> list[bytes]:
     seconds = columns["second"]
 
-    def line(label: str, name: str) -> plots.Series:
-        return label, seconds, columns[name]
+    def series(label: str, column: str) -> plots.Series:
+        return label, seconds, columns[column]
 
-    def changes(name: str) -> plots.Series:
-        return name, seconds, np.diff(columns[name], prepend=0.0)
+    def rate(label: str, column: str) -> plots.Series:
+        return label, seconds, np.diff(columns[column], prepend=0.0)
 
-    by_class: list[plots.Series] = [
-        (name.removeprefix("asked "), seconds, _fraction(columns["served" + name.removeprefix("asked")], asked))
-        for name, asked in columns.items()
+    worth_by_class: list[plots.Series] = [
+        (
+            f"class {name.removeprefix('asked ')}",
+            seconds,
+            _fraction(columns["served" + name.removeprefix("asked")], demanded),
+        )
+        for name, demanded in columns.items()
         if name.startswith("asked ")
     ]
-    served: list[plots.Series] = [("all", seconds, _fraction(columns["served"], columns["asked"]))]
-    served += by_class if len(by_class) > 1 else []
-    load = [line("load", "load"), line("cap (mean)", "cap")]
-    load_title = "Load, and the cap where the policy has one, over the fleet's capacity"
+    worth: list[plots.Series] = [("all classes", seconds, _fraction(columns["served"], columns["asked"]))]
+    worth += worth_by_class if len(worth_by_class) > 1 else []
+    load = [series("load", "load"), series("load cap, mean over balancers", "cap")]
+    rates = [rate(label, column) for column, label in RATE_LABELS.items()]
     return [
-        plots.over_time("Worth served over worth asked", served, faults, "part"),
-        plots.over_time(load_title, load, faults, "part"),
-        plots.heat(loads, faults),
-        plots.over_time("Clients that stand", [line("standing", "standing")], faults, "clients"),
-        plots.over_time("Clients in the lines of the balancers", [line("line", "line")], faults, "clients"),
-        plots.over_time("A second", [changes(name) for name in RATES], faults, "count"),
+        plots.time_series("Worth: share of the demanded connection time served in time", worth, faults, "worth"),
+        plots.time_series("Load of the fleet and the policy's load cap", load, faults, "fraction of capacity"),
+        plots.load_heatmap(loads, faults),
+        plots.time_series("Connected clients", [series("connected", "standing")], faults, "clients"),
+        plots.time_series("Clients waiting at the balancers", [series("waiting", "line")], faults, "clients"),
+        plots.time_series("Attempts, rejections and broken connections per second", rates, faults, "per second"),
     ]
 
 
-def _fraction(parts: Numbers, wholes: Numbers) -> Numbers:
+def _fraction(parts: FloatArray, wholes: FloatArray) -> FloatArray:
     return np.divide(parts, wholes, out=np.ones_like(parts), where=wholes > 0)
 
 
 def policies_of(summaries: list[Summary]) -> list[str]:
-    """Returns the policies of summaries, in the order of their first ones."""
+    """Returns the distinct policies of summaries, in the order of their first summary."""
     return list(dict.fromkeys(summary["policy"] for summary in summaries))
 
 
-def table_of(summaries: list[Summary], measures: list[str]) -> list[dict[str, Any]]:
-    """Returns mean and interval of each measure over the seeds, for each point and policy."""
+def estimate_points(summaries: list[Summary], measures: list[str]) -> list[dict[str, Any]]:
+    """Estimates each measure over the seeds of each point and policy. Returns the rows of `sweep.json`."""
     groups: dict[tuple[str, str], list[Summary]] = {}
     for summary in summaries:
-        groups.setdefault((_point_of(summary), summary["policy"]), []).append(summary)
+        groups.setdefault((_point_key(summary), summary["policy"]), []).append(summary)
     return [
         {
             "where": json.loads(point),
@@ -135,70 +121,79 @@
     ]
 
 
-def _point_of(summary: Summary) -> str:
+def _point_key(summary: Summary) -> str:
+    """Returns the swept parameters of a run as a hashable key."""
     return json.dumps(summary.get("where", {}), sort_keys=True)
 
 
 def _estimate(runs: list[Summary], measure: str) -> list[float] | None:
-    values = [found for summary in runs if (found := value(summary, measure)) is not None]
-    return [round(number, 6) for number in interval(values)] if values else None
+    """Returns the mean of a measure and the ends of its interval; None if no run has the measure."""
+    values = [number for summary in runs if (number := measure_value(summary, measure)) is not None]
+    return [round(bound, 6) for bound in interval(values)] if values else None
 
 
 def curves(rows: list[dict[str, Any]], axis: str, measure: str) -> dict[str, plots.Curve]:
-    """Returns a measure along one axis for each policy, as the mean over the points of the other axes."""
-    found: dict[str, dict[Any, list[list[float]]]] = {}
+    """Returns a measure along one axis of a sweep, by policy, averaged over the values of the other axes."""
+    estimates_by_policy: dict[str, dict[Any, list[list[float]]]] = {}
     for row in rows:
         if row["values"][measure] is not None and axis in row["where"]:
-            found.setdefault(row["policy"], {}).setdefault(row["where"][axis], []).append(row["values"][measure])
+            by_value = estimates_by_policy.setdefault(row["policy"], {})
+            by_value.setdefault(row["where"][axis], []).append(row["values"][measure])
     return {
         policy: [(x, *_mean_estimate(estimates)) for x, estimates in sorted(by_value.items(), key=_axis_order)]
-        for policy, by_value in found.items()
+        for policy, by_value in estimates_by_policy.items()
     }
 
 
 def _axis_order(item: tuple[Any, Any]) -> tuple[bool, float]:
-    """Sorts numbers by value, before other values, which stay in their order."""
+    """Sort key of an axis: numbers by value, then other values in their given order."""
     is_number = isinstance(item[0], int | float)
     return not is_number, item[0] if is_number else 0
 
 
 def _mean_estimate(estimates: list[list[float]]) -> plots.Estimate:
-    mean, low, high = (sum(estimate[part] for estimate in estimates) / len(estimates) for part in range(3))
+    mean, low, high = (sum(bounds) / len(bounds) for bounds in zip(*estimates, strict=True))
     return mean, low, high
 
 
-def of_sweep(sweep: dict[str, Any]) -> str:
-    """Returns the report of a sweep."""
+def render_sweep(sweep: dict[str, Any]) -> str:
+    """Returns the report of a sweep as HTML."""
     rows, axes = sweep["rows"], sweep["axes"]
     images = []
     for axis in axes:
-        for measure, label in MEASURES.items():
-            lines = curves(rows, axis, measure)
-            if lines:
-                images.append((f"{label} against {axis}", plots.address(plots.against(axis, label, lines))))
+        for measure, label in MEASURE_LABELS.items():
+            curves_by_policy = curves(rows, axis, measure)
+            if curves_by_policy:
+                image = plots.axis_curves(axis, label, curves_by_policy)
+                images.append((f"{label}, by {axis}", plots.data_url(image)))
     if not axes:
-        for measure, label in MEASURES.items():
+        for measure, label in MEASURE_LABELS.items():
             policies = [row["policy"] for row in rows if row["values"][measure]]
             estimates = [row["values"][measure] for row in rows if row["values"][measure]]
             if policies:
-                image = plots.bars(label, label, policies, {sweep["experiment"]: estimates})
-                images.append((label, plots.address(image)))
-    return page("sweep.html", s=sweep, images=images, measures=MEASURES)
-
-
-def compared(first: list[Summary], second: list[Summary], names: tuple[str, str]) -> dict[str, Any]:
-    """Compares two sets of runs, paired by point and seed. Raises InputFileError if there is no pair."""
-    by_first = {(_point_of(summary), summary["seed"]): summary for summary in first}
-    by_second = {(_point_of(summary), summary["seed"]): summary for summary in second}
-    keys = [key for key in by_first if key in by_second]
-    if not keys:
-        raise InputFileError(f"{names[0]} and {names[1]}: no seed is in both")
+                image = plots.grouped_bars(label, label, policies, {sweep["experiment"]: estimates})
+                images.append((label, plots.data_url(image)))
+    return render_template("sweep.html", s=sweep, images=images, measures=MEASURE_LABELS)
+
+
+def compare_runs(first: list[Summary], second: list[Summary], names: tuple[str, str]) -> dict[str, Any]:
+    """Compares two sets of runs, paired by point and seed. Returns the content of `compare.json`.
+
+    Raises:
+        InputFileError: no point and seed is in both sets.
+    """
+    by_first = {(_point_key(summary), summary["seed"]): summary for summary in first}
+    by_second = {(_point_key(summary), summary["seed"]): summary for summary in second}
+    common_keys = [key for key in by_first if key in by_second]
+    if not common_keys:
+        raise InputFileError(f"{names[0]} and {names[1]}: they have no runs with the same parameters and seed")
     rows = []
-    for measure, label in MEASURES.items():
+    for measure, label in MEASURE_LABELS.items():
         pairs = [
             (a, b)
-            for key in keys
-            if (a := value(by_first[key], measure)) is not None and (b := value(by_second[key], measure)) is not None
+            for key in common_keys
+            if (a := measure_value(by_first[key], measure)) is not None
+            and (b := measure_value(by_second[key], measure)) is not None
         ]
         if pairs:
             rows.append({"measure": measure, "label": label, **_comparison(pairs)})
@@ -206,10 +201,10 @@
         {
             "where": json.loads(point),
             "seed": seed,
-            "a": value(by_first[point, seed], "worth.goal"),
-            "b": value(by_second[point, seed], "worth.goal"),
+            "a": measure_value(by_first[point, seed], "worth.goal"),
+            "b": measure_value(by_second[point, seed], "worth.goal"),
         }
-        for point, seed in keys
+        for point, seed in common_keys
     ]
     return {"format": COMPARISON_FORMAT, "a": names[0], "b": names[1], "rows": rows, "seeds": seeds}
 
--- a/tests/cli/__init__.py
+++ b/tests/cli/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the command line: output, files and exit codes of the sub-commands."""
+"""Tests of the command line: output, result files and exit codes of the sub-commands."""
--- a/tests/cli/conftest.py
+++ b/tests/cli/conftest.py
@@ -1,4 +1,4 @@
-"""A small experiment, and command lines in processes of their own."""
+"""Fixture of a small experiment, and a helper that runs a command line in its own process."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 
 @pytest.fixture
 def experiment(tmp_path: Path) -> Path:
-    """Writes an experiment that takes little time."""
+    """Writes an experiment that is simulated quickly."""
     path = tmp_path / "small.toml"
     path.write_text(SMALL_EXPERIMENT)
     return path
 
 
 def run_process(*arguments: object) -> subprocess.CompletedProcess[str]:
-    """Runs a command line in a process."""
+    """Runs a command line in its own process, from the checkout."""
     return subprocess.run([*COMMAND, *map(str, arguments)], capture_output=True, text=True, cwd=CHECKOUT, timeout=120)
--- a/tests/cli/test_coordination.py
+++ b/tests/cli/test_coordination.py
@@ -1,4 +1,4 @@
-"""`glenrock fleet`, and a balancer whose coordination file is invalid."""
+"""Tests of `glenrock fleet`, and of the error of a balancer whose coordination file is invalid."""
 
 from __future__ import annotations
 
@@ -35,13 +35,13 @@
     assert "the lease of bans is free; its last holder" in capsys.readouterr().err
     assert store.acquire("bans", "n2/7-8", 1, LEASE_US) == 2
     assert run(["fleet", "jobs", *option]) == 0
-    assert "bans  term 2  n2/7-8  60.0 s" in capsys.readouterr().out.replace("59.9", "60.0")
+    assert "bans  term 2  n2/7-8  60.0 s left" in capsys.readouterr().out.replace("59.9", "60.0")
     assert run(["fleet", "owner", "bans", *option]) == 0
     assert "n2/7-8  term 2  since 20" in capsys.readouterr().out
     assert run(["fleet", "history", *option]) == 0
     output = capsys.readouterr().out
     assert output.index("term 1  n1/5-6") < output.index("term 2  n2/7-8")
-    assert run(["fleet", "owner", "x", *option]) == 1 and "no lease of x was ever acquired" in capsys.readouterr().err
+    assert run(["fleet", "owner", "x", *option]) == 1 and "the lease of x was never acquired" in capsys.readouterr().err
     assert run(["fleet", "history", *option, "--at", "127.0.0.1:1"]) == 1
     assert run(["check", str(coordination_file)]) == 0
 
--- a/tests/cli/test_main.py
+++ b/tests/cli/test_main.py
@@ -1,4 +1,4 @@
-"""Exit codes of invalid input, `check`, `simulation list`, the alias `lab`, and what serving imports."""
+"""Tests of `check`, `simulation list`, the alias `lab`, the handling of invalid input, and what serving imports."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
         (["simulation", "run", "SMALL", "--set", "fleet.balancers=0"], "fleet.balancers: Expected `int` >= 1"),
         (["simulation", "run", "SMALL", "--set", "fleet"], "--set fleet: expected KEY=VALUE"),
         (["simulation", "run", "SMALL", "--out", "/proc/no/such"], "/proc/no/such: "),
-        (["simulation", "run", "SMALL", "--out", "FULL"], "holds other things than results"),
+        (["simulation", "run", "SMALL", "--out", "FOREIGN"], "holds other things than results"),
         (["simulation", "run", "SMALL", "--out", "SMALL"], "not a folder"),
-        (["simulation", "sweep", "SMALL", "--seeds", "none"], "--seeds none: expected a count"),
+        (["simulation", "sweep", "SMALL", "--seeds", "none"], "--seeds none: expected a number of seeds"),
         (["simulation", "compare", "SMALL", "SMALL"], "neither a folder of results nor FILE@POLICY"),
-        (["simulation", "report", "FULL"], "summary.json: No such file or directory"),
+        (["simulation", "report", "FOREIGN"], "summary.json: No such file or directory"),
         (["simulation", "fly"], "No such command 'fly'"),
         (["check", "SMALL", "--fast"], "No such option"),
         (["check", "x.yaml"], "neither .toml nor .json"),
@@ -45,14 +45,14 @@
     message: str,
 ) -> None:
     monkeypatch.setenv("LB_CONFIG", "")
-    full = tmp_path / "full"
-    full.mkdir()
-    (full / "letter.txt").write_text("mine")
-    paths = {"SMALL": str(experiment), "FULL": str(full)}
+    foreign = tmp_path / "foreign"
+    foreign.mkdir()
+    (foreign / "notes.txt").write_text("not a result")
+    paths = {"SMALL": str(experiment), "FOREIGN": str(foreign)}
     assert run([paths.get(argument, argument) for argument in arguments]) == 2
     error_output = capsys.readouterr().err
     assert error_output.count("\n") == 1 and error_output.startswith("glenrock: ") and message in error_output
-    assert (full / "letter.txt").read_text() == "mine" and len(list(full.iterdir())) == 1
+    assert (foreign / "notes.txt").read_text() == "not a result" and len(list(foreign.iterdir())) == 1
     assert not (tmp_path / "out").exists()
 
 
@@ -86,13 +86,13 @@
     assert ROOT.get_command(context, "lab") is ROOT.get_command(context, "simulation")
 
 
-def test_serving_imports_no_tools() -> None:
+def test_serving_imports_neither_tools_nor_their_dependencies() -> None:
     code = (
         "import sys, glenrock.__main__; found = ' '.join(sorted({m.split('.')[0] for m in sys.modules} & "
         "{'click', 'msgspec', 'numpy', 'matplotlib', 'rich', 'jinja2', 'hdrh', 'xxhash', 'structlog', 'aiohttp'}))"
     )
-    tools = ("glenrock.simulation", "glenrock.testbed", "glenrock.coordination")
-    code += f"; found += ' '.join(m for m in sys.modules if m.startswith({tools}))"
+    tool_packages = ("glenrock.simulation", "glenrock.testbed", "glenrock.coordination")
+    code += f"; found += ' '.join(m for m in sys.modules if m.startswith({tool_packages}))"
     code += "\nsys.exit(found or 0)"
     done = subprocess.run(
         [sys.executable, "-c", code],
--- a/tests/cli/test_simulation.py
+++ b/tests/cli/test_simulation.py
@@ -1,4 +1,4 @@
-"""The sub-commands of the simulation: files, output and exit codes."""
+"""Tests of `glenrock simulation`: result files, output and exit codes."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from .conftest import CHECKOUT, COMMAND, SMALL_EXPERIMENT, run_process
 
 RESULT_FILES = ["heat.csv", "histograms.json", "report.html", "series.csv", "summary.json"]
-UNREPEATABLE_KEYS = ("clock", "events_per_s")
+TIMING_KEYS = ("clock", "events_per_s")
 START_TIMEOUT_S = 60
 
 
@@ -33,8 +33,9 @@
     assert summary["recovery_s"] == [] and summary["events"] > 0 and summary["events_per_s"] > 0
     html = (out / "report.html").read_text()
     assert html.count("data:image/png;base64,") >= 6 and "http" not in html.replace("http-equiv", "")
-    assert "worth: goal" in capsys.readouterr().out
-    # A second run replaces the folder, and the report can be regenerated.
+    output = capsys.readouterr().out
+    assert "worth (share of" in output and "goal (weighted mean" in output
+    # A second run replaces the results of the first, and the report can be regenerated.
     assert run(["simulation", "run", str(experiment), "--out", str(out), "--policy", "random"]) == 0
     (out / "report.html").unlink()
     assert run(["simulation", "report", str(out)]) == 0 and (out / "report.html").exists()
@@ -49,14 +50,14 @@
 
     monkeypatch.setitem(simple.HANDLERS, interface.Request, lambda policy, event: None)
     assert run(["simulation", "run", str(experiment), "--policy", "random", "--out", str(tmp_path / "o")]) == 1
-    assert "rules broken: answered" in capsys.readouterr().err
+    assert "invariants violated: requests without exactly one final answer in time (" in capsys.readouterr().err
     assert "no final answer" in (tmp_path / "o" / "report.html").read_text()
 
 
 def read_summaries(out: Path) -> list[dict[str, Any]]:
-    """Returns the summaries of all runs, without what differs between equal runs."""
+    """Returns the summaries of all runs, without the measured times, which differ between equal runs."""
     summaries = [json.loads(path.read_text()) for path in sorted((out / "runs").glob("*.json"))]
-    return [{key: value for key, value in summary.items() if key not in UNREPEATABLE_KEYS} for summary in summaries]
+    return [{key: value for key, value in summary.items() if key not in TIMING_KEYS} for summary in summaries]
 
 
 def test_sweep_is_equal_in_one_and_eight_processes_and_resumes(experiment: Path, tmp_path: Path) -> None:
@@ -86,7 +87,7 @@
         time.sleep(0.05)
     process.send_signal(signal.SIGINT)
     _, error_output = process.communicate(timeout=60)
-    assert process.returncode == 1 and "--resume goes on" in error_output and "Traceback" not in error_output
+    assert process.returncode == 1 and "--resume continues" in error_output and "Traceback" not in error_output
     finished = list((out / "runs").glob("*.json"))
     assert len(finished) >= 5 and all(json.loads(path.read_text())["format"] == 1 for path in finished)
 
@@ -98,4 +99,4 @@
     comparison = json.loads((out / "compare.json").read_text())
     goal = next(row for row in comparison["rows"] if row["measure"] == "worth.goal")
     assert (goal["pairs"], goal["difference"], goal["p"]) == (4, 0.0, 1.0)
-    assert "worth.goal" in capsys.readouterr().out
+    assert goal["label"] in capsys.readouterr().out
