--- a/glenrock/cli/simulation_compare.py
+++ b/glenrock/cli/simulation_compare.py
@@ -97,7 +97,7 @@
     image = plots.grouped_bars(
         "Goal of each pair of runs, by seed", "goal", [str(pair["seed"]) for pair in pairs], bars
     )
-    page = report.render_template("compare.html", s=comparison, image=plots.data_url(image))
+    page = report.render_template("compare.html", comparison=comparison, image=plots.data_url(image))
 
     def write_files(temporary: Path) -> None:
         content = record.text_of(json.loads(json.dumps(comparison)))
--- a/glenrock/config.py
+++ b/glenrock/config.py
@@ -13,7 +13,7 @@
 from typing import Any, NamedTuple
 
 from glenrock.routing.interface import Settings
-from glenrock.routing.settings_codec import settings_of
+from glenrock.routing.settings_codec import decode_settings
 
 from .log import DEFAULT_FORMAT, DEFAULT_LEVEL, LEVELS, LogConfig
 
@@ -173,7 +173,7 @@
         if key not in raw:
             raise ConfigError(f"{key}: missing")
     try:
-        settings = settings_of(_value_of_type(raw, "settings", dict, {}))
+        settings = decode_settings(_value_of_type(raw, "settings", dict, {}))
     except ValueError as error:
         raise ConfigError(f"settings: {error}") from error
     return Config(
--- a/glenrock/routing/simulator_adapter.py
+++ b/glenrock/routing/simulator_adapter.py
@@ -1,6 +1,7 @@
-"""The simulator's adapter: reads batches on standard input, and writes actions on standard output.
+"""The simulator's adapter: answers batches of events on standard input with actions on standard output.
 
-There is one Balancer for each simulated balancer. Exit code 2 and one line of error mean malformed input.
+There is one `Balancer` per simulated balancer. After malformed input, the adapter writes one line to standard
+error and exits with code 2.
 """
 
 from __future__ import annotations
@@ -13,65 +14,74 @@
 from .balancer import Balancer
 from .interface import Endpoint, EndpointList, EndpointListKind, Event, Settings
 from .simulator_codec import (
-    EVENTS,
+    EVENT_DECODERS,
     MAX_QUOTED_CHARS,
     Fields,
     WireError,
-    endpoint_from,
-    line_of,
-    list_kind_from,
-    settings_from,
+    decode_endpoint,
+    decode_list_kind,
+    decode_start_settings,
+    encode_action,
 )
 
-TRACEBACK_LINES = 6  # of an error, on the wire
-EXIT_BAD_INPUT = 2
+MAX_TRACEBACK_LINES = 6  # in the report of a balancer's error
+EXIT_INVALID_INPUT = 2
 
 
-class _Start(NamedTuple):
+class _PendingStart(NamedTuple):
+    """A balancer that starts at the end of the current batch."""
+
     settings: Settings
     seed: int
 
 
 class SimulatorAdapter:
-    """The balancers by number, and the batch that is being read."""
+    """The balancers by number, and the events of the batch that is being read."""
 
     def __init__(self) -> None:
         self._balancers: dict[int, Balancer] = {}
-        self._lists: dict[int, tuple[Endpoint, ...]] = {}
-        self._list_number = 0
-        self._rows: list[Endpoint] = []
-        self._rows_due = 0
+        self._endpoint_lists: dict[int, tuple[Endpoint, ...]] = {}
+        self._current_list = 0
+        self._endpoints: list[Endpoint] = []
+        self._missing_rows = 0
         self._now_us: int | None = None
-        self._events: dict[int, list[Event]] = {}  # of this batch, by balancer
-        self._starts: dict[int, _Start] = {}
+        self._events: dict[int, list[Event]] = {}  # of the current batch, by balancer
+        self._starts: dict[int, _PendingStart] = {}
 
     @property
     def is_inside_batch(self) -> bool:
-        """Whether the batch needs further lines."""
-        return self._now_us is not None or self._rows_due > 0
+        """Whether the current batch lacks lines."""
+        return self._now_us is not None or self._missing_rows > 0
+
+    def handle_line(self, line: str) -> list[str] | None:
+        """Handles a line.
+
+        Returns:
+            The lines of the reply at the end of a batch, else None.
 
-    def feed(self, line: str) -> list[str] | None:
-        """Handles a line. Returns the reply at the end of a batch, else None. Raises WireError."""
+        Raises:
+            WireError: the line is malformed, or not allowed at this place.
+        """
         word, _, rest = line.partition(" ")
-        if self._rows_due:
-            self._add_row(word, rest)
+        if self._missing_rows:
+            self._add_endpoint(word, rest)
         elif word == "begin_batch":
             self._begin_batch(rest)
         elif self._now_us is None:
             raise WireError(f"{word[:MAX_QUOTED_CHARS]!r} outside a batch")
         elif word == "go":
             return self._close_batch(self._now_us)
-        elif word in EVENTS:
+        elif word in EVENT_DECODERS:
             fields = Fields(rest)
-            self._add_event(fields.number("balancer"), EVENTS[word](fields))
+            self._add_event(fields.number("balancer"), EVENT_DECODERS[word](fields))
         elif word == "topology":
-            self._add_list(Fields(rest))
+            self._add_endpoint_list(Fields(rest))
         elif word == "list":
-            self._begin_list(Fields(rest))
+            self._begin_endpoint_list(Fields(rest))
         elif word == "start":
-            self._start(Fields(rest))
+            self._start_balancer(Fields(rest))
         elif word == "stop":
-            self._forget(Fields(rest).number("balancer"))
+            self._stop_balancer(Fields(rest).number("balancer"))
         return None
 
     def _begin_batch(self, rest: str) -> None:
@@ -80,42 +90,42 @@
         self._now_us = Fields(rest).number("wallUs")
         self._events, self._starts = {}, {}
 
-    def _begin_list(self, fields: Fields) -> None:
-        self._list_number = fields.number("bank")
-        self._rows_due = fields.number("membersList")
-        self._rows = []
-        if self._rows_due < 0:
+    def _begin_endpoint_list(self, fields: Fields) -> None:
+        self._current_list = fields.number("bank")
+        self._missing_rows = fields.number("membersList")
+        self._endpoints = []
+        if self._missing_rows < 0:
             raise WireError("membersList is negative")
-        if not self._rows_due:
-            self._lists[self._list_number] = ()
+        if not self._missing_rows:
+            self._endpoint_lists[self._current_list] = ()
 
-    def _add_row(self, word: str, rest: str) -> None:
+    def _add_endpoint(self, word: str, rest: str) -> None:
         if word != "item":
             raise WireError(
-                f"{self._rows_due} more item lines were announced, got {word[:MAX_QUOTED_CHARS]!r}"
+                f"{self._missing_rows} more item lines were expected, got {word[:MAX_QUOTED_CHARS]!r}"
             )
-        self._rows.append(endpoint_from(Fields(rest)))
-        self._rows_due -= 1
-        if not self._rows_due:
-            self._lists[self._list_number] = tuple(self._rows)
+        self._endpoints.append(decode_endpoint(Fields(rest)))
+        self._missing_rows -= 1
+        if not self._missing_rows:
+            self._endpoint_lists[self._current_list] = tuple(self._endpoints)
 
-    def _add_list(self, fields: Fields) -> None:
-        kind = list_kind_from(fields)
+    def _add_endpoint_list(self, fields: Fields) -> None:
+        kind = decode_list_kind(fields)
         endpoints: tuple[Endpoint, ...] = ()
         if kind != EndpointListKind.FAILED:
             number = fields.number("bank")
-            if number not in self._lists:
-                raise WireError(f"topology names list {number}, which never came")
-            endpoints = self._lists[number]
+            if number not in self._endpoint_lists:
+                raise WireError(f"topology refers to list {number}, which was not sent")
+            endpoints = self._endpoint_lists[number]
         self._add_event(fields.number("balancer"), EndpointList(kind, endpoints))
 
-    def _start(self, fields: Fields) -> None:
+    def _start_balancer(self, fields: Fields) -> None:
         number = fields.number("balancer")
-        self._forget(number)
-        self._starts[number] = _Start(settings_from(fields), fields.number("seed"))
+        self._stop_balancer(number)
+        self._starts[number] = _PendingStart(decode_start_settings(fields), fields.number("seed"))
         self._events[number] = []
 
-    def _forget(self, number: int) -> None:
+    def _stop_balancer(self, number: int) -> None:
         self._balancers.pop(number, None)
         self._starts.pop(number, None)
         self._events.pop(number, None)
@@ -133,35 +143,35 @@
         return reply
 
     def _handle(self, number: int, now_us: int) -> list[str]:
-        """Returns the reply lines of one balancer. An error is reported on the wire, which ends the run."""
+        """Returns the reply lines of one balancer. A line that reports its error ends the simulator's run."""
         try:
             if start := self._starts.get(number):
                 self._balancers[number] = Balancer(start.settings, start.seed)
             actions = self._balancers[number].handle(now_us, self._events[number])
-            return [line_of(number, action) for action in actions]
-        except Exception:  # noqa: BLE001 - the edge of the adapter
-            text = " | ".join(traceback.format_exc().splitlines()[-TRACEBACK_LINES:])
+            return [encode_action(number, action) for action in actions]
+        except Exception:  # noqa: BLE001 - any error is reported to the simulator
+            text = " | ".join(traceback.format_exc().splitlines()[-MAX_TRACEBACK_LINES:])
             return [f"give_in balancer={number} message={text}"]
 
 
-def run(source: Iterable[str], sink: TextIO, errors: TextIO) -> int:
-    """Replies to each batch until the source ends. Returns the exit code."""
+def run(lines: Iterable[str], output: TextIO, error_output: TextIO) -> int:
+    """Replies to each batch until the input ends. Returns the exit code."""
     adapter = SimulatorAdapter()
-    for count, line in enumerate(source, 1):
+    for line_number, line in enumerate(lines, 1):
         text = line.rstrip("\n")
         if not text:
             continue
         try:
-            reply = adapter.feed(text)
+            reply = adapter.handle_line(text)
         except WireError as error:
-            print(f"glenrock: line {count}: {error}", file=errors)
-            return EXIT_BAD_INPUT
+            print(f"glenrock: line {line_number}: {error}", file=error_output)
+            return EXIT_INVALID_INPUT
         if reply is not None:
-            sink.write("\n".join(reply) + "\n")
-            sink.flush()
+            output.write("\n".join(reply) + "\n")
+            output.flush()
     if adapter.is_inside_batch:
-        print("glenrock: input ended inside a batch", file=errors)
-        return EXIT_BAD_INPUT
+        print("glenrock: input ended inside a batch", file=error_output)
+        return EXIT_INVALID_INPUT
     return 0
 
 
@@ -174,7 +184,7 @@
         return run(sys.stdin, sys.stdout, sys.stderr)
     except UnicodeDecodeError as error:
         print(f"glenrock: input is not UTF-8: {error.reason}", file=sys.stderr)
-        return EXIT_BAD_INPUT
+        return EXIT_INVALID_INPUT
     except BrokenPipeError:
         return 0
 
--- a/glenrock/routing/simulator_codec.py
+++ b/glenrock/routing/simulator_codec.py
@@ -1,4 +1,4 @@
-"""The simulator's wire: decodes lines into events, and encodes actions as lines."""
+"""The line protocol of the simulator: decodes lines into events, and encodes actions as lines."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
     TimerFired,
     WatchEndpoints,
 )
-from .settings_codec import report_field, settings_of
+from .settings_codec import decode_settings, report_field
 
 OUTCOMES: dict[str, AttemptOutcome] = {
     "delivered": AttemptOutcome.SERVED,
@@ -57,42 +57,43 @@
     "Persisted": EndpointListKind.CACHED,
     "Error": EndpointListKind.FAILED,
 }
-TEXT_FIELDS = ("profileData", "message")  # their values extend to the end of the line
-LOAD_NOTE = 1  # its amount is a load
-DELAY_NOTE = 2  # its amount is the time of a message in milliseconds
+TEXT_FIELDS = ("profileData", "message")  # their values may contain spaces, and extend to the end of the line
+LOAD_FEEDBACK = 1  # a `note` with this `sort` has a load as its amount
+DELAY_FEEDBACK = 2  # a `note` with this `sort` has the duration of a message in milliseconds as its amount
 MAX_DIGITS = 20
-MAX_QUOTED_CHARS = 40  # of the input, in the text of an error
+MAX_QUOTED_CHARS = 40  # of the input in an error message
+US_PER_MS = 1000
 
 
 class WireError(ValueError):
-    """The input violates the form of the wire."""
+    """A line violates the simulator's protocol."""
 
 
 class Fields:
-    """The `name=value` pairs of a line. Reading a missing or malformed field raises WireError."""
+    """The `name=value` pairs of a line, with accessors that check their types."""
 
     __slots__ = ("_values",)
 
     def __init__(self, text: str) -> None:
-        self._values = _values_of(text)
+        self._values = _parse_pairs(text)
 
     def __contains__(self, name: str) -> bool:
-        """Whether the line has that field."""
+        """Whether the line has the field."""
         return name in self._values
 
     def text(self, name: str) -> str:
-        """Returns the field's value. Raises WireError if it is missing."""
+        """Returns the value of a field. Raises WireError if the field is missing."""
         try:
             return self._values[name]
         except KeyError:
             raise WireError(f"missing field {name}") from None
 
     def text_or(self, name: str, default: str) -> str:
-        """Returns the field's value, or the default if it is missing."""
+        """Returns the value of a field, or the default if the field is missing."""
         return self._values.get(name, default)
 
     def number(self, name: str) -> int:
-        """Returns a whole number. Raises WireError if it is missing or malformed."""
+        """Returns a whole number. Raises WireError if the field is missing or malformed."""
         text = self.text(name)
         digits = text[1:] if text[:1] == "-" else text
         if not (digits.isdigit() and digits.isascii()) or len(digits) > MAX_DIGITS:
@@ -100,27 +101,27 @@
         return int(text)
 
     def number_or(self, name: str, default: int) -> int:
-        """Returns a whole number, or the default if it is missing."""
+        """Returns a whole number, or the default if it is missing. Raises WireError if it is malformed."""
         return self.number(name) if name in self._values else default
 
     def optional_number(self, name: str) -> int | None:
-        """Returns a whole number, or None if it is missing."""
+        """Returns a whole number, or None if it is missing. Raises WireError if it is malformed."""
         return self.number(name) if name in self._values else None
 
     def flag(self, name: str) -> bool:
-        """Returns whether the field is 1; a missing field counts as 0."""
+        """Returns whether the field is 1; a missing field counts as 0. Raises WireError otherwise."""
         text = self._values.get(name, "0")
         if text not in ("0", "1"):
             raise WireError(f"{name} is neither 0 nor 1: {text[:MAX_QUOTED_CHARS]!r}")
         return text == "1"
 
 
-def _values_of(text: str) -> dict[str, str]:
+def _parse_pairs(text: str) -> dict[str, str]:
     for name in TEXT_FIELDS:
-        at = text.find(name + "=")
-        if at == 0 or (at > 0 and text[at - 1] == " "):
-            values = _values_of(text[: at - 1]) if at > 0 else {}
-            values[name] = text[at + len(name) + 1 :]
+        start = text.find(name + "=")
+        if start == 0 or (start > 0 and text[start - 1] == " "):
+            values = _parse_pairs(text[: start - 1]) if start > 0 else {}
+            values[name] = text[start + len(name) + 1 :]
             return values
     try:
         return dict([part.split("=", 1) for part in text.split(" ")]) if text else {}
@@ -128,7 +129,7 @@
         raise WireError(f"expected name=value, got {text[:MAX_QUOTED_CHARS]!r}") from None
 
 
-def _real(text: str, name: str) -> float:
+def _parse_finite(text: str, name: str) -> float:
     try:
         value = float(text)
     except ValueError:
@@ -141,47 +142,47 @@
 # -- events ------------------------------------------------------------------------------------------
 
 
-def settings_from(fields: Fields) -> Settings:
-    """Decodes the settings of a starting balancer."""
+def decode_start_settings(fields: Fields) -> Settings:
+    """Decodes the settings of a balancer that starts. Raises WireError if they are invalid."""
     try:
-        return settings_of(json.loads(fields.text("profileData")))
+        return decode_settings(json.loads(fields.text("profileData")))
     except WireError:
         raise
     except ValueError as error:  # SettingsError, or malformed JSON
         raise WireError(f"profileData: {error}") from error
 
 
-def endpoint_from(fields: Fields) -> Endpoint:
-    """Decodes a row of the endpoint list. An unknown state counts as draining."""
+def decode_endpoint(fields: Fields) -> Endpoint:
+    """Decodes an entry of the endpoint list. An unknown state counts as draining."""
     return Endpoint(
         server_id=fields.text("server"),
         state=STATES.get(fields.text_or("availability", "Ready"), EndpointState.DRAINING),
         zone=fields.text_or("area", ""),
         cell=fields.number_or("unitGroup", 0),
-        size=_real(fields.text_or("units", "1"), "units"),
+        size=_parse_finite(fields.text_or("units", "1"), "units"),
         started_us=fields.number_or("lastStartUs", 0),
     )
 
 
-def list_kind_from(fields: Fields) -> EndpointListKind:
+def decode_list_kind(fields: Fields) -> EndpointListKind:
     """Decodes the kind of an endpoint list. Raises WireError if it is unknown."""
-    word = fields.text("kind")
-    kind = LIST_KINDS.get(word)
+    text = fields.text("kind")
+    kind = LIST_KINDS.get(text)
     if kind is None:
-        raise WireError(f"unknown topology kind {word[:MAX_QUOTED_CHARS]!r}")
+        raise WireError(f"unknown topology kind {text[:MAX_QUOTED_CHARS]!r}")
     return kind
 
 
-def _request_from(fields: Fields) -> Request:
-    return _request_with_deadline(fields, fields.number("deadlineUs"))
+def _decode_request(fields: Fields) -> Request:
+    return _decode_request_with_deadline(fields, fields.number("deadlineUs"))
 
 
-def _open_connection_from(fields: Fields) -> OpenConnection:
-    request = _request_with_deadline(fields, fields.number_or("deadlineUs", 0))
+def _decode_open_connection(fields: Fields) -> OpenConnection:
+    request = _decode_request_with_deadline(fields, fields.number_or("deadlineUs", 0))
     return OpenConnection(request, fields.text("server"))
 
 
-def _request_with_deadline(fields: Fields, deadline_us: int) -> Request:
+def _decode_request_with_deadline(fields: Fields, deadline_us: int) -> Request:
     return Request(
         request_id=fields.text("msgId"),
         class_name=fields.text("service"),
@@ -195,7 +196,7 @@
     )
 
 
-def _established_from(fields: Fields) -> ConnectionEstablished:
+def _decode_established(fields: Fields) -> ConnectionEstablished:
     return ConnectionEstablished(
         request_id=fields.text("msgId"),
         attempt_number=fields.number("shot"),
@@ -204,44 +205,44 @@
     )
 
 
-def _feedback_from(fields: Fields) -> ConnectionFeedback:
-    amount = _real(fields.text("amount"), "amount")
+def _decode_feedback(fields: Fields) -> ConnectionFeedback:
+    amount = _parse_finite(fields.text("amount"), "amount")
     sort = fields.number("sort")
     return ConnectionFeedback(
         request_id=fields.text("msgId"),
         server_id=fields.text("server"),
-        load=amount if sort == LOAD_NOTE else None,
-        message_us=amount * 1000 if sort == DELAY_NOTE else None,
+        load=amount if sort == LOAD_FEEDBACK else None,
+        message_us=amount * US_PER_MS if sort == DELAY_FEEDBACK else None,
     )
 
 
-def _attempt_ended_from(fields: Fields) -> AttemptEnded:
+def _decode_attempt_ended(fields: Fields) -> AttemptEnded:
     return AttemptEnded(
         request_id=fields.text("msgId"),
         attempt_number=fields.number("shot"),
         server_id=fields.text("server"),
-        outcome=_outcome_from(fields),
+        outcome=_decode_outcome(fields),
         is_final=fields.flag("doneFlag"),
         latency_us=fields.number_or("latencyUs", 0),
-        report=_report_from(fields),
+        report=_decode_report(fields),
     )
 
 
-def _health_check_result_from(fields: Fields) -> HealthCheckResult:
+def _decode_health_check_result(fields: Fields) -> HealthCheckResult:
     return HealthCheckResult(
         server_id=fields.text("server"),
-        outcome=_outcome_from(fields),
+        outcome=_decode_outcome(fields),
         latency_us=fields.number_or("latencyUs", 0),
-        report=_report_from(fields),
+        report=_decode_report(fields),
     )
 
 
-def _outcome_from(fields: Fields) -> AttemptOutcome:
-    """Decodes an outcome. An unknown one counts as an error after which the request may have executed."""
+def _decode_outcome(fields: Fields) -> AttemptOutcome:
+    """Decodes an outcome. An unknown one counts as an error: the request may have been executed."""
     return OUTCOMES.get(fields.text("verdict"), AttemptOutcome.ERROR)
 
 
-def _report_from(fields: Fields) -> dict[str, float]:
+def _decode_report(fields: Fields) -> dict[str, float]:
     text = fields.text_or("gauge", "")
     report: dict[str, float] = {}
     if text and text != "-":
@@ -249,11 +250,11 @@
             name, colon, value = part.partition(":")
             if not colon:
                 raise WireError(f"gauge is not name:value pairs: {text[:MAX_QUOTED_CHARS]!r}")
-            report[report_field(name)] = _real(value, "gauge")
+            report[report_field(name)] = _parse_finite(value, "gauge")
     return report
 
 
-def _gossip_from(fields: Fields) -> GossipReceived:
+def _decode_gossip(fields: Fields) -> GossipReceived:
     raw = fields.text("raw")
     try:
         return GossipReceived(fields.number("src"), b"" if raw == "-" else bytes.fromhex(raw))
@@ -263,16 +264,16 @@
         raise WireError(f"raw is not hex: {raw[:MAX_QUOTED_CHARS]!r}") from None
 
 
-EVENTS: dict[str, Callable[[Fields], Event]] = {
-    "call": _request_from,
-    "inherited": _open_connection_from,
-    "streaming": _established_from,
-    "note": _feedback_from,
-    "outcome": _attempt_ended_from,
+EVENT_DECODERS: dict[str, Callable[[Fields], Event]] = {
+    "call": _decode_request,
+    "inherited": _decode_open_connection,
+    "streaming": _decode_established,
+    "note": _decode_feedback,
+    "outcome": _decode_attempt_ended,
     "aborted": lambda fields: ClientDisconnected(fields.text("msgId")),
     "reminder": lambda fields: TimerFired(fields.number("ref")),
-    "health_result": _health_check_result_from,
-    "message": _gossip_from,
+    "health_result": _decode_health_check_result,
+    "message": _decode_gossip,
 }
 """Decoders of events, by the first word of the line."""
 
@@ -280,7 +281,7 @@
 # -- actions -----------------------------------------------------------------------------------------
 
 
-def line_of(balancer: int, action: Action) -> str:
+def encode_action(balancer: int, action: Action) -> str:
     """Encodes an action as a line of the reply."""
     match action:
         case StartAttempt(request_id, server_id, timeout_us):
@@ -293,8 +294,8 @@
             return f"refuse balancer={balancer} msgId={request_id} stayAwayUs={retry_after_us}"
         case Fail(request_id):
             return f"error balancer={balancer} msgId={request_id}"
-        case CancelAttempt(request_id, attempt):
-            return f"revoke balancer={balancer} msgId={request_id} shot={attempt}"
+        case CancelAttempt(request_id, attempt_number):
+            return f"revoke balancer={balancer} msgId={request_id} shot={attempt_number}"
         case Migrate(request_id):
             return f"go_away balancer={balancer} msgId={request_id}"
         case SendGossip(data):
--- a/glenrock/simulation/report.py
+++ b/glenrock/simulation/report.py
@@ -38,7 +38,7 @@
     """Renders a template of `glenrock/simulation/templates`."""
     loader = jinja2.FileSystemLoader(Path(__file__).parent / "templates")
     environment = jinja2.Environment(loader=loader, autoescape=True, undefined=jinja2.StrictUndefined)
-    environment.filters["n"] = _format_number
+    environment.filters["number"] = _format_number
     environment.globals["labels"] = report_labels
     return environment.get_template(name).render(**values)
 
@@ -50,7 +50,7 @@
 
 
 def render_run(folder: Path) -> str:
-    """Returns the report of the run in a folder as HTML. Raises InputFileError if a file of the results is missing."""
+    """Returns the report of the run in a folder as HTML. Raises InputFileError if a file is missing or malformed."""
     summary = record.read_summary(folder)
     header, table = record.read_table(folder / "series.csv")
     _, loads = record.read_table(folder / "heat.csv")
@@ -60,7 +60,7 @@
         raise InputFileError(f"{folder / 'histograms.json'}: {error}") from None
     columns = dict(zip(header, table.T, strict=True))
     images = [*_plot_time_series(columns, loads[:, 1:].T, summary["recovery_s"]), plots.percentiles(histograms)]
-    return render_template("run.html", s=summary, images=[plots.data_url(image) for image in images])
+    return render_template("run.html", summary=summary, images=[plots.data_url(image) for image in images])
 
 
 def _plot_time_series(columns: dict[str, FloatArray], loads: FloatArray, faults: list[dict[str, Any]]) -> list[bytes]:
@@ -86,7 +86,9 @@
     load = [series("load", "load"), series("load cap, mean over balancers", "cap")]
     rates = [rate(label, column) for column, label in RATE_LABELS.items()]
     return [
-        plots.time_series("Worth: share of the demanded connection time served in time", worth, faults, "worth"),
+        plots.time_series(
+            "Worth: share of the priority-weighted connection time served in time", worth, faults, "worth"
+        ),
         plots.time_series("Load of the fleet and the policy's load cap", load, faults, "fraction of capacity"),
         plots.load_heatmap(loads, faults),
         plots.time_series("Connected clients", [series("connected", "standing")], faults, "clients"),
@@ -173,7 +175,7 @@
             if policies:
                 image = plots.grouped_bars(label, label, policies, {sweep["experiment"]: estimates})
                 images.append((label, plots.data_url(image)))
-    return render_template("sweep.html", s=sweep, images=images, measures=MEASURE_LABELS)
+    return render_template("sweep.html", sweep=sweep, images=images, measures=MEASURE_LABELS)
 
 
 def compare_runs(first: list[Summary], second: list[Summary], names: tuple[str, str]) -> dict[str, Any]:
--- a/glenrock/simulation/report_labels.py
+++ b/glenrock/simulation/report_labels.py
@@ -6,8 +6,8 @@
 from __future__ import annotations
 
 MEASURE_LABELS = {
-    "worth.goal": "goal: weighted mean of worths, less costs",
-    "worth.whole": "worth: share of demanded time served",
+    "worth.goal": "goal: weighted mean of worths less costs",
+    "worth.whole": "worth of the whole run",
     "worth.worst_window": "worth in the worst 10 s",
     "worth.worst_class": "worth of the worst request class",
     "worth.worst_tenant": "worth of the worst tenant",
--- a/glenrock/testbed/balancer_settings.py
+++ b/glenrock/testbed/balancer_settings.py
@@ -12,7 +12,7 @@
 
 
 def encode_settings(settings: Settings) -> dict[str, Any]:
-    """Returns the `settings` object; `glenrock.routing.settings_codec.settings_of` reads it back as it was."""
+    """Returns the `settings` object; `glenrock.routing.settings_codec.decode_settings` reads it back as it was."""
     return {
         "az": settings.zone,
         "slotNo": settings.index,
--- a/tests/routing/test_invalid_summaries.py
+++ b/tests/routing/test_invalid_summaries.py
@@ -36,12 +36,12 @@
 @pytest.mark.parametrize(
     ("peer", "data", "reason"),
     [
-        (1, b"\1\2", "cannot be read"),
-        (1, b"\2" + encode(2, 1, 1, [])[1:], "cannot be read"),
-        (1, encode(2, 1e15, 300, []), "absurd"),
-        (1, encode(2, 1e6, 2_000_000, []), "absurd"),
-        (2, encode(2, 1e6, 3, [(0, 1e15)]), "absurd"),
-        (4, encode(2, 1e6, 3, []), "the settings name 4"),
+        (1, b"\1\2", "malformed or of another version"),
+        (1, b"\2" + encode(2, 1, 1, [])[1:], "malformed or of another version"),
+        (1, encode(2, 1e15, 300, []), "implausible"),
+        (1, encode(2, 1e6, 2_000_000, []), "implausible"),
+        (2, encode(2, 1e6, 3, [(0, 1e15)]), "implausible"),
+        (4, encode(2, 1e6, 3, []), "the settings have 4"),
     ],
 )
 def test_invalid_summary_is_ignored_with_a_reason_and_the_previous_one_is_kept(
--- a/tests/routing/test_simulator_adapter.py
+++ b/tests/routing/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter as a process, started by the command of deploy/balancer.toml."""
+"""Tests of the simulator's adapter as a process, started by the command in deploy/balancer.toml."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
 
 
 def start_lines(balancer: int) -> list[str]:
-    """Returns a batch that starts a balancer with three servers."""
+    """Returns the lines of a batch that starts a balancer with three servers."""
     servers = [
         f"item server=10.0.0.{number}:9 area=z{1 + number % 2} flavor=k unitGroup=0 availability=Ready units=1"
         for number in range(3)
@@ -64,7 +64,7 @@
 
 
 def request_lines(balancer: int, number: int) -> list[str]:
-    """Returns a batch with a request, a malformed gossip summary, an unknown line, and in some batches a timer."""
+    """Returns a batch: a request, a malformed gossip summary, an unknown line, and in every third batch a timer."""
     now_us = 1000000 + number * 20000
     lines = [
         f"begin_batch wallUs={now_us}",
@@ -79,7 +79,7 @@
 
 
 def input_lines(balancer: int = 3) -> list[str]:
-    """Returns the input of 80 batches for a balancer."""
+    """Returns the lines of 80 batches for a balancer."""
     lines = start_lines(balancer)
     for number in range(1, 80):
         lines += request_lines(balancer, number)
@@ -87,7 +87,7 @@
 
 
 def run_adapter(lines: list[str], **environment: str) -> subprocess.CompletedProcess[str]:
-    """Runs the adapter by the command of the deploy file on these lines, with further environment variables."""
+    """Runs the adapter on these lines by the command in the deployment file, with additional environment variables."""
     command = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["sim"]
     command = command.replace(".venv/bin/python", sys.executable)
     return subprocess.run(
@@ -111,13 +111,13 @@
     assert words <= {"issue", "timer", "inspect", "refuse", "error", "revoke", "notify", "ready"}
 
 
-def test_hash_seed_changes_nothing() -> None:
+def test_replies_do_not_depend_on_the_hash_seed() -> None:
     replies = {run_adapter(input_lines(), PYTHONHASHSEED=seed).stdout for seed in ("1", "77")}
     assert len(replies) == 1
 
 
 def split_batches(lines: list[str]) -> list[list[str]]:
-    """Returns the lines of each batch, without the line that ends it."""
+    """Returns the lines of each batch, without the `go` line that ends the batch."""
     batches: list[list[str]] = [[]]
     for line in lines:
         if line == "go":
@@ -128,15 +128,15 @@
 
 
 def test_balancers_of_one_process_are_independent() -> None:
-    def replies_of(reply: str, balancer: int) -> list[str]:
+    def filter_reply(reply: str, balancer: int) -> list[str]:
         return [line for line in reply.splitlines() if f"balancer={balancer} " in line]
 
-    lines_of_both: list[str] = []
+    combined_lines: list[str] = []
     for batch, other_batch in zip(split_batches(input_lines(3)), split_batches(input_lines(4)), strict=True):
-        lines_of_both += [*batch, *(line for line in other_batch if not line.startswith("begin_batch")), "go"]
-    reply = run_adapter(lines_of_both).stdout
+        combined_lines += [*batch, *(line for line in other_batch if not line.startswith("begin_batch")), "go"]
+    reply = run_adapter(combined_lines).stdout
     for balancer in (3, 4):
-        assert replies_of(reply, balancer) == replies_of(run_adapter(input_lines(balancer)).stdout, balancer)
+        assert filter_reply(reply, balancer) == filter_reply(run_adapter(input_lines(balancer)).stdout, balancer)
 
 
 @pytest.mark.parametrize(
@@ -146,14 +146,14 @@
         ("call balancer=3 msgId=m service=c deadlineUs=soon", "deadlineUs is not a whole number"),
         ("call balancer=x msgId=m service=c deadlineUs=5", "balancer is not a whole number"),
         ("call balancer", "expected name=value"),
-        ("topology balancer=3 kind=Partial seqNo=2 bank=9", "never came"),
+        ("topology balancer=3 kind=Partial seqNo=2 bank=9", "was not sent"),
         ("topology balancer=3 kind=Odd seqNo=2 bank=0", "unknown topology kind"),
         ("message balancer=3 src=1 raw=zz", "raw is not hex"),
         ("health_result balancer=3 server=10.0.0.1:9 verdict=delivered gauge=x0:much", "gauge is not a number"),
         ("start balancer=4 seed=1 profileData={", "profileData"),
         ('start balancer=4 seed=1 profileData={"classes": []}', "classes"),
         ("begin_batch wallUs=9", "inside a batch"),
-        ("list bank=0 membersList=2\ngo", "item lines were announced"),
+        ("list bank=0 membersList=2\ngo", "item lines were expected"),
     ],
 )
 def test_malformed_line_ends_the_adapter_with_one_message(line: str, message: str) -> None:
@@ -166,9 +166,9 @@
 def test_error_of_a_balancer_is_reported_on_the_wire(monkeypatch: pytest.MonkeyPatch) -> None:
     class BrokenBalancer(Balancer):
         def handle(self, now_us: int, events: Sequence[interface.Event]) -> list[interface.Action]:
-            raise RuntimeError("broken inside")
+            raise RuntimeError("decision failed")
 
     monkeypatch.setattr(simulator_adapter, "Balancer", BrokenBalancer)
     adapter = simulator_adapter.SimulatorAdapter()
-    replies = [reply for line in start_lines(3) if (reply := adapter.feed(line)) is not None]
-    assert replies[0][0].startswith("give_in balancer=3 message=") and "broken inside" in replies[0][0]
+    replies = [reply for line in start_lines(3) if (reply := adapter.handle_line(line)) is not None]
+    assert replies[0][0].startswith("give_in balancer=3 message=") and "decision failed" in replies[0][0]
--- a/tests/testbed/test_balancer_process.py
+++ b/tests/testbed/test_balancer_process.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from glenrock.routing import interface
-from glenrock.routing.settings_codec import settings_of
+from glenrock.routing.settings_codec import decode_settings
 from glenrock.testbed.balancer_process import BalancerProcess
 from glenrock.testbed.balancer_settings import encode_settings
 from glenrock.testbed.history import History
@@ -77,7 +77,7 @@
         migration_cost=0.5,
     )
     for settings in (SETTINGS, varied):
-        assert settings_of(json.loads(json.dumps(encode_settings(settings)))) == settings
+        assert decode_settings(json.loads(json.dumps(encode_settings(settings)))) == settings
 
 
 def test_process_is_started_signalled_limited_and_ended_in_any_state(tmp_path: Path) -> None:
