--- a/glenrock/cli/demo.py
+++ b/glenrock/cli/demo.py
@@ -19,7 +19,7 @@
     help="Folder for the results.",
 )
 def command(live: bool | None, out: Path) -> None:
-    """Run three balancers for half a minute: one is killed, one is paused, and one loses a network direction.
+    """Run three balancers for half a minute: one is killed, one is paused and one is partitioned in one direction.
 
     \b
     Example:
--- a/glenrock/cli/scenario_live_table.py
+++ b/glenrock/cli/scenario_live_table.py
@@ -44,7 +44,7 @@
             self._display.stop()
 
     def update(self, testbed: ScenarioTestbed) -> None:
-        """Redraws the table. Called once per second."""
+        """Redraws the table. Called once per second of the run."""
         if self._display:
             self._display.update(build_table(testbed), refresh=True)
 
--- a/glenrock/cli/scenario_run.py
+++ b/glenrock/cli/scenario_run.py
@@ -44,8 +44,8 @@
 
     Args:
         scenario: the scenario.
-        seed: of all random draws.
-        folder: for the results; results of an earlier run are replaced.
+        seed: the seed of all random draws.
+        folder: the folder for the results; those of an earlier run are replaced.
         live: whether to show a live table; None to show it only on a terminal.
 
     Raises:
@@ -100,7 +100,7 @@
     checked, excused = summary["seen"], summary["excused"]
     click.echo("violations of invariants, of the cases checked:")
     for invariant, count in summary["rules"].items():
-        by_faults = f", and {excused[invariant]} caused by injected faults" if excused.get(invariant) else ""
+        by_faults = f" ({excused[invariant]} more caused by injected faults)" if excused.get(invariant) else ""
         click.echo(f"  {summary_text.violation_label(invariant)}: {count} of {checked.get(invariant, 0)}{by_faults}")
 
 
