--- a/glenrock/routing/simulator_codec.py
+++ b/glenrock/routing/simulator_codec.py
@@ -153,7 +153,10 @@
 
 
 def decode_endpoint(fields: Fields) -> Endpoint:
-    """Decodes an entry of the endpoint list. An unknown state counts as draining."""
+    """Decodes an entry of the endpoint list.
+
+    An unknown state, of a later version of the protocol, counts as draining, the cautious assumption.
+    """
     return Endpoint(
         server_id=fields.text("server"),
         state=STATES.get(fields.text_or("availability", "Ready"), EndpointState.DRAINING),
@@ -238,7 +241,11 @@
 
 
 def _decode_outcome(fields: Fields) -> AttemptOutcome:
-    """Decodes an outcome. An unknown one counts as an error: the request may have been executed."""
+    """Decodes an outcome.
+
+    An unknown one, of a later version of the protocol, counts as an error after which the request may have
+    been executed, the cautious assumption.
+    """
     return OUTCOMES.get(fields.text("verdict"), AttemptOutcome.ERROR)
 
 
