--- a/glenrock/__init__.py
+++ b/glenrock/__init__.py
@@ -1,1 +1,1 @@
-"""glenrock: a balancer for long-lived connections, on real sockets, round the routing decisions."""
+"""glenrock: a balancer for long-lived connections, with its simulation and its testbed."""
--- a/glenrock/__main__.py
+++ b/glenrock/__main__.py
@@ -20,16 +20,16 @@
 from .program import Program, raise_descriptor_limit
 
 EXIT_SYSTEM_ERROR = 1
-EXIT_BAD_CONFIG = 2
+EXIT_CONFIG_ERROR = 2
 
 
-async def serve(config: Config, clock: Clock, early_reloads: list[int]) -> None:
+async def serve(config: Config, clock: Clock, early_sighups: list[int]) -> None:
     """Serves until SIGTERM or SIGINT. SIGHUP reloads the configuration.
 
     Args:
         config: the configuration at the start.
         clock: the one clock of the process.
-        early_reloads: an entry for each SIGHUP received before the event loop ran.
+        early_sighups: an entry for each SIGHUP received before the event loop ran.
 
     Raises:
         ConfigError: the configuration names something that cannot be used.
@@ -42,7 +42,7 @@
     program = Program(config, clock)
     reload = functools.partial(program.reload, functools.partial(read_config, os.environ))
     loop.add_signal_handler(signal.SIGHUP, reload)
-    if early_reloads:
+    if early_sighups:
         reload()
     if program.coordination:
         await program.coordination.wait_before_start(stop)
@@ -54,18 +54,18 @@
     """Runs a balancer, and returns the exit code."""
     # The default action of SIGHUP ends the process. The handler is set before the configuration is read, and `serve`
     # reloads if the signal arrived before the event loop could handle it.
-    early_reloads: list[int] = []
-    signal.signal(signal.SIGHUP, lambda number, _: early_reloads.append(number))
+    early_sighups: list[int] = []
+    signal.signal(signal.SIGHUP, lambda number, _: early_sighups.append(number))
     try:
         config = read_config(os.environ)
     except ConfigError as error:
-        return _report_failure(error, EXIT_BAD_CONFIG)
+        return _report_failure(error, EXIT_CONFIG_ERROR)
     log.configure(config.log)
     raise_descriptor_limit(config.descriptor_limit)
     try:
-        uvloop.run(serve(config, Clock(), early_reloads))
+        uvloop.run(serve(config, Clock(), early_sighups))
     except ConfigError as error:
-        return _report_failure(error, EXIT_BAD_CONFIG)
+        return _report_failure(error, EXIT_CONFIG_ERROR)
     except OSError as error:
         return _report_failure(error, EXIT_SYSTEM_ERROR)
     return 0
--- a/glenrock/admin/http_message.py
+++ b/glenrock/admin/http_message.py
@@ -58,10 +58,10 @@
         self._byte_count = 0
         self._parser = httptools.HttpRequestParser(self)
 
-    def on_url(self, part: bytes) -> None:
-        """Appends a part of the target. Called by the parser."""
+    def on_url(self, fragment: bytes) -> None:
+        """Appends a fragment of the target. Called by the parser."""
         if not self.is_complete:
-            self.target += part
+            self.target += fragment
 
     def on_headers_complete(self) -> None:
         """Stores the method. Called by the parser after the headers."""
--- a/glenrock/admin/listener.py
+++ b/glenrock/admin/listener.py
@@ -14,13 +14,15 @@
 from . import routes
 from .http_message import HttpRequest, HttpResponse
 
-MAX_CALLERS = 32  # open connections
-RESERVED_DESCRIPTORS = MAX_CALLERS + 2  # with the listening socket and the connection that exceeds the limit
+MAX_OPERATOR_CONNECTIONS = 32  # open connections
+RESERVED_DESCRIPTORS = (
+    MAX_OPERATOR_CONNECTIONS + 2
+)  # with the listening socket and the connection that exceeds the limit
 REQUEST_TIMEOUT_MS = 5000.0
 LINGER_TIMEOUT_MS = 500.0
 MAX_LINGER_BYTES = 65_536
 READ_BUFFER_BYTES = 4096
-ACCEPT_RETRY_MS = 20
+ACCEPT_RETRY_DELAY_MS = 20
 
 logger = get_logger(__name__)
 
@@ -30,15 +32,15 @@
 
     Attributes:
         listening_socket: None before `listen`.
-        callers: the tasks of open connections, oldest first.
+        connection_tasks: the tasks of open connections, oldest first.
     """
 
     def __init__(self, operations: routes.Operations, clock: Clock) -> None:
         self.listening_socket: socket.socket | None = None
-        self.callers: dict[asyncio.Task[None], None] = {}
+        self.connection_tasks: dict[asyncio.Task[None], None] = {}
         self._operations = operations
         self._clock = clock
-        self._being_answered: dict[asyncio.Task[None], None] = {}  # the callers whose response is being sent
+        self._responding_tasks: dict[asyncio.Task[None], None] = {}  # whose response is being sent
 
     def listen(self, address: Address) -> None:
         """Binds the listening socket.
@@ -46,12 +48,12 @@
         Raises:
             OSError: the address is in use, or does not belong to this machine.
         """
-        self.listening_socket = listen(address, MAX_CALLERS)
+        self.listening_socket = listen(address, MAX_OPERATOR_CONNECTIONS)
 
     async def accept(self) -> None:
         """Accepts connections as long as the process runs."""
         if self.listening_socket is None:
-            raise RuntimeError("listen comes before accept")
+            raise RuntimeError("accept() was called before listen()")
         loop = asyncio.get_running_loop()
         while True:
             try:
@@ -59,40 +61,40 @@
             except OSError as error:  # a connection reset before it was accepted, or a lack of descriptors
                 logger.warning("operator connection not accepted", error=error)
                 self._close_oldest()
-                await self._clock.sleep(ACCEPT_RETRY_MS)
+                await self._clock.sleep(ACCEPT_RETRY_DELAY_MS)
                 continue
-            self._serve(loop, sock)
+            self._start_connection(loop, sock)
             # sock_accept does not yield to the loop while connections are pending.
             await asyncio.sleep(0)
 
-    def _serve(self, loop: asyncio.AbstractEventLoop, sock: socket.socket) -> None:
-        task = loop.create_task(self._answer_caller(sock))
-        self.callers[task] = None
-        task.add_done_callback(functools.partial(self._close, sock))
-        if len(self.callers) > MAX_CALLERS:
+    def _start_connection(self, loop: asyncio.AbstractEventLoop, sock: socket.socket) -> None:
+        task = loop.create_task(self._serve_connection(sock))
+        self.connection_tasks[task] = None
+        task.add_done_callback(functools.partial(self._close_connection, sock))
+        if len(self.connection_tasks) > MAX_OPERATOR_CONNECTIONS:
             self._close_oldest()
 
-    def _close(self, sock: socket.socket, task: asyncio.Task[None]) -> None:
-        self._forget(task)
+    def _close_connection(self, sock: socket.socket, task: asyncio.Task[None]) -> None:
+        self._remove_task(task)
         sock.close()
 
-    def _forget(self, task: asyncio.Task[None]) -> None:
-        self.callers.pop(task, None)
-        self._being_answered.pop(task, None)
+    def _remove_task(self, task: asyncio.Task[None]) -> None:
+        self.connection_tasks.pop(task, None)
+        self._responding_tasks.pop(task, None)
 
     def _close_oldest(self) -> None:
         """Closes the oldest connection whose response is being sent; if there is none, the oldest connection.
 
-        The call of a response that is being sent is done already; a call without a response may not be.
+        A call whose response is being sent has been carried out; a call without a response may not have been.
         """
-        oldest = next(iter((*self._being_answered, *self.callers)), None)
+        oldest = next(iter((*self._responding_tasks, *self.connection_tasks)), None)
         if oldest is None:
             return
-        logger.warning("too many operator connections, closing the oldest", open_connections=len(self.callers))
-        self._forget(oldest)
+        logger.warning("too many operator connections, closing the oldest", open_connections=len(self.connection_tasks))
+        self._remove_task(oldest)
         oldest.cancel()
 
-    async def _answer_caller(self, sock: socket.socket) -> None:
+    async def _serve_connection(self, sock: socket.socket) -> None:
         try:
             configure_socket(sock)
             request = HttpRequest()
@@ -107,7 +109,7 @@
                 response = HttpResponse(408, f"request not complete within {REQUEST_TIMEOUT_MS / 1000:.0f} s\n")
             if response is None:
                 response = await self._respond(request)
-            self._mark_answered()
+            self._mark_responding()
             await self._send(sock, response)
         except OSError:
             pass  # the caller has closed the connection
@@ -117,9 +119,9 @@
         count = await asyncio.get_running_loop().sock_recv_into(sock, buffer)
         return bytes(buffer[:count])
 
-    def _mark_answered(self) -> None:
+    def _mark_responding(self) -> None:
         if task := asyncio.current_task():
-            self._being_answered[task] = None
+            self._responding_tasks[task] = None
 
     async def _send(self, sock: socket.socket, response: HttpResponse) -> None:
         """Sends the response, then reads until the caller closes the connection.
--- a/glenrock/admin/routes.py
+++ b/glenrock/admin/routes.py
@@ -69,10 +69,10 @@
         if method != route.method:
             return _method_not_allowed(method, route.method)
         return await route.handler(operations)
-    return await _respond_for_server(operations, method, path)
+    return await _respond_to_server_call(operations, method, path)
 
 
-async def _respond_for_server(operations: Operations, method: str, path: str) -> HttpResponse:
+async def _respond_to_server_call(operations: Operations, method: str, path: str) -> HttpResponse:
     # Split before decoding: a server id may contain a slash, sent as %2F.
     raw_id, slash, action = path.removeprefix(SERVERS_PATH).rpartition("/")
     if not path.startswith(SERVERS_PATH) or not slash or action not in ("suspend", "resume") or "/" in raw_id:
@@ -88,11 +88,11 @@
     if not operations.is_known_server(server_id):
         return HttpResponse(404, "no session server of that id was ever listed\n")
     if action == "suspend":
-        return await _carry_out(operations.suspend(server_id), "suspended")
-    return await _carry_out(operations.resume(server_id), "resumed")
+        return await _respond_to_operation(operations.suspend(server_id), "suspended")
+    return await _respond_to_operation(operations.resume(server_id), "resumed")
 
 
-async def _carry_out(operation: Awaitable[None], success_text: str) -> HttpResponse:
+async def _respond_to_operation(operation: Awaitable[None], success_text: str) -> HttpResponse:
     """Awaits an operation. The only place that maps its outcome to a status and a text."""
     try:
         await operation
@@ -117,11 +117,11 @@
 
 
 async def _drain(operations: Operations) -> HttpResponse:
-    return await _carry_out(operations.drain(), "draining")
+    return await _respond_to_operation(operations.drain(), "draining")
 
 
 async def _activate(operations: Operations) -> HttpResponse:
-    return await _carry_out(operations.activate(), "ready")
+    return await _respond_to_operation(operations.activate(), "ready")
 
 
 async def _coordination(operations: Operations) -> HttpResponse:
--- a/glenrock/config.py
+++ b/glenrock/config.py
@@ -22,16 +22,16 @@
 MAX_PORT = 65_535
 MIN_INHERITED_DESCRIPTOR = 3  # after the standard streams
 MAX_INHERITED_DESCRIPTOR = (1 << 20) - 1
-MAX_DESCRIPTOR_DIGITS = 9  # enough to recognize a number that is too large, however long the text is
+MAX_COMPARED_DIGITS = 9  # enough to recognize a number that is too large, however long the text is
 REQUIRED_KEYS = ("listen", "discovery", "settings")
-VARIABLES = {
+ENVIRONMENT_VARIABLES = {
     "name": "LB_NAME",
     "listen": "LB_LISTEN",
     "discovery": "LB_DISCOVERY",
     "admin": "LB_ADMIN",
     "fleet": "LB_FLEET",
 }
-LOG_VARIABLES = {"level": "LB_LOG_LEVEL", "format": "LB_LOG_FORMAT"}
+LOG_ENVIRONMENT_VARIABLES = {"level": "LB_LOG_LEVEL", "format": "LB_LOG_FORMAT"}
 RESTART_KEYS = ("name", "listen", "admin", "fleet", "peer_listen", "settings", "measures_delay", "log")
 """Fields of `Config` that a running process does not change."""
 
@@ -74,7 +74,7 @@
         fleet: the path of the coordination's configuration file; empty without coordination.
         log: the level and format of log lines.
         shared_folder: `$TMPDIR`, which both processes of an upgrade share; empty if it is not set.
-        file_values: the values in the file of the keys in `VARIABLES`.
+        file_values: the values in the file of the keys in `ENVIRONMENT_VARIABLES`.
     """
 
     name: str
@@ -96,31 +96,33 @@
     file_values: Mapping[str, Any] = field(default_factory=dict)
 
 
-def read_config(environment: Mapping[str, str], at_start: Config | None = None) -> Config:
+def read_config(environment: Mapping[str, str], initial_config: Config | None = None) -> Config:
     """Reads the configuration file and the environment variables that override it.
 
     Args:
         environment: the environment variables of the process.
-        at_start: the configuration that this process started with; None at the start.
+        initial_config: the configuration that this process started with; None at the start.
 
     Raises:
         ConfigError: the file cannot be read, or a key is missing or invalid.
     """
     raw = _read_file(environment.get("LB_CONFIG", ""))
-    file_values = {key: raw[key] for key in VARIABLES if key in raw}
-    overrides = _overrides_of(environment, file_values, at_start)
-    log_overrides = {key: value for key, variable in LOG_VARIABLES.items() if (value := environment.get(variable))}
-    log = {**_value_of_type(raw, "log", dict, {}), **log_overrides}
+    file_values = {key: raw[key] for key in ENVIRONMENT_VARIABLES if key in raw}
+    overrides = _environment_overrides(environment, file_values, initial_config)
+    log_overrides = {
+        key: value for key, variable in LOG_ENVIRONMENT_VARIABLES.items() if (value := environment.get(variable))
+    }
+    log = {**_read_typed_value(raw, "log", dict, {}), **log_overrides}
     return replace(
         parse_config({**raw, **overrides, "log": log}),
         file_values=file_values,
-        accept_fd=_inherited_descriptor(environment),
+        accept_fd=_parse_inherited_descriptor(environment),
         shared_folder=environment.get("TMPDIR", ""),
     )
 
 
-def _overrides_of(
-    environment: Mapping[str, str], file_values: Mapping[str, Any], at_start: Config | None
+def _environment_overrides(
+    environment: Mapping[str, str], file_values: Mapping[str, Any], initial_config: Config | None
 ) -> dict[str, str]:
     """Returns the values of the keys that environment variables override.
 
@@ -131,8 +133,10 @@
         the file       after a reload, if the file's value has changed since the start
     """
     overrides = {}
-    for key, variable in VARIABLES.items():
-        is_unchanged = at_start is None or key not in file_values or file_values[key] == at_start.file_values.get(key)
+    for key, variable in ENVIRONMENT_VARIABLES.items():
+        is_unchanged = (
+            initial_config is None or key not in file_values or file_values[key] == initial_config.file_values.get(key)
+        )
         if is_unchanged and (value := environment.get(variable)):
             overrides[key] = value
     return overrides
@@ -151,14 +155,12 @@
     return raw
 
 
-def _inherited_descriptor(environment: Mapping[str, str]) -> int | None:
+def _parse_inherited_descriptor(environment: Mapping[str, str]) -> int | None:
     value = environment.get("LB_ACCEPT_FD", "")
     if not value:
         return None
     is_number = value.isascii() and value.isdecimal()
-    if not is_number or not (
-        MIN_INHERITED_DESCRIPTOR <= int(value[:MAX_DESCRIPTOR_DIGITS]) <= MAX_INHERITED_DESCRIPTOR
-    ):
+    if not is_number or not (MIN_INHERITED_DESCRIPTOR <= int(value[:MAX_COMPARED_DIGITS]) <= MAX_INHERITED_DESCRIPTOR):
         raise ConfigError(f"LB_ACCEPT_FD: expected the number of a descriptor, got {value!r}")
     return int(value)
 
@@ -173,7 +175,7 @@
         if key not in raw:
             raise ConfigError(f"{key}: missing")
     try:
-        settings = settings_of(_value_of_type(raw, "settings", dict, {}))
+        settings = settings_of(_read_typed_value(raw, "settings", dict, {}))
     except ValueError as error:
         raise ConfigError(f"settings: {error}") from error
     return Config(
@@ -181,26 +183,26 @@
         listen=parse_address(raw["listen"], "listen"),
         discovery=parse_address(raw["discovery"], "discovery"),
         seed=_parse_seed(raw.get("seed", "0")),
-        descriptor_limit=_descriptor_limit(raw),
-        # The protocol has no line that reports the delay of messages, and overloaded servers may still answer some
-        # lines at once. The absence of a report is no evidence of a short delay.
+        descriptor_limit=_parse_descriptor_limit(raw),
+        # No protocol line reports the delay of messages, and an overloaded server may still answer some lines at
+        # once. The absence of a report therefore does not show that the delay is short.
         settings=replace(settings, has_message_delay_reports=False),
         measures_delay=settings.has_message_delay_reports,
-        raw_cached_endpoints=_value_of_type(raw, "known", dict, {}),
-        peer_listen=_optional_address(raw, "peer_listen"),
-        peers=tuple(parse_address(peer, "peers") for peer in _value_of_type(raw, "peers", list, [])),
-        peer_broadcast=_optional_address(raw, "peers_all"),
-        admin=_optional_address(raw, "admin"),
-        fleet=_value_of_type(raw, "fleet", str, ""),
-        log=_parse_log_config(_value_of_type(raw, "log", dict, {})),
+        raw_cached_endpoints=_read_typed_value(raw, "known", dict, {}),
+        peer_listen=_parse_optional_address(raw, "peer_listen"),
+        peers=tuple(parse_address(peer, "peers") for peer in _read_typed_value(raw, "peers", list, [])),
+        peer_broadcast=_parse_optional_address(raw, "peers_all"),
+        admin=_parse_optional_address(raw, "admin"),
+        fleet=_read_typed_value(raw, "fleet", str, ""),
+        log=_parse_log_config(_read_typed_value(raw, "log", dict, {})),
     )
 
 
 def _parse_log_config(raw: dict[str, Any]) -> LogConfig:
-    level = _value_of_type(raw, "level", str, DEFAULT_LEVEL, "log.").upper()
+    level = _read_typed_value(raw, "level", str, DEFAULT_LEVEL, "log.").upper()
     if level not in LEVELS:
         raise ConfigError(f"log.level: expected one of {', '.join(LEVELS)}, got {level!r}")
-    line_format = _value_of_type(raw, "format", str, DEFAULT_FORMAT, "log.")
+    line_format = _read_typed_value(raw, "format", str, DEFAULT_FORMAT, "log.")
     try:
         logging.Formatter(line_format).format(logging.makeLogRecord({}))
     except (ValueError, TypeError) as error:
@@ -208,9 +210,9 @@
     return LogConfig(level, line_format)
 
 
-def _descriptor_limit(raw: dict[str, Any]) -> int:
-    limits = _value_of_type(raw, "limits", dict, {})
-    descriptors: int = _value_of_type(limits, "sockets", int, DEFAULT_DESCRIPTOR_LIMIT, "limits.")
+def _parse_descriptor_limit(raw: dict[str, Any]) -> int:
+    limits = _read_typed_value(raw, "limits", dict, {})
+    descriptors: int = _read_typed_value(limits, "sockets", int, DEFAULT_DESCRIPTOR_LIMIT, "limits.")
     if descriptors < MIN_DESCRIPTOR_LIMIT:
         raise ConfigError(f"limits.sockets: at least {MIN_DESCRIPTOR_LIMIT} are needed, got {descriptors}")
     return descriptors
@@ -228,16 +230,16 @@
     return Address(host, int(port))
 
 
-def _optional_address(raw: dict[str, Any], key: str) -> Address | None:
+def _parse_optional_address(raw: dict[str, Any], key: str) -> Address | None:
     value = raw.get(key)
     return parse_address(value, key) if value else None
 
 
-def _value_of_type(raw: dict[str, Any], key: str, kind: type, default: Any, prefix: str = "") -> Any:
+def _read_typed_value(raw: dict[str, Any], key: str, expected_type: type, default: Any, prefix: str = "") -> Any:
     """Returns the value of a key. Raises ConfigError if it has another type; the message names `prefix` and key."""
     value = raw.get(key, default)
-    if not isinstance(value, kind) or isinstance(value, bool):
-        raise ConfigError(f"{prefix}{key}: expected {kind.__name__}, got {value!r}")
+    if not isinstance(value, expected_type) or isinstance(value, bool):
+        raise ConfigError(f"{prefix}{key}: expected {expected_type.__name__}, got {value!r}")
     return value
 
 
--- a/glenrock/durable_file.py
+++ b/glenrock/durable_file.py
@@ -1,8 +1,8 @@
 """Atomic replacement of small files, with a digest and a copy of the previous content.
 
-The new content is written to a temporary file, which is renamed over the old one: a process that ends in between leaves
-the old file. The previous file is kept under a second name, for the case that the current one is damaged later. The
-digest reveals damage. A file without a digest is read without this check.
+The new content is written to a temporary file, which is renamed over the old one: if the process ends in
+between, the old file remains. The previous file is kept under a second name, for the case that the current one is
+damaged later. The digest reveals damage. A file without a digest is read without this check.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
     """The content of a file is not what was written."""
 
 
-def _digest_of(content: dict[str, Any]) -> str:
+def _compute_digest(content: dict[str, Any]) -> str:
     without_digest = {key: value for key, value in content.items() if key != DIGEST_KEY}
     return hashlib.sha256(json.dumps(without_digest, sort_keys=True).encode()).hexdigest()
 
@@ -31,16 +31,16 @@
     """Returns the content as JSON, with its digest."""
     # JSON turns keys into strings. The digest is of the content that a reader decodes.
     decoded: dict[str, Any] = json.loads(json.dumps(content))
-    return json.dumps({**content, DIGEST_KEY: _digest_of(decoded)}).encode()
+    return json.dumps({**content, DIGEST_KEY: _compute_digest(decoded)}).encode()
 
 
 def check_digest(content: dict[str, Any]) -> None:
     """Compares the content with its digest, if it has one.
 
     Raises:
-        CorruptFileError: the digest is of another content.
+        CorruptFileError: the digest does not match the content.
     """
-    if DIGEST_KEY in content and content[DIGEST_KEY] != _digest_of(content):
+    if DIGEST_KEY in content and content[DIGEST_KEY] != _compute_digest(content):
         raise CorruptFileError("the digest does not match: the file is truncated or damaged")
 
 
@@ -67,7 +67,7 @@
             file.flush()
             if sync:
                 os.fsync(file.fileno())
-        _keep_previous(path, temporary.with_name(temporary.name + PREVIOUS_SUFFIX))
+        _link_previous(path, temporary.with_name(temporary.name + PREVIOUS_SUFFIX))
         os.replace(temporary, path)
     except OSError:
         _remove(temporary)
@@ -76,9 +76,9 @@
         _sync_folder(path.parent)
 
 
-def _keep_previous(path: Path, temporary: Path) -> None:
+def _link_previous(path: Path, temporary: Path) -> None:
     """Links the present file to `previous_path`. A failure is ignored, since the replacement does not depend on it."""
-    _remove(temporary)  # a link that an interrupted call left would make `os.link` fail
+    _remove(temporary)  # `os.link` fails if an interrupted call left this link behind
     with contextlib.suppress(OSError):
         os.link(path, temporary)
         os.replace(temporary, previous_path(path))
--- a/glenrock/log.py
+++ b/glenrock/log.py
@@ -19,22 +19,22 @@
 from typing import NamedTuple
 
 MAX_LINES_PER_SECOND = 5  # of each logger and message
-WINDOW_S = 1.0
+RATE_WINDOW_S = 1.0
 LEVELS = ("DEBUG", "INFO", "WARNING", "ERROR", "CRITICAL")
 DEFAULT_LEVEL = "INFO"
 DEFAULT_FORMAT = "%(levelname)s %(name)s: %(message)s"
-PROGRAM_LOGGER = "glenrock"  # the parent of all loggers of the program
+PROGRAM_LOGGER_NAME = "glenrock"  # the parent of all loggers of the program
 
-_PLAIN_VALUE = re.compile(r"[^\s\"'=\\\x00-\x1f\x7f]+")
+_UNQUOTED_VALUE = re.compile(r"[^\s\"'=\\\x00-\x1f\x7f]+")
 
 
 @dataclass(frozen=True)
 class LogConfig:
-    """What the configuration says about the log.
+    """The configured level and format of log lines.
 
     Attributes:
         level: the name of the lowest level that is written.
-        format: of a line, as `logging.Formatter` takes it.
+        format: the format of a line, as `logging.Formatter` takes it.
     """
 
     level: str = DEFAULT_LEVEL
@@ -58,7 +58,7 @@
     if isinstance(value, float):
         return f"{value:.6g}"
     text = repr(value) if isinstance(value, (bytes, BaseException)) else str(value)
-    return text if _PLAIN_VALUE.fullmatch(text) else json.dumps(text)
+    return text if _UNQUOTED_VALUE.fullmatch(text) else json.dumps(text)
 
 
 class Logger:
@@ -93,7 +93,7 @@
     return Logger(name)
 
 
-class _Window(NamedTuple):
+class _RateWindow(NamedTuple):
     """The lines of one logger and message since `start_s`, written or not."""
 
     start_s: float
@@ -109,21 +109,21 @@
     def __init__(self, now_s: Callable[[], float] = time.monotonic) -> None:
         super().__init__()
         self._now_s = now_s
-        self._windows: dict[tuple[str, str], _Window] = {}
+        self._windows: dict[tuple[str, str], _RateWindow] = {}
 
     def filter(self, record: logging.LogRecord) -> bool:
         """Returns whether the line is written."""
         message = record.msg
         if not isinstance(message, LogMessage):
-            return True  # of another library
+            return True  # a line of another library is not limited
         key = record.name, message.text
         now_s = self._now_s()
-        window = self._windows.get(key, _Window(now_s, 0))
-        if now_s - window.start_s >= WINDOW_S:
+        window = self._windows.get(key, _RateWindow(now_s, 0))
+        if now_s - window.start_s >= RATE_WINDOW_S:
             if suppressed := max(0, window.lines - MAX_LINES_PER_SECOND):
                 record.msg = replace(message, fields={**message.fields, "suppressed_lines": suppressed})
-            window = _Window(now_s, 0)
-        self._windows[key] = _Window(window.start_s, window.lines + 1)
+            window = _RateWindow(now_s, 0)
+        self._windows[key] = _RateWindow(window.start_s, window.lines + 1)
         return window.lines < MAX_LINES_PER_SECOND
 
 
@@ -136,4 +136,4 @@
     handler.setFormatter(logging.Formatter(config.format))
     handler.addFilter(RateLimitFilter())
     logging.getLogger().addHandler(handler)
-    logging.getLogger(PROGRAM_LOGGER).setLevel(config.level)
+    logging.getLogger(PROGRAM_LOGGER_NAME).setLevel(config.level)
--- a/glenrock/program.py
+++ b/glenrock/program.py
@@ -39,7 +39,7 @@
 
 
 def raise_descriptor_limit(descriptors: int) -> None:
-    """Raises this process's soft limit on open descriptors to that number, at most to the hard limit."""
+    """Raises this process's soft limit on open descriptors to `descriptors`, at most to the hard limit."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     wanted = descriptors if hard == resource.RLIM_INFINITY else min(descriptors, hard)
     if soft < wanted:
@@ -114,7 +114,7 @@
             self._processes = ProcessRegistry(self._folder, os.getpid())
 
     def register_process(self) -> None:
-        """Registers this process, and sets aside the descriptors that the other processes hold."""
+        """Registers this process, and reserves the descriptors that the other processes have open."""
         if not self._folder:
             return
         try:
@@ -209,7 +209,7 @@
         self.peers = self._create_peers(config)
         self._check_budget()
         self.coordination = _create_coordination_agent(self) if config.fleet else None
-        self._config_at_start = config
+        self._initial_config = config
         self._tasks: set[asyncio.Task[None]] = set()
         self._upgrade = Upgrade(self, config.accept_fd) if config.accept_fd is not None else None
 
@@ -271,14 +271,14 @@
         if self.operators:
             self.operators.operations.is_serving = True
 
-    def reload(self, read_again: Callable[[Config], Config]) -> None:
+    def reload(self, reread_config: Callable[[Config], Config]) -> None:
         """Applies the changed configuration keys that need no restart. An invalid configuration changes nothing.
 
         Args:
-            read_again: reads the configuration, given the configuration that this process started with.
+            reread_config: reads the configuration, given the configuration that this process started with.
         """
         try:
-            new = read_again(self._config_at_start)
+            new = reread_config(self._initial_config)
         except ConfigError as error:
             logger.warning("configuration not reloaded: the previous one stays", error=str(error))
             return
--- a/glenrock/simulation/spec.py
+++ b/glenrock/simulation/spec.py
@@ -89,7 +89,7 @@
 def put(raw: dict[str, Any], key: str, value: Any, path: Path) -> dict[str, Any]:
     """Returns a copy with the value at a path (`traffic.load`, `faults[0].part`) replaced. Raises InputFileError."""
     changed = copy.deepcopy(raw)
-    steps = [name or int(number) for name, number in toml_file.PATH_STEP.findall(key)]
+    steps = [name or int(number) for name, number in toml_file.PATH_STEP_PATTERN.findall(key)]
     table: Any = changed
     missing = InputFileError(f"{path}: {key}: there is nothing at this path")
     for number, step in enumerate(steps[:-1]):
--- a/glenrock/toml_file.py
+++ b/glenrock/toml_file.py
@@ -12,16 +12,16 @@
 
 import msgspec
 
-T = TypeVar("T")
+TargetT = TypeVar("TargetT")
 
 # A message of msgspec: the problem, and the path of the value.
-VALIDATION_MESSAGE = re.compile(r"(.*?)(?: - at `(\$[^`]*)`)?$", re.S)
-UNKNOWN_FIELD_MESSAGE = re.compile(r"Object contains unknown field `(.*)`")
+VALIDATION_MESSAGE_PATTERN = re.compile(r"(.*?)(?: - at `(\$[^`]*)`)?$", re.S)
+UNKNOWN_FIELD_PATTERN = re.compile(r"Object contains unknown field `(.*)`")
 # A step of a path such as `faults[1].part`: a name or an index.
-PATH_STEP = re.compile(r"\.?([A-Za-z0-9_-]+)|\[(\d+)\]|\[\.\.\.\]")
+PATH_STEP_PATTERN = re.compile(r"\.?([A-Za-z0-9_-]+)|\[(\d+)\]|\[\.\.\.\]")
 # Lines of a TOML file.
-TABLE_HEADER = re.compile(r"\s*(\[\[?)\s*([^\]]+?)\s*\]\]?\s*(#.*)?$")
-KEY = re.compile(r"""\s*((?:[A-Za-z0-9_.-]|"[^"]*"|'[^']*')+)\s*=""")
+TABLE_HEADER_PATTERN = re.compile(r"\s*(\[\[?)\s*([^\]]+?)\s*\]\]?\s*(#.*)?$")
+KEY_PATTERN = re.compile(r"""\s*((?:[A-Za-z0-9_.-]|"[^"]*"|'[^']*')+)\s*=""")
 
 
 class InputFileError(Exception):
@@ -29,7 +29,7 @@
 
 
 class TomlFile(NamedTuple):
-    """The parsed content of a file, and its text, in which errors find the lines of keys."""
+    """The parsed content of a file, and its text, which error messages need for line numbers."""
 
     content: dict[str, Any]
     text: str
@@ -42,7 +42,7 @@
     key: str
 
 
-def _unquoted(key: str) -> str:
+def _unquote_key(key: str) -> str:
     """Returns a dotted key without quotes and blanks."""
     return ".".join(part.strip().strip("\"'") for part in key.split("."))
 
@@ -50,29 +50,29 @@
 def line_numbers(text: str) -> dict[str, int]:
     """Returns the line number, from 1, of each table and key by its path, such as `faults[1].part`."""
     numbers: dict[str, int] = {}
-    last_indexes: dict[str, int] = {}  # by name of an array of tables
+    last_index_by_array: dict[str, int] = {}  # by name of an array of tables
     table = ""
     for number, line in enumerate(text.splitlines(), 1):
-        if header := TABLE_HEADER.match(line):
-            table = _path_within_arrays(_unquoted(header[2]), last_indexes)
+        if header := TABLE_HEADER_PATTERN.match(line):
+            table = _resolve_array_tables(_unquote_key(header[2]), last_index_by_array)
             if header[1] == "[[":
-                last_indexes[table] = last_indexes.get(table, -1) + 1
-                table = f"{table}[{last_indexes[table]}]"
+                last_index_by_array[table] = last_index_by_array.get(table, -1) + 1
+                table = f"{table}[{last_index_by_array[table]}]"
             numbers.setdefault(table, number)
-        elif key := KEY.match(line):
-            numbers.setdefault(f"{table}.{_unquoted(key[1])}".lstrip("."), number)
+        elif key := KEY_PATTERN.match(line):
+            numbers.setdefault(f"{table}.{_unquote_key(key[1])}".lstrip("."), number)
     return numbers
 
 
-def _path_within_arrays(table: str, last_indexes: dict[str, int]) -> str:
+def _resolve_array_tables(table: str, last_index_by_array: dict[str, int]) -> str:
     """Returns the path of a table: `[a.b]` after `[[a]]` belongs to the last entry of `a`."""
-    for name, last in sorted(last_indexes.items()):
+    for name, last in sorted(last_index_by_array.items()):
         if table.startswith(name + "."):
             table = f"{name}[{last}]" + table[len(name) :]
     return table
 
 
-def line_of(text: str, path: str) -> int:
+def find_line(text: str, path: str) -> int:
     """Returns the line number of the path, or of the nearest table that contains it; 0 if there is none."""
     numbers = line_numbers(text)
     while path:
@@ -107,30 +107,30 @@
 
 def input_error(path: Path, text: str, key: str, problem: str) -> InputFileError:
     """Returns the error for a key of a file, with the line number of the key."""
-    line = line_of(text, key)
-    place = f"{path}:{line}" if line else f"{path}"
-    return InputFileError(f"{place}: {key}: {problem}" if key else f"{place}: {problem}")
+    line = find_line(text, key)
+    location = f"{path}:{line}" if line else f"{path}"
+    return InputFileError(f"{location}: {key}: {problem}" if key else f"{location}: {problem}")
 
 
-def convert(path: Path, text: str, raw: Any, kind: type[T]) -> T:
+def convert(path: Path, text: str, raw: Any, target_type: type[TargetT]) -> TargetT:
     """Returns the parsed content as a value of that type.
 
     Raises:
         InputFileError: a value is invalid, or a key is unknown.
     """
     try:
-        return msgspec.convert(raw, kind)
+        return msgspec.convert(raw, target_type)
     except msgspec.ValidationError as error:
-        problem = _problem_of(str(error))
+        problem = _parse_validation_message(str(error))
         raise input_error(path, text, problem.key, problem.message) from error
 
 
-def _problem_of(validation_message: str) -> _Problem:
-    found = VALIDATION_MESSAGE.match(validation_message)
-    if found is None:
+def _parse_validation_message(validation_message: str) -> _Problem:
+    match = VALIDATION_MESSAGE_PATTERN.match(validation_message)
+    if match is None:
         return _Problem(validation_message, "")
-    message = found[1]
-    key = (found[2] or "").lstrip("$").lstrip(".")
-    if unknown := UNKNOWN_FIELD_MESSAGE.match(message):
+    message = match[1]
+    key = (match[2] or "").lstrip("$").lstrip(".")
+    if unknown := UNKNOWN_FIELD_PATTERN.match(message):
         return _Problem("not a key that is known here", f"{key}.{unknown[1]}".lstrip("."))
     return _Problem(message, key)
--- a/glenrock/upgrade/inherited_listener.py
+++ b/glenrock/upgrade/inherited_listener.py
@@ -25,6 +25,6 @@
         is_listening = False
     if sock.family != socket.AF_INET or sock.type != socket.SOCK_STREAM or not is_listening:
         sock.detach()
-        raise ConfigError(f"LB_ACCEPT_FD: descriptor {descriptor} is no listening TCP socket")
+        raise ConfigError(f"LB_ACCEPT_FD: descriptor {descriptor} is not a listening TCP socket")
     sock.setblocking(False)
     return sock
--- a/glenrock/upgrade/override_file.py
+++ b/glenrock/upgrade/override_file.py
@@ -1,6 +1,6 @@
 """The file of operators' overrides that both processes of an upgrade read and replace.
 
-The file stands in `$TMPDIR`. A file of another version, or an unreadable file, counts as missing: the caller logs the
+The file is in `$TMPDIR`. A file of another version, or an unreadable file, counts as missing: the caller logs the
 reason and keeps the overrides that it has, and writes them to a new file at the next change.
 """
 
@@ -125,7 +125,7 @@
     return json.dumps(content).encode()
 
 
-def signature(folder: str) -> FileSignature | None:
+def read_signature(folder: str) -> FileSignature | None:
     """Returns the file's signature; None if there is no file."""
     try:
         status = os.stat(os.path.join(folder, FILE_NAME))
@@ -183,7 +183,7 @@
     """Changes the file under its lock. Blocks on the disk, so callers use a thread.
 
     Args:
-        folder: where the file stands.
+        folder: the folder of the file.
         change: applied to the file's content.
         fallback: used in place of the content if there is no valid file.
         listed_servers: the endpoint list of this process, added to the known servers.
@@ -192,7 +192,7 @@
     Raises:
         OSError: the file cannot be locked or written, and is unchanged.
     """
-    with _locked(folder):
+    with _file_lock(folder):
         try:
             before = read(folder)
         except OverrideFileError:
@@ -204,11 +204,11 @@
             server_id: at_ms for server_id, at_ms in after.resumed_at_ms.items() if at_ms > oldest_ms
         }
         write(folder, after)
-        return FileChange(before, after, signature(folder))
+        return FileChange(before, after, read_signature(folder))
 
 
 @contextlib.contextmanager
-def _locked(folder: str) -> Iterator[None]:
+def _file_lock(folder: str) -> Iterator[None]:
     """Holds the lock of the file. The kernel releases it if the process dies.
 
     Raises:
--- a/glenrock/upgrade/override_sync.py
+++ b/glenrock/upgrade/override_sync.py
@@ -1,4 +1,4 @@
-"""Keeps operators' overrides equal in both processes of an upgrade, and across restarts."""
+"""Synchronizes operators' overrides between both processes of an upgrade, and keeps them across restarts."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 POLL_INTERVAL_MS = 100.0
 LOCK_ATTEMPTS = 10
-LOCK_RETRY_MS = 20.0
+LOCK_RETRY_INTERVAL_MS = 20.0
 RESUMED_RETENTION_MS = 60_000.0  # a server resumed longer ago is not warmed up again
 
 logger = get_logger(__name__)
@@ -31,7 +31,7 @@
     Without a folder the overrides are kept in memory.
 
     Attributes:
-        folder: where the shared file stands; empty if there is none.
+        folder: the folder of the shared file; empty if there is none.
         overrides: in effect in this process.
     """
 
@@ -41,7 +41,7 @@
         self._clock = clock
         self._servers = servers
         self._routing = routing
-        self._signature: FileSignature | None = None
+        self._applied_signature: FileSignature | None = None
         self._change_lock = asyncio.Lock()
         self._written_server_count = 0  # servers known when the file was last written
 
@@ -57,7 +57,7 @@
         """
         if not self._apply_file() and (previous := override_file.read_previous(self.folder)):
             logger.warning("using the previous override file", file=FILE_NAME)
-            self._adopt(previous)
+            self._apply_differences(previous)
 
     async def watch(self) -> None:
         """Applies changes of the file as long as the process runs, and adds servers that discovery lists to it."""
@@ -69,7 +69,7 @@
 
     async def _write_known_servers(self) -> None:
         try:
-            await self._change(_change_nothing)
+            await self._change(_keep_overrides)
         except OSError as error:
             _log_write_failure(error)
 
@@ -77,26 +77,26 @@
         """Adopts the file's content if it was replaced. Returns False if it is invalid."""
         if not self.folder:
             return True
-        signature = override_file.signature(self.folder)
-        if signature == self._signature:
+        signature = override_file.read_signature(self.folder)
+        if signature == self._applied_signature:
             return True
-        self._signature = signature
+        self._applied_signature = signature
         try:
             content = override_file.read(self.folder)
         except OverrideFileError as error:
             logger.warning("ignoring an invalid override file", file=FILE_NAME, error=error)
             return False
         if content is not None:
-            self._adopt(content)
+            self._apply_differences(content)
         return True
 
-    def _adopt(self, new: SharedOverrides) -> None:
+    def _apply_differences(self, new: SharedOverrides) -> None:
         """Makes overrides of the file those of this process, and applies what differs."""
         for server_id in new.suspended ^ self.overrides.suspended:
-            self._apply(server_id, server_id in new.suspended, new.resumed_at_ms.get(server_id, 0.0))
+            self._apply_override(server_id, server_id in new.suspended, new.resumed_at_ms.get(server_id, 0.0))
         for server_id, at_ms in new.resumed_at_ms.items():
             if server_id not in new.suspended and at_ms > self.overrides.resumed_at_ms.get(server_id, 0.0):
-                self._apply(server_id, False, at_ms)
+                self._apply_override(server_id, False, at_ms)
         self.overrides = new
 
     async def _change(self, change: Callable[[SharedOverrides], None]) -> None:
@@ -117,8 +117,8 @@
                 override_file.change_file, self.folder, change, self.overrides, listed_servers, oldest_ms
             )
             if file_change.before is not None:
-                self._adopt(file_change.before)
-            self._signature = file_change.signature
+                self._apply_differences(file_change.before)
+            self._applied_signature = file_change.signature
             self.overrides = file_change.after
             self._written_server_count = len(listed_servers)
 
@@ -140,7 +140,7 @@
         if has_changed:
             _log_override(server_id, is_suspended)
         resumed_at_ms = self.overrides.resumed_at_ms.get(server_id, 0.0) if has_changed else 0.0
-        self._apply(server_id, is_suspended, resumed_at_ms)
+        self._apply_override(server_id, is_suspended, resumed_at_ms)
         await self._routing.wait_for_batch()
 
     async def _change_with_retries(self, server_id: str, change: Callable[[SharedOverrides], None]) -> bool:
@@ -162,10 +162,10 @@
                     _log_write_failure(error)
                     path = os.path.join(self.folder, FILE_NAME)
                     raise OperationRejectedError(f"not done: {path} cannot be written: {error}") from error
-            await self._clock.sleep(LOCK_RETRY_MS)
+            await self._clock.sleep(LOCK_RETRY_INTERVAL_MS)
         return was_suspended
 
-    def _apply(self, server_id: str, is_suspended: bool, resumed_at_ms: float) -> None:
+    def _apply_override(self, server_id: str, is_suspended: bool, resumed_at_ms: float) -> None:
         """Passes an override on to the server's connections and to routing. `resumed_at_ms`: 0 means now."""
         self._servers.set_suspended(server_id, is_suspended)
         self._routing.post_first(interface.OperatorOverride(server_id, is_suspended, us_from_ms(resumed_at_ms)))
@@ -185,7 +185,7 @@
         shared.resumed_at_ms[server_id] = clock.now_ms()
 
 
-def _change_nothing(shared: SharedOverrides) -> None:
+def _keep_overrides(shared: SharedOverrides) -> None:
     """Leaves the overrides as they are; `override_file.change_file` still adds the servers that are listed now."""
 
 
--- a/glenrock/upgrade/process_registry.py
+++ b/glenrock/upgrade/process_registry.py
@@ -12,16 +12,16 @@
 import re
 
 FILE_NAME_PATTERN = re.compile(r"glenrock-process-(?P<pid>\d+)-(?P<start_time>\d+)")
-START_TIME_FIELD = 19  # of /proc/<pid>/stat, counted from the field after the process name (proc(5))
+START_TIME_INDEX = 19  # of /proc/<pid>/stat, counted from the field after the process name (proc(5))
 
 
-def start_time(pid: int) -> str | None:
+def read_start_time(pid: int) -> str | None:
     """Returns when a process started, in clock ticks since boot; None if no process has this id."""
     try:
         with open(f"/proc/{pid}/stat", "rb") as file:
-            # The process name stands in brackets and may contain blanks and brackets.
+            # The process name is in parentheses and may contain spaces and parentheses.
             after_name = file.read().rpartition(b")")[2]
-        return after_name.split()[START_TIME_FIELD].decode()
+        return after_name.split()[START_TIME_INDEX].decode()
     except (OSError, IndexError):
         return None
 
@@ -35,7 +35,7 @@
 
     def __init__(self, folder: str, pid: int) -> None:
         self._folder = folder
-        self.file_name = f"glenrock-process-{pid}-{start_time(pid) or ''}"
+        self.file_name = f"glenrock-process-{pid}-{read_start_time(pid) or ''}"
 
     def register(self) -> None:
         """Creates this process's file.
@@ -56,14 +56,14 @@
         count = 0
         with contextlib.suppress(OSError):
             for name in os.listdir(self._folder):
-                if name != self.file_name and (found := FILE_NAME_PATTERN.fullmatch(name)):
-                    count += self._count_descriptors(name, int(found["pid"]), found["start_time"])
+                if name != self.file_name and (match := FILE_NAME_PATTERN.fullmatch(name)):
+                    count += self._count_descriptors(name, int(match["pid"]), match["start_time"])
         return count
 
     def _count_descriptors(self, file_name: str, pid: int, registered_start_time: str) -> int:
         """Returns the descriptors of a process; 0 if it has ended, and then deletes its file."""
         with contextlib.suppress(OSError):
-            if start_time(pid) == registered_start_time:
+            if read_start_time(pid) == registered_start_time:
                 return len(os.listdir(f"/proc/{pid}/fd"))
             os.unlink(os.path.join(self._folder, file_name))
         return 0
--- a/glenrock/upgrade/relay_message.py
+++ b/glenrock/upgrade/relay_message.py
@@ -1,6 +1,6 @@
-"""Encodes an established relay as one message on a Unix socket; its two descriptors travel with the message.
+"""Encodes an established relay as one message on a Unix socket; its two descriptors are sent with it.
 
-The socket stands in the folder that both processes of an upgrade share. Each message is answered `ACCEPTED` or
+The socket is in the folder that both processes of an upgrade share. Each message is answered `ACCEPTED` or
 `REJECTED`. A relay belongs to one process at a time: the sender stops the relay's pumps before it sends the message,
 and the receiver starts them before it answers. If no answer comes in time, the relay belongs to the receiver.
 """
@@ -25,11 +25,11 @@
 DESCRIPTORS_PER_MESSAGE = 2  # the client's, then the server's
 ACCEPTED = b"taken"
 REJECTED = b"refused"
-MAX_SOCKET_PATH_BYTES = 100  # of sun_path, which has 108 (unix(7))
+MAX_SOCKET_PATH_BYTES = 100  # sun_path has 108 bytes (unix(7))
 
 # The keys of a message and the type of each value. The other process of an upgrade may be of another version of the
 # program. A change of a key needs a new `VERSION`: a message of another version is rejected, and its client migrates.
-_TYPES = {
+_VALUE_TYPES = {
     "line": str,
     "instance": str,
     "load": int,
@@ -92,7 +92,7 @@
     content = json.loads(data)
     if not isinstance(content, dict) or content.get("version") != VERSION:
         raise RelayMessageError(f"not of version {VERSION}")
-    for key, value_type in _TYPES.items():
+    for key, value_type in _VALUE_TYPES.items():
         if not isinstance(content.get(key), value_type):
             raise RelayMessageError(f"{key}: {content.get(key)!r:.100}")
     return RelayMessage(
--- a/glenrock/upgrade/relay_receiver.py
+++ b/glenrock/upgrade/relay_receiver.py
@@ -102,7 +102,7 @@
 
     def _decode(self, data: bytes, sockets: list[socket.socket]) -> ClientConnection:
         if len(sockets) != DESCRIPTORS_PER_MESSAGE:
-            raise RelayMessageError(f"{len(sockets)} descriptors")
+            raise RelayMessageError(f"expected {DESCRIPTORS_PER_MESSAGE} descriptors, got {len(sockets)}")
         client, server = sockets
         return decode_relay(data, self._table, client, server)
 
--- a/glenrock/upgrade/relay_sender.py
+++ b/glenrock/upgrade/relay_sender.py
@@ -31,12 +31,12 @@
     """
 
     def __init__(self, folder: str, clock: Clock, own_inode: int, load_of: Callable[[str], int]) -> None:
-        """Prepares a sender that is not connected.
+        """Creates a sender that is not connected yet.
 
         Args:
             folder: shared by both processes of the upgrade.
             clock: the program's clock.
-            own_inode: of the socket at which this process took relays over itself; 0 if there is none.
+            own_inode: the inode of this process's own relay socket; 0 if it has none.
             load_of: returns the load that was reported last for a request id.
         """
         self.handed_over_count = 0
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,9 +1,9 @@
-"""Passes over tests that fail for a known fault: KNOWN-RED.txt at the root has a line for each of them.
+"""Marks tests that fail because of a known fault as expected failures: KNOWN-RED.txt at the root lists them.
 
     tests/test_x.py::test_y | the cause | the issue
 
-These tests run like all others, and their failure is passed over. The run fails if one of them passes, if a line names
-no test, and if there are more than three lines. `conftest.py` imports the hooks.
+These tests run like all others, and their failure does not fail the run. The run fails if one of
+them passes, if a line names no test, and if there are more than three lines. `conftest.py` imports the hooks.
 """
 
 from __future__ import annotations
@@ -14,14 +14,14 @@
 import pytest
 
 FILE_NAME = "KNOWN-RED.txt"
-MAX_TESTS = 3
+MAX_KNOWN_FAILURES = 3
 COLUMN_COUNT = 3
 
-KNOWN: pytest.StashKey[dict[str, str]] = pytest.StashKey()
+KNOWN_FAILURES: pytest.StashKey[dict[str, str]] = pytest.StashKey()
 """Cause and issue of each listed test, by its id."""
-UNKNOWN: pytest.StashKey[set[str]] = pytest.StashKey()
+UNKNOWN_TEST_IDS: pytest.StashKey[set[str]] = pytest.StashKey()
 """Listed ids that name no test, as the workers of pytest-xdist found them."""
-UNKNOWN_TESTS = "known_red_unknown_tests"
+UNKNOWN_TESTS_KEY = "known_red_unknown_tests"
 """Key of a worker's output."""
 
 
@@ -31,7 +31,7 @@
     config: pytest.Config
 
 
-def read_known_tests(text: str) -> dict[str, str]:
+def parse_known_failures(text: str) -> dict[str, str]:
     """Returns the cause and issue of each listed test, by its id.
 
     Raises:
@@ -46,8 +46,8 @@
             raise ValueError(f"{FILE_NAME}, line {number}: not «test | cause | issue», once: {line!r:.80}")
         test_id, cause, issue = columns
         known[test_id] = f"{cause} (issue {issue})"
-    if len(known) > MAX_TESTS:
-        raise ValueError(f"{FILE_NAME}: {len(known)} tests, {MAX_TESTS} at most")
+    if len(known) > MAX_KNOWN_FAILURES:
+        raise ValueError(f"{FILE_NAME}: {len(known)} tests, {MAX_KNOWN_FAILURES} at most")
     return known
 
 
@@ -56,7 +56,7 @@
     # Here and not at the collection: with pytest-xdist only the workers collect, and the controller prints the summary.
     file = Path(config.rootpath) / FILE_NAME
     try:
-        config.stash[KNOWN] = read_known_tests(file.read_text()) if file.exists() else {}
+        config.stash[KNOWN_FAILURES] = parse_known_failures(file.read_text()) if file.exists() else {}
     except ValueError as error:
         raise pytest.UsageError(str(error)) from None
 
@@ -64,17 +64,17 @@
 @pytest.hookimpl(tryfirst=True)  # before `-m` deselects: a listed test of another run is not unknown
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
     """Marks the listed tests as strictly expected to fail; a listed id that names no test is an error."""
-    known = config.stash[KNOWN]
-    listed_ids = _mark_listed(items, known)
-    unknown = _unknown_ids(config, items, known.keys() - listed_ids)
+    known = config.stash[KNOWN_FAILURES]
+    listed_ids = _mark_known_failures(items, known)
+    unknown = _find_unknown_ids(config, items, known.keys() - listed_ids)
     if unknown and hasattr(config, "workeroutput"):
         # A usage error in a worker reaches the controller as an internal error without its message.
-        config.workeroutput[UNKNOWN_TESTS] = unknown
+        config.workeroutput[UNKNOWN_TESTS_KEY] = unknown
     elif unknown:
         raise pytest.UsageError(f"{FILE_NAME}: {unknown[0]} is no test")
 
 
-def _mark_listed(items: list[pytest.Item], known: dict[str, str]) -> set[str]:
+def _mark_known_failures(items: list[pytest.Item], known: dict[str, str]) -> set[str]:
     """Marks the collected tests that are listed. Returns the listed ids that were found."""
     found: set[str] = set()
     for item in items:
@@ -86,7 +86,7 @@
     return found
 
 
-def _unknown_ids(config: pytest.Config, items: list[pytest.Item], not_collected: set[str]) -> list[str]:
+def _find_unknown_ids(config: pytest.Config, items: list[pytest.Item], not_collected: set[str]) -> list[str]:
     """Returns the ids that name no test, of those that were not collected."""
     collected_files = {item.nodeid.partition("::")[0] for item in items}
     is_whole_run = config.args_source.name != "ARGS"
@@ -102,23 +102,23 @@
 @pytest.hookimpl(optionalhook=True)
 def pytest_testnodedown(node: WorkerNode, error: object) -> None:
     """Collects the unknown tests of a worker of pytest-xdist, in the controller."""
-    found = getattr(node, "workeroutput", {}).get(UNKNOWN_TESTS, ())
-    node.config.stash.setdefault(UNKNOWN, set()).update(found)
+    found = getattr(node, "workeroutput", {}).get(UNKNOWN_TESTS_KEY, ())
+    node.config.stash.setdefault(UNKNOWN_TEST_IDS, set()).update(found)
 
 
 def pytest_sessionfinish(session: pytest.Session) -> None:
     """Fails the run if a worker found a listed id that names no test."""
-    if session.config.stash.get(UNKNOWN, set()):
+    if session.config.stash.get(UNKNOWN_TEST_IDS, set()):
         session.exitstatus = pytest.ExitCode.USAGE_ERROR
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
     """Prints the listed tests with their causes, and the ids that name no test."""
     stash = terminalreporter.config.stash
-    unknown: set[str] = stash.get(UNKNOWN, set())
+    unknown: set[str] = stash.get(UNKNOWN_TEST_IDS, set())
     for test_id in sorted(unknown):
         terminalreporter.line(f"ERROR: {FILE_NAME}: {test_id} is no test")
-    known = stash.get(KNOWN, {})
+    known = stash.get(KNOWN_FAILURES, {})
     if known:
         terminalreporter.section("known red")
         for test_id, cause in known.items():
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -59,10 +59,10 @@
     path = tmp_path / "config.json"
     environment = {"LB_CONFIG": str(path), "LB_DISCOVERY": "127.0.0.1:2"}
     path.write_text(json.dumps(VALID))
-    at_start = read_config(environment)
-    assert read_config(environment, at_start).discovery == ("127.0.0.1", 2)
+    initial_config = read_config(environment)
+    assert read_config(environment, initial_config).discovery == ("127.0.0.1", 2)
     path.write_text(json.dumps({**VALID, "discovery": "127.0.0.1:3"}))
-    assert read_config(environment, at_start).discovery == ("127.0.0.1", 3)
+    assert read_config(environment, initial_config).discovery == ("127.0.0.1", 3)
 
 
 def test_sighup_never_ends_the_process(tmp_path: Path) -> None:
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -32,20 +32,20 @@
     "testbed": ("__main__", "program", "admin", "cli", "net", "upgrade"),
     "simulation": ("__main__", "program", "admin", "cli", "net", "upgrade", "testbed"),
 }
-# Import cycles that are still there; the list only shrinks.
+# Import cycles that are still tolerated; no new ones may be added.
 KNOWN_CYCLES: set[frozenset[str]] = set()
 
 
-def name_of(path: Path) -> str:
+def module_name(path: Path) -> str:
     """Returns the name of a module within glenrock."""
     parts = path.relative_to(ROOT / "glenrock").with_suffix("").parts
     return ".".join(part for part in parts if part != "__init__")
 
 
-MODULES = {name_of(path): path for path in sorted((ROOT / "glenrock").rglob("*.py"))}
+MODULES = {module_name(path): path for path in sorted((ROOT / "glenrock").rglob("*.py"))}
 
 
-def imports_of(module: str) -> set[str]:
+def imported_modules(module: str) -> set[str]:
     """Returns the modules of glenrock that a module imports, those for types alone too."""
     path = MODULES[module]
     package = module if path.name == "__init__.py" else module.rpartition(".")[0]
@@ -54,14 +54,14 @@
         if isinstance(node, ast.Import):
             names = {alias.name for alias in node.names if alias.name.startswith("glenrock.")}
             found |= {name.removeprefix("glenrock.") for name in names}
-        elif isinstance(node, ast.ImportFrom) and (base := source_of(node, package)) is not None:
+        elif isinstance(node, ast.ImportFrom) and (base := import_source(node, package)) is not None:
             for alias in node.names:
                 submodule = f"{base}.{alias.name}" if base else alias.name
                 found.add(submodule if submodule in MODULES else base)
     return found & MODULES.keys() - {module}
 
 
-def source_of(node: ast.ImportFrom, package: str) -> str | None:
+def import_source(node: ast.ImportFrom, package: str) -> str | None:
     """Returns the module or package that a statement imports from; None if it is not of glenrock."""
     name = node.module or ""
     if not node.level:
@@ -74,7 +74,7 @@
 def import_cycles() -> set[frozenset[str]]:
     """Returns the sets of modules that import each other, directly or by way of others."""
     reached: dict[str, set[str]] = {}
-    imports = {name: imports_of(name) for name in MODULES}
+    imports = {name: imported_modules(name) for name in MODULES}
     for name in MODULES:
         seen: set[str] = set()
         todo = [name]
@@ -91,16 +91,16 @@
 
 
 def test_each_package_imports_only_what_lies_below_it() -> None:
-    wrong = [
+    violations = [
         f"{name} imports {other}"
         for name in MODULES
-        for other in sorted(imports_of(name))
+        for other in sorted(imported_modules(name))
         if other.partition(".")[0] in FORBIDDEN.get(name.partition(".")[0], ())
     ]
-    assert not wrong, wrong
+    assert not violations, violations
 
 
-def test_no_module_is_in_an_import_cycle_but_those_that_are_known() -> None:
+def test_import_cycles_are_the_known_ones() -> None:
     found = import_cycles()
     assert found <= KNOWN_CYCLES, sorted(map(sorted, found - KNOWN_CYCLES))
     assert found >= KNOWN_CYCLES, "a cycle that is gone is removed from the list"
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""A run passes over the failures of listed tests, and over nothing else."""
+"""Failures of the tests in KNOWN-RED.txt do not fail a run; all other failures do."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 import pytest
 
-RED = "tests/test_a.py::test_red | it is not mended | 7\n"
+FAILING_TEST_LINE = "tests/test_a.py::test_red | it is not fixed | 7\n"
 TESTS = """
 import pytest
 
@@ -24,7 +24,7 @@
 def test_both(n):
     assert n > 2
 """
-FOUR_LISTED = "".join(f"tests/test_a.py::test_{letter} | x | 1\n" for letter in "abcd")
+FOUR_LINES = "".join(f"tests/test_a.py::test_{letter} | x | 1\n" for letter in "abcd")
 
 
 @dataclass
@@ -68,16 +68,20 @@
     ("known", "exit_code", "message"),
     [
         ("", 1, "3 failed, 1 passed"),
-        ("# a comment\n\n" + RED, 1, "2 failed, 1 passed, 1 xfailed"),
-        (RED + "tests/test_a.py::test_both | two of a kind | 8\n", 0, "1 passed, 3 xfailed"),
-        (RED, 1, "tests/test_a.py::test_red: it is not mended (issue 7)"),
-        (RED + "tests/test_a.py::test_both[1] | one | 8\ntests/test_a.py::test_both[2] | other | 8\n", 0, "3 xfailed"),
-        (RED + "tests/test_a.py::test_green | it passes | 8\n", 1, "[XPASS(strict)] it passes (issue 8)"),
+        ("# a comment\n\n" + FAILING_TEST_LINE, 1, "2 failed, 1 passed, 1 xfailed"),
+        (FAILING_TEST_LINE + "tests/test_a.py::test_both | two of a kind | 8\n", 0, "1 passed, 3 xfailed"),
+        (FAILING_TEST_LINE, 1, "tests/test_a.py::test_red: it is not fixed (issue 7)"),
+        (
+            FAILING_TEST_LINE + "tests/test_a.py::test_both[1] | one | 8\ntests/test_a.py::test_both[2] | other | 8\n",
+            0,
+            "3 xfailed",
+        ),
+        (FAILING_TEST_LINE + "tests/test_a.py::test_green | it passes | 8\n", 1, "[XPASS(strict)] it passes (issue 8)"),
         ("tests/test_a.py::test_gone | x | 1\n", 4, "tests/test_a.py::test_gone is no test"),
         ("tests/test_b.py::test_gone | x | 1\n", 4, "tests/test_b.py::test_gone is no test"),
         ("tests/test_a.py::test_red | no issue\n", 4, "line 1: not «test | cause | issue»"),
-        (RED + RED, 4, "line 2: not «test | cause | issue», once"),
-        (FOUR_LISTED, 4, "4 tests, 3 at most"),
+        (FAILING_TEST_LINE + FAILING_TEST_LINE, 4, "line 2: not «test | cause | issue», once"),
+        (FOUR_LINES, 4, "4 tests, 3 at most"),
     ],
 )
 def test_run_passes_over_exactly_the_listed_failures(
@@ -101,10 +105,10 @@
         project.write(known, test_a=TESTS)
         return project.run("-n", "2", "--dist", "loadfile")
 
-    both = RED + "tests/test_a.py::test_both | two of a kind | 8\n"
+    both = FAILING_TEST_LINE + "tests/test_a.py::test_both | two of a kind | 8\n"
     passed_over = run_with_workers(both)
     assert passed_over.returncode == 0 and "1 passed, 3 xfailed" in passed_over.stdout, passed_over.stdout
-    assert "tests/test_a.py::test_red: it is not mended (issue 7)" in passed_over.stdout
+    assert "tests/test_a.py::test_red: it is not fixed (issue 7)" in passed_over.stdout
     unexpected = run_with_workers(both + "tests/test_a.py::test_green | it passes | 8\n")
     assert unexpected.returncode == 1 and "[XPASS(strict)] it passes (issue 8)" in unexpected.stdout, unexpected.stdout
     unknown = run_with_workers("tests/test_a.py::test_gone | x | 1\n")
--- a/tests/test_no_names.py
+++ b/tests/test_no_names.py
@@ -1,4 +1,4 @@
-"""The program depends on settings, never on the site: no operator's or site's name stands in it."""
+"""The program depends on settings, never on the site: it contains no operator's or site's name."""
 
 from __future__ import annotations
 
--- a/tests/upgrade/conftest.py
+++ b/tests/upgrade/conftest.py
@@ -23,7 +23,7 @@
 }
 MAX_READY_POLLS = 200
 READY_POLL_S = 0.05
-LOG_MODE = 0o644
+LOG_FILE_MODE = 0o644
 OVERRIDING_VARIABLES = ("LB_NAME", "LB_LISTEN", "LB_DISCOVERY")  # they would replace keys of the configuration
 
 
@@ -40,7 +40,7 @@
     return f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
 
 
-class UpgradeSite:
+class UpgradeRig:
     """Two servers that answer UP and echo lines, discovery, the clients' listening socket, and processes.
 
     Attributes:
@@ -102,7 +102,7 @@
         admin_port = unused_port()
         descriptor = self.listening_socket.fileno()
         environment = self._environment(self._write_config(number), admin_port, descriptor)
-        log = os.open(self._log_file(number), os.O_WRONLY | os.O_CREAT | os.O_TRUNC, LOG_MODE)
+        log = os.open(self._log_file(number), os.O_WRONLY | os.O_CREAT | os.O_TRUNC, LOG_FILE_MODE)
         try:
             process = await asyncio.create_subprocess_exec(
                 sys.executable, "-m", "glenrock", cwd=ROOT, env=environment, pass_fds=(descriptor,), stderr=log
@@ -161,20 +161,20 @@
         self.listening_socket.close()
 
 
-Scenario = Callable[[UpgradeSite], Awaitable[None]]
-RunOnSite = Callable[[Scenario], None]
+Scenario = Callable[[UpgradeRig], Awaitable[None]]
+RunWithRig = Callable[[Scenario], None]
 
 
 @pytest.fixture
-def run_on_site(tmp_path: Path) -> RunOnSite:
-    """Returns a function that runs a scenario on an open site, and closes the site."""
+def run_with_rig(tmp_path: Path) -> RunWithRig:
+    """Returns a function that runs a scenario on an open rig, and closes the rig."""
 
     async def run_scenario(scenario: Scenario) -> None:
-        site = UpgradeSite(tmp_path)
-        await site.open()
+        rig = UpgradeRig(tmp_path)
+        await rig.open()
         try:
-            await scenario(site)
+            await scenario(rig)
         finally:
-            await site.close()
+            await rig.close()
 
     return lambda scenario: asyncio.run(run_scenario(scenario))
--- a/tests/upgrade/test_override_file.py
+++ b/tests/upgrade/test_override_file.py
@@ -39,6 +39,6 @@
     st.dictionaries(SERVER_IDS, st.floats(0, 1e14), max_size=5),
     st.lists(SERVER_IDS, max_size=5),
 )
-def test_encoded_overrides_are_parsed_back(out: set[str], back: dict[str, float], seen: list[str]) -> None:
-    shared = override_file.SharedOverrides(out, back, dict.fromkeys(seen))
+def test_encoded_overrides_are_parsed_back(suspended: set[str], resumed: dict[str, float], known: list[str]) -> None:
+    shared = override_file.SharedOverrides(suspended, resumed, dict.fromkeys(known))
     assert override_file.parse(override_file.encode(shared)) == shared
--- a/tests/upgrade/test_process_registry.py
+++ b/tests/upgrade/test_process_registry.py
@@ -16,17 +16,17 @@
     try:
         assert other.stdout
         other.stdout.readline()  # its files are open
-        here = ProcessRegistry(str(tmp_path), os.getpid())
-        there = ProcessRegistry(str(tmp_path), other.pid)
-        here.register()
-        assert here.count_other_descriptors() == 0
-        there.register()
-        assert 50 <= here.count_other_descriptors() <= 60
+        own_registry = ProcessRegistry(str(tmp_path), os.getpid())
+        other_registry = ProcessRegistry(str(tmp_path), other.pid)
+        own_registry.register()
+        assert own_registry.count_other_descriptors() == 0
+        other_registry.register()
+        assert 50 <= own_registry.count_other_descriptors() <= 60
         (tmp_path / f"glenrock-process-{os.getppid()}-1").touch()  # the id was reused by another process
-        assert 50 <= here.count_other_descriptors() <= 60
+        assert 50 <= own_registry.count_other_descriptors() <= 60
     finally:
         other.communicate()
-    assert here.count_other_descriptors() == 0
-    assert [file.name for file in tmp_path.iterdir()] == [here.file_name]
-    here.unregister()
+    assert own_registry.count_other_descriptors() == 0
+    assert [file.name for file in tmp_path.iterdir()] == [own_registry.file_name]
+    own_registry.unregister()
     assert not list(tmp_path.iterdir())
--- a/tests/upgrade/test_processes.py
+++ b/tests/upgrade/test_processes.py
@@ -8,24 +8,24 @@
 
 from glenrock.upgrade import override_file
 
-from .conftest import RunOnSite, UpgradeSite
+from .conftest import RunWithRig, UpgradeRig
 
 STOP_TIMEOUT_S = 5
 LINE_INTERVAL_S = 0.1  # between two lines of a client
 OVERRIDE_DELAY_S = 0.4  # within which the other process has read the shared file
 
 
-async def run_client(site: UpgradeSite, number: int, line_count: int) -> str:
+async def run_client(rig: UpgradeRig, number: int, line_count: int) -> str:
     """Sends lines and compares the echoes. Returns `kept`, `migrated`, `rejected`, or what went wrong."""
     try:
-        return await exchange_lines(site, number, line_count)
+        return await exchange_lines(rig, number, line_count)
     except OSError as error:
         return repr(error)
 
 
-async def exchange_lines(site: UpgradeSite, number: int, line_count: int) -> str:
+async def exchange_lines(rig: UpgradeRig, number: int, line_count: int) -> str:
     """Returns the same as `run_client`. Raises OSError if the connection breaks."""
-    reader, writer = await asyncio.open_connection("127.0.0.1", site.client_port)
+    reader, writer = await asyncio.open_connection("127.0.0.1", rig.client_port)
     writer.write(b"OPEN c%d %x c=look,d=1000\r\n" % (number, number))
     answer = await reader.readline()
     if answer.startswith(b"BUSY"):
@@ -47,99 +47,99 @@
     return "kept"
 
 
-def test_upgrade_keeps_every_connection_and_override(run_on_site: RunOnSite) -> None:
-    async def scenario(site: UpgradeSite) -> None:
-        first = await site.start_process()
-        assert (await site.call(first, "POST", "session-servers/s1/suspend")).startswith("200")
-        established = [asyncio.create_task(run_client(site, number, 40)) for number in range(30)]
+def test_upgrade_keeps_every_connection_and_override(run_with_rig: RunWithRig) -> None:
+    async def scenario(rig: UpgradeRig) -> None:
+        first = await rig.start_process()
+        assert (await rig.call(first, "POST", "session-servers/s1/suspend")).startswith("200")
+        established = [asyncio.create_task(run_client(rig, number, 40)) for number in range(30)]
         arriving: list[asyncio.Task[str]] = []
         is_stopped = False
         for number in range(120):
-            arriving.append(asyncio.create_task(run_client(site, 100 + number, 2)))
+            arriving.append(asyncio.create_task(run_client(rig, 100 + number, 2)))
             if number == 20:
-                starting = asyncio.create_task(site.start_process())
-            is_second_ready = number > 20 and starting.done() and len(site.processes) == 2
-            if is_second_ready and not site.processes[0].returncode and not is_stopped:
+                starting = asyncio.create_task(rig.start_process())
+            is_second_ready = number > 20 and starting.done() and len(rig.processes) == 2
+            if is_second_ready and not rig.processes[0].returncode and not is_stopped:
                 is_stopped = True
-                site.processes[0].send_signal(signal.SIGTERM)
+                rig.processes[0].send_signal(signal.SIGTERM)
             await asyncio.sleep(0.03)
         second = await starting
-        assert await asyncio.wait_for(site.processes[0].wait(), STOP_TIMEOUT_S) == 0, site.log(0)
-        ends = await asyncio.gather(*established, *arriving)
-        assert ends.count("kept") == len(ends), (sorted(set(ends)), site.log(0), site.log(1))
+        assert await asyncio.wait_for(rig.processes[0].wait(), STOP_TIMEOUT_S) == 0, rig.log(0)
+        outcomes = await asyncio.gather(*established, *arriving)
+        assert outcomes.count("kept") == len(outcomes), (sorted(set(outcomes)), rig.log(0), rig.log(1))
         # No client migrated: each server connection is the one that the client had from the start.
-        assert site.connection_counts == {"s1": 0, "s2": len(ends)}
+        assert rig.connection_counts == {"s1": 0, "s2": len(outcomes)}
         # The suspended server is still suspended, and a server id that was ever listed is known.
-        metrics = await site.call(second, "GET", "metrics")
+        metrics = await rig.call(second, "GET", "metrics")
         assert "app_out_of_rotation 1\n" in metrics and "app_open_requests 0\n" in metrics
-        assert (await site.call(second, "POST", "session-servers/s1/resume")).startswith("200")
-        assert (await site.call(second, "POST", "session-servers/s3/resume")).startswith("404")
+        assert (await rig.call(second, "POST", "session-servers/s1/resume")).startswith("200")
+        assert (await rig.call(second, "POST", "session-servers/s3/resume")).startswith("404")
         # Most relays were handed over, and both processes count the same number.
-        log_line = re.search(r"relays handed over relays=(\d+) ", site.log(0))
+        log_line = re.search(r"relays handed over relays=(\d+) ", rig.log(0))
         assert log_line
         handed_over = int(log_line[1])
-        assert handed_over >= 25 and f"relays taken over relays={handed_over}\n" in site.log(1)
+        assert handed_over >= 25 and f"relays taken over relays={handed_over}\n" in rig.log(1)
 
-    run_on_site(scenario)
+    run_with_rig(scenario)
 
 
-def test_clients_migrate_without_a_successor_and_the_backlog_waits(run_on_site: RunOnSite) -> None:
-    async def scenario(site: UpgradeSite) -> None:
-        await site.start_process()
-        established = [asyncio.create_task(run_client(site, number, 40)) for number in range(10)]
+def test_clients_migrate_without_a_successor_and_the_backlog_waits(run_with_rig: RunWithRig) -> None:
+    async def scenario(rig: UpgradeRig) -> None:
+        await rig.start_process()
+        established = [asyncio.create_task(run_client(rig, number, 40)) for number in range(10)]
         await asyncio.sleep(0.5)
         # A process that dies before it is ready leaves nothing behind that the old one would mistake for a successor.
-        await site.launch_process()
-        site.processes[1].kill()
-        site.processes[0].send_signal(signal.SIGTERM)
-        assert await asyncio.wait_for(site.processes[0].wait(), STOP_TIMEOUT_S) == 0
-        assert set(await asyncio.gather(*established)) == {"migrated"}, site.log(0)
-        assert "no successor found, migrating clients instead of handing them over" in site.log(0)
+        await rig.launch_process()
+        rig.processes[1].kill()
+        rig.processes[0].send_signal(signal.SIGTERM)
+        assert await asyncio.wait_for(rig.processes[0].wait(), STOP_TIMEOUT_S) == 0
+        assert set(await asyncio.gather(*established)) == {"migrated"}, rig.log(0)
+        assert "no successor found, migrating clients instead of handing them over" in rig.log(0)
         # New connections wait in the listening socket's backlog for the next process.
-        late = asyncio.create_task(run_client(site, 50, 1))
-        await site.start_process()
+        late = asyncio.create_task(run_client(rig, 50, 1))
+        await rig.start_process()
         assert await late == "kept"
 
-    run_on_site(scenario)
+    run_with_rig(scenario)
 
 
-def test_consecutive_upgrades_and_a_kill(run_on_site: RunOnSite) -> None:
-    async def scenario(site: UpgradeSite) -> None:
-        await site.start_process()
-        clients = [asyncio.create_task(run_client(site, number, 50)) for number in range(20)]
+def test_consecutive_upgrades_and_a_kill(run_with_rig: RunWithRig) -> None:
+    async def scenario(rig: UpgradeRig) -> None:
+        await rig.start_process()
+        clients = [asyncio.create_task(run_client(rig, number, 50)) for number in range(20)]
         await asyncio.sleep(0.5)
-        await site.start_process()
+        await rig.start_process()
         # The second process is stopped while the first one is still stopping.
-        starting = asyncio.create_task(site.start_process())
-        site.processes[0].send_signal(signal.SIGTERM)
+        starting = asyncio.create_task(rig.start_process())
+        rig.processes[0].send_signal(signal.SIGTERM)
         await starting
-        site.processes[1].send_signal(signal.SIGTERM)
-        for process in site.processes[:2]:
+        rig.processes[1].send_signal(signal.SIGTERM)
+        for process in rig.processes[:2]:
             assert await asyncio.wait_for(process.wait(), STOP_TIMEOUT_S) == 0
-        ends = await asyncio.gather(*clients)
-        assert ends.count("kept") == 20, (ends, site.log(0), site.log(1), site.log(2))
+        outcomes = await asyncio.gather(*clients)
+        assert outcomes.count("kept") == 20, (outcomes, rig.log(0), rig.log(1), rig.log(2))
         # A killed process loses its clients, but the listening socket stays open.
-        site.processes[2].kill()
-        late = asyncio.create_task(run_client(site, 90, 1))
-        await site.start_process()
+        rig.processes[2].kill()
+        late = asyncio.create_task(run_client(rig, 90, 1))
+        await rig.start_process()
         assert await late == "kept"
 
-    run_on_site(scenario)
+    run_with_rig(scenario)
 
 
-def test_overrides_reach_both_processes_and_a_damaged_file_is_replaced(run_on_site: RunOnSite) -> None:
-    async def scenario(site: UpgradeSite) -> None:
-        shared_file = site.folder / override_file.FILE_NAME
+def test_overrides_reach_both_processes_and_a_damaged_file_is_replaced(run_with_rig: RunWithRig) -> None:
+    async def scenario(rig: UpgradeRig) -> None:
+        shared_file = rig.folder / override_file.FILE_NAME
         shared_file.write_text('{"version": 9}')
-        first = await site.start_process()
-        assert f"ignoring an invalid override file file={override_file.FILE_NAME}" in site.log(0)
-        second = await site.start_process()
+        first = await rig.start_process()
+        assert f"ignoring an invalid override file file={override_file.FILE_NAME}" in rig.log(0)
+        second = await rig.start_process()
         for port, other_port, action, count in ((first, second, "suspend", 1), (second, first, "resume", 0)):
-            assert (await site.call(port, "POST", f"session-servers/s1/{action}")).startswith("200")
+            assert (await rig.call(port, "POST", f"session-servers/s1/{action}")).startswith("200")
             await asyncio.sleep(OVERRIDE_DELAY_S)
-            assert f"app_out_of_rotation {count}\n" in await site.call(other_port, "GET", "metrics")
+            assert f"app_out_of_rotation {count}\n" in await rig.call(other_port, "GET", "metrics")
         shared_file.write_text("half a f")
         await asyncio.sleep(OVERRIDE_DELAY_S)
-        assert (await site.call(first, "POST", "session-servers/s2/suspend")).startswith("200")
+        assert (await rig.call(first, "POST", "session-servers/s2/suspend")).startswith("200")
 
-    run_on_site(scenario)
+    run_with_rig(scenario)
