--- a/glenrock/coordination/status_view.py
+++ b/glenrock/coordination/status_view.py
@@ -1,7 +1,7 @@
 """The operators' view of one balancer's coordination, as JSON.
 
-This module alone writes the view's keys and the words of states; `warm_start/start_report` and
-`cli/coordination_history` read them. The texts of `says`, `store` and `why` are from the modules that know the cause.
+The view's keys and the names of states are defined in this module only; `warm_start/start_report` and
+`cli/coordination_history` read them. The values of `says`, `store` and `why` are texts from other modules.
 """
 
 from __future__ import annotations
@@ -17,14 +17,14 @@
 
 MS_US = 1000
 
-STATE_WORDS = {
+STATE_NAMES = {
     CandidateState.IDLE: "idle",
     CandidateState.ACQUIRING: "asking",
     CandidateState.HOLDER: "owner",
     CandidateState.RELEASING: "leaving",
     CandidateState.BACKING_OFF: "wary",
 }
-LIST_WORDS = {
+LIST_SOURCE_NAMES = {
     ListSource.CACHED: "kept",
     ListSource.CONFIGURED: "given",
     ListSource.NONE: "none",
@@ -41,11 +41,11 @@
     """Returns the view.
 
     Args:
-        context: the coordination's shared objects.
-        rejections: the last effects and heartbeats that were rejected.
-        cache_status: what the start used of the start cache, in words.
+        context: the shared objects of the coordination.
+        rejections: the last updates and heartbeats that were rejected.
+        cache_status: a text that says what the start used from the start cache.
         start: the milestones of the start.
-        permit_job: the job of the drain permit that is held; None if there is none.
+        permit_job: the job of the drain permit that this balancer holds; None if it holds none.
     """
     overrides = context.overrides
     view = {
@@ -76,7 +76,7 @@
         job: {
             "term": candidate.term,
             "left_ms": max(0, candidate.expires_us - now_us) // MS_US,
-            "state": STATE_WORDS[candidate.state],
+            "state": STATE_NAMES[candidate.state],
         }
         for job, candidate in manager.candidates.items()
         if candidate.state is not CandidateState.IDLE or job in manager.jobs
@@ -102,7 +102,7 @@
         "ready_ms": round(start.ready_ms),
         "heard_ms": round(start.list_ms),
         "served_ms": round(start.served_ms),
-        "list": LIST_WORDS[start.list_source],
+        "list": LIST_SOURCE_NAMES[start.list_source],
         "calls": {"answered": calls.answered, "refused": calls.rejected, "failed": calls.failed} if calls else {},
         "first": {
             "attempts": connections.attempts,
--- a/glenrock/routing/gossip.py
+++ b/glenrock/routing/gossip.py
@@ -69,7 +69,9 @@
         The clients of a balancer that is gone reconnect to the others, and would be counted twice.
         """
         now_us = self._batch.now_us
-        lost = [index for index, peer in self.peers.items() if now_us - peer.heard_us > MAX_PEER_SILENCE_US]
+        lost = [
+            index for index, peer in self.peers.items() if now_us - peer.received_at_us > MAX_PEER_SILENCE_US
+        ]
         for index in lost:
             del self.peers[index]
 
--- a/glenrock/routing/health_checks.py
+++ b/glenrock/routing/health_checks.py
@@ -19,7 +19,7 @@
 from .outlier_ejection import OutlierEjection
 from .server_selection import ServerSelection
 from .state import RoutedRequest, Server
-from .token_budget import HEALTH_CONNECTION_LIFETIME_US, MAX_HEALTH_CHECKS, TokenBudget
+from .token_budget import HEALTH_CONNECTION_LIFETIME_US, MAX_HEALTH_CHECK_TOKENS, TokenBudget
 
 HEALTH_CHECK_RESEND_US = SECOND_US  # a check that has no result after this time may be sent again
 
@@ -44,10 +44,10 @@
         """Starts the rotation at a different server at each balancer."""
         self._rotation_index = self.salt
 
-    def earn(self) -> None:
+    def refill_budgets(self) -> None:
         """Adds the tokens that a client's first attempt earns, for checks and for their connections."""
-        self.budget.earn()
-        self.connection_budget.earn()
+        self.budget.refill()
+        self.connection_budget.refill()
 
     def send(self, server: Server) -> bool:
         """Sends a health check to the server if possible. Returns whether a check is in flight.
@@ -55,11 +55,14 @@
         No check is sent if one is already in flight, if checks report no load, or if the budget is spent.
         """
         now_us = self.batch.now_us
-        if server.health_check_sent_us >= 0 and now_us - server.health_check_sent_us < HEALTH_CHECK_RESEND_US:
+        if (
+            server.health_check_sent_at_us >= 0
+            and now_us - server.health_check_sent_at_us < HEALTH_CHECK_RESEND_US
+        ):
             return True
         if not self.loads.has_reports or not self._try_spend(server):
             return False
-        server.health_check_sent_us = server.last_checked_us = now_us
+        server.health_check_sent_at_us = server.last_checked_at_us = now_us
         self.batch.emit(SendHealthCheck(server.server_id))
         return True
 
@@ -68,7 +71,7 @@
 
         Returns False, and spends nothing, if one of the budgets has no token left.
         """
-        is_connected = self.batch.now_us - server.last_checked_us < HEALTH_CONNECTION_LIFETIME_US
+        is_connected = self.batch.now_us - server.last_checked_at_us < HEALTH_CONNECTION_LIFETIME_US
         needs_connection = self.endpoints.index.is_large and not is_connected
         if needs_connection and self.connection_budget.tokens < 1:
             return False
@@ -89,7 +92,8 @@
         """Records that a connection broke, and checks its server.
 
         With many balancers, each holds only a few connections of a server that has died. If each balancer
-        waited for several failures of its own, all of them would send returning clients to that server.
+        waited for several failures of its own, all of them would send returning clients to that server, and
+        admit the rest to the others as if no server were lost.
         """
         if not server.consecutive_failures:
             server.consecutive_failures = 1
@@ -98,7 +102,7 @@
 
     def record_result(self, server: Server, event: HealthCheckResult) -> None:
         """Evaluates the result of a health check."""
-        server.health_check_sent_us = -1
+        server.health_check_sent_at_us = -1
         has_timed_out = event.outcome == AttemptOutcome.TIMEOUT
         if event.outcome == AttemptOutcome.SERVED:
             server.clear_failures()
@@ -106,11 +110,13 @@
             self.ejection.record_report(server, event.report)
         elif has_timed_out and self.loads.was_slow_recently(server):
             # A full server does not answer checks in time. It is overloaded rather than unreachable.
+            # Ejections would keep it unused for half a minute (1 + 2 + 4 + 8 + 16 s), and the mean load would
+            # be computed from the few servers that are left.
             self.ejection.record_load(server, max(MISSED_OBJECTIVE_MIN_LOAD, server.reported_load))
         elif event.outcome == AttemptOutcome.NO_CONNECTION or (
             has_timed_out and not self.loads.was_heard_recently(server)
         ):
-            self.ejection.record_unreachable(server)
+            self.ejection.record_unreachable(server)  # shows nothing of the server's load
 
     def run_round(self, is_uncapped: bool) -> None:
         """Sends the round's periodic checks."""
@@ -123,12 +129,15 @@
     def _check_oldest_report(self, is_uncapped: bool) -> None:
         """Checks the server with the oldest report, if the budget allows.
 
+        Other checks favor servers in use or with faults; this one gives an unbiased sample. The oldest report
+        comes first, since random draws left a server that had become slow unchecked for six seconds.
+
         While the fleet is lightly loaded, half of the tokens are reserved for the checks that requests await.
         In a busy fleet nothing is reserved: if few requests arrived, the reserved tokens would remain unused
         and overload would go unnoticed.
         """
         is_lightly_loaded = self.loads.fleet_load < LIGHT_LOAD and is_uncapped
-        reserved = MAX_HEALTH_CHECKS / 2 if is_lightly_loaded else 1
+        reserved = MAX_HEALTH_CHECK_TOKENS / 2 if is_lightly_loaded else 1
         if self.budget.tokens <= reserved or not self.endpoints.ring:
             return
         ready = self.endpoints.ready_servers()
@@ -157,7 +166,8 @@
     def _check_silent_servers(self) -> None:
         """Checks busy servers that hold connections and have no fresh report.
 
-        This is needed only where slow messages are not reported, which would show an overload otherwise.
+        This is needed only where slow messages are not reported, which would show an overload otherwise. In a
+        lightly loaded fleet the checks are not worth their cost.
         """
         for server in self.endpoints.index.with_connections():
             is_stale = self.batch.now_us - server.reported_at_us > FRESH_REPORT_US
@@ -172,4 +182,4 @@
         Without the salt, balancers that started together would check the same servers at the same times.
         """
         salted_hash = server.hash * (self.salt | 1) & HASH_MASK
-        return server.health_check_sent_us >= 0, server.reported_at_us, salted_hash
+        return server.health_check_sent_at_us >= 0, server.reported_at_us, salted_hash
--- a/glenrock/routing/migration.py
+++ b/glenrock/routing/migration.py
@@ -99,9 +99,11 @@
         misses_objective = self.loads.misses_message_objective(server)
         # Discounts connections that ended since the report; their load would be migrated a second time.
         load = self.loads.load(server) * self.loads.remaining_load_fraction(server)
+        # Late messages are reason enough to migrate clients while the others have free capacity.
         if not is_capacity_scarce and misses_objective:
             load = max(load, MISSED_OBJECTIVE_MIN_LOAD)
-        # A server that lost capacity usually loses more, so it is relieved earlier and to a lower load.
+        # A server that lost capacity usually loses more, and in the end drops all its connections, so it is
+        # relieved earlier and to a lower load.
         is_slow = server.capacity_ratio <= load_targets.SLOW_CAPACITY_RATIO and not is_capacity_scarce
         if load <= (load_targets.TARGET_LOAD if is_slow else OVERLOAD_THRESHOLD):
             return
@@ -125,7 +127,7 @@
             wait_us = BACKLOG_CLEAR_US
         if self.batch.now_us - server.migrated_at_us < wait_us:
             return False
-        has_pending_check = server.health_check_sent_us >= 0
+        has_pending_check = server.health_check_sent_at_us >= 0
         return not has_pending_check or misses_objective
 
     def _residual_load(self, is_capacity_scarce: bool, is_slow: bool) -> float:
--- a/glenrock/routing/outlier_ejection.py
+++ b/glenrock/routing/outlier_ejection.py
@@ -53,7 +53,7 @@
         """Returns whether the server may receive new work of that load now.
 
         Conditions that depend on the request are not checked here. A server that is draining, or suspended by
-        an operator, is not ready and receives no new work.
+        an operator, is not ready and receives no new work: an attempt after the notice would break the drain.
         """
         is_allowed = server.is_ready and (self.is_usable(server) or self.is_panicking)
         return is_allowed and self.slow_start.headroom(server) >= load
@@ -99,8 +99,8 @@
 
     def cut_weight(self, server: Server) -> None:
         """Cuts the server's weight, at most once per feedback delay."""
-        if self.batch.now_us - server.weight_cut_us >= FEEDBACK_DELAY_US:
-            server.weight_cut_us = self.batch.now_us
+        if self.batch.now_us - server.weight_cut_at_us >= FEEDBACK_DELAY_US:
+            server.weight_cut_at_us = self.batch.now_us
             server.weight = max(MIN_WEIGHT, server.weight * WEIGHT_CUT_FACTOR)
 
     def record_reachable(self, server: Server) -> None:
--- a/glenrock/routing/request_lifecycle.py
+++ b/glenrock/routing/request_lifecycle.py
@@ -1,6 +1,6 @@
-"""The life of a request, from its arrival to the end of its connection.
+"""The lifecycle of a request, from its arrival to the end of its connection.
 
-Asks the policies for each decision, and emits the actions that follow.
+Consults the policies for each decision, and emits the resulting actions.
 """
 
 from __future__ import annotations
@@ -42,14 +42,15 @@
         AttemptOutcome.BROKEN,
     )
 )
+"""The outcomes that count as faults of the server and cut its weight."""
 
 
 @dataclass(eq=False)
 class RequestLifecycle:
-    """All requests under way.
+    """All requests in progress, and the connections that they established.
 
     Attributes:
-        requests: by id, until the request is rejected, or it or its connection has ended.
+        requests: by request id, until the request is rejected or fails, or its connection ends.
     """
 
     batch: EventBatch
@@ -71,8 +72,8 @@
     _awaiting_checks: dict[str, RoutedRequest] = field(init=False, default_factory=dict)
     _awaiting_server: dict[str, None] = field(init=False, default_factory=dict)
 
-    def start(self, request: RoutedRequest) -> None:
-        """Handles a request that has just arrived: admits and routes it, or rejects it."""
+    def on_request(self, request: RoutedRequest) -> None:
+        """Handles a request that has just arrived: admits it and selects a server, or rejects it."""
         self.requests[request.event.request_id] = request
         if not self.admission.admit(request):
             self._reject(request)
@@ -80,8 +81,8 @@
         self.batch.set_timer(self.retries.answer_due_us(request), RequestTimer(request.event.request_id))
         self._route(request)
 
-    def adopt(self, request: RoutedRequest, server: Server) -> None:
-        """Takes over a connection that was open at a server before this balancer started."""
+    def add_open_connection(self, request: RoutedRequest, server: Server) -> None:
+        """Records a connection that was open at a server before this balancer started."""
         request.attempts.append(Attempt(server, self.batch.now_us))
         request.server, request.is_answered = server, True
         self.requests[request.event.request_id] = request
@@ -91,16 +92,16 @@
     # -- attempts ------------------------------------------------------------------------------------
 
     def _route(self, request: RoutedRequest) -> None:
-        """Sends the request to the best candidate, or lets it wait, or ends it."""
+        """Sends the request to the best candidate. Without one, the request waits or is answered."""
         may_attempt = self.concurrency.may_start() and self.retries.may_attempt(request)
-        request.candidates = self.selection.candidates(request) if may_attempt else []
+        request.candidates = self.selection.draw_candidates(request) if may_attempt else []
         if not request.candidates:
-            self._await_server_or_end(request)
+            self._await_server_or_answer(request)
         elif not self._await_checks(request):
             self._send_to_best(request)
 
     def _await_checks(self, request: RoutedRequest) -> bool:
-        """Returns whether the request waits for load reports of its candidates."""
+        """Sends health checks to the candidates as needed. Returns whether the request waits for results."""
         request.pending_checks = self.health_checks.check_candidates(request)
         if not request.pending_checks:
             return False
@@ -108,8 +109,8 @@
         self.batch.set_timer(self.batch.now_us + HEALTH_CHECK_WAIT_US, RequestTimer(request.event.request_id))
         return True
 
-    def finish_check(self, server_id: str) -> None:
-        """Handles the end of a health check: sends the requests that waited for no other check."""
+    def on_health_check_ended(self, server_id: str) -> None:
+        """Handles the end of a health check: sends the requests that do not wait for another check."""
         requests = self._awaiting_checks.values()
         waiting = [request for request in requests if server_id in request.pending_checks]
         for request in waiting:
@@ -120,9 +121,9 @@
     def _send_to_best(self, request: RoutedRequest) -> None:
         request.pending_checks.clear()
         self._awaiting_checks.pop(request.event.request_id, None)
-        server = self.selection.best(request)
+        server = self.selection.best_candidate(request)
         if server is None:
-            self._await_server_or_end(request)
+            self._await_server_or_answer(request)
         else:
             self._send(request, server)
 
@@ -135,24 +136,24 @@
         self.concurrency.record_sent()
         self.batch.emit(StartAttempt(request.event.request_id, server.server_id, timeout_us))
 
-    def _await_server_or_end(self, request: RoutedRequest) -> None:
+    def _await_server_or_answer(self, request: RoutedRequest) -> None:
         if request.attempt_is_in_flight:
             return
         if self.retries.may_wait(request):
             self._awaiting_server[request.event.request_id] = None
         else:
-            self._end(request)
+            self._reject_or_fail(request)
 
     def retry_waiting(self) -> None:
-        """Routes, once a round, the requests that wait for a server."""
+        """Routes the requests that wait for a server; called once per round."""
         for request_id in list(self._awaiting_server):
-            # The end of one request may have routed or ended another of this list.
+            # Routing one request may already have routed or removed another one of the list.
             if request_id in self._awaiting_server:
                 del self._awaiting_server[request_id]
                 self._route(self.requests[request_id])
 
     def _route_next_waiting(self) -> None:
-        """Routes the first waiting request at once, after a set-up has ended under a concurrency limit."""
+        """Routes the first waiting request if an attempt has ended while the concurrency limit applies."""
         if self._awaiting_server and self.concurrency.is_limited and self.concurrency.may_start():
             first = next(iter(self._awaiting_server))
             del self._awaiting_server[first]
@@ -160,8 +161,8 @@
 
     # -- outcomes of attempts ------------------------------------------------------------------------
 
-    def establish(self, event: ConnectionEstablished) -> None:
-        """Handles an attempt that established its connection."""
+    def on_established(self, event: ConnectionEstablished) -> None:
+        """Handles an attempt that established a connection."""
         request = self.requests.get(event.request_id)
         if request is None or request.is_answered or not 0 <= event.attempt_number < len(request.attempts):
             return
@@ -176,15 +177,15 @@
     def _record_connection(self, request: RoutedRequest, server: Server) -> None:
         server.connections[request.event.request_id] = request
         self.index.add_occupied(server)
-        server.last_heard_us = self.batch.now_us
-        self.affinity.remember(request.event.group, server)
+        server.last_heard_at_us = self.batch.now_us
+        self.affinity.record_connection(request.event.group, server)
 
-    def end_attempt(self, event: AttemptEnded, is_balancer_draining: bool) -> None:
+    def on_attempt_ended(self, event: AttemptEnded, is_balancer_draining: bool) -> None:
         """Handles the end of an attempt, or of the connection that it established.
 
         Args:
-            event: how it ended.
-            is_balancer_draining: this balancer migrates its clients to the others, on an operator's call.
+            event: the attempt and its outcome.
+            is_balancer_draining: an operator drains this balancer, so its clients migrate to the others.
         """
         request = self.requests.get(event.request_id)
         if request is None or not 0 <= event.attempt_number < len(request.attempts):
@@ -198,16 +199,17 @@
             self._route_next_waiting()
         keep_session = self._record_outcome(request, attempt, is_balancer_draining)
         if event.is_final or request.server:
-            # The client of a connection that broke has no final answer yet.
+            # The client of a broken connection still needs a final answer.
             if not event.is_final and not request.event.is_midstream:
                 self.batch.emit(Fail(event.request_id))
-            self._forget(request, keep_session)
+            self._remove(request, keep_session)
         elif not request.is_answered:
             self._route(request)
 
     def _record_outcome(self, request: RoutedRequest, attempt: Attempt, is_balancer_draining: bool) -> bool:
-        """Records what the outcome shows of the server. Returns whether the client keeps its session."""
-        # The session of a client that migrates to another balancer would count at both for seconds.
+        """Records the outcome as evidence on the server. Returns whether the client keeps its session."""
+        # While this balancer drains, its clients migrate to other balancers. A session that was kept here
+        # would be counted at both balancers for some seconds.
         keep_session = not is_balancer_draining
         if attempt.outcome in SERVER_FAULT_OUTCOMES:
             self.ejection.cut_weight(attempt.server)
@@ -218,20 +220,23 @@
             self.health_checks.record_broken_connection(attempt.server)
         return keep_session
 
-    # -- the end of a request ------------------------------------------------------------------------
+    # -- end of a request ----------------------------------------------------------------------------
 
-    def client_disconnected(self, request_id: str) -> None:
-        """Forgets the request of a client that closed its connection or cancelled."""
+    def on_client_disconnected(self, request_id: str) -> None:
+        """Removes the request of a client that closed its connection or cancelled the request."""
         if request := self.requests.get(request_id):
-            self._forget(request, keep_session=False)
+            self._remove(request, keep_session=False)
 
-    def timer_fired(self, request_id: str) -> None:
-        """Ends a request whose deadline is near, or sends one whose wait for health checks is over."""
+    def on_timer(self, request_id: str) -> None:
+        """Answers a request whose deadline is near, or sends one that has waited long enough for checks.
+
+        A request that is not answered by its deadline is lost.
+        """
         request = self.requests.get(request_id)
         if request is None or request.is_answered:
             return
         if self.retries.is_overdue(request):
-            self._end(request)
+            self._reject_or_fail(request)
         elif request.pending_checks:
             self._send_to_best(request)
 
@@ -239,8 +244,8 @@
         self.batch.emit(Reject(request.event.request_id, self.retries.retry_after_us()))
         self.requests.pop(request.event.request_id, None)
 
-    def _end(self, request: RoutedRequest) -> None:
-        """Rejects or fails a request that was admitted and could not be served."""
+    def _reject_or_fail(self, request: RoutedRequest) -> None:
+        """Rejects or fails a request that was admitted but could not be served."""
         if request.is_answered:
             return
         if self.settings.may_cancel:
@@ -252,9 +257,9 @@
         else:
             self.batch.emit(Fail(request.event.request_id))
         self.waiting_queue.requeue(request)
-        self._forget(request, keep_session=False)
+        self._remove(request, keep_session=False)
 
-    def _forget(self, request: RoutedRequest, keep_session: bool) -> None:
+    def _remove(self, request: RoutedRequest, keep_session: bool) -> None:
         request_id = request.event.request_id
         if not request.server and request.attempt_is_in_flight:
             self.concurrency.record_cancelled()
--- a/tests/coordination/rig.py
+++ b/tests/coordination/rig.py
@@ -1,4 +1,4 @@
-"""The shared objects of the coordination for tests, on a stand-in for the balancer."""
+"""Builds the shared objects of the coordination for tests, on a fake balancer."""
 
 from __future__ import annotations
 
@@ -35,13 +35,13 @@
 from glenrock.upgrade.override_sync import OverrideSync
 
 BALANCER_COUNT = 3
-STEP_US = 200_000
+STAGGER_US = 200_000  # between the requests of two members for a free lease
 TIMING = LeaseTiming()
 
 
 @dataclass
-class HostStandIn:
-    """A balancer with the parts that a test sets. A part that is not set raises AttributeError."""
+class FakeHost:
+    """A fake balancer that has the parts that a test sets. Reading any other part raises AttributeError."""
 
     clock: Clock = field(default_factory=ManualClock)
     config: Config = field(init=False)
@@ -56,31 +56,31 @@
 
 
 @dataclass
-class OperatorStandIn:
-    """The operators' parts, as far as a test sets them."""
+class FakeOperators:
+    """Fake parts for operators' calls, as far as a test sets them."""
 
     override_sync: OverrideSync
     operations: Operations = field(init=False)
 
 
-class CollectedTasks(BackgroundTasks):
-    """Collects the coroutines of the tasks, for the test to run or close.
+class DeferredTasks(BackgroundTasks):
+    """Collects coroutines instead of starting tasks, for the test to run or close.
 
     Attributes:
-        works: the coroutines, in the order of `run`.
+        coroutines: the coroutines, in the order of the calls of `run`.
     """
 
     def __init__(self) -> None:
         super().__init__()
-        self.works: list[Coroutine[Any, Any, object]] = []
+        self.coroutines: list[Coroutine[Any, Any, object]] = []
 
-    def run(self, work: Coroutine[Any, Any, object]) -> None:
+    def run(self, coroutine: Coroutine[Any, Any, object]) -> None:
         """Adds a coroutine without starting it."""
-        self.works.append(work)
+        self.coroutines.append(coroutine)
 
 
 def build_context(
-    host: HostStandIn,
+    host: FakeHost,
     folder: Path,
     overrides: OverrideLog | None = None,
     store: LeaseStore | None = None,
@@ -88,16 +88,16 @@
     jobs: Sequence[str] = (),
     started_us: int | None = None,
 ) -> CoordinationContext:
-    """Returns the shared objects of a balancer `n1`, whose files are in `folder`.
+    """Returns the shared objects of the balancer `n1`, which has index 1.
 
     Args:
-        host: the balancer.
-        folder: of the state file, and of the store if `store` is None.
-        overrides: the override log; None for an empty log.
+        host: the fake balancer.
+        folder: folder for the state file, and for the lease store if `store` is None.
+        overrides: the override log; None for an empty one.
         store: the lease store; None for an SQLite file.
-        tasks: runs the tasks; None for tasks that run.
+        tasks: starts the tasks; None for tasks that run in the event loop.
         jobs: the jobs that all members share.
-        started_us: when the peers were heard of; None for now.
+        started_us: when the process started, which is when each peer counts as last heard; None for now.
     """
     holder = "n1/5-6"
     overrides = overrides if overrides is not None else OverrideLog()
@@ -106,7 +106,7 @@
     membership = PeerLiveness(1, range(BALANCER_COUNT), started_us if started_us is not None else boottime_us())
     fence = Fence(is_restored=True)
     transport = DatagramTransport(membership, host.peers)
-    manager = LeaseManager(membership, TIMING, jobs, STEP_US)
+    manager = LeaseManager(membership, TIMING, jobs, STAGGER_US)
     return CoordinationContext(
         host=host,
         name="n1",
--- a/tests/routing/test_admission.py
+++ b/tests/routing/test_admission.py
@@ -10,7 +10,7 @@
 from glenrock.routing.admission import NO_CAP
 
 from .scenarios import (
-    ENOUGH_ROUNDS,
+    ROUNDS_TO_LEARN_CAPACITY,
     establish_requests,
     first_server,
     is_rejected_at_once,
@@ -188,7 +188,7 @@
 def test_few_slow_servers_do_not_cut_the_cap_deeply(make_harness: HarnessFactory) -> None:
     loads = {"a:1": 0.5, "b:1": 0.5, "c:1": 0.6, "d:1": 0.5, "e:1": 0.6}
     harness = with_loaded_servers(make_harness, loads)
-    run_rounds(harness, loads, ENOUGH_ROUNDS)
+    run_rounds(harness, loads, ROUNDS_TO_LEARN_CAPACITY)
     run_rounds(harness, loads | {"d:1": 1.6, "e:1": 2.4}, 8)
     # Two of five servers have only 0.3 to 0.4 of their capacity. Together the servers can sustain 0.84 of the load; by
     # an unweighted mean it would be 0.64.
