--- a/glenrock/config.py
+++ b/glenrock/config.py
@@ -129,6 +129,9 @@
         the variable   at the start
         the variable   after a reload, if the file's value is that of the start or the file no longer has the key
         the file       after a reload, if the file's value has changed since the start
+
+    A variable keeps its value from the start of the process. If it always took precedence, a running process would keep
+    the address that it started with, whatever the new file says.
     """
     overrides = {}
     for key, variable in VARIABLES.items():
--- a/glenrock/durable_file.py
+++ b/glenrock/durable_file.py
@@ -91,7 +91,10 @@
 
 
 def _sync_folder(folder: Path) -> None:
-    """Waits until the renames in the folder are on the disk."""
+    """Waits until the renames in the folder are on the disk.
+
+    A power failure may undo a rename that is not on the disk. The path then has the old file, which is whole.
+    """
     descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
     try:
         os.fsync(descriptor)
--- a/glenrock/net/acceptor.py
+++ b/glenrock/net/acceptor.py
@@ -20,7 +20,7 @@
 FIRST_LINE_TIMEOUT_MS = 2000.0  # the protocol requires an answer within 3 s
 IDLE_TIMEOUT_MS = 10_000.0  # for the next line after a ping
 LINGER_TIMEOUT_MS = 1000.0  # from the final answer until the client must have closed the connection
-MAX_LINGER_BYTES = 65536  # read from a client after its final answer
+MAX_LINGER_BYTES = 65536  # read from a client after its final answer; one that sends more may lose the answer
 LAST_LINE_TIMEOUT_MS = 100.0  # for the first line of a connection that is accepted as the process ends
 MIN_RETRY_AFTER_FRACTION = 0.5  # lower bound of the random fraction by which a Retry-After is multiplied
 LOGGED_BYTES = 120  # of a rejected request line
--- a/glenrock/upgrade/override_file.py
+++ b/glenrock/upgrade/override_file.py
@@ -163,6 +163,7 @@
 def write(folder: str, shared: SharedOverrides) -> None:
     """Replaces the file atomically, without waiting for the disk.
 
+    The other process reads the file without its lock. Written in place, the file could be read half written.
     The file needs to outlast a process, not a power cut, and a sync may exceed the second in which an operator's call
     is answered.
 
@@ -209,7 +210,7 @@
 
 @contextlib.contextmanager
 def _locked(folder: str) -> Iterator[None]:
-    """Holds the lock of the file. The kernel releases it if the process dies.
+    """Holds the lock of the file, which a process holds for one change only. The kernel releases it if it dies.
 
     Raises:
         OSError: the other process holds the lock.
