--- a/glenrock/net/endpoint_rows.py
+++ b/glenrock/net/endpoint_rows.py
@@ -1,4 +1,4 @@
-"""Rows of the endpoint list, parsed from discovery's answers."""
+"""Rows of the endpoint list, parsed from discovery's responses."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 from ..config import Address, ConfigError, parse_address
 
-STATES_BY_STATUS = {
+STATE_BY_STATUS = {
     "SERVING": EndpointState.READY,
     "DRAINING": EndpointState.DRAINING,
     "DELETED": EndpointState.GONE,
 }
-STATUS_BY_STATE = {state: status for status, state in STATES_BY_STATUS.items()}
+STATUS_BY_STATE = {state: status for status, state in STATE_BY_STATUS.items()}
 MAX_NAME_LENGTH = 256  # characters
 
 
@@ -28,8 +28,8 @@
         address: where the server accepts connections.
         state: whether the server is ready, draining or gone.
         zone: the failure domain of the server; empty if unknown.
-        group: the cell of the server, within which idempotency keys may be valid; `Endpoint.cell` of routing.
-        weight: the listed size of the server relative to others.
+        group: the cell of the server, within which idempotency keys may be valid; routing has it as `Endpoint.cell`.
+        weight: the listed capacity of the server, relative to others.
         since_ms: the Unix time at which the server's process started; 0 if unknown.
     """
 
@@ -43,16 +43,16 @@
 
     @property
     def status(self) -> str:
-        """Discovery's word for the state, which stored files use too."""
+        """The state as discovery and stored files name it."""
         return STATUS_BY_STATE[self.state]
 
 
 def parse_row(raw: dict[str, Any]) -> EndpointRow:
-    """Returns the row that a JSON object describes.
+    """Parses a row from a JSON object.
 
     Raises:
         KeyError: the row has no name, address or status.
-        ValueError, TypeError, OverflowError: a value is invalid.
+        ValueError, TypeError, OverflowError: a value is invalid or out of range.
     """
     try:
         address = parse_address(raw["address"], "address")
@@ -60,12 +60,12 @@
         raise ValueError(str(error)) from error
     name = str(raw["name"])
     status = str(raw["status"])
-    if not 0 < len(name) <= MAX_NAME_LENGTH or status not in STATES_BY_STATUS or not address.port:
+    if not 0 < len(name) <= MAX_NAME_LENGTH or status not in STATE_BY_STATUS or not address.port:
         raise ValueError("invalid name, status or port")
     row = EndpointRow(
         name=name,
         address=address,
-        state=STATES_BY_STATUS[status],
+        state=STATE_BY_STATUS[status],
         zone=str(raw.get("zone", "")),
         group=int(raw.get("group", 0)),
         weight=float(raw.get("weight", 1.0)),
@@ -73,5 +73,5 @@
     )
     numbers = (row.weight, row.since_ms)
     if not all(isfinite(number) and number >= 0 for number in numbers):
-        raise ValueError("weight or since_ms out of range")
+        raise ValueError("weight and since_ms must be finite and not negative")
     return row
--- a/glenrock/net/idle_connections.py
+++ b/glenrock/net/idle_connections.py
@@ -78,7 +78,7 @@
     def stop_all_reading(self) -> None:
         """Makes all connections stop waiting for a line."""
         for limit in list(self._read_limits.values()):
-            limit.stop()
+            limit.expire()
 
     def shed_oldest(self) -> bool:
         """Closes one connection to free its descriptor.
@@ -112,4 +112,4 @@
         del connections[task]
         self._shed.add(task)
         if limit := self._read_limits.get(task):
-            limit.stop()
+            limit.expire()
--- a/glenrock/net/routing_actor.py
+++ b/glenrock/net/routing_actor.py
@@ -1,7 +1,7 @@
-"""The routing actor: the only caller of `Balancer.handle`.
+"""The routing actor, which is the only caller of `Balancer.handle`.
 
-All events that arrive between two calls are one batch. Actions leave through ports, so that the actor knows neither the
-clients' protocol nor the source of endpoints.
+Events that arrive between two calls are handled as one batch. Actions are passed to callbacks, so that the actor
+depends neither on the clients' protocol nor on the source of the endpoint list.
 """
 
 from __future__ import annotations
@@ -18,25 +18,25 @@
 from .clock import Clock, ms_from_us, us_from_ms
 from .mailbox import Mailbox
 
-MAX_EVENTS = 65536  # in the mailbox; with more, new requests are rejected
-TIMER_MARGIN_MS = 0.5  # a wake-up before its time would find no timer due
+MAX_QUEUED_EVENTS = 65536  # while the mailbox is full, new requests are rejected
+TIMER_MARGIN_MS = 0.5  # added to each wake-up, since a wake-up before the due time would find no timer due
 
 logger = get_logger(__name__)
 
 
 class RoutedConnection(Protocol):
-    """A client's connection, as actions use it."""
+    """The operations of a client's connection that actions need."""
 
     def start_attempt(self, server: str, timeout_ms: float) -> None:
-        """Sends the request to that server."""
+        """Sends the request to a server. The whole attempt may take `timeout_ms`."""
         ...
 
     def cancel_attempt(self, attempt: int) -> None:
-        """Cancels the attempt of that number."""
+        """Cancels the attempt with this number."""
         ...
 
     def reject(self, retry_after_ms: float) -> None:
-        """Rejects the request: the client may retry after that time."""
+        """Rejects the request. The client may retry after `retry_after_ms`."""
         ...
 
     def fail(self) -> None:
@@ -49,28 +49,29 @@
 
 
 class RoutingActor:
-    """Owns routing's decisions, timers and events.
+    """Feeds events and timers to routing, and carries out the actions that routing returns.
 
     Attributes:
-        balancer: the decisions.
+        balancer: makes the routing decisions.
         mailbox: events that wait for the next batch.
-        connection_of: finds the connection of a request; set by the table of connections.
+        find_connection: returns the connection of a request, or None; set by the table of connections.
         send_health_check: sends a health check to a server.
         send_gossip: sends a gossip summary to the peers.
-        watch_endpoints: subscribes to the endpoint list; the program polls by itself and does not set it.
+        watch_endpoints: subscribes to the endpoint list; left unset by the program, whose endpoint watcher polls on its
+            own.
     """
 
     def __init__(self, settings: interface.Settings, seed: int, clock: Clock) -> None:
         self.balancer = Balancer(settings, seed)
-        self.mailbox: Mailbox[interface.Event] = Mailbox(MAX_EVENTS)
-        self.connection_of: Callable[[str], RoutedConnection | None] = _no_connection
-        self.send_health_check: Callable[[str], None] = _ignore_server
-        self.send_gossip: Callable[[bytes], None] = _ignore_data
-        self.watch_endpoints: Callable[[], None] = _ignore
+        self.mailbox: Mailbox[interface.Event] = Mailbox(MAX_QUEUED_EVENTS)
+        self.find_connection: Callable[[str], RoutedConnection | None] = _find_no_connection
+        self.send_health_check: Callable[[str], None] = _ignore_health_check
+        self.send_gossip: Callable[[bytes], None] = _ignore_gossip
+        self.watch_endpoints: Callable[[], None] = _ignore_watch_request
         self._clock = clock
-        self._timers: list[tuple[int, int]] = []  # a heap of times in microseconds and timer ids
-        self._last_us = 0
-        self._first_events: list[interface.Event] = []  # of the next batch, however full the mailbox is
+        self._timers: list[tuple[int, int]] = []  # heap of (due time in microseconds, timer id)
+        self._last_batch_us = 0
+        self._priority_events: list[interface.Event] = []  # start the next batch; accepted even if the mailbox is full
         self._batch_waiters: list[asyncio.Future[None]] = []
 
     def post(self, event: interface.Event) -> bool:
@@ -78,21 +79,21 @@
         return self.mailbox.try_put(event)
 
     def load_of(self, request_id: str) -> int:
-        """Returns the load of a connection as last known; 0 for an unknown connection."""
+        """Returns the last known load of a request's connection; 0 for an unknown request."""
         return self.balancer.load_of(request_id)
 
     def may_reject(self, request_id: str) -> bool:
-        """Returns whether a request may be rejected, as a retry of it would be harmless."""
+        """Returns whether a request may be rejected, because the client can safely retry it."""
         return self.balancer.may_reject(request_id)
 
-    def post_first(self, event: interface.Event) -> None:
-        """Puts an operator's event at the start of the next batch."""
-        self._first_events.append(event)
+    def post_priority_event(self, event: interface.Event) -> None:
+        """Puts an operator's event at the start of the next batch, even if the mailbox is full."""
+        self._priority_events.append(event)
         self.mailbox.wake()
 
     def stop_gossip(self) -> None:
-        """Sends no more gossip, as another process does so for this balancer."""
-        self.send_gossip = _ignore_data
+        """Stops sending gossip, because another process now sends it for this balancer."""
+        self.send_gossip = _ignore_gossip
 
     async def wait_for_batch(self) -> None:
         """Waits until the events posted before this call have been handled."""
@@ -105,9 +106,9 @@
         """Handles batches for as long as the program runs."""
         while True:
             batch = await self._next_batch()
-            first_events, self._first_events = self._first_events, []
+            priority_events, self._priority_events = self._priority_events, []
             waiters, self._batch_waiters = self._batch_waiters, []
-            self.handle_batch(first_events + batch)
+            self.handle_batch(priority_events + batch)
             for done in waiters:
                 if not done.done():
                     done.set_result(None)
@@ -117,28 +118,28 @@
         if self._timers:
             at_ms = ms_from_us(self._timers[0][0]) + TIMER_MARGIN_MS
             wake_up = self._clock.call_at(at_ms, self.mailbox.wake)
-        # A wake-up is lost before `get_all` waits, so what came until now must not wait for a message. Afterwards a
-        # wake-up ends the wait in `get_all`, which returns the events in the mailbox too.
-        batch = [] if self._first_events or self._batch_waiters else await self.mailbox.get_all()
+        # A wake-up has no effect before `get_all` starts to wait. So if there are priority events or waiters already,
+        # the next batch must not wait for a message. A wake-up that comes later ends the wait in `get_all`.
+        batch = [] if self._priority_events or self._batch_waiters else await self.mailbox.get_all()
         if wake_up:
             wake_up.cancel()
         return batch
 
     def handle_batch(self, batch: list[interface.Event]) -> None:
-        """Passes a batch and the timers that are due to routing, and carries out the actions."""
-        now_us = self._last_us = max(self._last_us, us_from_ms(self._clock.now_ms()))
+        """Passes a batch of events and the due timers to routing, and carries out the resulting actions."""
+        now_us = self._last_batch_us = max(self._last_batch_us, us_from_ms(self._clock.now_ms()))
         while self._timers and self._timers[0][0] <= now_us:
             batch.append(interface.TimerFired(heapq.heappop(self._timers)[1]))
         try:
             actions = self.balancer.handle(now_us, batch)
-        except Exception:  # the edge of the actor: connections are answered at their own deadline
+        except Exception:  # the actor must not end: connections are answered at their own deadlines
             logger.exception("unexpected error in routing", events=len(batch))
             actions = self.balancer.batch.actions
-            if not self._timers:  # without a timer there would be no further round
+            if not self._timers:  # without a timer, routing would have no further round
                 self.balancer.schedule_round(now_us + ROUND_US)
         self._log_changes()
         for action in actions:
-            self.act(action)
+            self.execute_action(action)
 
     def _log_changes(self) -> None:
         for ignored in self.balancer.batch.ignored_summaries:
@@ -149,7 +150,7 @@
             else:
                 logger.info("zone no longer believed partitioned: recovery ramp begins", zone=zone)
 
-    def act(self, action: interface.Action) -> None:
+    def execute_action(self, action: interface.Action) -> None:
         """Carries out an action."""
         match action:
             case interface.SetTimer(at_us, timer_id):
@@ -161,8 +162,8 @@
             case interface.WatchEndpoints():
                 self.watch_endpoints()
             case _:
-                if connection := self.connection_of(action.request_id):
-                    _act_on(connection, action)
+                if connection := self.find_connection(action.request_id):
+                    _execute_on_connection(connection, action)
 
 
 ConnectionAction = (
@@ -170,7 +171,7 @@
 )
 
 
-def _act_on(connection: RoutedConnection, action: ConnectionAction) -> None:
+def _execute_on_connection(connection: RoutedConnection, action: ConnectionAction) -> None:
     match action:
         case interface.StartAttempt(_, server, timeout_us):
             connection.start_attempt(server, ms_from_us(timeout_us))
@@ -184,18 +185,18 @@
             connection.migrate()
 
 
-def _no_connection(request_id: str) -> RoutedConnection | None:
-    """Finds no connection: no table is set."""
+def _find_no_connection(request_id: str) -> RoutedConnection | None:
+    """Returns None, because no connection table has been set."""
     return None
 
 
-def _ignore() -> None:
-    """Does nothing: the port is not set."""
+def _ignore_watch_request() -> None:
+    """Does nothing, because no callback has been set."""
 
 
-def _ignore_server(server: str) -> None:
-    """Does nothing: the port is not set."""
+def _ignore_health_check(server: str) -> None:
+    """Does nothing, because no callback has been set."""
 
 
-def _ignore_data(data: bytes) -> None:
-    """Does nothing: the port is not set."""
+def _ignore_gossip(data: bytes) -> None:
+    """Does nothing, because no callback has been set."""
--- a/glenrock/net/server_actor.py
+++ b/glenrock/net/server_actor.py
@@ -1,4 +1,4 @@
-"""The actor of one server, with its attempts and its health checks."""
+"""The actor of one server, which runs its attempts and health checks."""
 
 from __future__ import annotations
 
@@ -21,38 +21,38 @@
 from .metrics import ConnectionMetrics
 from .protocol import ServerKeyword
 from .socket_io import close_socket, create_socket
-from .system_errors import is_local_error
+from .system_errors import is_local_connect_error
 
-MAX_MESSAGES = 1024  # health checks and attempts that wait for one actor
-LOCAL_RETRY_MS = 20.0  # after this machine could not begin a connection
-ENDS_BY_WORD: dict[str, AttemptEnd] = {
+MAX_QUEUED_MESSAGES = 1024  # attempts and health checks queued for one actor
+LOCAL_RETRY_DELAY_MS = 20.0  # after a connect that failed because of this machine
+END_BY_KEYWORD: dict[str, AttemptEnd] = {
     ServerKeyword.REJECTED: AttemptEnd.REJECTED,
     ServerKeyword.SERVED: AttemptEnd.SERVED,
     ServerKeyword.MIGRATE: AttemptEnd.MIGRATED,
 }
 
-Post = Callable[[interface.Event], bool]
+PostEvent = Callable[[interface.Event], bool]
 
 logger = get_logger(__name__)
 
 
 class ServerCommand(Enum):
-    """Jobs of a server's actor beside attempts."""
+    """Messages to a server's actor other than attempts."""
 
     HEALTH_CHECK = "health check"
 
 
 class ServerActor:
-    """One server.
+    """Runs the attempts and health checks of one server.
 
     Attributes:
         row: the server's row of the endpoint list.
-        is_suspended: whether an operator has taken the server out of rotation.
-        connect_timeout_ms: the time for a connection to be established.
+        is_suspended: whether an operator has suspended the server.
+        connect_timeout_ms: the timeout for establishing a connection.
         post: takes events for routing.
-        mailbox: attempts and jobs that wait.
-        health_check_task: the health check in flight, or the last one.
-        tasks: attempts and health checks in flight.
+        mailbox: queued attempts and commands.
+        health_check_task: the task of the health check in flight, or of the last one.
+        tasks: the tasks of attempts and health checks in flight.
     """
 
     def __init__(
@@ -60,7 +60,7 @@
         row: EndpointRow,
         clock: Clock,
         connect_timeout_ms: float,
-        post: Post,
+        post: PostEvent,
         metrics: ConnectionMetrics,
         pool: HealthCheckPool,
     ) -> None:
@@ -68,17 +68,17 @@
         self.connect_timeout_ms = connect_timeout_ms
         self.is_suspended = False
         self.post = post
-        self.mailbox: Mailbox[ConnectionAttempt | ServerCommand] = Mailbox(MAX_MESSAGES)
+        self.mailbox: Mailbox[ConnectionAttempt | ServerCommand] = Mailbox(MAX_QUEUED_MESSAGES)
         self.health_check_task: asyncio.Task[None] | None = None
         self.tasks: set[asyncio.Task[None]] = set()
         self._clock = clock
         self._metrics = metrics
         self._health_check_connection = HealthCheckConnection(clock, lambda event: self.post(event), pool)
-        self._actor = asyncio.get_running_loop().create_task(self._run())
+        self._run_task = asyncio.get_running_loop().create_task(self._run())
 
     @property
     def accepts_connections(self) -> bool:
-        """Whether new connections may be sent to the server."""
+        """Whether new connections may be established at the server."""
         return self.row.state is interface.EndpointState.READY and not self.is_suspended
 
     @property
@@ -87,37 +87,37 @@
         return not (self.tasks or self.mailbox.messages or self._health_check_connection.is_open)
 
     @property
-    def _checks_health(self) -> bool:
+    def _is_health_check_running(self) -> bool:
         return self.health_check_task is not None and not self.health_check_task.done()
 
     def stop(self) -> None:
-        """Ends the actor."""
-        self._actor.cancel()
+        """Stops the actor and its health check."""
+        self._run_task.cancel()
         if self.health_check_task:
             self.health_check_task.cancel()
 
     def update(self, row: EndpointRow) -> None:
         """Replaces the server's row."""
         has_restarted = row.since_ms != self.row.since_ms or row.address != self.row.address
-        if has_restarted and not self._checks_health:
-            self._health_check_connection.disconnect()  # the connection belongs to the earlier process
+        if has_restarted and not self._is_health_check_running:
+            self._health_check_connection.disconnect()  # the connection is to the previous process
         self.row = row
 
-    def close_unused_connection(self) -> None:
-        """Closes the connection for health checks if it has been unused for a while."""
-        if not self._checks_health:
-            self._health_check_connection.close_if_unused()
+    def close_idle_connection(self) -> None:
+        """Closes the connection for health checks if it has been idle for `HEALTH_CHECK_IDLE_TIMEOUT_MS`."""
+        if not self._is_health_check_running:
+            self._health_check_connection.close_if_idle()
 
     async def _run(self) -> None:
         while True:
-            for job in await self.mailbox.get_all():
-                if isinstance(job, ConnectionAttempt):
-                    job.task = self._start(self._run_attempt(job))
-                elif not self._checks_health:
-                    self.health_check_task = self._start(self._health_check_connection.check(self.row))
-
-    def _start(self, work: Coroutine[None, None, None]) -> asyncio.Task[None]:
-        task = asyncio.get_running_loop().create_task(work)
+            for message in await self.mailbox.get_all():
+                if isinstance(message, ConnectionAttempt):
+                    message.task = self._create_task(self._run_attempt(message))
+                elif not self._is_health_check_running:
+                    self.health_check_task = self._create_task(self._health_check_connection.check(self.row))
+
+    def _create_task(self, coroutine: Coroutine[None, None, None]) -> asyncio.Task[None]:
+        task = asyncio.get_running_loop().create_task(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
         return task
@@ -127,29 +127,29 @@
     async def _run_attempt(self, attempt: ConnectionAttempt) -> None:
         attempt.started_ms = self._clock.now_ms()
         try:
-            result = await self.attempt(attempt)
+            result = await self.connect_and_request(attempt)
         except asyncio.CancelledError:
             result = AttemptResult(AttemptEnd.CANCELLED, attempt.progress)
         except OSError:
             result = AttemptResult(AttemptEnd.BROKEN, attempt.progress)
-        except Exception:  # the client needs an answer whatever has failed
+        except Exception:  # the client must get an answer, whatever the error
             logger.exception("unexpected error in an attempt", server=self.row.name, request_id=attempt.request_id)
             result = AttemptResult(AttemptEnd.BROKEN, attempt.progress)
         if result.end is not AttemptEnd.ESTABLISHED and attempt.sock:
-            # Closed before routing learns of the end, so that two attempts are never in flight.
+            # Closed before routing is notified, so that a request never has two attempts in flight.
             close_socket(attempt.sock)
             attempt.sock = None
         attempt.latency_ms = self._clock.now_ms() - attempt.started_ms
         attempt.on_result(attempt, result)
 
-    def _left_ms(self, attempt: ConnectionAttempt) -> float:
+    def _remaining_ms(self, attempt: ConnectionAttempt) -> float:
         return attempt.started_ms + attempt.timeout_ms - self._clock.now_ms()
 
-    async def attempt(self, attempt: ConnectionAttempt) -> AttemptResult:
-        """Connects, writes the request line and awaits the answer.
+    async def connect_and_request(self, attempt: ConnectionAttempt) -> AttemptResult:
+        """Connects to the server, writes the request line and waits for the answer.
 
         Raises:
-            OSError: the connection to the server failed.
+            OSError: the connection could not be established, or it failed.
         """
         if attempt.is_cancelled:
             return AttemptResult(AttemptEnd.CANCELLED, attempt.progress)
@@ -158,13 +158,13 @@
         try:
             sock = await self._connect(attempt)
         except OSError as error:
-            if not is_local_error(error):
+            if not is_local_connect_error(error):
                 raise
             self._record_local_error(attempt, error)
             return AttemptResult(AttemptEnd.NOT_SENT, attempt.progress)
         if sock is None:
             return AttemptResult(AttemptEnd.NO_ANSWER, attempt.progress)
-        if not self._may_send(attempt):  # the endpoint list may have changed during the connect
+        if not self._may_send(attempt):  # the server's state may have changed during the connect
             return AttemptResult(AttemptEnd.NOT_SENT, attempt.progress)
         if not attempt.is_client_waiting():
             return AttemptResult(AttemptEnd.CANCELLED, attempt.progress)
@@ -180,39 +180,40 @@
         return self.accepts_connections or attempt.ignores_endpoint_state
 
     async def _connect(self, attempt: ConnectionAttempt) -> socket.socket | None:
-        """Returns a connection; None if none was established in time.
+        """Returns an established connection, or None if the connect timed out.
 
-        A connect that fails because of this machine is retried: it says nothing about the server, and another
-        server would probably not help. After the connect timeout the attempt fails, and routing may try elsewhere.
+        A connect that fails because of this machine is retried. Such a failure says nothing about the server, and a
+        connect to another server would probably fail too. After the connect timeout the attempt fails, and routing may
+        select another server.
 
         Raises:
-            OSError: the connect failed, or this machine could not begin it within the connect timeout.
+            OSError: the connect failed, or this machine could not start it within the connect timeout.
         """
-        deadline_ms = self._clock.now_ms() + min(self.connect_timeout_ms, self._left_ms(attempt))
+        deadline_ms = self._clock.now_ms() + min(self.connect_timeout_ms, self._remaining_ms(attempt))
         while True:
             try:
                 sock = attempt.sock = create_socket()
                 async with self._clock.time_limit(deadline_ms - self._clock.now_ms()) as limit:
                     await asyncio.get_running_loop().sock_connect(sock, self.row.address)
             except OSError as error:
-                if not is_local_error(error) or self._clock.now_ms() + LOCAL_RETRY_MS >= deadline_ms:
+                if not is_local_connect_error(error) or self._clock.now_ms() + LOCAL_RETRY_DELAY_MS >= deadline_ms:
                     raise
                 if attempt.sock:
                     attempt.sock.close()
                     attempt.sock = None
             else:
                 return None if limit.has_expired else sock
-            await self._clock.sleep(LOCAL_RETRY_MS)
+            await self._clock.sleep(LOCAL_RETRY_DELAY_MS)
 
     async def _send_request(self, attempt: ConnectionAttempt, sock: socket.socket) -> AttemptResult:
         loop = asyncio.get_running_loop()
-        async with self._clock.time_limit(self._left_ms(attempt)):
+        async with self._clock.time_limit(self._remaining_ms(attempt)):
             attempt.progress = AttemptProgress.PARTLY_WRITTEN
-            await loop.sock_sendall(sock, protocol.with_remaining_wait(attempt.line, self._left_ms(attempt)))
+            await loop.sock_sendall(sock, protocol.with_remaining_wait(attempt.line, self._remaining_ms(attempt)))
             attempt.progress = AttemptProgress.WRITTEN
             self._metrics.attempts_written += 1
             return await self._read_answer(attempt, sock)
-        attempt.progress = AttemptProgress.WRITTEN  # a write that was stopped may have sent the whole line
+        attempt.progress = AttemptProgress.WRITTEN  # an interrupted write may have sent the whole line
         return AttemptResult(AttemptEnd.NO_ANSWER, attempt.progress)
 
     async def _read_answer(self, attempt: ConnectionAttempt, sock: socket.socket) -> AttemptResult:
@@ -228,11 +229,11 @@
             lines = splitter.feed(bytes(buffer[:count]))
             if splitter.is_overlong:
                 return AttemptResult(AttemptEnd.ERROR, attempt.progress)
-        word, rest = protocol.split_keyword(lines[0])
-        if word == ServerKeyword.ESTABLISHED:
+        keyword, rest = protocol.split_keyword(lines[0])
+        if keyword == ServerKeyword.ESTABLISHED:
             attempt.progress = AttemptProgress.ESTABLISHED
             return AttemptResult(AttemptEnd.ESTABLISHED, attempt.progress)
-        if word == ServerKeyword.MALFORMED:
-            logger.error("server rejected the form of a request line", server=self.row.name, line=attempt.line)
-        end = ENDS_BY_WORD.get(word, AttemptEnd.ERROR)
+        if keyword == ServerKeyword.MALFORMED:
+            logger.error("server reported a malformed request line", server=self.row.name, line=attempt.line)
+        end = END_BY_KEYWORD.get(keyword, AttemptEnd.ERROR)
         return AttemptResult(end, attempt.progress, protocol.parse_load_report(rest))
