--- a/glenrock/net/discovery_client.py
+++ b/glenrock/net/discovery_client.py
@@ -61,7 +61,8 @@
     def on_message_complete(self) -> None:
         """Records the end of the response."""
         self.is_complete = True
-        # Read here, since the parser resets its state after this callback.
+        # Read here, since the parser resets its state after this callback. Read later, each call would take a new
+        # connection.
         self.keeps_alive = self.parser.should_keep_alive()
 
 
--- a/glenrock/net/endpoint_watcher.py
+++ b/glenrock/net/endpoint_watcher.py
@@ -22,7 +22,9 @@
 from .endpoint_rows import EndpointRow, parse_row
 from .poll_backoff import PollBackoff
 
-NO_LIST_RESPONSE_GRACE_MS = 5000.0  # longer than with a list, since a balancer without a list cannot serve anyway
+# A balancer without a list serves no client, so a longer wait breaks no time limit, and on a busy machine an answer may
+# be late.
+NO_LIST_RESPONSE_GRACE_MS = 5000.0
 MIN_POLL_INTERVAL_MS = 50.0  # after a response without rows; discovery ends a watch that is not renewed within 200 ms
 OLDER_RESPONSES_TO_ACCEPT = 4  # after this many consecutive responses with an older version, a whole list is used
 NO_VERSION = -1
@@ -169,8 +171,8 @@
     async def _handle_failure(self, error: Exception) -> None:
         self._consecutive_failures += 1
         self._on_failure()
-        # Without a list, a timeout counts as a rejection: discovery is probably overloaded, and a retry within a second
-        # would add to its load.
+        # Without a list, a timeout counts as a rejection: discovery is probably overloaded. With retries within a
+        # second, 200 balancers kept its queue full of calls that no balancer waited for.
         has_timed_out = isinstance(error, DiscoveryTimeoutError)
         if isinstance(error, DiscoveryOverloadedError) or (has_timed_out and self.has_no_list):
             delay_ms = self.backoff.overload_delay_ms()
--- a/glenrock/net/poll_backoff.py
+++ b/glenrock/net/poll_backoff.py
@@ -1,10 +1,11 @@
 """Timeouts and delays of one balancer's calls to service discovery: first call, retries, delay after a rejection.
 
 Where the endpoint list must be polled, discovery is one service for all balancers and handles one call at a time. The
-start of each watch is such a call. Calls are queued, and a call that has been queued for too long is rejected but still
-takes as much of discovery's time as an answered call. If all balancers called at the same time or retried within a
-second, the queue would stay full of calls that no balancer waits for any longer. So the delays grow with the number of
-balancers, until discovery can handle the calls of all of them.
+start of each watch is such a call; a watch that is continued costs nothing. Calls are queued, and a call that has been
+queued for too long is rejected but still takes as much of discovery's time as an answered call. If all balancers called
+at the same time or retried within a second, the queue would stay full of calls that no balancer waits for any longer,
+and no balancer would get the list. So the delays grow with the number of balancers, until discovery can handle the
+calls of all of them.
 
 This module uses no clock and does no I/O. Times are in milliseconds.
 """
@@ -16,8 +17,12 @@
 
 CALL_SPACING_MS = 250.0  # average time between calls of different balancers
 MAX_FIRST_CALL_DELAY_MS = 10_000.0  # with a cached list
-FIRST_CALL_SPACING_MS = 10.0  # average time between first calls without a cached list
+# Average time between first calls without a cached list. Short, since no client is served until the call is answered.
+FIRST_CALL_SPACING_MS = 10.0
 IMMEDIATE_FIRST_CALLS = 8  # up to this number of balancers make the first call without delay if they have no list
+# Each rejection shows that the calls of all balancers do not fit yet, so the delay grows until they do. Its bound grows
+# with their number: with a fixed bound, 200 balancers with calls of 100 ms kept the queue full of calls that no
+# balancer waited for, and only a fifth of the balancers got answers.
 MIN_OVERLOAD_DELAY_MS = 1000.0
 MAX_OVERLOAD_DELAY_MS = 20_000.0  # for up to 20 balancers; for more, MAX_OVERLOAD_SPACING_MS times their number
 MAX_OVERLOAD_SPACING_MS = 1000.0  # discovery may need a second for a call
@@ -27,12 +32,16 @@
 MAX_RETRY_DOUBLINGS = 6
 MAX_RETRY_DELAY_MS = 1000.0  # discovery must be reached again within 4 s of a change of its address
 
-# The protocol counts a change as reported at the latest 2 s after the end of the watch in which it happened, whether or
-# not the watch was answered. The drain grace of a server starts at that time.
+# By the protocol a change that a silent watch misses counts as reported 6 s after the watch fell silent, or 2 s after
+# the end of the watch if that is later. The grace of a draining server runs from then on, so the list must have been
+# read again before the grace ends.
 WATCH_TIMEOUT_MS = 10_000.0
 MISSED_CHANGE_GRACE_MS = 2000.0
-MAX_RESPONSE_GRACE_MS = 2500.0  # an overloaded discovery queues a call for up to 2 s
-# A change that an agent on this machine has received counts as reported at once, so watches of an agent are short.
+# An overloaded discovery queues a call for up to 2 s. The response to a caller that gives up earlier is lost, and the
+# call still takes discovery's time from other balancers.
+MAX_RESPONSE_GRACE_MS = 2500.0
+# A change that an agent on this machine has received counts as reported at once, whether or not a watch is open, and a
+# call to the agent costs nothing. So its watch is short: half of the drain grace, within these bounds.
 MIN_AGENT_WATCH_MS = 400.0
 MAX_AGENT_WATCH_MS = 3000.0
 AGENT_RESPONSE_GRACE_MS = 400.0
--- a/glenrock/net/server_connections.py
+++ b/glenrock/net/server_connections.py
@@ -32,7 +32,8 @@
         rows: rows of the endpoint list by server name; the rows of servers that are gone stay until `MAX_SERVERS` is
             reached.
         actors: actors by server name.
-        has_list: whether discovery has reported a whole endpoint list.
+        has_list: whether discovery has reported a whole endpoint list. Then a name that was never listed belongs to no
+            server.
         suspended: names of suspended servers, listed or not.
         post: takes events for routing. Coordination may replace it, so actors call `_post`, which reads it each time.
         connect_timeout_ms: the timeout for establishing a connection to a server.
