--- a/glenrock/net/poll_backoff.py
+++ b/glenrock/net/poll_backoff.py
@@ -32,9 +32,9 @@
 MAX_RETRY_DOUBLINGS = 6
 MAX_RETRY_DELAY_MS = 1000.0  # discovery must be reached again within 4 s of a change of its address
 
-# By the protocol a change that a silent watch misses counts as reported 6 s after the watch fell silent, or 2 s after
-# the end of the watch if that is later. The grace of a draining server runs from then on, so the list must have been
-# read again before the grace ends.
+# By the protocol a change that a silent watch misses counts as reported at the latest 6 s after the watch fell silent,
+# or 2 s after the end of its wait if that is later. The grace of a draining server runs from then on, so the list must
+# have been read again before the grace ends.
 WATCH_TIMEOUT_MS = 10_000.0
 MISSED_CHANGE_GRACE_MS = 2000.0
 # An overloaded discovery queues a call for up to 2 s. The response to a caller that gives up earlier is lost, and the
