--- a/glenrock/simulation/client_requests.py
+++ b/glenrock/simulation/client_requests.py
@@ -22,32 +22,32 @@
         if planned.load_changes:
             self.engine.at(self.start_us + planned.load_changes[0][0], self._change_load, client)
         if planned.end_us > planned.arrival_us:
-            self.engine.at(self.start_us + planned.end_us, self._finish, client)
+            self.engine.at(self.start_us + planned.end_us, self._end_connection, client)
 
     def load_of(self, client: Client) -> float:
         """Returns the load of a client's connection now, in microseconds of work a second."""
-        return client.planned.load_changes[max(0, client.next_change - 1)][1]
+        return client.planned.load_changes[max(0, client.next_change_index - 1)][1]
 
     def _change_load(self, client: Client) -> None:
         if client.is_done:
             return
-        client.next_change += 1
+        client.next_change_index += 1
         changes = client.planned.load_changes
-        if client.next_change < len(changes):
-            self.engine.at(self.start_us + changes[client.next_change][0], self._change_load, client)
+        if client.next_change_index < len(changes):
+            self.engine.at(self.start_us + changes[client.next_change_index][0], self._change_load, client)
         connection = client.connection
         if connection:
-            load = changes[client.next_change - 1][1]
+            load = changes[client.next_change_index - 1][1]
             server, request = connection.attempt.server, connection.attempt.request
             server.change_load(self.engine.now, connection, load)
             if self.experiment.reports.load_told and not connection.is_unreachable:
                 request.balancer.post(interface.ConnectionFeedback(request.id, server.name, load=load))
 
-    def _finish(self, client: Client) -> None:
+    def _end_connection(self, client: Client) -> None:
         client.is_done = True
         connection, request = client.connection, client.request
         if connection:
-            self.close(connection)
+            self.close_connection(connection)
             attempt = connection.attempt
             attempt.request.balancer.report_attempt_ended(attempt, AttemptOutcome.SERVED)
         elif request:
@@ -59,7 +59,7 @@
         now, planned = self.engine.now, client.planned
         client.request_count += 1
         self.measure.counts["tries"] += 1
-        balancer = self.front.pick(planned.zone)
+        balancer = self.front_end.select_balancer(planned.zone)
         deadline_us = now + self.request_timeouts_us[planned.class_index]
         due_us = now + self.links.client_one_way_us()
         self.engine.at(due_us, self._request_arrives, client, balancer, deadline_us, client.request_count)
@@ -75,9 +75,11 @@
         client.request = request
         self.invariants.record_event(self.engine.now, f"arrives at balancer {balancer.index}", request.id, "")
         balancer.receive_request(request, self.request_event(request))
-        gives_up_after_us = self.client_delays.draw_early_end(self.request_timeouts_us[client.planned.class_index])
-        if gives_up_after_us is not None:
-            self.engine.at(self.engine.now + gives_up_after_us, self._give_up_early, request)
+        disconnect_delay_us = self.client_delays.draw_disconnect_delay(
+            self.request_timeouts_us[client.planned.class_index]
+        )
+        if disconnect_delay_us is not None:
+            self.engine.at(self.engine.now + disconnect_delay_us, self._disconnect_early, request)
 
     def request_event(self, request: ClientRequest) -> interface.Request:
         """Returns the event that a balancer's policy receives for a request."""
@@ -89,11 +91,11 @@
             planned.number,
             planned.group,
             self.experiment.tenants[planned.tenant].name,
-            round(planned.usual_load) if self.experiment.traffic.hints else 0,
+            round(planned.base_load) if self.experiment.traffic.hints else 0,
             request.client.has_connected,
         )
 
-    def _give_up_early(self, request: ClientRequest) -> None:
+    def _disconnect_early(self, request: ClientRequest) -> None:
         client = request.client
         if client.request is request and not client.connection and not request.is_over:
             client.request = None
@@ -108,16 +110,16 @@
     def _disconnect_arrives(self, request: ClientRequest, incarnation: int) -> None:
         if request.balancer.incarnation != incarnation:
             return
-        if request.established:  # the answer crossed the disconnect
+        if request.established_attempt:  # the answer crossed the disconnect
             self.close_unwanted(request)
         elif request.outcome is None:
             request.balancer.receive_disconnect(request)
 
     def close_unwanted(self, request: ClientRequest) -> None:
         """Closes a connection that was set up for a client that had disconnected."""
-        attempt = request.established
+        attempt = request.established_attempt
         if attempt and attempt.connection:
-            self.close(attempt.connection)
+            self.close_connection(attempt.connection)
             request.balancer.report_attempt_ended(attempt, AttemptOutcome.SERVED)
 
     def _schedule_retry(self, client: Client, retry_after_us: int | None) -> None:
@@ -161,12 +163,12 @@
         if not request.attempts and took_us > LATE_REJECTION_FRACTION * allowed_us:
             self.measure.counts["held_back"] = self.measure.counts.get("held_back", 0) + 1
         if self._record_answer(request, "refused"):
-            self._deliver_retryable(request, retry_after_us)
+            self._schedule_retry_after_answer(request, retry_after_us)
 
     def deliver_failure(self, request: ClientRequest) -> None:
         """Delivers a failure; the client retries later."""
         if self._record_answer(request, "failed"):
-            self._deliver_retryable(request, None)
+            self._schedule_retry_after_answer(request, None)
 
     def report_overdue(self, request: ClientRequest) -> None:
         """Lets a client retry whose request had no answer in time."""
@@ -176,9 +178,9 @@
 
     def report_killed(self, request: ClientRequest) -> None:
         """Lets a client retry whose balancer ended before its answer."""
-        self._deliver_retryable(request, None)
+        self._schedule_retry_after_answer(request, None)
 
-    def _deliver_retryable(self, request: ClientRequest, retry_after_us: int | None) -> None:
+    def _schedule_retry_after_answer(self, request: ClientRequest, retry_after_us: int | None) -> None:
         client = request.client
         client.request = None
         due_us = self.engine.now + self.links.client_one_way_us()
@@ -190,21 +192,21 @@
 
     def migrate(self, request: ClientRequest) -> None:
         """Closes an open connection with a migration notice; its client reconnects."""
-        attempt = request.established
+        attempt = request.established_attempt
         connection = attempt.connection if attempt else None
         if attempt and connection and attempt.is_active:
             self.measure.counts["moved"] += 1
             self.invariants.record_event(self.engine.now, "moved", request.id, attempt.server.name)
-            self.close(connection)
+            self.close_connection(connection)
             request.balancer.report_attempt_ended(attempt, AttemptOutcome.CANCELLED)
             self.reconnect_after(connection.attempt.request.client, self.client_delays.delay_after_migration())
 
-    def cut_off(self, request: ClientRequest) -> None:
+    def close_without_notice(self, request: ClientRequest) -> None:
         """Closes an open connection without a notice; its client reconnects as after a break."""
-        attempt = request.established
+        attempt = request.established_attempt
         if attempt and attempt.connection:
             connection = attempt.connection
-            self.close(connection)
+            self.close_connection(connection)
             request.balancer.report_attempt_ended(attempt, AttemptOutcome.CANCELLED)
             self.reconnect_after(connection.attempt.request.client, self.client_delays.delay_after_break())
 
--- a/glenrock/simulation/connection_accounting.py
+++ b/glenrock/simulation/connection_accounting.py
@@ -11,17 +11,17 @@
 class ConnectionAccounting(FleetState):
     """The part of a simulation that ends connections and counts their seconds."""
 
-    def credit(self, connection: Connection[Attempt]) -> None:
+    def credit_tenant(self, connection: Connection[Attempt]) -> None:
         """Credits a tenant with the seconds that its connection was served in time since the last credit."""
         if self.is_over:
             return
         self.measure.record_tenant_served(connection.attempt.request.client.planned, connection.uncredited_s)
         connection.uncredited_s = 0.0
 
-    def close(self, connection: Connection[Attempt]) -> None:
+    def close_connection(self, connection: Connection[Attempt]) -> None:
         """Closes a connection at its server, and counts its seconds."""
         connection.attempt.server.close(self.engine.now, connection)
-        self.credit(connection)
+        self.credit_tenant(connection)
         self.count_open_time(connection)
         client = connection.attempt.request.client
         if client.connection is connection:
--- a/glenrock/simulation/engine.py
+++ b/glenrock/simulation/engine.py
@@ -35,17 +35,17 @@
 
     def __init__(self, start_us: int = 0) -> None:
         self.now, self.events = start_us, 0
-        self.due: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
-        self.count = 0
+        self.scheduled: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
+        self.scheduled_count = 0
 
     def at(self, time_us: int, call: Callable[..., None], *arguments: Any) -> None:
         """Schedules a call; a time that has passed means now."""
-        self.count += 1
-        heappush(self.due, (time_us if time_us > self.now else self.now, self.count, call, arguments))
+        self.scheduled_count += 1
+        heappush(self.scheduled, (time_us if time_us > self.now else self.now, self.scheduled_count, call, arguments))
 
     def run(self, until_us: int) -> None:
         """Makes all calls that are due up to and at that time, and sets the clock to it."""
-        due = self.due
+        due = self.scheduled
         while due and due[0][0] <= until_us:
             self.now, _, call, arguments = heappop(due)
             self.events += 1
--- a/glenrock/simulation/fleet_simulation.py
+++ b/glenrock/simulation/fleet_simulation.py
@@ -13,13 +13,13 @@
 from glenrock.routing import interface
 
 from . import faults, policies
-from .balancer_settings import settings_of
+from .balancer_settings import make_settings
 from .engine import SECOND_US, Engine
 from .measure import FaultPeriod, rounded
 from .model import workload as workloads
 from .model.balancer import BalancerProcess, Policy, PolicyFailedError
 from .model.feed import EndpointFeed
-from .model.front import Front
+from .model.front import FrontEnd
 from .model.requests import Attempt, Client, ClientRequest, RequestOutcome
 from .model.server import Connection, ServerModel
 from .policies import module
@@ -50,7 +50,7 @@
         engine: Engine | None = None,
     ) -> None:
         super().__init__(experiment, seed, policy, engine)
-        self._make_policy = make_policy or policies.make(policy)
+        self._make_policy = make_policy or policies.policy_factory(policy)
         for number, shape in enumerate(self.server_shapes):
             name = f"10.{number >> 16 & 255}.{number >> 8 & 255}.{number & 255}:7000"
             server = self.servers[name] = ServerModel(
@@ -65,7 +65,7 @@
             )
             server.computed_until_us = self.start_us
         self._build_balancers()
-        self.front = Front(self.experiment.front, self.balancers, len(self.zones), self.engine, self.streams)
+        self.front_end = FrontEnd(self.experiment.front, self.balancers, len(self.zones), self.engine, self.streams)
         self.feed = EndpointFeed(self.experiment.discovery, self.balancers, self.engine, self.streams)
         if self.experiment.platform.probe_shards:
             slow_start_s = self.experiment.rules.cold_s
@@ -75,13 +75,13 @@
 
     def _build_balancers(self) -> None:
         count = drawn_count(self.experiment.fleet.balancers)
-        draw = self.streams.of("balancer seeds")
+        draw = self.streams.generator("balancer seeds")
         seeds = draw.integers(1, 1 << 62, size=count).tolist()
         tick_us = max(1, round(self.experiment.platform.tick_ms * 1000))
 
         def build(index: int, incarnation: int) -> Policy:
             zone = self.zones[index % len(self.zones)]
-            settings = settings_of(self.experiment, index, zone, self.workload.quotas)
+            settings = make_settings(self.experiment, index, zone, self.workload.quotas)
             policy = self._make_policy(settings, seeds[index] + incarnation)
             if isinstance(policy, Oracle):
                 policy.observe(self, self.balancers[index])
@@ -100,7 +100,7 @@
         collects_garbage = gc.isenabled()
         gc.disable()
         try:
-            with module.constants(self.experiment.constants):
+            with module.override_constants(self.experiment.constants):
                 self.prepare()
                 drain_us = round(self.experiment.drain_s * SECOND_US)
                 self.engine.run(self.start_us + self.length_us + drain_us)
@@ -145,7 +145,7 @@
             self.faults.append(FaultPeriod(str(kind), rounded(at_s), rounded(end_s)))
             due_us = self.start_us + round(at_s * SECOND_US)
             inject = faults.FAULTS[type(fault)]
-            self.engine.at(due_us, inject, self, fault, self.streams.of(f"fault {number}"))
+            self.engine.at(due_us, inject, self, fault, self.streams.generator(f"fault {number}"))
 
     def _place_open_connections(self) -> workloads.PlannedClient | None:
         """Opens the connections of clients that arrived before the run, alike under every policy.
@@ -162,7 +162,7 @@
             self.measure.counts["clients"] += 1
             weights = cumulative_weights[planned.zone]
             chosen = min(len(servers) - 1, bisect_right(weights, draw() * weights[-1]))
-            balancer = self.front.pick(planned.zone)
+            balancer = self.front_end.select_balancer(planned.zone)
             if balancer:
                 self._place_open_connection(planned, balancer, servers[chosen])
         return None
@@ -185,7 +185,7 @@
         request.is_answered, request.outcome = True, RequestOutcome.ESTABLISHED
         attempt = Attempt(request, 0, server, now, is_established=True)
         request.attempts.append(attempt)
-        request.established = attempt
+        request.established_attempt = attempt
         balancer.requests[request.id] = request
         balancer.post(interface.OpenConnection(self.request_event(request), server.name))
         server.pending_attempts[attempt] = True
@@ -231,14 +231,16 @@
             capacity = server.capacity(self.engine.now)
             measure.relative_loads[server.number, second] = server.demand / capacity if capacity > 0 else 0.0
         if server.open_connections:
-            message_us = int(min(MAX_RECORDED_US, max(1, server.message_us)))
+            message_us = int(min(MAX_RECORDED_US, max(1, server.mean_message_us)))
             measure.messages.record_value(message_us, len(server.open_connections))
             self._report_slow_messages(server)
         return server.demand
 
     def _record_series(self, second: int, load: float) -> None:
         measure, capacity = self.measure, self.workload.capacity
-        gauges = [gauge for balancer in self.balancers if balancer.is_up and (gauge := module.gauges(balancer.policy))]
+        gauges = [
+            gauge for balancer in self.balancers if balancer.is_up and (gauge := module.read_gauges(balancer.policy))
+        ]
         caps = [cap for cap, _ in gauges if cap != float("inf")]
         measure.record_sample(
             second,
@@ -257,7 +259,7 @@
         """Reports slow messages over one connection of each balancer, and once that they are fast again."""
         if not self.experiment.reports.delay_told:
             return
-        is_slow = server.message_us > self.server_parameters.shortest_objective_us / SLOW_MESSAGE_DIVISOR
+        is_slow = server.mean_message_us > self.server_parameters.shortest_objective_us / SLOW_MESSAGE_DIVISOR
         if not is_slow and not any((server.name, b.index) in self.slow_reported for b in self.balancers):
             return
         by_balancer: dict[int, Connection[Attempt]] = {}
@@ -269,7 +271,7 @@
             if is_slow or key in self.slow_reported:
                 (self.slow_reported.add if is_slow else self.slow_reported.discard)(key)
                 request = connection.attempt.request
-                message_us = min(server.message_us, MAX_REPORTED_US)
+                message_us = min(server.mean_message_us, MAX_REPORTED_US)
                 request.balancer.post(interface.ConnectionFeedback(request.id, server.name, message_us=message_us))
 
     def _end_measuring(self) -> None:
@@ -283,7 +285,7 @@
                         server.served_s_by_class[connection.class_index] - connection.served_s_at_credit
                     )
                     connection.served_s_at_credit = server.served_s_by_class[connection.class_index]
-                self.credit(connection)
+                self.credit_tenant(connection)
                 connection.priority_weight = 0.0
             server.weight_by_class = [0.0] * len(server.weight_by_class)
         self.measure.record_tenant_demand(self.workload.clients, self.length_us)
--- a/glenrock/simulation/fleet_state.py
+++ b/glenrock/simulation/fleet_state.py
@@ -10,7 +10,7 @@
 from .model.balancer import BalancerProcess
 from .model.client_delays import ClientDelays
 from .model.feed import EndpointFeed
-from .model.front import Front
+from .model.front import FrontEnd
 from .model.links import Links
 from .model.requests import Attempt, Client
 from .model.server import ServerModel
@@ -27,7 +27,7 @@
 
     Attributes:
         experiment: the experiment as drawn for the seed.
-        balancers, front, feed: set by `FleetSimulation`, since they call it.
+        balancers, front_end, feed: set by `FleetSimulation`, since they call it.
         error_chances: servers that answer ERR to attempts, by name, and the chance of it.
         slow_reported: server and balancer, where the balancer was told of slow messages.
         shared_health_checks: None unless the experiment has shards of health checks.
@@ -38,7 +38,7 @@
     """
 
     balancers: list[BalancerProcess]
-    front: Front
+    front_end: FrontEnd
     feed: EndpointFeed
 
     def __init__(self, experiment: Experiment, seed: int, policy: str, engine: Engine | None) -> None:
--- a/glenrock/simulation/model/balancer.py
+++ b/glenrock/simulation/model/balancer.py
@@ -59,7 +59,7 @@
     def migrate(self, request: ClientRequest) -> None:
         """Asks the client of an open connection to reconnect elsewhere."""
 
-    def cut_off(self, request: ClientRequest) -> None:
+    def close_without_notice(self, request: ClientRequest) -> None:
         """Closes an open connection without a notice to its client."""
 
     def send_health_check(self, balancer: BalancerProcess, server: str) -> None:
@@ -107,7 +107,7 @@
         self.tick_us, self.make_policy = tick_us, make_policy
         self.is_up, self.incarnation, self.last_delivery_us = False, 0, 0
         self.policy: Policy | None = None
-        self.inbox: list[interface.Event] = []
+        self.pending_events: list[interface.Event] = []
         self.requests: dict[str, ClientRequest] = {}
         self.endpoints: dict[str, interface.Endpoint] = {}
         self.known_servers: set[str] = set()
@@ -125,7 +125,7 @@
         """Starts a new incarnation with the cached endpoint list."""
         self.incarnation += 1
         self.is_up, self.policy = True, self.make_policy(self.index, self.incarnation)
-        self.inbox, self.requests, self.batch_is_due = [], {}, False
+        self.pending_events, self.requests, self.batch_is_due = [], {}, False
         self.closed_requests.clear()
         self.known_servers.clear()
         self.draining_since_us.clear()
@@ -138,14 +138,14 @@
         """Ends the process. Returns the requests that it held."""
         held = list(self.requests.values())
         self.is_up, self.incarnation, self.policy = False, self.incarnation + 1, None
-        self.inbox, self.requests, self.batch_is_due = [], {}, False
+        self.pending_events, self.requests, self.batch_is_due = [], {}, False
         return held
 
     # -- events --------------------------------------------------------------------------------------
 
     def post(self, event: interface.Event) -> None:
         """Queues an event for the batch at the next tick."""
-        self.inbox.append(event)
+        self.pending_events.append(event)
         if not self.batch_is_due:
             self.batch_is_due = True
             due_us = -(-self.engine.now // self.tick_us) * self.tick_us
@@ -158,23 +158,23 @@
     def _handle_batch(self, incarnation: int) -> None:
         if incarnation != self.incarnation or not self.is_up:
             return
-        events, self.inbox, self.batch_is_due = self.inbox, [], False
+        events, self.pending_events, self.batch_is_due = self.pending_events, [], False
         self.batches += 1
         self._forget_closed_requests()
         self.handled_events += len(events)
-        for action in self._decide(events):
-            if perform := ACTIONS.get(type(action)):
+        for action in self._call_policy(events):
+            if perform := ACTION_HANDLERS.get(type(action)):
                 perform(self, action)
             else:
                 raise PolicyFailedError(f"not an action: {action!r}")
 
     def _forget_closed_requests(self) -> None:
-        while self.closed_requests and self.closed_requests[0].over_in_batch < self.batches - 1:
+        while self.closed_requests and self.closed_requests[0].closed_in_batch < self.batches - 1:
             request = self.closed_requests.popleft()
             if not any(attempt.is_active for attempt in request.attempts):
                 self.requests.pop(request.id, None)
 
-    def _decide(self, events: list[interface.Event]) -> list[interface.Action]:
+    def _call_policy(self, events: list[interface.Event]) -> list[interface.Action]:
         begun_ns = perf_counter_ns()
         try:
             actions = self.policy.handle(self.engine.now, events)  # type: ignore[union-attr]
@@ -242,7 +242,7 @@
         self.post(interface.ClientDisconnected(request.id))
 
     def _close_request(self, request: ClientRequest) -> None:
-        request.is_over, request.over_in_batch = True, self.batches
+        request.is_over, request.closed_in_batch = True, self.batches
         self.closed_requests.append(request)
 
     # -- ends of attempts ----------------------------------------------------------------------------
@@ -250,7 +250,7 @@
     def report_established(self, attempt: Attempt) -> None:
         """Tells the policy that the connection of an attempt is open."""
         request = attempt.request
-        request.is_answered, request.established, attempt.is_established = True, attempt, True
+        request.is_answered, request.established_attempt, attempt.is_established = True, attempt, True
         self.record_outcome(request, RequestOutcome.ESTABLISHED)
         took_us = self.engine.now - attempt.sent_us
         self.post(interface.ConnectionEstablished(request.id, attempt.number, attempt.server.name, took_us))
@@ -277,7 +277,7 @@
         request = self.requests.get(action.request_id)
         if request is None or request.is_over:
             # An end that the policy has read, or decided itself, binds it; one that it has yet to read does not.
-            if request is None or request.was_ended_by_policy or request.over_in_batch < self.batches - 1:
+            if request is None or request.was_ended_by_policy or request.closed_in_batch < self.batches - 1:
                 self.environment.record_violation("answered", "sent after its end", request, action.server_id)
             return
         server = self.environment.servers.get(action.server_id)
@@ -302,9 +302,9 @@
         if any(attempt.is_active for attempt in request.attempts):
             self.environment.record_violation("repeated", "two attempts at once", request, server)
         times_us = (self.draining_since_us.get(server), self.suspended_since_us.get(server))
-        told_us = min((at_us for at_us in times_us if at_us is not None), default=None)
-        if told_us is not None and self.engine.now > told_us + self.environment.drain_grace_us:
-            late_s = (self.engine.now - told_us) / 1e6
+        reported_us = min((at_us for at_us in times_us if at_us is not None), default=None)
+        if reported_us is not None and self.engine.now > reported_us + self.environment.drain_grace_us:
+            late_s = (self.engine.now - reported_us) / 1e6
             self.environment.record_violation("drained", f"sent {late_s:.3f} s after it was told", request, server)
 
     def _on_cancel_attempt(self, action: interface.CancelAttempt) -> None:
@@ -319,7 +319,7 @@
         if attempt.is_established and attempt.is_active:
             text = "a standing connection ended without MOVE"
             self.environment.record_violation("cut off", text, request, attempt.server.name)
-            self.environment.cut_off(request)
+            self.environment.close_without_notice(request)
         elif attempt.is_active:
             self.environment.abandon_attempt(attempt)
             self.report_attempt_ended(attempt, AttemptOutcome.CANCELLED)
@@ -366,7 +366,7 @@
         self.environment.watch_endpoints(self)
 
 
-ACTIONS: dict[type, Callable[[BalancerProcess, Any], None]] = {
+ACTION_HANDLERS: dict[type, Callable[[BalancerProcess, Any], None]] = {
     interface.StartAttempt: BalancerProcess._on_start_attempt,
     interface.CancelAttempt: BalancerProcess._on_cancel_attempt,
     interface.Reject: BalancerProcess._on_reject,
--- a/glenrock/simulation/model/client_delays.py
+++ b/glenrock/simulation/model/client_delays.py
@@ -18,36 +18,36 @@
 
     def __init__(self, spec: ClientsSpec, streams: Streams) -> None:
         self.spec = spec
-        self.draw, self.draw_exponential = streams.uniforms("habits"), streams.exponentials("habit waits")
+        self.draw_uniform, self.draw_exponential = streams.uniforms("habits"), streams.exponentials("habit waits")
         self.backoff_us = drawn_number(spec.backoff_ms) * 1000
-        self.pause_us = drawn_number(spec.pause_ms) * 1000
-        self.rejoin_us = drawn_number(spec.rejoin_ms) * 1000
-        self.move_us = drawn_number(spec.move_ms) * 1000
+        self.long_backoff_us = drawn_number(spec.pause_ms) * 1000
+        self.reconnect_us = drawn_number(spec.rejoin_ms) * 1000
+        self.migration_reconnect_us = drawn_number(spec.move_ms) * 1000
         self.honoring_fraction = drawn_number(spec.honour)
         self.impatient_fraction = drawn_number(spec.impatient)
-        self.fast_retries = drawn_count(spec.retries)
+        self.backoff_retries = drawn_count(spec.retries)
 
     def delay_after_failure(self, client: Client) -> int:
         """Draws the delay until a client retries after a failure: a backoff first, later a longer pause."""
-        if client.failures <= self.fast_retries:
+        if client.failures <= self.backoff_retries:
             factor = {"double": 2.0 ** (client.failures - 1), "fixed": 1.0, "none": 0.0}[self.spec.backoff]
-            return round(self.backoff_us * factor * (0.5 + self.draw()))
-        return round(self.pause_us * (0.5 + self.draw()))
+            return round(self.backoff_us * factor * (0.5 + self.draw_uniform()))
+        return round(self.long_backoff_us * (0.5 + self.draw_uniform()))
 
     def delay_after_rejection(self, client: Client, retry_after_us: int) -> int:
         """Draws the delay until a client retries after a rejection that asked for `retry_after_us`."""
-        if retry_after_us > 0 and self.draw() < self.honoring_fraction:
+        if retry_after_us > 0 and self.draw_uniform() < self.honoring_fraction:
             return retry_after_us
         return self.delay_after_failure(client)
 
     def delay_after_break(self) -> int:
         """Draws the delay until a client reconnects after its connection broke."""
-        return round(self.rejoin_us * self.draw_exponential())
+        return round(self.reconnect_us * self.draw_exponential())
 
     def delay_after_migration(self) -> int:
         """Draws the delay until a client reconnects after a migration notice."""
-        return round(self.move_us * (0.5 + self.draw()))
+        return round(self.migration_reconnect_us * (0.5 + self.draw_uniform()))
 
-    def draw_early_end(self, timeout_us: int) -> int | None:
+    def draw_disconnect_delay(self, timeout_us: int) -> int | None:
         """Draws when an impatient client gives a request up; None if the client is patient."""
-        return round(timeout_us * self.draw()) if self.draw() < self.impatient_fraction else None
+        return round(timeout_us * self.draw_uniform()) if self.draw_uniform() < self.impatient_fraction else None
--- a/glenrock/simulation/model/feed.py
+++ b/glenrock/simulation/model/feed.py
@@ -30,8 +30,8 @@
 
     def __init__(self, spec: Discovery, balancers: list[BalancerProcess], engine: Engine, streams: Streams) -> None:
         self.spec, self.balancers, self.engine = spec, balancers, engine
-        self.spread_us = round(drawn_number(spec.spread_ms) * 1000)
-        self.draw = streams.uniforms("feed")
+        self.max_delivery_delay_us = round(drawn_number(spec.spread_ms) * 1000)
+        self.draw_uniform = streams.uniforms("feed")
         self.endpoints: dict[str, interface.Endpoint] = {}
         self.silent_until_us = 0
         self.cached_list_age_us = 0
@@ -81,27 +81,29 @@
 
     def _deliver(self, balancer: BalancerProcess, endpoint_list: interface.EndpointList) -> None:
         """Delivers a list after a drawn delay, in order."""
-        due_us = max(self.engine.now + round(self.draw() * self.spread_us), balancer.last_delivery_us)
+        due_us = max(
+            self.engine.now + round(self.draw_uniform() * self.max_delivery_delay_us), balancer.last_delivery_us
+        )
         balancer.last_delivery_us = due_us
-        self.engine.at(due_us, self._arrive, balancer, balancer.incarnation, endpoint_list)
+        self.engine.at(due_us, self._receive_list, balancer, balancer.incarnation, endpoint_list)
 
-    def _arrive(self, balancer: BalancerProcess, incarnation: int, endpoint_list: interface.EndpointList) -> None:
+    def _receive_list(self, balancer: BalancerProcess, incarnation: int, endpoint_list: interface.EndpointList) -> None:
         if balancer.incarnation == incarnation and balancer.is_up:
             balancer.receive_endpoints(endpoint_list)
 
     def _full_list(self) -> interface.EndpointList:
-        return interface.EndpointList(EndpointListKind.FULL, _present(self.endpoints))
+        return interface.EndpointList(EndpointListKind.FULL, _listed_endpoints(self.endpoints))
 
     def cached_list(self, balancer: BalancerProcess) -> interface.EndpointList:
         """Returns the cached list of a balancer that starts: its last one, or an older one during a fault."""
         if not self.cached_list_age_us:
-            return interface.EndpointList(EndpointListKind.CACHED, _present(balancer.endpoints))
+            return interface.EndpointList(EndpointListKind.CACHED, _listed_endpoints(balancer.endpoints))
         as_of_us = self.engine.now - self.cached_list_age_us
         endpoints = dict(self.initial_endpoints)
         for at_us, endpoint in self.history:
             if at_us <= as_of_us:
                 endpoints[endpoint.server_id] = endpoint
-        return interface.EndpointList(EndpointListKind.CACHED, _present(endpoints))
+        return interface.EndpointList(EndpointListKind.CACHED, _listed_endpoints(endpoints))
 
     def balancer_started(self, balancer: BalancerProcess) -> None:
         """Sends the whole list to a balancer that has started, where lists are pushed."""
@@ -124,7 +126,7 @@
     def watch(self, balancer: BalancerProcess) -> None:
         """Handles a balancer's call to watch the list, which may fail."""
         is_silent = self.engine.now < self.silent_until_us
-        has_failed = is_silent or self.draw() < drawn_number(self.spec.ask_failures)
+        has_failed = is_silent or self.draw_uniform() < drawn_number(self.spec.ask_failures)
         due_us = self.engine.now + round(drawn_number(self.spec.ask_ms) * 1000)
         self.engine.at(due_us, self._answer_watch, balancer, balancer.incarnation, has_failed)
 
@@ -138,5 +140,5 @@
             self._deliver(balancer, self._full_list())
 
 
-def _present(endpoints: dict[str, interface.Endpoint]) -> tuple[interface.Endpoint, ...]:
+def _listed_endpoints(endpoints: dict[str, interface.Endpoint]) -> tuple[interface.Endpoint, ...]:
     return tuple(endpoint for endpoint in endpoints.values() if endpoint.state != EndpointState.GONE)
--- a/glenrock/simulation/model/front.py
+++ b/glenrock/simulation/model/front.py
@@ -3,39 +3,39 @@
 from __future__ import annotations
 
 from ..engine import SECOND_US, Engine
-from ..spec_tables import Front as FrontSpec
+from ..spec_tables import Front as FrontEndSpec
 from ..spec_types import drawn_number
 from ..streams import Streams
 from .balancer import BalancerProcess
 
 
-class Front:
+class FrontEnd:
     """The load balancer before the balancers.
 
     Attributes:
-        notice_us: time until a balancer that has ended gets no more clients.
-        admit_us: time until a balancer that has started gets clients.
+        detection_delay_us: time until a balancer that has ended gets no more clients.
+        admission_delay_us: time until a balancer that has started gets clients.
         in_rotation: by zone, the balancers that get clients, by index.
     """
 
     def __init__(
-        self, spec: FrontSpec, balancers: list[BalancerProcess], zones: int, engine: Engine, streams: Streams
+        self, spec: FrontEndSpec, balancers: list[BalancerProcess], zones: int, engine: Engine, streams: Streams
     ) -> None:
-        self.notice_us = round(drawn_number(spec.notice_s) * SECOND_US)
-        self.admit_us = round(drawn_number(spec.admit_s) * SECOND_US)
-        self.engine, self.draw = engine, streams.uniforms("front")
+        self.detection_delay_us = round(drawn_number(spec.notice_s) * SECOND_US)
+        self.admission_delay_us = round(drawn_number(spec.admit_s) * SECOND_US)
+        self.engine, self.draw_uniform = engine, streams.uniforms("front")
         self.in_rotation: list[list[BalancerProcess]] = [
             [balancer for balancer in balancers if balancer.zone == zone] for zone in range(zones)
         ]
 
-    def pick(self, zone: int) -> BalancerProcess | None:
+    def select_balancer(self, zone: int) -> BalancerProcess | None:
         """Returns a balancer of the zone, of any zone if it has none, or None if there is none at all."""
         candidates = self.in_rotation[zone] or [balancer for balancers in self.in_rotation for balancer in balancers]
-        return candidates[int(self.draw() * len(candidates))] if candidates else None
+        return candidates[int(self.draw_uniform() * len(candidates))] if candidates else None
 
     def balancer_ended(self, balancer: BalancerProcess) -> None:
         """Takes a balancer whose process has ended out of rotation, after the time to notice it."""
-        self.engine.at(self.engine.now + self.notice_us, self._remove_if_down, balancer, balancer.incarnation)
+        self.engine.at(self.engine.now + self.detection_delay_us, self._remove_if_down, balancer, balancer.incarnation)
 
     def _remove_if_down(self, balancer: BalancerProcess, incarnation: int) -> None:
         if balancer.incarnation == incarnation and not balancer.is_up:
@@ -48,7 +48,7 @@
 
     def balancer_started(self, balancer: BalancerProcess) -> None:
         """Puts a balancer that has started into rotation, after the time to admit it."""
-        self.engine.at(self.engine.now + self.admit_us, self.add, balancer, balancer.incarnation)
+        self.engine.at(self.engine.now + self.admission_delay_us, self.add, balancer, balancer.incarnation)
 
     def add(self, balancer: BalancerProcess, incarnation: int) -> None:
         """Puts a balancer into rotation, unless that incarnation has ended."""
--- a/glenrock/simulation/model/links.py
+++ b/glenrock/simulation/model/links.py
@@ -19,7 +19,7 @@
         self.same_zone_us = drawn_number(network.same_ms) * 1000
         self.cross_zone_us = drawn_number(network.cross_ms) * 1000
         self.client_us, self.jitter = drawn_number(network.client_ms) * 1000, drawn_number(network.jitter)
-        self.peer_us, self.peer_loss = drawn_number(network.peer_ms) * 1000, drawn_number(network.peer_loss)
+        self.peer_delay_us, self.peer_loss = drawn_number(network.peer_ms) * 1000, drawn_number(network.peer_loss)
         self.peer_delivery_fraction = 1.0
         self.partitioned_zones: set[int] = set()
         self.draw_exponential = streams.exponentials("links")
@@ -47,4 +47,4 @@
             return None
         if self.draw_loss() >= (1 - self.peer_loss) * self.peer_delivery_fraction:
             return None
-        return self.one_way_us(zone, other_zone) + round(self.peer_us * self.draw_exponential())
+        return self.one_way_us(zone, other_zone) + round(self.peer_delay_us * self.draw_exponential())
--- a/glenrock/simulation/model/requests.py
+++ b/glenrock/simulation/model/requests.py
@@ -61,7 +61,7 @@
         waiting_since_us: since when the client has no connection, or -1.
         request: the request that is pending or established.
         has_connected: whether it had a connection before; a request is then a reconnect.
-        next_change: index of the next change of load in the row.
+        next_change_index: index of the next change of load in the row.
     """
 
     planned: PlannedClient
@@ -72,7 +72,7 @@
     connection: Connection[Attempt] | None = None
     has_connected: bool = False
     is_done: bool = False
-    next_change: int = 0
+    next_change_index: int = 0
 
 
 @dataclass(slots=True, eq=False)
@@ -98,10 +98,10 @@
     """A client's request at one balancer, from its arrival to the end of its connection.
 
     Attributes:
-        established: the attempt whose connection was set up.
+        established_attempt: the attempt whose connection was set up.
         was_ended_by_policy: whether the policy itself answered with a rejection or a failure.
         outcome: None until the request is concluded.
-        over_in_batch: number of batches handled when the end was posted; the policy reads it in the next one.
+        closed_in_batch: number of batches handled when the end was posted; the policy reads it in the next one.
     """
 
     id: str
@@ -111,12 +111,12 @@
     deadline_us: int
     attempts: list[Attempt] = field(default_factory=list)
     is_answered: bool = False
-    established: Attempt | None = None
+    established_attempt: Attempt | None = None
     is_over: bool = False
     was_ended_by_policy: bool = False
     outcome: RequestOutcome | None = None
-    over_in_batch: int = 0
+    closed_in_batch: int = 0
 
     def open_attempt(self) -> Attempt | None:
         """Returns the attempt whose connection is open now, if there is one."""
-        return self.established if self.established and self.established.is_active else None
+        return self.established_attempt if self.established_attempt and self.established_attempt.is_active else None
--- a/glenrock/simulation/model/server.py
+++ b/glenrock/simulation/model/server.py
@@ -23,11 +23,11 @@
 AttemptT = TypeVar("AttemptT")  # an attempt to set up a connection, as the caller knows it; a key here
 
 MIN_SETUP_SPEED = 0.15  # of a core, for an attempt beside open connections
-MIN_CROWDED_SPEED = 0.2  # of a core, with many attempts at once
-BUDGET_SLACK_LOADS = 5.0  # usual loads added to the slow-start budget, since arrivals vary
+MIN_CONTENDED_SPEED = 0.2  # of a core, with many attempts at once
+BUDGET_SLACK_CONNECTIONS = 5.0  # usual loads added to the slow-start budget, since arrivals vary
 SHED_TO_FRACTION = 0.8  # of its capacity, to which a server that sheds closes connections
 MIN_CAPACITY = 1e-9  # divides in place of 0
-KEPT_REPORTS = 8
+MAX_KEPT_REPORTS = 8
 
 
 class SetupAnswer(StrEnum):
@@ -78,7 +78,7 @@
         record_served: called with time, class and priority weight of what was served.
         cell: failure domain within the zone.
         started_us: when the process started; 0: before the run.
-        was_overloaded_while_cold: whether it was overloaded while cold; it does not start again.
+        was_overloaded_while_warming_up: whether it was overloaded while cold; it does not start again.
         incarnation: number of ends of its process; a callback of an earlier incarnation has no effect.
         speed_fraction: fraction of its speed that a fault leaves.
         computed_until_us: time up to which the flow of work is computed.
@@ -95,7 +95,7 @@
         load_reports: load reports and their times.
         slow_start_arrivals: attempts sent while cold: time, load, and whether the balancer knew of the start.
         slow_start_load: load of those within the budget's window.
-        message_us: mean time of a message now.
+        mean_message_us: mean time of a message now.
     """
 
     name: str
@@ -108,7 +108,7 @@
     cell: int = 0
     started_us: int = 0
     is_up: bool = True
-    was_overloaded_while_cold: bool = False
+    was_overloaded_while_warming_up: bool = False
     is_draining: bool = False
     incarnation: int = 0
     speed_fraction: float = 1.0
@@ -123,20 +123,20 @@
     connections_by_group: dict[int, int] = field(default_factory=dict)
     weight_by_class: list[float] = field(default_factory=list)
     served_s_by_class: list[float] = field(default_factory=list)
-    load_reports: deque[tuple[int, dict[str, float]]] = field(default_factory=lambda: deque(maxlen=KEPT_REPORTS))
+    load_reports: deque[tuple[int, dict[str, float]]] = field(default_factory=lambda: deque(maxlen=MAX_KEPT_REPORTS))
     work_counts: WorkCounts = field(default_factory=WorkCounts)
     slow_start_arrivals: deque[tuple[int, float, bool]] = field(default_factory=deque)
     slow_start_load: float = 0.0
-    message_us: float = 0.0
+    mean_message_us: float = 0.0
 
     def __post_init__(self) -> None:
         self.weight_by_class = [0.0] * len(self.parameters.message_objectives_us)
         self.served_s_by_class = [0.0] * len(self.parameters.message_objectives_us)
-        self.message_us = self.parameters.message_us
+        self.mean_message_us = self.parameters.message_work_us
 
     # -- capacity ------------------------------------------------------------------------------------
 
-    def warm_fraction(self, now: int) -> float:
+    def slow_start_fraction(self, now: int) -> float:
         """Returns the fraction of its capacity that the slow start allows."""
         if not self.started_us or now - self.started_us >= self.shape.slow_start_us:
             return 1.0
@@ -146,9 +146,9 @@
     def core_rate(self, now: int) -> float:
         """Returns the work a second of one core."""
         shape = self.shape
-        excess = (self.running_setups + len(self.queue)) / shape.cores - shape.crowding_threshold
-        efficiency = max(MIN_CROWDED_SPEED, 1 - shape.crowding_loss * excess) if excess > 0 else 1.0
-        return SECOND_US * shape.speed * self.speed_fraction * self.warm_fraction(now) * efficiency
+        excess = (self.running_setups + len(self.queue)) / shape.cores - shape.contention_threshold
+        efficiency = max(MIN_CONTENDED_SPEED, 1 - shape.contention_loss * excess) if excess > 0 else 1.0
+        return SECOND_US * shape.speed * self.speed_fraction * self.slow_start_fraction(now) * efficiency
 
     def capacity(self, now: int) -> float:
         """Returns the work a second of all cores."""
@@ -158,15 +158,15 @@
 
     def advance(self, now: int) -> None:
         """Computes the flow of work up to now; since the last call only the slow start has changed anything."""
-        span_us = now - self.computed_until_us
-        if span_us <= 0:
+        elapsed_us = now - self.computed_until_us
+        if elapsed_us <= 0:
             return
         if self.is_up:
-            self._report_load(now)
-            self._flow(now, span_us / SECOND_US)
+            self._update_load_report(now)
+            self._process_work(now, elapsed_us / SECOND_US)
         self.computed_until_us = now
 
-    def _flow(self, now: int, seconds: float) -> None:
+    def _process_work(self, now: int, seconds: float) -> None:
         capacity = self.capacity(now)
         available = max(0.0, capacity - self.setup_work_rate)
         demanded = self.demand * seconds
@@ -178,24 +178,24 @@
             mean_backlog_us = (self.backlog + backlog) / 2 / capacity * SECOND_US
             self._serve_messages(seconds, utilization, mean_backlog_us)
         else:
-            self.message_us = float("inf")
+            self.mean_message_us = float("inf")
         self.backlog = backlog
 
     def _serve_messages(self, seconds: float, utilization: float, backlog_us: float) -> None:
         parameters, cores = self.parameters, self.shape.cores
-        work_us, bursty = parameters.message_us, parameters.bursty
+        work_us, burstiness = parameters.message_work_us, parameters.burstiness
         if utilization > 0 or backlog_us > 0:
-            self.message_us = waits.mean_us(cores, utilization, work_us, bursty, backlog_us)
+            self.mean_message_us = waits.mean_message_us(cores, utilization, work_us, burstiness, backlog_us)
         else:
-            self.message_us = work_us
+            self.mean_message_us = work_us
         for class_index, weight in enumerate(self.weight_by_class):
             if weight:
                 objective_us = parameters.message_objectives_us[class_index]
-                fraction = waits.in_time(cores, utilization, work_us, objective_us, bursty, backlog_us)
+                fraction = waits.fraction_in_time(cores, utilization, work_us, objective_us, burstiness, backlog_us)
                 self.served_s_by_class[class_index] += fraction * seconds
                 self.record_served(self.computed_until_us, class_index, weight * fraction * seconds)
 
-    def _report_load(self, now: int) -> None:
+    def _update_load_report(self, now: int) -> None:
         """Makes a load report, at most one in each interval; the intervals of servers are out of step."""
         interval_us = self.parameters.load_report_interval_us
         if (now - self.number) // interval_us == (
@@ -273,11 +273,11 @@
             self.work_counts.attempts += 1
             self.pending_attempts[attempt] = False
             if self.running_setups < self.shape.cores and self.speed_fraction > 0:
-                self._start(now, attempt, work)
+                self._start_setup(now, attempt, work)
             else:
                 self.queue.append((attempt, work))
 
-    def _start(self, now: int, attempt: AttemptT, work: float) -> None:
+    def _start_setup(self, now: int, attempt: AttemptT, work: float) -> None:
         core = self.core_rate(now)
         capacity = core * self.shape.cores
         rate = core * max(MIN_SETUP_SPEED, 1 - min(1.0, self.demand / capacity))
@@ -297,13 +297,13 @@
             self.pending_attempts[attempt] = True
             self.work_counts.attempts_set_up += 1
             self.send_answer(attempt, SetupAnswer.ESTABLISHED)
-        self._start_waiting(now)
+        self._start_queued_setups(now)
 
-    def _start_waiting(self, now: int) -> None:
+    def _start_queued_setups(self, now: int) -> None:
         while self.queue and self.running_setups < self.shape.cores and self.speed_fraction > 0:
             attempt, work = self.queue.popleft()
             if attempt in self.pending_attempts:  # not abandoned
-                self._start(now, attempt, work)
+                self._start_setup(now, attempt, work)
 
     def abandon(self, now: int, attempt: AttemptT) -> None:
         """Forgets an attempt that its caller has given up."""
@@ -398,7 +398,7 @@
         """Sets the fraction of its speed that a fault leaves."""
         self.advance(now)
         self.speed_fraction = fraction
-        self._start_waiting(now)
+        self._start_queued_setups(now)
 
     def do_health_check(self, now: int, work: float, waits: bool = True) -> float:
         """Does the work of a health check. Returns its time in microseconds, behind the backlog if it waits."""
@@ -418,13 +418,15 @@
         stated length, with some slack. It covers the load of all balancers.
         """
         parameters, shape = self.parameters, self.shape
-        if self.warm_fraction(now) >= 1:
+        if self.slow_start_fraction(now) >= 1:
             return False
         self.slow_start_arrivals.append((now, load, is_informed))
         self.slow_start_load += load
         while self.slow_start_arrivals[0][0] <= now - parameters.slow_start_window_us:
             self.slow_start_load -= self.slow_start_arrivals.popleft()[1]
-        rate = SECOND_US * shape.speed * shape.cores * self.warm_fraction(now) / (shape.slow_start_us / SECOND_US)
+        rate = SECOND_US * shape.speed * shape.cores * self.slow_start_fraction(now) / (shape.slow_start_us / SECOND_US)
         budget = parameters.slow_start_multiple * rate * parameters.slow_start_window_us / SECOND_US
-        self.was_overloaded_while_cold = self.slow_start_load > budget + BUDGET_SLACK_LOADS * parameters.usual_load
-        return self.was_overloaded_while_cold
+        self.was_overloaded_while_warming_up = (
+            self.slow_start_load > budget + BUDGET_SLACK_CONNECTIONS * parameters.base_load
+        )
+        return self.was_overloaded_while_warming_up
--- a/glenrock/simulation/model/server_parameters.py
+++ b/glenrock/simulation/model/server_parameters.py
@@ -21,8 +21,8 @@
     speed: float
     initial_fraction: float
     slow_start_us: float
-    crowding_threshold: float
-    crowding_loss: float
+    contention_threshold: float
+    contention_loss: float
     max_waiting_attempts: int
     max_connections: int
     max_backlog_s: float
@@ -34,23 +34,23 @@
     """The figures that all servers of a run share.
 
     Attributes:
-        message_us: work of a message.
-        bursty: factor of waits over those of evenly spread messages.
+        message_work_us: work of a message.
+        burstiness: factor of waits over those of evenly spread messages.
         message_objectives_us: message objective of each class.
         shortest_objective_us: the shortest of them.
         group_load: load of each group with a connection at the server.
-        usual_load: usual load of a connection.
+        base_load: usual load of a connection.
         load_report_interval_us: interval of load reports.
         slow_start_multiple: slow-start budget, as a multiple of the load that fills the server over its slow start.
         slow_start_window_us: window of the slow-start budget.
     """
 
-    message_us: float
-    bursty: float
+    message_work_us: float
+    burstiness: float
     message_objectives_us: tuple[float, ...]
     shortest_objective_us: float
     group_load: float
-    usual_load: float
+    base_load: float
     load_report_interval_us: int
     slow_start_multiple: float
     slow_start_window_us: int
--- a/glenrock/simulation/model/server_shapes.py
+++ b/glenrock/simulation/model/server_shapes.py
@@ -9,18 +9,20 @@
 from ..spec_types import drawn_count, drawn_number
 from ..streams import Streams
 from .server_parameters import ServerParameters, ServerShape
-from .workload import skewed
+from .workload import skewed_fractions
 
 MIN_SPEED_FACTOR = 0.2  # of the normal draw of a server's speed
 
 
 def draw_server_shapes(experiment: Experiment, streams: Streams) -> list[ServerShape]:
     """Draws the servers of an experiment that is itself drawn."""
-    draw = streams.of("instances")
+    draw = streams.generator("instances")
     count = drawn_count(experiment.fleet.instances)
     shares = np.array([drawn_number(kind.share) for kind in experiment.kinds])
     kinds = draw.choice(len(shares), size=count, p=shares / shares.sum())
-    zone_fractions = skewed(len(experiment.fleet.zones), drawn_number(experiment.fleet.instance_skew), last=True)
+    zone_fractions = skewed_fractions(
+        len(experiment.fleet.zones), drawn_number(experiment.fleet.instance_skew), skew_last=True
+    )
     # Zones are filled in proportion and not drawn, so that a small fleet never lacks a zone.
     bounds = np.cumsum(zone_fractions)
     zones = np.searchsorted(bounds, (np.arange(count) + 0.5) / count).clip(0, len(zone_fractions) - 1)
@@ -40,8 +42,8 @@
         speed=speed,
         initial_fraction=drawn_number(kind.cold_part),
         slow_start_us=drawn_number(kind.warm_s) * SECOND_US,
-        crowding_threshold=drawn_number(kind.crowd_at),
-        crowding_loss=drawn_number(kind.crowd_loss),
+        contention_threshold=drawn_number(kind.crowd_at),
+        contention_loss=drawn_number(kind.crowd_loss),
         max_waiting_attempts=max(1, round(drawn_number(kind.queue_per_core) * kind.cores)),
         max_connections=max(1, round(drawn_number(kind.connections_per_core) * kind.cores)),
         max_backlog_s=drawn_number(kind.buffer_s),
@@ -53,14 +55,14 @@
     """Returns the figures that the servers of a drawn experiment share."""
     objectives_us = tuple(drawn_number(class_.message_aim_ms) * 1000 for class_ in experiment.classes)
     shortest_us = min(drawn_number(class_.message_aim_ms) for class_ in experiment.classes) * 1000
-    usual_load = SECOND_US / drawn_number(experiment.traffic.connections_per_core)
+    base_load = SECOND_US / drawn_number(experiment.traffic.connections_per_core)
     return ServerParameters(
-        message_us=shortest_us * drawn_number(experiment.traffic.message_part),
-        bursty=drawn_number(experiment.traffic.bursty),
+        message_work_us=shortest_us * drawn_number(experiment.traffic.message_part),
+        burstiness=drawn_number(experiment.traffic.bursty),
         message_objectives_us=objectives_us,
         shortest_objective_us=shortest_us,
-        group_load=usual_load * drawn_number(experiment.traffic.group_cost),
-        usual_load=usual_load,
+        group_load=base_load * drawn_number(experiment.traffic.group_cost),
+        base_load=base_load,
         load_report_interval_us=max(1, round(drawn_number(experiment.reports.period_ms) * 1000)),
         slow_start_multiple=experiment.rules.cold_multiple,
         slow_start_window_us=round(experiment.rules.cold_window_ms * 1000),
--- a/glenrock/simulation/model/store.py
+++ b/glenrock/simulation/model/store.py
@@ -13,22 +13,22 @@
     """The queue of the store.
 
     Attributes:
-        interval_us: between two calls that it serves; 0: no call waits.
-        base_us: time of a call in an empty queue.
-        free_us: when the queue is empty.
+        service_interval_us: between two calls that it serves; 0: no call waits.
+        call_us: time of a call in an empty queue.
+        idle_from_us: when the queue is empty.
         calls: number of calls made.
     """
 
-    def __init__(self, calls_per_s: float, base_us: float) -> None:
-        self.interval_us = SECOND_US / calls_per_s if calls_per_s > 0 else 0.0
-        self.base_us = base_us
-        self.free_us = 0.0
+    def __init__(self, calls_per_s: float, call_us: float) -> None:
+        self.service_interval_us = SECOND_US / calls_per_s if calls_per_s > 0 else 0.0
+        self.call_us = call_us
+        self.idle_from_us = 0.0
         self.calls = 0
 
     def call(self, now: int) -> int:
         """Makes a call. Returns when it is answered."""
         self.calls += 1
-        if not self.interval_us:
+        if not self.service_interval_us:
             return now
-        self.free_us = max(float(now), self.free_us) + self.interval_us
-        return round(self.free_us + self.base_us)
+        self.idle_from_us = max(float(now), self.idle_from_us) + self.service_interval_us
+        return round(self.idle_from_us + self.call_us)
--- a/glenrock/simulation/model/waits.py
+++ b/glenrock/simulation/model/waits.py
@@ -5,7 +5,7 @@
 from functools import lru_cache
 from math import exp
 
-STEPS = 512  # of the table over utilization
+UTILIZATION_STEPS = 512  # of the table over utilization
 MAX_UTILIZATION = 0.995  # for the mean time, which is unbounded at 1
 
 
@@ -22,28 +22,28 @@
 
 @lru_cache(maxsize=64)
 def erlang_c_table(cores: int) -> tuple[float, ...]:
-    """Returns `erlang_c` at `STEPS + 1` utilizations from 0 to 1."""
-    return tuple(erlang_c(cores, step / STEPS) for step in range(STEPS + 1))
+    """Returns `erlang_c` at `UTILIZATION_STEPS + 1` utilizations from 0 to 1."""
+    return tuple(erlang_c(cores, step / UTILIZATION_STEPS) for step in range(UTILIZATION_STEPS + 1))
 
 
-def in_time(
-    cores: int, utilization: float, message_us: float, objective_us: float, bursty: float, backlog_us: float
+def fraction_in_time(
+    cores: int, utilization: float, message_us: float, objective_us: float, burstiness: float, backlog_us: float
 ) -> float:
     """Returns the fraction of messages answered within their objective.
 
     M/M/c in its steady state behind a backlog: P(W > t) = C exp(-(1 - u) c t / m), with C
-    from `erlang_c`, c cores, utilization u, and m the time of a message, stretched by `bursty`.
+    from `erlang_c`, c cores, utilization u, and m the time of a message, stretched by `burstiness`.
     Left out: messages of one connection that wait for each other.
     """
     left_us = objective_us - backlog_us - message_us
     if left_us <= 0 or utilization >= 1:
         return 0.0
-    waiting = erlang_c_table(cores)[int(utilization * STEPS)]
-    return 1 - waiting * exp(-(1 - utilization) * cores * left_us / (message_us * bursty))
+    waiting = erlang_c_table(cores)[int(utilization * UTILIZATION_STEPS)]
+    return 1 - waiting * exp(-(1 - utilization) * cores * left_us / (message_us * burstiness))
 
 
-def mean_us(cores: int, utilization: float, message_us: float, bursty: float, backlog_us: float) -> float:
+def mean_message_us(cores: int, utilization: float, message_us: float, burstiness: float, backlog_us: float) -> float:
     """Returns the mean time of a message in microseconds, by the same formula."""
     utilization = min(utilization, MAX_UTILIZATION)
-    waiting = erlang_c_table(cores)[int(utilization * STEPS)]
-    return message_us + backlog_us + waiting * message_us * bursty / (cores * (1 - utilization))
+    waiting = erlang_c_table(cores)[int(utilization * UTILIZATION_STEPS)]
+    return message_us + backlog_us + waiting * message_us * burstiness / (cores * (1 - utilization))
--- a/glenrock/simulation/model/workload.py
+++ b/glenrock/simulation/model/workload.py
@@ -17,11 +17,11 @@
 from ..spec_types import drawn_number
 from ..streams import Streams
 
-HISTORY_LIVES = 6.0  # usual lives before the start, from which the connections open at the start are drawn
-END_MARGIN_S = 1e-6  # before the end of the run, for the last arrival
+HISTORY_LIFETIMES = 6.0  # usual lifetimes before the start, from which the connections open at the start are drawn
+END_MARGIN_S = 1e-6  # before the end of the run, for the skew_last arrival
 
-Numbers = npt.NDArray[np.float64]
-Indices = npt.NDArray[np.int64]
+FloatArray = npt.NDArray[np.float64]
+IntArray = npt.NDArray[np.int64]
 
 
 @dataclass(slots=True, eq=False)
@@ -32,7 +32,7 @@
         arrival_us: microseconds from the start of the run; below 0: its connection is open at the start.
         end_us: microseconds from the start of the run.
         class_index: index of its class.
-        usual_load: usual load, in microseconds of work a second.
+        base_load: usual load, in microseconds of work a second.
         quota_factor: factor of its priority weight: 1, or less beyond the quota of its tenant.
         load_changes: times from the start of the run, and the load from then on.
     """
@@ -44,7 +44,7 @@
     tenant: int
     zone: int
     group: int
-    usual_load: float
+    base_load: float
     quota_factor: float
     load_changes: tuple[tuple[int, float], ...]
 
@@ -55,49 +55,49 @@
 
     Attributes:
         clients: clients by arrival.
-        demanded: priority weight asked for in each second, by class.
+        demanded: priority weight demanded for in each second, by class.
         quotas: connections of each tenant's quota.
-        usual_load: mean load of a connection, in microseconds of work a second.
+        mean_load: mean load of a connection, in microseconds of work a second.
         capacity: of the whole fleet, in microseconds of work a second.
         clients_per_s: mean rate of new clients.
     """
 
     clients: list[PlannedClient]
-    demanded: Numbers
+    demanded: FloatArray
     quotas: tuple[float, ...]
-    usual_load: float
+    mean_load: float
     capacity: float
     clients_per_s: float
 
 
 @dataclass(frozen=True, slots=True)
-class _Rates:
+class _ArrivalParameters:
     """What the arrivals of a workload are drawn from.
 
     Attributes:
         class_fractions: of new clients.
-        lives_s: usual life of a connection, by class.
-        usual_load: of a connection of a class with load 1.
+        lifetimes_s: usual life of a connection, by class.
+        base_load: of a connection of a class with load 1.
         mean_load: of a connection over all classes.
         clients_per_s: mean rate of new clients.
         tenant_fractions: of the quotas.
         usage_fractions: of new clients, by tenant.
     """
 
-    class_fractions: Numbers
-    lives_s: Numbers
-    usual_load: float
+    class_fractions: FloatArray
+    lifetimes_s: FloatArray
+    base_load: float
     mean_load: float
     clients_per_s: float
-    tenant_fractions: Numbers
-    usage_fractions: Numbers
+    tenant_fractions: FloatArray
+    usage_fractions: FloatArray
 
 
-def skewed(count: int, skew: float, last: bool = False) -> Numbers:
-    """Returns fractions that add up to 1: equal with skew 0, all on the first (or last) with skew 1."""
+def skewed_fractions(count: int, skew: float, skew_last: bool = False) -> FloatArray:
+    """Returns fractions that add up to 1: equal with skew 0, all on the first (or skew_last) with skew 1."""
     fractions = np.full(count, 1 / count)
     fractions = fractions * (1 - skew)
-    fractions[-1 if last else 0] += skew
+    fractions[-1 if skew_last else 0] += skew
     return fractions
 
 
@@ -109,37 +109,41 @@
         streams: the streams of the run.
         capacity: of the servers drawn for the run, in microseconds of work a second.
     """
-    rates = _rates(experiment, capacity)
-    share_room = drawn_number(experiment.platform.share_room)
-    quotas = tuple(float(quota) for quota in rates.tenant_fractions * share_room * capacity / rates.mean_load)
-    times, tenants = _arrivals(experiment, streams, rates)
-    return _draw_clients(experiment, streams, times, tenants, quotas, rates, capacity)
+    parameters = _arrival_parameters(experiment, capacity)
+    quota_headroom = drawn_number(experiment.platform.share_room)
+    quotas = tuple(
+        float(quota) for quota in parameters.tenant_fractions * quota_headroom * capacity / parameters.mean_load
+    )
+    times, tenants = _draw_arrivals(experiment, streams, parameters)
+    return _draw_clients(experiment, streams, times, tenants, quotas, parameters, capacity)
 
 
-def _rates(experiment: Experiment, capacity: float) -> _Rates:
+def _arrival_parameters(experiment: Experiment, capacity: float) -> _ArrivalParameters:
     traffic, classes = experiment.traffic, experiment.classes
-    usual_load = SECOND_US / drawn_number(traffic.connections_per_core)
+    base_load = SECOND_US / drawn_number(traffic.connections_per_core)
     fractions = np.array([drawn_number(class_.share) for class_ in classes])
     fractions /= fractions.sum()
     busy = np.array([drawn_number(class_.load) * (1 - drawn_number(class_.idle)) for class_ in classes], dtype=float)
-    lives_s = np.array([drawn_number(class_.life) for class_ in classes], dtype=float) * drawn_number(traffic.life_s)
-    if (lives_s > 0).any():
-        demand_per_client = float((fractions * busy * lives_s).sum()) * usual_load
+    lifetimes_s = np.array([drawn_number(class_.life) for class_ in classes], dtype=float) * drawn_number(
+        traffic.life_s
+    )
+    if (lifetimes_s > 0).any():
+        demand_per_client = float((fractions * busy * lifetimes_s).sum()) * base_load
     else:
         demand_per_client = float((fractions * [drawn_number(c.setup_ms) * 1000 for c in classes]).sum())
     clients_per_s = drawn_number(traffic.load) * capacity / demand_per_client
     tenant_fractions = np.array([drawn_number(tenant.share) for tenant in experiment.tenants])
     tenant_fractions /= tenant_fractions.sum()
-    open_connections = fractions * lives_s
-    mean_load = usual_load
+    open_connections = fractions * lifetimes_s
+    mean_load = base_load
     if open_connections.sum():
-        mean_load = float((open_connections * busy).sum() / open_connections.sum()) * usual_load
+        mean_load = float((open_connections * busy).sum() / open_connections.sum()) * base_load
     usage = tenant_fractions * [drawn_number(tenant.usage) for tenant in experiment.tenants]
     usage /= usage.sum()
-    return _Rates(fractions, lives_s, usual_load, mean_load, clients_per_s, tenant_fractions, usage)
+    return _ArrivalParameters(fractions, lifetimes_s, base_load, mean_load, clients_per_s, tenant_fractions, usage)
 
 
-def _relative_rate(experiment: Experiment, times_s: Numbers) -> Numbers:
+def _relative_rate(experiment: Experiment, times_s: FloatArray) -> FloatArray:
     """Returns the rate of arrivals at each time, over its mean."""
     traffic, swing = experiment.traffic, drawn_number(experiment.traffic.swing)
     progress = np.clip(times_s / drawn_number(experiment.length_s), 0, 1)
@@ -148,21 +152,23 @@
     return 1 + swing * np.sin(2 * np.pi * progress) if traffic.shape == "wave" else np.ones_like(progress)
 
 
-def _arrivals(experiment: Experiment, streams: Streams, rates: _Rates) -> tuple[Numbers, Indices]:
+def _draw_arrivals(
+    experiment: Experiment, streams: Streams, parameters: _ArrivalParameters
+) -> tuple[FloatArray, IntArray]:
     """Draws the times of arrivals in seconds, in order, and their tenants."""
     length_s, swing = drawn_number(experiment.length_s), drawn_number(experiment.traffic.swing)
-    history_s = HISTORY_LIVES * float(rates.lives_s.max())
-    tenant_count = len(rates.tenant_fractions)
-    draw = streams.of("arrivals")
-    count = draw.poisson(rates.clients_per_s * (1 + swing) * (history_s + length_s))
+    history_s = HISTORY_LIFETIMES * float(parameters.lifetimes_s.max())
+    tenant_count = len(parameters.tenant_fractions)
+    draw = streams.generator("arrivals")
+    count = draw.poisson(parameters.clients_per_s * (1 + swing) * (history_s + length_s))
     times = np.sort(draw.random(count)) * (history_s + length_s) - history_s
     times = times[draw.random(count) * (1 + swing) < _relative_rate(experiment, times)]
-    tenants = draw.choice(tenant_count, size=len(times), p=rates.usage_fractions)
+    tenants = draw.choice(tenant_count, size=len(times), p=parameters.usage_fractions)
     # Arrivals that faults add are drawn beside the usual ones, which stay the same without the fault.
     for number, fault in enumerate(experiment.faults):
         if isinstance(fault, FlashCrowd | TenantFlood):
-            more_times, more_tenants = _added_arrivals(
-                experiment, fault, streams.of(f"arrivals of fault {number}"), rates
+            more_times, more_tenants = _draw_fault_arrivals(
+                experiment, fault, streams.generator(f"arrivals of fault {number}"), parameters
             )
             times, tenants = np.append(times, more_times), np.append(tenants, more_tenants)
     times = np.minimum(times, length_s - END_MARGIN_S)
@@ -170,61 +176,63 @@
     return times[order], tenants[order]
 
 
-def _added_arrivals(
-    experiment: Experiment, fault: FlashCrowd | TenantFlood, draw: np.random.Generator, rates: _Rates
-) -> tuple[Numbers, Indices]:
+def _draw_fault_arrivals(
+    experiment: Experiment, fault: FlashCrowd | TenantFlood, draw: np.random.Generator, parameters: _ArrivalParameters
+) -> tuple[FloatArray, IntArray]:
     tenant = None
     if isinstance(fault, TenantFlood):
         names = [tenant.name for tenant in experiment.tenants]
         tenant = names.index(fault.tenant) if fault.tenant in names else 0
-    usage = rates.usage_fractions[tenant] if tenant is not None else 1.0
-    rate = rates.clients_per_s * max(0.0, drawn_number(fault.times) - 1) * usage
+    usage = parameters.usage_fractions[tenant] if tenant is not None else 1.0
+    rate = parameters.clients_per_s * max(0.0, drawn_number(fault.times) - 1) * usage
     count = draw.poisson(rate * drawn_number(fault.for_s))
     times = drawn_number(fault.at_s) + draw.random(count) * drawn_number(fault.for_s)
     if tenant is not None:
         return times, np.full(count, tenant)
-    return times, draw.choice(len(rates.tenant_fractions), size=count, p=rates.usage_fractions)
+    return times, draw.choice(len(parameters.tenant_fractions), size=count, p=parameters.usage_fractions)
 
 
 def _draw_clients(
     experiment: Experiment,
     streams: Streams,
-    times: Numbers,
-    tenants: Indices,
+    times: FloatArray,
+    tenants: IntArray,
     quotas: tuple[float, ...],
-    rates: _Rates,
+    parameters: _ArrivalParameters,
     capacity: float,
 ) -> Workload:
     traffic, classes, zone_count = experiment.traffic, experiment.classes, len(experiment.fleet.zones)
     count, length_s = len(times), drawn_number(experiment.length_s)
-    fractions, lives_s = rates.class_fractions, rates.lives_s
-    draw = streams.of("clients")
-    kinds = draw.choice(len(fractions), size=count, p=fractions)
-    zones = draw.choice(zone_count, size=count, p=skewed(zone_count, drawn_number(experiment.fleet.zone_skew)))
+    fractions, lifetimes_s = parameters.class_fractions, parameters.lifetimes_s
+    draw = streams.generator("clients")
+    class_indices = draw.choice(len(fractions), size=count, p=fractions)
+    zones = draw.choice(
+        zone_count, size=count, p=skewed_fractions(zone_count, drawn_number(experiment.fleet.zone_skew))
+    )
     sigma = drawn_number(traffic.life_sigma)
-    lives = lives_s[kinds] * np.exp(sigma * draw.standard_normal(count) - sigma * sigma / 2)
-    load_sigma = np.array([drawn_number(class_.load_sigma) for class_ in classes])[kinds]
-    relative_load = np.array([drawn_number(class_.load) for class_ in classes])[kinds]
+    lifetimes = lifetimes_s[class_indices] * np.exp(sigma * draw.standard_normal(count) - sigma * sigma / 2)
+    load_sigma = np.array([drawn_number(class_.load_sigma) for class_ in classes])[class_indices]
+    relative_load = np.array([drawn_number(class_.load) for class_ in classes])[class_indices]
     loads = (
-        rates.usual_load
+        parameters.base_load
         * relative_load
         * np.exp(load_sigma * draw.standard_normal(count) - load_sigma * load_sigma / 2)
     )
     # The size of a group falls with its rank, as 1 over the square root.
-    open_connections = max(1.0, rates.clients_per_s * float((fractions * lives_s).sum()))
+    open_connections = max(1.0, parameters.clients_per_s * float((fractions * lifetimes_s).sum()))
     group_count = max(1, round(open_connections / drawn_number(traffic.group_size)))
     group_sizes = 1 / np.sqrt(np.arange(1, group_count + 1))
     groups = draw.choice(group_count, size=count, p=group_sizes / group_sizes.sum())
-    is_kept = (times >= 0) | (times + lives > 0)
-    times, lives, loads = (column[is_kept] for column in (times, lives, loads))
-    tenants, kinds, zones, groups = (column[is_kept] for column in (tenants, kinds, zones, groups))
-    ends = times + lives
-    changes = _draw_changes(experiment, streams, times, ends, kinds, loads)
-    weights = _weights(times, ends, tenants, quotas, float(experiment.platform.over_share_worth))
+    is_kept = (times >= 0) | (times + lifetimes > 0)
+    times, lifetimes, loads = (column[is_kept] for column in (times, lifetimes, loads))
+    tenants, class_indices, zones, groups = (column[is_kept] for column in (tenants, class_indices, zones, groups))
+    ends = times + lifetimes
+    changes = _draw_changes(experiment, streams, times, ends, class_indices, loads)
+    weights = _quota_factors(times, ends, tenants, quotas, float(experiment.platform.over_share_worth))
     columns = zip(
         (times * SECOND_US).astype(np.int64).tolist(),
         (ends * SECOND_US).astype(np.int64).tolist(),
-        kinds.tolist(),
+        class_indices.tolist(),
         tenants.tolist(),
         zones.tolist(),
         groups.tolist(),
@@ -233,28 +241,33 @@
         changes,
         strict=True,
     )
-    rows = [PlannedClient(number, *column) for number, column in enumerate(columns)]
-    asked = _asked(experiment, times, ends, kinds, weights, length_s)
-    return Workload(rows, asked, quotas, rates.mean_load, capacity, rates.clients_per_s)
+    clients = [PlannedClient(number, *column) for number, column in enumerate(columns)]
+    demanded = _demanded_weight(experiment, times, ends, class_indices, weights, length_s)
+    return Workload(clients, demanded, quotas, parameters.mean_load, capacity, parameters.clients_per_s)
 
 
 def _draw_changes(
-    experiment: Experiment, streams: Streams, times: Numbers, ends: Numbers, kinds: Indices, loads: Numbers
+    experiment: Experiment,
+    streams: Streams,
+    times: FloatArray,
+    ends: FloatArray,
+    class_indices: IntArray,
+    loads: FloatArray,
 ) -> list[tuple[tuple[int, float], ...]]:
     """Draws the changes of each client's load within the run, in order; the first is at its arrival."""
     classes, run_s = experiment.classes, drawn_number(experiment.length_s) + float(experiment.drain_s)
-    draw = streams.of("load changes")
+    draw = streams.generator("load changes")
     first = np.maximum(times, 0.0)
     span = np.maximum(0.0, np.minimum(ends, run_s) - first)
-    interval_s = np.array([drawn_number(class_.change_s) for class_ in classes])[kinds]
+    interval_s = np.array([drawn_number(class_.change_s) for class_ in classes])[class_indices]
     counts = draw.poisson(span / interval_s) + 1
     starts = np.concatenate(([0], np.cumsum(counts)))
     total = int(starts[-1])
     owners = np.repeat(np.arange(len(times)), counts)
     change_times = first[owners] + draw.random(total) * span[owners]
     change_times[starts[:-1]] = first
-    swing = np.array([drawn_number(class_.swing_sigma) for class_ in classes])[kinds][owners]
-    idle = np.array([drawn_number(class_.idle) for class_ in classes])[kinds][owners]
+    swing = np.array([drawn_number(class_.swing_sigma) for class_ in classes])[class_indices][owners]
+    idle = np.array([drawn_number(class_.idle) for class_ in classes])[class_indices][owners]
     change_loads = loads[owners] * np.exp(swing * draw.standard_normal(total) - swing * swing / 2)
     change_loads[draw.random(total) < idle] = 0.0
     order = np.lexsort((change_times, owners))
@@ -266,22 +279,27 @@
     ]
 
 
-def _asked(
-    experiment: Experiment, times: Numbers, ends: Numbers, kinds: Indices, weights: list[float], length_s: float
-) -> Numbers:
-    """Returns the priority weight asked for in each second, by class."""
-    worth = np.array([float(class_.worth) for class_ in experiment.classes])
+def _demanded_weight(
+    experiment: Experiment,
+    times: FloatArray,
+    ends: FloatArray,
+    class_indices: IntArray,
+    weights: list[float],
+    length_s: float,
+) -> FloatArray:
+    """Returns the priority weight demanded for in each second, by class."""
+    class_weights = np.array([float(class_.worth) for class_ in experiment.classes])
     seconds = int(np.ceil(length_s))
-    asked = np.zeros((seconds, len(worth)))
-    values = worth[kinds] * np.array(weights)
+    demanded = np.zeros((seconds, len(class_weights)))
+    values = class_weights[class_indices] * np.array(weights)
     for second in range(seconds):
         inside = np.clip(np.minimum(ends, min(second + 1, length_s)) - np.maximum(times, second), 0, 1)
-        asked[second] = np.bincount(kinds, weights=values * inside, minlength=len(worth))
-    return asked
+        demanded[second] = np.bincount(class_indices, weights=values * inside, minlength=len(class_weights))
+    return demanded
 
 
-def _weights(
-    times: Numbers, ends: Numbers, tenants: Indices, quotas: tuple[float, ...], over_quota_weight: float
+def _quota_factors(
+    times: FloatArray, ends: FloatArray, tenants: IntArray, quotas: tuple[float, ...], over_quota_weight: float
 ) -> list[float]:
     """Returns 1 for a client that arrives while its tenant is within its quota, else `over_quota_weight`."""
     weights = [1.0] * len(times)
--- a/glenrock/simulation/policies/__init__.py
+++ b/glenrock/simulation/policies/__init__.py
@@ -12,21 +12,21 @@
 from ..model.balancer import Policy
 from . import choices, module, oracle, prequal
 
-Maker = Callable[[interface.Settings, int], Policy]
+PolicyFactory = Callable[[interface.Settings, int], Policy]
 
-POLICIES: dict[str, tuple[Maker, str]] = {
+POLICIES: dict[str, tuple[PolicyFactory, str]] = {
     "glenrock": (module.Balancer, "the decision module as it serves"),
     "random": (choices.Random, "any instance that is ready, evenly"),
     "round_robin": (choices.RoundRobin, "each in turn, from a start drawn by each balancer"),
-    "least": (choices.Least, "the one with the fewest connections of this balancer's own"),
+    "least": (choices.LeastConnections, "the one with the fewest connections of this balancer's own"),
     "two_choices": (choices.TwoChoices, "of two drawn, the one with fewer connections of its own (Mitzenmacher)"),
-    "weighted": (choices.Weighted, "drawn by the room that load reports show; reports are asked evenly"),
+    "weighted": (choices.WeightedRandom, "drawn by the room that load reports show; reports are asked evenly"),
     "join_idle": (choices.JoinIdle, "one known to be idle, else drawn (Lu et al., 2011)"),
     "prequal": (prequal.Prequal, "a pool of probes, hot and cold (Wydrowski et al., NSDI 2024)"),
     "oracle": (oracle.Oracle, "a yardstick: sees the true state of all instances and links"),
 }
 
 
-def make(name: str) -> Maker:
+def policy_factory(name: str) -> PolicyFactory:
     """Returns what builds a policy. Raises KeyError for an unknown name."""
     return POLICIES[name][0]
--- a/glenrock/simulation/policies/choices.py
+++ b/glenrock/simulation/policies/choices.py
@@ -4,7 +4,7 @@
 
 from glenrock.routing import interface
 
-from .simple import KnownServer, PendingRequest, SimplePolicy
+from .simple import KnownServer, PendingRequest, ReferencePolicy
 
 HEALTH_CHECKS_PER_ROUND = 4
 FRESH_REPORT_US = 5_000_000
@@ -13,43 +13,43 @@
 MIN_FREE_CAPACITY = 0.02
 
 
-class Random(SimplePolicy):
+class Random(ReferencePolicy):
     """Draws any ready server, evenly."""
 
-    def pick(self, request: PendingRequest, candidates: list[KnownServer]) -> KnownServer:
+    def select_server(self, request: PendingRequest, candidates: list[KnownServer]) -> KnownServer:
         """Draws one of the candidates."""
         return self.draw_server(candidates)
 
 
-class RoundRobin(SimplePolicy):
+class RoundRobin(ReferencePolicy):
     """Selects the servers in turn, from a drawn start."""
 
     def __init__(self, settings: interface.Settings, seed: int) -> None:
         super().__init__(settings, seed)
         self.selections = self.random.randrange(1 << 30)
 
-    def pick(self, request: PendingRequest, candidates: list[KnownServer]) -> KnownServer:
+    def select_server(self, request: PendingRequest, candidates: list[KnownServer]) -> KnownServer:
         """Selects the next candidate."""
         self.selections += 1
         return candidates[self.selections % len(candidates)]
 
 
-class Least(SimplePolicy):
+class LeastConnections(ReferencePolicy):
     """Selects a server with the fewest connections of this balancer."""
 
-    def pick(self, request: PendingRequest, candidates: list[KnownServer]) -> KnownServer:
+    def select_server(self, request: PendingRequest, candidates: list[KnownServer]) -> KnownServer:
         """Draws one of the candidates with the fewest connections."""
-        fewest = min(server.active for server in candidates)
-        return self.draw_server([server for server in candidates if server.active == fewest])
+        fewest = min(server.active_attempts for server in candidates)
+        return self.draw_server([server for server in candidates if server.active_attempts == fewest])
 
 
-class TwoChoices(SimplePolicy):
+class TwoChoices(ReferencePolicy):
     """Mitzenmacher, The Power of Two Choices in Randomized Load Balancing, 2001."""
 
-    def pick(self, request: PendingRequest, candidates: list[KnownServer]) -> KnownServer:
+    def select_server(self, request: PendingRequest, candidates: list[KnownServer]) -> KnownServer:
         """Draws two candidates, and selects the one with fewer connections of this balancer."""
         first, second = self.draw_server(candidates), self.draw_server(candidates)
-        return second if second.active < first.active else first
+        return second if second.active_attempts < first.active_attempts else first
 
 
 def reported_load(server: KnownServer) -> float:
@@ -57,7 +57,7 @@
     return server.report.get(interface.LOAD_RATIO, server.report.get(interface.UTILIZATION, ASSUMED_LOAD))
 
 
-class ReportingPolicy(SimplePolicy):
+class HealthCheckingPolicy(ReferencePolicy):
     """Checks a few servers in each round, those with the oldest report first."""
 
     def on_round(self) -> None:
@@ -66,10 +66,10 @@
             self.send_health_check(server)
 
 
-class Weighted(ReportingPolicy):
+class WeightedRandom(HealthCheckingPolicy):
     """Draws in proportion to the free capacity of the last report; a server without a fresh one counts as half full."""
 
-    def pick(self, request: PendingRequest, candidates: list[KnownServer]) -> KnownServer:
+    def select_server(self, request: PendingRequest, candidates: list[KnownServer]) -> KnownServer:
         """Draws one of the candidates by its free capacity."""
         return self.random.choices(candidates, [self._free_capacity(server) for server in candidates])[0]
 
@@ -79,7 +79,7 @@
         return max(MIN_FREE_CAPACITY, 1 - reported_load(server))
 
 
-class JoinIdle(ReportingPolicy):
+class JoinIdle(HealthCheckingPolicy):
     """Lu et al., Join-Idle-Queue, 2011: idle servers wait in a queue at the balancer that checked them."""
 
     def __init__(self, settings: interface.Settings, seed: int) -> None:
@@ -93,10 +93,10 @@
         else:
             self.idle.pop(server.id, None)
 
-    def pick(self, request: PendingRequest, candidates: list[KnownServer]) -> KnownServer:
+    def select_server(self, request: PendingRequest, candidates: list[KnownServer]) -> KnownServer:
         """Selects the first idle candidate, or draws one if there is none."""
         if not self.settings.may_health_check:
-            unused = [server for server in candidates if not server.active]
+            unused = [server for server in candidates if not server.active_attempts]
             return self.draw_server(unused or candidates)
         for id_ in list(self.idle):
             server = self.servers[id_]
--- a/glenrock/simulation/policies/module.py
+++ b/glenrock/simulation/policies/module.py
@@ -26,7 +26,7 @@
 )
 from glenrock.routing import balancer as balancer_module
 
-__all__ = ["OPEN", "Balancer", "constants", "gauges"]
+__all__ = ["DEFAULT_CONSTANTS", "Balancer", "override_constants", "read_gauges"]
 
 ROUND_MODULES = (event_batch, balancer_module, connection_concurrency, migration, gossip)
 FEEDBACK_MODULES = (admission, capacity_estimation, outlier_ejection, migration)
@@ -65,10 +65,10 @@
     "LATE": ("MISSED_OBJECTIVE_MIN_LOAD", (health_checks, migration)),
     "QUIET": ("LIGHT_LOAD", (health_checks,)),
 }
-OPEN: dict[str, float] = {key: getattr(modules[0], name) for key, (name, modules) in CONSTANTS.items()}
+DEFAULT_CONSTANTS: dict[str, float] = {key: getattr(modules[0], name) for key, (name, modules) in CONSTANTS.items()}
 
 
-def _set(key: str, value: float) -> None:
+def _set_constant(key: str, value: float) -> None:
     name, modules = CONSTANTS[key]
     for module in modules:
         setattr(module, name, value)
@@ -79,21 +79,21 @@
 
 
 @contextmanager
-def constants(values: Mapping[str, float]) -> Iterator[None]:
+def override_constants(values: Mapping[str, float]) -> Iterator[None]:
     """Sets open constants of routing in this process while the context lasts. Raises KeyError for an unknown name."""
     for key in values:
-        if key not in OPEN:
+        if key not in DEFAULT_CONSTANTS:
             raise KeyError(key)
     for key, value in values.items():
-        _set(key, int(value) if isinstance(OPEN[key], int) else float(value))
+        _set_constant(key, int(value) if isinstance(DEFAULT_CONSTANTS[key], int) else float(value))
     try:
         yield
     finally:
         for key in values:
-            _set(key, OPEN[key])
+            _set_constant(key, DEFAULT_CONSTANTS[key])
 
 
-def gauges(policy: object) -> tuple[float, float] | None:
+def read_gauges(policy: object) -> tuple[float, float] | None:
     """Returns the load cap and the length of the waiting queue of the routing decisions; None for another policy."""
     if isinstance(policy, Balancer):
         return policy.admission.load_cap, float(len(policy.waiting_queue))
--- a/glenrock/simulation/policies/prequal.py
+++ b/glenrock/simulation/policies/prequal.py
@@ -12,13 +12,13 @@
 
 from glenrock.routing import interface
 
-from .simple import KnownServer, PendingRequest, SimplePolicy
+from .simple import KnownServer, PendingRequest, ReferencePolicy
 
 POOL_SIZE = 16
 HEALTH_CHECKS_PER_REQUEST = 3.0
 REMOVED_PER_REQUEST = 1.0  # answers, beside those used up
 MAX_ANSWER_AGE_US = 1_000_000
-HOT_QUANTILE = 0.84  # of the requests in flight that recent answers hold
+HOT_QUANTILE = 0.84  # of the requests in flight that recent_inflight answers hold
 RECENT_ANSWERS = 128
 MIN_POOL = 2  # answers of candidates; with fewer, a server is drawn
 
@@ -31,43 +31,43 @@
     at_us: int
     inflight: float
     latency_us: float
-    uses: int
+    remaining_uses: int
 
 
-class Prequal(SimplePolicy):
+class Prequal(ReferencePolicy):
     """Selects by the answers in the pool.
 
     Attributes:
         pool: answers, oldest first.
-        recent: requests in flight of the latest answers.
-        checks_due: health checks that the request rate has earned.
+        recent_inflight: requests in flight of the latest answers.
+        health_checks_due: health checks that the request rate has earned.
         removes_worst_next: whether the next removal takes the worst answer, and not the oldest.
     """
 
     def __init__(self, settings: interface.Settings, seed: int) -> None:
         super().__init__(settings, seed)
         self.pool: list[PoolEntry] = []
-        self.recent: list[float] = []
-        self.checks_due = 0.0
+        self.recent_inflight: list[float] = []
+        self.health_checks_due = 0.0
         self.removes_worst_next = False
 
     def on_arrival(self) -> None:
         """Sends the health checks that a request earns."""
-        self.checks_due += HEALTH_CHECKS_PER_REQUEST
-        while self.checks_due >= 1 and self.ready:
-            self.checks_due -= 1
+        self.health_checks_due += HEALTH_CHECKS_PER_REQUEST
+        while self.health_checks_due >= 1 and self.ready:
+            self.health_checks_due -= 1
             self.send_health_check(self.draw_server(self.ready))
 
     def on_report(self, server: KnownServer, latency_us: int) -> None:
         """Adds an answer to the pool."""
         utilization = server.report.get(interface.UTILIZATION, 0.0)
         inflight = server.report.get("inflight", server.report.get(interface.LOAD_RATIO, utilization))
-        self.recent = [*self.recent, inflight][-RECENT_ANSWERS:]
-        self.pool.append(PoolEntry(server, self.now_us, inflight, float(latency_us), self._uses()))
+        self.recent_inflight = [*self.recent_inflight, inflight][-RECENT_ANSWERS:]
+        self.pool.append(PoolEntry(server, self.now_us, inflight, float(latency_us), self._reuse_budget()))
         if len(self.pool) > POOL_SIZE:
             self.pool.pop(0)
 
-    def _uses(self) -> int:
+    def _reuse_budget(self) -> int:
         """Returns how often an answer may be used: the paper's reuse budget."""
         servers = max(1, len(self.ready))
         spare = 0.0
@@ -76,10 +76,10 @@
         return max(1, round(2 / spare)) if spare > 0 else 2
 
     def _hot_limit(self) -> float:
-        ordered = sorted(self.recent)
+        ordered = sorted(self.recent_inflight)
         return ordered[min(len(ordered) - 1, int(HOT_QUANTILE * len(ordered)))] if ordered else float("inf")
 
-    def pick(self, request: PendingRequest, candidates: list[KnownServer]) -> KnownServer:
+    def select_server(self, request: PendingRequest, candidates: list[KnownServer]) -> KnownServer:
         """Selects the cold answer of the lowest latency, or the hot one with the fewest requests in flight."""
         candidate_ids = set(map(id, candidates))
         self.pool = [
@@ -91,9 +91,9 @@
         limit = self._hot_limit()
         cold = [entry for entry in usable if entry.inflight <= limit]
         best = min(cold, key=lambda entry: entry.latency_us) if cold else min(usable, key=lambda entry: entry.inflight)
-        best.uses -= 1
+        best.remaining_uses -= 1
         best.inflight += 1 if "inflight" in best.server.report else 0.0
-        if best.uses <= 0:
+        if best.remaining_uses <= 0:
             self.pool.remove(best)
         self._remove_one(limit)
         return best.server
--- a/glenrock/simulation/policies/simple.py
+++ b/glenrock/simulation/policies/simple.py
@@ -15,7 +15,7 @@
 from glenrock.routing import interface
 from glenrock.routing.interface import AttemptOutcome, EndpointListKind, EndpointState
 
-MARGIN_TICKS = 2  # before a request's deadline, so that the answer is in time
+ANSWER_MARGIN_TICKS = 2  # before a request's deadline, so that the answer is in time
 MIGRATION_US = 2_000_000
 ROUND_US = 500_000
 UNREACHABLE_FOR_US = 1_000_000  # a server without a connection is not selected for so long
@@ -30,7 +30,7 @@
     Attributes:
         is_ready: whether it may be selected.
         is_listed: whether the endpoint list has it as ready.
-        active: attempts and open connections of this balancer.
+        active_attempts: attempts and open connections of this balancer.
         connections: identifiers of its open connections, in order.
         report: the latest load report.
         report_at_us: when the report arrived.
@@ -41,7 +41,7 @@
     zone: str
     is_ready: bool = True
     is_listed: bool = True
-    active: int = 0
+    active_attempts: int = 0
     connections: dict[str, None] = field(default_factory=dict)
     report: dict[str, float] = field(default_factory=dict)
     report_at_us: int = NEVER_US
@@ -53,19 +53,19 @@
     """A request, until its answer or the end of its connection.
 
     Attributes:
-        tried: servers of its attempts, in order.
-        server: server of its active attempt.
+        tried_servers: servers of its attempts, in order.
+        server: server of its active_attempts attempt.
         is_established: whether its connection is open.
     """
 
     event: interface.Request
-    tried: list[KnownServer] = field(default_factory=list)
+    tried_servers: list[KnownServer] = field(default_factory=list)
     server: KnownServer | None = None
     is_established: bool = False
 
 
-class SimplePolicy:
-    """A policy without its selection: subclasses define `pick`.
+class ReferencePolicy:
+    """A policy without its selection: subclasses define `select_server`.
 
     Attributes:
         timers: by reference, the request of a timer, or None for the timer of the round.
@@ -93,13 +93,13 @@
         if is_first:
             self._set_timer(now_us + 1 + self.random.randrange(ROUND_US), None)
         for event in events:
-            if handler := HANDLERS.get(type(event)):
+            if handler := EVENT_HANDLERS.get(type(event)):
                 handler(self, event)
         return self.actions
 
     # -- for subclasses ------------------------------------------------------------------------------
 
-    def pick(self, request: PendingRequest, candidates: list[KnownServer]) -> KnownServer:
+    def select_server(self, request: PendingRequest, candidates: list[KnownServer]) -> KnownServer:
         """Selects one of the candidates, of which there is at least one."""
         raise NotImplementedError
 
@@ -162,25 +162,25 @@
     # -- requests ------------------------------------------------------------------------------------
 
     def _answer_by_us(self, event: interface.Request) -> int:
-        return event.deadline_us - MARGIN_TICKS * self.settings.tick_us
+        return event.deadline_us - ANSWER_MARGIN_TICKS * self.settings.tick_us
 
     def _on_request(self, event: interface.Request) -> None:
         request = self.requests[event.request_id] = PendingRequest(event)
         self._set_timer(self._answer_by_us(event), event.request_id)
         self.on_arrival()
-        self._place(request)
+        self._start_attempt(request)
 
     def _on_open_connection(self, event: interface.OpenConnection) -> None:
         server = self.servers.get(event.server_id)
         if server:
             self.requests[event.request.request_id] = PendingRequest(event.request, [server], server, True)
-            server.active += 1
+            server.active_attempts += 1
             server.connections[event.request.request_id] = None
 
-    def _place(self, request: PendingRequest) -> None:
+    def _start_attempt(self, request: PendingRequest) -> None:
         """Starts an attempt, or rejects the request if its attempts or its time are used up."""
         max_attempts = self.settings.max_attempts
-        if not request.event.is_midstream and len(request.tried) >= max_attempts:
+        if not request.event.is_midstream and len(request.tried_servers) >= max_attempts:
             self._reject(request)
             return
         candidates = self._candidates(request)
@@ -188,11 +188,11 @@
         if not candidates or left_us <= 0:
             self._reject(request)
             return
-        server = self.pick(request, candidates)
-        request.tried.append(server)
+        server = self.select_server(request, candidates)
+        request.tried_servers.append(server)
         request.server = server
-        server.active += 1
-        is_last = len(request.tried) >= max_attempts
+        server.active_attempts += 1
+        is_last = len(request.tried_servers) >= max_attempts
         timeout_us = left_us if is_last else max(left_us * 6 // 10, min(left_us, MIN_ATTEMPT_US))
         self.actions.append(interface.StartAttempt(request.event.request_id, server.id, timeout_us))
 
@@ -201,10 +201,10 @@
         if unreachable and min(unreachable.values()) <= self.now_us:
             unreachable = {id_: until_us for id_, until_us in unreachable.items() if until_us > self.now_us}
             self.unreachable_until_us = unreachable
-        if not request.tried and not unreachable:  # no copy of a long list for each request
+        if not request.tried_servers and not unreachable:  # no copy of a long list for each request
             return self.ready
         reachable = [server for server in self.ready if server.id not in unreachable] or self.ready
-        return [server for server in reachable if server not in request.tried] or reachable
+        return [server for server in reachable if server not in request.tried_servers] or reachable
 
     def _reject(self, request: PendingRequest) -> None:
         longest_us = self.settings.max_retry_after_us if self.settings.may_send_retry_after else 0
@@ -226,18 +226,18 @@
             self.unreachable_until_us[server.id] = self.now_us + UNREACHABLE_FOR_US
         if request is None or request.server is None or server is not request.server:
             return
-        request.server.active -= 1
+        request.server.active_attempts -= 1
         request.server.connections.pop(event.request_id, None)
         request.server = None
         if event.is_final or request.is_established:
             self.requests.pop(event.request_id, None)
         else:
-            self._place(request)
+            self._start_attempt(request)
 
     def _on_disconnected(self, event: interface.ClientDisconnected) -> None:
         request = self.requests.pop(event.request_id, None)
         if request and request.server:
-            request.server.active -= 1
+            request.server.active_attempts -= 1
             request.server.connections.pop(event.request_id, None)
 
     # -- timers --------------------------------------------------------------------------------------
@@ -252,7 +252,7 @@
             return
         request_id = self.timers.pop(event.timer_id)
         if request_id is None:
-            self._round()
+            self._run_round()
         elif request := self.requests.get(request_id):
             self._time_out(request)
 
@@ -262,11 +262,11 @@
             return
         if request.server:
             if self.settings.may_cancel:
-                self.actions.append(interface.CancelAttempt(request.event.request_id, len(request.tried) - 1))
-            request.server.active -= 1
+                self.actions.append(interface.CancelAttempt(request.event.request_id, len(request.tried_servers) - 1))
+            request.server.active_attempts -= 1
         self._reject(request)
 
-    def _round(self) -> None:
+    def _run_round(self) -> None:
         self._set_timer(self.now_us + ROUND_US, None)
         if self.settings.must_poll_endpoints and not self.is_watching:
             self.is_watching = True
@@ -290,14 +290,14 @@
             server.report_at_us = NEVER_US
 
 
-HANDLERS: dict[type, Callable[[SimplePolicy, Any], None]] = {
-    interface.EndpointList: SimplePolicy._on_endpoints,
-    interface.Request: SimplePolicy._on_request,
-    interface.OpenConnection: SimplePolicy._on_open_connection,
-    interface.ConnectionEstablished: SimplePolicy._on_established,
-    interface.AttemptEnded: SimplePolicy._on_attempt_ended,
-    interface.ClientDisconnected: SimplePolicy._on_disconnected,
-    interface.TimerFired: SimplePolicy._on_timer,
-    interface.HealthCheckResult: SimplePolicy._on_health_check_result,
-    interface.OperatorOverride: SimplePolicy._on_override,
+EVENT_HANDLERS: dict[type, Callable[[ReferencePolicy, Any], None]] = {
+    interface.EndpointList: ReferencePolicy._on_endpoints,
+    interface.Request: ReferencePolicy._on_request,
+    interface.OpenConnection: ReferencePolicy._on_open_connection,
+    interface.ConnectionEstablished: ReferencePolicy._on_established,
+    interface.AttemptEnded: ReferencePolicy._on_attempt_ended,
+    interface.ClientDisconnected: ReferencePolicy._on_disconnected,
+    interface.TimerFired: ReferencePolicy._on_timer,
+    interface.HealthCheckResult: ReferencePolicy._on_health_check_result,
+    interface.OperatorOverride: ReferencePolicy._on_override,
 }
--- a/glenrock/simulation/process_control.py
+++ b/glenrock/simulation/process_control.py
@@ -28,7 +28,7 @@
 
     def start_server(self, server: ServerModel[Attempt]) -> None:
         """Starts the process of a server, unless it runs or was overloaded while cold."""
-        if server.is_up or server.was_overloaded_while_cold:
+        if server.is_up or server.was_overloaded_while_warming_up:
             return
         self.invariants.record_event(self.engine.now, "starts", "", server.name)
         server.start(self.engine.now)
@@ -55,7 +55,7 @@
         self.links.partitioned_zones.add(zone)
         for connection in self._partitioned_connections():
             connection.attempt.server.set_unreachable(self.engine.now, connection, True, 0.0)
-            delay_us = self.silence_timeout_us + round(HEARTBEAT_S * SECOND_US * self.client_delays.draw())
+            delay_us = self.silence_timeout_us + round(HEARTBEAT_S * SECOND_US * self.client_delays.draw_uniform())
             self.engine.at(self.engine.now + delay_us, self._break_partitioned, connection)
 
     def _break_partitioned(self, connection: Connection[Attempt]) -> None:
@@ -92,7 +92,7 @@
             self.engine.at(now + offset_us, self.migrate, request)
         last_us = now + duration_us * LAST_MIGRATION_PERCENT // 100
         self.engine.at(last_us, self._migrate_all, balancer, balancer.incarnation)
-        self.front.remove(balancer)
+        self.front_end.remove(balancer)
 
     def _migrate_all(self, balancer: BalancerProcess, incarnation: int) -> None:
         if balancer.incarnation == incarnation:
@@ -104,7 +104,7 @@
         now = self.engine.now
         self.invariants.record_event(now, f"balancer {balancer.index} sends its clients away", "", "")
         balancer.post(interface.DrainMode(True))
-        self.engine.at(now + FRONT_NOTICES_DRAIN_US, self.front.remove, balancer)
+        self.engine.at(now + FRONT_NOTICES_DRAIN_US, self.front_end.remove, balancer)
         start_us = now + MIGRATION_STARTS_AFTER_US
         self.engine.at(start_us, self._migrate_some, balancer, balancer.incarnation, now + MIGRATION_US)
         balancer.is_draining = True
@@ -124,7 +124,7 @@
         if balancer.incarnation == incarnation and balancer.is_draining:
             balancer.is_draining = False
             balancer.post(interface.DrainMode(False))
-            self.front.add(balancer, incarnation)
+            self.front_end.add(balancer, incarnation)
 
     def kill_balancer(self, balancer: BalancerProcess, incarnation: int, is_planned: bool) -> None:
         """Ends the process of a balancer; an open connection at a planned end is a violation."""
@@ -141,7 +141,7 @@
                 self.break_connection(attempt.connection, AttemptOutcome.BROKEN, balancer_is_up=False)
             else:
                 self._end_killed_request(balancer, request)
-        self.front.balancer_ended(balancer)
+        self.front_end.balancer_ended(balancer)
 
     def _end_killed_request(self, balancer: BalancerProcess, request: ClientRequest) -> None:
         for attempt in request.attempts:
@@ -159,4 +159,4 @@
         if not balancer.is_up:
             balancer.start(self.feed.cached_list(balancer))
             self.feed.balancer_started(balancer)
-            self.front.balancer_started(balancer)
+            self.front_end.balancer_started(balancer)
--- a/glenrock/simulation/server_attempts.py
+++ b/glenrock/simulation/server_attempts.py
@@ -16,7 +16,7 @@
 from .model.server import Connection, ServerModel, SetupAnswer
 from .spec_types import drawn_number
 
-HANDSHAKE_WAYS = 3  # one-way times until the first line has arrived: two of TCP's handshake, and its own
+CONNECT_ONE_WAY_TRIPS = 3  # one-way times until the first line has arrived: two of TCP's handshake, and its own
 INFORMED_FRACTION = 2 / 3  # of the load that overloaded a cold server; a violation if informed balancers sent it
 
 
@@ -53,8 +53,8 @@
         if not self._path_is_open(attempt):
             self.engine.at(now + self.connect_timeout_us, self._end_attempt, attempt, AttemptOutcome.NO_CONNECTION)
         else:
-            ways = HANDSHAKE_WAYS if server.is_up else 1
-            self.engine.at(now + ways * self._draw_one_way_us(attempt), self._attempt_arrives, attempt)
+            trips = CONNECT_ONE_WAY_TRIPS if server.is_up else 1
+            self.engine.at(now + trips * self._draw_one_way_us(attempt), self._attempt_arrives, attempt)
 
     def _attempt_arrives(self, attempt: Attempt) -> None:
         request, server = attempt.request, attempt.server
@@ -66,9 +66,9 @@
             work_us *= self.draw_setup_work()
         endpoint = request.balancer.endpoints.get(server.name)
         is_informed = endpoint is not None and endpoint.started_us >= server.started_us
-        server.receive_attempt(self.engine.now, attempt, work_us, planned.usual_load, is_informed)
-        if server.was_overloaded_while_cold and server.is_up:
-            self._fall_over(server)
+        server.receive_attempt(self.engine.now, attempt, work_us, planned.base_load, is_informed)
+        if server.was_overloaded_while_warming_up and server.is_up:
+            self._stop_overloaded(server)
 
     def receive_setup_answer(self, attempt: Attempt, answer: SetupAnswer) -> None:
         """Sends a server's answer to an attempt back to its balancer."""
@@ -146,9 +146,9 @@
     def abandon_attempt(self, attempt: Attempt) -> None:
         """Closes the balancer's side of an attempt; the server learns of it one way later."""
         due_us = self.engine.now + self._draw_one_way_us(attempt)
-        self.engine.at(due_us, self._abandon_at_instance, attempt, attempt.server.incarnation)
+        self.engine.at(due_us, self._abandon_at_server, attempt, attempt.server.incarnation)
 
-    def _abandon_at_instance(self, attempt: Attempt, incarnation: int) -> None:
+    def _abandon_at_server(self, attempt: Attempt, incarnation: int) -> None:
         if attempt.server.incarnation == incarnation:
             attempt.server.abandon(self.engine.now, attempt)
 
@@ -171,7 +171,7 @@
         is_wanted = client.connection is connection
         self.measure.counts["broken"] += 1
         self.invariants.record_event(self.engine.now, "breaks", request.id, connection.attempt.server.name)
-        self.close(connection)
+        self.close_connection(connection)
         if balancer_is_up:
             request.balancer.report_attempt_ended(connection.attempt, outcome)
         if is_wanted:
@@ -193,21 +193,21 @@
         for attempt in pending_attempts:
             self.receive_setup_answer(attempt, SetupAnswer.BROKEN)
         for connection in connections:
-            self._lose_connection(connection)
+            self._break_lost_connection(connection)
         notice_s = drawn_number(self.experiment.discovery.notice_s)
         self.feed.report_change(notice_s, server.name, EndpointState.GONE)
 
-    def _lose_connection(self, connection: Connection[Attempt]) -> None:
+    def _break_lost_connection(self, connection: Connection[Attempt]) -> None:
         if self._path_is_open(connection.attempt):
             self.break_connection(connection, AttemptOutcome.BROKEN)
         else:
-            self.engine.at(self.engine.now + self.silence_timeout_us, self._break_silent, connection)
+            self.engine.at(self.engine.now + self.silence_timeout_us, self._break_after_timeout, connection)
 
-    def _break_silent(self, connection: Connection[Attempt]) -> None:
+    def _break_after_timeout(self, connection: Connection[Attempt]) -> None:
         if connection.attempt.is_active and connection.attempt.request.client.connection is connection:
             self.break_connection(connection, AttemptOutcome.BROKEN)
 
-    def _fall_over(self, server: ServerModel[Attempt]) -> None:
+    def _stop_overloaded(self, server: ServerModel[Attempt]) -> None:
         """Ends an overloaded cold server, a violation if most of its load came from informed balancers."""
         informed_load = sum(load for _, load, is_informed in server.slow_start_arrivals if is_informed)
         fraction = ratio(informed_load, server.slow_start_load)
--- a/glenrock/simulation/spec_checks.py
+++ b/glenrock/simulation/spec_checks.py
@@ -73,10 +73,12 @@
             self._need(is_known, f"{key}.tenant", f"{fault_.tenant!r} is not one of tenants")
 
     def _check_constants(self) -> None:
-        from .policies.module import OPEN  # policies import routing, which a reader of experiments does not need
+        from .policies.module import (
+            DEFAULT_CONSTANTS,
+        )  # policies import routing, which a reader of experiments does not need
 
         for name in self.experiment.constants:
-            self._need(name in OPEN, f"constants.{name}", "not an open constant of the routing decisions")
+            self._need(name in DEFAULT_CONSTANTS, f"constants.{name}", "not an open constant of the routing decisions")
 
     def _check_goal(self) -> None:
         goal = self.experiment.goal
--- a/glenrock/simulation/spec_ranges.py
+++ b/glenrock/simulation/spec_ranges.py
@@ -59,7 +59,7 @@
         return msgspec.structs.replace(value, **changes)
     if is_range(value):
         least, most = value
-        fraction = float(streams.of(f"draw{key}").random())
+        fraction = float(streams.generator(f"draw{key}").random())
         if all(isinstance(number, int) for number in value):
             return min(most, least + int(fraction * (most - least + 1)))
         return least + fraction * (most - least)
--- a/glenrock/simulation/streams.py
+++ b/glenrock/simulation/streams.py
@@ -21,7 +21,7 @@
     def __init__(self, seed: int) -> None:
         self.seed = seed
 
-    def of(self, purpose: str) -> np.random.Generator:
+    def generator(self, purpose: str) -> np.random.Generator:
         """Returns a new generator for a purpose; a second call for the purpose starts the stream again."""
         return np.random.Generator(
             np.random.PCG64(np.random.SeedSequence([self.seed, xxh64_intdigest(purpose.encode())]))
@@ -29,15 +29,15 @@
 
     def uniforms(self, purpose: str) -> Callable[[], float]:
         """Returns a function that draws numbers in [0, 1)."""
-        return draw_in_blocks(self.of(purpose).random)
+        return draw_in_blocks(self.generator(purpose).random)
 
     def normals(self, purpose: str) -> Callable[[], float]:
         """Returns a function that draws standard normal numbers."""
-        return draw_in_blocks(self.of(purpose).standard_normal)
+        return draw_in_blocks(self.generator(purpose).standard_normal)
 
     def exponentials(self, purpose: str) -> Callable[[], float]:
         """Returns a function that draws exponential numbers of mean 1."""
-        return draw_in_blocks(self.of(purpose).standard_exponential)
+        return draw_in_blocks(self.generator(purpose).standard_exponential)
 
 
 def draw_in_blocks(draw_block: Callable[[int], npt.NDArray[np.float64]]) -> Callable[[], float]:
--- a/glenrock/testbed/modelled_servers.py
+++ b/glenrock/testbed/modelled_servers.py
@@ -228,8 +228,8 @@
         client = self._client(attempt)
         is_listed = self.listed_start_ms.get(attempt.balancer, -1.0) >= self.started_ms
         work_us = self._environment.setup_work_us(client)
-        self.model.receive_attempt(self._engine.now, attempt, work_us, client.usual_load, is_listed)
-        if self.model.was_overloaded_while_cold and self.model.is_up:
+        self.model.receive_attempt(self._engine.now, attempt, work_us, client.base_load, is_listed)
+        if self.model.was_overloaded_while_warming_up and self.model.is_up:
             self._history.note(self.party, ServerOverloaded(attempt.request_id, attempt.balancer))
             self.crash()
 
@@ -275,7 +275,7 @@
         changes = asyncio.ensure_future(self._play_load_changes(connection, client, writer))
         try:
             while line := await reader.readline():
-                await asyncio.sleep(min(self.model.message_us / US_PER_S, MAX_DELAY_S))
+                await asyncio.sleep(min(self.model.mean_message_us / US_PER_S, MAX_DELAY_S))
                 writer.write(line)
                 await writer.drain()
         finally:
@@ -310,7 +310,7 @@
 def load_now(client: PlannedClient, engine: RealTimeEngine) -> float:
     """Returns the client's load at this time, in microseconds of work a second."""
     now_us = engine.now - engine.measured_from_us
-    load = client.load_changes[0][1] if client.load_changes else client.usual_load
+    load = client.load_changes[0][1] if client.load_changes else client.base_load
     for at_us, changed in client.load_changes:
         if at_us > now_us:
             break
--- a/glenrock/testbed/scenario_runner.py
+++ b/glenrock/testbed/scenario_runner.py
@@ -125,7 +125,7 @@
         if second < measure.seconds:
             measure.relative_loads[number, second] = server.model.demand / capacity if capacity > 0 else 0.0
         if server.model.open_connections:
-            message_us = int(min(MAX_MESSAGE_US, max(1, server.model.message_us)))
+            message_us = int(min(MAX_MESSAGE_US, max(1, server.model.mean_message_us)))
             measure.messages.record_value(message_us, len(server.model.open_connections))
         return server.model.demand
 
--- a/glenrock/testbed/scenario_testbed.py
+++ b/glenrock/testbed/scenario_testbed.py
@@ -31,8 +31,8 @@
     draw_server_shapes,
     draw_workload,
     drawn,
+    make_settings,
     server_parameters,
-    settings_of,
 )
 from .waiting import wait_until
 
@@ -203,7 +203,7 @@
 
     def _balancer_config(self, number: int) -> dict[str, Any]:
         scenario = self.scenario
-        settings = settings_of(scenario, number, scenario.fleet.zones[0], self.workload.quotas)
+        settings = make_settings(scenario, number, scenario.fleet.zones[0], self.workload.quotas)
         discovery = self.path_address(balancer_party(number), DISCOVERY, self.agents[number].address)
         config: dict[str, Any] = {
             "name": f"n{number}",
--- a/glenrock/testbed/simulation_model.py
+++ b/glenrock/testbed/simulation_model.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-from ..simulation.balancer_settings import settings_of
+from ..simulation.balancer_settings import make_settings
 from ..simulation.engine import Engine as SimulationEngine
 from ..simulation.measure import FaultPeriod, Measurements, rounded, summarize_histogram
 from ..simulation.model.client_delays import ClientDelays
@@ -49,10 +49,10 @@
     "drawn",
     "high",
     "low",
+    "make_settings",
     "put",
     "raw_of",
     "rounded",
     "server_parameters",
-    "settings_of",
     "summarize_histogram",
 ]
--- a/tests/cli/test_simulation.py
+++ b/tests/cli/test_simulation.py
@@ -47,7 +47,7 @@
     from glenrock.routing import interface
     from glenrock.simulation.policies import simple
 
-    monkeypatch.setitem(simple.HANDLERS, interface.Request, lambda policy, event: None)
+    monkeypatch.setitem(simple.EVENT_HANDLERS, interface.Request, lambda policy, event: None)
     assert run(["simulation", "run", str(experiment), "--policy", "random", "--out", str(tmp_path / "o")]) == 1
     assert "rules broken: answered" in capsys.readouterr().err
     assert "no final answer" in (tmp_path / "o" / "report.html").read_text()
--- a/tests/simulation/test_by_hand.py
+++ b/tests/simulation/test_by_hand.py
@@ -52,14 +52,14 @@
     simulation.prepare()
     simulation.engine.run(simulation.start_us + 2_000_001)
     before = len(simulation.connected_clients)
-    assert any(request.established for request in simulation.balancers[1].requests.values())
+    assert any(request.established_attempt for request in simulation.balancers[1].requests.values())
     simulation.engine.run(simulation.start_us + 5_300_000)
     assert not any(request.open_attempt() for request in simulation.balancers[1].requests.values())
     assert len(simulation.connected_clients) > before / 2 and simulation.balancers[1].is_up, (
         "its clients are at the other balancer"
     )
     simulation.engine.run(simulation.start_us + 11_900_000)
-    assert any(request.established for request in simulation.balancers[1].requests.values()) and not any(
+    assert any(request.established_attempt for request in simulation.balancers[1].requests.values()) and not any(
         simulation.invariants.counts.values()
     )
 
--- a/tests/simulation/test_conservation.py
+++ b/tests/simulation/test_conservation.py
@@ -168,7 +168,7 @@
     simulations = [FleetSimulation(small_experiment(**overrides), 5, policy) for policy in ("random", "glenrock")]
     first, second = (
         [
-            (client.arrival_us, client.end_us, client.class_index, client.usual_load, client.load_changes)
+            (client.arrival_us, client.end_us, client.class_index, client.base_load, client.load_changes)
             for client in simulation.workload.clients
         ]
         for simulation in simulations
--- a/tests/simulation/test_faults.py
+++ b/tests/simulation/test_faults.py
@@ -61,7 +61,7 @@
     assert all(
         server.is_up
         and server.started_us == simulation.start_us + 7_000_000
-        and server.warm_fraction(simulation.engine.now) < 0.5
+        and server.slow_start_fraction(simulation.engine.now) < 0.5
         for server in down
     )
     run_until(simulation, 8.0)
--- a/tests/simulation/test_rules.py
+++ b/tests/simulation/test_rules.py
@@ -105,7 +105,7 @@
         traffic={"load": 1.5, "connections_per_core": 30.0},
     )
     summary = simulation.run()
-    assert any(server.was_overloaded_while_cold for server in simulation.servers.values())
+    assert any(server.was_overloaded_while_warming_up for server in simulation.servers.values())
     assert not any(summary["rules"].values())
 
 
--- a/tests/simulation/test_theory.py
+++ b/tests/simulation/test_theory.py
@@ -5,7 +5,7 @@
 import pytest
 
 from glenrock.simulation.fleet_simulation import FleetSimulation
-from glenrock.simulation.model.waits import erlang_c, in_time
+from glenrock.simulation.model.waits import erlang_c, fraction_in_time
 
 from .rig import small_experiment
 
@@ -76,9 +76,9 @@
 
 
 def test_messages_in_time_fall_with_load_and_backlog() -> None:
-    fractions = [in_time(4, busy / 20, 5_000, 60_000, 2.0, 0.0) for busy in range(21)]
+    fractions = [fraction_in_time(4, busy / 20, 5_000, 60_000, 2.0, 0.0) for busy in range(21)]
     assert fractions == sorted(fractions, reverse=True)
     assert fractions[0] == 1 and fractions[14] > 0.98 and fractions[-1] == 0
-    assert in_time(4, 0.5, 5_000, 60_000, 2.0, 56_000) == 0
+    assert fraction_in_time(4, 0.5, 5_000, 60_000, 2.0, 56_000) == 0
     assert erlang_c(1, 0.6) == pytest.approx(0.6)
     assert erlang_c(2, 0.5) == pytest.approx(1 / 3)  # C(2, a=1) = 1/3
