--- a/glenrock/simulation/model/__init__.py
+++ b/glenrock/simulation/model/__init__.py
@@ -1,5 +1,5 @@
-"""The modelled fleet: servers, balancers' processes, clients, the front, service discovery, and links.
+"""The model of the fleet: servers, balancer processes, clients, the front end, service discovery and links.
 
-Each module says what its model leaves out. Times are whole microseconds unless a name has another unit; work is
-microseconds on a standard core; load is work a second.
+Each module states what its model leaves out. Times are in microseconds unless a name has another unit, work is in
+microseconds on a standard core, and load is work per second.
 """
--- a/glenrock/simulation/model/balancer.py
+++ b/glenrock/simulation/model/balancer.py
@@ -1,6 +1,7 @@
-"""The process of a balancer: hands events to its policy in batches, and carries out the actions.
+"""The process of a balancer: passes events to its policy in batches, and performs the actions that the policy returns.
 
-It does without sockets what `glenrock.net` does on them. It selects no server, and neither retries nor rejects.
+It plays the part that `glenrock.net` has in production, without sockets. All decisions are the policy's: which server
+to select, and when to retry or reject.
 """
 
 from __future__ import annotations
@@ -21,22 +22,23 @@
 
 
 class Policy(Protocol):
-    """What decides: the routing decisions, or anything else with their events and actions."""
+    """Decides what a balancer does: the production routing, or another policy with the same events and actions."""
 
     def handle(self, now_us: int, events: list[interface.Event]) -> list[interface.Action]:
         """Returns the actions for a batch of events."""
 
 
 class PolicyFailedError(Exception):
-    """The policy raised, or named something that does not exist. The run ends."""
+    """The policy raised an exception or returned an invalid action, which ends the run."""
 
 
 class BalancerEnvironment(Protocol):
-    """What a balancer's process calls outside itself.
+    """The services that a balancer's process calls.
 
     Attributes:
-        answer_grace_us: time after a request's deadline in which its answer still counts.
-        drain_grace_us: time after a server was reported as draining in which a new attempt is still allowed.
+        answer_grace_us: time after a request's deadline in which its answer still counts as in time.
+        drain_grace_us: time after the report of a draining or suspended server in which new attempts are allowed.
+        max_attempts: attempts that a request may have.
     """
 
     servers: dict[str, ServerModel[Attempt]]
@@ -48,7 +50,7 @@
         """Sends an attempt to its server."""
 
     def abandon_attempt(self, attempt: Attempt) -> None:
-        """Closes the balancer's side of an attempt."""
+        """Closes the balancer's side of an attempt, which tells the server to drop it."""
 
     def deliver_rejection(self, request: ClientRequest, retry_after_us: int) -> None:
         """Answers a client with a rejection."""
@@ -60,10 +62,10 @@
         """Asks the client of an open connection to reconnect elsewhere."""
 
     def close_without_notice(self, request: ClientRequest) -> None:
-        """Closes an open connection without a notice to its client."""
+        """Closes an open connection without a migration notice to its client."""
 
     def send_health_check(self, balancer: BalancerProcess, server: str) -> None:
-        """Asks a server for its load."""
+        """Sends a health check to a server, which answers it with a load report."""
 
     def send_gossip(self, balancer: BalancerProcess, data: bytes) -> None:
         """Sends a gossip summary to all peers."""
@@ -79,19 +81,23 @@
 
 
 class BalancerProcess:
-    """One balancer, over all of its incarnations.
+    """A balancer, across restarts of its process.
 
     Attributes:
         make_policy: builds the policy from the balancer's index and incarnation.
         incarnation: number of starts and kills; a callback of an earlier incarnation has no effect.
-        last_delivery_us: when the latest endpoint list arrives; lists arrive in order.
-        requests: by identifier; those that are over stay until the policy has read of their end.
+        last_delivery_us: when the latest endpoint list in flight arrives; later ones arrive no earlier.
+        pending_events: events for the policy's next batch.
+        requests: requests by identifier; one that is over stays until the policy has received its end.
         endpoints: the endpoint list as it was last delivered; survives a restart.
-        known_servers: servers that a list has named in this incarnation.
-        draining_since_us: servers that a list has reported as draining or gone, and since when.
-        suspended_since_us: servers that an operator has suspended, and since when.
-        is_draining: whether its clients migrate, on an operator's call.
-        outcomes: count of requests by outcome.
+        known_servers: servers that an endpoint list has contained in this incarnation.
+        draining_since_us: by server, when an endpoint list first reported it as draining or gone.
+        suspended_since_us: by server, when an operator suspended it.
+        is_draining: whether an operator drains the balancer, so that its clients migrate.
+        batches: number of batches that the policy has handled.
+        closed_requests: requests that are over and may still be in `requests`, in the order of their ends.
+        cpu_ns: wall-clock time spent in the policy.
+        outcomes: number of requests by outcome.
     """
 
     def __init__(
@@ -135,7 +141,7 @@
         self.receive_endpoints(cached)
 
     def kill(self) -> list[ClientRequest]:
-        """Ends the process. Returns the requests that it held."""
+        """Ends the process. Returns the requests that were still in `requests`."""
         held = list(self.requests.values())
         self.is_up, self.incarnation, self.policy = False, self.incarnation + 1, None
         self.pending_events, self.requests, self.batch_is_due = [], {}, False
@@ -166,7 +172,7 @@
             if perform := ACTION_HANDLERS.get(type(action)):
                 perform(self, action)
             else:
-                raise PolicyFailedError(f"not an action: {action!r}")
+                raise PolicyFailedError(f"policy returned an unknown action: {action!r}")
 
     def _forget_closed_requests(self) -> None:
         while self.closed_requests and self.closed_requests[0].closed_in_batch < self.batches - 1:
@@ -184,7 +190,7 @@
         return actions
 
     def receive_endpoints(self, endpoint_list: interface.EndpointList) -> None:
-        """Receives an endpoint list, or a change of it."""
+        """Receives a full endpoint list or changes of it, and passes it to the policy."""
         now = self.engine.now
         if endpoint_list.kind in (EndpointListKind.FULL, EndpointListKind.CACHED):
             listed = {entry.server_id for entry in endpoint_list.entries}
@@ -202,17 +208,17 @@
         self.post(endpoint_list)
 
     def override_server(self, server: str, is_suspended: bool) -> None:
-        """Handles an operator's call that suspends a server, or ends its suspension."""
+        """Handles an operator's override that suspends a server, or ends its suspension."""
         if not self.is_up:
             return
         if is_suspended:
             self.suspended_since_us.setdefault(server, self.engine.now)
         elif self.suspended_since_us.pop(server, None) is None:
-            return  # restarted since the suspension, which does not survive a restart
+            return  # the balancer has restarted since the suspension, which does not survive a restart
         self.post(interface.OperatorOverride(server, is_suspended))
 
     def receive_request(self, request: ClientRequest, event: interface.Request) -> None:
-        """Receives a client's request, and watches that it is answered in time."""
+        """Receives a client's request, and schedules the check that it is answered in time."""
         self.requests[request.id] = request
         self.arrived_requests += 1
         self.post(event)
@@ -220,9 +226,13 @@
         self.engine.at(request.deadline_us + grace_us + 1, self._check_answered, request, self.incarnation)
 
     def record_outcome(self, request: ClientRequest, outcome: RequestOutcome) -> None:
-        """Concludes a request. Raises AssertionError, a fault of the simulation, if it was concluded before."""
+        """Records the outcome of a request.
+
+        Raises:
+            AssertionError: the request has an outcome already, which is a fault of the simulation.
+        """
         if request.outcome is not None:
-            raise AssertionError(f"{request.id}: {outcome} after {request.outcome}")
+            raise AssertionError(f"request {request.id}: outcome {outcome} after outcome {request.outcome}")
         request.outcome = outcome
         self.outcomes[outcome] = self.outcomes.get(outcome, 0) + 1
 
@@ -245,7 +255,7 @@
         request.is_over, request.closed_in_batch = True, self.batches
         self.closed_requests.append(request)
 
-    # -- ends of attempts ----------------------------------------------------------------------------
+    # -- results of attempts ----------------------------------------------------------------------------
 
     def report_established(self, attempt: Attempt) -> None:
         """Tells the policy that the connection of an attempt is open."""
@@ -276,13 +286,15 @@
     def _on_start_attempt(self, action: interface.StartAttempt) -> None:
         request = self.requests.get(action.request_id)
         if request is None or request.is_over:
-            # An end that the policy has read, or decided itself, binds it; one that it has yet to read does not.
+            # The policy must respect an end that it has received or caused, but cannot know of one in the next batch.
             if request is None or request.was_ended_by_policy or request.closed_in_batch < self.batches - 1:
-                self.environment.record_violation("answered", "sent after its end", request, action.server_id)
+                self.environment.record_violation(
+                    "answered", "attempt started after its end", request, action.server_id
+                )
             return
         server = self.environment.servers.get(action.server_id)
         if server is None or action.server_id not in self.known_servers:
-            raise PolicyFailedError(f"sends to {action.server_id!r}, which no list has named")
+            raise PolicyFailedError(f"attempt at unknown server {action.server_id!r}: in no endpoint list")
         self._check_attempt_allowed(request, action.server_id)
         attempt = Attempt(request, len(request.attempts), server, self.engine.now)
         request.attempts.append(attempt)
@@ -298,26 +310,26 @@
 
     def _check_attempt_allowed(self, request: ClientRequest, server: str) -> None:
         if request.is_answered:
-            self.environment.record_violation("answered", "sent after its final answer", request, server)
+            self.environment.record_violation("answered", "attempt started after its final answer", request, server)
         if any(attempt.is_active for attempt in request.attempts):
             self.environment.record_violation("repeated", "two attempts at once", request, server)
         times_us = (self.draining_since_us.get(server), self.suspended_since_us.get(server))
         reported_us = min((at_us for at_us in times_us if at_us is not None), default=None)
         if reported_us is not None and self.engine.now > reported_us + self.environment.drain_grace_us:
             late_s = (self.engine.now - reported_us) / 1e6
-            self.environment.record_violation("drained", f"sent {late_s:.3f} s after it was told", request, server)
+            self.environment.record_violation(
+                "drained", f"attempt started {late_s:.3f} s after it was told", request, server
+            )
 
     def _on_cancel_attempt(self, action: interface.CancelAttempt) -> None:
         request = self.requests.get(action.request_id)
         if request is None:
-            raise PolicyFailedError(f"acts on {action.request_id!r}, which it does not hold")
+            raise PolicyFailedError(f"cancels an attempt of unknown request {action.request_id!r}")
         if not 0 <= action.attempt_number < len(request.attempts):
-            raise PolicyFailedError(
-                f"cancels attempt {action.attempt_number} of {action.request_id!r}, which was never made"
-            )
+            raise PolicyFailedError(f"cancels unknown attempt {action.attempt_number} of request {action.request_id!r}")
         attempt = request.attempts[action.attempt_number]
         if attempt.is_established and attempt.is_active:
-            text = "a standing connection ended without MOVE"
+            text = "an open connection was closed without MOVE"
             self.environment.record_violation("cut off", text, request, attempt.server.name)
             self.environment.close_without_notice(request)
         elif attempt.is_active:
@@ -325,7 +337,7 @@
             self.report_attempt_ended(attempt, AttemptOutcome.CANCELLED)
 
     def _answer(self, id_: str, outcome: RequestOutcome) -> ClientRequest | None:
-        """Concludes a request with the policy's answer. Returns None if it needs no answer any more."""
+        """Ends a request with the policy's answer. Returns None if the request needs no answer any more."""
         request = self.requests.get(id_)
         if request is None or request.is_answered or request.is_over:
             return None
@@ -354,12 +366,14 @@
 
     def _on_send_health_check(self, action: interface.SendHealthCheck) -> None:
         if action.server_id not in self.known_servers:
-            raise PolicyFailedError(f"probes {action.server_id!r}, which no list has named")
+            raise PolicyFailedError(f"health check of unknown server {action.server_id!r}: in no endpoint list")
         self.environment.send_health_check(self, action.server_id)
 
     def _on_send_gossip(self, action: interface.SendGossip) -> None:
         if len(action.data) > MAX_GOSSIP_BYTES:
-            raise PolicyFailedError(f"tells {len(action.data)} bytes; {MAX_GOSSIP_BYTES} at most")
+            raise PolicyFailedError(
+                f"gossip summary of {len(action.data)} bytes exceeds the limit of {MAX_GOSSIP_BYTES} bytes"
+            )
         self.environment.send_gossip(self, action.data)
 
     def _on_watch_endpoints(self, action: interface.WatchEndpoints) -> None:
--- a/glenrock/simulation/model/client_delays.py
+++ b/glenrock/simulation/model/client_delays.py
@@ -1,4 +1,4 @@
-"""The behaviour of clients between their requests: retries, reconnects and impatience."""
+"""The delays of clients between their requests: retries, reconnects and early disconnects."""
 
 from __future__ import annotations
 
@@ -12,8 +12,13 @@
     """Draws the delays of clients, in microseconds.
 
     Attributes:
-        honoring_fraction: part of the clients that wait as long as a rejection says.
-        impatient_fraction: part of the requests that are given up early.
+        backoff_us: base of the backoff after a failure.
+        long_backoff_us: mean backoff once the retries with `backoff_us` are used up.
+        reconnect_us: mean delay of a reconnect after a connection broke.
+        migration_reconnect_us: mean delay of a reconnect after a migration notice.
+        honoring_fraction: fraction of rejections whose retry-after time the client waits.
+        impatient_fraction: fraction of requests in which the client disconnects before the timeout.
+        backoff_retries: retries after which a client changes to `long_backoff_us`.
     """
 
     def __init__(self, spec: ClientsSpec, streams: Streams) -> None:
@@ -28,14 +33,14 @@
         self.backoff_retries = drawn_count(spec.retries)
 
     def delay_after_failure(self, client: Client) -> int:
-        """Draws the delay until a client retries after a failure: a backoff first, later a longer pause."""
+        """Draws the delay until a client retries after a failure: at first by its backoff, later a long backoff."""
         if client.failures <= self.backoff_retries:
             factor = {"double": 2.0 ** (client.failures - 1), "fixed": 1.0, "none": 0.0}[self.spec.backoff]
             return round(self.backoff_us * factor * (0.5 + self.draw_uniform()))
         return round(self.long_backoff_us * (0.5 + self.draw_uniform()))
 
     def delay_after_rejection(self, client: Client, retry_after_us: int) -> int:
-        """Draws the delay until a client retries after a rejection that asked for `retry_after_us`."""
+        """Draws the delay until a client retries after a rejection with a retry-after time (0: none)."""
         if retry_after_us > 0 and self.draw_uniform() < self.honoring_fraction:
             return retry_after_us
         return self.delay_after_failure(client)
@@ -49,5 +54,5 @@
         return round(self.migration_reconnect_us * (0.5 + self.draw_uniform()))
 
     def draw_disconnect_delay(self, timeout_us: int) -> int | None:
-        """Draws when an impatient client gives a request up; None if the client is patient."""
+        """Draws after which time a client disconnects from a pending request; None if it waits for the timeout."""
         return round(timeout_us * self.draw_uniform()) if self.draw_uniform() < self.impatient_fraction else None
--- a/glenrock/simulation/model/feed.py
+++ b/glenrock/simulation/model/feed.py
@@ -1,4 +1,4 @@
-"""Service discovery: the endpoint list and its watch events, which reach each balancer late or after a silence."""
+"""Service discovery: publishes the endpoint list and its changes to each balancer, with delays and outages."""
 
 from __future__ import annotations
 
@@ -19,13 +19,15 @@
     """Publishes whether each server is ready, draining or gone.
 
     Attributes:
-        endpoints: the list as it is published.
-        silent_until_us: end of a silence, in which nothing is published.
-        cached_list_age_us: age of the list that a starting balancer is given; 0: its own last list.
-        changes_reported: by server, number of changes reported by its process.
-        changes_published: by server, number of the latest change that was published.
-        history: published changes and their times, for old lists.
-        watchers: balancers that watch, where they must ask for it.
+        max_delivery_delay_us: upper bound of the drawn delay from publication to delivery at a balancer.
+        endpoints: the published list, by server.
+        silent_until_us: end of an outage in which nothing is published.
+        cached_list_age_us: age of the cached list that a starting balancer gets; 0: the last list that it received.
+        changes_reported: by server, number of changes that were reported to service discovery.
+        changes_published: by server, sequence number of the latest published change.
+        history: published changes with their times, from which older lists are rebuilt.
+        initial_endpoints: the list as of the start of the run.
+        watchers: indices of the balancers that watch the list, in the mode in which they must ask for it.
     """
 
     def __init__(self, spec: Discovery, balancers: list[BalancerProcess], engine: Engine, streams: Streams) -> None:
@@ -47,12 +49,12 @@
         self.initial_endpoints = dict(self.endpoints)
 
     def report_change(self, delay_s: float, server: str, state: EndpointState, started_us: int | None = None) -> None:
-        """Reports a change of a process, published after `delay_s` seconds.
+        """Reports a change of a server's process, which is published after `delay_s` seconds.
 
         Args:
             delay_s: seconds until the change is published.
-            server: the process.
-            state: its state from now on.
+            server: name of the server.
+            state: its new state.
             started_us: when the process started, if it is a new one.
         """
         due_us = self.engine.now + round(delay_s * SECOND_US)
@@ -64,8 +66,8 @@
         if now < self.silent_until_us:
             self.engine.at(self.silent_until_us, self._publish, server, state, started_us, number)
             return
-        # The end of a process is noticed later than a start: published after the start of the next process, it would
-        # report a running server as gone.
+        # The end of a process is detected later than a start. If the next process has been published meanwhile, the
+        # older change would report a running server as gone.
         if number < self.changes_published.get(server, 0):
             return
         self.changes_published[server] = number
@@ -80,7 +82,7 @@
                 self._deliver(balancer, interface.EndpointList(EndpointListKind.CHANGES, (endpoint,)))
 
     def _deliver(self, balancer: BalancerProcess, endpoint_list: interface.EndpointList) -> None:
-        """Delivers a list after a drawn delay, in order."""
+        """Delivers a list after a drawn delay; a balancer's deliveries arrive in order."""
         due_us = max(
             self.engine.now + round(self.draw_uniform() * self.max_delivery_delay_us), balancer.last_delivery_us
         )
@@ -95,7 +97,7 @@
         return interface.EndpointList(EndpointListKind.FULL, _listed_endpoints(self.endpoints))
 
     def cached_list(self, balancer: BalancerProcess) -> interface.EndpointList:
-        """Returns the cached list of a balancer that starts: its last one, or an older one during a fault."""
+        """Returns the cached list of a starting balancer: the last one it received, or an older one during a fault."""
         if not self.cached_list_age_us:
             return interface.EndpointList(EndpointListKind.CACHED, _listed_endpoints(balancer.endpoints))
         as_of_us = self.engine.now - self.cached_list_age_us
@@ -106,7 +108,7 @@
         return interface.EndpointList(EndpointListKind.CACHED, _listed_endpoints(endpoints))
 
     def balancer_started(self, balancer: BalancerProcess) -> None:
-        """Sends the whole list to a balancer that has started, where lists are pushed."""
+        """Sends the full list to a balancer that has started, if lists are pushed."""
         self.watchers.discard(balancer.index)
         if self.spec.mode == "push":
             self._after_silence(lambda: self._deliver(balancer, self._full_list()), balancer)
@@ -124,7 +126,7 @@
         self.engine.at(self.silent_until_us, call_if_up)
 
     def watch(self, balancer: BalancerProcess) -> None:
-        """Handles a balancer's call to watch the list, which may fail."""
+        """Handles a balancer's request to watch the list, which may fail."""
         is_silent = self.engine.now < self.silent_until_us
         has_failed = is_silent or self.draw_uniform() < drawn_number(self.spec.ask_failures)
         due_us = self.engine.now + round(drawn_number(self.spec.ask_ms) * 1000)
--- a/glenrock/simulation/model/front.py
+++ b/glenrock/simulation/model/front.py
@@ -1,4 +1,4 @@
-"""The front: spreads clients evenly over the balancers of their zone, and notices late that a balancer has ended."""
+"""The front end: spreads clients evenly over the balancers of their zone, and detects stopped ones with a delay."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 
 class FrontEnd:
-    """The load balancer before the balancers.
+    """The tier that assigns each request of a client to a balancer.
 
     Attributes:
-        detection_delay_us: time until a balancer that has ended gets no more clients.
-        admission_delay_us: time until a balancer that has started gets clients.
-        in_rotation: by zone, the balancers that get clients, by index.
+        detection_delay_us: time from the end of a balancer's process until it gets no more clients.
+        admission_delay_us: time from the start of a balancer's process until it gets clients.
+        in_rotation: by zone, the balancers that get clients, sorted by index.
     """
 
     def __init__(
@@ -29,12 +29,12 @@
         ]
 
     def select_balancer(self, zone: int) -> BalancerProcess | None:
-        """Returns a balancer of the zone, of any zone if it has none, or None if there is none at all."""
+        """Draws a balancer of the zone, or of any zone if that one has none; None if no balancer is in rotation."""
         candidates = self.in_rotation[zone] or [balancer for balancers in self.in_rotation for balancer in balancers]
         return candidates[int(self.draw_uniform() * len(candidates))] if candidates else None
 
     def balancer_ended(self, balancer: BalancerProcess) -> None:
-        """Takes a balancer whose process has ended out of rotation, after the time to notice it."""
+        """Schedules the removal of a balancer whose process has ended."""
         self.engine.at(self.engine.now + self.detection_delay_us, self._remove_if_down, balancer, balancer.incarnation)
 
     def _remove_if_down(self, balancer: BalancerProcess, incarnation: int) -> None:
@@ -47,11 +47,11 @@
             self.in_rotation[balancer.zone].remove(balancer)
 
     def balancer_started(self, balancer: BalancerProcess) -> None:
-        """Puts a balancer that has started into rotation, after the time to admit it."""
+        """Schedules the addition of a balancer that has started."""
         self.engine.at(self.engine.now + self.admission_delay_us, self.add, balancer, balancer.incarnation)
 
     def add(self, balancer: BalancerProcess, incarnation: int) -> None:
-        """Puts a balancer into rotation, unless that incarnation has ended."""
+        """Puts a balancer into rotation, unless that incarnation of it has ended."""
         in_rotation = self.in_rotation[balancer.zone]
         if balancer.incarnation == incarnation and balancer.is_up and balancer not in in_rotation:
             in_rotation.append(balancer)
--- a/glenrock/simulation/model/links.py
+++ b/glenrock/simulation/model/links.py
@@ -1,4 +1,4 @@
-"""Links between zones: how long a message takes, and whether it arrives."""
+"""The network links: how long a message takes, and whether it arrives."""
 
 from __future__ import annotations
 
@@ -8,11 +8,17 @@
 
 
 class Links:
-    """The links of a fleet. A partitioned zone reaches itself and no other.
+    """The links of a fleet. In a partitioned zone, messages pass within the zone only.
 
     Attributes:
-        peer_delivery_fraction: part of the messages between balancers that a fault lets through.
-        partitioned_zones: zones whose links to the others carry nothing.
+        same_zone_us: minimum one-way time within a zone.
+        cross_zone_us: minimum one-way time between zones.
+        client_us: minimum one-way time between a client and a balancer.
+        jitter: mean of the random part of a one-way time, as a fraction of the minimum.
+        peer_delay_us: mean of the additional, exponential delay of messages between balancers.
+        peer_loss: fraction of the messages between balancers that is lost without a fault.
+        peer_delivery_fraction: fraction of the remaining messages between balancers that a fault lets through.
+        partitioned_zones: zones whose links to all other zones are cut.
     """
 
     def __init__(self, network: Network, streams: Streams) -> None:
@@ -26,23 +32,23 @@
         self.draw_loss = streams.uniforms("peer loss")
 
     def is_open(self, zone: int, other_zone: int) -> bool:
-        """Returns whether messages pass between two zones."""
+        """Returns whether messages can pass between two zones."""
         partitioned = self.partitioned_zones
         return zone == other_zone or not partitioned or (zone not in partitioned and other_zone not in partitioned)
 
     def one_way_us(self, zone: int, other_zone: int) -> int:
-        """Draws the time of a message between two zones, in microseconds, at least 1."""
+        """Draws the one-way time of a message between two zones, in microseconds, at least 1."""
         return self._jittered(self.same_zone_us if zone == other_zone else self.cross_zone_us)
 
     def client_one_way_us(self) -> int:
-        """Draws the time of a message between a client and a balancer, in microseconds, at least 1."""
+        """Draws the one-way time of a message between a client and a balancer, in microseconds, at least 1."""
         return self._jittered(self.client_us)
 
-    def _jittered(self, mean_us: float) -> int:
-        return max(1, round(mean_us * (1 + self.jitter * self.draw_exponential())))
+    def _jittered(self, minimum_us: float) -> int:
+        return max(1, round(minimum_us * (1 + self.jitter * self.draw_exponential())))
 
     def peer_one_way_us(self, zone: int, other_zone: int) -> int | None:
-        """Draws the time of a message between two balancers, in microseconds; None if the message is lost."""
+        """Draws the one-way time of a message between two balancers, in microseconds; None if it is lost."""
         if not self.is_open(zone, other_zone):
             return None
         if self.draw_loss() >= (1 - self.peer_loss) * self.peer_delivery_fraction:
--- a/glenrock/simulation/model/requests.py
+++ b/glenrock/simulation/model/requests.py
@@ -1,4 +1,4 @@
-"""What clients, balancers and servers share: a client, its requests, and their attempts at servers."""
+"""The objects that clients, balancers and servers share: clients, their requests, and the attempts of these."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 
 class RequestOutcome(StrEnum):
-    """How a request was concluded; each request is concluded once."""
+    """The outcome of a request; each request gets one at most."""
 
     ESTABLISHED = "up"
     REJECTED = "refused"
     FAILED = "failed"
     OVERDUE = "overdue"
-    """No final answer in time: a violation by the balancer."""
+    """The balancer gave no final answer in time, which violates an invariant."""
     DISCONNECTED = "left"
     """The client disconnected before its answer."""
     KILLED = "killed"
@@ -29,7 +29,7 @@
 
 
 class RequestOwner(Protocol):
-    """The balancer's process, as the parts of a simulation that hold one of its requests use it."""
+    """The balancer's process, as seen by the parts of a simulation that handle its requests."""
 
     index: int
     zone: int
@@ -52,16 +52,18 @@
 
 @dataclass(slots=True, eq=False)
 class Client:
-    """A client of the workload, over all of its requests.
+    """A client of the workload, across all of its requests.
 
     Attributes:
-        planned: what the client wants.
+        planned: the client's part of the workload.
         request_count: requests made so far; the number of a request is part of its identifier.
         failures: requests that failed since the last established connection.
-        waiting_since_us: since when the client has no connection, or -1.
-        request: the request that is pending or established.
-        has_connected: whether it had a connection before; a request is then a reconnect.
-        next_change_index: index of the next change of load in the row.
+        waiting_since_us: since when the client has been without a connection; -1 otherwise.
+        request: the current request, which is pending or established.
+        connection: the client's open connection.
+        has_connected: whether it has had a connection before, which makes its next request a reconnect.
+        is_done: whether the client sends no more requests.
+        next_change_index: index of the next change of load in `planned.load_changes`.
     """
 
     planned: PlannedClient
@@ -77,11 +79,12 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """An attempt of a balancer to set up a connection at a server.
+    """A balancer's attempt to set up a connection at a server.
 
     Attributes:
-        is_active: whether the policy has not been told of the attempt's end.
-        is_established: whether the connection was set up; it stays true after its end.
+        number: number of the attempt within its request, from 0.
+        is_active: true until the policy is told that the attempt, or the connection it set up, has ended.
+        is_established: whether the connection was set up; it stays true after the connection has ended.
     """
 
     request: ClientRequest
@@ -99,9 +102,11 @@
 
     Attributes:
         established_attempt: the attempt whose connection was set up.
-        was_ended_by_policy: whether the policy itself answered with a rejection or a failure.
-        outcome: None until the request is concluded.
-        closed_in_batch: number of batches handled when the end was posted; the policy reads it in the next one.
+        is_answered: whether it has had its final answer.
+        is_over: whether it has ended for the balancer.
+        was_ended_by_policy: whether the policy itself ended it with a rejection or a failure.
+        outcome: None until the outcome is known.
+        closed_in_batch: number of the policy's batches when the request ended; the next batch contains the end.
     """
 
     id: str
--- a/glenrock/simulation/model/server.py
+++ b/glenrock/simulation/model/server.py
@@ -1,9 +1,10 @@
-"""A server: attempts through a queue and cores, open connections as a flow of work, slow start, overload.
+"""A server: a queue of connection attempts, open connections as a fluid flow of work, slow start, overload.
 
-Attempts are jobs, first come first served, each on one core. Open connections ask for work evenly, at a rate that
-changes with their load; work that is not done is a backlog, and messages wait behind it. While open connections use
-a fraction u of the cores, an attempt proceeds at (1 - u) of a core's speed, at least 0.15 of it, and takes that from
-the connections. The model leaves out the cost of a large table of connections, and pauses of the process.
+Attempts are jobs, served first come first served, each on one core. Open connections demand work at a constant rate
+between changes of their load. Work that the server has not done yet is its backlog, and messages wait behind it.
+While open connections use a fraction u of the cores, an attempt runs at (1 - u) of a core's speed, and at no less
+than `MIN_SETUP_SPEED`; the connections lose the capacity that attempts take. The model leaves out the cost of a large
+connection table, and pauses of the process.
 
 Times are microseconds, and work is microseconds on a standard core.
 """
@@ -20,18 +21,18 @@
 from . import waits
 from .server_parameters import ServerParameters, ServerShape, WorkCounts
 
-AttemptT = TypeVar("AttemptT")  # an attempt to set up a connection, as the caller knows it; a key here
+AttemptT = TypeVar("AttemptT")  # the caller's type of a connection attempt; the model only uses it as a key
 
-MIN_SETUP_SPEED = 0.15  # of a core, for an attempt beside open connections
-MIN_CONTENDED_SPEED = 0.2  # of a core, with many attempts at once
-BUDGET_SLACK_CONNECTIONS = 5.0  # usual loads added to the slow-start budget, since arrivals vary
-SHED_TO_FRACTION = 0.8  # of its capacity, to which a server that sheds closes connections
-MIN_CAPACITY = 1e-9  # divides in place of 0
+MIN_SETUP_SPEED = 0.15  # fraction of a core's speed for an attempt that competes with open connections
+MIN_CONTENDED_SPEED = 0.2  # fraction of a core's speed while many attempts are running or queued
+BUDGET_SLACK_CONNECTIONS = 5.0  # added to the slow-start budget at the base load of each, since arrivals vary
+SHED_TO_FRACTION = 0.8  # a server that sheds closes connections until demand is this fraction of its capacity
+MIN_CAPACITY = 1e-9  # avoids a division by 0
 MAX_KEPT_REPORTS = 8
 
 
 class SetupAnswer(StrEnum):
-    """A server's answer to an attempt; all but `ESTABLISHED` are values of `AttemptOutcome` too."""
+    """A server's answer to an attempt. All values but `ESTABLISHED` are also values of `AttemptOutcome`."""
 
     ESTABLISHED = "up"
     FULL = "full"
@@ -47,14 +48,15 @@
     """An open connection.
 
     Attributes:
-        balancer_index: index of its balancer.
-        class_index: index of its class.
-        priority_weight: priority weight of a second in which it is served in time.
-        load: work a second that it asks for.
-        served_s_at_credit: the server's integral of its class when counting began.
-        uncredited_s: seconds served in time that are not credited yet.
+        balancer_index: index of the balancer that opened it.
+        class_index: index of its request class.
+        group: affinity group of its client.
+        priority_weight: priority weight of each second in which it is served in time.
+        load: work per second that it demands.
+        served_s_at_credit: the server's `served_s_by_class` of its class when the uncredited period began.
+        uncredited_s: seconds served in time that have not been credited yet.
         opened_us: when it was opened.
-        is_unreachable: whether its link is cut, so that nothing of it arrives.
+        is_unreachable: whether a partition cuts its link, so that no message of it arrives.
     """
 
     attempt: AttemptT
@@ -71,31 +73,32 @@
 
 @dataclass(slots=True, eq=False)
 class ServerModel(Generic[AttemptT]):
-    """A server, over all of its incarnations.
+    """A server, across restarts of its process.
 
     Attributes:
-        send_answer: called with the answer to an attempt.
-        record_served: called with time, class and priority weight of what was served.
+        number: index of the server in the fleet.
+        send_answer: called with each attempt and the answer to it.
+        record_served: called with the time, the class index and the priority weight that was served.
         cell: failure domain within the zone.
-        started_us: when the process started; 0: before the run.
-        was_overloaded_while_warming_up: whether it was overloaded while cold; it does not start again.
-        incarnation: number of ends of its process; a callback of an earlier incarnation has no effect.
-        speed_fraction: fraction of its speed that a fault leaves.
-        computed_until_us: time up to which the flow of work is computed.
-        demand: work a second that open connections ask for.
-        backlog: backlog of work.
-        setup_work_rate: work a second that attempts take.
-        running_setups: attempts on a core.
-        queue: attempts that wait for a core, with their work.
+        started_us: when the process started; 0 if it started before the run.
+        was_overloaded_while_warming_up: whether load sent during slow start overloaded it; it is not restarted then.
+        incarnation: number of times that its process has ended; callbacks of an earlier incarnation have no effect.
+        speed_fraction: fraction of its normal speed; a fault lowers it.
+        computed_until_us: time up to which the flow of work has been computed.
+        demand: work per second that open connections demand.
+        backlog: work that was demanded and has not been done.
+        setup_work_rate: work per second that running attempts take.
+        running_setups: number of attempts that are running on a core.
+        queue: attempts that wait for a core, with the work of each.
         open_connections: open connections by attempt.
-        pending_attempts: attempts without an open connection, and whether they are set up.
-        connections_by_group: number of open connections by group.
-        weight_by_class: priority weight a second of the open connections, by class.
-        served_s_by_class: seconds served in time, by class.
-        load_reports: load reports and their times.
-        slow_start_arrivals: attempts sent while cold: time, load, and whether the balancer knew of the start.
-        slow_start_load: load of those within the budget's window.
-        mean_message_us: mean time of a message now.
+        pending_attempts: attempts whose connection is not open yet, and whether their set-up is done.
+        connections_by_group: number of open connections by affinity group.
+        weight_by_class: total priority weight per second of the open connections, by class.
+        served_s_by_class: integral over time of the fraction of messages served in time, in seconds, by class.
+        load_reports: the latest load reports, each with the time when it was made.
+        slow_start_arrivals: attempts received during slow start: time, load, whether the balancer knew of the start.
+        slow_start_load: total load of `slow_start_arrivals`, which are those within the budget's window.
+        mean_message_us: current mean response time of a message.
     """
 
     name: str
@@ -137,27 +140,27 @@
     # -- capacity ------------------------------------------------------------------------------------
 
     def slow_start_fraction(self, now: int) -> float:
-        """Returns the fraction of its capacity that the slow start allows."""
+        """Returns the fraction of full capacity that the server has at this point of its slow start."""
         if not self.started_us or now - self.started_us >= self.shape.slow_start_us:
             return 1.0
-        cold = self.shape.initial_fraction
-        return cold + (1 - cold) * (now - self.started_us) / self.shape.slow_start_us
+        initial = self.shape.initial_fraction
+        return initial + (1 - initial) * (now - self.started_us) / self.shape.slow_start_us
 
     def core_rate(self, now: int) -> float:
-        """Returns the work a second of one core."""
+        """Returns the work per second that one core does."""
         shape = self.shape
         excess = (self.running_setups + len(self.queue)) / shape.cores - shape.contention_threshold
         efficiency = max(MIN_CONTENDED_SPEED, 1 - shape.contention_loss * excess) if excess > 0 else 1.0
         return SECOND_US * shape.speed * self.speed_fraction * self.slow_start_fraction(now) * efficiency
 
     def capacity(self, now: int) -> float:
-        """Returns the work a second of all cores."""
+        """Returns the work per second that all cores do."""
         return self.core_rate(now) * self.shape.cores
 
-    # -- time ----------------------------------------------------------------------------------------
+    # -- flow of work ----------------------------------------------------------------------------------------
 
     def advance(self, now: int) -> None:
-        """Computes the flow of work up to now; since the last call only the slow start has changed anything."""
+        """Computes the flow of work up to now. Since the last call, only slow start has changed any rate."""
         elapsed_us = now - self.computed_until_us
         if elapsed_us <= 0:
             return
@@ -196,7 +199,7 @@
                 self.record_served(self.computed_until_us, class_index, weight * fraction * seconds)
 
     def _update_load_report(self, now: int) -> None:
-        """Makes a load report, at most one in each interval; the intervals of servers are out of step."""
+        """Makes a load report, at most one per interval; servers have different offsets of their intervals."""
         interval_us = self.parameters.load_report_interval_us
         if (now - self.number) // interval_us == (
             self.computed_until_us - self.number
@@ -216,12 +219,15 @@
             )
         )
 
-    def load_report_at(self, then: int) -> dict[str, float]:
-        """Returns the load report as of a time. Reports survive a restart, so one may describe the old process."""
-        return next((report for at_us, report in reversed(self.load_reports) if at_us <= then), {})
+    def load_report_at(self, as_of_us: int) -> dict[str, float]:
+        """Returns the last load report as of a time. It may describe the process before a restart."""
+        return next((report for at_us, report in reversed(self.load_reports) if at_us <= as_of_us), {})
 
     def bound_backlog(self, now: int) -> list[Connection[AttemptT]]:
-        """Bounds the backlog, once a second. Returns the connections that it sheds for it."""
+        """Drops the work above the maximum backlog. Returns the connections to shed if there was any.
+
+        The caller calls it once per second.
+        """
         self.advance(now)
         capacity = self.capacity(now)
         max_backlog = capacity * self.shape.max_backlog_s
@@ -256,8 +262,8 @@
             now: the time.
             attempt: the attempt.
             work: work of its set-up.
-            load: load of its connection.
-            is_informed: whether its balancer knows of this incarnation's start.
+            load: load that its connection is expected to have.
+            is_informed: whether its balancer knows that this incarnation of the server has started.
         """
         if not self.is_up:
             self.send_answer(attempt, SetupAnswer.NO_CONNECTION)
@@ -306,14 +312,14 @@
                 self._start_setup(now, attempt, work)
 
     def abandon(self, now: int, attempt: AttemptT) -> None:
-        """Forgets an attempt that its caller has given up."""
+        """Drops an attempt that its balancer has abandoned."""
         if self.pending_attempts.pop(attempt, True) is False:
             self.work_counts.attempts_abandoned += 1
 
     # -- open connections ----------------------------------------------------------------------------
 
     def open(self, now: int, connection: Connection[AttemptT], load: float) -> bool:
-        """Opens a connection. Returns False if the server has restarted since, and does not know its attempt."""
+        """Opens the connection of an attempt. Returns False if the server has lost the attempt in a restart."""
         if not self.is_up or connection.attempt not in self.pending_attempts:
             return False
         self.advance(now)
@@ -335,7 +341,7 @@
             connection.load = load
 
     def set_unreachable(self, now: int, connection: Connection[AttemptT], is_unreachable: bool, load: float) -> None:
-        """Cuts or restores the link of a connection; while it is cut, nothing is demanded and nothing is served."""
+        """Cuts or restores the link of a connection, which demands no work and is not served while its link is cut."""
         if connection.is_unreachable == is_unreachable or connection.attempt not in self.open_connections:
             return
         self.advance(now)
@@ -352,7 +358,7 @@
         connection.is_unreachable = is_unreachable
 
     def close(self, now: int, connection: Connection[AttemptT]) -> None:
-        """Closes a connection; its `earned` is complete then."""
+        """Closes a connection; its `uncredited_s` is complete then."""
         if connection.attempt not in self.open_connections:
             return
         self.advance(now)
@@ -366,13 +372,13 @@
         else:
             del self.connections_by_group[connection.group]
         self.demand -= connection.load + (0.0 if count else self.parameters.group_load)
-        if not self.open_connections:  # rounding errors do not add up
+        if not self.open_connections:  # keeps rounding errors from accumulating
             self.demand, self.weight_by_class = 0.0, [0.0] * len(self.weight_by_class)
 
     # -- the process ---------------------------------------------------------------------------------
 
     def stop(self, now: int) -> tuple[list[Connection[AttemptT]], list[AttemptT]]:
-        """Ends the process. Returns the connections and the pending attempts that it held."""
+        """Ends the process. Returns its open connections and its pending attempts."""
         self.advance(now)
         connections, pending = list(self.open_connections.values()), list(self.pending_attempts)
         for connection in connections:
@@ -387,7 +393,7 @@
         return connections, pending
 
     def start(self, now: int) -> None:
-        """Starts a new process in slow start. Load reports of the old one stay until it has made its own."""
+        """Starts a new process, in slow start. Load reports of the old process stay until the new one makes its own."""
         self.advance(now)
         self.is_up, self.is_draining, self.started_us = True, False, now
         self.speed_fraction = 1.0
@@ -395,27 +401,27 @@
         self.slow_start_load = 0.0
 
     def set_speed_fraction(self, now: int, fraction: float) -> None:
-        """Sets the fraction of its speed that a fault leaves."""
+        """Sets the fraction of its normal speed at which the server runs."""
         self.advance(now)
         self.speed_fraction = fraction
         self._start_queued_setups(now)
 
-    def do_health_check(self, now: int, work: float, waits: bool = True) -> float:
-        """Does the work of a health check. Returns its time in microseconds, behind the backlog if it waits."""
+    def do_health_check(self, now: int, work: float, waits_for_backlog: bool = True) -> float:
+        """Adds the work of a health check. Returns its response time in microseconds, infinite without any capacity."""
         self.advance(now)
         capacity = self.capacity(now)
         if capacity <= 0:
             return float("inf")
-        wait_us = self.backlog / capacity * SECOND_US if waits else 0.0
+        wait_us = self.backlog / capacity * SECOND_US if waits_for_backlog else 0.0
         self.backlog += work
         self.work_counts.demanded += work
         return wait_us + work / self.core_rate(now) * SECOND_US
 
     def _exceeds_slow_start_budget(self, now: int, load: float, is_informed: bool) -> bool:
-        """Counts load sent to a cold server. Returns whether it overloads the server.
+        """Counts load sent during slow start. Returns whether it exceeds the budget and so overloads the server.
 
-        The budget is a multiple of the load that fills the server evenly over its slow start, in any window of the
-        stated length, with some slack. It covers the load of all balancers.
+        A server that fills evenly over its slow start takes a certain load in each window. The budget for any window
+        is a multiple of that load, with some slack, for all balancers together.
         """
         parameters, shape = self.parameters, self.shape
         if self.slow_start_fraction(now) >= 1:
--- a/glenrock/simulation/model/server_parameters.py
+++ b/glenrock/simulation/model/server_parameters.py
@@ -1,4 +1,4 @@
-"""The properties of the modelled servers, and their counts of work."""
+"""The parameters of the modelled servers, and their counters of work."""
 
 from __future__ import annotations
 
@@ -7,12 +7,20 @@
 
 @dataclass(slots=True)
 class ServerShape:
-    """The properties of one server, as drawn for the run; its fields are keys of `[[kinds]]`.
+    """The parameters of one server, drawn for the run from its kind (`[[kinds]]` of an experiment).
 
     Attributes:
-        slow_start_us: duration of the slow start.
-        max_waiting_attempts: attempts that may wait.
-        max_connections: connections that it bears.
+        kind: name of its kind.
+        zone: index of its zone.
+        speed: speed of a core, as a multiple of a standard core.
+        initial_fraction: fraction of its capacity at the begin of slow start.
+        slow_start_us: duration of slow start.
+        contention_threshold: attempts per core, running or queued, above which cores slow down.
+        contention_loss: fraction of a core's speed lost for each attempt per core above the threshold.
+        max_waiting_attempts: maximum number of queued attempts.
+        max_connections: maximum number of connections, pending ones included.
+        max_backlog_s: maximum backlog, in seconds of work of all cores.
+        shedding: connections that it closes when the backlog exceeds the maximum: none, the newest or the heaviest.
     """
 
     kind: str
@@ -31,18 +39,18 @@
 
 @dataclass(slots=True)
 class ServerParameters:
-    """The figures that all servers of a run share.
+    """The parameters that all servers of a run share.
 
     Attributes:
         message_work_us: work of a message.
-        burstiness: factor of waits over those of evenly spread messages.
-        message_objectives_us: message objective of each class.
-        shortest_objective_us: the shortest of them.
-        group_load: load of each group with a connection at the server.
-        base_load: usual load of a connection.
-        load_report_interval_us: interval of load reports.
+        burstiness: factor by which waits are longer than with Poisson arrivals of messages.
+        message_objectives_us: response-time objective of messages, by class.
+        shortest_objective_us: the shortest of these objectives.
+        group_load: additional load of each affinity group that has a connection at the server.
+        base_load: load of a connection of a class with relative load 1.
+        load_report_interval_us: interval between load reports.
         slow_start_multiple: slow-start budget, as a multiple of the load that fills the server over its slow start.
-        slow_start_window_us: window of the slow-start budget.
+        slow_start_window_us: length of the window that the slow-start budget applies to.
     """
 
     message_work_us: float
@@ -58,13 +66,16 @@
 
 @dataclass(slots=True)
 class WorkCounts:
-    """Counts of work and attempts. demanded = done + backlog + lost, at any time.
+    """Counters of work and attempts. At any time, demanded = done + backlog + lost.
 
     Attributes:
+        demanded: work demanded by connections and health checks.
+        done: work done.
+        lost: work dropped above the maximum backlog, or lost when the process ended.
         attempts: attempts accepted.
-        attempts_set_up: attempts set up for a caller that still waited.
-        attempts_lost: attempts pending when the process ended.
-        attempts_abandoned: attempts abandoned by their caller.
+        attempts_set_up: attempts set up before their balancer abandoned them.
+        attempts_lost: attempts not set up when the process ended.
+        attempts_abandoned: attempts that their balancer abandoned before they were set up.
     """
 
     demanded: float = 0.0
--- a/glenrock/simulation/model/server_shapes.py
+++ b/glenrock/simulation/model/server_shapes.py
@@ -1,4 +1,4 @@
-"""The servers of a run, as drawn for it, and the figures that they share."""
+"""Draws the servers of a run, and computes the parameters that they share."""
 
 from __future__ import annotations
 
@@ -11,30 +11,30 @@
 from .server_parameters import ServerParameters, ServerShape
 from .workload import skewed_fractions
 
-MIN_SPEED_FACTOR = 0.2  # of the normal draw of a server's speed
+MIN_SPEED_FACTOR = 0.2  # lower bound of the normally distributed factor of a server's speed
 
 
 def draw_server_shapes(experiment: Experiment, streams: Streams) -> list[ServerShape]:
-    """Draws the servers of an experiment that is itself drawn."""
+    """Draws the servers of an experiment whose ranges are already drawn."""
     draw = streams.generator("instances")
     count = drawn_count(experiment.fleet.instances)
-    shares = np.array([drawn_number(kind.share) for kind in experiment.kinds])
-    kinds = draw.choice(len(shares), size=count, p=shares / shares.sum())
+    weights = np.array([drawn_number(kind.share) for kind in experiment.kinds])
+    kinds = draw.choice(len(weights), size=count, p=weights / weights.sum())
     zone_fractions = skewed_fractions(
         len(experiment.fleet.zones), drawn_number(experiment.fleet.instance_skew), skew_last=True
     )
-    # Zones are filled in proportion and not drawn, so that a small fleet never lacks a zone.
+    # Servers are assigned to zones in proportion, not at random, so that a small fleet has servers in each zone.
     bounds = np.cumsum(zone_fractions)
     zones = np.searchsorted(bounds, (np.arange(count) + 0.5) / count).clip(0, len(zone_fractions) - 1)
-    found = []
+    shapes = []
     for number in range(count):
         kind = experiment.kinds[int(kinds[number])]
         factor = max(MIN_SPEED_FACTOR, 1 + drawn_number(kind.speed_cv) * float(draw.standard_normal()))
-        found.append(_shape(kind, int(zones[number]), drawn_number(kind.speed) * factor))
-    return found
+        shapes.append(_make_shape(kind, int(zones[number]), drawn_number(kind.speed) * factor))
+    return shapes
 
 
-def _shape(kind: Kind, zone: int, speed: float) -> ServerShape:
+def _make_shape(kind: Kind, zone: int, speed: float) -> ServerShape:
     return ServerShape(
         kind=kind.name,
         zone=zone,
@@ -52,7 +52,7 @@
 
 
 def server_parameters(experiment: Experiment) -> ServerParameters:
-    """Returns the figures that the servers of a drawn experiment share."""
+    """Returns the parameters that all servers share, of an experiment whose ranges are already drawn."""
     objectives_us = tuple(drawn_number(class_.message_aim_ms) * 1000 for class_ in experiment.classes)
     shortest_us = min(drawn_number(class_.message_aim_ms) for class_ in experiment.classes) * 1000
     base_load = SECOND_US / drawn_number(experiment.traffic.connections_per_core)
--- a/glenrock/simulation/model/store.py
+++ b/glenrock/simulation/model/store.py
@@ -1,7 +1,7 @@
-"""The store that every attempt asks: one queue, first come first served, for all servers together.
+"""The store that servers call at the end of each set-up: a first-come-first-served queue shared by all servers.
 
-A call cannot be withdrawn, so the store also serves calls of clients that have disconnected. Clients that give up and
-retry together wait behind their own abandoned calls.
+A call cannot be cancelled, so the store also serves calls for clients that have disconnected. When many clients time
+out and retry together, their retries wait behind their own abandoned calls.
 """
 
 from __future__ import annotations
@@ -13,10 +13,10 @@
     """The queue of the store.
 
     Attributes:
-        service_interval_us: between two calls that it serves; 0: no call waits.
-        call_us: time of a call in an empty queue.
-        idle_from_us: when the queue is empty.
-        calls: number of calls made.
+        service_interval_us: time between two calls that it serves; 0: calls are answered at once.
+        call_us: additional time of each call, apart from the queue.
+        idle_from_us: when the calls made so far have left the queue.
+        calls: number of calls made so far.
     """
 
     def __init__(self, calls_per_s: float, call_us: float) -> None:
@@ -26,7 +26,7 @@
         self.calls = 0
 
     def call(self, now: int) -> int:
-        """Makes a call. Returns when it is answered."""
+        """Makes a call. Returns the time of its answer."""
         self.calls += 1
         if not self.service_interval_us:
             return now
--- a/glenrock/simulation/model/workload.py
+++ b/glenrock/simulation/model/workload.py
@@ -1,7 +1,8 @@
-"""The workload: all that clients will ask for during a run, drawn before it.
+"""The workload: the clients of a run and their loads, drawn before the run starts.
 
-A client asks for its connection from its arrival to its end by the clock, served or not. So the workload is the same
-under every policy, waiting does not slow arrivals, and seconds spent waiting count against the policy.
+A client wants its connection from its arrival to a fixed end time, served or not. The workload is therefore the same
+under every policy (an open-loop workload), waiting does not slow arrivals, and seconds spent waiting count against
+the policy.
 """
 
 from __future__ import annotations
@@ -17,8 +18,8 @@
 from ..spec_types import drawn_number
 from ..streams import Streams
 
-HISTORY_LIFETIMES = 6.0  # usual lifetimes before the start, from which the connections open at the start are drawn
-END_MARGIN_S = 1e-6  # before the end of the run, for the skew_last arrival
+HISTORY_LIFETIMES = 6.0  # history of arrivals before the run, from which its initial connections are drawn
+END_MARGIN_S = 1e-6  # minimum time from an arrival to the end of the run
 
 FloatArray = npt.NDArray[np.float64]
 IntArray = npt.NDArray[np.int64]
@@ -26,15 +27,19 @@
 
 @dataclass(slots=True, eq=False)
 class PlannedClient:
-    """The workload of one client.
+    """The part of the workload that one client makes up.
 
     Attributes:
-        arrival_us: microseconds from the start of the run; below 0: its connection is open at the start.
+        number: index of the client in the workload, in order of arrival.
+        arrival_us: microseconds from the start of the run; negative if its connection is open at the start.
         end_us: microseconds from the start of the run.
-        class_index: index of its class.
-        base_load: usual load, in microseconds of work a second.
-        quota_factor: factor of its priority weight: 1, or less beyond the quota of its tenant.
-        load_changes: times from the start of the run, and the load from then on.
+        class_index: index of its request class.
+        tenant: index of its tenant.
+        zone: index of its zone.
+        group: affinity group.
+        base_load: load that its random `load_changes` vary around, in microseconds of work per second.
+        quota_factor: factor of its priority weight: 1, or less if its tenant was over quota when it arrived.
+        load_changes: pairs of a time in microseconds from the start of the run, and the load from then on.
     """
 
     number: int
@@ -54,11 +59,11 @@
     """The workload of a run.
 
     Attributes:
-        clients: clients by arrival.
-        demanded: priority weight demanded for in each second, by class.
-        quotas: connections of each tenant's quota.
-        mean_load: mean load of a connection, in microseconds of work a second.
-        capacity: of the whole fleet, in microseconds of work a second.
+        clients: clients in order of arrival.
+        demanded: priority weight demanded in each second, by class.
+        quotas: quota of each tenant, in connections.
+        mean_load: mean load of a connection, in microseconds of work per second.
+        capacity: capacity of the whole fleet, in microseconds of work per second.
         clients_per_s: mean rate of new clients.
     """
 
@@ -72,16 +77,16 @@
 
 @dataclass(frozen=True, slots=True)
 class _ArrivalParameters:
-    """What the arrivals of a workload are drawn from.
+    """The parameters from which the arrivals of a workload are drawn.
 
     Attributes:
-        class_fractions: of new clients.
-        lifetimes_s: usual life of a connection, by class.
-        base_load: of a connection of a class with load 1.
-        mean_load: of a connection over all classes.
+        class_fractions: fraction of new clients in each class.
+        lifetimes_s: mean lifetime of a connection, by class.
+        base_load: load of a connection of a class with relative load 1, in microseconds of work per second.
+        mean_load: mean load of a connection over all classes, in microseconds of work per second.
         clients_per_s: mean rate of new clients.
-        tenant_fractions: of the quotas.
-        usage_fractions: of new clients, by tenant.
+        tenant_fractions: fraction of the quotas that each tenant has.
+        usage_fractions: fraction of new clients that each tenant has.
     """
 
     class_fractions: FloatArray
@@ -94,7 +99,13 @@
 
 
 def skewed_fractions(count: int, skew: float, skew_last: bool = False) -> FloatArray:
-    """Returns fractions that add up to 1: equal with skew 0, all on the first (or skew_last) with skew 1."""
+    """Returns `count` fractions that add up to 1.
+
+    Args:
+        count: number of fractions.
+        skew: 0 for equal fractions, up to 1 for everything on one of them.
+        skew_last: whether that one is the last, and not the first.
+    """
     fractions = np.full(count, 1 / count)
     fractions = fractions * (1 - skew)
     fractions[-1 if skew_last else 0] += skew
@@ -102,12 +113,12 @@
 
 
 def draw_workload(experiment: Experiment, streams: Streams, capacity: float) -> Workload:
-    """Draws the workload of an experiment that is itself drawn.
+    """Draws the workload of an experiment.
 
     Args:
-        experiment: the drawn experiment.
-        streams: the streams of the run.
-        capacity: of the servers drawn for the run, in microseconds of work a second.
+        experiment: the experiment, with its ranges already drawn.
+        streams: the random streams of the run.
+        capacity: capacity of the servers drawn for the run, in microseconds of work per second.
     """
     parameters = _arrival_parameters(experiment, capacity)
     quota_headroom = drawn_number(experiment.platform.share_room)
@@ -144,7 +155,7 @@
 
 
 def _relative_rate(experiment: Experiment, times_s: FloatArray) -> FloatArray:
-    """Returns the rate of arrivals at each time, over its mean."""
+    """Returns the rate of arrivals at each time, relative to the mean rate."""
     traffic, swing = experiment.traffic, drawn_number(experiment.traffic.swing)
     progress = np.clip(times_s / drawn_number(experiment.length_s), 0, 1)
     if traffic.shape == "ramp":
@@ -155,7 +166,7 @@
 def _draw_arrivals(
     experiment: Experiment, streams: Streams, parameters: _ArrivalParameters
 ) -> tuple[FloatArray, IntArray]:
-    """Draws the times of arrivals in seconds, in order, and their tenants."""
+    """Draws the times of arrivals in seconds, sorted, and the tenant of each."""
     length_s, swing = drawn_number(experiment.length_s), drawn_number(experiment.traffic.swing)
     history_s = HISTORY_LIFETIMES * float(parameters.lifetimes_s.max())
     tenant_count = len(parameters.tenant_fractions)
@@ -164,7 +175,7 @@
     times = np.sort(draw.random(count)) * (history_s + length_s) - history_s
     times = times[draw.random(count) * (1 + swing) < _relative_rate(experiment, times)]
     tenants = draw.choice(tenant_count, size=len(times), p=parameters.usage_fractions)
-    # Arrivals that faults add are drawn beside the usual ones, which stay the same without the fault.
+    # Faults draw their arrivals from streams of their own, so that the other arrivals are the same without the fault.
     for number, fault in enumerate(experiment.faults):
         if isinstance(fault, FlashCrowd | TenantFlood):
             more_times, more_tenants = _draw_fault_arrivals(
@@ -218,7 +229,7 @@
         * relative_load
         * np.exp(load_sigma * draw.standard_normal(count) - load_sigma * load_sigma / 2)
     )
-    # The size of a group falls with its rank, as 1 over the square root.
+    # The size of a group is proportional to 1 / sqrt(rank).
     open_connections = max(1.0, parameters.clients_per_s * float((fractions * lifetimes_s).sum()))
     group_count = max(1, round(open_connections / drawn_number(traffic.group_size)))
     group_sizes = 1 / np.sqrt(np.arange(1, group_count + 1))
@@ -228,7 +239,7 @@
     tenants, class_indices, zones, groups = (column[is_kept] for column in (tenants, class_indices, zones, groups))
     ends = times + lifetimes
     changes = _draw_changes(experiment, streams, times, ends, class_indices, loads)
-    weights = _quota_factors(times, ends, tenants, quotas, float(experiment.platform.over_share_worth))
+    quota_factors = _quota_factors(times, ends, tenants, quotas, float(experiment.platform.over_share_worth))
     columns = zip(
         (times * SECOND_US).astype(np.int64).tolist(),
         (ends * SECOND_US).astype(np.int64).tolist(),
@@ -237,12 +248,12 @@
         zones.tolist(),
         groups.tolist(),
         loads.tolist(),
-        weights,
+        quota_factors,
         changes,
         strict=True,
     )
     clients = [PlannedClient(number, *column) for number, column in enumerate(columns)]
-    demanded = _demanded_weight(experiment, times, ends, class_indices, weights, length_s)
+    demanded = _demanded_weight(experiment, times, ends, class_indices, quota_factors, length_s)
     return Workload(clients, demanded, quotas, parameters.mean_load, capacity, parameters.clients_per_s)
 
 
@@ -254,7 +265,7 @@
     class_indices: IntArray,
     loads: FloatArray,
 ) -> list[tuple[tuple[int, float], ...]]:
-    """Draws the changes of each client's load within the run, in order; the first is at its arrival."""
+    """Draws each client's load changes within the run, in order; the first is at its arrival or at the start."""
     classes, run_s = experiment.classes, drawn_number(experiment.length_s) + float(experiment.drain_s)
     draw = streams.generator("load changes")
     first = np.maximum(times, 0.0)
@@ -284,14 +295,14 @@
     times: FloatArray,
     ends: FloatArray,
     class_indices: IntArray,
-    weights: list[float],
+    quota_factors: list[float],
     length_s: float,
 ) -> FloatArray:
-    """Returns the priority weight demanded for in each second, by class."""
+    """Returns the priority weight demanded in each second, by class."""
     class_weights = np.array([float(class_.worth) for class_ in experiment.classes])
     seconds = int(np.ceil(length_s))
     demanded = np.zeros((seconds, len(class_weights)))
-    values = class_weights[class_indices] * np.array(weights)
+    values = class_weights[class_indices] * np.array(quota_factors)
     for second in range(seconds):
         inside = np.clip(np.minimum(ends, min(second + 1, length_s)) - np.maximum(times, second), 0, 1)
         demanded[second] = np.bincount(class_indices, weights=values * inside, minlength=len(class_weights))
@@ -301,12 +312,12 @@
 def _quota_factors(
     times: FloatArray, ends: FloatArray, tenants: IntArray, quotas: tuple[float, ...], over_quota_weight: float
 ) -> list[float]:
-    """Returns 1 for a client that arrives while its tenant is within its quota, else `over_quota_weight`."""
-    weights = [1.0] * len(times)
+    """Returns for each client 1 if its tenant was within its quota at the arrival, else `over_quota_weight`."""
+    quota_factors = [1.0] * len(times)
     for tenant, quota in enumerate(quotas):
         clients = np.nonzero(tenants == tenant)[0]
         sorted_ends = np.sort(ends[clients])
         open_connections = np.arange(len(clients)) - np.searchsorted(sorted_ends, times[clients], side="right")
         for client in clients[open_connections >= quota].tolist():
-            weights[client] = over_quota_weight
-    return weights
+            quota_factors[client] = over_quota_weight
+    return quota_factors
