--- a/glenrock/simulation/balancer_settings.py
+++ b/glenrock/simulation/balancer_settings.py
@@ -9,13 +9,13 @@
 
 
 def make_settings(experiment: Experiment, index: int, zone: str, quotas: tuple[float, ...]) -> interface.Settings:
-    """Returns the settings of a balancer of a drawn experiment.
+    """Returns the settings of a balancer.
 
     Args:
-        experiment: the drawn experiment.
-        index: of the balancer.
-        zone: of the balancer.
-        quotas: connections by tenant.
+        experiment: the experiment, with its ranges already drawn.
+        index: index of the balancer.
+        zone: zone of the balancer.
+        quotas: quota of each tenant, in connections.
     """
     platform, rules = experiment.platform, experiment.rules
     return interface.Settings(
--- a/glenrock/simulation/client_requests.py
+++ b/glenrock/simulation/client_requests.py
@@ -1,4 +1,4 @@
-"""The clients of the workload: their requests, their changes of load, and the answers that they receive."""
+"""The clients of the workload: their requests, their load changes, and the answers that they receive."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from .model.requests import Client, ClientRequest
 from .spec_types import drawn_count
 
-LATE_REJECTION_FRACTION = 0.5  # of a request's time; a rejection without an attempt after it counts as held back
+LATE_REJECTION_FRACTION = 0.5  # of a request's timeout; later rejections without any attempt count as `held_back`
 
 
 class ClientRequests(ConnectionAccounting):
-    """The part of a simulation that plays the clients."""
+    """The part of a simulation that simulates the clients."""
 
     def schedule_workload(self, client: Client) -> None:
-        """Schedules the first change of a client's load, and the end of its connection."""
+        """Schedules the first load change of a client, and the time at which it is done."""
         planned = client.planned
         if planned.load_changes:
             self.engine.at(self.start_us + planned.load_changes[0][0], self._change_load, client)
@@ -25,7 +25,7 @@
             self.engine.at(self.start_us + planned.end_us, self._end_connection, client)
 
     def load_of(self, client: Client) -> float:
-        """Returns the load of a client's connection now, in microseconds of work a second."""
+        """Returns the current load of a client's connection, in microseconds of work per second."""
         return client.planned.load_changes[max(0, client.next_change_index - 1)][1]
 
     def _change_load(self, client: Client) -> None:
@@ -55,7 +55,7 @@
             self._send_disconnect(request)
 
     def send_request(self, client: Client) -> None:
-        """Sends a new request of a client through the front to a balancer."""
+        """Sends a new request of a client through the front end to a balancer."""
         now, planned = self.engine.now, client.planned
         client.request_count += 1
         self.measure.counts["tries"] += 1
@@ -110,24 +110,24 @@
     def _disconnect_arrives(self, request: ClientRequest, incarnation: int) -> None:
         if request.balancer.incarnation != incarnation:
             return
-        if request.established_attempt:  # the answer crossed the disconnect
+        if request.established_attempt:  # the connection was set up while the disconnect was in flight
             self.close_unwanted(request)
         elif request.outcome is None:
             request.balancer.receive_disconnect(request)
 
     def close_unwanted(self, request: ClientRequest) -> None:
-        """Closes a connection that was set up for a client that had disconnected."""
+        """Closes a connection that was set up for a client that needs no connection any more."""
         attempt = request.established_attempt
         if attempt and attempt.connection:
             self.close_connection(attempt.connection)
             request.balancer.report_attempt_ended(attempt, AttemptOutcome.SERVED)
 
     def _schedule_retry(self, client: Client, retry_after_us: int | None) -> None:
-        """Schedules a client's next request after a failure, or after a rejection if `retry_after_us` is set."""
+        """Schedules a client's next request, after a failure if `retry_after_us` is None, else after a rejection."""
         client.failures += 1
         client.request = None
-        wants_no_time = client.planned.end_us <= client.planned.arrival_us
-        if wants_no_time and client.failures > drawn_count(self.experiment.clients.retries):
+        is_setup_only = client.planned.end_us <= client.planned.arrival_us
+        if is_setup_only and client.failures > drawn_count(self.experiment.clients.retries):
             client.is_done = True
         if retry_after_us is None:
             delay_us = self.client_delays.delay_after_failure(client)
@@ -141,7 +141,7 @@
             self.send_request(client)
 
     def reconnect_after(self, client: Client, delay_us: int) -> None:
-        """Schedules the next request of a client that has lost its connection."""
+        """Schedules the next request of a client whose connection was closed."""
         client.request = client.connection = None
         client.has_connected, client.waiting_since_us = True, self.engine.now
         if not client.is_done:
@@ -171,13 +171,13 @@
             self._schedule_retry_after_answer(request, None)
 
     def report_overdue(self, request: ClientRequest) -> None:
-        """Lets a client retry whose request had no answer in time."""
+        """Schedules a retry of a client whose request had no answer in time."""
         if self._record_answer(request, "overdue"):
             request.client.request = None
             self._retry_if_free(request.client, request.client.request_count, None)
 
     def report_killed(self, request: ClientRequest) -> None:
-        """Lets a client retry whose balancer ended before its answer."""
+        """Schedules a retry of a client whose balancer's process ended before the answer."""
         self._schedule_retry_after_answer(request, None)
 
     def _schedule_retry_after_answer(self, request: ClientRequest, retry_after_us: int | None) -> None:
@@ -202,7 +202,7 @@
             self.reconnect_after(connection.attempt.request.client, self.client_delays.delay_after_migration())
 
     def close_without_notice(self, request: ClientRequest) -> None:
-        """Closes an open connection without a notice; its client reconnects as after a break."""
+        """Closes an open connection without a migration notice; its client reconnects as after a broken connection."""
         attempt = request.established_attempt
         if attempt and attempt.connection:
             connection = attempt.connection
--- a/glenrock/simulation/connection_accounting.py
+++ b/glenrock/simulation/connection_accounting.py
@@ -1,4 +1,4 @@
-"""The accounting of connections: their ends, and their seconds by tenant and by zone."""
+"""Connection accounting: closes connections, and counts their served and open time by tenant and zone."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 
 
 class ConnectionAccounting(FleetState):
-    """The part of a simulation that ends connections and counts their seconds."""
+    """The part of a simulation that closes connections and counts their time."""
 
     def credit_tenant(self, connection: Connection[Attempt]) -> None:
-        """Credits a tenant with the seconds that its connection was served in time since the last credit."""
+        """Credits a tenant with the seconds in which its connection was served in time since the last credit."""
         if self.is_over:
             return
         self.measure.record_tenant_served(connection.attempt.request.client.planned, connection.uncredited_s)
         connection.uncredited_s = 0.0
 
     def close_connection(self, connection: Connection[Attempt]) -> None:
-        """Closes a connection at its server, and counts its seconds."""
+        """Closes a connection at its server, and counts its served and open time."""
         connection.attempt.server.close(self.engine.now, connection)
         self.credit_tenant(connection)
         self.count_open_time(connection)
@@ -29,7 +29,7 @@
             self.connected_clients.pop(client, None)
 
     def count_open_time(self, connection: Connection[Attempt]) -> None:
-        """Counts how long a connection was open, and whether it crossed zones."""
+        """Counts how long a connection was open, in total and if it crossed zones."""
         end_us = min(self.engine.now, self.start_us + self.length_us)
         open_s = (end_us - connection.opened_us) / SECOND_US
         if open_s > 0:
--- a/glenrock/simulation/engine.py
+++ b/glenrock/simulation/engine.py
@@ -1,6 +1,6 @@
-"""Simulated time: a heap of scheduled calls, in whole microseconds.
+"""Discrete-event simulation: a clock in whole microseconds, and a heap of scheduled calls.
 
-Calls due at one time run in the order in which they were scheduled, so that a run repeats exactly.
+Calls due at the same time run in the order in which they were scheduled, so that runs are reproducible.
 """
 
 from __future__ import annotations
@@ -16,22 +16,22 @@
     """The clock and scheduler of a model.
 
     Attributes:
-        now: the time, in microseconds.
-        events: number of calls made.
+        now: the current time, in microseconds.
+        events: number of scheduled calls made so far.
     """
 
     now: int
     events: int
 
     def at(self, time_us: int, call: Callable[..., None], *arguments: Any) -> None:
-        """Schedules a call; a time that has passed means now."""
+        """Schedules a call; with a time in the past, it is due now."""
 
     def run(self, until_us: int) -> None:
-        """Makes all calls that are due up to and at that time."""
+        """Makes all calls that are due at or before `until_us`."""
 
 
 class HeapEngine:
-    """An engine that runs as fast as its calls do; docs/notes/lab.md compares it with SimPy."""
+    """An engine in simulated time, which does not wait between calls; docs/notes/lab.md compares it with SimPy."""
 
     def __init__(self, start_us: int = 0) -> None:
         self.now, self.events = start_us, 0
@@ -39,12 +39,12 @@
         self.scheduled_count = 0
 
     def at(self, time_us: int, call: Callable[..., None], *arguments: Any) -> None:
-        """Schedules a call; a time that has passed means now."""
+        """Schedules a call; with a time in the past, it is due now."""
         self.scheduled_count += 1
         heappush(self.scheduled, (time_us if time_us > self.now else self.now, self.scheduled_count, call, arguments))
 
     def run(self, until_us: int) -> None:
-        """Makes all calls that are due up to and at that time, and sets the clock to it."""
+        """Makes all calls that are due at or before `until_us`, and advances the clock to it."""
         due = self.scheduled
         while due and due[0][0] <= until_us:
             self.now, _, call, arguments = heappop(due)
--- a/glenrock/simulation/policies/choices.py
+++ b/glenrock/simulation/policies/choices.py
@@ -1,4 +1,4 @@
-"""The selections of the textbook, each on the common base."""
+"""Well-known selection algorithms, as reference policies."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 from .simple import KnownServer, PendingRequest, ReferencePolicy
 
 HEALTH_CHECKS_PER_ROUND = 4
-FRESH_REPORT_US = 5_000_000
-IDLE_LOAD = 0.2  # a server that reports less counts as idle
-ASSUMED_LOAD = 0.5  # of a server without a report
-MIN_FREE_CAPACITY = 0.02
+FRESH_REPORT_US = 5_000_000  # maximum age of a load report that is used
+IDLE_LOAD = 0.2  # a server that reports a lower load counts as idle
+ASSUMED_LOAD = 0.5  # load of a server without a load report
+MIN_FREE_CAPACITY = 0.02  # lower bound of a weight, so that a full server is still drawn
 
 
 class Random(ReferencePolicy):
-    """Draws any ready server, evenly."""
+    """Draws any ready server with equal probability."""
 
     def select_server(self, request: PendingRequest, candidates: list[KnownServer]) -> KnownServer:
         """Draws one of the candidates."""
@@ -22,7 +22,7 @@
 
 
 class RoundRobin(ReferencePolicy):
-    """Selects the servers in turn, from a drawn start."""
+    """Selects the servers in turn, starting from a random one."""
 
     def __init__(self, settings: interface.Settings, seed: int) -> None:
         super().__init__(settings, seed)
@@ -35,10 +35,10 @@
 
 
 class LeastConnections(ReferencePolicy):
-    """Selects a server with the fewest connections of this balancer."""
+    """Selects a server to which this balancer has the fewest connections and attempts."""
 
     def select_server(self, request: PendingRequest, candidates: list[KnownServer]) -> KnownServer:
-        """Draws one of the candidates with the fewest connections."""
+        """Draws one of the candidates with the fewest connections and attempts."""
         fewest = min(server.active_attempts for server in candidates)
         return self.draw_server([server for server in candidates if server.active_attempts == fewest])
 
@@ -47,18 +47,18 @@
     """Mitzenmacher, The Power of Two Choices in Randomized Load Balancing, 2001."""
 
     def select_server(self, request: PendingRequest, candidates: list[KnownServer]) -> KnownServer:
-        """Draws two candidates, and selects the one with fewer connections of this balancer."""
+        """Draws two candidates, and selects the one with fewer connections and attempts of this balancer."""
         first, second = self.draw_server(candidates), self.draw_server(candidates)
         return second if second.active_attempts < first.active_attempts else first
 
 
 def reported_load(server: KnownServer) -> float:
-    """Returns the load that a server has reported, 0 to 1."""
+    """Returns the load that a server has reported, as a fraction of its capacity."""
     return server.report.get(interface.LOAD_RATIO, server.report.get(interface.UTILIZATION, ASSUMED_LOAD))
 
 
 class HealthCheckingPolicy(ReferencePolicy):
-    """Checks a few servers in each round, those with the oldest report first."""
+    """Sends health checks to a few servers in each round, those with the oldest load report first."""
 
     def on_round(self) -> None:
         """Sends the health checks of a round."""
@@ -67,10 +67,10 @@
 
 
 class WeightedRandom(HealthCheckingPolicy):
-    """Draws in proportion to the free capacity of the last report; a server without a fresh one counts as half full."""
+    """Draws in proportion to reported free capacity; assumes `ASSUMED_LOAD` where a server has no fresh report."""
 
     def select_server(self, request: PendingRequest, candidates: list[KnownServer]) -> KnownServer:
-        """Draws one of the candidates by its free capacity."""
+        """Draws one of the candidates, in proportion to free capacity."""
         return self.random.choices(candidates, [self._free_capacity(server) for server in candidates])[0]
 
     def _free_capacity(self, server: KnownServer) -> float:
@@ -80,21 +80,21 @@
 
 
 class JoinIdle(HealthCheckingPolicy):
-    """Lu et al., Join-Idle-Queue, 2011: idle servers wait in a queue at the balancer that checked them."""
+    """Lu et al., Join-Idle-Queue, 2011: a balancer queues the servers that a health check found idle."""
 
     def __init__(self, settings: interface.Settings, seed: int) -> None:
         super().__init__(settings, seed)
         self.idle: dict[str, None] = {}
 
     def on_report(self, server: KnownServer, latency_us: int) -> None:
-        """Adds a server to the queue, or removes it."""
+        """Adds a server to the queue if it is idle, else removes it."""
         if reported_load(server) < IDLE_LOAD and server.is_ready:
             self.idle[server.id] = None
         else:
             self.idle.pop(server.id, None)
 
     def select_server(self, request: PendingRequest, candidates: list[KnownServer]) -> KnownServer:
-        """Selects the first idle candidate, or draws one if there is none."""
+        """Selects the candidate that was queued as idle first, or draws one if the queue has none."""
         if not self.settings.may_health_check:
             unused = [server for server in candidates if not server.active_attempts]
             return self.draw_server(unused or candidates)
--- a/glenrock/simulation/policies/module.py
+++ b/glenrock/simulation/policies/module.py
@@ -1,4 +1,4 @@
-"""The routing decisions as a policy, and their open constants, which an experiment sets for a run."""
+"""The production routing as a policy, and its open constants, which an experiment may override for a run."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 ROUND_MODULES = (event_batch, balancer_module, connection_concurrency, migration, gossip)
 FEEDBACK_MODULES = (admission, capacity_estimation, outlier_ejection, migration)
 
-# By the name in experiment files: the constant's name in `glenrock.routing`, and the modules that hold it.
+# By key in experiment files: the name of the constant in `glenrock.routing`, and the modules that define or import it.
 CONSTANTS: dict[str, tuple[str, tuple[ModuleType, ...]]] = {
     "ROUND_US": ("ROUND_US", ROUND_MODULES),
     "CALM_US": ("IDLE_GOSSIP_INTERVAL_US", (gossip,)),
@@ -80,7 +80,11 @@
 
 @contextmanager
 def override_constants(values: Mapping[str, float]) -> Iterator[None]:
-    """Sets open constants of routing in this process while the context lasts. Raises KeyError for an unknown name."""
+    """Overrides open constants of routing in this process while the context lasts.
+
+    Raises:
+        KeyError: a key of `values` is not that of an open constant.
+    """
     for key in values:
         if key not in DEFAULT_CONSTANTS:
             raise KeyError(key)
@@ -94,7 +98,7 @@
 
 
 def read_gauges(policy: object) -> tuple[float, float] | None:
-    """Returns the load cap and the length of the waiting queue of the routing decisions; None for another policy."""
+    """Returns the load cap and the length of the waiting queue of the production routing; None for another policy."""
     if isinstance(policy, Balancer):
         return policy.admission.load_cap, float(len(policy.waiting_queue))
     return None
--- a/glenrock/simulation/policies/oracle.py
+++ b/glenrock/simulation/policies/oracle.py
@@ -1,9 +1,9 @@
-"""An upper reference, not a policy to serve with: it reads the true state of all servers and links.
+"""A reference policy that cannot run in production: it reads the true state of all servers and links.
 
-Each request goes to the reachable server with the least load in relation to its capacity, with attempts in flight
-counted, and to a cold server only up to half of its slow-start budget. It neither rejects a request nor migrates a
-connection for load. A real balancer cannot have this information; the result is a reference, not an upper bound.
-Where it is ahead of a policy, the difference shows how much is left to gain.
+Each request goes to the reachable server with the lowest load relative to its capacity, including attempts in flight.
+A server that is warming up gets requests only up to half of its slow-start budget. The policy neither rejects a request
+nor migrates a connection because of load, so its result is a reference and not an upper bound. Where it does better
+than another policy, the difference shows how much that policy could gain.
 """
 
 from __future__ import annotations
@@ -12,14 +12,14 @@
 from ..model.balancer import BalancerProcess
 from .simple import KnownServer, PendingRequest, ReferencePolicy
 
-ZONE_CROSSING_COST = 0.03  # load that a crossing must save
-NEW_GROUP_FACTOR = 8.0  # times the load of a group, since a group at many servers costs the whole fleet
-BUDGET_FRACTION = 0.5  # of the slow-start budget
-UNREACHABLE_COST, OVER_BUDGET_COST = 1e9, 1e6
+ZONE_CROSSING_COST = 0.03  # relative load that a server in another zone must save
+NEW_GROUP_FACTOR = 8.0  # multiplies the load of a new group, since a group at many servers loads the whole fleet
+BUDGET_FRACTION = 0.5  # part of the slow-start budget that is used
+UNREACHABLE_COST, OVER_BUDGET_COST = 1e9, 1e6  # above any relative load
 
 
 class Oracle(ReferencePolicy):
-    """Selects by the true state of the fleet."""
+    """Selects a server by the true state of the fleet."""
 
     fleet: FleetState
     balancer: BalancerProcess
@@ -29,7 +29,7 @@
         self.fleet, self.balancer = fleet, balancer
 
     def select_server(self, request: PendingRequest, candidates: list[KnownServer]) -> KnownServer:
-        """Selects the server of the least cost."""
+        """Selects the server with the lowest cost."""
         return min(candidates, key=lambda server: self._cost(request, server))
 
     def _cost(self, request: PendingRequest, server: KnownServer) -> float:
@@ -46,9 +46,6 @@
             if model.slow_start_load + mean_load > budget:
                 return OVER_BUDGET_COST
         load = (model.demand + model.backlog + len(model.pending_attempts) * mean_load) / capacity
-        load += (
-            NEW_GROUP_FACTOR * parameters.group_load / capacity
-            if request.event.group not in model.connections_by_group
-            else 0.0
-        )
+        if request.event.group not in model.connections_by_group:
+            load += NEW_GROUP_FACTOR * parameters.group_load / capacity
         return load + (ZONE_CROSSING_COST if model.shape.zone != zone else 0.0)
--- a/glenrock/simulation/policies/prequal.py
+++ b/glenrock/simulation/policies/prequal.py
@@ -1,9 +1,9 @@
-"""Prequal: a small pool of health-check answers, judged hot or cold by requests in flight.
+"""Prequal: a small pool of health-check results, classed as hot or cold by requests in flight.
 
 Wydrowski, Kleinberg, Rumble and Archer, Load is not what you should balance: Introducing Prequal, NSDI 2024.
-The paper's counters of the server are taken from load reports here: requests in flight are `inflight` where reports
-hold it, else the load ratio; the latency is that of the health check itself, since the servers of this
-platform report none.
+The paper's server-side counters come from load reports here. Requests in flight are the field `inflight` where reports
+have it, else the load ratio. The latency is that of the health check itself, since the servers of this platform do not
+report a latency.
 """
 
 from __future__ import annotations
@@ -16,16 +16,16 @@
 
 POOL_SIZE = 16
 HEALTH_CHECKS_PER_REQUEST = 3.0
-REMOVED_PER_REQUEST = 1.0  # answers, beside those used up
-MAX_ANSWER_AGE_US = 1_000_000
-HOT_QUANTILE = 0.84  # of the requests in flight that recent_inflight answers hold
-RECENT_ANSWERS = 128
-MIN_POOL = 2  # answers of candidates; with fewer, a server is drawn
+REMOVED_PER_REQUEST = 1.0  # results removed from the pool, apart from those without remaining uses
+MAX_RESULT_AGE_US = 1_000_000
+HOT_QUANTILE = 0.84  # a result is hot above this quantile of recent requests in flight
+RECENT_RESULTS = 128  # results that the quantile is taken over
+MIN_POOL = 2  # results of candidates; with fewer, a server is drawn at random
 
 
 @dataclass(slots=True)
 class PoolEntry:
-    """An answer in the pool, and how often it may still be used."""
+    """The result of a health check, and how often it may still be used."""
 
     server: KnownServer
     at_us: int
@@ -35,13 +35,13 @@
 
 
 class Prequal(ReferencePolicy):
-    """Selects by the answers in the pool.
+    """Selects a server by the health-check results in the pool.
 
     Attributes:
-        pool: answers, oldest first.
-        recent_inflight: requests in flight of the latest answers.
-        health_checks_due: health checks that the request rate has earned.
-        removes_worst_next: whether the next removal takes the worst answer, and not the oldest.
+        pool: health-check results, oldest first.
+        recent_inflight: requests in flight that the latest results report.
+        health_checks_due: health checks to send, which accumulate with each request.
+        removed_worst_last: true if the latest removal took the worst result, false if it took the oldest.
     """
 
     def __init__(self, settings: interface.Settings, seed: int) -> None:
@@ -49,26 +49,26 @@
         self.pool: list[PoolEntry] = []
         self.recent_inflight: list[float] = []
         self.health_checks_due = 0.0
-        self.removes_worst_next = False
+        self.removed_worst_last = False
 
     def on_arrival(self) -> None:
-        """Sends the health checks that a request earns."""
+        """Sends the health checks that are due with a request."""
         self.health_checks_due += HEALTH_CHECKS_PER_REQUEST
         while self.health_checks_due >= 1 and self.ready:
             self.health_checks_due -= 1
             self.send_health_check(self.draw_server(self.ready))
 
     def on_report(self, server: KnownServer, latency_us: int) -> None:
-        """Adds an answer to the pool."""
+        """Adds the result of a health check to the pool."""
         utilization = server.report.get(interface.UTILIZATION, 0.0)
         inflight = server.report.get("inflight", server.report.get(interface.LOAD_RATIO, utilization))
-        self.recent_inflight = [*self.recent_inflight, inflight][-RECENT_ANSWERS:]
+        self.recent_inflight = [*self.recent_inflight, inflight][-RECENT_RESULTS:]
         self.pool.append(PoolEntry(server, self.now_us, inflight, float(latency_us), self._reuse_budget()))
         if len(self.pool) > POOL_SIZE:
             self.pool.pop(0)
 
     def _reuse_budget(self) -> int:
-        """Returns how often an answer may be used: the paper's reuse budget."""
+        """Returns how often a result may be used (the reuse budget of the paper)."""
         servers = max(1, len(self.ready))
         spare = 0.0
         if servers > POOL_SIZE:
@@ -80,10 +80,10 @@
         return ordered[min(len(ordered) - 1, int(HOT_QUANTILE * len(ordered)))] if ordered else float("inf")
 
     def select_server(self, request: PendingRequest, candidates: list[KnownServer]) -> KnownServer:
-        """Selects the cold answer of the lowest latency, or the hot one with the fewest requests in flight."""
+        """Selects the cold server of the lowest latency, or else the hot one with the fewest requests in flight."""
         candidate_ids = set(map(id, candidates))
         self.pool = [
-            entry for entry in self.pool if self.now_us - entry.at_us <= MAX_ANSWER_AGE_US and entry.server.is_ready
+            entry for entry in self.pool if self.now_us - entry.at_us <= MAX_RESULT_AGE_US and entry.server.is_ready
         ]
         usable = [entry for entry in self.pool if id(entry.server) in candidate_ids]
         if len(usable) < MIN_POOL:
@@ -99,11 +99,11 @@
         return best.server
 
     def _remove_one(self, limit: float) -> None:
-        """Removes the oldest and the worst answer by turns, one a request."""
+        """Removes one result per request, by turns the worst and the oldest."""
         if len(self.pool) < MIN_POOL:
             return
-        self.removes_worst_next = not self.removes_worst_next
-        if not self.removes_worst_next:
+        self.removed_worst_last = not self.removed_worst_last
+        if not self.removed_worst_last:
             self.pool.pop(0)
             return
         hot = [entry for entry in self.pool if entry.inflight > limit]
--- a/glenrock/simulation/policies/simple.py
+++ b/glenrock/simulation/policies/simple.py
@@ -1,8 +1,8 @@
-"""The base of the reference policies, which differ only in their selection of a server.
+"""The base class of the reference policies, which differ only in how they select a server.
 
-A request goes to the selected server at once; after a failure to another, until its attempts or its time are used
-up, and is rejected then. Open connections stay where they are; the clients of a draining server migrate evenly over
-two seconds, as the rule on lost connections requires.
+Each request is attempted at once at the selected server and, after a failure, at another one. It is rejected when it
+has no attempts or no time left. Open connections stay on their server, except that the clients of a draining or
+suspended server migrate evenly over `MIGRATION_US`, because the invariant on lost connections requires it.
 """
 
 from __future__ import annotations
@@ -15,26 +15,27 @@
 from glenrock.routing import interface
 from glenrock.routing.interface import AttemptOutcome, EndpointListKind, EndpointState
 
-ANSWER_MARGIN_TICKS = 2  # before a request's deadline, so that the answer is in time
+ANSWER_MARGIN_TICKS = 2  # time reserved before a request's deadline, so that its answer is in time
 MIGRATION_US = 2_000_000
 ROUND_US = 500_000
-UNREACHABLE_FOR_US = 1_000_000  # a server without a connection is not selected for so long
+UNREACHABLE_FOR_US = 1_000_000  # a server is not selected for this long after it accepted no connection
+ATTEMPT_TIME_PERCENT = 60  # part of the remaining time for an attempt that may be retried
 MIN_ATTEMPT_US = 200_000
 NEVER_US = -1 << 60
 
 
 @dataclass(slots=True, eq=False)
 class KnownServer:
-    """A server, as one balancer knows it.
+    """What one balancer knows of a server.
 
     Attributes:
         is_ready: whether it may be selected.
-        is_listed: whether the endpoint list has it as ready.
-        active_attempts: attempts and open connections of this balancer.
-        connections: identifiers of its open connections, in order.
+        is_listed: whether the endpoint list contains it as ready.
+        active_attempts: number of this balancer's attempts that are pending or have an open connection.
+        connections: identifiers of the requests with an open connection, oldest first.
         report: the latest load report.
         report_at_us: when the report arrived.
-        migrate_by_us: when its clients must have migrated; 0: they need not.
+        migrate_by_us: when all its clients must have migrated; 0 if they need not.
     """
 
     id: str
@@ -50,11 +51,11 @@
 
 @dataclass(slots=True, eq=False)
 class PendingRequest:
-    """A request, until its answer or the end of its connection.
+    """A request, from its arrival until it is rejected or its connection ends.
 
     Attributes:
-        tried_servers: servers of its attempts, in order.
-        server: server of its active_attempts attempt.
+        tried_servers: server of each of its attempts, in order.
+        server: server of its active attempt.
         is_established: whether its connection is open.
     """
 
@@ -65,17 +66,19 @@
 
 
 class ReferencePolicy:
-    """A policy without its selection: subclasses define `select_server`.
+    """The base class of the reference policies; subclasses define `select_server`.
 
     Attributes:
-        timers: by reference, the request of a timer, or None for the timer of the round.
+        ready: servers that may be selected.
+        timers: by identifier of a timer, the request that it belongs to, or None for the timer of the next round.
         suspended: servers that an operator has suspended.
-        unreachable_until_us: servers without a connection, and until when they are not selected.
+        is_watching: whether it has asked for the endpoint list and its changes.
+        unreachable_until_us: by server that accepted no connection, when it may be selected again.
     """
 
     def __init__(self, settings: interface.Settings, seed: int) -> None:
         self.settings = settings
-        self.random = random.Random(seed)  # noqa: S311 - draws need be repeatable, not secret
+        self.random = random.Random(seed)  # noqa: S311 - draws must be repeatable, not secret
         self.now_us = 0
         self.servers: dict[str, KnownServer] = {}
         self.ready: list[KnownServer] = []
@@ -100,25 +103,25 @@
     # -- for subclasses ------------------------------------------------------------------------------
 
     def select_server(self, request: PendingRequest, candidates: list[KnownServer]) -> KnownServer:
-        """Selects one of the candidates, of which there is at least one."""
+        """Selects one of the candidates; there is at least one."""
         raise NotImplementedError
 
     def on_round(self) -> None:
-        """Does the periodic work of a subclass."""
+        """Performs the periodic work of a subclass."""
 
     def on_arrival(self) -> None:
-        """Prepares for a request that is about to be placed."""
+        """Handles the arrival of a request, before a server is selected for it."""
 
     def on_report(self, server: KnownServer, latency_us: int) -> None:
-        """Handles the load report that a server has answered a health check with."""
+        """Handles a load report, with which a server has answered a health check."""
 
     def send_health_check(self, server: KnownServer) -> None:
-        """Checks a server, where the settings allow it."""
+        """Sends a health check to a server, if the settings allow health checks."""
         if self.settings.may_health_check:
             self.actions.append(interface.SendHealthCheck(server.id))
 
     def draw_server(self, candidates: list[KnownServer]) -> KnownServer:
-        """Draws one of the candidates, evenly."""
+        """Draws one of the candidates with equal probability."""
         return candidates[self.random.randrange(len(candidates))]
 
     # -- the endpoint list ---------------------------------------------------------------------------
@@ -143,7 +146,7 @@
         self._update_ready()
 
     def _on_override(self, event: interface.OperatorOverride) -> None:
-        """Suspends a server, whatever the endpoint list says, or ends its suspension."""
+        """Suspends a server, whatever its state in the endpoint list, or ends its suspension."""
         (self.suspended.add if event.is_suspended else self.suspended.discard)(event.server_id)
         if server := self.servers.get(event.server_id):
             if event.is_suspended:
@@ -161,12 +164,12 @@
 
     # -- requests ------------------------------------------------------------------------------------
 
-    def _answer_by_us(self, event: interface.Request) -> int:
+    def _answer_deadline_us(self, event: interface.Request) -> int:
         return event.deadline_us - ANSWER_MARGIN_TICKS * self.settings.tick_us
 
     def _on_request(self, event: interface.Request) -> None:
         request = self.requests[event.request_id] = PendingRequest(event)
-        self._set_timer(self._answer_by_us(event), event.request_id)
+        self._set_timer(self._answer_deadline_us(event), event.request_id)
         self.on_arrival()
         self._start_attempt(request)
 
@@ -178,13 +181,13 @@
             server.connections[event.request.request_id] = None
 
     def _start_attempt(self, request: PendingRequest) -> None:
-        """Starts an attempt, or rejects the request if its attempts or its time are used up."""
+        """Starts an attempt, or rejects the request if it has no attempts or no time left."""
         max_attempts = self.settings.max_attempts
         if not request.event.is_midstream and len(request.tried_servers) >= max_attempts:
             self._reject(request)
             return
         candidates = self._candidates(request)
-        left_us = self._answer_by_us(request.event) - self.now_us
+        left_us = self._answer_deadline_us(request.event) - self.now_us
         if not candidates or left_us <= 0:
             self._reject(request)
             return
@@ -193,7 +196,7 @@
         request.server = server
         server.active_attempts += 1
         is_last = len(request.tried_servers) >= max_attempts
-        timeout_us = left_us if is_last else max(left_us * 6 // 10, min(left_us, MIN_ATTEMPT_US))
+        timeout_us = left_us if is_last else max(left_us * ATTEMPT_TIME_PERCENT // 100, min(left_us, MIN_ATTEMPT_US))
         self.actions.append(interface.StartAttempt(request.event.request_id, server.id, timeout_us))
 
     def _candidates(self, request: PendingRequest) -> list[KnownServer]:
@@ -201,14 +204,14 @@
         if unreachable and min(unreachable.values()) <= self.now_us:
             unreachable = {id_: until_us for id_, until_us in unreachable.items() if until_us > self.now_us}
             self.unreachable_until_us = unreachable
-        if not request.tried_servers and not unreachable:  # no copy of a long list for each request
+        if not request.tried_servers and not unreachable:  # avoids a copy of a long list for each request
             return self.ready
         reachable = [server for server in self.ready if server.id not in unreachable] or self.ready
         return [server for server in reachable if server not in request.tried_servers] or reachable
 
     def _reject(self, request: PendingRequest) -> None:
-        longest_us = self.settings.max_retry_after_us if self.settings.may_send_retry_after else 0
-        retry_after_us = int(longest_us * (0.5 + self.random.random() / 2))
+        max_retry_after_us = self.settings.max_retry_after_us if self.settings.may_send_retry_after else 0
+        retry_after_us = int(max_retry_after_us * (0.5 + self.random.random() / 2))
         self.actions.append(interface.Reject(request.event.request_id, retry_after_us))
         self.requests.pop(request.event.request_id, None)
 
@@ -257,7 +260,7 @@
             self._time_out(request)
 
     def _time_out(self, request: PendingRequest) -> None:
-        """Rejects a request whose time is used up."""
+        """Rejects a request that has no time left."""
         if request.is_established:
             return
         if request.server:
--- a/glenrock/simulation/server_attempts.py
+++ b/glenrock/simulation/server_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts at servers, open connections, health checks, gossip, and what the end of a server does to them."""
+"""Attempts at servers, open connections, health checks and gossip, and the effects on them when a server stops."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 from .model.server import Connection, ServerModel, SetupAnswer
 from .spec_types import drawn_number
 
-CONNECT_ONE_WAY_TRIPS = 3  # one-way times until the first line has arrived: two of TCP's handshake, and its own
-INFORMED_FRACTION = 2 / 3  # of the load that overloaded a cold server; a violation if informed balancers sent it
+CONNECT_ONE_WAY_TRIPS = 3  # until the first line has arrived: two for the TCP handshake, and one for the line
+INFORMED_FRACTION = 2 / 3  # of the slow-start load; an overload is a violation if informed balancers sent this much
 
 
 @dataclass(slots=True)
@@ -40,7 +40,7 @@
         return self.links.one_way_us(attempt.request.balancer.zone, attempt.server.shape.zone)
 
     def start_attempt(self, attempt: Attempt, timeout_us: int) -> None:
-        """Sends an attempt; it times out after `timeout_us` (0: none) or at the request's deadline."""
+        """Sends an attempt, which times out after `timeout_us` (0: no such limit) or at the request's deadline."""
         now, request, server = self.engine.now, attempt.request, attempt.server
         self.measure.counts["attempts"] += 1
         self.invariants.record_event(now, f"attempt {attempt.number} sent", request.id, server.name)
@@ -77,7 +77,7 @@
         is_established = answer == SetupAnswer.ESTABLISHED
         if is_established and name in self.error_chances and self.draw_error() < self.error_chances[name]:
             answer, is_established = SetupAnswer.ERROR, False
-            self.abandon_attempt(attempt)  # a server that answers ERR keeps nothing of the attempt
+            self.abandon_attempt(attempt)  # a server that answers ERR drops the attempt
         sent_us = self.store.call(self.engine.now) if is_established else self.engine.now
         self.engine.at(sent_us + one_way_us, self._answer_arrives, attempt, answer)
 
@@ -144,7 +144,7 @@
             attempt.request.balancer.report_attempt_ended(attempt, outcome)
 
     def abandon_attempt(self, attempt: Attempt) -> None:
-        """Closes the balancer's side of an attempt; the server learns of it one way later."""
+        """Closes the balancer's side of an attempt; the server notices it after a one-way time."""
         due_us = self.engine.now + self._draw_one_way_us(attempt)
         self.engine.at(due_us, self._abandon_at_server, attempt, attempt.server.incarnation)
 
@@ -159,13 +159,13 @@
         delay_us: int | None = None,
         balancer_is_up: bool = True,
     ) -> None:
-        """Ends a connection whose server, link or client's side is lost; its client reconnects.
+        """Ends a connection that its server, its link or its client has broken; the client reconnects.
 
         Args:
             connection: the open connection.
-            outcome: what the balancer's policy is told.
-            delay_us: until the client reconnects; None: drawn.
-            balancer_is_up: whether there is a policy to tell.
+            outcome: outcome of the attempt that is reported to the balancer's policy.
+            delay_us: time until the client reconnects; None to draw it.
+            balancer_is_up: whether the balancer is running and its policy is told.
         """
         request, client = connection.attempt.request, connection.attempt.request.client
         is_wanted = client.connection is connection
@@ -178,14 +178,14 @@
             self.reconnect_after(client, self.client_delays.delay_after_break() if delay_us is None else delay_us)
 
     def drop_client_side(self, connection: Connection[Attempt], delay_us: int) -> None:
-        """Ends an open connection from its client's side; the client reconnects after `delay_us`."""
+        """Closes an open connection from the client's side; the client reconnects after `delay_us`."""
         if connection.attempt.connection is connection and connection.attempt.is_active:
             self.break_connection(connection, AttemptOutcome.SERVED, delay_us)
 
-    # -- ends of servers ---------------------------------------------------------------------------
+    # -- stopped servers ---------------------------------------------------------------------------
 
     def stop_server(self, server: ServerModel[Attempt]) -> None:
-        """Ends the process of a server: its connections break, and discovery notices later."""
+        """Ends the process of a server: its connections break, and service discovery detects it later."""
         if not server.is_up:
             return
         self.invariants.record_event(self.engine.now, "stops", "", server.name)
@@ -208,27 +208,30 @@
             self.break_connection(connection, AttemptOutcome.BROKEN)
 
     def _stop_overloaded(self, server: ServerModel[Attempt]) -> None:
-        """Ends an overloaded cold server, a violation if most of its load came from informed balancers."""
+        """Stops a server overloaded while warming up, a violation if informed balancers sent most of its load."""
         informed_load = sum(load for _, load, is_informed in server.slow_start_arrivals if is_informed)
         fraction = ratio(informed_load, server.slow_start_load)
         after_s = (self.engine.now - server.started_us) / SECOND_US
-        text = f"{server.name} fell over {after_s:.2f} s after its start; told sent {fraction:.0%}"
+        text = (
+            f"{server.name} was overloaded {after_s:.2f} s after its start; "
+            f"informed balancers sent {fraction:.0%} of its load"
+        )
         if fraction >= INFORMED_FRACTION:
             self.invariants.record_violation(self.engine.now, "cold", text, -1, "", server.name)
         else:
-            self.invariants.record_event(self.engine.now, "falls over, untold", "", server.name)
+            self.invariants.record_event(self.engine.now, "overloaded by uninformed balancers", "", server.name)
         self.stop_server(server)
 
     # -- health checks, gossip, endpoint lists -------------------------------------------------------
 
     def send_health_check(self, balancer: BalancerProcess, server: str) -> None:
-        """Checks a server, or answers from a peer's check where health checks are shared."""
+        """Sends a health check, or uses the result of a peer's if balancers share health checks."""
         shared = self.shared_health_checks
         if shared is None or not shared.answer_from_peer(balancer, server):
             self.send_own_health_check(balancer, server)
 
     def send_own_health_check(self, balancer: BalancerProcess, server: str) -> None:
-        """Sends a health check to a server."""
+        """Sends a health check of the balancer's own to a server."""
         self.measure.counts["probes"] += 1
         check = _HealthCheck(balancer, balancer.incarnation, self.servers[server], self.engine.now)
         zones = (balancer.zone, check.server.shape.zone)
@@ -284,7 +287,9 @@
                     self.engine.at(self.engine.now + one_way_us, self._gossip_arrives, peer, balancer.index, data)
 
     def _gossip_arrives(self, balancer: BalancerProcess, peer: int, data: bytes) -> None:
-        if not balancer.is_up:  # the sender may have ended meanwhile: a datagram on its way still arrives
+        if (
+            not balancer.is_up
+        ):  # only the receiver must be up: a datagram in flight arrives even if its sender has stopped
             return
         if self.shared_health_checks and self.shared_health_checks.receive(balancer, peer, data):
             return
--- a/tests/simulation/__init__.py
+++ b/tests/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the simulation: small experiments built in code, recorded results, and figures of queueing theory."""
+"""Tests of the simulation: small experiments built in code, recorded results, and results of queueing theory."""
--- a/tests/simulation/rig.py
+++ b/tests/simulation/rig.py
@@ -1,4 +1,4 @@
-"""Small experiments and simulations, built from plain tables, and a policy that tests script."""
+"""Helpers for tests: a small experiment with overrides, its simulation, and a base class for scripted policies."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from glenrock.simulation.spec_tables import Experiment
 
 PolicyFactory = Callable[[interface.Settings, int], Policy]
-SMALL: dict[str, Any] = {
+SMALL_EXPERIMENT: dict[str, Any] = {
     "name": "small",
     "length_s": 12.0,
     "drain_s": 4.0,
@@ -24,36 +24,36 @@
     "classes": [{"name": "lookup", "worth": 5.0}, {"name": "browse", "load": 2.0, "life": 0.5}],
     "tenants": [{"name": "one", "share": 2.0}, {"name": "two"}],
 }
-PATH = Path("experiment.toml")
+EXPERIMENT_PATH = Path("experiment.toml")  # names the experiment in error messages; no such file is read
 EXPERIMENTS = Path(__file__).resolve().parents[2] / "experiments"
 
 
 def small_experiment(**overrides: Any) -> Experiment:
-    """Returns the small experiment with some of its tables changed, after the checks of a file."""
-    experiment = toml_file.convert(PATH, "", spec.merge(SMALL, overrides), Experiment)
-    check(experiment, PATH, "")
+    """Returns the small experiment with overrides, checked like an experiment file."""
+    experiment = toml_file.convert(EXPERIMENT_PATH, "", spec.merge(SMALL_EXPERIMENT, overrides), Experiment)
+    check(experiment, EXPERIMENT_PATH, "")
     return experiment
 
 
 def small_simulation(
     seed: int = 1, policy: str = "random", make_policy: PolicyFactory | None = None, **overrides: Any
 ) -> FleetSimulation:
-    """Returns a simulation of the small experiment that has not started."""
+    """Returns a simulation of the small experiment, not yet prepared or run."""
     return FleetSimulation(small_experiment(**overrides), seed, policy, make_policy=make_policy)
 
 
 def run_until(simulation: FleetSimulation, second: float) -> FleetSimulation:
-    """Runs a simulation up to a second after its start, and returns it."""
+    """Runs a prepared simulation until `second` seconds after its start, and returns it."""
     simulation.engine.run(simulation.start_us + round(second * 1e6))
     return simulation
 
 
 class ScriptedPolicy:
-    """Starts an attempt at the first ready server for each request; tests override its steps.
+    """Starts an attempt at the first ready server for each request; tests override its methods.
 
     Attributes:
         now_us: time of the latest batch.
-        ready: servers in the order of the endpoint list, and whether they are ready.
+        ready: whether each server is ready, in the order of the endpoint list.
         events: all events received.
     """
 
@@ -95,11 +95,11 @@
 
 
 def events_of(balancer: BalancerProcess) -> list[interface.Event]:
-    """Returns the events that the scripted policy of a running balancer has received."""
+    """Returns the events that a running balancer's scripted policy has received."""
     assert isinstance(balancer.policy, ScriptedPolicy)
     return balancer.policy.events
 
 
 def attempts_ended(balancer: BalancerProcess) -> list[interface.AttemptEnded]:
-    """Returns the ends of attempts that the scripted policy of a running balancer has received."""
+    """Returns the `AttemptEnded` events that a running balancer's scripted policy has received."""
     return [event for event in events_of(balancer) if isinstance(event, interface.AttemptEnded)]
--- a/tests/simulation/test_hard_cases.py
+++ b/tests/simulation/test_hard_cases.py
@@ -1,4 +1,4 @@
-"""Races and extremes: messages that cross, stale reports, ends during set-ups, invalid policies."""
+"""Races and extreme cases: messages that cross, stale load reports, crashes during set-ups, invalid policies."""
 
 from __future__ import annotations
 
@@ -18,16 +18,18 @@
     for number in range(5):
         engine.at(200, calls.append, number)
     engine.at(150, lambda: engine.at(200, calls.append, "later"))
-    engine.at(50, calls.append, "past is now")
+    engine.at(50, calls.append, "time in the past")
     engine.run(200)
-    assert calls == ["past is now", 0, 1, 2, 3, 4, "later"]
+    assert calls == ["time in the past", 0, 1, 2, 3, 4, "later"]
     assert engine.now == 200 and engine.events == 8
 
 
 def test_crash_during_a_setup_breaks_the_attempt_and_leaves_nothing() -> None:
-    long = [{"name": "job", "setup_ms": 4000.0, "setup_spread": "fixed", "give_up_ms": 9000.0}]
+    long_setups = [{"name": "job", "setup_ms": 4000.0, "setup_spread": "fixed", "give_up_ms": 9000.0}]
     simulation = small_simulation(
-        make_policy=ScriptedPolicy, classes=long, faults=[{"kind": "crash", "at_s": 2.0, "part": 1.0, "down_s": 0.5}]
+        make_policy=ScriptedPolicy,
+        classes=long_setups,
+        faults=[{"kind": "crash", "at_s": 2.0, "part": 1.0, "down_s": 0.5}],
     )
     simulation.prepare()
     run_until(simulation, 1.99)
@@ -51,7 +53,7 @@
         for server in simulation.servers.values()
         if not server.is_up
     )
-    run_until(simulation, 9.0)  # jobs of the old process do not end in the new one
+    run_until(simulation, 9.0)  # set-ups of the old process must not finish in the new one
     assert all(server.running_setups >= 0 and server.setup_work_rate >= 0 for server in simulation.servers.values())
 
 
@@ -110,11 +112,12 @@
         assert next(at_us for at_us, found in server.load_reports if found is report) > server.started_us
 
 
-def test_retry_that_meets_the_late_answer_of_its_first_request() -> None:
-    slow = [{"name": "job", "setup_ms": 300.0, "setup_spread": "fixed"}]
+def test_retry_that_crosses_the_late_answer_of_its_first_request() -> None:
+    """A client that disconnects and retries before its first request is answered must end up with one connection."""
+    slow_setups = [{"name": "job", "setup_ms": 300.0, "setup_spread": "fixed"}]
     simulation = small_simulation(
         make_policy=ScriptedPolicy,
-        classes=slow,
+        classes=slow_setups,
         clients={"impatient": 1.0, "backoff_ms": 1.0},
         network={"client_ms": 30.0},
         kinds=[{"name": "k", "cores": 64}],
@@ -131,9 +134,9 @@
     assert not any(summary["rules"].values())
 
 
-def test_migration_that_crosses_the_end_ends_each_attempt_once() -> None:
+def test_migration_that_crosses_the_end_of_a_connection_ends_each_attempt_once() -> None:
     class MigratesRepeatedly(ScriptedPolicy):
-        """Migrates each connection several times, and those that have ended too."""
+        """Migrates each connection several times, including connections that have ended."""
 
         def __init__(self, settings: interface.Settings, seed: int) -> None:
             super().__init__(settings, seed)
@@ -189,15 +192,15 @@
 
 
 def test_clock_above_2_to_the_53() -> None:
-    usual = small_simulation(policy="glenrock", seed=2).run()
-    late = small_simulation(policy="glenrock", seed=2, clock_start_s=(2**53 + 1) / 1e6 * 1.5).run()
-    assert not late["failure"] and not any(late["rules"].values())
-    assert late["worth"]["whole"] == pytest.approx(usual["worth"]["whole"], abs=0.02)
+    default_clock = small_simulation(policy="glenrock", seed=2).run()
+    high_clock = small_simulation(policy="glenrock", seed=2, clock_start_s=(2**53 + 1) / 1e6 * 1.5).run()
+    assert not high_clock["failure"] and not any(high_clock["rules"].values())
+    assert high_clock["worth"]["whole"] == pytest.approx(default_clock["worth"]["whole"], abs=0.02)
 
 
 def raise_error(request: interface.Request) -> list[interface.Action]:
-    """Raises, as a policy with a fault does."""
-    raise ValueError("no")
+    """Raises an exception, as a faulty policy would."""
+    raise ValueError("invalid policy")
 
 
 @pytest.mark.parametrize(
@@ -224,15 +227,15 @@
     assert "\n" not in summary["failure"]
 
 
-def test_constants_are_set_for_the_run_alone() -> None:
-    before = admission.CAP_CUT_FACTOR
-    seen: list[float] = []
+def test_constants_are_overridden_for_the_run_alone() -> None:
+    default = admission.CAP_CUT_FACTOR
+    values_in_run: list[float] = []
 
     class RecordsConstant(Balancer):
         def handle(self, now_us: int, events: Sequence[interface.Event]) -> list[interface.Action]:
-            seen.append(admission.CAP_CUT_FACTOR)
+            values_in_run.append(admission.CAP_CUT_FACTOR)
             return super().handle(now_us, events)
 
     small_simulation(make_policy=RecordsConstant, constants={"CAP_CUT": 0.5}).run()
-    assert set(seen) == {0.5}
-    assert before == admission.CAP_CUT_FACTOR
+    assert set(values_in_run) == {0.5}
+    assert default == admission.CAP_CUT_FACTOR
--- a/tests/simulation/test_rules.py
+++ b/tests/simulation/test_rules.py
@@ -1,4 +1,4 @@
-"""Each invariant: a policy that violates it on purpose, and the violation that the summary reports."""
+"""The invariants: for each, a policy that violates it on purpose, and the violation in the summary."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 
 def run(make_policy: PolicyFactory, **overrides: Any) -> Summary:
-    """Runs the small experiment under a policy. Returns the summary."""
+    """Runs the small experiment with a policy. Returns the summary of results."""
     return small_simulation(make_policy=make_policy, **overrides).run()
 
 
 def only_violation(summary: Summary, rule: str) -> dict[str, Any]:
-    """Checks that one rule alone was violated. Returns the first violation."""
+    """Checks that `rule` was violated and no other. Returns the first violation."""
     assert summary["rules"][rule] > 0
     assert not any(count for name, count in summary["rules"].items() if name != rule), summary["rules"]
     violation: dict[str, Any] = summary["breaches"][0]
@@ -56,14 +56,14 @@
     assert only_violation(run(AttemptsTwice), "repeated")["text"] == "two attempts at once"
 
 
-def test_attempt_at_a_draining_server_is_a_violation_after_the_grace() -> None:
+def test_attempt_at_a_draining_server_is_a_violation_after_the_grace_period() -> None:
     class IgnoresState(ScriptedPolicy):
         def select_server(self) -> str:
-            return next(iter(self.ready))  # whatever the list says
+            return next(iter(self.ready))  # whatever its state in the endpoint list
 
     summary = run(IgnoresState, faults=[{"kind": "drains", "at_s": 1.0, "part": 1.0, "batch": 1.0, "drain_s": 30.0}])
     assert "after it was told" in only_violation(summary, "drained")["text"]
-    # Within the grace it is allowed.
+    # Within the grace period, attempts are allowed.
     summary = run(
         IgnoresState, drain_s=2.0, faults=[{"kind": "drains", "at_s": 11.6, "part": 1.0, "batch": 1.0, "drain_s": 30.0}]
     )
@@ -72,7 +72,7 @@
 
 def test_overload_of_a_warming_server_by_informed_balancers_is_a_violation() -> None:
     class PrefersLatestStart(ScriptedPolicy):
-        """Sends everything to the server that started last."""
+        """Sends all requests to the server that started last."""
 
         latest_started: str | None = None
 
@@ -93,7 +93,7 @@
         traffic={"load": 0.9, "connections_per_core": 30.0},
     )
     violation = only_violation(summary, "cold")
-    assert "fell over" in violation["text"] and violation["instance"]
+    assert "overloaded" in violation["text"] and violation["instance"]
 
 
 def test_overload_of_a_warming_server_by_uninformed_balancers_is_no_violation() -> None:
@@ -144,7 +144,7 @@
             {"kind": "drains", "at_s": 12.0, "part": 0.4, "batch": 0.2, "every_s": 3.0},
         ],
     ).run()
-    # The reference policies have no slow start, so that invariant holds for the routing decisions alone.
-    broken = [rule for rule, count in summary["rules"].items() if count and (policy == "glenrock" or rule != "cold")]
-    assert not summary["failure"] and not broken, summary["breaches"]
+    # The reference policies have no slow start, so the invariant `cold` holds for the production routing alone.
+    violated = [rule for rule, count in summary["rules"].items() if count and (policy == "glenrock" or rule != "cold")]
+    assert not summary["failure"] and not violated, summary["breaches"]
     assert summary["worth"]["whole"] > 0.3
--- a/tests/simulation/test_store.py
+++ b/tests/simulation/test_store.py
@@ -1,4 +1,4 @@
-"""The store that every attempt calls, and the clients and health checks of such a deployment."""
+"""The store that servers call at the end of each set-up, backoff of clients, and health checks of a full server."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
 
 
 @given(st.lists(st.integers(0, 300_000), max_size=40), st.floats(1, 100))
-def test_store_answers_calls_in_order_and_at_its_rate(gaps: list[int], per_s: float) -> None:
-    store = Store(per_s, 5_000)
+def test_store_answers_calls_in_order_and_at_its_rate(gaps_us: list[int], calls_per_s: float) -> None:
+    store = Store(calls_per_s, 5_000)
     now_us = 0
     due_us: list[int] = []
-    for gap_us in gaps:
+    for gap_us in gaps_us:
         now_us += gap_us
         due_us.append(store.call(now_us))
         assert due_us[-1] >= now_us + 5_000
-    assert all(later - earlier >= SECOND_US / per_s - 1 for earlier, later in pairwise(due_us))
+    assert all(later - earlier >= SECOND_US / calls_per_s - 1 for earlier, later in pairwise(due_us))
     assert Store(0, 5_000).call(now_us) == now_us
 
 
@@ -35,9 +35,9 @@
     simulation = small_simulation(make_policy=ScriptedPolicy, store={"headroom": 0.5}, length_s=6.0)
     summary = simulation.run()
     assert simulation.store.calls > 5
-    free = small_simulation(make_policy=ScriptedPolicy, length_s=6.0).run()
+    unlimited = small_simulation(make_policy=ScriptedPolicy, length_s=6.0).run()
     p99_ms = min(waits["p99_ms"] for waits in summary["setup"].values())
-    assert p99_ms > 2 * max(waits["p99_ms"] for waits in free["setup"].values())
+    assert p99_ms > 2 * max(waits["p99_ms"] for waits in unlimited["setup"].values())
 
 
 @pytest.mark.parametrize(("backoff", "factors"), [("none", (0, 0)), ("fixed", (1, 1)), ("double", (1, 4))])
@@ -59,11 +59,12 @@
         server.advance(simulation.engine.now)
         simulation.send_health_check(balancer, server.name)
         simulation.engine.run(simulation.engine.now + SECOND_US)
-        ends = [event for event in events_of(balancer) if isinstance(event, interface.HealthCheckResult)]
-        assert [event.outcome for event in ends] == [outcome]
+        results = [event for event in events_of(balancer) if isinstance(event, interface.HealthCheckResult)]
+        assert [event.outcome for event in results] == [outcome]
 
 
 def test_clients_are_connected_again_soon_after_all_servers_were_slow() -> None:
+    """Guards against a retry storm: with all servers slow, retries queue behind their own abandoned store calls."""
     connected_fractions = []
     for seed in (4, 5, 7):
         overrides = {"faults[0].at_s": 8.0, "faults[0].for_s": 8.0, "length_s": 30.0}
--- a/tests/simulation/test_theory.py
+++ b/tests/simulation/test_theory.py
@@ -1,4 +1,4 @@
-"""The model of servers against queueing theory."""
+"""The model of servers, compared with results of queueing theory."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from .rig import small_experiment
 
-PLAIN = {  # set-ups alone: no lives, no waits on the way, exponential work
+SETUP_ONLY = {  # a plain queue: connections end once set up, links without delay, exponential work of set-ups
     "classes": [{"name": "job", "life": 0.0, "setup_ms": 100.0, "give_up_ms": 1e6, "aim_ms": 1e3}],
     "tenants": [{"name": "all"}],
     "network": {"same_ms": 0.0, "cross_ms": 0.0, "client_ms": 0.0, "jitter": 0.0},
@@ -21,10 +21,10 @@
 
 @pytest.mark.parametrize(("cores", "load"), [(1, 0.7), (4, 0.85)])
 def test_waits_of_one_server_are_those_of_mmc(cores: int, load: float) -> None:
-    """Mean wait of M/M/c: C(c, load) times the mean work, over c (1 - load). Within 6%."""
+    """Mean wait in M/M/c: C(c, load) times the mean work, divided by c (1 - load). Response times match within 6%."""
     simulation = FleetSimulation(
         small_experiment(
-            **PLAIN,
+            **SETUP_ONLY,
             length_s=6000.0 / cores,
             traffic={"load": load},
             fleet={"balancers": 1, "instances": 1, "zones": ["a"]},
@@ -41,17 +41,17 @@
 
 
 def test_queue_tails_of_two_choices_fall_doubly_exponentially() -> None:
-    """The part of servers with k jobs or more: load^(2^k - 1) for two choices, load^k for a random one.
+    """The fraction of servers with k jobs or more: load^(2^k - 1) for two choices, load^k for a random one.
 
-    Mitzenmacher 2001, in the limit of many servers. 100 of them, load 0.8, one balancer that sees all: within
-    0.02 for k up to 3, and between the two curves far apart for k = 4.
+    Source: Mitzenmacher 2001, in the limit of many servers. With 100 servers, load 0.8 and one balancer, the fractions
+    match within 0.03 (two choices) and 0.06 (random) for k up to 3, and the policies are far apart for k = 4.
     """
     load = 0.8
     tails: dict[str, list[float]] = {}
     for policy in ("two_choices", "random"):
         simulation = FleetSimulation(
             small_experiment(
-                **PLAIN,
+                **SETUP_ONLY,
                 length_s=60.0,
                 traffic={"load": load},
                 fleet={"balancers": 1, "instances": 100, "zones": ["a"]},
@@ -61,24 +61,24 @@
             policy,
         )
         simulation.prepare()
-        servers_seen = [0] * 6  # with that number of jobs or more
+        servers_seen = [0] * 6  # by k, servers with k jobs or more, summed over the samples
         samples = 200
         for sample in range(samples):
             simulation.engine.run(simulation.start_us + 10_000_000 + sample * 250_000)
             jobs = [len(server.pending_attempts) for server in simulation.servers.values()]
-            for least in range(6):
-                servers_seen[least] += sum(count >= least for count in jobs)
+            for min_jobs in range(6):
+                servers_seen[min_jobs] += sum(count >= min_jobs for count in jobs)
         tails[policy] = [count / samples / 100 for count in servers_seen]
-    for least in (1, 2, 3):
-        assert tails["two_choices"][least] == pytest.approx(load ** (2**least - 1), abs=0.03)
-        assert tails["random"][least] == pytest.approx(load**least, abs=0.06)
+    for min_jobs in (1, 2, 3):
+        assert tails["two_choices"][min_jobs] == pytest.approx(load ** (2**min_jobs - 1), abs=0.03)
+        assert tails["random"][min_jobs] == pytest.approx(load**min_jobs, abs=0.06)
     assert tails["two_choices"][4] < 0.08 < 0.25 < tails["random"][4]
 
 
-def test_messages_in_time_fall_with_load_and_backlog() -> None:
-    fractions = [fraction_in_time(4, busy / 20, 5_000, 60_000, 2.0, 0.0) for busy in range(21)]
+def test_fraction_of_messages_in_time_falls_with_load_and_backlog() -> None:
+    fractions = [fraction_in_time(4, step / 20, 5_000, 60_000, 2.0, 0.0) for step in range(21)]
     assert fractions == sorted(fractions, reverse=True)
     assert fractions[0] == 1 and fractions[14] > 0.98 and fractions[-1] == 0
     assert fraction_in_time(4, 0.5, 5_000, 60_000, 2.0, 56_000) == 0
     assert erlang_c(1, 0.6) == pytest.approx(0.6)
-    assert erlang_c(2, 0.5) == pytest.approx(1 / 3)  # C(2, a=1) = 1/3
+    assert erlang_c(2, 0.5) == pytest.approx(1 / 3)  # two cores, offered load 1
