--- a/glenrock/simulation/client_requests.py
+++ b/glenrock/simulation/client_requests.py
@@ -196,7 +196,7 @@
         connection = attempt.connection if attempt else None
         if attempt and connection and attempt.is_active:
             self.measure.counts["moved"] += 1
-            self.invariants.record_event(self.engine.now, "moved", request.id, attempt.server.name)
+            self.invariants.record_event(self.engine.now, "client migrated", request.id, attempt.server.name)
             self.close_connection(connection)
             request.balancer.report_attempt_ended(attempt, AttemptOutcome.CANCELLED)
             self.reconnect_after(connection.attempt.request.client, self.client_delays.delay_after_migration())
--- a/glenrock/simulation/model/balancer.py
+++ b/glenrock/simulation/model/balancer.py
@@ -59,7 +59,7 @@
         """Answers a client with a failure."""
 
     def migrate(self, request: ClientRequest) -> None:
-        """Asks the client of an open connection to reconnect elsewhere."""
+        """Closes an open connection with a migration notice, so that its client reconnects."""
 
     def close_without_notice(self, request: ClientRequest) -> None:
         """Closes an open connection without a migration notice to its client."""
@@ -317,9 +317,8 @@
         reported_us = min((at_us for at_us in times_us if at_us is not None), default=None)
         if reported_us is not None and self.engine.now > reported_us + self.environment.drain_grace_us:
             late_s = (self.engine.now - reported_us) / 1e6
-            self.environment.record_violation(
-                "drained", f"attempt started {late_s:.3f} s after it was told", request, server
-            )
+            text = f"attempt started {late_s:.3f} s after the report that the server is draining or suspended"
+            self.environment.record_violation("drained", text, request, server)
 
     def _on_cancel_attempt(self, action: interface.CancelAttempt) -> None:
         request = self.requests.get(action.request_id)
--- a/glenrock/simulation/model/server.py
+++ b/glenrock/simulation/model/server.py
@@ -157,7 +157,7 @@
         """Returns the work per second that all cores do."""
         return self.core_rate(now) * self.shape.cores
 
-    # -- flow of work ----------------------------------------------------------------------------------------
+    # -- flow of work --------------------------------------------------------------------------------
 
     def advance(self, now: int) -> None:
         """Computes the flow of work up to now. Since the last call, only slow start has changed any rate."""
--- a/glenrock/simulation/server_attempts.py
+++ b/glenrock/simulation/server_attempts.py
@@ -95,7 +95,7 @@
             self.abandon_attempt(attempt)
             self._end_attempt(attempt, AttemptOutcome.CANCELLED)
             return
-        self.invariants.record_event(self.engine.now, "up", request.id, attempt.server.name)
+        self.invariants.record_event(self.engine.now, "connection established", request.id, attempt.server.name)
         self.measure.counts["set_up"] += 1
         request.balancer.report_established(attempt)
         self.open_connection(attempt)
@@ -111,10 +111,10 @@
         request, client, now = attempt.request, attempt.request.client, self.engine.now
         planned = client.planned
         is_wanted = client.request is request
-        value = (
+        priority_weight = (
             0.0 if self.is_over else float(self.experiment.classes[planned.class_index].worth) * planned.quota_factor
         )
-        connection = Connection(attempt, request.balancer.index, planned.class_index, planned.group, value)
+        connection = Connection(attempt, request.balancer.index, planned.class_index, planned.group, priority_weight)
         attempt.connection = connection
         if client.waiting_since_us >= 0 and is_wanted:
             self.measure.setup_waits[planned.class_index].record_value(max(1, now - client.waiting_since_us))
@@ -133,13 +133,13 @@
 
     def _time_out(self, attempt: Attempt) -> None:
         if attempt.is_active and not attempt.is_established:
-            self.invariants.record_event(self.engine.now, "timed out", attempt.request.id, attempt.server.name)
+            self.invariants.record_event(self.engine.now, "attempt timed out", attempt.request.id, attempt.server.name)
             self.abandon_attempt(attempt)
             attempt.request.balancer.report_attempt_ended(attempt, AttemptOutcome.TIMEOUT)
 
     def _end_attempt(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
         if attempt.is_active and not attempt.is_established:
-            text = f"ends: {outcome}"
+            text = f"attempt ended: {outcome}"
             self.invariants.record_event(self.engine.now, text, attempt.request.id, attempt.server.name)
             attempt.request.balancer.report_attempt_ended(attempt, outcome)
 
@@ -170,7 +170,7 @@
         request, client = connection.attempt.request, connection.attempt.request.client
         is_wanted = client.connection is connection
         self.measure.counts["broken"] += 1
-        self.invariants.record_event(self.engine.now, "breaks", request.id, connection.attempt.server.name)
+        self.invariants.record_event(self.engine.now, "connection broken", request.id, connection.attempt.server.name)
         self.close_connection(connection)
         if balancer_is_up:
             request.balancer.report_attempt_ended(connection.attempt, outcome)
@@ -188,7 +188,7 @@
         """Ends the process of a server: its connections break, and service discovery detects it later."""
         if not server.is_up:
             return
-        self.invariants.record_event(self.engine.now, "stops", "", server.name)
+        self.invariants.record_event(self.engine.now, "process ended", "", server.name)
         connections, pending_attempts = server.stop(self.engine.now)
         for attempt in pending_attempts:
             self.receive_setup_answer(attempt, SetupAnswer.BROKEN)
--- a/tests/simulation/test_rules.py
+++ b/tests/simulation/test_rules.py
@@ -62,7 +62,7 @@
             return next(iter(self.ready))  # whatever its state in the endpoint list
 
     summary = run(IgnoresState, faults=[{"kind": "drains", "at_s": 1.0, "part": 1.0, "batch": 1.0, "drain_s": 30.0}])
-    assert "after it was told" in only_violation(summary, "drained")["text"]
+    assert "draining or suspended" in only_violation(summary, "drained")["text"]
     # Within the grace period, attempts are allowed.
     summary = run(
         IgnoresState, drain_s=2.0, faults=[{"kind": "drains", "at_s": 11.6, "part": 1.0, "batch": 1.0, "drain_s": 30.0}]
--- a/tests/simulation/test_store.py
+++ b/tests/simulation/test_store.py
@@ -64,7 +64,7 @@
 
 
 def test_clients_are_connected_again_soon_after_all_servers_were_slow() -> None:
-    """Guards against a retry storm: with all servers slow, retries queue behind their own abandoned store calls."""
+    """Guards against a retry storm that keeps clients unconnected after all servers were slow for 8 s."""
     connected_fractions = []
     for seed in (4, 5, 7):
         overrides = {"faults[0].at_s": 8.0, "faults[0].for_s": 8.0, "length_s": 30.0}
