--- a/glenrock/simulation/client_requests.py
+++ b/glenrock/simulation/client_requests.py
@@ -22,7 +22,7 @@
         if planned.load_changes:
             self.engine.at(self.start_us + planned.load_changes[0][0], self._change_load, client)
         if planned.end_us > planned.arrival_us:
-            self.engine.at(self.start_us + planned.end_us, self._end_connection, client)
+            self.engine.at(self.start_us + planned.end_us, self._finish_client, client)
 
     def load_of(self, client: Client) -> float:
         """Returns the current load of a client's connection, in microseconds of work per second."""
@@ -43,7 +43,7 @@
             if self.experiment.reports.load_told and not connection.is_unreachable:
                 request.balancer.post(interface.ConnectionFeedback(request.id, server.name, load=load))
 
-    def _end_connection(self, client: Client) -> None:
+    def _finish_client(self, client: Client) -> None:
         client.is_done = True
         connection, request = client.connection, client.request
         if connection:
