--- a/glenrock/simulation/policies/simple.py
+++ b/glenrock/simulation/policies/simple.py
@@ -1,8 +1,8 @@
-"""The base of the reference policies, which differ only in their selection of a server.
+"""The base class of the reference policies, which differ only in how they select a server.
 
-A request goes to the selected server at once; after a failure to another, until its attempts or its time are used
-up, and is rejected then. Open connections stay where they are; the clients of a draining server migrate evenly over
-two seconds, as the rule on lost connections requires.
+Each request is attempted at once at the selected server and, after a failure, at another one. It is rejected when it
+has no attempts or no time left. Open connections stay on their server, except that the clients of a draining or
+suspended server migrate evenly over `MIGRATION_US`, because the invariant on lost connections requires it.
 """
 
 from __future__ import annotations
@@ -15,33 +15,34 @@
 from glenrock.routing import interface
 from glenrock.routing.interface import AttemptOutcome, EndpointListKind, EndpointState
 
-MARGIN_TICKS = 2  # before a request's deadline, so that the answer is in time
+ANSWER_MARGIN_TICKS = 2  # time reserved before a request's deadline, so that its answer is in time
 MIGRATION_US = 2_000_000
 ROUND_US = 500_000
-UNREACHABLE_FOR_US = 1_000_000  # a server without a connection is not selected for so long
+UNREACHABLE_FOR_US = 1_000_000  # a server is not selected for this long after it accepted no connection
+ATTEMPT_TIME_PERCENT = 60  # part of the remaining time for an attempt that may be retried
 MIN_ATTEMPT_US = 200_000
 NEVER_US = -1 << 60
 
 
 @dataclass(slots=True, eq=False)
 class KnownServer:
-    """A server, as one balancer knows it.
+    """What one balancer knows of a server.
 
     Attributes:
         is_ready: whether it may be selected.
-        is_listed: whether the endpoint list has it as ready.
-        active: attempts and open connections of this balancer.
-        connections: identifiers of its open connections, in order.
+        is_listed: whether the endpoint list contains it as ready.
+        active_attempts: number of this balancer's attempts that are pending or have an open connection.
+        connections: identifiers of the requests with an open connection, oldest first.
         report: the latest load report.
         report_at_us: when the report arrived.
-        migrate_by_us: when its clients must have migrated; 0: they need not.
+        migrate_by_us: when all its clients must have migrated; 0 if they need not.
     """
 
     id: str
     zone: str
     is_ready: bool = True
     is_listed: bool = True
-    active: int = 0
+    active_attempts: int = 0
     connections: dict[str, None] = field(default_factory=dict)
     report: dict[str, float] = field(default_factory=dict)
     report_at_us: int = NEVER_US
@@ -50,32 +51,34 @@
 
 @dataclass(slots=True, eq=False)
 class PendingRequest:
-    """A request, until its answer or the end of its connection.
+    """A request, from its arrival until it is rejected or its connection ends.
 
     Attributes:
-        tried: servers of its attempts, in order.
+        tried_servers: server of each of its attempts, in order.
         server: server of its active attempt.
         is_established: whether its connection is open.
     """
 
     event: interface.Request
-    tried: list[KnownServer] = field(default_factory=list)
+    tried_servers: list[KnownServer] = field(default_factory=list)
     server: KnownServer | None = None
     is_established: bool = False
 
 
-class SimplePolicy:
-    """A policy without its selection: subclasses define `pick`.
+class ReferencePolicy:
+    """The base class of the reference policies; subclasses define `select_server`.
 
     Attributes:
-        timers: by reference, the request of a timer, or None for the timer of the round.
+        ready: servers that may be selected.
+        timers: by identifier of a timer, the request that it belongs to, or None for the timer of the next round.
         suspended: servers that an operator has suspended.
-        unreachable_until_us: servers without a connection, and until when they are not selected.
+        is_watching: whether it has asked for the endpoint list and its changes.
+        unreachable_until_us: by server that accepted no connection, when it may be selected again.
     """
 
     def __init__(self, settings: interface.Settings, seed: int) -> None:
         self.settings = settings
-        self.random = random.Random(seed)  # noqa: S311 - draws need be repeatable, not secret
+        self.random = random.Random(seed)  # noqa: S311 - draws must be repeatable, not secret
         self.now_us = 0
         self.servers: dict[str, KnownServer] = {}
         self.ready: list[KnownServer] = []
@@ -93,32 +96,32 @@
         if is_first:
             self._set_timer(now_us + 1 + self.random.randrange(ROUND_US), None)
         for event in events:
-            if handler := HANDLERS.get(type(event)):
+            if handler := EVENT_HANDLERS.get(type(event)):
                 handler(self, event)
         return self.actions
 
     # -- for subclasses ------------------------------------------------------------------------------
 
-    def pick(self, request: PendingRequest, candidates: list[KnownServer]) -> KnownServer:
-        """Selects one of the candidates, of which there is at least one."""
+    def select_server(self, request: PendingRequest, candidates: list[KnownServer]) -> KnownServer:
+        """Selects one of the candidates; there is at least one."""
         raise NotImplementedError
 
     def on_round(self) -> None:
-        """Does the periodic work of a subclass."""
+        """Performs the periodic work of a subclass."""
 
     def on_arrival(self) -> None:
-        """Prepares for a request that is about to be placed."""
+        """Handles the arrival of a request, before a server is selected for it."""
 
     def on_report(self, server: KnownServer, latency_us: int) -> None:
-        """Handles the load report that a server has answered a health check with."""
+        """Handles a load report, with which a server has answered a health check."""
 
     def send_health_check(self, server: KnownServer) -> None:
-        """Checks a server, where the settings allow it."""
+        """Sends a health check to a server, if the settings allow health checks."""
         if self.settings.may_health_check:
             self.actions.append(interface.SendHealthCheck(server.id))
 
     def draw_server(self, candidates: list[KnownServer]) -> KnownServer:
-        """Draws one of the candidates, evenly."""
+        """Draws one of the candidates with equal probability."""
         return candidates[self.random.randrange(len(candidates))]
 
     # -- the endpoint list ---------------------------------------------------------------------------
@@ -143,7 +146,7 @@
         self._update_ready()
 
     def _on_override(self, event: interface.OperatorOverride) -> None:
-        """Suspends a server, whatever the endpoint list says, or ends its suspension."""
+        """Suspends a server, whatever its state in the endpoint list, or ends its suspension."""
         (self.suspended.add if event.is_suspended else self.suspended.discard)(event.server_id)
         if server := self.servers.get(event.server_id):
             if event.is_suspended:
@@ -161,39 +164,39 @@
 
     # -- requests ------------------------------------------------------------------------------------
 
-    def _answer_by_us(self, event: interface.Request) -> int:
-        return event.deadline_us - MARGIN_TICKS * self.settings.tick_us
+    def _answer_deadline_us(self, event: interface.Request) -> int:
+        return event.deadline_us - ANSWER_MARGIN_TICKS * self.settings.tick_us
 
     def _on_request(self, event: interface.Request) -> None:
         request = self.requests[event.request_id] = PendingRequest(event)
-        self._set_timer(self._answer_by_us(event), event.request_id)
+        self._set_timer(self._answer_deadline_us(event), event.request_id)
         self.on_arrival()
-        self._place(request)
+        self._start_attempt(request)
 
     def _on_open_connection(self, event: interface.OpenConnection) -> None:
         server = self.servers.get(event.server_id)
         if server:
             self.requests[event.request.request_id] = PendingRequest(event.request, [server], server, True)
-            server.active += 1
+            server.active_attempts += 1
             server.connections[event.request.request_id] = None
 
-    def _place(self, request: PendingRequest) -> None:
-        """Starts an attempt, or rejects the request if its attempts or its time are used up."""
+    def _start_attempt(self, request: PendingRequest) -> None:
+        """Starts an attempt, or rejects the request if it has no attempts or no time left."""
         max_attempts = self.settings.max_attempts
-        if not request.event.is_midstream and len(request.tried) >= max_attempts:
+        if not request.event.is_midstream and len(request.tried_servers) >= max_attempts:
             self._reject(request)
             return
         candidates = self._candidates(request)
-        left_us = self._answer_by_us(request.event) - self.now_us
+        left_us = self._answer_deadline_us(request.event) - self.now_us
         if not candidates or left_us <= 0:
             self._reject(request)
             return
-        server = self.pick(request, candidates)
-        request.tried.append(server)
+        server = self.select_server(request, candidates)
+        request.tried_servers.append(server)
         request.server = server
-        server.active += 1
-        is_last = len(request.tried) >= max_attempts
-        timeout_us = left_us if is_last else max(left_us * 6 // 10, min(left_us, MIN_ATTEMPT_US))
+        server.active_attempts += 1
+        is_last = len(request.tried_servers) >= max_attempts
+        timeout_us = left_us if is_last else max(left_us * ATTEMPT_TIME_PERCENT // 100, min(left_us, MIN_ATTEMPT_US))
         self.actions.append(interface.StartAttempt(request.event.request_id, server.id, timeout_us))
 
     def _candidates(self, request: PendingRequest) -> list[KnownServer]:
@@ -201,14 +204,14 @@
         if unreachable and min(unreachable.values()) <= self.now_us:
             unreachable = {id_: until_us for id_, until_us in unreachable.items() if until_us > self.now_us}
             self.unreachable_until_us = unreachable
-        if not request.tried and not unreachable:  # no copy of a long list for each request
+        if not request.tried_servers and not unreachable:  # avoids a copy of a long list for each request
             return self.ready
         reachable = [server for server in self.ready if server.id not in unreachable] or self.ready
-        return [server for server in reachable if server not in request.tried] or reachable
+        return [server for server in reachable if server not in request.tried_servers] or reachable
 
     def _reject(self, request: PendingRequest) -> None:
-        longest_us = self.settings.max_retry_after_us if self.settings.may_send_retry_after else 0
-        retry_after_us = int(longest_us * (0.5 + self.random.random() / 2))
+        max_retry_after_us = self.settings.max_retry_after_us if self.settings.may_send_retry_after else 0
+        retry_after_us = int(max_retry_after_us * (0.5 + self.random.random() / 2))
         self.actions.append(interface.Reject(request.event.request_id, retry_after_us))
         self.requests.pop(request.event.request_id, None)
 
@@ -226,18 +229,18 @@
             self.unreachable_until_us[server.id] = self.now_us + UNREACHABLE_FOR_US
         if request is None or request.server is None or server is not request.server:
             return
-        request.server.active -= 1
+        request.server.active_attempts -= 1
         request.server.connections.pop(event.request_id, None)
         request.server = None
         if event.is_final or request.is_established:
             self.requests.pop(event.request_id, None)
         else:
-            self._place(request)
+            self._start_attempt(request)
 
     def _on_disconnected(self, event: interface.ClientDisconnected) -> None:
         request = self.requests.pop(event.request_id, None)
         if request and request.server:
-            request.server.active -= 1
+            request.server.active_attempts -= 1
             request.server.connections.pop(event.request_id, None)
 
     # -- timers --------------------------------------------------------------------------------------
@@ -252,21 +255,21 @@
             return
         request_id = self.timers.pop(event.timer_id)
         if request_id is None:
-            self._round()
+            self._run_round()
         elif request := self.requests.get(request_id):
             self._time_out(request)
 
     def _time_out(self, request: PendingRequest) -> None:
-        """Rejects a request whose time is used up."""
+        """Rejects a request that has no time left."""
         if request.is_established:
             return
         if request.server:
             if self.settings.may_cancel:
-                self.actions.append(interface.CancelAttempt(request.event.request_id, len(request.tried) - 1))
-            request.server.active -= 1
+                self.actions.append(interface.CancelAttempt(request.event.request_id, len(request.tried_servers) - 1))
+            request.server.active_attempts -= 1
         self._reject(request)
 
-    def _round(self) -> None:
+    def _run_round(self) -> None:
         self._set_timer(self.now_us + ROUND_US, None)
         if self.settings.must_poll_endpoints and not self.is_watching:
             self.is_watching = True
@@ -290,14 +293,14 @@
             server.report_at_us = NEVER_US
 
 
-HANDLERS: dict[type, Callable[[SimplePolicy, Any], None]] = {
-    interface.EndpointList: SimplePolicy._on_endpoints,
-    interface.Request: SimplePolicy._on_request,
-    interface.OpenConnection: SimplePolicy._on_open_connection,
-    interface.ConnectionEstablished: SimplePolicy._on_established,
-    interface.AttemptEnded: SimplePolicy._on_attempt_ended,
-    interface.ClientDisconnected: SimplePolicy._on_disconnected,
-    interface.TimerFired: SimplePolicy._on_timer,
-    interface.HealthCheckResult: SimplePolicy._on_health_check_result,
-    interface.OperatorOverride: SimplePolicy._on_override,
+EVENT_HANDLERS: dict[type, Callable[[ReferencePolicy, Any], None]] = {
+    interface.EndpointList: ReferencePolicy._on_endpoints,
+    interface.Request: ReferencePolicy._on_request,
+    interface.OpenConnection: ReferencePolicy._on_open_connection,
+    interface.ConnectionEstablished: ReferencePolicy._on_established,
+    interface.AttemptEnded: ReferencePolicy._on_attempt_ended,
+    interface.ClientDisconnected: ReferencePolicy._on_disconnected,
+    interface.TimerFired: ReferencePolicy._on_timer,
+    interface.HealthCheckResult: ReferencePolicy._on_health_check_result,
+    interface.OperatorOverride: ReferencePolicy._on_override,
 }
--- a/glenrock/simulation/server_attempts.py
+++ b/glenrock/simulation/server_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts at servers, open connections, health checks, gossip, and what the end of a server does to them."""
+"""Attempts at servers, open connections, health checks and gossip, and the effects on them when a server stops."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 from .model.server import Connection, ServerModel, SetupAnswer
 from .spec_types import drawn_number
 
-HANDSHAKE_WAYS = 3  # one-way times until the first line has arrived: two of TCP's handshake, and its own
-INFORMED_FRACTION = 2 / 3  # of the load that overloaded a cold server; a violation if informed balancers sent it
+CONNECT_ONE_WAY_TRIPS = 3  # until the first line has arrived: two for the TCP handshake, and one for the line
+INFORMED_FRACTION = 2 / 3  # of the slow-start load; an overload is a violation if informed balancers sent this much
 
 
 @dataclass(slots=True)
@@ -40,7 +40,7 @@
         return self.links.one_way_us(attempt.request.balancer.zone, attempt.server.shape.zone)
 
     def start_attempt(self, attempt: Attempt, timeout_us: int) -> None:
-        """Sends an attempt; it times out after `timeout_us` (0: none) or at the request's deadline."""
+        """Sends an attempt, which times out after `timeout_us` (0: no such limit) or at the request's deadline."""
         now, request, server = self.engine.now, attempt.request, attempt.server
         self.measure.counts["attempts"] += 1
         self.invariants.record_event(now, f"attempt {attempt.number} sent", request.id, server.name)
@@ -53,8 +53,8 @@
         if not self._path_is_open(attempt):
             self.engine.at(now + self.connect_timeout_us, self._end_attempt, attempt, AttemptOutcome.NO_CONNECTION)
         else:
-            ways = HANDSHAKE_WAYS if server.is_up else 1
-            self.engine.at(now + ways * self._draw_one_way_us(attempt), self._attempt_arrives, attempt)
+            trips = CONNECT_ONE_WAY_TRIPS if server.is_up else 1
+            self.engine.at(now + trips * self._draw_one_way_us(attempt), self._attempt_arrives, attempt)
 
     def _attempt_arrives(self, attempt: Attempt) -> None:
         request, server = attempt.request, attempt.server
@@ -66,9 +66,9 @@
             work_us *= self.draw_setup_work()
         endpoint = request.balancer.endpoints.get(server.name)
         is_informed = endpoint is not None and endpoint.started_us >= server.started_us
-        server.receive_attempt(self.engine.now, attempt, work_us, planned.usual_load, is_informed)
-        if server.was_overloaded_while_cold and server.is_up:
-            self._fall_over(server)
+        server.receive_attempt(self.engine.now, attempt, work_us, planned.base_load, is_informed)
+        if server.was_overloaded_while_warming_up and server.is_up:
+            self._stop_overloaded(server)
 
     def receive_setup_answer(self, attempt: Attempt, answer: SetupAnswer) -> None:
         """Sends a server's answer to an attempt back to its balancer."""
@@ -77,7 +77,7 @@
         is_established = answer == SetupAnswer.ESTABLISHED
         if is_established and name in self.error_chances and self.draw_error() < self.error_chances[name]:
             answer, is_established = SetupAnswer.ERROR, False
-            self.abandon_attempt(attempt)  # a server that answers ERR keeps nothing of the attempt
+            self.abandon_attempt(attempt)  # a server that answers ERR drops the attempt
         sent_us = self.store.call(self.engine.now) if is_established else self.engine.now
         self.engine.at(sent_us + one_way_us, self._answer_arrives, attempt, answer)
 
@@ -95,7 +95,7 @@
             self.abandon_attempt(attempt)
             self._end_attempt(attempt, AttemptOutcome.CANCELLED)
             return
-        self.invariants.record_event(self.engine.now, "up", request.id, attempt.server.name)
+        self.invariants.record_event(self.engine.now, "connection established", request.id, attempt.server.name)
         self.measure.counts["set_up"] += 1
         request.balancer.report_established(attempt)
         self.open_connection(attempt)
@@ -111,10 +111,10 @@
         request, client, now = attempt.request, attempt.request.client, self.engine.now
         planned = client.planned
         is_wanted = client.request is request
-        value = (
+        priority_weight = (
             0.0 if self.is_over else float(self.experiment.classes[planned.class_index].worth) * planned.quota_factor
         )
-        connection = Connection(attempt, request.balancer.index, planned.class_index, planned.group, value)
+        connection = Connection(attempt, request.balancer.index, planned.class_index, planned.group, priority_weight)
         attempt.connection = connection
         if client.waiting_since_us >= 0 and is_wanted:
             self.measure.setup_waits[planned.class_index].record_value(max(1, now - client.waiting_since_us))
@@ -133,22 +133,22 @@
 
     def _time_out(self, attempt: Attempt) -> None:
         if attempt.is_active and not attempt.is_established:
-            self.invariants.record_event(self.engine.now, "timed out", attempt.request.id, attempt.server.name)
+            self.invariants.record_event(self.engine.now, "attempt timed out", attempt.request.id, attempt.server.name)
             self.abandon_attempt(attempt)
             attempt.request.balancer.report_attempt_ended(attempt, AttemptOutcome.TIMEOUT)
 
     def _end_attempt(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
         if attempt.is_active and not attempt.is_established:
-            text = f"ends: {outcome}"
+            text = f"attempt ended: {outcome}"
             self.invariants.record_event(self.engine.now, text, attempt.request.id, attempt.server.name)
             attempt.request.balancer.report_attempt_ended(attempt, outcome)
 
     def abandon_attempt(self, attempt: Attempt) -> None:
-        """Closes the balancer's side of an attempt; the server learns of it one way later."""
+        """Closes the balancer's side of an attempt; the server notices it after a one-way time."""
         due_us = self.engine.now + self._draw_one_way_us(attempt)
-        self.engine.at(due_us, self._abandon_at_instance, attempt, attempt.server.incarnation)
+        self.engine.at(due_us, self._abandon_at_server, attempt, attempt.server.incarnation)
 
-    def _abandon_at_instance(self, attempt: Attempt, incarnation: int) -> None:
+    def _abandon_at_server(self, attempt: Attempt, incarnation: int) -> None:
         if attempt.server.incarnation == incarnation:
             attempt.server.abandon(self.engine.now, attempt)
 
@@ -159,76 +159,79 @@
         delay_us: int | None = None,
         balancer_is_up: bool = True,
     ) -> None:
-        """Ends a connection whose server, link or client's side is lost; its client reconnects.
+        """Ends a connection that its server, its link or its client has broken; the client reconnects.
 
         Args:
             connection: the open connection.
-            outcome: what the balancer's policy is told.
-            delay_us: until the client reconnects; None: drawn.
-            balancer_is_up: whether there is a policy to tell.
+            outcome: outcome of the attempt that is reported to the balancer's policy.
+            delay_us: time until the client reconnects; None to draw it.
+            balancer_is_up: whether the balancer is running and its policy is told.
         """
         request, client = connection.attempt.request, connection.attempt.request.client
         is_wanted = client.connection is connection
         self.measure.counts["broken"] += 1
-        self.invariants.record_event(self.engine.now, "breaks", request.id, connection.attempt.server.name)
-        self.close(connection)
+        self.invariants.record_event(self.engine.now, "connection broken", request.id, connection.attempt.server.name)
+        self.close_connection(connection)
         if balancer_is_up:
             request.balancer.report_attempt_ended(connection.attempt, outcome)
         if is_wanted:
             self.reconnect_after(client, self.client_delays.delay_after_break() if delay_us is None else delay_us)
 
     def drop_client_side(self, connection: Connection[Attempt], delay_us: int) -> None:
-        """Ends an open connection from its client's side; the client reconnects after `delay_us`."""
+        """Closes an open connection from the client's side; the client reconnects after `delay_us`."""
         if connection.attempt.connection is connection and connection.attempt.is_active:
             self.break_connection(connection, AttemptOutcome.SERVED, delay_us)
 
-    # -- ends of servers ---------------------------------------------------------------------------
+    # -- stopped servers ---------------------------------------------------------------------------
 
     def stop_server(self, server: ServerModel[Attempt]) -> None:
-        """Ends the process of a server: its connections break, and discovery notices later."""
+        """Ends the process of a server: its connections break, and service discovery detects it later."""
         if not server.is_up:
             return
-        self.invariants.record_event(self.engine.now, "stops", "", server.name)
+        self.invariants.record_event(self.engine.now, "process ended", "", server.name)
         connections, pending_attempts = server.stop(self.engine.now)
         for attempt in pending_attempts:
             self.receive_setup_answer(attempt, SetupAnswer.BROKEN)
         for connection in connections:
-            self._lose_connection(connection)
+            self._break_lost_connection(connection)
         notice_s = drawn_number(self.experiment.discovery.notice_s)
         self.feed.report_change(notice_s, server.name, EndpointState.GONE)
 
-    def _lose_connection(self, connection: Connection[Attempt]) -> None:
+    def _break_lost_connection(self, connection: Connection[Attempt]) -> None:
         if self._path_is_open(connection.attempt):
             self.break_connection(connection, AttemptOutcome.BROKEN)
         else:
-            self.engine.at(self.engine.now + self.silence_timeout_us, self._break_silent, connection)
+            self.engine.at(self.engine.now + self.silence_timeout_us, self._break_after_timeout, connection)
 
-    def _break_silent(self, connection: Connection[Attempt]) -> None:
+    def _break_after_timeout(self, connection: Connection[Attempt]) -> None:
         if connection.attempt.is_active and connection.attempt.request.client.connection is connection:
             self.break_connection(connection, AttemptOutcome.BROKEN)
 
-    def _fall_over(self, server: ServerModel[Attempt]) -> None:
-        """Ends an overloaded cold server, a violation if most of its load came from informed balancers."""
+    def _stop_overloaded(self, server: ServerModel[Attempt]) -> None:
+        """Stops a server overloaded while warming up, a violation if informed balancers sent most of its load."""
         informed_load = sum(load for _, load, is_informed in server.slow_start_arrivals if is_informed)
         fraction = ratio(informed_load, server.slow_start_load)
         after_s = (self.engine.now - server.started_us) / SECOND_US
-        text = f"{server.name} fell over {after_s:.2f} s after its start; told sent {fraction:.0%}"
+        text = (
+            f"{server.name} was overloaded {after_s:.2f} s after its start; "
+            f"informed balancers sent {fraction:.0%} of its load"
+        )
         if fraction >= INFORMED_FRACTION:
             self.invariants.record_violation(self.engine.now, "cold", text, -1, "", server.name)
         else:
-            self.invariants.record_event(self.engine.now, "falls over, untold", "", server.name)
+            self.invariants.record_event(self.engine.now, "overloaded by uninformed balancers", "", server.name)
         self.stop_server(server)
 
     # -- health checks, gossip, endpoint lists -------------------------------------------------------
 
     def send_health_check(self, balancer: BalancerProcess, server: str) -> None:
-        """Checks a server, or answers from a peer's check where health checks are shared."""
+        """Sends a health check, or uses the result of a peer's if balancers share health checks."""
         shared = self.shared_health_checks
         if shared is None or not shared.answer_from_peer(balancer, server):
             self.send_own_health_check(balancer, server)
 
     def send_own_health_check(self, balancer: BalancerProcess, server: str) -> None:
-        """Sends a health check to a server."""
+        """Sends a health check of the balancer's own to a server."""
         self.measure.counts["probes"] += 1
         check = _HealthCheck(balancer, balancer.incarnation, self.servers[server], self.engine.now)
         zones = (balancer.zone, check.server.shape.zone)
@@ -284,7 +287,9 @@
                     self.engine.at(self.engine.now + one_way_us, self._gossip_arrives, peer, balancer.index, data)
 
     def _gossip_arrives(self, balancer: BalancerProcess, peer: int, data: bytes) -> None:
-        if not balancer.is_up:  # the sender may have ended meanwhile: a datagram on its way still arrives
+        if (
+            not balancer.is_up
+        ):  # only the receiver must be up: a datagram in flight arrives even if its sender has stopped
             return
         if self.shared_health_checks and self.shared_health_checks.receive(balancer, peer, data):
             return
