--- a/glenrock/cli/check.py
+++ b/glenrock/cli/check.py
@@ -41,7 +41,7 @@
     """Returns a description of an experiment. Raises InputFileError if it is invalid."""
     from ..simulation import spec
 
-    points = spec.points(file)
+    points = spec.sweep_points(file)
     experiment = points[0][1]
     return f"experiment {experiment.name}, {len(points)} point{'' if len(points) == 1 else 's'}"
 
--- a/glenrock/cli/scenario_run.py
+++ b/glenrock/cli/scenario_run.py
@@ -61,7 +61,7 @@
         write_results(temporary, bed, bed_summary)
         (temporary / "report.html").write_text(report.of_run(temporary), encoding="utf-8")
 
-    record.folder(folder, run_and_write)
+    record.write_folder(folder, run_and_write)
     print_summary(summary)
     click.echo(f"results: {folder}/summary.json, history.txt, series.csv, report.html, balancer-N/log")
     if message := summary_text.format_violations(summary["rules"], "history.txt"):
--- a/glenrock/cli/simulation_compare.py
+++ b/glenrock/cli/simulation_compare.py
@@ -23,13 +23,13 @@
 
     path, at, policy = source.rpartition("@")
     if at and Path(path).is_dir():
-        return runner.order(_read_summaries(source, Path(path), policy))
+        return runner.sort_summaries(_read_summaries(source, Path(path), policy))
     if Path(source).is_dir():
-        return runner.order(_read_summaries(source, Path(source), None))
+        return runner.sort_summaries(_read_summaries(source, Path(source), None))
     if not at:
         raise InputFileError(f"{source}: neither a folder of results nor FILE@POLICY")
-    points = spec.points(Path(path), overrides)
-    return run_tasks(runner.tasks(points, seeds, [options.check_policy(policy)]), jobs, None, False)
+    points = spec.sweep_points(Path(path), overrides)
+    return run_tasks(runner.make_tasks(points, seeds, [options.check_policy(policy)]), jobs, None, False)
 
 
 def _read_summaries(source: str, folder: Path, policy: str | None) -> list[dict[str, Any]]:
@@ -93,8 +93,8 @@
     page = report.page("compare.html", s=comparison, image=plots.address(image))
 
     def write_files(temporary: Path) -> None:
-        content = record.text_of(json.loads(json.dumps(comparison)))
+        content = record.json_text(json.loads(json.dumps(comparison)))
         (temporary / "compare.json").write_text(content, encoding="utf-8")
         (temporary / "report.html").write_text(page, encoding="utf-8")
 
-    record.folder(out, write_files)
+    record.write_folder(out, write_files)
--- a/glenrock/cli/simulation_list.py
+++ b/glenrock/cli/simulation_list.py
@@ -33,5 +33,5 @@
     for name, (_, description) in POLICIES.items():
         click.echo(f"  {name}: {description}")
     click.echo("faults:")
-    for fault in spec_faults.FAULTS:
+    for fault in spec_faults.FAULT_TYPES:
         click.echo(f"  {fault.__struct_config__.tag}: {(fault.__doc__ or '').strip().splitlines()[0]}")
--- a/glenrock/cli/simulation_report.py
+++ b/glenrock/cli/simulation_report.py
@@ -29,5 +29,5 @@
             raise InputFileError(f"{folder / 'sweep.json'}: {error}") from error
     else:
         text = report.of_run(folder)
-    record.file(folder / "report.html", text)
+    record.write_file(folder / "report.html", text)
     click.echo(f"results: {folder}/report.html")
--- a/glenrock/cli/simulation_run.py
+++ b/glenrock/cli/simulation_run.py
@@ -42,7 +42,7 @@
         record.write_run(temporary, simulation, summary)
         (temporary / "report.html").write_text(report.of_run(temporary), encoding="utf-8")
 
-    record.folder(folder, write_results)
+    record.write_folder(folder, write_results)
     print_summary(summary)
     click.echo(f"results: {folder}/summary.json, series.csv, report.html")
     if summary["failure"]:
@@ -60,7 +60,7 @@
     from ..simulation import record
 
     trial = folder.parent / f".{folder.name}.check"
-    record.folder(trial, lambda temporary: None)
+    record.write_folder(trial, lambda temporary: None)
     trial.rmdir()
 
 
--- a/glenrock/cli/simulation_sweep.py
+++ b/glenrock/cli/simulation_sweep.py
@@ -60,7 +60,7 @@
         how_to_resume = f", kept in {run_folder}; --resume goes on" if run_folder else ""
         message = f"stopped with {len(summaries)} of {len(tasks)} runs finished{how_to_resume}"
         raise CommandFailedError(message) from error
-    return runner.order(summaries)
+    return runner.sort_summaries(summaries)
 
 
 def write_results(
@@ -82,8 +82,8 @@
         "rows": report.table_of(summaries, measures),
     }
     _write_table(folder / "sweep.csv", axes, measures, summaries)
-    record.file(folder / "sweep.json", record.text_of(sweep))
-    record.file(folder / "report.html", report.of_sweep(sweep))
+    record.write_file(folder / "sweep.json", record.json_text(sweep))
+    record.write_file(folder / "report.html", report.of_sweep(sweep))
     return sweep
 
 
@@ -131,11 +131,11 @@
     seed_numbers = options.parse_seeds(seeds)
     from ..simulation import runner, spec
 
-    points = spec.points(file, options.parse_overrides(overrides))
+    points = spec.sweep_points(file, options.parse_overrides(overrides))
     axes, experiment = points[0]
     folder = out or Path("out") / "lab" / f"{experiment.name}-sweep"
     run_folder = _prepare_run_folder(folder, resume)
-    summaries = run_tasks(runner.tasks(points, seed_numbers, policy_names), jobs, run_folder, resume)
+    summaries = run_tasks(runner.make_tasks(points, seed_numbers, policy_names), jobs, run_folder, resume)
     sweep = write_results(folder, experiment.name, list(axes), seed_numbers, summaries)
     _print_sweep(sweep)
     click.echo(f"results: {folder}/sweep.json, sweep.csv, report.html")
--- a/glenrock/simulation/connection_accounting.py
+++ b/glenrock/simulation/connection_accounting.py
@@ -13,7 +13,7 @@
 
     def credit(self, connection: Connection[Attempt]) -> None:
         """Credits a tenant with the seconds that its connection was served in time since the last credit."""
-        if self.is_over:
+        if self.measurement_ended:
             return
         self.measure.record_tenant_served(connection.attempt.request.client.planned, connection.uncredited_s)
         connection.uncredited_s = 0.0
--- a/glenrock/simulation/faults.py
+++ b/glenrock/simulation/faults.py
@@ -27,49 +27,51 @@
 
 
 def draw_targets(
-    draw: np.random.Generator, candidates: list[Target], fraction: float | tuple[float, ...], minimum: int = 1
+    generator: np.random.Generator, candidates: list[Target], fraction: float | tuple[float, ...], minimum: int = 1
 ) -> list[Target]:
     """Draws a fraction of the candidates, at least `minimum` of them unless the fraction is 0, in random order."""
     fraction = drawn_number(fraction)
     count = min(len(candidates), max(minimum, round(fraction * len(candidates)))) if fraction > 0 else 0
-    return [candidates[number] for number in draw.permutation(len(candidates))[:count]]
+    return [candidates[number] for number in generator.permutation(len(candidates))[:count]]
 
 
 def _running_servers(simulation: ProcessControl) -> list[ServerModel[Attempt]]:
     return [server for server in simulation.servers.values() if server.is_up]
 
 
-def crash(simulation: ProcessControl, fault: spec.Crash, draw: np.random.Generator) -> None:
+def crash_servers(simulation: ProcessControl, fault: spec.Crash, generator: np.random.Generator) -> None:
     """Ends drawn servers, and starts them again."""
     candidates = [
         server for server in _running_servers(simulation) if fault.zone in ("", simulation.zones[server.shape.zone])
     ]
     engine = simulation.engine
-    for server in draw_targets(draw, candidates, fault.part):
+    for server in draw_targets(generator, candidates, fault.part):
         simulation.stop_server(server)
         if fault.down_s:
             engine.at(engine.now + to_us(fault.down_s), simulation.start_server, server)
 
 
-def zone_cut(simulation: ProcessControl, fault: spec.ZoneCut, draw: np.random.Generator) -> None:
+def partition_zone(simulation: ProcessControl, fault: spec.ZoneCut, generator: np.random.Generator) -> None:
     """Partitions a zone, and heals it."""
     zone = simulation.zones.index(fault.zone) if fault.zone else 0
     simulation.partition_zone(zone)
     simulation.engine.at(simulation.engine.now + to_us(fault.for_s), simulation.heal_zone, zone)
 
 
-def balancer_roll(simulation: ProcessControl, fault: spec.BalancerRoll, draw: np.random.Generator) -> None:
+def restart_balancers(simulation: ProcessControl, fault: spec.BalancerRoll, generator: np.random.Generator) -> None:
     """Restarts drawn balancers in batches."""
-    order = draw_targets(draw, simulation.balancers, fault.part)
+    order = draw_targets(generator, simulation.balancers, fault.part)
     batch_size = max(1, round(drawn_number(fault.batch) * len(simulation.balancers)))
     batches = [order[start : start + batch_size] for start in range(0, len(order), batch_size)]
     for number, batch in enumerate(batches):
         at_us = simulation.engine.now + to_us(fault.for_s) * number // len(batches)
         for balancer in batch:
-            simulation.engine.at(at_us, _restart, simulation, balancer, to_us(fault.down_s), to_us(fault.hand_back_s))
+            simulation.engine.at(
+                at_us, _restart_balancer, simulation, balancer, to_us(fault.down_s), to_us(fault.hand_back_s)
+            )
 
 
-def _restart(simulation: ProcessControl, balancer: BalancerProcess, down_us: int, shutdown_us: int) -> None:
+def _restart_balancer(simulation: ProcessControl, balancer: BalancerProcess, down_us: int, shutdown_us: int) -> None:
     """Restarts a balancer after a graceful shutdown of `shutdown_us` (0: killed)."""
     if not balancer.is_up:
         return
@@ -81,18 +83,18 @@
     engine.at(engine.now + shutdown_us + down_us, simulation.start_balancer, balancer)
 
 
-def reconnect(simulation: ProcessControl, fault: spec.Reconnect, draw: np.random.Generator) -> None:
+def drop_connections(simulation: ProcessControl, fault: spec.Reconnect, generator: np.random.Generator) -> None:
     """Drops drawn connections from the side of their clients."""
     connections = [
         connection for server in simulation.servers.values() for connection in server.open_connections.values()
     ]
-    for connection in draw_targets(draw, connections, fault.part, 0):
-        simulation.drop_client_side(connection, round(float(draw.random()) * to_us(fault.within_s)))
+    for connection in draw_targets(generator, connections, fault.part, 0):
+        simulation.drop_client_side(connection, round(float(generator.random()) * to_us(fault.within_s)))
 
 
-def slow(simulation: ProcessControl, fault: spec.Slow, draw: np.random.Generator) -> None:
+def slow_servers(simulation: ProcessControl, fault: spec.Slow, generator: np.random.Generator) -> None:
     """Slows drawn servers down."""
-    targets = draw_targets(draw, _running_servers(simulation), fault.part)
+    targets = draw_targets(generator, _running_servers(simulation), fault.part)
     engine = simulation.engine
     for server in targets:
         server.set_speed_fraction(engine.now, drawn_number(fault.speed))
@@ -106,9 +108,9 @@
             server.set_speed_fraction(simulation.engine.now, 1.0)
 
 
-def errs(simulation: ProcessControl, fault: spec.Errs, draw: np.random.Generator) -> None:
+def fail_setups(simulation: ProcessControl, fault: spec.Errs, generator: np.random.Generator) -> None:
     """Makes drawn servers answer ERR."""
-    targets = draw_targets(draw, _running_servers(simulation), fault.part)
+    targets = draw_targets(generator, _running_servers(simulation), fault.part)
     for server in targets:
         simulation.error_chances[server.name] = drawn_number(fault.chance)
     engine = simulation.engine
@@ -120,13 +122,13 @@
         simulation.error_chances.pop(name, None)
 
 
-def discovery_silence(simulation: ProcessControl, fault: spec.DiscoverySilence, draw: np.random.Generator) -> None:
+def silence_discovery(simulation: ProcessControl, fault: spec.DiscoverySilence, generator: np.random.Generator) -> None:
     """Silences service discovery."""
     end_us = simulation.engine.now + to_us(fault.for_s)
     simulation.feed.silent_until_us = max(simulation.feed.silent_until_us, end_us)
 
 
-def stale_list(simulation: ProcessControl, fault: spec.StaleList, draw: np.random.Generator) -> None:
+def provide_stale_list(simulation: ProcessControl, fault: spec.StaleList, generator: np.random.Generator) -> None:
     """Gives an old endpoint list to balancers that start."""
     simulation.feed.cached_list_age_us = to_us(fault.age_s)
     simulation.engine.at(simulation.engine.now + to_us(fault.for_s), _end_stale_list, simulation)
@@ -136,13 +138,15 @@
     simulation.feed.cached_list_age_us = 0
 
 
-def arrivals(simulation: ProcessControl, fault: spec.FlashCrowd | spec.TenantFlood, draw: np.random.Generator) -> None:
+def do_nothing(
+    simulation: ProcessControl, fault: spec.FlashCrowd | spec.TenantFlood, generator: np.random.Generator
+) -> None:
     """Does nothing: the additional clients are part of the workload (`model.workload`)."""
 
 
-def drains(simulation: ProcessControl, fault: spec.Drains, draw: np.random.Generator) -> None:
+def deploy_servers(simulation: ProcessControl, fault: spec.Drains, generator: np.random.Generator) -> None:
     """Drains, stops and starts drawn servers in batches, as a deployment does."""
-    order = draw_targets(draw, _running_servers(simulation), fault.part)
+    order = draw_targets(generator, _running_servers(simulation), fault.part)
     batch_size = max(1, round(drawn_number(fault.batch) * len(simulation.servers)))
     engine = simulation.engine
     for start in range(0, len(order), batch_size):
@@ -154,7 +158,7 @@
             engine.at(stop_us + to_us(fault.down_s), simulation.start_server, server)
 
 
-def by_hand(simulation: ProcessControl, fault: spec.ByHand, draw: np.random.Generator) -> None:
+def suspend_busiest_server(simulation: ProcessControl, fault: spec.ByHand, generator: np.random.Generator) -> None:
     """Suspends the server with the most connections at each balancer, restarts it, and ends the suspension."""
     server = max(
         _running_servers(simulation),
@@ -173,7 +177,7 @@
     engine.at(stop_us + to_us(fault.down_s), simulation.start_server, server)
 
 
-def send_away(simulation: ProcessControl, fault: spec.SendAway, draw: np.random.Generator) -> None:
+def drain_balancer(simulation: ProcessControl, fault: spec.SendAway, generator: np.random.Generator) -> None:
     """Drains a balancer on an operator's call, and ends the drain."""
     balancer = simulation.balancers[fault.balancer]
     engine = simulation.engine
@@ -183,31 +187,31 @@
         engine.at(end_us, simulation.end_manual_drain, balancer, balancer.incarnation)
 
 
-def peer_loss(simulation: ProcessControl, fault: spec.PeerLoss, draw: np.random.Generator) -> None:
+def lose_gossip(simulation: ProcessControl, fault: spec.PeerLoss, generator: np.random.Generator) -> None:
     """Loses messages between balancers."""
     simulation.links.peer_delivery_fraction = 1 - drawn_number(fault.loss)
-    simulation.engine.at(simulation.engine.now + to_us(fault.for_s), _end_peer_loss, simulation)
+    simulation.engine.at(simulation.engine.now + to_us(fault.for_s), _end_gossip_loss, simulation)
 
 
-def _end_peer_loss(simulation: ProcessControl) -> None:
+def _end_gossip_loss(simulation: ProcessControl) -> None:
     simulation.links.peer_delivery_fraction = 1.0
 
 
-FAULTS: dict[type[spec.Fault], Callable[[Any, Any, np.random.Generator], None]] = {
-    spec.Crash: crash,
-    spec.ZoneCut: zone_cut,
-    spec.BalancerRoll: balancer_roll,
-    spec.Reconnect: reconnect,
-    spec.Slow: slow,
-    spec.DiscoverySilence: discovery_silence,
-    spec.StaleList: stale_list,
-    spec.FlashCrowd: arrivals,
-    spec.TenantFlood: arrivals,
-    spec.Drains: drains,
-    spec.PeerLoss: peer_loss,
-    spec.Errs: errs,
-    spec.ByHand: by_hand,
-    spec.SendAway: send_away,
+INJECTORS: dict[type[spec.Fault], Callable[[Any, Any, np.random.Generator], None]] = {
+    spec.Crash: crash_servers,
+    spec.ZoneCut: partition_zone,
+    spec.BalancerRoll: restart_balancers,
+    spec.Reconnect: drop_connections,
+    spec.Slow: slow_servers,
+    spec.DiscoverySilence: silence_discovery,
+    spec.StaleList: provide_stale_list,
+    spec.FlashCrowd: do_nothing,
+    spec.TenantFlood: do_nothing,
+    spec.Drains: deploy_servers,
+    spec.PeerLoss: lose_gossip,
+    spec.Errs: fail_setups,
+    spec.ByHand: suspend_busiest_server,
+    spec.SendAway: drain_balancer,
 }
 
 
--- a/glenrock/simulation/fleet_simulation.py
+++ b/glenrock/simulation/fleet_simulation.py
@@ -33,8 +33,8 @@
 SERVERS_PER_CELL = 6
 OTHER_ZONE_WEIGHT = 0.3  # of a server of another zone, for connections that are open when the run starts
 SLOW_MESSAGE_DIVISOR = 3  # messages slower than this part of the shortest objective are reported to balancers
-MAX_REPORTED_US = 1e9
-MAX_RECORDED_US = 3e9
+MAX_REPORTED_MESSAGE_US = 1e9
+MAX_RECORDED_MESSAGE_US = 3e9
 
 
 class FleetSimulation(ProcessControl):
@@ -79,7 +79,7 @@
         seeds = draw.integers(1, 1 << 62, size=count).tolist()
         tick_us = max(1, round(self.experiment.platform.tick_ms * 1000))
 
-        def build(index: int, incarnation: int) -> Policy:
+        def build_policy(index: int, incarnation: int) -> Policy:
             zone = self.zones[index % len(self.zones)]
             settings = settings_of(self.experiment, index, zone, self.workload.quotas)
             policy = self._make_policy(settings, seeds[index] + incarnation)
@@ -88,7 +88,8 @@
             return policy
 
         self.balancers = [
-            BalancerProcess(index, index % len(self.zones), self.engine, self, tick_us, build) for index in range(count)
+            BalancerProcess(index, index % len(self.zones), self.engine, self, tick_us, build_policy)
+            for index in range(count)
         ]
 
     # -- the whole run -------------------------------------------------------------------------------
@@ -97,7 +98,7 @@
         """Runs the simulation. Returns its summary; a policy that raises ends the run, and the summary says so."""
         started_wall_s, started_cpu_s = time.perf_counter(), time.process_time()
         # The objects of a run live until its end: the garbage collector would find nothing, at a cost.
-        collects_garbage = gc.isenabled()
+        gc_was_enabled = gc.isenabled()
         gc.disable()
         try:
             with module.constants(self.experiment.constants):
@@ -108,7 +109,7 @@
             self.failure = str(error)
             self._end_measuring()
         finally:
-            if collects_garbage:
+            if gc_was_enabled:
                 gc.enable()
         for client in self.connected_clients:
             if client.connection:
@@ -134,7 +135,7 @@
         self._schedule_faults()
         if self.shared_health_checks:
             self.shared_health_checks.start()
-        self.engine.at(self.start_us, self._sample, 0)
+        self.engine.at(self.start_us, self._sample_second, 0)
         self.engine.at(self.start_us + self.length_us, self._end_measuring)
 
     def _schedule_faults(self) -> None:
@@ -144,7 +145,7 @@
             kind = type(fault).__struct_config__.tag
             self.faults.append(FaultPeriod(str(kind), rounded(at_s), rounded(end_s)))
             due_us = self.start_us + round(at_s * SECOND_US)
-            inject = faults.FAULTS[type(fault)]
+            inject = faults.INJECTORS[type(fault)]
             self.engine.at(due_us, inject, self, fault, self.streams.of(f"fault {number}"))
 
     def _place_open_connections(self) -> workloads.PlannedClient | None:
@@ -206,7 +207,7 @@
 
     # -- each second ---------------------------------------------------------------------------------
 
-    def _sample(self, second: int) -> None:
+    def _sample_second(self, second: int) -> None:
         """Updates all servers, and records the time series of one second."""
         load = 0.0
         for server in self.servers.values():
@@ -217,7 +218,7 @@
         if second < self.measure.seconds:
             self._record_series(second, load)
             if second + 1 < self.measure.seconds:
-                self.engine.at(self.engine.now + SECOND_US, self._sample, second + 1)
+                self.engine.at(self.engine.now + SECOND_US, self._sample_second, second + 1)
 
     def _sample_server(self, server: ServerModel[Attempt], second: int) -> float:
         """Records the load of a server. Returns it, in microseconds of work a second."""
@@ -231,7 +232,7 @@
             capacity = server.capacity(self.engine.now)
             measure.relative_loads[server.number, second] = server.demand / capacity if capacity > 0 else 0.0
         if server.open_connections:
-            message_us = int(min(MAX_RECORDED_US, max(1, server.message_us)))
+            message_us = int(min(MAX_RECORDED_MESSAGE_US, max(1, server.message_us)))
             measure.messages.record_value(message_us, len(server.open_connections))
             self._report_slow_messages(server)
         return server.demand
@@ -258,7 +259,7 @@
         if not self.experiment.reports.delay_told:
             return
         is_slow = server.message_us > self.server_parameters.shortest_objective_us / SLOW_MESSAGE_DIVISOR
-        if not is_slow and not any((server.name, b.index) in self.slow_reported for b in self.balancers):
+        if not is_slow and not any((server.name, balancer.index) in self.reported_slow for balancer in self.balancers):
             return
         by_balancer: dict[int, Connection[Attempt]] = {}
         for connection in server.open_connections.values():
@@ -266,10 +267,10 @@
                 by_balancer.setdefault(connection.balancer_index, connection)
         for index, connection in by_balancer.items():
             key = (server.name, index)
-            if is_slow or key in self.slow_reported:
-                (self.slow_reported.add if is_slow else self.slow_reported.discard)(key)
+            if is_slow or key in self.reported_slow:
+                (self.reported_slow.add if is_slow else self.reported_slow.discard)(key)
                 request = connection.attempt.request
-                message_us = min(server.message_us, MAX_REPORTED_US)
+                message_us = min(server.message_us, MAX_REPORTED_MESSAGE_US)
                 request.balancer.post(interface.ConnectionFeedback(request.id, server.name, message_us=message_us))
 
     def _end_measuring(self) -> None:
@@ -287,4 +288,4 @@
                 connection.priority_weight = 0.0
             server.weight_by_class = [0.0] * len(server.weight_by_class)
         self.measure.record_tenant_demand(self.workload.clients, self.length_us)
-        self.is_over = True
+        self.measurement_ended = True
--- a/glenrock/simulation/fleet_state.py
+++ b/glenrock/simulation/fleet_state.py
@@ -16,7 +16,7 @@
 from .model.server import ServerModel
 from .model.store import Store
 from .shared_health_checks import SharedHealthChecks
-from .spec_ranges import drawn
+from .spec_ranges import draw_ranges
 from .spec_tables import Experiment
 from .spec_types import drawn_number
 from .streams import Streams
@@ -29,11 +29,11 @@
         experiment: the experiment as drawn for the seed.
         balancers, front, feed: set by `FleetSimulation`, since they call it.
         error_chances: servers that answer ERR to attempts, by name, and the chance of it.
-        slow_reported: server and balancer, where the balancer was told of slow messages.
+        reported_slow: server and balancer, where the balancer was told of slow messages.
         shared_health_checks: None unless the experiment has shards of health checks.
         faults: faults that are scheduled, in the order of the experiment.
         connected_clients: clients with an open connection, in the order of their connections.
-        is_over: whether the measured time has ended.
+        measurement_ended: whether the measured time has ended.
         failure: why the policy's run ended early, or empty.
     """
 
@@ -42,7 +42,7 @@
     feed: EndpointFeed
 
     def __init__(self, experiment: Experiment, seed: int, policy: str, engine: Engine | None) -> None:
-        self.experiment = experiment = drawn(experiment, seed)
+        self.experiment = experiment = draw_ranges(experiment, seed)
         self.seed, self.policy = seed, policy
         self.streams = streams = Streams(seed)
         self.start_us = round(experiment.clock_start_s * SECOND_US)
@@ -65,11 +65,11 @@
         self._open_streams(streams)
         self.servers: dict[str, ServerModel[Attempt]] = {}
         self.error_chances: dict[str, float] = {}
-        self.slow_reported: set[tuple[str, int]] = set()
+        self.reported_slow: set[tuple[str, int]] = set()
         self.shared_health_checks: SharedHealthChecks | None = None
         self.faults: list[FaultPeriod] = []
         self.connected_clients: dict[Client, None] = {}
-        self.is_over = False
+        self.measurement_ended = False
         self.failure = ""
 
     def _read_limits(self, experiment: Experiment) -> None:
--- a/glenrock/simulation/invariants.py
+++ b/glenrock/simulation/invariants.py
@@ -17,8 +17,8 @@
     "cold": "no cold instance pushed over",
     "cut off": "no standing connection ended without MOVE while its instance answers",
 }
-MAX_TRAIL_EVENTS = 4000
-MAX_EVENTS_OF_VIOLATION = 12
+MAX_RECENT_EVENTS = 4000
+MAX_EVENTS_PER_VIOLATION = 12
 MAX_RECORDED_VIOLATIONS = 50
 
 
@@ -54,7 +54,7 @@
 
 
 @dataclass(slots=True)
-class TrailEvent:
+class RecentEvent:
     """An event that may lead to a violation."""
 
     at_us: int
@@ -70,11 +70,11 @@
         self.start_us = start_us
         self.counts = dict.fromkeys(RULES, 0)
         self.violations: list[Violation] = []
-        self.trail: deque[TrailEvent] = deque(maxlen=MAX_TRAIL_EVENTS)
+        self.recent_events: deque[RecentEvent] = deque(maxlen=MAX_RECENT_EVENTS)
 
     def record_event(self, now_us: int, text: str, request_id: str, server_id: str) -> None:
         """Records an event that may lead to a violation."""
-        self.trail.append(TrailEvent(now_us, text, request_id, server_id))
+        self.recent_events.append(RecentEvent(now_us, text, request_id, server_id))
 
     def record_violation(
         self, now_us: int, rule: str, text: str, balancer_index: int, request_id: str, server_id: str
@@ -83,7 +83,9 @@
         self.counts[rule] += 1
         if len(self.violations) >= MAX_RECORDED_VIOLATIONS:
             return
-        events = [self._line(event) for event in self.trail if self._concerns(event, request_id, server_id)]
+        events = [
+            self._format_event(event) for event in self.recent_events if self._concerns(event, request_id, server_id)
+        ]
         self.violations.append(
             Violation(
                 rule,
@@ -92,16 +94,16 @@
                 balancer_index,
                 request_id,
                 server_id,
-                events[-MAX_EVENTS_OF_VIOLATION:],
+                events[-MAX_EVENTS_PER_VIOLATION:],
             )
         )
 
-    def _line(self, event: TrailEvent) -> str:
+    def _format_event(self, event: RecentEvent) -> str:
         seconds = (event.at_us - self.start_us) / 1e6
         return f"{seconds:.6f} {event.text} {event.request_id} {event.server_id}".rstrip()
 
     @staticmethod
-    def _concerns(event: TrailEvent, request_id: str, server_id: str) -> bool:
+    def _concerns(event: RecentEvent, request_id: str, server_id: str) -> bool:
         if not request_id:
             return event.server_id == server_id
         is_of_server = bool(server_id) and event.server_id == server_id and not event.request_id
--- a/glenrock/simulation/measure.py
+++ b/glenrock/simulation/measure.py
@@ -23,9 +23,9 @@
 WORST_WINDOW_S = 10
 RECOVERED_FRACTION = 0.95  # of what was served before a fault
 RECOVERED_FOR_S = 3
-BEFORE_FAULT_S = 5
+BASELINE_S = 5
 MAX_HISTOGRAM_US = 3_600_000_000
-PEER_BYTES_PER_PRICE = 256
+GOSSIP_BYTES_PER_PRICE = 256
 PERCENTILES = (("p50_ms", 50), ("p90_ms", 90), ("p99_ms", 99), ("p999_ms", 99.9))
 COUNTS = (
     "clients",
@@ -46,7 +46,7 @@
 )
 
 
-def histogram() -> HdrHistogram:
+def new_histogram() -> HdrHistogram:
     """Returns an empty histogram of microseconds."""
     return HdrHistogram(1, MAX_HISTOGRAM_US, 2)
 
@@ -118,16 +118,16 @@
         series: time series by name.
     """
 
-    def __init__(self, experiment: Experiment, asked: npt.NDArray[np.float64], start_us: int, servers: int) -> None:
-        self.experiment, self.demanded, self.start_us = experiment, asked, start_us
-        self.seconds, classes = asked.shape
+    def __init__(self, experiment: Experiment, demanded: npt.NDArray[np.float64], start_us: int, servers: int) -> None:
+        self.experiment, self.demanded, self.start_us = experiment, demanded, start_us
+        self.seconds, classes = demanded.shape
         self.served = [[0.0] * classes for _ in range(self.seconds)]
         tenants = len(experiment.tenants)
         self.tenant_demanded_in_quota, self.tenant_served_in_quota = [0.0] * tenants, [0.0] * tenants
         self.tenant_served, self.tenant_demanded = [0.0] * tenants, [0.0] * tenants
-        self.setup_waits = [histogram() for _ in range(classes)]
-        self.messages = histogram()
-        self.rejections = histogram()
+        self.setup_waits = [new_histogram() for _ in range(classes)]
+        self.messages = new_histogram()
+        self.rejections = new_histogram()
         self.counts = dict.fromkeys(COUNTS, 0)
         self.cross_zone_s = self.connection_s = 0.0
         self.relative_loads = np.zeros((servers, self.seconds), dtype=np.float32)
@@ -166,11 +166,11 @@
 
     def worth(self) -> dict[str, Any]:
         """Returns the worth of the run as `summary.json` has it: whole, worst parts, goal and prices."""
-        earned, asked = np.array(self.served), self.demanded
-        whole = ratio(earned.sum(), asked.sum())
-        worst_window = self._worst_window(earned.sum(axis=1), asked.sum(axis=1))
+        served, demanded = np.array(self.served), self.demanded
+        whole = ratio(served.sum(), demanded.sum())
+        worst_window = self._worst_window(served.sum(axis=1), demanded.sum(axis=1))
         classes = {
-            class_.name: ratio(earned[:, kind].sum(), asked[:, kind].sum())
+            class_.name: ratio(served[:, kind].sum(), demanded[:, kind].sum())
             for kind, class_ in enumerate(self.experiment.classes)
         }
         tenants = {
@@ -197,12 +197,12 @@
         }
 
     @staticmethod
-    def _worst_window(earned: npt.NDArray[np.float64], asked: npt.NDArray[np.float64]) -> float:
-        length = min(WORST_WINDOW_S, len(asked))
+    def _worst_window(served: npt.NDArray[np.float64], demanded: npt.NDArray[np.float64]) -> float:
+        length = min(WORST_WINDOW_S, len(demanded))
         windows = [
-            ratio(earned[start : start + length].sum(), asked[start : start + length].sum())
-            for start in range(len(asked) - length + 1)
-            if asked[start : start + length].sum() > 0
+            ratio(served[start : start + length].sum(), demanded[start : start + length].sum())
+            for start in range(len(demanded) - length + 1)
+            if demanded[start : start + length].sum() > 0
         ]
         return min(windows, default=1.0)
 
@@ -215,14 +215,14 @@
             "crossings": platform.price_cross_zone * crossing_fraction,
             "probes": platform.price_probe * counts["probes"] / clients,
             "moves": platform.price_move * counts["moved"] / clients,
-            "peers": platform.price_peer * counts["peer_bytes"] / PEER_BYTES_PER_PRICE / clients,
+            "peers": platform.price_peer * counts["peer_bytes"] / GOSSIP_BYTES_PER_PRICE / clients,
         }
 
     def recoveries(self, faults: list[FaultPeriod]) -> list[FaultRecovery]:
         """Returns how service recovered from each fault."""
-        earned, asked = np.array(self.served).sum(axis=1), self.demanded.sum(axis=1)
-        served = np.divide(earned, asked, out=np.ones_like(earned), where=asked > 0)
-        return [_recovery_of(fault, served) for fault in faults]
+        served, demanded = np.array(self.served).sum(axis=1), self.demanded.sum(axis=1)
+        served_fraction = np.divide(served, demanded, out=np.ones_like(served), where=demanded > 0)
+        return [_recovery_of(fault, served_fraction) for fault in faults]
 
     def fairness(self) -> float:
         """Returns Jain's index over the tenants' worth; 1: all alike."""
@@ -237,7 +237,7 @@
 def _recovery_of(fault: FaultPeriod, served: npt.NDArray[np.float64]) -> FaultRecovery:
     """Returns recovery, level before the fault and lowest level, of the fraction served in each second."""
     at_s = int(fault.from_s)
-    before = served[max(0, at_s - BEFORE_FAULT_S) : at_s].mean() if at_s > 0 else served[:1].mean()
+    before = served[max(0, at_s - BASELINE_S) : at_s].mean() if at_s > 0 else served[:1].mean()
     end_s = min(len(served), int(np.ceil(fault.to_s)) + 1)
     is_measured = at_s < len(served)
     worst_s = at_s + int(np.argmin(served[at_s : max(at_s + 1, end_s)])) if is_measured else at_s
--- a/glenrock/simulation/process_control.py
+++ b/glenrock/simulation/process_control.py
@@ -14,13 +14,13 @@
 
 # A manual drain, as `glenrock.net.graceful_shutdown` does it: the front notices, then clients migrate in steps. The
 # times of the migration are those of `FRONT_END_NOTICE_MS`, `MANUAL_DRAIN_MS` and `DRAIN_STEP_MS` there.
-FRONT_NOTICES_DRAIN_US = 250_000  # the modelled front polls each 0.1 s, and sends clients for 0.2 s more
+FRONT_END_DETECTION_US = 250_000  # the modelled front polls each 0.1 s, and sends clients for 0.2 s more
 MIGRATION_STARTS_AFTER_US = 450_000
 MIGRATION_US = 3_000_000
 MIGRATION_STEP_US = 50_000
 # Of the time of a planned restart: clients migrate evenly until the first, and clients that are left at the second.
-EVEN_MIGRATION_PERCENT, LAST_MIGRATION_PERCENT = 90, 95
-HEARTBEAT_S = 2  # between lines of a client, which reveal a partition
+EVEN_MIGRATION_PERCENT, FINAL_MIGRATION_PERCENT = 90, 95
+HEARTBEAT_INTERVAL_S = 2  # between lines of a client, which reveal a partition
 
 
 class ProcessControl(ServerAttempts):
@@ -30,7 +30,7 @@
         """Starts the process of a server, unless it runs or was overloaded while cold."""
         if server.is_up or server.was_overloaded_while_cold:
             return
-        self.invariants.record_event(self.engine.now, "starts", "", server.name)
+        self.invariants.record_event(self.engine.now, "process started", "", server.name)
         server.start(self.engine.now)
         add_s = drawn_number(self.experiment.discovery.add_s)
         self.feed.report_change(add_s, server.name, EndpointState.READY, server.started_us)
@@ -38,7 +38,7 @@
     def drain_server(self, server: ServerModel[Attempt]) -> None:
         """Reports a server as draining."""
         if server.is_up and not server.is_draining:
-            self.invariants.record_event(self.engine.now, "drains", "", server.name)
+            self.invariants.record_event(self.engine.now, "drain started", "", server.name)
             server.is_draining = True
             self.feed.report_change(0.0, server.name, EndpointState.DRAINING)
 
@@ -51,11 +51,11 @@
 
     def partition_zone(self, zone: int) -> None:
         """Cuts the links between a zone and the others; connections over them break after a silence."""
-        self.invariants.record_event(self.engine.now, f"zone {self.zones[zone]} is cut", "", "")
+        self.invariants.record_event(self.engine.now, f"zone {self.zones[zone]} partitioned", "", "")
         self.links.partitioned_zones.add(zone)
         for connection in self._partitioned_connections():
             connection.attempt.server.set_unreachable(self.engine.now, connection, True, 0.0)
-            delay_us = self.silence_timeout_us + round(HEARTBEAT_S * SECOND_US * self.client_delays.draw())
+            delay_us = self.silence_timeout_us + round(HEARTBEAT_INTERVAL_S * SECOND_US * self.client_delays.draw())
             self.engine.at(self.engine.now + delay_us, self._break_partitioned, connection)
 
     def _break_partitioned(self, connection: Connection[Attempt]) -> None:
@@ -90,8 +90,8 @@
         for number, request in enumerate(requests):
             offset_us = duration_us * EVEN_MIGRATION_PERCENT // 100 * number // len(requests)
             self.engine.at(now + offset_us, self.migrate, request)
-        last_us = now + duration_us * LAST_MIGRATION_PERCENT // 100
-        self.engine.at(last_us, self._migrate_all, balancer, balancer.incarnation)
+        final_us = now + duration_us * FINAL_MIGRATION_PERCENT // 100
+        self.engine.at(final_us, self._migrate_all, balancer, balancer.incarnation)
         self.front.remove(balancer)
 
     def _migrate_all(self, balancer: BalancerProcess, incarnation: int) -> None:
@@ -102,14 +102,14 @@
     def start_manual_drain(self, balancer: BalancerProcess) -> None:
         """Starts to migrate all clients of a balancer, on an operator's call."""
         now = self.engine.now
-        self.invariants.record_event(now, f"balancer {balancer.index} sends its clients away", "", "")
+        self.invariants.record_event(now, f"balancer {balancer.index}: manual drain started", "", "")
         balancer.post(interface.DrainMode(True))
-        self.engine.at(now + FRONT_NOTICES_DRAIN_US, self.front.remove, balancer)
+        self.engine.at(now + FRONT_END_DETECTION_US, self.front.remove, balancer)
         start_us = now + MIGRATION_STARTS_AFTER_US
-        self.engine.at(start_us, self._migrate_some, balancer, balancer.incarnation, now + MIGRATION_US)
+        self.engine.at(start_us, self._migrate_step, balancer, balancer.incarnation, now + MIGRATION_US)
         balancer.is_draining = True
 
-    def _migrate_some(self, balancer: BalancerProcess, incarnation: int, end_us: int) -> None:
+    def _migrate_step(self, balancer: BalancerProcess, incarnation: int, end_us: int) -> None:
         """Migrates the clients of one step, and schedules the next; steps continue until the drain ends."""
         if balancer.incarnation != incarnation or not balancer.is_draining:
             return
@@ -117,7 +117,7 @@
         steps = max(1.0, (end_us - self.engine.now) / MIGRATION_STEP_US)
         for request in requests[: max(1, round(len(requests) / steps + 0.49))]:
             self.migrate(request)
-        self.engine.at(self.engine.now + MIGRATION_STEP_US, self._migrate_some, balancer, incarnation, end_us)
+        self.engine.at(self.engine.now + MIGRATION_STEP_US, self._migrate_step, balancer, incarnation, end_us)
 
     def end_manual_drain(self, balancer: BalancerProcess, incarnation: int) -> None:
         """Ends a manual drain; the balancer accepts clients again."""
@@ -130,12 +130,12 @@
         """Ends the process of a balancer; an open connection at a planned end is a violation."""
         if balancer.incarnation != incarnation or not balancer.is_up:
             return
-        self.invariants.record_event(self.engine.now, f"balancer {balancer.index} ends", "", "")
+        self.invariants.record_event(self.engine.now, f"balancer {balancer.index}: process ended", "", "")
         for request in balancer.kill():
             attempt = request.open_attempt()
             if attempt and attempt.connection:
                 if is_planned:
-                    text = "still held at the end of a planned restart"
+                    text = "connection still open at the end of a planned restart"
                     self.record_violation("cut off", text, request, attempt.server.name)
                 attempt.is_active = False
                 self.break_connection(attempt.connection, AttemptOutcome.BROKEN, balancer_is_up=False)
--- a/glenrock/simulation/record.py
+++ b/glenrock/simulation/record.py
@@ -29,12 +29,12 @@
 SUMMARY_FORMAT = 1
 
 
-def text_of(value: Any) -> str:
+def json_text(value: Any) -> str:
     """Returns JSON in the form of all results: the same values give the same bytes."""
     return json.dumps(value, indent=1, sort_keys=True, ensure_ascii=False, allow_nan=False) + "\n"
 
 
-def folder(out: Path, fill: Callable[[Path], None]) -> None:
+def write_folder(out: Path, fill: Callable[[Path], None]) -> None:
     """Fills a new folder and renames it to `out`.
 
     Raises:
@@ -65,7 +65,7 @@
         shutil.rmtree(temporary, ignore_errors=True)
 
 
-def file(path: Path, text: str) -> None:
+def write_file(path: Path, text: str) -> None:
     """Writes a file completely or not at all. Raises InputFileError if it cannot be written."""
     temporary = path.with_name(f".{path.name}.{os.getpid()}")
     try:
@@ -77,19 +77,19 @@
         temporary.unlink(missing_ok=True)
 
 
-def write_run(into: Path, simulation: FleetSimulation, summary: dict[str, Any]) -> None:
+def write_run(folder: Path, simulation: FleetSimulation, summary: dict[str, Any]) -> None:
     """Writes the results of a run, without its report."""
-    write_tables(into, simulation.measure, simulation.experiment, list(simulation.servers), summary)
+    write_tables(folder, simulation.measure, simulation.experiment, list(simulation.servers), summary)
 
 
 def write_tables(
-    into: Path, measure: Measurements, experiment: Experiment, instances: list[str], summary: dict[str, Any]
+    folder: Path, measure: Measurements, experiment: Experiment, instances: list[str], summary: dict[str, Any]
 ) -> None:
     """Writes summary, time series, loads and histograms."""
-    (into / "summary.json").write_text(text_of(summary), encoding="utf-8")
+    (folder / "summary.json").write_text(json_text(summary), encoding="utf-8")
     classes = [class_.name for class_ in experiment.classes]
-    _write_series(into / "series.csv", measure, classes)
-    with open(into / "heat.csv", "w", newline="", encoding="utf-8") as file_:
+    _write_series(folder / "series.csv", measure, classes)
+    with open(folder / "heat.csv", "w", newline="", encoding="utf-8") as file_:
         writer = csv.writer(file_)
         writer.writerow(["second", *instances])
         for second in range(measure.seconds):
@@ -101,7 +101,7 @@
         "messages": measure.messages.encode().decode(),
         "refusals": measure.rejections.encode().decode(),
     }
-    (into / "histograms.json").write_text(text_of(histograms), encoding="utf-8")
+    (folder / "histograms.json").write_text(json_text(histograms), encoding="utf-8")
 
 
 def _write_series(path: Path, measure: Measurements, classes: list[str]) -> None:
--- a/glenrock/simulation/report.py
+++ b/glenrock/simulation/report.py
@@ -12,7 +12,7 @@
 
 from ..toml_file import InputFileError
 from . import plots, record
-from .stats import interval, sign_test
+from .stats import bootstrap_interval, sign_test
 
 Numbers = npt.NDArray[np.float64]
 
@@ -141,7 +141,7 @@
 
 def _estimate(runs: list[Summary], measure: str) -> list[float] | None:
     values = [found for summary in runs if (found := value(summary, measure)) is not None]
-    return [round(number, 6) for number in interval(values)] if values else None
+    return [round(number, 6) for number in bootstrap_interval(values)] if values else None
 
 
 def curves(rows: list[dict[str, Any]], axis: str, measure: str) -> dict[str, plots.Curve]:
@@ -216,7 +216,7 @@
 
 def _comparison(pairs: list[tuple[float, float]]) -> dict[str, Any]:
     differences = [b - a for a, b in pairs]
-    mean, low, high = interval(differences)
+    mean, low, high = bootstrap_interval(differences)
     return {
         "pairs": len(pairs),
         "a": sum(a for a, _ in pairs) / len(pairs),
--- a/glenrock/simulation/run_summary.py
+++ b/glenrock/simulation/run_summary.py
@@ -57,11 +57,11 @@
             "clients_per_s": rounded(state.workload.clients_per_s),
         },
         "events_per_s": round(events / max(MIN_CPU_S, cpu_s - decision_cpu_s)),
-        "clock": _clock(state, wall_s, cpu_s, decision_cpu_s),
+        "clock": _timings(state, wall_s, cpu_s, decision_cpu_s),
     }
 
 
-def _clock(state: FleetState, wall_s: float, cpu_s: float, decision_cpu_s: float) -> dict[str, Any]:
+def _timings(state: FleetState, wall_s: float, cpu_s: float, decision_cpu_s: float) -> dict[str, Any]:
     counts = state.measure.counts
     handled = sum(balancer.handled_events for balancer in state.balancers)
     policy = state.balancers[0].policy
@@ -81,13 +81,13 @@
 def deep_size(root: object) -> int:
     """Returns the bytes of an object and of the data that it refers to, without modules, classes and functions."""
     seen: set[int] = set()
-    todo, total = [root], 0
+    pending, total = [root], 0
     skipped = (type, type(sys), type(deep_size), type(gc.collect))
-    while todo:
-        found = todo.pop()
-        if id(found) in seen or isinstance(found, skipped):
+    while pending:
+        item = pending.pop()
+        if id(item) in seen or isinstance(item, skipped):
             continue
-        seen.add(id(found))
-        total += sys.getsizeof(found)
-        todo.extend(gc.get_referents(found))
+        seen.add(id(item))
+        total += sys.getsizeof(item)
+        pending.extend(gc.get_referents(item))
     return total
--- a/glenrock/simulation/runner.py
+++ b/glenrock/simulation/runner.py
@@ -35,11 +35,11 @@
     """A run to be made.
 
     Attributes:
-        where: the values of the sweep's axes.
+        sweep_point: the values of the sweep's axes.
     """
 
     experiment: Experiment
-    where: dict[str, Any]
+    sweep_point: dict[str, Any]
     seed: int
     policy: str
 
@@ -56,17 +56,20 @@
     return xxh64_hexdigest(b"".join(path.read_bytes() for path in sorted(package.rglob("*.py"))))
 
 
-def tasks(points: list[tuple[dict[str, Any], Experiment]], seeds: list[int], policies: list[str]) -> list[Task]:
+def make_tasks(points: list[tuple[dict[str, Any], Experiment]], seeds: list[int], policies: list[str]) -> list[Task]:
     """Returns the runs of all points, seeds and policies."""
     return [
-        Task(experiment, where, seed, policy) for where, experiment in points for seed in seeds for policy in policies
+        Task(experiment, sweep_point, seed, policy)
+        for sweep_point, experiment in points
+        for seed in seeds
+        for policy in policies
     ]
 
 
-def play(task: Task) -> dict[str, Any]:
+def run_task(task: Task) -> dict[str, Any]:
     """Makes a run. Returns its summary, with its point of the sweep and its key."""
     summary = FleetSimulation(task.experiment, task.seed, task.policy).run()
-    return {**summary, "where": task.where, "key": task.key}
+    return {**summary, "where": task.sweep_point, "key": task.key}
 
 
 def _ignore_interrupts() -> None:
@@ -75,51 +78,51 @@
 
 
 def run_all(
-    todo: list[Task], jobs: int, cache: Path | None, resume: bool, done: Callable[[int], None]
+    tasks: list[Task], jobs: int, cache: Path | None, resume: bool, on_run_done: Callable[[int], None]
 ) -> Generator[dict[str, Any], None, None]:
     """Yields the summaries of all tasks as they are finished, cached ones first.
 
     Args:
-        todo: the runs.
+        tasks: the runs.
         jobs: number of processes.
         cache: folder of finished summaries.
         resume: whether summaries in it are reused.
-        done: called with 1 for each finished run.
+        on_run_done: called with 1 for each finished run.
 
     Raises:
         KeyboardInterrupt: at Ctrl-C; finished runs stay in the cache.
     """
-    left: list[Task] = []
-    for task in todo:
+    pending: list[Task] = []
+    for task in tasks:
         cached = _read_cached(cache, task) if resume else None
         if cached is None:
-            left.append(task)
+            pending.append(task)
         else:
-            done(1)
+            on_run_done(1)
             yield cached
     # Closed with this generator, so that the processes of the pool end with it.
-    with closing(_play_in_turn(left) if jobs <= 1 else _play_in_parallel(left, jobs)) as summaries:
+    with closing(_run_serially(pending) if jobs <= 1 else _run_in_parallel(pending, jobs)) as summaries:
         for summary in summaries:
             yield _write_cached(cache, summary)
-            done(1)
+            on_run_done(1)
 
 
-def _play_in_turn(todo: list[Task]) -> Generator[dict[str, Any], None, None]:
-    for task in todo:
-        yield play(task)
+def _run_serially(tasks: list[Task]) -> Generator[dict[str, Any], None, None]:
+    for task in tasks:
+        yield run_task(task)
 
 
-def _play_in_parallel(todo: list[Task], jobs: int) -> Generator[dict[str, Any], None, None]:
-    pool = ProcessPoolExecutor(min(jobs, max(1, len(todo))), get_context("spawn"), _ignore_interrupts)
-    ended: SimpleQueue[Future[dict[str, Any]]] = SimpleQueue()
+def _run_in_parallel(tasks: list[Task], jobs: int) -> Generator[dict[str, Any], None, None]:
+    pool = ProcessPoolExecutor(min(jobs, max(1, len(tasks))), get_context("spawn"), _ignore_interrupts)
+    finished: SimpleQueue[Future[dict[str, Any]]] = SimpleQueue()
     try:
         # An exception raised wherever Ctrl-C arrives could leave a lock of the pool held, and the program would hang
         # at its end. The interrupt is noted, and raised where no lock is held.
-        with noted_interrupt() as interrupts:
-            for task in todo:
-                pool.submit(play, task).add_done_callback(ended.put)
-            for _ in todo:
-                yield _next_ended(ended, interrupts).result()
+        with deferred_interrupt() as interrupts:
+            for task in tasks:
+                pool.submit(run_task, task).add_done_callback(finished.put)
+            for _ in tasks:
+                yield _next_finished(finished, interrupts).result()
     except BaseException:
         # Runs in progress are lost anyway, and the pool's own shutdown would wait for all that are queued.
         for process in list((pool._processes or {}).values()):
@@ -129,17 +132,17 @@
     pool.shutdown()
 
 
-def _next_ended(ended: SimpleQueue[Future[dict[str, Any]]], interrupts: list[int]) -> Future[dict[str, Any]]:
+def _next_finished(finished: SimpleQueue[Future[dict[str, Any]]], interrupts: list[int]) -> Future[dict[str, Any]]:
     """Waits for the next finished run. Raises KeyboardInterrupt after Ctrl-C."""
     while True:
         if interrupts:
             raise KeyboardInterrupt
         with suppress(Empty):
-            return ended.get(timeout=INTERRUPT_CHECK_S)
+            return finished.get(timeout=INTERRUPT_CHECK_S)
 
 
 @contextmanager
-def noted_interrupt() -> Iterator[list[int]]:
+def deferred_interrupt() -> Iterator[list[int]]:
     """Notes Ctrl-C in a list in place of raising an exception. Only the main thread receives signals."""
     interrupts: list[int] = []
     if current_thread() is not main_thread():
@@ -154,7 +157,7 @@
 
 def _write_cached(cache: Path | None, summary: dict[str, Any]) -> dict[str, Any]:
     if cache:
-        record.file(cache / f"{summary['key']}.json", record.text_of(summary))
+        record.write_file(cache / f"{summary['key']}.json", record.json_text(summary))
     return summary
 
 
@@ -168,7 +171,7 @@
     return found if found.get("key") == task.key else None
 
 
-def order(summaries: list[dict[str, Any]]) -> list[dict[str, Any]]:
+def sort_summaries(summaries: list[dict[str, Any]]) -> list[dict[str, Any]]:
     """Sorts summaries by point, policy and seed."""
     return sorted(
         summaries,
--- a/glenrock/simulation/server_attempts.py
+++ b/glenrock/simulation/server_attempts.py
@@ -112,7 +112,9 @@
         planned = client.planned
         is_wanted = client.request is request
         value = (
-            0.0 if self.is_over else float(self.experiment.classes[planned.class_index].worth) * planned.quota_factor
+            0.0
+            if self.measurement_ended
+            else float(self.experiment.classes[planned.class_index].worth) * planned.quota_factor
         )
         connection = Connection(attempt, request.balancer.index, planned.class_index, planned.group, value)
         attempt.connection = connection
--- a/glenrock/simulation/shared_health_checks.py
+++ b/glenrock/simulation/shared_health_checks.py
@@ -13,7 +13,7 @@
 from .model.balancer import BalancerProcess
 
 UPDATE_INTERVAL_US = CHECK_INTERVAL_US // 5  # as in the program
-START_STEP_US = 997  # between the first updates of two balancers: processes of a fleet do not start at one time
+START_STAGGER_US = 997  # between the first updates of two balancers: processes of a fleet do not start at one time
 SHARED_LOADS_TYPE = bytes([SHARED_LOADS])
 
 
@@ -43,7 +43,7 @@
     def start(self) -> None:
         """Schedules the first update of each balancer."""
         for balancer in self.balancers:
-            delay_us = balancer.index * START_STEP_US % UPDATE_INTERVAL_US
+            delay_us = balancer.index * START_STAGGER_US % UPDATE_INTERVAL_US
             self.engine.at(self.engine.now + delay_us, self._update, balancer)
 
     def _shards_of(self, balancer: BalancerProcess) -> HealthCheckShards:
--- a/glenrock/simulation/spec.py
+++ b/glenrock/simulation/spec.py
@@ -12,7 +12,7 @@
 
 from .. import toml_file
 from ..toml_file import InputFileError, input_error
-from .spec_checks import check
+from .spec_checks import check_experiment
 from .spec_tables import Experiment
 
 
@@ -25,7 +25,7 @@
     return merged
 
 
-def raw_of(path: Path, seen: tuple[Path, ...] = ()) -> tuple[dict[str, Any], str]:
+def read_raw(path: Path, seen: tuple[Path, ...] = ()) -> tuple[dict[str, Any], str]:
     """Reads a file merged over its bases. Returns the table and the text. Raises InputFileError."""
     raw, text = toml_file.read(path)
     base = raw.pop("base", None)
@@ -36,57 +36,59 @@
     base_path = (path.parent / base).resolve()
     if base_path in seen or base_path == path.resolve():
         raise input_error(path, text, "base", f"{base} leads back to this file")
-    base_raw, _ = raw_of(base_path, (*seen, path.resolve()))
+    base_raw, _ = read_raw(base_path, (*seen, path.resolve()))
     base_raw.pop("sweep", None)  # an experiment does not inherit axes
     return merge(base_raw, raw), text
 
 
-def _raw_with(path: Path, overrides: dict[str, Any] | None) -> tuple[dict[str, Any], str]:
-    raw, text = raw_of(path)
+def _read_with_overrides(path: Path, overrides: dict[str, Any] | None) -> tuple[dict[str, Any], str]:
+    raw, text = read_raw(path)
     for key, value in (overrides or {}).items():
-        raw = put(raw, key, value, path)
+        raw = replace_value(raw, key, value, path)
     return raw, text
 
 
 def load(path: Path, overrides: dict[str, Any] | None = None) -> Experiment:
     """Reads and checks an experiment, at each value of its axes too. Raises InputFileError."""
-    raw, text = _raw_with(path, overrides)
+    raw, text = _read_with_overrides(path, overrides)
     experiment = toml_file.convert(path, text, raw, Experiment)
-    check(experiment, path, text)
+    check_experiment(experiment, path, text)
     for key, values in experiment.sweep.items():
         for value in values:
-            _at_value(raw, key, value, path, text)
+            _check_axis_value(raw, key, value, path, text)
     return experiment
 
 
-def points(path: Path, overrides: dict[str, Any] | None = None) -> list[tuple[dict[str, Any], Experiment]]:
+def sweep_points(path: Path, overrides: dict[str, Any] | None = None) -> list[tuple[dict[str, Any], Experiment]]:
     """Returns each point of the sweep, as values by path, with its experiment; one empty point without a sweep."""
     axes = load(path, overrides).sweep
-    raw, text = _raw_with(path, overrides)
+    raw, text = _read_with_overrides(path, overrides)
     found: list[tuple[dict[str, Any], dict[str, Any]]] = [({}, raw)]
     for key, values in axes.items():
         found = [
-            ({**where, key: value}, put(raw_there, key, value, path)) for where, raw_there in found for value in values
+            ({**where, key: value}, replace_value(raw_there, key, value, path))
+            for where, raw_there in found
+            for value in values
         ]
-    return [(where, _checked(raw_there, path, text)) for where, raw_there in found]
+    return [(where, _convert_and_check(raw_there, path, text)) for where, raw_there in found]
 
 
-def _checked(raw: dict[str, Any], path: Path, text: str) -> Experiment:
+def _convert_and_check(raw: dict[str, Any], path: Path, text: str) -> Experiment:
     experiment = toml_file.convert(path, text, raw, Experiment)
-    check(experiment, path, text)
+    check_experiment(experiment, path, text)
     return experiment
 
 
-def _at_value(raw: dict[str, Any], key: str, value: Any, path: Path, text: str) -> None:
+def _check_axis_value(raw: dict[str, Any], key: str, value: Any, path: Path, text: str) -> None:
     """Checks the experiment with one value of an axis. Raises InputFileError that names the axis."""
     try:
-        _checked(put(raw, key, value, path), path, text)
+        _convert_and_check(replace_value(raw, key, value, path), path, text)
     except InputFileError as error:
         reason = str(error).split(": ", 1)[1]
         raise input_error(path, text, "sweep", f"{key} = {value!r}: {reason}") from None
 
 
-def put(raw: dict[str, Any], key: str, value: Any, path: Path) -> dict[str, Any]:
+def replace_value(raw: dict[str, Any], key: str, value: Any, path: Path) -> dict[str, Any]:
     """Returns a copy with the value at a path (`traffic.load`, `faults[0].part`) replaced. Raises InputFileError."""
     changed = copy.deepcopy(raw)
     steps = [name or int(number) for name, number in toml_file.PATH_STEP.findall(key)]
--- a/glenrock/simulation/spec_checks.py
+++ b/glenrock/simulation/spec_checks.py
@@ -6,13 +6,13 @@
 
 from ..toml_file import input_error
 from .spec_faults import Crash, Fault, SendAway, TenantFlood, ZoneCut
-from .spec_ranges import high, low, ranges
+from .spec_ranges import find_ranges, lower_bound, upper_bound
 from .spec_tables import Experiment
 
 WEIGHT_TOLERANCE = 1e-6
 
 
-class _Checker:
+class _ExperimentChecker:
     """Raises InputFileError for the first condition of an experiment that does not hold."""
 
     def __init__(self, experiment: Experiment, path: Path, text: str) -> None:
@@ -24,15 +24,15 @@
 
     def check(self) -> None:
         """Checks all parts, in the order of the file."""
-        for key, (least, most) in ranges(self.experiment):
+        for key, (least, most) in find_ranges(self.experiment):
             self._need(least <= most, key, f"the range [{least:g}, {most:g}] runs backwards")
         self._check_names("kinds", [kind.name for kind in self.experiment.kinds])
         self._check_names("classes", [class_.name for class_ in self.experiment.classes])
         self._check_names("tenants", [tenant.name for tenant in self.experiment.tenants])
         self._check_fleet()
         self._check_classes()
-        for number, fault_ in enumerate(self.experiment.faults):
-            self._check_fault(fault_, f"faults[{number}]")
+        for number, fault in enumerate(self.experiment.faults):
+            self._check_fault(fault, f"faults[{number}]")
         self._check_constants()
         self._check_goal()
 
@@ -46,31 +46,31 @@
         self._need(len(zones) >= 1 and all(zones), "fleet.zones", "at least one zone, none without a name")
         self._need(len(set(zones)) == len(zones), "fleet.zones", "a zone stands twice")
         for number, kind in enumerate(self.experiment.kinds):
-            self._need(low(kind.cold_part) > 0, f"kinds[{number}].cold_part", "must be above 0")
+            self._need(lower_bound(kind.cold_part) > 0, f"kinds[{number}].cold_part", "must be above 0")
 
     def _check_classes(self) -> None:
         classes = self.experiment.classes
         for number, class_ in enumerate(classes):
-            is_within = high(class_.aim_ms) <= low(class_.give_up_ms)
+            is_within = upper_bound(class_.aim_ms) <= lower_bound(class_.give_up_ms)
             self._need(is_within, f"classes[{number}].aim_ms", "must lie within give_up_ms")
-        some_live = any(low(class_.life) > 0 for class_ in classes)
-        none_lives = all(high(class_.life) == 0 for class_ in classes)
+        some_live = any(lower_bound(class_.life) > 0 for class_ in classes)
+        none_lives = all(upper_bound(class_.life) == 0 for class_ in classes)
         self._need(some_live or none_lives, "classes", "a life of 0 goes with no other life")
 
-    def _check_fault(self, fault_: Fault, key: str) -> None:
-        fleet, length_s = self.experiment.fleet, low(self.experiment.length_s)
-        self._need(low(fault_.at_s) < length_s, f"{key}.at_s", f"is past the end of the day ({length_s:g} s)")
-        if isinstance(fault_, ZoneCut):
+    def _check_fault(self, fault: Fault, key: str) -> None:
+        fleet, length_s = self.experiment.fleet, lower_bound(self.experiment.length_s)
+        self._need(lower_bound(fault.at_s) < length_s, f"{key}.at_s", f"is past the end of the day ({length_s:g} s)")
+        if isinstance(fault, ZoneCut):
             self._need(len(fleet.zones) > 1, key, "a zone cut needs two zones")
-        if isinstance(fault_, Crash | ZoneCut):
-            is_known = not fault_.zone or fault_.zone in fleet.zones
-            self._need(is_known, f"{key}.zone", f"{fault_.zone!r} is not one of fleet.zones")
-        if isinstance(fault_, SendAway):
-            is_known = fault_.balancer < low(fleet.balancers)
+        if isinstance(fault, Crash | ZoneCut):
+            is_known = not fault.zone or fault.zone in fleet.zones
+            self._need(is_known, f"{key}.zone", f"{fault.zone!r} is not one of fleet.zones")
+        if isinstance(fault, SendAway):
+            is_known = fault.balancer < lower_bound(fleet.balancers)
             self._need(is_known, f"{key}.balancer", "there is no such balancer on every day")
-        if isinstance(fault_, TenantFlood):
-            is_known = not fault_.tenant or fault_.tenant in {tenant.name for tenant in self.experiment.tenants}
-            self._need(is_known, f"{key}.tenant", f"{fault_.tenant!r} is not one of tenants")
+        if isinstance(fault, TenantFlood):
+            is_known = not fault.tenant or fault.tenant in {tenant.name for tenant in self.experiment.tenants}
+            self._need(is_known, f"{key}.tenant", f"{fault.tenant!r} is not one of tenants")
 
     def _check_constants(self) -> None:
         from .policies.module import OPEN  # policies import routing, which a reader of experiments does not need
@@ -84,6 +84,6 @@
         self._need(abs(total - 1) < WEIGHT_TOLERANCE, "goal", f"weights must add up to 1, not {total:g}")
 
 
-def check(experiment: Experiment, path: Path, text: str) -> None:
+def check_experiment(experiment: Experiment, path: Path, text: str) -> None:
     """Checks what the types alone do not say. Raises InputFileError."""
-    _Checker(experiment, path, text).check()
+    _ExperimentChecker(experiment, path, text).check()
--- a/glenrock/simulation/spec_faults.py
+++ b/glenrock/simulation/spec_faults.py
@@ -7,127 +7,127 @@
 
 from msgspec import Meta
 
-from .spec_types import Above0R, Least0R, PartR, Strict
+from .spec_types import FractionOrRange, NonNegativeOrRange, PositiveOrRange, StrictTable
 
 
-def fault_name(type_name: str) -> str:
+def fault_kind_name(type_name: str) -> str:
     """Returns the name of a kind of fault in a file, as `zone_cut` for `ZoneCut`."""
     return re.sub(r"(?<=.)([A-Z])", r"_\1", type_name).lower()
 
 
-class Fault(Strict, frozen=True, tag_field="kind", tag=fault_name):
+class Fault(StrictTable, frozen=True, tag_field="kind", tag=fault_kind_name):
     """A fault that begins at `at_s`."""
 
-    at_s: Least0R
+    at_s: NonNegativeOrRange
 
 
 class Crash(Fault, frozen=True):
     """A fraction of the servers crashes at once; each restarts in slow start after `down_s` (0: never)."""
 
-    part: PartR = 0.25
-    down_s: Least0R = 10.0
+    part: FractionOrRange = 0.25
+    down_s: NonNegativeOrRange = 10.0
     zone: str = ""  # of this zone alone; empty: all zones
 
 
 class ZoneCut(Fault, frozen=True):
     """Partitions a zone from the others for `for_s`."""
 
-    for_s: Above0R = 10.0
+    for_s: PositiveOrRange = 10.0
     zone: str = ""  # empty: the first
 
 
 class BalancerRoll(Fault, frozen=True):
     """Restarts balancers in batches over `for_s`; each starts with its cached endpoint list."""
 
-    for_s: Above0R = 15.0
-    part: PartR = 0.8  # of all balancers, those that restart
-    batch: PartR = 0.25  # at a time, of all; at least one
-    down_s: Above0R = 1.0
-    hand_back_s: Least0R = 0.0  # duration of the graceful shutdown; 0: the process is killed
+    for_s: PositiveOrRange = 15.0
+    part: FractionOrRange = 0.8  # of all balancers, those that restart
+    batch: FractionOrRange = 0.25  # at a time, of all; at least one
+    down_s: PositiveOrRange = 1.0
+    hand_back_s: NonNegativeOrRange = 0.0  # duration of the graceful shutdown; 0: the process is killed
 
 
 class Reconnect(Fault, frozen=True):
     """Drops a fraction of the open connections from their clients' side; the clients reconnect within `within_s`."""
 
-    part: PartR = 0.4
-    within_s: Above0R = 1.0
+    part: FractionOrRange = 0.4
+    within_s: PositiveOrRange = 1.0
 
 
 class Slow(Fault, frozen=True):
     """A part of the servers works at `speed` of its own for `for_s`; at 0 they answer nothing."""
 
-    part: PartR = 0.1
-    speed: PartR = 0.3
-    for_s: Above0R = 15.0
+    part: FractionOrRange = 0.1
+    speed: FractionOrRange = 0.3
+    for_s: PositiveOrRange = 15.0
 
 
 class DiscoverySilence(Fault, frozen=True):
     """Discovery publishes nothing for `for_s`, and the missed changes afterwards."""
 
-    for_s: Above0R = 10.0
+    for_s: PositiveOrRange = 10.0
 
 
 class StaleList(Fault, frozen=True):
     """Balancers that start within `for_s` are given a list that is `age_s` old."""
 
-    for_s: Above0R = 10.0
-    age_s: Above0R = 20.0
+    for_s: PositiveOrRange = 10.0
+    age_s: PositiveOrRange = 20.0
 
 
 class FlashCrowd(Fault, frozen=True):
     """Arrivals are multiplied for `for_s`."""
 
-    times: Above0R = 3.0
-    for_s: Above0R = 8.0
+    times: PositiveOrRange = 3.0
+    for_s: PositiveOrRange = 8.0
 
 
 class TenantFlood(Fault, frozen=True):
     """Arrivals of one tenant are multiplied for `for_s`."""
 
     tenant: str = ""  # empty: the first
-    times: Above0R = 8.0
-    for_s: Above0R = 10.0
+    times: PositiveOrRange = 8.0
+    for_s: PositiveOrRange = 10.0
 
 
 class Drains(Fault, frozen=True):
     """A deployment: servers drain in batches, stop after `drain_s` and restart in slow start."""
 
-    part: PartR = 0.5
-    batch: PartR = 0.1  # at a time, of all; at least one
-    every_s: Above0R = 5.0
-    drain_s: Least0R = 8.0
-    down_s: Above0R = 3.0
+    part: FractionOrRange = 0.5
+    batch: FractionOrRange = 0.1  # at a time, of all; at least one
+    every_s: PositiveOrRange = 5.0
+    drain_s: NonNegativeOrRange = 8.0
+    down_s: PositiveOrRange = 3.0
 
 
 class PeerLoss(Fault, frozen=True):
     """Messages between balancers are lost with this chance for `for_s`."""
 
-    loss: PartR = 1.0
-    for_s: Above0R = 10.0
+    loss: FractionOrRange = 1.0
+    for_s: PositiveOrRange = 10.0
 
 
 class Errs(Fault, frozen=True):
     """A part of the servers answers `ERR` to set-ups, with this chance each, for `for_s`."""
 
-    part: PartR = 0.2
-    chance: PartR = 1.0
-    for_s: Above0R = 20.0
+    part: FractionOrRange = 0.2
+    chance: FractionOrRange = 1.0
+    for_s: PositiveOrRange = 20.0
 
 
 class ByHand(Fault, frozen=True):
     """The server with the most connections is suspended, restarted `restart_s` later, and used again after `for_s`."""
 
-    for_s: Above0R = 7.4
-    restart_s: Above0R = 4.0
-    down_s: Above0R = 2.0
-    spread_s: Least0R = 0.05  # between the calls to two balancers
+    for_s: PositiveOrRange = 7.4
+    restart_s: PositiveOrRange = 4.0
+    down_s: PositiveOrRange = 2.0
+    spread_s: NonNegativeOrRange = 0.05  # between the calls to two balancers
 
 
 class SendAway(Fault, frozen=True):
     """Operators drain a balancer; it accepts clients again after `for_s`."""
 
     balancer: Annotated[int, Meta(ge=0)] = 0
-    for_s: Above0R = 4.5
+    for_s: PositiveOrRange = 4.5
 
 
 AnyFault = (
@@ -146,4 +146,4 @@
     | ByHand
     | SendAway
 )
-FAULTS: tuple[type[Fault], ...] = AnyFault.__args__
+FAULT_TYPES: tuple[type[Fault], ...] = AnyFault.__args__
--- a/glenrock/simulation/spec_ranges.py
+++ b/glenrock/simulation/spec_ranges.py
@@ -11,12 +11,12 @@
 from .streams import Streams
 
 
-def low(value: Any) -> Any:
+def lower_bound(value: Any) -> Any:
     """Returns the least value of a range, or the value itself."""
     return value[0] if isinstance(value, tuple) else value
 
 
-def high(value: Any) -> Any:
+def upper_bound(value: Any) -> Any:
     """Returns the greatest value of a range, or the value itself."""
     return value[1] if isinstance(value, tuple) else value
 
@@ -30,32 +30,32 @@
     )
 
 
-def ranges(value: Any, key: str = "") -> list[tuple[str, tuple[float, float]]]:
+def find_ranges(value: Any, key: str = "") -> list[tuple[str, tuple[float, float]]]:
     """Returns each range of an experiment, with its path."""
     if isinstance(value, Struct):
         return [
             found
             for name in value.__struct_fields__
             if name != "sweep"
-            for found in ranges(getattr(value, name), f"{key}.{name}".lstrip("."))
+            for found in find_ranges(getattr(value, name), f"{key}.{name}".lstrip("."))
         ]
     if is_range(value):
         return [(key, value)]
     if isinstance(value, tuple):
-        return [found for number, item in enumerate(value) for found in ranges(item, f"{key}[{number}]")]
+        return [found for number, item in enumerate(value) for found in find_ranges(item, f"{key}[{number}]")]
     return []
 
 
-def drawn(experiment: Experiment, seed: int) -> Experiment:
+def draw_ranges(experiment: Experiment, seed: int) -> Experiment:
     """Replaces each range by a number, drawn for the seed from a stream of its path."""
-    result: Experiment = _drawn(experiment, "", Streams(seed))
+    result: Experiment = _draw_value(experiment, "", Streams(seed))
     return result
 
 
-def _drawn(value: Any, key: str, streams: Streams) -> Any:
+def _draw_value(value: Any, key: str, streams: Streams) -> Any:
     if isinstance(value, Struct):
         fields = [name for name in value.__struct_fields__ if name != "sweep"]
-        changes = {name: _drawn(getattr(value, name), f"{key}.{name}", streams) for name in fields}
+        changes = {name: _draw_value(getattr(value, name), f"{key}.{name}", streams) for name in fields}
         return msgspec.structs.replace(value, **changes)
     if is_range(value):
         least, most = value
@@ -64,5 +64,5 @@
             return min(most, least + int(fraction * (most - least + 1)))
         return least + fraction * (most - least)
     if isinstance(value, tuple):
-        return tuple(_drawn(item, f"{key}[{number}]", streams) for number, item in enumerate(value))
+        return tuple(_draw_value(item, f"{key}[{number}]", streams) for number, item in enumerate(value))
     return value
--- a/glenrock/simulation/spec_types.py
+++ b/glenrock/simulation/spec_types.py
@@ -6,22 +6,22 @@
 
 from msgspec import Meta, Struct
 
-Least0 = Annotated[float, Meta(ge=0)]
-Above0 = Annotated[float, Meta(gt=0)]
-Part = Annotated[float, Meta(ge=0, le=1)]
-Count = Annotated[int, Meta(ge=0)]
-Some = Annotated[int, Meta(ge=1)]
-TWO = Meta(min_length=2, max_length=2)
+NonNegative = Annotated[float, Meta(ge=0)]
+Positive = Annotated[float, Meta(gt=0)]
+Fraction = Annotated[float, Meta(ge=0, le=1)]
+NonNegativeCount = Annotated[int, Meta(ge=0)]
+PositiveCount = Annotated[int, Meta(ge=1)]
+TWO_NUMBERS = Meta(min_length=2, max_length=2)
 # A number, or the range that it is drawn from. Not tuple[X, X]: msgspec 0.19 to 0.23 crash in the garbage
 # collector on a union of a bounded number with a tuple of fixed length.
-Least0R = Least0 | Annotated[tuple[Least0, ...], TWO]
-Above0R = Above0 | Annotated[tuple[Above0, ...], TWO]
-PartR = Part | Annotated[tuple[Part, ...], TWO]
-CountR = Count | Annotated[tuple[Count, ...], TWO]
-SomeR = Some | Annotated[tuple[Some, ...], TWO]
+NonNegativeOrRange = NonNegative | Annotated[tuple[NonNegative, ...], TWO_NUMBERS]
+PositiveOrRange = Positive | Annotated[tuple[Positive, ...], TWO_NUMBERS]
+FractionOrRange = Fraction | Annotated[tuple[Fraction, ...], TWO_NUMBERS]
+NonNegativeCountOrRange = NonNegativeCount | Annotated[tuple[NonNegativeCount, ...], TWO_NUMBERS]
+PositiveCountOrRange = PositiveCount | Annotated[tuple[PositiveCount, ...], TWO_NUMBERS]
 
 
-class Strict(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
+class StrictTable(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
     """A table: keys that are not known are faults."""
 
 
--- a/glenrock/simulation/stats.py
+++ b/glenrock/simulation/stats.py
@@ -11,13 +11,13 @@
 CONFIDENCE = 0.95
 
 
-def interval(values: Sequence[float]) -> tuple[float, float, float]:
+def bootstrap_interval(values: Sequence[float]) -> tuple[float, float, float]:
     """Returns the mean and its 95% bootstrap interval (percentiles; Efron 1979); all equal for a single value."""
     sample = np.array(values, dtype=float)
     if len(sample) < 2:
         return float(sample[0]), float(sample[0]), float(sample[0])
-    draw = np.random.Generator(np.random.PCG64(len(sample)))
-    means = sample[draw.integers(0, len(sample), size=(RESAMPLES, len(sample)))].mean(axis=1)
+    generator = np.random.Generator(np.random.PCG64(len(sample)))
+    means = sample[generator.integers(0, len(sample), size=(RESAMPLES, len(sample)))].mean(axis=1)
     tail = (1 - CONFIDENCE) / 2
     return float(sample.mean()), float(np.quantile(means, tail)), float(np.quantile(means, 1 - tail))
 
--- a/glenrock/testbed/scenario.py
+++ b/glenrock/testbed/scenario.py
@@ -15,17 +15,17 @@
 from .. import toml_file
 from ..toml_file import InputFileError, input_error
 from .simulation_model import (
-    Above0R,
     Experiment,
     Fault,
-    Least0R,
-    PartR,
-    Strict,
+    FractionOrRange,
+    NonNegativeOrRange,
+    PositiveOrRange,
+    StrictTable,
     check_experiment,
-    high,
-    low,
-    put,
-    raw_of,
+    lower_bound,
+    read_raw,
+    replace_value,
+    upper_bound,
 )
 
 __all__ = ["InputFileError", "Scenario", "check", "load"]
@@ -53,29 +53,29 @@
     """SIGKILL; the same configuration starts again after `down_s` (0: never)."""
 
     balancer: Number = -1
-    down_s: Least0R = 1.0
+    down_s: NonNegativeOrRange = 1.0
 
 
 class TerminateBalancer(Fault, frozen=True, tag="stop"):
     """SIGTERM, SIGKILL after `patience_s`, and a new start `down_s` after its end (0: never)."""
 
     balancer: Number = -1
-    down_s: Least0R = 1.0
-    patience_s: Above0R = 4.0
+    down_s: NonNegativeOrRange = 1.0
+    patience_s: PositiveOrRange = 4.0
 
 
 class PauseBalancer(Fault, frozen=True, tag="pause"):
     """SIGSTOP, and SIGCONT after `for_s`."""
 
     balancer: Number = -1
-    for_s: Above0R = 2.0
+    for_s: PositiveOrRange = 2.0
 
 
 class LimitBalancerCpu(Fault, frozen=True, tag="squeeze"):
     """A lower priority, and one core with a busy process on it."""
 
     balancer: Number = -1
-    for_s: Above0R = 3.0
+    for_s: PositiveOrRange = 3.0
     nice: Annotated[int, Meta(ge=0, le=19)] = 10
 
 
@@ -83,15 +83,15 @@
     """A session server's process ends, and starts again after `down_s` (0: never); then it warms up."""
 
     instance: Number = -1
-    down_s: Least0R = 2.0
+    down_s: NonNegativeOrRange = 2.0
 
 
 class DrainServer(Fault, frozen=True, tag="drain"):
     """A session server is listed as draining; it stops after `drain_s` and starts again after `down_s`."""
 
     instance: Number = -1
-    drain_s: Above0R = 4.0
-    down_s: Least0R = 2.0
+    drain_s: PositiveOrRange = 4.0
+    down_s: NonNegativeOrRange = 2.0
 
 
 # -- faults of services and paths ------------------------------------------------------------------------
@@ -112,8 +112,8 @@
     """Discovery is at fault for all balancers."""
 
     how: DiscoveryFaultMode = DiscoveryFaultMode.SILENT
-    for_s: Above0R = 3.0
-    call_ms: Above0R = 500.0
+    for_s: PositiveOrRange = 3.0
+    call_ms: PositiveOrRange = 500.0
 
 
 class PathFault(Fault, frozen=True, tag="way"):
@@ -128,13 +128,13 @@
 
     source: Party
     target: Party
-    for_s: Above0R = 3.0
-    loss: PartR = 0.0
-    doubled: PartR = 0.0
-    disordered: PartR = 0.0
-    delay_ms: Least0R = 0.0
-    jitter_ms: Least0R = 0.0
-    trickle: Least0R = 0.0
+    for_s: PositiveOrRange = 3.0
+    loss: FractionOrRange = 0.0
+    doubled: FractionOrRange = 0.0
+    disordered: FractionOrRange = 0.0
+    delay_ms: NonNegativeOrRange = 0.0
+    jitter_ms: NonNegativeOrRange = 0.0
+    trickle: NonNegativeOrRange = 0.0
     cut: bool = False
     reset: bool = False
 
@@ -162,8 +162,8 @@
     """The coordination store is at fault. A SQLite file is locked, whatever the mode."""
 
     how: StoreFaultMode = StoreFaultMode.PAUSED
-    for_s: Above0R = 3.0
-    call_ms: Above0R = 500.0
+    for_s: PositiveOrRange = 3.0
+    call_ms: PositiveOrRange = 500.0
 
 
 # -- operators, and drawn faults -------------------------------------------------------------------------
@@ -181,7 +181,7 @@
     """No fault: an operator drains a balancer, and ends the drain after `for_s`."""
 
     balancer: Number = -1
-    for_s: Above0R = 2.0
+    for_s: PositiveOrRange = 2.0
 
 
 class RandomFaultKind(StrEnum):
@@ -201,8 +201,8 @@
 class RandomFaults(Fault, frozen=True, tag="strikes"):
     """For `for_s`, about every `each_ms`, one of `kinds` at a drawn balancer; several may be on at a time."""
 
-    for_s: Above0R = 10.0
-    each_ms: Above0R = 200.0
+    for_s: PositiveOrRange = 10.0
+    each_ms: PositiveOrRange = 200.0
     kinds: tuple[RandomFaultKind, ...] = (
         RandomFaultKind.PAUSE,
         RandomFaultKind.KILL,
@@ -243,7 +243,7 @@
     CONSUL = "consul"
 
 
-class CoordinationOptions(Strict, frozen=True):
+class CoordinationOptions(StrictTable, frozen=True):
     """Coordination between balancers; none without a store.
 
     Attributes:
@@ -255,20 +255,20 @@
     """
 
     store: StoreKind = StoreKind.NONE
-    lease_ms: Above0R = 1000.0
-    drift: Least0R = 0.02
-    ask_ms: Above0R = 300.0
-    lock_delay_ms: Least0R = 0.0
+    lease_ms: PositiveOrRange = 1000.0
+    drift: NonNegativeOrRange = 0.02
+    ask_ms: PositiveOrRange = 300.0
+    lock_delay_ms: NonNegativeOrRange = 0.0
     late: Annotated[float, Meta(ge=1, le=2)] = 1.0
     bans: bool = True
     turnstile: Annotated[int, Meta(ge=0)] = 1
     probe_shards: bool = False
     keep: bool = False
     spaced: bool = False
-    sound_ms: Above0R = 3000.0
+    sound_ms: PositiveOrRange = 3000.0
 
 
-class ProcessOptions(Strict, frozen=True):
+class ProcessOptions(StrictTable, frozen=True):
     """How the processes run, and the stand-ins beside them.
 
     Attributes:
@@ -282,12 +282,12 @@
 
     sockets: Annotated[int, Meta(ge=64)] = 1024
     memory_mb: Annotated[int, Meta(ge=64)] = 1024
-    ready_s: Above0R = 15.0
-    admit_s: Least0R = 0.2
-    ask_s: Above0R = 2.0
-    call_ms: Least0R = 5.0
+    ready_s: PositiveOrRange = 15.0
+    admit_s: NonNegativeOrRange = 0.2
+    ask_s: PositiveOrRange = 2.0
+    call_ms: NonNegativeOrRange = 5.0
     known: bool = True
-    line_s: Above0R = 2.0
+    line_s: PositiveOrRange = 2.0
 
 
 class Scenario(Experiment, kw_only=True, frozen=True, forbid_unknown_fields=True):
@@ -304,9 +304,9 @@
     Raises:
         InputFileError: with file, line and key.
     """
-    raw, text = raw_of(path)
+    raw, text = read_raw(path)
     for key, value in (overrides or {}).items():
-        raw = put(raw, key, value, path)
+        raw = replace_value(raw, key, value, path)
     found: Scenario = toml_file.convert(path, text, raw, Scenario)
     check(found, path, text)
     return found
@@ -338,7 +338,7 @@
     def __init__(self, scenario: Scenario, path: Path, text: str) -> None:
         self._scenario, self._path, self._text = scenario, path, text
         fleet = scenario.fleet
-        self._counts = {"balancer": low(fleet.balancers), "instance": low(fleet.instances)}
+        self._counts = {"balancer": lower_bound(fleet.balancers), "instance": lower_bound(fleet.instances)}
 
     def _need(self, is_met: bool, key: str, message: str) -> None:
         if not is_met:
@@ -346,8 +346,8 @@
 
     def run(self) -> None:
         scenario, fleet = self._scenario, self._scenario.fleet
-        self._need(high(fleet.balancers) <= MAX_BALANCERS, "fleet.balancers", f"at most {MAX_BALANCERS}")
-        self._need(high(fleet.instances) <= MAX_SERVERS, "fleet.instances", f"at most {MAX_SERVERS}")
+        self._need(upper_bound(fleet.balancers) <= MAX_BALANCERS, "fleet.balancers", f"at most {MAX_BALANCERS}")
+        self._need(upper_bound(fleet.instances) <= MAX_SERVERS, "fleet.instances", f"at most {MAX_SERVERS}")
         only_simulated = "sweep" if scenario.sweep else "constants"
         self._need(not scenario.sweep and not scenario.constants, only_simulated, "only the simulation knows this")
         for number, found in enumerate(scenario.faults):
--- a/glenrock/testbed/scenario_testbed.py
+++ b/glenrock/testbed/scenario_testbed.py
@@ -28,9 +28,9 @@
     Measurements,
     PlannedClient,
     Streams,
+    draw_ranges,
     draw_server_shapes,
     draw_workload,
-    drawn,
     server_parameters,
     settings_of,
 )
@@ -62,7 +62,7 @@
     """
 
     def __init__(self, scenario: Scenario, seed: int, folder: Path, network: LoopbackNetwork) -> None:
-        self.scenario: Scenario = drawn(scenario, seed)  # type: ignore[assignment]
+        self.scenario: Scenario = draw_ranges(scenario, seed)  # type: ignore[assignment]
         self.seed, self.folder, self.network = seed, folder, network
         self.streams = Streams(seed)
         self.server_shapes = draw_server_shapes(self.scenario, self.streams)
--- a/glenrock/testbed/simulation_model.py
+++ b/glenrock/testbed/simulation_model.py
@@ -15,44 +15,44 @@
 from ..simulation.model.server_parameters import ServerParameters, ServerShape
 from ..simulation.model.server_shapes import draw_server_shapes, server_parameters
 from ..simulation.model.workload import PlannedClient, Workload, draw_workload
-from ..simulation.spec import put, raw_of
-from ..simulation.spec_checks import check as check_experiment
+from ..simulation.spec import read_raw, replace_value
+from ..simulation.spec_checks import check_experiment
 from ..simulation.spec_faults import Fault
-from ..simulation.spec_ranges import drawn, high, low
+from ..simulation.spec_ranges import draw_ranges, lower_bound, upper_bound
 from ..simulation.spec_tables import Experiment
-from ..simulation.spec_types import Above0R, Least0R, PartR, Strict
+from ..simulation.spec_types import FractionOrRange, NonNegativeOrRange, PositiveOrRange, StrictTable
 from ..simulation.streams import Streams
 
 __all__ = [
-    "Above0R",
     "ClientDelays",
     "Experiment",
     "Fault",
     "FaultPeriod",
-    "Least0R",
+    "FractionOrRange",
     "Measurements",
     "ModelClient",
     "ModelConnection",
-    "PartR",
+    "NonNegativeOrRange",
     "PlannedClient",
+    "PositiveOrRange",
     "ServerModel",
     "ServerParameters",
     "ServerShape",
     "SetupAnswer",
     "SimulationEngine",
     "Streams",
-    "Strict",
+    "StrictTable",
     "Workload",
     "check_experiment",
+    "draw_ranges",
     "draw_server_shapes",
     "draw_workload",
-    "drawn",
-    "high",
-    "low",
-    "put",
-    "raw_of",
+    "lower_bound",
+    "read_raw",
+    "replace_value",
     "rounded",
     "server_parameters",
     "settings_of",
     "summarize_histogram",
+    "upper_bound",
 ]
--- a/tests/simulation/rig.py
+++ b/tests/simulation/rig.py
@@ -11,7 +11,7 @@
 from glenrock.simulation import spec
 from glenrock.simulation.fleet_simulation import FleetSimulation
 from glenrock.simulation.model.balancer import BalancerProcess, Policy
-from glenrock.simulation.spec_checks import check
+from glenrock.simulation.spec_checks import check_experiment
 from glenrock.simulation.spec_tables import Experiment
 
 PolicyFactory = Callable[[interface.Settings, int], Policy]
@@ -31,7 +31,7 @@
 def small_experiment(**overrides: Any) -> Experiment:
     """Returns the small experiment with some of its tables changed, after the checks of a file."""
     experiment = toml_file.convert(PATH, "", spec.merge(SMALL, overrides), Experiment)
-    check(experiment, PATH, "")
+    check_experiment(experiment, PATH, "")
     return experiment
 
 
--- a/tests/simulation/test_conservation.py
+++ b/tests/simulation/test_conservation.py
@@ -157,7 +157,7 @@
     for _ in range(2):
         summary = FleetSimulation(small_experiment(**overrides), seed, policy).run()
         texts.append(
-            record.text_of({key: value for key, value in summary.items() if key not in ("clock", "events_per_s")})
+            record.json_text({key: value for key, value in summary.items() if key not in ("clock", "events_per_s")})
         )
     assert texts[0] == texts[1]
     json.loads(texts[0])
--- a/tests/simulation/test_determinism.py
+++ b/tests/simulation/test_determinism.py
@@ -19,7 +19,7 @@
 from glenrock.simulation.fleet_simulation import FleetSimulation
 summary = FleetSimulation(spec.load(Path(sys.argv[1]), {overrides}), 3, "glenrock").run()
 del summary["clock"], summary["events_per_s"]
-print(record.text_of(summary))
+print(record.json_text(summary))
 """
 
 
--- a/tests/simulation/test_faults.py
+++ b/tests/simulation/test_faults.py
@@ -7,7 +7,7 @@
 import pytest
 
 from glenrock.simulation import spec, spec_faults
-from glenrock.simulation.faults import FAULTS
+from glenrock.simulation.faults import INJECTORS
 from glenrock.simulation.fleet_simulation import FleetSimulation
 from glenrock.toml_file import InputFileError
 
@@ -27,7 +27,7 @@
 
 
 def test_every_kind_of_fault_is_injected() -> None:
-    assert set(FAULTS) == set(spec_faults.FAULTS)
+    assert set(INJECTORS) == set(spec_faults.FAULT_TYPES)
 
 
 def test_crash_of_a_zone_ends_its_servers_alone() -> None:
@@ -235,14 +235,14 @@
         overrides={"discovery": {"notice_s": 0.3}},
     )
     run_until(simulation, 1.5)
-    (select_server,) = [server for server in simulation.servers.values() if server.is_draining]
-    assert select_server.is_up and simulation.balancers[0].endpoints[select_server.name].state == "draining"
+    (draining_server,) = [server for server in simulation.servers.values() if server.is_draining]
+    assert draining_server.is_up and simulation.balancers[0].endpoints[draining_server.name].state == "draining"
     run_until(simulation, 3.1)
-    assert not select_server.is_up
+    assert not draining_server.is_up
     run_until(simulation, 4.5)
     assert (
-        select_server.is_up
-        and select_server.started_us
+        draining_server.is_up
+        and draining_server.started_us
         and sum(server.is_draining for server in simulation.servers.values()) == 1
     )
 
--- a/tests/simulation/test_pinned.py
+++ b/tests/simulation/test_pinned.py
@@ -21,8 +21,8 @@
 @pytest.mark.parametrize("path", RECORDED, ids=lambda path: path.stem)
 def test_run_is_equal_to_the_recorded_one(path: Path) -> None:
     name, _, seed = path.stem.rpartition("-seed")
-    where, experiment = spec.points(ROOT / "experiments" / f"{name}.toml", {})[-1]
-    summary = runner.play(runner.Task(experiment, where, int(seed), "glenrock"))
+    where, experiment = spec.sweep_points(ROOT / "experiments" / f"{name}.toml", {})[-1]
+    summary = runner.run_task(runner.Task(experiment, where, int(seed), "glenrock"))
     for key in MACHINE_DEPENDENT_KEYS:
         del summary[key]
     assert json.loads(json.dumps(summary)) == json.loads(path.read_bytes())
--- a/tests/simulation/test_spec.py
+++ b/tests/simulation/test_spec.py
@@ -29,7 +29,7 @@
     path = tmp_path / "x.toml"
     path.write_text(text.replace(old, new, 1) if old else text)
     with pytest.raises(InputFileError) as raised:
-        spec.points(path)
+        spec.sweep_points(path)
     assert "\n" not in str(raised.value)
     return str(raised.value).replace(str(path), "x.toml")
 
@@ -96,14 +96,14 @@
 
 @pytest.mark.parametrize("path", sorted((ROOT / "experiments").glob("*.toml")), ids=lambda path: path.stem)
 def test_shipped_experiment_is_valid(path: Path) -> None:
-    points = spec.points(path)
+    points = spec.sweep_points(path)
     assert points[0][1].name == path.stem and points[0][1].title
 
 
 def test_ranges_are_drawn_within_their_bounds_and_by_seed() -> None:
     ranged = spec.load(ROOT / "experiments" / "site-busy.toml")
-    experiments = [spec_ranges.drawn(ranged, seed) for seed in range(30)]
-    assert not any(spec_ranges.ranges(experiment) for experiment in experiments)
+    experiments = [spec_ranges.draw_ranges(ranged, seed) for seed in range(30)]
+    assert not any(spec_ranges.find_ranges(experiment) for experiment in experiments)
     assert all(0.52 <= drawn_number(experiment.traffic.load) <= 0.69 for experiment in experiments)
     assert {experiment.fleet.balancers for experiment in experiments} == {2, 3, 4}
-    assert spec_ranges.drawn(ranged, 3) == experiments[3]
+    assert spec_ranges.draw_ranges(ranged, 3) == experiments[3]
--- a/tests/test_recorded.py
+++ b/tests/test_recorded.py
@@ -158,7 +158,7 @@
 
 @pytest.mark.parametrize("name", sorted(path.name for path in (RECORDED / "experiments").glob("*.toml")))
 def test_experiments_of_an_earlier_version_are_read(name: str) -> None:
-    assert spec.points(RECORDED / "experiments" / name, {})
+    assert spec.sweep_points(RECORDED / "experiments" / name, {})
 
 
 @pytest.mark.parametrize("name", sorted(path.name for path in (RECORDED / "scenes").glob("*.toml")))
