--- a/glenrock/simulation/faults.py
+++ b/glenrock/simulation/faults.py
@@ -1,6 +1,6 @@
-"""Faults of an experiment, injected into a simulation: a function for each kind.
+"""Injects the faults of an experiment into a simulation, with one function for each kind.
 
-The targets of a fault are drawn from a stream of its own, so that every policy meets the same fault.
+The targets of each fault are drawn from its own random stream, so that every policy meets the same fault.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 def to_us(seconds: float | tuple[float, ...]) -> int:
-    """Converts a drawn figure in seconds to microseconds."""
+    """Converts seconds in a drawn experiment to microseconds."""
     return round(drawn_number(seconds) * SECOND_US)
 
 
@@ -40,7 +40,7 @@
 
 
 def crash_servers(simulation: ProcessControl, fault: spec.Crash, generator: np.random.Generator) -> None:
-    """Ends drawn servers, and starts them again."""
+    """Ends the processes of random servers, and starts them again."""
     candidates = [
         server for server in _running_servers(simulation) if fault.zone in ("", simulation.zones[server.shape.zone])
     ]
@@ -59,7 +59,7 @@
 
 
 def restart_balancers(simulation: ProcessControl, fault: spec.BalancerRoll, generator: np.random.Generator) -> None:
-    """Restarts drawn balancers in batches."""
+    """Restarts random balancers in batches."""
     order = draw_targets(generator, simulation.balancers, fault.part)
     batch_size = max(1, round(drawn_number(fault.batch) * len(simulation.balancers)))
     batches = [order[start : start + batch_size] for start in range(0, len(order), batch_size)]
@@ -72,7 +72,7 @@
 
 
 def _restart_balancer(simulation: ProcessControl, balancer: BalancerProcess, down_us: int, shutdown_us: int) -> None:
-    """Restarts a balancer after a graceful shutdown of `shutdown_us` (0: killed)."""
+    """Restarts a balancer after a graceful shutdown of `shutdown_us` (0: the process is killed)."""
     if not balancer.is_up:
         return
     is_planned = shutdown_us > 0
@@ -84,7 +84,7 @@
 
 
 def drop_connections(simulation: ProcessControl, fault: spec.Reconnect, generator: np.random.Generator) -> None:
-    """Drops drawn connections from the side of their clients."""
+    """Drops random connections from their client side."""
     connections = [
         connection for server in simulation.servers.values() for connection in server.open_connections.values()
     ]
@@ -93,7 +93,7 @@
 
 
 def slow_servers(simulation: ProcessControl, fault: spec.Slow, generator: np.random.Generator) -> None:
-    """Slows drawn servers down."""
+    """Slows random servers down."""
     targets = draw_targets(generator, _running_servers(simulation), fault.part)
     engine = simulation.engine
     for server in targets:
@@ -109,7 +109,7 @@
 
 
 def fail_setups(simulation: ProcessControl, fault: spec.Errs, generator: np.random.Generator) -> None:
-    """Makes drawn servers answer ERR."""
+    """Makes random servers answer ERR."""
     targets = draw_targets(generator, _running_servers(simulation), fault.part)
     for server in targets:
         simulation.error_chances[server.name] = drawn_number(fault.chance)
@@ -123,13 +123,13 @@
 
 
 def silence_discovery(simulation: ProcessControl, fault: spec.DiscoverySilence, generator: np.random.Generator) -> None:
-    """Silences service discovery."""
+    """Stops updates from service discovery for a while."""
     end_us = simulation.engine.now + to_us(fault.for_s)
     simulation.feed.silent_until_us = max(simulation.feed.silent_until_us, end_us)
 
 
 def provide_stale_list(simulation: ProcessControl, fault: spec.StaleList, generator: np.random.Generator) -> None:
-    """Gives an old endpoint list to balancers that start."""
+    """Makes balancers start with an old endpoint list for a while."""
     simulation.feed.cached_list_age_us = to_us(fault.age_s)
     simulation.engine.at(simulation.engine.now + to_us(fault.for_s), _end_stale_list, simulation)
 
@@ -141,11 +141,11 @@
 def do_nothing(
     simulation: ProcessControl, fault: spec.FlashCrowd | spec.TenantFlood, generator: np.random.Generator
 ) -> None:
-    """Does nothing: the additional clients are part of the workload (`model.workload`)."""
+    """Does nothing: the workload (`model.workload`) already contains the additional clients."""
 
 
 def deploy_servers(simulation: ProcessControl, fault: spec.Drains, generator: np.random.Generator) -> None:
-    """Drains, stops and starts drawn servers in batches, as a deployment does."""
+    """Drains, stops and starts random servers in batches, as a deployment does."""
     order = draw_targets(generator, _running_servers(simulation), fault.part)
     batch_size = max(1, round(drawn_number(fault.batch) * len(simulation.servers)))
     engine = simulation.engine
@@ -159,7 +159,7 @@
 
 
 def suspend_busiest_server(simulation: ProcessControl, fault: spec.ByHand, generator: np.random.Generator) -> None:
-    """Suspends the server with the most connections at each balancer, restarts it, and ends the suspension."""
+    """Suspends the server with the most connections on every balancer, restarts it, and ends the suspension."""
     server = max(
         _running_servers(simulation),
         key=lambda candidate: (len(candidate.open_connections), candidate.name),
@@ -178,7 +178,7 @@
 
 
 def drain_balancer(simulation: ProcessControl, fault: spec.SendAway, generator: np.random.Generator) -> None:
-    """Drains a balancer on an operator's call, and ends the drain."""
+    """Drains a balancer as an operator does, and ends the drain."""
     balancer = simulation.balancers[fault.balancer]
     engine = simulation.engine
     if balancer.is_up:
@@ -188,7 +188,7 @@
 
 
 def lose_gossip(simulation: ProcessControl, fault: spec.PeerLoss, generator: np.random.Generator) -> None:
-    """Loses messages between balancers."""
+    """Loses gossip between balancers for a while."""
     simulation.links.peer_delivery_fraction = 1 - drawn_number(fault.loss)
     simulation.engine.at(simulation.engine.now + to_us(fault.for_s), _end_gossip_loss, simulation)
 
@@ -216,7 +216,7 @@
 
 
 def duration_s(fault: spec.Fault) -> float:
-    """Returns how long the cause of a fault lasts, in seconds, for reports to shade."""
+    """Returns how long the cause of a fault lasts, in seconds. Reports shade this period."""
     if isinstance(fault, spec.Crash):
         return drawn_number(fault.down_s)
     if isinstance(fault, spec.Reconnect):
--- a/glenrock/simulation/fleet_simulation.py
+++ b/glenrock/simulation/fleet_simulation.py
@@ -1,4 +1,4 @@
-"""One run: an experiment under one seed and one policy, from its workload to its summary."""
+"""Runs one experiment under one seed and one policy, and returns its summary."""
 
 from __future__ import annotations
 
@@ -31,14 +31,14 @@
 from .spec_types import drawn_count, drawn_number
 
 SERVERS_PER_CELL = 6
-OTHER_ZONE_WEIGHT = 0.3  # of a server of another zone, for connections that are open when the run starts
-SLOW_MESSAGE_DIVISOR = 3  # messages slower than this part of the shortest objective are reported to balancers
+OTHER_ZONE_WEIGHT = 0.3  # of a server in another zone, when placing the connections that are open at the start
+SLOW_MESSAGE_DIVISOR = 3  # message times above the shortest objective divided by this are reported as slow
 MAX_REPORTED_MESSAGE_US = 1e9
 MAX_RECORDED_MESSAGE_US = 3e9
 
 
 class FleetSimulation(ProcessControl):
-    """A run, from its start to its summary; the layers below it play what happens."""
+    """One complete run. The base classes simulate clients, balancers, servers and links."""
 
     def __init__(
         self,
@@ -95,9 +95,9 @@
     # -- the whole run -------------------------------------------------------------------------------
 
     def run(self) -> dict[str, Any]:
-        """Runs the simulation. Returns its summary; a policy that raises ends the run, and the summary says so."""
+        """Runs the simulation and returns its summary. If the policy raises, the run ends, and the summary says why."""
         started_wall_s, started_cpu_s = time.perf_counter(), time.process_time()
-        # The objects of a run live until its end: the garbage collector would find nothing, at a cost.
+        # The objects of a run stay alive until its end, so garbage collection would cost time and free nothing.
         gc_was_enabled = gc.isenabled()
         gc.disable()
         try:
@@ -117,7 +117,7 @@
         return summarize(self, time.perf_counter() - started_wall_s, time.process_time() - started_cpu_s)
 
     def prepare(self) -> None:
-        """Starts all processes, places the connections that are open already, and schedules the rest of the run."""
+        """Starts all processes, opens the connections of earlier clients, and schedules the rest of the run."""
         self.feed.start(
             [
                 interface.Endpoint(
@@ -149,10 +149,10 @@
             self.engine.at(due_us, inject, self, fault, self.streams.of(f"fault {number}"))
 
     def _place_open_connections(self) -> workloads.PlannedClient | None:
-        """Opens the connections of clients that arrived before the run, alike under every policy.
+        """Opens the connections of clients that arrived before the run, in the same way for every policy.
 
         Returns:
-            The first row that arrives during the run, if there is one.
+            The first planned client that arrives during the run, or None.
         """
         draw = self.streams.uniforms("standing")
         servers = list(self.servers.values())
@@ -194,7 +194,7 @@
         self.open_connection(attempt)
 
     def _schedule_arrival(self, planned: workloads.PlannedClient | None) -> None:
-        """Schedules one arrival; each schedules the next, so that the heap holds one at a time."""
+        """Schedules the arrival of a client. Each arrival schedules the next, so the event heap holds one at a time."""
         if planned:
             self.engine.at(self.start_us + planned.arrival_us, self._arrive, planned)
 
@@ -208,7 +208,7 @@
     # -- each second ---------------------------------------------------------------------------------
 
     def _sample_second(self, second: int) -> None:
-        """Updates all servers, and records the time series of one second."""
+        """Updates all servers, closes the connections that they shed, and records the time series of one second."""
         load = 0.0
         for server in self.servers.values():
             for connection in server.bound_backlog(self.engine.now):
@@ -221,7 +221,7 @@
                 self.engine.at(self.engine.now + SECOND_US, self._sample_second, second + 1)
 
     def _sample_server(self, server: ServerModel[Attempt], second: int) -> float:
-        """Records the load of a server. Returns it, in microseconds of work a second."""
+        """Records the load of a server. Returns it, in microseconds of work per second."""
         measure = self.measure
         is_recorded = second < measure.seconds
         if not server.is_up:
@@ -255,7 +255,7 @@
         )
 
     def _report_slow_messages(self, server: ServerModel[Attempt]) -> None:
-        """Reports slow messages over one connection of each balancer, and once that they are fast again."""
+        """Reports slow messages to each balancer on one connection, and reports once when they are fast again."""
         if not self.experiment.reports.delay_told:
             return
         is_slow = server.message_us > self.server_parameters.shortest_objective_us / SLOW_MESSAGE_DIVISOR
@@ -274,7 +274,7 @@
                 request.balancer.post(interface.ConnectionFeedback(request.id, server.name, message_us=message_us))
 
     def _end_measuring(self) -> None:
-        """Ends the measured time: what is served from now on does not count."""
+        """Ends the measured period; what is served after it does not count."""
         now = self.engine.now
         for server in self.servers.values():
             server.advance(now)
--- a/glenrock/simulation/fleet_state.py
+++ b/glenrock/simulation/fleet_state.py
@@ -1,4 +1,4 @@
-"""The state of one run: the fleet, its links, its workload and the measures."""
+"""The state of one run: the fleet, its links, its workload and the measurements."""
 
 from __future__ import annotations
 
@@ -23,18 +23,18 @@
 
 
 class FleetState:
-    """What every part of a simulation reads.
+    """State that all parts of a simulation share.
 
     Attributes:
-        experiment: the experiment as drawn for the seed.
-        balancers, front, feed: set by `FleetSimulation`, since they call it.
-        error_chances: servers that answer ERR to attempts, by name, and the chance of it.
-        reported_slow: server and balancer, where the balancer was told of slow messages.
-        shared_health_checks: None unless the experiment has shards of health checks.
-        faults: faults that are scheduled, in the order of the experiment.
+        experiment: the experiment, its ranges replaced by numbers drawn for the seed.
+        balancers, front, feed: assigned by `FleetSimulation`, because they call back into it.
+        error_chances: probability of an ERR answer, by name of the servers that have one.
+        reported_slow: server name and balancer index, where slow messages were reported to the balancer.
+        shared_health_checks: None unless the experiment divides health checks among the balancers.
+        faults: the scheduled faults, in the order of the experiment file.
         connected_clients: clients with an open connection, in the order of their connections.
-        measurement_ended: whether the measured time has ended.
-        failure: why the policy's run ended early, or empty.
+        measurement_ended: whether the measured period has ended.
+        failure: the error of the policy that ended the run early, or an empty string.
     """
 
     balancers: list[BalancerProcess]
--- a/glenrock/simulation/invariants.py
+++ b/glenrock/simulation/invariants.py
@@ -1,7 +1,6 @@
-"""The invariants of a run: the four rules of WIRE, section 13, and the rule of PROTOCOL on lost connections.
+"""Invariants of a run: the four rules of WIRE, section 13, and the rule of PROTOCOL on lost connections.
 
-The parts of a simulation report a violation where they see it; here violations are counted and recorded, each with
-the events that led to it.
+The parts of a simulation detect violations. This module counts and records them, each with the events that led to it.
 """
 
 from __future__ import annotations
@@ -11,11 +10,11 @@
 from typing import Any
 
 RULES = {
-    "answered": "one final answer for each request, in time, and nothing sent after it",
-    "repeated": "never two attempts of a request at once",
-    "drained": "nothing new to an instance that drains or is gone, after the grace",
-    "cold": "no cold instance pushed over",
-    "cut off": "no standing connection ended without MOVE while its instance answers",
+    "answered": "each request gets one final answer, in time, and nothing is sent after it",
+    "repeated": "a request never has two attempts in progress at once",
+    "drained": "a server that is draining or gone gets no new attempts after the grace period",
+    "cold": "no server is overloaded while it is warming up",
+    "cut off": "no open connection is closed without MOVE while its server answers",
 }
 MAX_RECENT_EVENTS = 4000
 MAX_EVENTS_PER_VIOLATION = 12
@@ -27,8 +26,8 @@
     """A recorded violation.
 
     Attributes:
-        balancer_index: -1 if no balancer is concerned.
-        request_id, server_id: empty if none is concerned.
+        balancer_index: -1 if no balancer is involved.
+        request_id, server_id: empty if none is involved.
         events: the events that led to the violation, as text.
     """
 
@@ -79,7 +78,7 @@
     def record_violation(
         self, now_us: int, rule: str, text: str, balancer_index: int, request_id: str, server_id: str
     ) -> None:
-        """Counts a violation, and records it in full unless enough are recorded."""
+        """Counts a violation, and records it in full up to `MAX_RECORDED_VIOLATIONS`."""
         self.counts[rule] += 1
         if len(self.violations) >= MAX_RECORDED_VIOLATIONS:
             return
--- a/glenrock/simulation/measure.py
+++ b/glenrock/simulation/measure.py
@@ -1,7 +1,8 @@
-"""The measures of a run: priority weight served, waits, rejections, crossings, fairness, recovery.
+"""Measurements of a run: worth, waits, rejections, cross-zone connections, fairness, recovery.
 
-The worth of a run is the priority weight of the seconds in which a connection was served in time, over that of all
-seconds in which clients asked for one. Histograms are HDR: 1 to 3,600,000,000 microseconds, two significant digits.
+The worth of a run is the priority-weighted share of connection time served in time: the priority weight of the seconds
+in which a connection was served in time, divided by that of all seconds in which clients asked for one. Histograms are
+HDR histograms of 1 to 3,600,000,000 microseconds with two significant digits.
 """
 
 from __future__ import annotations
@@ -21,11 +22,11 @@
     from .model.workload import PlannedClient
 
 WORST_WINDOW_S = 10
-RECOVERED_FRACTION = 0.95  # of what was served before a fault
-RECOVERED_FOR_S = 3
-BASELINE_S = 5
+RECOVERED_FRACTION = 0.95  # of the fraction served before a fault
+RECOVERED_FOR_S = 3  # consecutive seconds at that level
+BASELINE_S = 5  # period before a fault that it is compared with
 MAX_HISTOGRAM_US = 3_600_000_000
-GOSSIP_BYTES_PER_PRICE = 256
+GOSSIP_BYTES_PER_PRICE = 256  # per client, at a cost of `price_peer`
 PERCENTILES = (("p50_ms", 50), ("p90_ms", 90), ("p99_ms", 99), ("p999_ms", 99.9))
 COUNTS = (
     "clients",
@@ -52,7 +53,7 @@
 
 
 def summarize_histogram(durations: HdrHistogram) -> dict[str, float]:
-    """Returns count, mean, percentiles and maximum of a histogram, in milliseconds, as summaries have them."""
+    """Returns count, mean, percentiles and maximum of a histogram, in milliseconds, in the form of summaries."""
     if not durations.get_total_count():
         return {"count": 0}
     figures = {
@@ -67,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultPeriod:
-    """A fault, and when its cause began and ended, in seconds of the measured time."""
+    """A fault, and when its cause began and ended, in seconds of the measured period."""
 
     kind: str
     from_s: float
@@ -80,13 +81,13 @@
 
     Attributes:
         recovery_s: seconds from the beginning of the fault until service had recovered; None if it had not.
-        before: fraction served before the fault.
-        lowest: lowest fraction served during the fault; None for a fault after the measured time.
+        baseline: fraction served before the fault.
+        lowest: lowest fraction served during the fault; None for a fault after the measured period.
     """
 
     fault: FaultPeriod
     recovery_s: int | None
-    before: float
+    baseline: float
     lowest: float | None
 
     def as_summary(self) -> dict[str, Any]:
@@ -96,13 +97,13 @@
             "from_s": self.fault.from_s,
             "to_s": self.fault.to_s,
             "recovery_s": self.recovery_s,
-            "before": self.before,
+            "before": self.baseline,
             "lowest": self.lowest,
         }
 
 
 class Measurements:
-    """Counts of a run, and what follows from them.
+    """Counts, histograms and time series of a run, and the results computed from them.
 
     Attributes:
         demanded: priority weight asked for in each second, by class.
@@ -110,11 +111,12 @@
         tenant_demanded_in_quota, tenant_served_in_quota: the same by tenant, within the quotas.
         tenant_served: priority weight served by tenant, within and over the quotas.
         tenant_demanded: priority weight asked for by tenant, within and over the quotas.
-        setup_waits: time until a connection is open, by class.
-        rejections: time until a rejection.
+        setup_waits: histograms of the time until a connection is open, by class.
+        messages: histogram of message times.
+        rejections: histogram of the time until a rejection.
         counts: by the names in `COUNTS`, and `held_back`.
         connection_s, cross_zone_s: seconds of open connections, and of those between zones.
-        relative_loads: load of each server over its capacity in each second; -1 while it is down.
+        relative_loads: load of each server as a fraction of its capacity, in each second; -1 while it is down.
         series: time series by name.
     """
 
@@ -134,26 +136,26 @@
         self.series: dict[str, list[float]] = {}
 
     def record_served(self, at_us: int, class_index: int, weight: float) -> None:
-        """Adds priority weight served in time, of a class."""
+        """Adds priority weight of a class that was served in time."""
         second = (at_us - self.start_us) // SECOND_US
         if 0 <= second < self.seconds:
             self.served[second][class_index] += weight
 
     def record_tenant_demand(self, clients: Iterable[PlannedClient], length_us: int) -> None:
-        """Adds what tenants asked for during the run, in all and within their quotas."""
+        """Adds the priority weight that tenants asked for during the run, in total and within their quotas."""
         for planned in clients:
             wanted_s = max(0, min(planned.end_us, length_us) - max(0, planned.arrival_us)) / SECOND_US
-            worth = self.experiment.classes[planned.class_index].worth * wanted_s
-            self.tenant_demanded[planned.tenant] += worth
+            weight = self.experiment.classes[planned.class_index].worth * wanted_s
+            self.tenant_demanded[planned.tenant] += weight
             if planned.quota_factor == 1.0:
-                self.tenant_demanded_in_quota[planned.tenant] += worth
+                self.tenant_demanded_in_quota[planned.tenant] += weight
 
     def record_tenant_served(self, planned: PlannedClient, seconds: float) -> None:
-        """Adds seconds in which a client was served in time to its tenant."""
-        worth = self.experiment.classes[planned.class_index].worth * seconds
-        self.tenant_served[planned.tenant] += worth
+        """Adds the seconds in which a client was served in time to the priority weight of its tenant."""
+        weight = self.experiment.classes[planned.class_index].worth * seconds
+        self.tenant_served[planned.tenant] += weight
         if planned.quota_factor == 1.0:
-            self.tenant_served_in_quota[planned.tenant] += worth
+            self.tenant_served_in_quota[planned.tenant] += weight
 
     def record_sample(self, second: int, **values: float) -> None:
         """Sets values of the time series at a second."""
@@ -165,7 +167,7 @@
     # -- results -------------------------------------------------------------------------------------
 
     def worth(self) -> dict[str, Any]:
-        """Returns the worth of the run as `summary.json` has it: whole, worst parts, goal and prices."""
+        """Returns the entry `worth` of `summary.json`: the whole, the worst parts, the goal and the prices."""
         served, demanded = np.array(self.served), self.demanded
         whole = ratio(served.sum(), demanded.sum())
         worst_window = self._worst_window(served.sum(axis=1), demanded.sum(axis=1))
@@ -207,7 +209,7 @@
         return min(windows, default=1.0)
 
     def _prices(self) -> dict[str, float]:
-        """Returns what the goal loses by crossings, health checks, migrations and gossip."""
+        """Returns what cross-zone connections, health checks, migrations and gossip subtract from the goal."""
         platform, counts = self.experiment.platform, self.counts
         clients = max(1, counts["clients"])
         crossing_fraction = self.cross_zone_s / self.connection_s if self.connection_s else 0.0
@@ -225,7 +227,7 @@
         return [_recovery_of(fault, served_fraction) for fault in faults]
 
     def fairness(self) -> float:
-        """Returns Jain's index over the tenants' worth; 1: all alike."""
+        """Returns Jain's index over the tenants' worth; 1 if all are equal."""
         worths = np.array(
             [ratio(served, wanted) for served, wanted in zip(self.tenant_served, self.tenant_demanded, strict=True)]
         )
@@ -234,29 +236,29 @@
         return index
 
 
-def _recovery_of(fault: FaultPeriod, served: npt.NDArray[np.float64]) -> FaultRecovery:
-    """Returns recovery, level before the fault and lowest level, of the fraction served in each second."""
+def _recovery_of(fault: FaultPeriod, served_fraction: npt.NDArray[np.float64]) -> FaultRecovery:
+    """Computes the recovery from a fault, given the fraction served in each second."""
     at_s = int(fault.from_s)
-    before = served[max(0, at_s - BASELINE_S) : at_s].mean() if at_s > 0 else served[:1].mean()
-    end_s = min(len(served), int(np.ceil(fault.to_s)) + 1)
-    is_measured = at_s < len(served)
-    worst_s = at_s + int(np.argmin(served[at_s : max(at_s + 1, end_s)])) if is_measured else at_s
+    baseline = served_fraction[max(0, at_s - BASELINE_S) : at_s].mean() if at_s > 0 else served_fraction[:1].mean()
+    end_s = min(len(served_fraction), int(np.ceil(fault.to_s)) + 1)
+    is_measured = at_s < len(served_fraction)
+    worst_s = at_s + int(np.argmin(served_fraction[at_s : max(at_s + 1, end_s)])) if is_measured else at_s
     recovery_s = None
-    for second in range(worst_s, len(served) - RECOVERED_FOR_S + 1):
-        if (served[second : second + RECOVERED_FOR_S] >= RECOVERED_FRACTION * before).all():
+    for second in range(worst_s, len(served_fraction) - RECOVERED_FOR_S + 1):
+        if (served_fraction[second : second + RECOVERED_FOR_S] >= RECOVERED_FRACTION * baseline).all():
             recovery_s = second - at_s
             break
-    lowest = rounded(float(served[worst_s])) if is_measured else None
-    return FaultRecovery(fault, recovery_s, rounded(float(before)), lowest)
+    lowest = rounded(float(served_fraction[worst_s])) if is_measured else None
+    return FaultRecovery(fault, recovery_s, rounded(float(baseline)), lowest)
 
 
 def ratio(part: float, whole: float) -> float:
-    """Returns a part over its whole; 1 for an empty whole."""
+    """Returns a part divided by its whole; 1 if the whole is 0."""
     return float(part / whole) if whole > 0 else 1.0
 
 
 def rounded(value: Any) -> Any:
-    """Rounds a number, or the numbers of a table, to the six digits of summaries."""
+    """Rounds a number, or the numbers of a table, to six decimal places, as in summaries."""
     if isinstance(value, dict):
         return {key: rounded(item) for key, item in value.items()}
     return round(float(value), 6)
--- a/glenrock/simulation/process_control.py
+++ b/glenrock/simulation/process_control.py
@@ -1,4 +1,4 @@
-"""Starts, drains and ends of processes, and partitions between zones: what faults call."""
+"""Starts, drains and stops processes, and partitions zones. Faults call these functions."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 from .server_attempts import ServerAttempts
 from .spec_types import drawn_number
 
-# A manual drain, as `glenrock.net.graceful_shutdown` does it: the front notices, then clients migrate in steps. The
-# times of the migration are those of `FRONT_END_NOTICE_MS`, `MANUAL_DRAIN_MS` and `DRAIN_STEP_MS` there.
-FRONT_END_DETECTION_US = 250_000  # the modelled front polls each 0.1 s, and sends clients for 0.2 s more
+# Times of a manual drain, as in `glenrock.net.graceful_shutdown`: the front end detects the drain, then clients migrate
+# in steps. The times of the migration are `FRONT_END_NOTICE_MS`, `MANUAL_DRAIN_MS` and `DRAIN_STEP_MS` there.
+FRONT_END_DETECTION_US = 250_000  # the modelled front end polls every 0.1 s, and sends clients for 0.2 s more
 MIGRATION_STARTS_AFTER_US = 450_000
 MIGRATION_US = 3_000_000
 MIGRATION_STEP_US = 50_000
-# Of the time of a planned restart: clients migrate evenly until the first, and clients that are left at the second.
+# Percentages of the time of a graceful shutdown: clients migrate evenly until the first, and those left at the second.
 EVEN_MIGRATION_PERCENT, FINAL_MIGRATION_PERCENT = 90, 95
-HEARTBEAT_INTERVAL_S = 2  # between lines of a client, which reveal a partition
+HEARTBEAT_INTERVAL_S = 2  # between lines that a client sends; a partition is noticed by their absence
 
 
 class ProcessControl(ServerAttempts):
-    """The part of a simulation that starts and ends processes, and cuts links."""
+    """The part of a simulation that starts and ends processes, and partitions zones."""
 
     def start_server(self, server: ServerModel[Attempt]) -> None:
-        """Starts the process of a server, unless it runs or was overloaded while cold."""
+        """Starts the process of a server, unless it is running or was overloaded while warming up."""
         if server.is_up or server.was_overloaded_while_cold:
             return
         self.invariants.record_event(self.engine.now, "process started", "", server.name)
@@ -50,7 +50,7 @@
     # -- partitions ----------------------------------------------------------------------------------
 
     def partition_zone(self, zone: int) -> None:
-        """Cuts the links between a zone and the others; connections over them break after a silence."""
+        """Partitions a zone from the others; connections across the partition break after the silence timeout."""
         self.invariants.record_event(self.engine.now, f"zone {self.zones[zone]} partitioned", "", "")
         self.links.partitioned_zones.add(zone)
         for connection in self._partitioned_connections():
@@ -85,7 +85,7 @@
         return [request for request in balancer.requests.values() if request.open_attempt()]
 
     def shut_down_gracefully(self, balancer: BalancerProcess, duration_us: int) -> None:
-        """Migrates the clients of a balancer evenly over most of `duration_us`, before a planned end."""
+        """Migrates the clients of a balancer evenly over most of `duration_us`, before its process ends."""
         now, requests = self.engine.now, self._open_requests(balancer)
         for number, request in enumerate(requests):
             offset_us = duration_us * EVEN_MIGRATION_PERCENT // 100 * number // len(requests)
@@ -100,7 +100,7 @@
                 self.migrate(request)
 
     def start_manual_drain(self, balancer: BalancerProcess) -> None:
-        """Starts to migrate all clients of a balancer, on an operator's call."""
+        """Starts to migrate all clients of a balancer, as an operator's drain does."""
         now = self.engine.now
         self.invariants.record_event(now, f"balancer {balancer.index}: manual drain started", "", "")
         balancer.post(interface.DrainMode(True))
@@ -127,7 +127,7 @@
             self.front.add(balancer, incarnation)
 
     def kill_balancer(self, balancer: BalancerProcess, incarnation: int, is_planned: bool) -> None:
-        """Ends the process of a balancer; an open connection at a planned end is a violation."""
+        """Ends the process of a balancer; an open connection at the end of a planned restart is a violation."""
         if balancer.incarnation != incarnation or not balancer.is_up:
             return
         self.invariants.record_event(self.engine.now, f"balancer {balancer.index}: process ended", "", "")
--- a/glenrock/simulation/record.py
+++ b/glenrock/simulation/record.py
@@ -1,10 +1,10 @@
-"""The results of a run on disk, written to a temporary place and renamed, so that a result is complete or absent.
+"""Writes and reads results. Each is written to a temporary path and renamed, so that it is complete or absent.
 
 summary.json     the summary (docs/simulation.md lists the keys)
-series.csv       time series, a row a second
-heat.csv         load of each server, a row a second; -1 while it was down
+series.csv       time series, one row per second
+heat.csv         load of each server as a fraction of its capacity, one row per second; -1 while it was down
 histograms.json  HDR histograms in HdrHistogram's base64 form
-report.html      the same for people
+report.html      the results as a page for readers
 """
 
 from __future__ import annotations
@@ -25,17 +25,17 @@
 from .measure import Measurements
 from .spec_tables import Experiment
 
-RESULT_FILES = ("summary.json", "sweep.json", "compare.json")  # a folder that holds one of these may be replaced
+RESULT_FILES = ("summary.json", "sweep.json", "compare.json")  # a folder that contains one of these may be replaced
 SUMMARY_FORMAT = 1
 
 
 def json_text(value: Any) -> str:
-    """Returns JSON in the form of all results: the same values give the same bytes."""
+    """Formats a result as JSON. Equal values give equal bytes."""
     return json.dumps(value, indent=1, sort_keys=True, ensure_ascii=False, allow_nan=False) + "\n"
 
 
 def write_folder(out: Path, fill: Callable[[Path], None]) -> None:
-    """Fills a new folder and renames it to `out`.
+    """Calls `fill` with a new temporary folder, then renames that folder to `out`.
 
     Raises:
         InputFileError: `out` cannot be replaced; it is left as it was.
@@ -83,15 +83,15 @@
 
 
 def write_tables(
-    folder: Path, measure: Measurements, experiment: Experiment, instances: list[str], summary: dict[str, Any]
+    folder: Path, measure: Measurements, experiment: Experiment, server_names: list[str], summary: dict[str, Any]
 ) -> None:
     """Writes summary, time series, loads and histograms."""
     (folder / "summary.json").write_text(json_text(summary), encoding="utf-8")
     classes = [class_.name for class_ in experiment.classes]
     _write_series(folder / "series.csv", measure, classes)
-    with open(folder / "heat.csv", "w", newline="", encoding="utf-8") as file_:
-        writer = csv.writer(file_)
-        writer.writerow(["second", *instances])
+    with open(folder / "heat.csv", "w", newline="", encoding="utf-8") as file:
+        writer = csv.writer(file)
+        writer.writerow(["second", *server_names])
         for second in range(measure.seconds):
             writer.writerow([second, *(f"{load:.3f}" for load in measure.relative_loads[:, second])])
     histograms = {
@@ -107,8 +107,8 @@
 def _write_series(path: Path, measure: Measurements, classes: list[str]) -> None:
     served = np.array(measure.served)
     names = list(measure.series)
-    with open(path, "w", newline="", encoding="utf-8") as file_:
-        writer = csv.writer(file_)
+    with open(path, "w", newline="", encoding="utf-8") as file:
+        writer = csv.writer(file)
         asked_names, served_names = [f"asked {name}" for name in classes], [f"served {name}" for name in classes]
         writer.writerow(["second", "asked", "served", *asked_names, *served_names, *names])
         for second in range(measure.seconds):
@@ -123,24 +123,24 @@
 
 
 def read_summary(path: Path) -> dict[str, Any]:
-    """Reads the summary in a file or a folder. Raises InputFileError if it holds none."""
-    file_ = path / "summary.json" if path.is_dir() else path
+    """Reads the summary in a file or a folder. Raises InputFileError if there is none."""
+    file = path / "summary.json" if path.is_dir() else path
     try:
-        found = json.loads(file_.read_text(encoding="utf-8"))
+        summary = json.loads(file.read_text(encoding="utf-8"))
     except OSError as error:
-        raise InputFileError(f"{file_}: {error.strerror or error}") from None
+        raise InputFileError(f"{file}: {error.strerror or error}") from None
     except ValueError as error:
-        raise InputFileError(f"{file_}: {error}") from None
-    if not isinstance(found, dict) or found.get("format") != SUMMARY_FORMAT:
-        raise InputFileError(f"{file_}: not a summary of this format ({SUMMARY_FORMAT})")
-    return found
+        raise InputFileError(f"{file}: {error}") from None
+    if not isinstance(summary, dict) or summary.get("format") != SUMMARY_FORMAT:
+        raise InputFileError(f"{file}: not a summary of this format ({SUMMARY_FORMAT})")
+    return summary
 
 
 def read_table(path: Path) -> tuple[list[str], npt.NDArray[np.float64]]:
-    """Reads a CSV table of numbers. Returns its header and its rows. Raises InputFileError if it is no table."""
+    """Reads a CSV table of numbers. Returns its header and its rows. Raises InputFileError if it is not one."""
     try:
-        with open(path, newline="", encoding="utf-8") as file_:
-            rows = list(csv.reader(file_))
+        with open(path, newline="", encoding="utf-8") as file:
+            rows = list(csv.reader(file))
         return rows[0], np.array(rows[1:], dtype=float)
     except OSError as error:
         raise InputFileError(f"{path}: {error.strerror or error}") from None
--- a/glenrock/simulation/run_summary.py
+++ b/glenrock/simulation/run_summary.py
@@ -1,4 +1,4 @@
-"""The summary of a run: the keys of `summary.json`, described in docs/simulation.md."""
+"""Builds the summary of a run, `summary.json`. docs/simulation.md describes its keys."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 from .measure import ratio, rounded, summarize_histogram
 
 SUMMARY_FORMAT = 1
-MIN_CPU_S = 1e-9  # below it a rate would divide by zero
+MIN_CPU_S = 1e-9  # smallest divisor of a rate, to avoid division by zero
 COUNTS_PER_CLIENT = ("tries", "attempts", "refused", "failed", "broken", "moved", "probes", "peer_bytes")
 
 
 def summarize(state: FleetState, wall_s: float, cpu_s: float) -> dict[str, Any]:
     """Returns the summary of a run that has ended.
 
-    All but `clock` and `events_per_s` depends on the experiment, the seed and the policy alone.
+    All entries except `clock` and `events_per_s` depend on the experiment, the seed and the policy alone.
 
     Args:
         state: the run.
-        wall_s: seconds that the run took.
-        cpu_s: seconds of CPU that it took.
+        wall_s: wall-clock time of the run, in seconds.
+        cpu_s: CPU time of the run, in seconds.
     """
     measure, counts = state.measure, state.measure.counts
     clients = max(1, counts["clients"])
@@ -79,7 +79,7 @@
 
 
 def deep_size(root: object) -> int:
-    """Returns the bytes of an object and of the data that it refers to, without modules, classes and functions."""
+    """Returns the size in bytes of an object and of all it refers to, except modules, classes and functions."""
     seen: set[int] = set()
     pending, total = [root], 0
     skipped = (type, type(sys), type(deep_size), type(gc.collect))
--- a/glenrock/simulation/runner.py
+++ b/glenrock/simulation/runner.py
@@ -1,7 +1,7 @@
-"""Many runs: points of a sweep times seeds times policies, in parallel processes.
+"""Runs each combination of sweep point, seed and policy, in parallel processes.
 
-A run depends on its experiment, seed and policy alone, and not on where or in what order it is made. The summary of
-each finished run is cached in a file, so that an interrupted sweep can be resumed.
+A run depends on its experiment, seed and policy alone, and not on the process or the order in which it runs. The
+summary of each finished run is cached in a file, so that an interrupted sweep can be resumed.
 """
 
 from __future__ import annotations
@@ -32,10 +32,10 @@
 
 @dataclass(frozen=True)
 class Task:
-    """A run to be made.
+    """A run that is to be executed.
 
     Attributes:
-        sweep_point: the values of the sweep's axes.
+        sweep_point: the values of the axes of the sweep, by path.
     """
 
     experiment: Experiment
@@ -45,13 +45,13 @@
 
     @property
     def key(self) -> str:
-        """The name of the run: the same experiment, seed, policy and text of routing give the same key."""
+        """The cache key of the run: a digest of its experiment, seed and policy, and of the routing source code."""
         values = [self.experiment, self.seed, self.policy, routing_digest()]
         return xxh64_hexdigest(msgspec.json.encode(values, order="sorted"))
 
 
 def routing_digest() -> str:
-    """Returns a digest of the text of `glenrock.routing`, so that summaries of another text are not reused."""
+    """Returns a digest of the source of `glenrock.routing`, so that summaries of other versions are not reused."""
     package = Path(glenrock.routing.__file__).parent
     return xxh64_hexdigest(b"".join(path.read_bytes() for path in sorted(package.rglob("*.py"))))
 
@@ -67,7 +67,7 @@
 
 
 def run_task(task: Task) -> dict[str, Any]:
-    """Makes a run. Returns its summary, with its point of the sweep and its key."""
+    """Executes a run. Returns its summary, with its point of the sweep and its cache key."""
     summary = FleetSimulation(task.experiment, task.seed, task.policy).run()
     return {**summary, "where": task.sweep_point, "key": task.key}
 
@@ -80,13 +80,13 @@
 def run_all(
     tasks: list[Task], jobs: int, cache: Path | None, resume: bool, on_run_done: Callable[[int], None]
 ) -> Generator[dict[str, Any], None, None]:
-    """Yields the summaries of all tasks as they are finished, cached ones first.
+    """Yields the summaries of all runs as they finish, cached ones first.
 
     Args:
         tasks: the runs.
         jobs: number of processes.
-        cache: folder of finished summaries.
-        resume: whether summaries in it are reused.
+        cache: folder of cached summaries; None for no cache.
+        resume: whether cached summaries are reused.
         on_run_done: called with 1 for each finished run.
 
     Raises:
@@ -100,7 +100,7 @@
         else:
             on_run_done(1)
             yield cached
-    # Closed with this generator, so that the processes of the pool end with it.
+    # The inner generator is closed with this one, so that the processes of the pool end with it.
     with closing(_run_serially(pending) if jobs <= 1 else _run_in_parallel(pending, jobs)) as summaries:
         for summary in summaries:
             yield _write_cached(cache, summary)
@@ -116,15 +116,15 @@
     pool = ProcessPoolExecutor(min(jobs, max(1, len(tasks))), get_context("spawn"), _ignore_interrupts)
     finished: SimpleQueue[Future[dict[str, Any]]] = SimpleQueue()
     try:
-        # An exception raised wherever Ctrl-C arrives could leave a lock of the pool held, and the program would hang
-        # at its end. The interrupt is noted, and raised where no lock is held.
+        # A KeyboardInterrupt raised at an arbitrary point could leave a lock of the pool held, and the program would
+        # hang on exit. The interrupt is recorded, and raised where no lock is held.
         with deferred_interrupt() as interrupts:
             for task in tasks:
                 pool.submit(run_task, task).add_done_callback(finished.put)
             for _ in tasks:
                 yield _next_finished(finished, interrupts).result()
     except BaseException:
-        # Runs in progress are lost anyway, and the pool's own shutdown would wait for all that are queued.
+        # Runs in progress are lost anyway, and the shutdown of the pool would wait for all queued runs.
         for process in list((pool._processes or {}).values()):
             process.kill()
         pool.shutdown(wait=False, cancel_futures=True)
@@ -143,16 +143,16 @@
 
 @contextmanager
 def deferred_interrupt() -> Iterator[list[int]]:
-    """Notes Ctrl-C in a list in place of raising an exception. Only the main thread receives signals."""
+    """Records Ctrl-C in a list instead of raising KeyboardInterrupt. Only the main thread can handle signals."""
     interrupts: list[int] = []
     if current_thread() is not main_thread():
         yield interrupts
         return
-    before = signal.signal(signal.SIGINT, lambda number, _: interrupts.append(number))
+    previous_handler = signal.signal(signal.SIGINT, lambda number, _: interrupts.append(number))
     try:
         yield interrupts
     finally:
-        signal.signal(signal.SIGINT, before)
+        signal.signal(signal.SIGINT, previous_handler)
 
 
 def _write_cached(cache: Path | None, summary: dict[str, Any]) -> dict[str, Any]:
@@ -165,10 +165,10 @@
     if cache is None:
         return None
     try:
-        found: dict[str, Any] = json.loads((cache / f"{task.key}.json").read_text(encoding="utf-8"))
+        summary: dict[str, Any] = json.loads((cache / f"{task.key}.json").read_text(encoding="utf-8"))
     except (OSError, ValueError):
         return None
-    return found if found.get("key") == task.key else None
+    return summary if summary.get("key") == task.key else None
 
 
 def sort_summaries(summaries: list[dict[str, Any]]) -> list[dict[str, Any]]:
--- a/glenrock/simulation/shared_health_checks.py
+++ b/glenrock/simulation/shared_health_checks.py
@@ -1,4 +1,4 @@
-"""Shared health checks in a simulation: `HealthCheckShards` of the program, at each balancer."""
+"""Shared health checks in a simulation: each balancer runs the production class `HealthCheckShards`."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from .engine import SECOND_US, Engine
 from .model.balancer import BalancerProcess
 
-UPDATE_INTERVAL_US = CHECK_INTERVAL_US // 5  # as in the program
-START_STAGGER_US = 997  # between the first updates of two balancers: processes of a fleet do not start at one time
+UPDATE_INTERVAL_US = CHECK_INTERVAL_US // 5  # as in production
+START_STAGGER_US = 997  # between the first updates of two balancers; the processes of a fleet do not start together
 SHARED_LOADS_TYPE = bytes([SHARED_LOADS])
 
 
@@ -23,8 +23,8 @@
     Attributes:
         send_health_check: checks a server for a balancer.
         send_gossip: sends a datagram from a balancer to its peers.
-        shards: by balancer, its incarnation and its shards.
-        load_ages_us: ages of the loads that were answered from a peer's check.
+        shards: the incarnation and the shards of each balancer, by its index.
+        load_ages_us: ages of the loads from peers that answered health checks.
     """
 
     def __init__(
@@ -70,7 +70,7 @@
             self.send_gossip(balancer, SHARED_LOADS_TYPE + data)
 
     def answer_from_peer(self, balancer: BalancerProcess, server: str) -> bool:
-        """Answers a health check with the load that a peer reported. Returns False if there is no fresh one."""
+        """Answers a health check with the load that a peer reported. Returns False if there is no recent load."""
         now, shards = self.engine.now, self._shards_of(balancer)
         load = shards.fresh_load(server, now)
         if load is None:
@@ -89,7 +89,7 @@
         self._shards_of(balancer).record_result(server, report.get(interface.LOAD_RATIO), self.engine.now)
 
     def receive(self, balancer: BalancerProcess, peer: int, data: bytes) -> bool:
-        """Receives a datagram of a peer. Returns whether it held shared loads, and no gossip summary."""
+        """Receives a datagram of a peer. Returns whether it contained shared loads, not a gossip summary."""
         shards, now = self._shards_of(balancer), self.engine.now
         shards.membership.record_heard(peer, now)  # type: ignore[attr-defined]
         if data[:1] != SHARED_LOADS_TYPE:
--- a/glenrock/simulation/spec.py
+++ b/glenrock/simulation/spec.py
@@ -1,7 +1,7 @@
-"""Experiment files: reads, merges and checks them.
+"""Reads, merges and checks experiment files.
 
-The tables are in `spec_tables` and `spec_faults`, the format in docs/simulation.md. An experiment is checked as a whole
-before a run begins; `InputFileError` names file, line and key.
+`spec_tables` and `spec_faults` define the tables; docs/simulation.md describes the format. An experiment is checked as
+a whole before a run begins; `InputFileError` names the file, the line and the key.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 def merge(base: dict[str, Any], over: dict[str, Any]) -> dict[str, Any]:
-    """Merges tables key by key; any other value of `over`, also a list, replaces that of `base`."""
+    """Merges tables key by key; any other value of `over`, lists too, replaces that of `base`."""
     merged = dict(base)
     for key, value in over.items():
         both_are_tables = isinstance(value, dict) and isinstance(merged.get(key), dict)
@@ -26,7 +26,11 @@
 
 
 def read_raw(path: Path, seen: tuple[Path, ...] = ()) -> tuple[dict[str, Any], str]:
-    """Reads a file merged over its bases. Returns the table and the text. Raises InputFileError."""
+    """Reads a file and merges it over its base files. Returns the table and the text of the file.
+
+    Raises:
+        InputFileError: a file cannot be read, or the base files form a cycle.
+    """
     raw, text = toml_file.read(path)
     base = raw.pop("base", None)
     if base is None:
@@ -35,9 +39,9 @@
         raise input_error(path, text, "base", "expected the name of a file")
     base_path = (path.parent / base).resolve()
     if base_path in seen or base_path == path.resolve():
-        raise input_error(path, text, "base", f"{base} leads back to this file")
+        raise input_error(path, text, "base", f"{base} leads back to this file: base files form a cycle")
     base_raw, _ = read_raw(base_path, (*seen, path.resolve()))
-    base_raw.pop("sweep", None)  # an experiment does not inherit axes
+    base_raw.pop("sweep", None)  # the axes of a sweep are not inherited
     return merge(base_raw, raw), text
 
 
@@ -49,7 +53,7 @@
 
 
 def load(path: Path, overrides: dict[str, Any] | None = None) -> Experiment:
-    """Reads and checks an experiment, at each value of its axes too. Raises InputFileError."""
+    """Reads an experiment, and checks it, also with each value of its sweep axes. Raises InputFileError."""
     raw, text = _read_with_overrides(path, overrides)
     experiment = toml_file.convert(path, text, raw, Experiment)
     check_experiment(experiment, path, text)
@@ -60,17 +64,20 @@
 
 
 def sweep_points(path: Path, overrides: dict[str, Any] | None = None) -> list[tuple[dict[str, Any], Experiment]]:
-    """Returns each point of the sweep, as values by path, with its experiment; one empty point without a sweep."""
+    """Returns each point of the sweep, as values by path, with its experiment.
+
+    Without a sweep there is one point, which has no values. Raises InputFileError.
+    """
     axes = load(path, overrides).sweep
     raw, text = _read_with_overrides(path, overrides)
-    found: list[tuple[dict[str, Any], dict[str, Any]]] = [({}, raw)]
+    points: list[tuple[dict[str, Any], dict[str, Any]]] = [({}, raw)]
     for key, values in axes.items():
-        found = [
-            ({**where, key: value}, replace_value(raw_there, key, value, path))
-            for where, raw_there in found
+        points = [
+            ({**point, key: value}, replace_value(point_raw, key, value, path))
+            for point, point_raw in points
             for value in values
         ]
-    return [(where, _convert_and_check(raw_there, path, text)) for where, raw_there in found]
+    return [(point, _convert_and_check(point_raw, path, text)) for point, point_raw in points]
 
 
 def _convert_and_check(raw: dict[str, Any], path: Path, text: str) -> Experiment:
@@ -93,7 +100,7 @@
     changed = copy.deepcopy(raw)
     steps = [name or int(number) for name, number in toml_file.PATH_STEP.findall(key)]
     table: Any = changed
-    missing = InputFileError(f"{path}: {key}: there is nothing at this path")
+    missing = InputFileError(f"{path}: {key}: no value at this path")
     for number, step in enumerate(steps[:-1]):
         if isinstance(table, dict) and step not in table and isinstance(steps[number + 1], str):
             table[step] = {}
--- a/glenrock/simulation/spec_checks.py
+++ b/glenrock/simulation/spec_checks.py
@@ -1,4 +1,4 @@
-"""Conditions of an experiment that the types of its keys do not say."""
+"""Checks conditions of an experiment that the types of its keys do not express."""
 
 from __future__ import annotations
 
@@ -25,7 +25,9 @@
     def check(self) -> None:
         """Checks all parts, in the order of the file."""
         for key, (least, most) in find_ranges(self.experiment):
-            self._need(least <= most, key, f"the range [{least:g}, {most:g}] runs backwards")
+            self._need(
+                least <= most, key, f"the lower bound of the range [{least:g}, {most:g}] exceeds the upper bound"
+            )
         self._check_names("kinds", [kind.name for kind in self.experiment.kinds])
         self._check_names("classes", [class_.name for class_ in self.experiment.classes])
         self._check_names("tenants", [tenant.name for tenant in self.experiment.tenants])
@@ -39,12 +41,12 @@
     def _check_names(self, key: str, names: list[str]) -> None:
         for number, name in enumerate(names):
             self._need(bool(name), f"{key}[{number}].name", "must not be empty")
-            self._need(name not in names[:number], f"{key}[{number}].name", f"{name!r} stands twice")
+            self._need(name not in names[:number], f"{key}[{number}].name", f"{name!r} is a duplicate")
 
     def _check_fleet(self) -> None:
         zones = self.experiment.fleet.zones
-        self._need(len(zones) >= 1 and all(zones), "fleet.zones", "at least one zone, none without a name")
-        self._need(len(set(zones)) == len(zones), "fleet.zones", "a zone stands twice")
+        self._need(len(zones) >= 1 and all(zones), "fleet.zones", "expected at least one zone, and no empty name")
+        self._need(len(set(zones)) == len(zones), "fleet.zones", "two zones have the same name")
         for number, kind in enumerate(self.experiment.kinds):
             self._need(lower_bound(kind.cold_part) > 0, f"kinds[{number}].cold_part", "must be above 0")
 
@@ -52,31 +54,37 @@
         classes = self.experiment.classes
         for number, class_ in enumerate(classes):
             is_within = upper_bound(class_.aim_ms) <= lower_bound(class_.give_up_ms)
-            self._need(is_within, f"classes[{number}].aim_ms", "must lie within give_up_ms")
-        some_live = any(lower_bound(class_.life) > 0 for class_ in classes)
-        none_lives = all(upper_bound(class_.life) == 0 for class_ in classes)
-        self._need(some_live or none_lives, "classes", "a life of 0 goes with no other life")
+            self._need(is_within, f"classes[{number}].aim_ms", "must not exceed give_up_ms")
+        some_have_a_life = any(lower_bound(class_.life) > 0 for class_ in classes)
+        none_has_a_life = all(upper_bound(class_.life) == 0 for class_ in classes)
+        self._need(
+            some_have_a_life or none_has_a_life,
+            "classes",
+            "either all classes have a life of 0, or at least one a life above 0 throughout its range",
+        )
 
     def _check_fault(self, fault: Fault, key: str) -> None:
         fleet, length_s = self.experiment.fleet, lower_bound(self.experiment.length_s)
-        self._need(lower_bound(fault.at_s) < length_s, f"{key}.at_s", f"is past the end of the day ({length_s:g} s)")
+        self._need(lower_bound(fault.at_s) < length_s, f"{key}.at_s", f"is after the end of the run ({length_s:g} s)")
         if isinstance(fault, ZoneCut):
-            self._need(len(fleet.zones) > 1, key, "a zone cut needs two zones")
+            self._need(len(fleet.zones) > 1, key, "a partition needs at least two zones")
         if isinstance(fault, Crash | ZoneCut):
             is_known = not fault.zone or fault.zone in fleet.zones
             self._need(is_known, f"{key}.zone", f"{fault.zone!r} is not one of fleet.zones")
         if isinstance(fault, SendAway):
             is_known = fault.balancer < lower_bound(fleet.balancers)
-            self._need(is_known, f"{key}.balancer", "there is no such balancer on every day")
+            self._need(is_known, f"{key}.balancer", "no such balancer with the smallest value of fleet.balancers")
         if isinstance(fault, TenantFlood):
             is_known = not fault.tenant or fault.tenant in {tenant.name for tenant in self.experiment.tenants}
             self._need(is_known, f"{key}.tenant", f"{fault.tenant!r} is not one of tenants")
 
     def _check_constants(self) -> None:
-        from .policies.module import OPEN  # policies import routing, which a reader of experiments does not need
+        from .policies.module import (
+            OPEN,
+        )  # imported here: policies import routing, which reading other experiments does not need
 
         for name in self.experiment.constants:
-            self._need(name in OPEN, f"constants.{name}", "not an open constant of the routing decisions")
+            self._need(name in OPEN, f"constants.{name}", "not a tunable constant of the routing decisions")
 
     def _check_goal(self) -> None:
         goal = self.experiment.goal
@@ -85,5 +93,5 @@
 
 
 def check_experiment(experiment: Experiment, path: Path, text: str) -> None:
-    """Checks what the types alone do not say. Raises InputFileError."""
+    """Checks what the types of the keys do not express. Raises InputFileError."""
     _ExperimentChecker(experiment, path, text).check()
--- a/glenrock/simulation/spec_faults.py
+++ b/glenrock/simulation/spec_faults.py
@@ -1,4 +1,4 @@
-"""The kinds of fault in an experiment file. `faults` injects them."""
+"""The kinds of fault in an experiment file. The module `faults` injects them."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def fault_kind_name(type_name: str) -> str:
-    """Returns the name of a kind of fault in a file, as `zone_cut` for `ZoneCut`."""
+    """Returns the name of a kind of fault in a file, such as `zone_cut` for `ZoneCut`."""
     return re.sub(r"(?<=.)([A-Z])", r"_\1", type_name).lower()
 
 
@@ -26,7 +26,7 @@
 
     part: FractionOrRange = 0.25
     down_s: NonNegativeOrRange = 10.0
-    zone: str = ""  # of this zone alone; empty: all zones
+    zone: str = ""  # only servers in this zone; empty: all zones
 
 
 class ZoneCut(Fault, frozen=True):
@@ -40,8 +40,8 @@
     """Restarts balancers in batches over `for_s`; each starts with its cached endpoint list."""
 
     for_s: PositiveOrRange = 15.0
-    part: FractionOrRange = 0.8  # of all balancers, those that restart
-    batch: FractionOrRange = 0.25  # at a time, of all; at least one
+    part: FractionOrRange = 0.8  # fraction of the balancers that restart
+    batch: FractionOrRange = 0.25  # fraction restarted at a time; at least one
     down_s: PositiveOrRange = 1.0
     hand_back_s: NonNegativeOrRange = 0.0  # duration of the graceful shutdown; 0: the process is killed
 
@@ -54,7 +54,7 @@
 
 
 class Slow(Fault, frozen=True):
-    """A part of the servers works at `speed` of its own for `for_s`; at 0 they answer nothing."""
+    """A fraction of the servers slows to the fraction `speed` of its speed for `for_s`; at 0 they do not answer."""
 
     part: FractionOrRange = 0.1
     speed: FractionOrRange = 0.3
@@ -62,27 +62,27 @@
 
 
 class DiscoverySilence(Fault, frozen=True):
-    """Discovery publishes nothing for `for_s`, and the missed changes afterwards."""
+    """Discovery publishes no changes for `for_s`, and publishes the missed ones afterwards."""
 
     for_s: PositiveOrRange = 10.0
 
 
 class StaleList(Fault, frozen=True):
-    """Balancers that start within `for_s` are given a list that is `age_s` old."""
+    """Balancers that start within `for_s` read an endpoint list that is `age_s` old."""
 
     for_s: PositiveOrRange = 10.0
     age_s: PositiveOrRange = 20.0
 
 
 class FlashCrowd(Fault, frozen=True):
-    """Arrivals are multiplied for `for_s`."""
+    """Arrivals are multiplied by `times` for `for_s`."""
 
     times: PositiveOrRange = 3.0
     for_s: PositiveOrRange = 8.0
 
 
 class TenantFlood(Fault, frozen=True):
-    """Arrivals of one tenant are multiplied for `for_s`."""
+    """Arrivals of one tenant are multiplied by `times` for `for_s`."""
 
     tenant: str = ""  # empty: the first
     times: PositiveOrRange = 8.0
@@ -93,21 +93,21 @@
     """A deployment: servers drain in batches, stop after `drain_s` and restart in slow start."""
 
     part: FractionOrRange = 0.5
-    batch: FractionOrRange = 0.1  # at a time, of all; at least one
+    batch: FractionOrRange = 0.1  # fraction restarted at a time; at least one
     every_s: PositiveOrRange = 5.0
     drain_s: NonNegativeOrRange = 8.0
     down_s: PositiveOrRange = 3.0
 
 
 class PeerLoss(Fault, frozen=True):
-    """Messages between balancers are lost with this chance for `for_s`."""
+    """Gossip between balancers is lost with the probability `loss` for `for_s`."""
 
     loss: FractionOrRange = 1.0
     for_s: PositiveOrRange = 10.0
 
 
 class Errs(Fault, frozen=True):
-    """A part of the servers answers `ERR` to set-ups, with this chance each, for `for_s`."""
+    """A fraction of the servers answers `ERR` to each attempt with the probability `chance` for `for_s`."""
 
     part: FractionOrRange = 0.2
     chance: FractionOrRange = 1.0
@@ -120,11 +120,11 @@
     for_s: PositiveOrRange = 7.4
     restart_s: PositiveOrRange = 4.0
     down_s: PositiveOrRange = 2.0
-    spread_s: NonNegativeOrRange = 0.05  # between the calls to two balancers
+    spread_s: NonNegativeOrRange = 0.05  # between the operator's calls to two balancers
 
 
 class SendAway(Fault, frozen=True):
-    """Operators drain a balancer; it accepts clients again after `for_s`."""
+    """An operator drains a balancer; it accepts clients again after `for_s`."""
 
     balancer: Annotated[int, Meta(ge=0)] = 0
     for_s: PositiveOrRange = 4.5
--- a/glenrock/simulation/spec_ranges.py
+++ b/glenrock/simulation/spec_ranges.py
@@ -1,4 +1,4 @@
-"""Ranges of an experiment, and the numbers that are drawn from them for a seed."""
+"""Finds the ranges in an experiment, and draws a number from each for a seed."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 
 
 def lower_bound(value: Any) -> Any:
-    """Returns the least value of a range, or the value itself."""
+    """Returns the lower bound of a range, or the value itself if it is a number."""
     return value[0] if isinstance(value, tuple) else value
 
 
 def upper_bound(value: Any) -> Any:
-    """Returns the greatest value of a range, or the value itself."""
+    """Returns the upper bound of a range, or the value itself if it is a number."""
     return value[1] if isinstance(value, tuple) else value
 
 
 def is_range(value: Any) -> bool:
-    """Returns whether a value is a pair of numbers."""
+    """Returns whether a value is a range: a pair of numbers."""
     return (
         isinstance(value, tuple)
         and len(value) == 2
@@ -47,7 +47,7 @@
 
 
 def draw_ranges(experiment: Experiment, seed: int) -> Experiment:
-    """Replaces each range by a number, drawn for the seed from a stream of its path."""
+    """Replaces each range by a number, drawn for the seed from the random stream named after its path."""
     result: Experiment = _draw_value(experiment, "", Streams(seed))
     return result
 
--- a/glenrock/simulation/stats.py
+++ b/glenrock/simulation/stats.py
@@ -1,4 +1,4 @@
-"""Intervals and tests over seeds: bootstrap and exact sign test, which assume no distribution."""
+"""Confidence intervals and tests over seeds: bootstrap and exact sign test, which assume no distribution."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def bootstrap_interval(values: Sequence[float]) -> tuple[float, float, float]:
-    """Returns the mean and its 95% bootstrap interval (percentiles; Efron 1979); all equal for a single value."""
+    """Returns the mean and its 95% bootstrap interval (percentile method; Efron, 1979); all equal for one value."""
     sample = np.array(values, dtype=float)
     if len(sample) < 2:
         return float(sample[0]), float(sample[0]), float(sample[0])
@@ -23,7 +23,7 @@
 
 
 def sign_test(differences: Sequence[float]) -> float:
-    """Returns the two-sided p value of the wins and losses among pairs. Ties are left out."""
+    """Returns the two-sided p value of the sign test on paired differences. Ties are left out."""
     wins = sum(difference > 0 for difference in differences)
     decided = wins + sum(difference < 0 for difference in differences)
     if decided == 0:
--- a/tests/simulation/test_by_hand.py
+++ b/tests/simulation/test_by_hand.py
@@ -1,4 +1,4 @@
-"""Manual suspensions and drains in the simulation, and instances that answer ERR: effects and violations."""
+"""Operators' suspensions and drains in the simulation, and servers that answer ERR: effects and violations."""
 
 from __future__ import annotations
 
@@ -23,10 +23,12 @@
     simulation.engine.run(simulation.start_us + 5_500_000)
     assert not busiest.is_up or not busiest.open_connections
     simulation.engine.run(simulation.start_us + 7_900_000)
-    assert busiest.is_up and busiest.started_us and not busiest.open_connections, "it runs again and stays suspended"
+    assert busiest.is_up and busiest.started_us and not busiest.open_connections, (
+        "it is running again and still suspended"
+    )
     simulation.engine.run(simulation.start_us + 11_900_000)
     assert busiest.open_connections and not any(balancer.suspended_since_us for balancer in simulation.balancers), (
-        "its end, noticed after its start, is no suspension"
+        "discovery reports its end after its restart; that must not suspend it"
     )
     assert not any(simulation.invariants.counts.values())
 
@@ -56,7 +58,7 @@
     simulation.engine.run(simulation.start_us + 5_300_000)
     assert not any(request.open_attempt() for request in simulation.balancers[1].requests.values())
     assert len(simulation.connected_clients) > before / 2 and simulation.balancers[1].is_up, (
-        "its clients are at the other balancer"
+        "its clients have moved to the other balancer"
     )
     simulation.engine.run(simulation.start_us + 11_900_000)
     assert any(request.established for request in simulation.balancers[1].requests.values()) and not any(
@@ -93,9 +95,11 @@
         return failed, sum(balancer.outcomes.get(RequestOutcome.ESTABLISHED, 0) for balancer in simulation.balancers)
 
     never, half, always = errors(0.0), errors(0.5), errors(1.0)
-    assert never[0] < half[0] < always[0] and always[1] > 0, "set-ups outside of these four seconds succeed"
+    assert never[0] < half[0] < always[0] and always[1] > 0, "set-ups outside these four seconds succeed"
 
 
 def test_drain_must_name_a_balancer_that_every_seed_has() -> None:
-    with pytest.raises(InputFileError, match=r"faults\[0\].balancer: there is no such balancer"):
+    with pytest.raises(
+        InputFileError, match=r"faults\[0\].balancer: no such balancer with the smallest value of fleet.balancers"
+    ):
         small_experiment(fleet={"balancers": [1, 3]}, faults=[{"kind": "send_away", "at_s": 2.0, "balancer": 1}])
--- a/tests/simulation/test_conservation.py
+++ b/tests/simulation/test_conservation.py
@@ -1,4 +1,4 @@
-"""Conservation of requests, work and connections over drawn fleets and faults; runs that repeat exactly."""
+"""Conservation of requests, work and connections under random fleets and faults; runs that repeat exactly."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
     ),
     st.builds(lambda at_s, for_s: {"kind": "zone_cut", "at_s": at_s, "for_s": for_s}, TIMES, st.floats(0.5, 8.0)),
     st.builds(
-        lambda at_s, back: {
+        lambda at_s, shutdown_s: {
             "kind": "balancer_roll",
             "at_s": at_s,
             "for_s": 3.0,
             "part": 1.0,
             "batch": 0.3,
             "down_s": 0.5,
-            "hand_back_s": back,
+            "hand_back_s": shutdown_s,
         },
         TIMES,
         st.sampled_from([0.0, 1.0]),
@@ -93,7 +93,7 @@
     assert not summary["failure"]
     assert not any(summary["rules"][rule] for rule in ("repeated", "drained")), summary["breaches"][0]
     for balancer in simulation.balancers:
-        # Each request that arrived has one outcome, or its balancer still has it. A second outcome raises in
+        # Each request that arrived has one outcome, or is still open at its balancer. A second outcome raises in
         # `BalancerProcess.record_outcome`.
         without_outcome = sum(request.outcome is None for request in balancer.requests.values())
         assert balancer.arrived_requests == sum(balancer.outcomes.values()) + without_outcome
@@ -106,7 +106,7 @@
         assert abs(work.demanded - work.done - work.lost - server.backlog) <= 1e-6 * max(1.0, work.demanded) + 1
         waiting = sum(not is_set_up for is_set_up in server.pending_attempts.values())
         assert work.attempts == work.attempts_set_up + work.attempts_lost + work.attempts_abandoned + waiting
-        # An open connection is that of a client that still wants it, at a running balancer.
+        # Each open connection belongs to a client that still wants it, and to a running balancer.
         for attempt, connection in server.open_connections.items():
             assert (
                 connection.attempt.request.client.connection is connection
@@ -127,7 +127,7 @@
     assert -1e-6 <= served <= demanded * (1 + 1e-9) + 1e-6
 
 
-# Two servers that lose their capacity at once; drawn examples reach this only now and then.
+# Two servers that lose their capacity at once; random examples seldom reach this case.
 WITHOUT_CAPACITY = {
     "fleet": {"balancers": 2, "instances": 2},
     "traffic": {"load": 0.5, "group_cost": 0.0},
@@ -182,12 +182,12 @@
     assert crashed[0] == crashed[1] and len(crashed[0]) == 2
 
 
-def test_added_arrivals_leave_the_usual_ones_unchanged() -> None:
+def test_additional_arrivals_leave_the_others_unchanged() -> None:
     plain = FleetSimulation(small_experiment(), 3, "random").workload
-    more = FleetSimulation(
+    crowded = FleetSimulation(
         small_experiment(faults=[{"kind": "flash_crowd", "at_s": 2.0, "times": 4.0, "for_s": 2.0}]), 3, "random"
     ).workload
-    assert len(more.clients) > len(plain.clients)
+    assert len(crowded.clients) > len(plain.clients)
     assert {client.arrival_us for client in plain.clients if client.arrival_us >= 0} <= {
-        client.arrival_us for client in more.clients
+        client.arrival_us for client in crowded.clients
     }
--- a/tests/simulation/test_determinism.py
+++ b/tests/simulation/test_determinism.py
@@ -1,4 +1,4 @@
-"""Runs in two processes with different hash seeds: the summaries are equal to the last digit."""
+"""Runs in two processes with different hash seeds have summaries that are equal to the last digit."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from .rig import EXPERIMENTS
 
 RUN_TIMEOUT_S = 120
-SMALLER = {"fleet.balancers": 8, "fleet.instances": 12, "length_s": 12.0}
+REDUCTIONS = {"fleet.balancers": 8, "fleet.instances": 12, "length_s": 12.0}
 PROGRAM = """
 import sys
 from pathlib import Path
@@ -24,8 +24,8 @@
 
 
 def summary_text(experiment: str, hash_seed: int) -> str:
-    """Returns the summary of a smaller experiment, run by a process of its own with this PYTHONHASHSEED."""
-    program = PROGRAM.format(overrides=SMALLER)
+    """Returns the summary of a smaller experiment, run in a separate process with this PYTHONHASHSEED."""
+    program = PROGRAM.format(overrides=REDUCTIONS)
     environment = {**os.environ, "PYTHONHASHSEED": str(hash_seed)}
     path = str(EXPERIMENTS / f"{experiment}.toml")
     finished = subprocess.run(
--- a/tests/simulation/test_faults.py
+++ b/tests/simulation/test_faults.py
@@ -1,4 +1,4 @@
-"""Each kind of fault: its effect on servers, balancers, links, discovery and arrivals."""
+"""The effect of each kind of fault on servers, balancers, links, discovery and arrivals."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
     assert summary["counts"]["attempts"] > 100
 
 
-def test_crashed_servers_restart_warming_and_discovery_notices_late() -> None:
+def test_crashed_servers_restart_in_slow_start_and_discovery_notices_late() -> None:
     simulation = with_fault(
         kind="crash", at_s=3.0, part=0.5, down_s=4.0, overrides={"discovery": {"notice_s": 1.0, "add_s": 0.5}}
     )
@@ -151,17 +151,19 @@
     assert len(simulation.connected_clients) > 0.8 * before
 
 
-def test_slow_servers_have_their_speed_and_stopped_ones_answer_nothing() -> None:
+def test_slow_servers_have_reduced_capacity_and_servers_at_speed_zero_do_not_answer() -> None:
     simulation = with_fault(kind="slow", at_s=2.0, part=0.5, speed=0.25, for_s=3.0)
-    whole = [server.capacity(simulation.engine.now) for server in simulation.servers.values()]
+    full_capacities = [server.capacity(simulation.engine.now) for server in simulation.servers.values()]
     run_until(simulation, 2.1)
     fractions = [
         server.capacity(simulation.engine.now) / capacity
-        for server, capacity in zip(simulation.servers.values(), whole, strict=True)
+        for server, capacity in zip(simulation.servers.values(), full_capacities, strict=True)
     ]
     assert sorted(fractions) == pytest.approx([0.25, 0.25, 1, 1])
     run_until(simulation, 5.1)
-    assert [server.capacity(simulation.engine.now) for server in simulation.servers.values()] == pytest.approx(whole)
+    assert [server.capacity(simulation.engine.now) for server in simulation.servers.values()] == pytest.approx(
+        full_capacities
+    )
 
     simulation = with_fault(make_policy=ScriptedPolicy, kind="slow", at_s=2.0, part=1.0, speed=0.0, for_s=20.0)
     run_until(simulation, 10.0)
@@ -202,7 +204,7 @@
 
 
 def count_arrivals(simulation: FleetSimulation, tenant: int, from_s: float, to_s: float) -> int:
-    """Returns how many clients of a tenant arrive in a span of seconds."""
+    """Returns how many clients of a tenant arrive between two times."""
     return sum(
         from_s <= client.arrival_us / 1e6 < to_s and client.tenant == tenant for client in simulation.workload.clients
     )
@@ -217,9 +219,9 @@
         simulation = small_simulation(faults=[{**fault, "at_s": 4.0, "for_s": 4.0}], traffic={"load": 0.6})
 
         for tenant in (0, 1):
-            usual = count_arrivals(plain, tenant, 0, 12) / 12 * 4
+            expected = count_arrivals(plain, tenant, 0, 12) / 12 * 4
             factor = 5 if tenant in tenants else 1
-            assert count_arrivals(simulation, tenant, 4, 8) == pytest.approx(factor * usual, rel=0.45)
+            assert count_arrivals(simulation, tenant, 4, 8) == pytest.approx(factor * expected, rel=0.45)
             assert count_arrivals(simulation, tenant, 8, 12) == count_arrivals(plain, tenant, 8, 12)
 
 
--- a/tests/simulation/test_pinned.py
+++ b/tests/simulation/test_pinned.py
@@ -1,4 +1,4 @@
-"""Recorded runs repeat: each summary is equal to the recorded one, to the last digit (tests/recorded/README.md)."""
+"""Runs repeat exactly: each summary is equal to the recorded one, to the last digit (tests/recorded/README.md)."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 ROOT = Path(__file__).resolve().parents[2]
 RECORDED = sorted((ROOT / "tests/recorded/lab").glob("*-seed*.json"))
-MACHINE_DEPENDENT_KEYS = ("key", "clock", "events_per_s")  # digest of routing's text, and times
+MACHINE_DEPENDENT_KEYS = ("key", "clock", "events_per_s")  # digest of the routing source, and times
 
 
 def test_ten_runs_are_recorded() -> None:
@@ -21,8 +21,8 @@
 @pytest.mark.parametrize("path", RECORDED, ids=lambda path: path.stem)
 def test_run_is_equal_to_the_recorded_one(path: Path) -> None:
     name, _, seed = path.stem.rpartition("-seed")
-    where, experiment = spec.sweep_points(ROOT / "experiments" / f"{name}.toml", {})[-1]
-    summary = runner.run_task(runner.Task(experiment, where, int(seed), "glenrock"))
+    sweep_point, experiment = spec.sweep_points(ROOT / "experiments" / f"{name}.toml", {})[-1]
+    summary = runner.run_task(runner.Task(experiment, sweep_point, int(seed), "glenrock"))
     for key in MACHINE_DEPENDENT_KEYS:
         del summary[key]
     assert json.loads(json.dumps(summary)) == json.loads(path.read_bytes())
--- a/tests/simulation/test_spec.py
+++ b/tests/simulation/test_spec.py
@@ -11,7 +11,7 @@
 from glenrock.toml_file import InputFileError, line_numbers
 
 ROOT = Path(__file__).resolve().parents[2]
-GOOD = """name = "x"
+VALID_EXPERIMENT = """name = "x"
 [fleet]
 balancers = 2
 [[classes]]
@@ -25,7 +25,7 @@
 
 
 def error_of(tmp_path: Path, text: str, old: str = "", new: str = "") -> str:
-    """Returns the error of a text after a replacement, which is one line."""
+    """Returns the error of an experiment after a replacement in its text; checks that it is one line."""
     path = tmp_path / "x.toml"
     path.write_text(text.replace(old, new, 1) if old else text)
     with pytest.raises(InputFileError) as raised:
@@ -40,28 +40,32 @@
         ("balancers = 2", "balancer = 2", "x.toml:3: fleet.balancer: not a key that is known here"),
         ("balancers = 2", "balancers = 0", "x.toml:3: fleet.balancers: Expected `int` >= 1"),
         ("balancers = 2", 'balancers = "two"', "x.toml:3: fleet.balancers: Expected `int | array`, got `str`"),
-        ("balancers = 2", "balancers = [4, 2]", "x.toml:3: fleet.balancers: the range [4, 2] runs backwards"),
+        (
+            "balancers = 2",
+            "balancers = [4, 2]",
+            "x.toml:3: fleet.balancers: the lower bound of the range [4, 2] exceeds the upper bound",
+        ),
         ("balancers = 2", "balancers = [1, 2, 3]", "x.toml:3: fleet.balancers: Expected `array` of length <= 2"),
         ("balancers = 2", "balancers 2", "x.toml: Expected '=' after a key"),
-        ('name = "b"', 'name = "a"', "x.toml:7: classes[1].name: 'a' stands twice"),
+        ('name = "b"', 'name = "a"', "x.toml:7: classes[1].name: 'a' is a duplicate"),
         ('name = "b"', 'name = "b"\nlife_ms = 4', "x.toml:8: classes[1].life_ms: not a key that is known here"),
-        ('name = "b"', 'name = "b"\naim_ms = 9e9', "x.toml:8: classes[1].aim_ms: must lie within give_up_ms"),
+        ('name = "b"', 'name = "b"\naim_ms = 9e9', "x.toml:8: classes[1].aim_ms: must not exceed give_up_ms"),
         ('kind = "crash"', 'kind = "flood"', "x.toml:9: faults[0].kind: Invalid value 'flood'"),
         ("at_s = 1.0", "at_s = 1.0\npart = 1.5", "x.toml:11: faults[0].part: Expected `float` <= 1.0"),
-        ("at_s = 1.0", "at_s = 100.0", "x.toml:10: faults[0].at_s: is past the end of the day"),
-        ("[[faults]]", "[constants]\nNO_SUCH = 1.0\n[[faults]]", "x.toml:9: constants.NO_SUCH: not an open constant"),
+        ("at_s = 1.0", "at_s = 100.0", "x.toml:10: faults[0].at_s: is after the end of the run"),
+        ("[[faults]]", "[constants]\nNO_SUCH = 1.0\n[[faults]]", "x.toml:9: constants.NO_SUCH: not a tunable constant"),
         ("[[faults]]", "[goal]\nwhole = 0.9\n[[faults]]", "x.toml:8: goal: weights must add up to 1"),
         ("[[faults]]", '[sweep]\n"fleet.balancers" = [2, 0]\n[[faults]]', "x.toml:8: sweep: fleet.balancers = 0: "),
-        ("[[faults]]", '[sweep]\n"faults[3].part" = [0.1]\n[[faults]]', "there is nothing at this path"),
-        ('name = "x"', 'name = "x"\nbase = "x.toml"', "leads back to this file"),
+        ("[[faults]]", '[sweep]\n"faults[3].part" = [0.1]\n[[faults]]', "no value at this path"),
+        ('name = "x"', 'name = "x"\nbase = "x.toml"', "leads back to this file: base files form a cycle"),
         ('name = "x"', 'name = "x"\nbase = "gone.toml"', "No such file or directory"),
     ],
 )
 def test_error_names_file_line_and_key(tmp_path: Path, old: str, new: str, error: str) -> None:
-    assert error in error_of(tmp_path, GOOD, old, new)
+    assert error in error_of(tmp_path, VALID_EXPERIMENT, old, new)
 
 
-def test_file_that_is_no_utf8_is_an_error(tmp_path: Path) -> None:
+def test_file_that_is_not_utf8_is_an_error(tmp_path: Path) -> None:
     (tmp_path / "x.toml").write_bytes(b'name = "\xff"')
     with pytest.raises(InputFileError, match="not UTF-8 at byte 8"):
         spec.load(tmp_path / "x.toml")
@@ -82,7 +86,7 @@
 
 
 def test_base_is_merged_key_by_key_and_lists_are_replaced(tmp_path: Path) -> None:
-    (tmp_path / "base.toml").write_text(GOOD + "[sweep]\n'traffic.load' = [0.1]\n")
+    (tmp_path / "base.toml").write_text(VALID_EXPERIMENT + "[sweep]\n'traffic.load' = [0.1]\n")
     (tmp_path / "x.toml").write_text(
         'base = "base.toml"\nname = "y"\n[fleet]\ninstances = 3\n[[faults]]\nkind = "slow"\nat_s = 2.0\n'
     )
