--- a/glenrock/simulation/faults.py
+++ b/glenrock/simulation/faults.py
@@ -10,7 +10,7 @@
 
 import numpy as np
 
-from . import spec_faults as spec
+from . import spec_faults
 from .engine import SECOND_US
 from .model.balancer import BalancerProcess
 from .model.requests import Attempt
@@ -39,7 +39,7 @@
     return [server for server in simulation.servers.values() if server.is_up]
 
 
-def crash_servers(simulation: ProcessControl, fault: spec.Crash, generator: np.random.Generator) -> None:
+def crash_servers(simulation: ProcessControl, fault: spec_faults.Crash, generator: np.random.Generator) -> None:
     """Ends the processes of random servers, and starts them again."""
     candidates = [
         server for server in _running_servers(simulation) if fault.zone in ("", simulation.zones[server.shape.zone])
@@ -51,14 +51,16 @@
             engine.at(engine.now + to_us(fault.down_s), simulation.start_server, server)
 
 
-def partition_zone(simulation: ProcessControl, fault: spec.ZoneCut, generator: np.random.Generator) -> None:
+def partition_zone(simulation: ProcessControl, fault: spec_faults.ZoneCut, generator: np.random.Generator) -> None:
     """Partitions a zone, and heals it."""
     zone = simulation.zones.index(fault.zone) if fault.zone else 0
     simulation.partition_zone(zone)
     simulation.engine.at(simulation.engine.now + to_us(fault.for_s), simulation.heal_zone, zone)
 
 
-def restart_balancers(simulation: ProcessControl, fault: spec.BalancerRoll, generator: np.random.Generator) -> None:
+def restart_balancers(
+    simulation: ProcessControl, fault: spec_faults.BalancerRoll, generator: np.random.Generator
+) -> None:
     """Restarts random balancers in batches."""
     order = draw_targets(generator, simulation.balancers, fault.part)
     batch_size = max(1, round(drawn_number(fault.batch) * len(simulation.balancers)))
@@ -83,7 +85,7 @@
     engine.at(engine.now + shutdown_us + down_us, simulation.start_balancer, balancer)
 
 
-def drop_connections(simulation: ProcessControl, fault: spec.Reconnect, generator: np.random.Generator) -> None:
+def drop_connections(simulation: ProcessControl, fault: spec_faults.Reconnect, generator: np.random.Generator) -> None:
     """Drops random connections from their client side."""
     connections = [
         connection for server in simulation.servers.values() for connection in server.open_connections.values()
@@ -92,7 +94,7 @@
         simulation.drop_client_side(connection, round(float(generator.random()) * to_us(fault.within_s)))
 
 
-def slow_servers(simulation: ProcessControl, fault: spec.Slow, generator: np.random.Generator) -> None:
+def slow_servers(simulation: ProcessControl, fault: spec_faults.Slow, generator: np.random.Generator) -> None:
     """Slows random servers down."""
     targets = draw_targets(generator, _running_servers(simulation), fault.part)
     engine = simulation.engine
@@ -108,7 +110,7 @@
             server.set_speed_fraction(simulation.engine.now, 1.0)
 
 
-def fail_setups(simulation: ProcessControl, fault: spec.Errs, generator: np.random.Generator) -> None:
+def fail_setups(simulation: ProcessControl, fault: spec_faults.Errs, generator: np.random.Generator) -> None:
     """Makes random servers answer ERR."""
     targets = draw_targets(generator, _running_servers(simulation), fault.part)
     for server in targets:
@@ -122,13 +124,17 @@
         simulation.error_chances.pop(name, None)
 
 
-def silence_discovery(simulation: ProcessControl, fault: spec.DiscoverySilence, generator: np.random.Generator) -> None:
+def silence_discovery(
+    simulation: ProcessControl, fault: spec_faults.DiscoverySilence, generator: np.random.Generator
+) -> None:
     """Stops updates from service discovery for a while."""
     end_us = simulation.engine.now + to_us(fault.for_s)
     simulation.feed.silent_until_us = max(simulation.feed.silent_until_us, end_us)
 
 
-def provide_stale_list(simulation: ProcessControl, fault: spec.StaleList, generator: np.random.Generator) -> None:
+def provide_stale_list(
+    simulation: ProcessControl, fault: spec_faults.StaleList, generator: np.random.Generator
+) -> None:
     """Makes balancers start with an old endpoint list for a while."""
     simulation.feed.cached_list_age_us = to_us(fault.age_s)
     simulation.engine.at(simulation.engine.now + to_us(fault.for_s), _end_stale_list, simulation)
@@ -139,12 +145,12 @@
 
 
 def do_nothing(
-    simulation: ProcessControl, fault: spec.FlashCrowd | spec.TenantFlood, generator: np.random.Generator
+    simulation: ProcessControl, fault: spec_faults.FlashCrowd | spec_faults.TenantFlood, generator: np.random.Generator
 ) -> None:
     """Does nothing: the workload (`model.workload`) already contains the additional clients."""
 
 
-def deploy_servers(simulation: ProcessControl, fault: spec.Drains, generator: np.random.Generator) -> None:
+def deploy_servers(simulation: ProcessControl, fault: spec_faults.Drains, generator: np.random.Generator) -> None:
     """Drains, stops and starts random servers in batches, as a deployment does."""
     order = draw_targets(generator, _running_servers(simulation), fault.part)
     batch_size = max(1, round(drawn_number(fault.batch) * len(simulation.servers)))
@@ -158,7 +164,9 @@
             engine.at(stop_us + to_us(fault.down_s), simulation.start_server, server)
 
 
-def suspend_busiest_server(simulation: ProcessControl, fault: spec.ByHand, generator: np.random.Generator) -> None:
+def suspend_busiest_server(
+    simulation: ProcessControl, fault: spec_faults.ByHand, generator: np.random.Generator
+) -> None:
     """Suspends the server with the most connections on every balancer, restarts it, and ends the suspension."""
     server = max(
         _running_servers(simulation),
@@ -177,7 +185,7 @@
     engine.at(stop_us + to_us(fault.down_s), simulation.start_server, server)
 
 
-def drain_balancer(simulation: ProcessControl, fault: spec.SendAway, generator: np.random.Generator) -> None:
+def drain_balancer(simulation: ProcessControl, fault: spec_faults.SendAway, generator: np.random.Generator) -> None:
     """Drains a balancer as an operator does, and ends the drain."""
     balancer = simulation.balancers[fault.balancer]
     engine = simulation.engine
@@ -187,7 +195,7 @@
         engine.at(end_us, simulation.end_manual_drain, balancer, balancer.incarnation)
 
 
-def lose_gossip(simulation: ProcessControl, fault: spec.PeerLoss, generator: np.random.Generator) -> None:
+def lose_gossip(simulation: ProcessControl, fault: spec_faults.PeerLoss, generator: np.random.Generator) -> None:
     """Loses gossip between balancers for a while."""
     simulation.links.peer_delivery_fraction = 1 - drawn_number(fault.loss)
     simulation.engine.at(simulation.engine.now + to_us(fault.for_s), _end_gossip_loss, simulation)
@@ -197,31 +205,31 @@
     simulation.links.peer_delivery_fraction = 1.0
 
 
-INJECTORS: dict[type[spec.Fault], Callable[[Any, Any, np.random.Generator], None]] = {
-    spec.Crash: crash_servers,
-    spec.ZoneCut: partition_zone,
-    spec.BalancerRoll: restart_balancers,
-    spec.Reconnect: drop_connections,
-    spec.Slow: slow_servers,
-    spec.DiscoverySilence: silence_discovery,
-    spec.StaleList: provide_stale_list,
-    spec.FlashCrowd: do_nothing,
-    spec.TenantFlood: do_nothing,
-    spec.Drains: deploy_servers,
-    spec.PeerLoss: lose_gossip,
-    spec.Errs: fail_setups,
-    spec.ByHand: suspend_busiest_server,
-    spec.SendAway: drain_balancer,
+INJECTORS: dict[type[spec_faults.Fault], Callable[[Any, Any, np.random.Generator], None]] = {
+    spec_faults.Crash: crash_servers,
+    spec_faults.ZoneCut: partition_zone,
+    spec_faults.BalancerRoll: restart_balancers,
+    spec_faults.Reconnect: drop_connections,
+    spec_faults.Slow: slow_servers,
+    spec_faults.DiscoverySilence: silence_discovery,
+    spec_faults.StaleList: provide_stale_list,
+    spec_faults.FlashCrowd: do_nothing,
+    spec_faults.TenantFlood: do_nothing,
+    spec_faults.Drains: deploy_servers,
+    spec_faults.PeerLoss: lose_gossip,
+    spec_faults.Errs: fail_setups,
+    spec_faults.ByHand: suspend_busiest_server,
+    spec_faults.SendAway: drain_balancer,
 }
 
 
-def duration_s(fault: spec.Fault) -> float:
+def duration_s(fault: spec_faults.Fault) -> float:
     """Returns how long the cause of a fault lasts, in seconds. Reports shade this period."""
-    if isinstance(fault, spec.Crash):
+    if isinstance(fault, spec_faults.Crash):
         return drawn_number(fault.down_s)
-    if isinstance(fault, spec.Reconnect):
+    if isinstance(fault, spec_faults.Reconnect):
         return drawn_number(fault.within_s)
-    if isinstance(fault, spec.Drains):
+    if isinstance(fault, spec_faults.Drains):
         batches = max(1, round(drawn_number(fault.part) / max(1e-9, drawn_number(fault.batch))))
         return drawn_number(fault.every_s) * (batches - 1) + drawn_number(fault.drain_s) + drawn_number(fault.down_s)
     return drawn_number(getattr(fault, "for_s", 0.0))
--- a/glenrock/simulation/measure.py
+++ b/glenrock/simulation/measure.py
@@ -172,12 +172,12 @@
         whole = ratio(served.sum(), demanded.sum())
         worst_window = self._worst_window(served.sum(axis=1), demanded.sum(axis=1))
         classes = {
-            class_.name: ratio(served[:, kind].sum(), demanded[:, kind].sum())
-            for kind, class_ in enumerate(self.experiment.classes)
+            class_.name: ratio(served[:, class_index].sum(), demanded[:, class_index].sum())
+            for class_index, class_ in enumerate(self.experiment.classes)
         }
         tenants = {
-            tenant.name: ratio(self.tenant_served_in_quota[number], self.tenant_demanded_in_quota[number])
-            for number, tenant in enumerate(self.experiment.tenants)
+            tenant.name: ratio(self.tenant_served_in_quota[index], self.tenant_demanded_in_quota[index])
+            for index, tenant in enumerate(self.experiment.tenants)
         }
         worst_class, worst_tenant = min(classes.values()), min(tenants.values())
         weights, prices = self.experiment.goal, self._prices()
@@ -229,7 +229,7 @@
     def fairness(self) -> float:
         """Returns Jain's index over the tenants' worth; 1 if all are equal."""
         worths = np.array(
-            [ratio(served, wanted) for served, wanted in zip(self.tenant_served, self.tenant_demanded, strict=True)]
+            [ratio(served, demanded) for served, demanded in zip(self.tenant_served, self.tenant_demanded, strict=True)]
         )
         squares = (worths**2).sum()
         index: float = rounded(float(worths.sum() ** 2 / (len(worths) * squares))) if squares else 1.0
--- a/glenrock/simulation/record.py
+++ b/glenrock/simulation/record.py
@@ -106,18 +106,18 @@
 
 def _write_series(path: Path, measure: Measurements, classes: list[str]) -> None:
     served = np.array(measure.served)
-    names = list(measure.series)
+    series_names = list(measure.series)
     with open(path, "w", newline="", encoding="utf-8") as file:
         writer = csv.writer(file)
         asked_names, served_names = [f"asked {name}" for name in classes], [f"served {name}" for name in classes]
-        writer.writerow(["second", "asked", "served", *asked_names, *served_names, *names])
+        writer.writerow(["second", "asked", "served", *asked_names, *served_names, *series_names])
         for second in range(measure.seconds):
             row = [
                 measure.demanded[second].sum(),
                 served[second].sum(),
                 *measure.demanded[second],
                 *served[second],
-                *(measure.series[name][second] if second < len(measure.series[name]) else 0.0 for name in names),
+                *(measure.series[name][second] if second < len(measure.series[name]) else 0.0 for name in series_names),
             ]
             writer.writerow([second, *(f"{value:.6g}" for value in row)])
 
--- a/glenrock/simulation/spec_checks.py
+++ b/glenrock/simulation/spec_checks.py
@@ -18,14 +18,14 @@
     def __init__(self, experiment: Experiment, path: Path, text: str) -> None:
         self.experiment, self.path, self.text = experiment, path, text
 
-    def _need(self, holds: bool, key: str, reason: str) -> None:
+    def _require(self, holds: bool, key: str, reason: str) -> None:
         if not holds:
             raise input_error(self.path, self.text, key, reason)
 
     def check(self) -> None:
         """Checks all parts, in the order of the file."""
         for key, (least, most) in find_ranges(self.experiment):
-            self._need(
+            self._require(
                 least <= most, key, f"the lower bound of the range [{least:g}, {most:g}] exceeds the upper bound"
             )
         self._check_names("kinds", [kind.name for kind in self.experiment.kinds])
@@ -40,24 +40,24 @@
 
     def _check_names(self, key: str, names: list[str]) -> None:
         for number, name in enumerate(names):
-            self._need(bool(name), f"{key}[{number}].name", "must not be empty")
-            self._need(name not in names[:number], f"{key}[{number}].name", f"{name!r} is a duplicate")
+            self._require(bool(name), f"{key}[{number}].name", "must not be empty")
+            self._require(name not in names[:number], f"{key}[{number}].name", f"{name!r} is a duplicate")
 
     def _check_fleet(self) -> None:
         zones = self.experiment.fleet.zones
-        self._need(len(zones) >= 1 and all(zones), "fleet.zones", "expected at least one zone, and no empty name")
-        self._need(len(set(zones)) == len(zones), "fleet.zones", "two zones have the same name")
+        self._require(len(zones) >= 1 and all(zones), "fleet.zones", "expected at least one zone, and no empty name")
+        self._require(len(set(zones)) == len(zones), "fleet.zones", "two zones have the same name")
         for number, kind in enumerate(self.experiment.kinds):
-            self._need(lower_bound(kind.cold_part) > 0, f"kinds[{number}].cold_part", "must be above 0")
+            self._require(lower_bound(kind.cold_part) > 0, f"kinds[{number}].cold_part", "must be above 0")
 
     def _check_classes(self) -> None:
         classes = self.experiment.classes
         for number, class_ in enumerate(classes):
             is_within = upper_bound(class_.aim_ms) <= lower_bound(class_.give_up_ms)
-            self._need(is_within, f"classes[{number}].aim_ms", "must not exceed give_up_ms")
+            self._require(is_within, f"classes[{number}].aim_ms", "must not exceed give_up_ms")
         some_have_a_life = any(lower_bound(class_.life) > 0 for class_ in classes)
         none_has_a_life = all(upper_bound(class_.life) == 0 for class_ in classes)
-        self._need(
+        self._require(
             some_have_a_life or none_has_a_life,
             "classes",
             "either all classes have a life of 0, or at least one a life above 0 throughout its range",
@@ -65,18 +65,20 @@
 
     def _check_fault(self, fault: Fault, key: str) -> None:
         fleet, length_s = self.experiment.fleet, lower_bound(self.experiment.length_s)
-        self._need(lower_bound(fault.at_s) < length_s, f"{key}.at_s", f"is after the end of the run ({length_s:g} s)")
+        self._require(
+            lower_bound(fault.at_s) < length_s, f"{key}.at_s", f"is after the end of the run ({length_s:g} s)"
+        )
         if isinstance(fault, ZoneCut):
-            self._need(len(fleet.zones) > 1, key, "a partition needs at least two zones")
+            self._require(len(fleet.zones) > 1, key, "a partition needs at least two zones")
         if isinstance(fault, Crash | ZoneCut):
             is_known = not fault.zone or fault.zone in fleet.zones
-            self._need(is_known, f"{key}.zone", f"{fault.zone!r} is not one of fleet.zones")
+            self._require(is_known, f"{key}.zone", f"{fault.zone!r} is not one of fleet.zones")
         if isinstance(fault, SendAway):
             is_known = fault.balancer < lower_bound(fleet.balancers)
-            self._need(is_known, f"{key}.balancer", "no such balancer with the smallest value of fleet.balancers")
+            self._require(is_known, f"{key}.balancer", "no such balancer with the smallest value of fleet.balancers")
         if isinstance(fault, TenantFlood):
             is_known = not fault.tenant or fault.tenant in {tenant.name for tenant in self.experiment.tenants}
-            self._need(is_known, f"{key}.tenant", f"{fault.tenant!r} is not one of tenants")
+            self._require(is_known, f"{key}.tenant", f"{fault.tenant!r} is not one of tenants")
 
     def _check_constants(self) -> None:
         from .policies.module import (
@@ -84,12 +86,12 @@
         )  # imported here: policies import routing, which reading other experiments does not need
 
         for name in self.experiment.constants:
-            self._need(name in OPEN, f"constants.{name}", "not a tunable constant of the routing decisions")
+            self._require(name in OPEN, f"constants.{name}", "not a tunable constant of the routing decisions")
 
     def _check_goal(self) -> None:
         goal = self.experiment.goal
         total = goal.whole + goal.worst_window + goal.worst_class + goal.worst_tenant
-        self._need(abs(total - 1) < WEIGHT_TOLERANCE, "goal", f"weights must add up to 1, not {total:g}")
+        self._require(abs(total - 1) < WEIGHT_TOLERANCE, "goal", f"weights must add up to 1, not {total:g}")
 
 
 def check_experiment(experiment: Experiment, path: Path, text: str) -> None:
