--- a/glenrock/net/health_check_connection.py
+++ b/glenrock/net/health_check_connection.py
@@ -16,26 +16,27 @@
 from .health_check_pool import HealthCheckPool
 from .protocol import ServerKeyword
 from .socket_io import close_socket, create_socket
-from .system_errors import is_local_error
+from .system_errors import is_local_connect_error
 
-HEALTH_CHECK_TIMEOUT_MS = 250.0  # for the answer to a health check
-UNUSED_TIMEOUT_MS = 8000.0  # an unused connection is closed after this time
+HEALTH_CHECK_TIMEOUT_MS = 250.0  # for a whole health check, with the connect
+HEALTH_CHECK_IDLE_TIMEOUT_MS = 8000.0  # a connection that has been idle for longer is closed
 
 
-class HealthAnswer(NamedTuple):
-    """The result of a health check, with the load report of the server."""
+class CheckResult(NamedTuple):
+    """The outcome of a health check, with the server's load report."""
 
     outcome: interface.AttemptOutcome
     report: dict[str, float]
 
 
-NO_CONNECTION = HealthAnswer(interface.AttemptOutcome.NO_CONNECTION, {})
-NO_ANSWER = HealthAnswer(interface.AttemptOutcome.TIMEOUT, {})
-NOT_SENT = HealthAnswer(interface.AttemptOutcome.UNSENT, {})  # because of this machine: says nothing about the server
+NO_CONNECTION = CheckResult(interface.AttemptOutcome.NO_CONNECTION, {})
+NO_ANSWER = CheckResult(interface.AttemptOutcome.TIMEOUT, {})
+NOT_SENT = CheckResult(interface.AttemptOutcome.UNSENT, {})
+"""The check failed on this machine, which says nothing about the server."""
 
 
 class HealthCheckConnection:
-    """Owns the connection for health checks of one server."""
+    """Owns the connection for health checks of one server. One check at a time may be in flight."""
 
     def __init__(self, clock: Clock, post: Callable[[interface.Event], bool], pool: HealthCheckPool) -> None:
         self._clock = clock
@@ -43,36 +44,36 @@
         self._pool = pool
         self._sock: socket.socket | None = None
         self._is_connected = False
-        self._used_ms = 0.0
+        self._last_used_ms = 0.0
 
     async def check(self, row: EndpointRow) -> None:
-        """Sends a health check and posts its result, which is UNSENT if all connections of the pool are in use."""
-        sent_ms = self._clock.now_ms()
-        answer = NO_ANSWER
+        """Runs a health check and posts its result, which is UNSENT if all connections of the pool are in use."""
+        started_ms = self._clock.now_ms()
+        result = NO_ANSWER
         if not self._pool.acquire(self):
             self._post(interface.HealthCheckResult(row.name, interface.AttemptOutcome.UNSENT))
             return
         try:
             async with self._clock.time_limit(HEALTH_CHECK_TIMEOUT_MS):
-                answer = await self._ask(row)
+                result = await self._check_with_reconnect(row)
         except OSError as error:
-            answer = NOT_SENT if is_local_error(error) and not self._is_connected else NO_CONNECTION
+            result = NOT_SENT if is_local_connect_error(error) and not self._is_connected else NO_CONNECTION
         finally:
-            if answer.outcome is not interface.AttemptOutcome.SERVED:
+            if result.outcome is not interface.AttemptOutcome.SERVED:
                 self.disconnect()
             self._pool.release(self)
-        self._used_ms = self._clock.now_ms()
-        latency_us = us_from_ms(self._used_ms - sent_ms)
-        self._post(interface.HealthCheckResult(row.name, answer.outcome, latency_us, answer.report))
+        self._last_used_ms = self._clock.now_ms()
+        latency_us = us_from_ms(self._last_used_ms - started_ms)
+        self._post(interface.HealthCheckResult(row.name, result.outcome, latency_us, result.report))
 
-    async def _ask(self, row: EndpointRow) -> HealthAnswer:
+    async def _check_with_reconnect(self, row: EndpointRow) -> CheckResult:
         if self._sock:
-            # A server may just have closed an unused connection, which says nothing about its health: two such ends
-            # would eject a healthy server. The check is repeated on a new connection.
+            # The server may just have closed the idle connection, which says nothing about its health. Two such ends
+            # counted as failures would eject a healthy server. So the check is repeated on a new connection.
             with contextlib.suppress(OSError):
-                answer = await self._exchange(self._sock)
-                if answer.outcome is not interface.AttemptOutcome.NO_CONNECTION:
-                    return answer
+                result = await self._exchange(self._sock)
+                if result.outcome is not interface.AttemptOutcome.NO_CONNECTION:
+                    return result
             self.disconnect()
         self._is_connected = False
         self._sock = create_socket()
@@ -80,8 +81,12 @@
         self._is_connected = True
         return await self._exchange(self._sock)
 
-    async def _exchange(self, sock: socket.socket) -> HealthAnswer:
-        """Sends the health check and reads its answer. Raises OSError."""
+    async def _exchange(self, sock: socket.socket) -> CheckResult:
+        """Sends a health check and reads the answer.
+
+        Raises:
+            OSError: the connection failed.
+        """
         loop = asyncio.get_running_loop()
         await loop.sock_sendall(sock, protocol.HEALTH_CHECK_LINE)
         buffer = bytearray(protocol.MAX_LINE_BYTES)
@@ -91,12 +96,12 @@
             if not count:
                 return NO_CONNECTION
             for line in splitter.feed(bytes(buffer[:count])):
-                word, rest = protocol.split_keyword(line)
-                if word != ServerKeyword.HEALTHY and "=" not in word:
-                    return HealthAnswer(interface.AttemptOutcome.ERROR, {})
-                text = rest if word == ServerKeyword.HEALTHY else word
-                if "=" in text:
-                    return HealthAnswer(interface.AttemptOutcome.SERVED, protocol.parse_load_report(text))
+                keyword, rest = protocol.split_keyword(line)
+                if keyword != ServerKeyword.HEALTHY and "=" not in keyword:
+                    return CheckResult(interface.AttemptOutcome.ERROR, {})
+                load_text = rest if keyword == ServerKeyword.HEALTHY else keyword
+                if "=" in load_text:
+                    return CheckResult(interface.AttemptOutcome.SERVED, protocol.parse_load_report(load_text))
 
     def disconnect(self) -> None:
         """Closes the connection."""
@@ -107,10 +112,13 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether there is a connection."""
+        """Whether the connection is open or being established."""
         return self._sock is not None
 
-    def close_if_unused(self) -> None:
-        """Closes a connection that has been unused for a while. No health check may be in flight."""
-        if self._sock and self._clock.now_ms() - self._used_ms > UNUSED_TIMEOUT_MS:
+    def close_if_idle(self) -> None:
+        """Closes the connection if it has been idle for `HEALTH_CHECK_IDLE_TIMEOUT_MS`.
+
+        No health check may be in flight.
+        """
+        if self._sock and self._clock.now_ms() - self._last_used_ms > HEALTH_CHECK_IDLE_TIMEOUT_MS:
             self.disconnect()
--- a/glenrock/routing/token_budget.py
+++ b/glenrock/routing/token_budget.py
@@ -11,7 +11,9 @@
 INITIAL_HEALTH_CHECK_TOKENS = 10.0
 MAX_HEALTH_CHECK_TOKENS = 60.0
 
-HEALTH_CONNECTION_LIFETIME_US = 8_000_000  # after the last check; the same as `UNUSED_TIMEOUT_MS` of net
+HEALTH_CONNECTION_LIFETIME_US = (
+    8_000_000  # after the last check; the same as `HEALTH_CHECK_IDLE_TIMEOUT_MS` of net
+)
 CONNECTION_TOKENS_PER_ATTEMPT = 1.0  # so that health checks open no more connections than clients do
 MAX_CONNECTION_TOKENS = 64.0  # also the number of tokens at the start
 
