--- a/glenrock/simulation/fleet_simulation.py
+++ b/glenrock/simulation/fleet_simulation.py
@@ -75,8 +75,8 @@
 
     def _build_balancers(self) -> None:
         count = drawn_count(self.experiment.fleet.balancers)
-        draw = self.streams.of("balancer seeds")
-        seeds = draw.integers(1, 1 << 62, size=count).tolist()
+        generator = self.streams.of("balancer seeds")
+        seeds = generator.integers(1, 1 << 62, size=count).tolist()
         tick_us = max(1, round(self.experiment.platform.tick_ms * 1000))
 
         def build_policy(index: int, incarnation: int) -> Policy:
@@ -154,7 +154,7 @@
         Returns:
             The first planned client that arrives during the run, or None.
         """
-        draw = self.streams.uniforms("standing")
+        draw_uniform = self.streams.uniforms("standing")
         servers = list(self.servers.values())
         cumulative_weights = [self._cumulative_weights(servers, zone) for zone in range(len(self.zones))]
         for planned in self._planned_clients:
@@ -162,7 +162,7 @@
                 return planned
             self.measure.counts["clients"] += 1
             weights = cumulative_weights[planned.zone]
-            chosen = min(len(servers) - 1, bisect_right(weights, draw() * weights[-1]))
+            chosen = min(len(servers) - 1, bisect_right(weights, draw_uniform() * weights[-1]))
             balancer = self.front.pick(planned.zone)
             if balancer:
                 self._place_open_connection(planned, balancer, servers[chosen])
--- a/glenrock/simulation/spec_checks.py
+++ b/glenrock/simulation/spec_checks.py
@@ -81,9 +81,8 @@
             self._require(is_known, f"{key}.tenant", f"{fault.tenant!r} is not one of tenants")
 
     def _check_constants(self) -> None:
-        from .policies.module import (
-            OPEN,
-        )  # imported here: policies import routing, which reading other experiments does not need
+        # Imported here because policies import routing, which reading an experiment file does not otherwise need.
+        from .policies.module import OPEN
 
         for name in self.experiment.constants:
             self._require(name in OPEN, f"constants.{name}", "not a tunable constant of the routing decisions")
--- a/glenrock/simulation/spec_faults.py
+++ b/glenrock/simulation/spec_faults.py
@@ -41,7 +41,7 @@
 
     for_s: PositiveOrRange = 15.0
     part: FractionOrRange = 0.8  # fraction of the balancers that restart
-    batch: FractionOrRange = 0.25  # fraction restarted at a time; at least one
+    batch: FractionOrRange = 0.25  # fraction of all balancers restarted at a time; at least one
     down_s: PositiveOrRange = 1.0
     hand_back_s: NonNegativeOrRange = 0.0  # duration of the graceful shutdown; 0: the process is killed
 
@@ -54,7 +54,7 @@
 
 
 class Slow(Fault, frozen=True):
-    """A fraction of the servers slows to the fraction `speed` of its speed for `for_s`; at 0 they do not answer."""
+    """A fraction of the servers works at the fraction `speed` of its own speed for `for_s`; at 0 they do not answer."""
 
     part: FractionOrRange = 0.1
     speed: FractionOrRange = 0.3
@@ -93,7 +93,7 @@
     """A deployment: servers drain in batches, stop after `drain_s` and restart in slow start."""
 
     part: FractionOrRange = 0.5
-    batch: FractionOrRange = 0.1  # fraction restarted at a time; at least one
+    batch: FractionOrRange = 0.1  # fraction of all servers drained at a time; at least one
     every_s: PositiveOrRange = 5.0
     drain_s: NonNegativeOrRange = 8.0
     down_s: PositiveOrRange = 3.0
--- a/glenrock/simulation/spec_tables.py
+++ b/glenrock/simulation/spec_tables.py
@@ -49,8 +49,8 @@
     name: str
     share: PositiveOrRange = 1.0  # of new connections, relative to the other classes
     worth: Positive = 1.0  # priority weight of a second served in time
-    load: PositiveOrRange = 1.0  # mean, relative to the base load (`Traffic.connections_per_core`)
-    load_sigma: NonNegativeOrRange = 0.4  # sigma of the lognormal distribution of loads over connections
+    load: PositiveOrRange = 1.0  # mean base load, in standard connections (`Traffic.connections_per_core`)
+    load_sigma: NonNegativeOrRange = 0.4  # sigma of the lognormal distribution of base loads
     swing_sigma: NonNegativeOrRange = 0.5  # sigma of the lognormal changes of its load
     change_s: PositiveOrRange = 12.0  # mean time between changes of load
     idle: FractionOrRange = 0.3  # fraction of the time without load
@@ -84,20 +84,22 @@
     """The load that clients ask for, and how it arrives."""
 
     load: PositiveOrRange = 0.3  # mean load, as a fraction of the fleet's capacity
-    connections_per_core: PositiveOrRange = 20.0  # connections that use a whole standard core at the base load
+    connections_per_core: PositiveOrRange = 20.0  # standard connections that use a whole standard core
     life_s: PositiveOrRange = 45.0  # mean life of a connection
     life_sigma: NonNegativeOrRange = 1.0  # sigma of its lognormal distribution
     shape: Literal["steady", "ramp", "wave"] = "steady"
     swing: FractionOrRange = 0.0  # amplitude of the arrival rate, relative to its mean
-    hints: bool = False  # requests state the load of their connection
+    hints: bool = False  # requests state the base load of their connection
     group_size: PositiveOrRange = 20.0  # mean number of clients in a group
-    group_cost: NonNegativeOrRange = 0.0  # load of each group with a connection at a server, in base loads
+    group_cost: NonNegativeOrRange = (
+        0.0  # load of each group at each server it has a connection to, in standard connections
+    )
     message_part: PositiveOrRange = 0.07  # work of a message, as a fraction of the shortest message objective
     bursty: PositiveOrRange = 2.0  # factor of message waits, relative to evenly spread messages
 
 
 class Store(StrictTable, frozen=True):
-    """The store that every attempt calls; its calls wait in one queue."""
+    """The store that servers call for each established attempt; its calls wait in one queue."""
 
     headroom: NonNegativeOrRange = (
         0.0  # rate of calls that it can serve, relative to the mean rate of new clients; 0: no call waits
