--- a/glenrock/cli/scenario_run.py
+++ b/glenrock/cli/scenario_run.py
@@ -67,7 +67,7 @@
         write_results(temporary, testbed, testbed_summary)
         (temporary / "report.html").write_text(report.render_run(temporary), encoding="utf-8")
 
-    record.folder(folder, run_and_write)
+    record.write_folder(folder, run_and_write)
     print_summary(summary)
     click.echo(f"results: {folder}/summary.json, history.txt, series.csv, report.html, balancer-N/log")
     if message := summary_text.format_violations(summary["rules"], "history.txt"):
--- a/glenrock/cli/simulation_report.py
+++ b/glenrock/cli/simulation_report.py
@@ -29,5 +29,5 @@
             raise InputFileError(f"{folder / 'sweep.json'}: {error}") from error
     else:
         page = report.render_run(folder)
-    record.file(folder / "report.html", page)
+    record.write_file(folder / "report.html", page)
     click.echo(f"results: {folder}/report.html")
--- a/glenrock/simulation/fleet_simulation.py
+++ b/glenrock/simulation/fleet_simulation.py
@@ -1,4 +1,4 @@
-"""One run: an experiment under one seed and one policy, from its workload to its summary."""
+"""Runs one experiment under one seed and one policy, and returns its summary."""
 
 from __future__ import annotations
 
@@ -31,14 +31,14 @@
 from .spec_types import drawn_count, drawn_number
 
 SERVERS_PER_CELL = 6
-OTHER_ZONE_WEIGHT = 0.3  # of a server of another zone, for connections that are open when the run starts
-SLOW_MESSAGE_DIVISOR = 3  # messages slower than this part of the shortest objective are reported to balancers
-MAX_REPORTED_US = 1e9
-MAX_RECORDED_US = 3e9
+OTHER_ZONE_WEIGHT = 0.3  # of a server in another zone, when placing the connections that are open at the start
+SLOW_MESSAGE_DIVISOR = 3  # message times above the shortest objective divided by this are reported as slow
+MAX_REPORTED_MESSAGE_US = 1e9
+MAX_RECORDED_MESSAGE_US = 3e9
 
 
 class FleetSimulation(ProcessControl):
-    """A run, from its start to its summary; the layers below it play what happens."""
+    """One complete run. The base classes simulate clients, balancers, servers and links."""
 
     def __init__(
         self,
@@ -75,11 +75,11 @@
 
     def _build_balancers(self) -> None:
         count = drawn_count(self.experiment.fleet.balancers)
-        draw = self.streams.generator("balancer seeds")
-        seeds = draw.integers(1, 1 << 62, size=count).tolist()
+        generator = self.streams.generator("balancer seeds")
+        seeds = generator.integers(1, 1 << 62, size=count).tolist()
         tick_us = max(1, round(self.experiment.platform.tick_ms * 1000))
 
-        def build(index: int, incarnation: int) -> Policy:
+        def build_policy(index: int, incarnation: int) -> Policy:
             zone = self.zones[index % len(self.zones)]
             settings = make_settings(self.experiment, index, zone, self.workload.quotas)
             policy = self._make_policy(settings, seeds[index] + incarnation)
@@ -88,16 +88,17 @@
             return policy
 
         self.balancers = [
-            BalancerProcess(index, index % len(self.zones), self.engine, self, tick_us, build) for index in range(count)
+            BalancerProcess(index, index % len(self.zones), self.engine, self, tick_us, build_policy)
+            for index in range(count)
         ]
 
     # -- the whole run -------------------------------------------------------------------------------
 
     def run(self) -> dict[str, Any]:
-        """Runs the simulation. Returns its summary; a policy that raises ends the run, and the summary says so."""
+        """Runs the simulation and returns its summary. If the policy raises, the run ends, and the summary says why."""
         started_wall_s, started_cpu_s = time.perf_counter(), time.process_time()
-        # The objects of a run live until its end: the garbage collector would find nothing, at a cost.
-        collects_garbage = gc.isenabled()
+        # The objects of a run stay alive until its end, so garbage collection would cost time and free nothing.
+        gc_was_enabled = gc.isenabled()
         gc.disable()
         try:
             with module.override_constants(self.experiment.constants):
@@ -108,7 +109,7 @@
             self.failure = str(error)
             self._end_measuring()
         finally:
-            if collects_garbage:
+            if gc_was_enabled:
                 gc.enable()
         for client in self.connected_clients:
             if client.connection:
@@ -116,7 +117,7 @@
         return summarize(self, time.perf_counter() - started_wall_s, time.process_time() - started_cpu_s)
 
     def prepare(self) -> None:
-        """Starts all processes, places the connections that are open already, and schedules the rest of the run."""
+        """Starts all processes, opens the connections of earlier clients, and schedules the rest of the run."""
         self.feed.start(
             [
                 interface.Endpoint(
@@ -134,7 +135,7 @@
         self._schedule_faults()
         if self.shared_health_checks:
             self.shared_health_checks.start()
-        self.engine.at(self.start_us, self._sample, 0)
+        self.engine.at(self.start_us, self._sample_second, 0)
         self.engine.at(self.start_us + self.length_us, self._end_measuring)
 
     def _schedule_faults(self) -> None:
@@ -144,16 +145,16 @@
             kind = type(fault).__struct_config__.tag
             self.faults.append(FaultPeriod(str(kind), rounded(at_s), rounded(end_s)))
             due_us = self.start_us + round(at_s * SECOND_US)
-            inject = faults.FAULTS[type(fault)]
+            inject = faults.INJECTORS[type(fault)]
             self.engine.at(due_us, inject, self, fault, self.streams.generator(f"fault {number}"))
 
     def _place_open_connections(self) -> workloads.PlannedClient | None:
-        """Opens the connections of clients that arrived before the run, alike under every policy.
+        """Opens the connections of clients that arrived before the run, in the same way for every policy.
 
         Returns:
-            The first row that arrives during the run, if there is one.
+            The first planned client that arrives during the run, or None.
         """
-        draw = self.streams.uniforms("standing")
+        draw_uniform = self.streams.uniforms("standing")
         servers = list(self.servers.values())
         cumulative_weights = [self._cumulative_weights(servers, zone) for zone in range(len(self.zones))]
         for planned in self._planned_clients:
@@ -161,7 +162,7 @@
                 return planned
             self.measure.counts["clients"] += 1
             weights = cumulative_weights[planned.zone]
-            chosen = min(len(servers) - 1, bisect_right(weights, draw() * weights[-1]))
+            chosen = min(len(servers) - 1, bisect_right(weights, draw_uniform() * weights[-1]))
             balancer = self.front_end.select_balancer(planned.zone)
             if balancer:
                 self._place_open_connection(planned, balancer, servers[chosen])
@@ -193,7 +194,7 @@
         self.open_connection(attempt)
 
     def _schedule_arrival(self, planned: workloads.PlannedClient | None) -> None:
-        """Schedules one arrival; each schedules the next, so that the heap holds one at a time."""
+        """Schedules the arrival of a client. Each arrival schedules the next, so the event heap holds one at a time."""
         if planned:
             self.engine.at(self.start_us + planned.arrival_us, self._arrive, planned)
 
@@ -206,8 +207,8 @@
 
     # -- each second ---------------------------------------------------------------------------------
 
-    def _sample(self, second: int) -> None:
-        """Updates all servers, and records the time series of one second."""
+    def _sample_second(self, second: int) -> None:
+        """Updates all servers, closes the connections that they shed, and records the time series of one second."""
         load = 0.0
         for server in self.servers.values():
             for connection in server.bound_backlog(self.engine.now):
@@ -217,10 +218,10 @@
         if second < self.measure.seconds:
             self._record_series(second, load)
             if second + 1 < self.measure.seconds:
-                self.engine.at(self.engine.now + SECOND_US, self._sample, second + 1)
+                self.engine.at(self.engine.now + SECOND_US, self._sample_second, second + 1)
 
     def _sample_server(self, server: ServerModel[Attempt], second: int) -> float:
-        """Records the load of a server. Returns it, in microseconds of work a second."""
+        """Records the load of a server. Returns it, in microseconds of work per second."""
         measure = self.measure
         is_recorded = second < measure.seconds
         if not server.is_up:
@@ -231,7 +232,7 @@
             capacity = server.capacity(self.engine.now)
             measure.relative_loads[server.number, second] = server.demand / capacity if capacity > 0 else 0.0
         if server.open_connections:
-            message_us = int(min(MAX_RECORDED_US, max(1, server.mean_message_us)))
+            message_us = int(min(MAX_RECORDED_MESSAGE_US, max(1, server.mean_message_us)))
             measure.messages.record_value(message_us, len(server.open_connections))
             self._report_slow_messages(server)
         return server.demand
@@ -256,11 +257,11 @@
         )
 
     def _report_slow_messages(self, server: ServerModel[Attempt]) -> None:
-        """Reports slow messages over one connection of each balancer, and once that they are fast again."""
+        """Reports slow messages to each balancer on one connection, and reports once when they are fast again."""
         if not self.experiment.reports.delay_told:
             return
         is_slow = server.mean_message_us > self.server_parameters.shortest_objective_us / SLOW_MESSAGE_DIVISOR
-        if not is_slow and not any((server.name, b.index) in self.slow_reported for b in self.balancers):
+        if not is_slow and not any((server.name, balancer.index) in self.reported_slow for balancer in self.balancers):
             return
         by_balancer: dict[int, Connection[Attempt]] = {}
         for connection in server.open_connections.values():
@@ -268,14 +269,14 @@
                 by_balancer.setdefault(connection.balancer_index, connection)
         for index, connection in by_balancer.items():
             key = (server.name, index)
-            if is_slow or key in self.slow_reported:
-                (self.slow_reported.add if is_slow else self.slow_reported.discard)(key)
+            if is_slow or key in self.reported_slow:
+                (self.reported_slow.add if is_slow else self.reported_slow.discard)(key)
                 request = connection.attempt.request
-                message_us = min(server.mean_message_us, MAX_REPORTED_US)
+                message_us = min(server.mean_message_us, MAX_REPORTED_MESSAGE_US)
                 request.balancer.post(interface.ConnectionFeedback(request.id, server.name, message_us=message_us))
 
     def _end_measuring(self) -> None:
-        """Ends the measured time: what is served from now on does not count."""
+        """Ends the measured period; what is served after it does not count."""
         now = self.engine.now
         for server in self.servers.values():
             server.advance(now)
@@ -289,4 +290,4 @@
                 connection.priority_weight = 0.0
             server.weight_by_class = [0.0] * len(server.weight_by_class)
         self.measure.record_tenant_demand(self.workload.clients, self.length_us)
-        self.is_over = True
+        self.measurement_ended = True
--- a/glenrock/simulation/fleet_state.py
+++ b/glenrock/simulation/fleet_state.py
@@ -1,4 +1,4 @@
-"""The state of one run: the fleet, its links, its workload and the measures."""
+"""The state of one run: the fleet, its links, its workload and the measurements."""
 
 from __future__ import annotations
 
@@ -16,25 +16,25 @@
 from .model.server import ServerModel
 from .model.store import Store
 from .shared_health_checks import SharedHealthChecks
-from .spec_ranges import drawn
+from .spec_ranges import draw_ranges
 from .spec_tables import Experiment
 from .spec_types import drawn_number
 from .streams import Streams
 
 
 class FleetState:
-    """What every part of a simulation reads.
+    """State that all parts of a simulation share.
 
     Attributes:
-        experiment: the experiment as drawn for the seed.
-        balancers, front_end, feed: set by `FleetSimulation`, since they call it.
-        error_chances: servers that answer ERR to attempts, by name, and the chance of it.
-        slow_reported: server and balancer, where the balancer was told of slow messages.
-        shared_health_checks: None unless the experiment has shards of health checks.
-        faults: faults that are scheduled, in the order of the experiment.
+        experiment: the experiment, its ranges replaced by numbers drawn for the seed.
+        balancers, front_end, feed: assigned by `FleetSimulation`, because they call back into it.
+        error_chances: probability of an ERR answer, by name of the servers that have one.
+        reported_slow: server name and balancer index, where slow messages were reported to the balancer.
+        shared_health_checks: None unless the experiment divides health checks among the balancers.
+        faults: the scheduled faults, in the order of the experiment file.
         connected_clients: clients with an open connection, in the order of their connections.
-        is_over: whether the measured time has ended.
-        failure: why the policy's run ended early, or empty.
+        measurement_ended: whether the measured period has ended.
+        failure: the error of the policy that ended the run early, or an empty string.
     """
 
     balancers: list[BalancerProcess]
@@ -42,7 +42,7 @@
     feed: EndpointFeed
 
     def __init__(self, experiment: Experiment, seed: int, policy: str, engine: Engine | None) -> None:
-        self.experiment = experiment = drawn(experiment, seed)
+        self.experiment = experiment = draw_ranges(experiment, seed)
         self.seed, self.policy = seed, policy
         self.streams = streams = Streams(seed)
         self.start_us = round(experiment.clock_start_s * SECOND_US)
@@ -65,11 +65,11 @@
         self._open_streams(streams)
         self.servers: dict[str, ServerModel[Attempt]] = {}
         self.error_chances: dict[str, float] = {}
-        self.slow_reported: set[tuple[str, int]] = set()
+        self.reported_slow: set[tuple[str, int]] = set()
         self.shared_health_checks: SharedHealthChecks | None = None
         self.faults: list[FaultPeriod] = []
         self.connected_clients: dict[Client, None] = {}
-        self.is_over = False
+        self.measurement_ended = False
         self.failure = ""
 
     def _read_limits(self, experiment: Experiment) -> None:
--- a/glenrock/simulation/invariants.py
+++ b/glenrock/simulation/invariants.py
@@ -1,7 +1,6 @@
-"""The invariants of a run: the four rules of WIRE, section 13, and the rule of PROTOCOL on lost connections.
+"""Invariants of a run: the four rules of WIRE, section 13, and the rule of PROTOCOL on lost connections.
 
-The parts of a simulation report a violation where they see it; here violations are counted and recorded, each with
-the events that led to it.
+The parts of a simulation detect violations. This module counts and records them, each with the events that led to it.
 """
 
 from __future__ import annotations
@@ -11,14 +10,14 @@
 from typing import Any
 
 RULES = {
-    "answered": "one final answer for each request, in time, and nothing sent after it",
-    "repeated": "never two attempts of a request at once",
-    "drained": "nothing new to an instance that drains or is gone, after the grace",
-    "cold": "no cold instance pushed over",
-    "cut off": "no standing connection ended without MOVE while its instance answers",
+    "answered": "each request gets one final answer, in time, and nothing is sent after it",
+    "repeated": "a request never has two attempts in progress at once",
+    "drained": "a server that is draining or gone gets no new attempts after the grace period",
+    "cold": "no server is overloaded while it is warming up",
+    "cut off": "no open connection is closed without MOVE while its server answers",
 }
-MAX_TRAIL_EVENTS = 4000
-MAX_EVENTS_OF_VIOLATION = 12
+MAX_RECENT_EVENTS = 4000
+MAX_EVENTS_PER_VIOLATION = 12
 MAX_RECORDED_VIOLATIONS = 50
 
 
@@ -27,8 +26,8 @@
     """A recorded violation.
 
     Attributes:
-        balancer_index: -1 if no balancer is concerned.
-        request_id, server_id: empty if none is concerned.
+        balancer_index: -1 if no balancer is involved.
+        request_id, server_id: empty if none is involved.
         events: the events that led to the violation, as text.
     """
 
@@ -54,7 +53,7 @@
 
 
 @dataclass(slots=True)
-class TrailEvent:
+class RecentEvent:
     """An event that may lead to a violation."""
 
     at_us: int
@@ -70,20 +69,22 @@
         self.start_us = start_us
         self.counts = dict.fromkeys(RULES, 0)
         self.violations: list[Violation] = []
-        self.trail: deque[TrailEvent] = deque(maxlen=MAX_TRAIL_EVENTS)
+        self.recent_events: deque[RecentEvent] = deque(maxlen=MAX_RECENT_EVENTS)
 
     def record_event(self, now_us: int, text: str, request_id: str, server_id: str) -> None:
         """Records an event that may lead to a violation."""
-        self.trail.append(TrailEvent(now_us, text, request_id, server_id))
+        self.recent_events.append(RecentEvent(now_us, text, request_id, server_id))
 
     def record_violation(
         self, now_us: int, rule: str, text: str, balancer_index: int, request_id: str, server_id: str
     ) -> None:
-        """Counts a violation, and records it in full unless enough are recorded."""
+        """Counts a violation, and records it in full up to `MAX_RECORDED_VIOLATIONS`."""
         self.counts[rule] += 1
         if len(self.violations) >= MAX_RECORDED_VIOLATIONS:
             return
-        events = [self._line(event) for event in self.trail if self._concerns(event, request_id, server_id)]
+        events = [
+            self._format_event(event) for event in self.recent_events if self._concerns(event, request_id, server_id)
+        ]
         self.violations.append(
             Violation(
                 rule,
@@ -92,16 +93,16 @@
                 balancer_index,
                 request_id,
                 server_id,
-                events[-MAX_EVENTS_OF_VIOLATION:],
+                events[-MAX_EVENTS_PER_VIOLATION:],
             )
         )
 
-    def _line(self, event: TrailEvent) -> str:
+    def _format_event(self, event: RecentEvent) -> str:
         seconds = (event.at_us - self.start_us) / 1e6
         return f"{seconds:.6f} {event.text} {event.request_id} {event.server_id}".rstrip()
 
     @staticmethod
-    def _concerns(event: TrailEvent, request_id: str, server_id: str) -> bool:
+    def _concerns(event: RecentEvent, request_id: str, server_id: str) -> bool:
         if not request_id:
             return event.server_id == server_id
         is_of_server = bool(server_id) and event.server_id == server_id and not event.request_id
--- a/glenrock/simulation/record.py
+++ b/glenrock/simulation/record.py
@@ -1,10 +1,10 @@
-"""The results of a run on disk, written to a temporary place and renamed, so that a result is complete or absent.
+"""Writes and reads results. Each is written to a temporary path and renamed, so that it is complete or absent.
 
 summary.json     the summary (docs/simulation.md lists the keys)
-series.csv       time series, a row a second
-heat.csv         load of each server, a row a second; -1 while it was down
+series.csv       time series, one row per second
+heat.csv         load of each server as a fraction of its capacity, one row per second; -1 while it was down
 histograms.json  HDR histograms in HdrHistogram's base64 form
-report.html      the same for people
+report.html      the results as a page for readers
 """
 
 from __future__ import annotations
@@ -25,17 +25,17 @@
 from .measure import Measurements
 from .spec_tables import Experiment
 
-RESULT_FILES = ("summary.json", "sweep.json", "compare.json")  # a folder that holds one of these may be replaced
+RESULT_FILES = ("summary.json", "sweep.json", "compare.json")  # a folder that contains one of these may be replaced
 SUMMARY_FORMAT = 1
 
 
-def text_of(value: Any) -> str:
-    """Returns JSON in the form of all results: the same values give the same bytes."""
+def json_text(value: Any) -> str:
+    """Formats a result as JSON. Equal values give equal bytes."""
     return json.dumps(value, indent=1, sort_keys=True, ensure_ascii=False, allow_nan=False) + "\n"
 
 
-def folder(out: Path, fill: Callable[[Path], None]) -> None:
-    """Fills a new folder and renames it to `out`.
+def write_folder(out: Path, fill: Callable[[Path], None]) -> None:
+    """Calls `fill` with a new temporary folder, then renames that folder to `out`.
 
     Raises:
         InputFileError: `out` cannot be replaced; it is left as it was.
@@ -65,7 +65,7 @@
         shutil.rmtree(temporary, ignore_errors=True)
 
 
-def file(path: Path, text: str) -> None:
+def write_file(path: Path, text: str) -> None:
     """Writes a file completely or not at all. Raises InputFileError if it cannot be written."""
     temporary = path.with_name(f".{path.name}.{os.getpid()}")
     try:
@@ -77,21 +77,21 @@
         temporary.unlink(missing_ok=True)
 
 
-def write_run(into: Path, simulation: FleetSimulation, summary: dict[str, Any]) -> None:
+def write_run(folder: Path, simulation: FleetSimulation, summary: dict[str, Any]) -> None:
     """Writes the results of a run, without its report."""
-    write_tables(into, simulation.measure, simulation.experiment, list(simulation.servers), summary)
+    write_tables(folder, simulation.measure, simulation.experiment, list(simulation.servers), summary)
 
 
 def write_tables(
-    into: Path, measure: Measurements, experiment: Experiment, instances: list[str], summary: dict[str, Any]
+    folder: Path, measure: Measurements, experiment: Experiment, server_names: list[str], summary: dict[str, Any]
 ) -> None:
     """Writes summary, time series, loads and histograms."""
-    (into / "summary.json").write_text(text_of(summary), encoding="utf-8")
+    (folder / "summary.json").write_text(json_text(summary), encoding="utf-8")
     classes = [class_.name for class_ in experiment.classes]
-    _write_series(into / "series.csv", measure, classes)
-    with open(into / "heat.csv", "w", newline="", encoding="utf-8") as file_:
-        writer = csv.writer(file_)
-        writer.writerow(["second", *instances])
+    _write_series(folder / "series.csv", measure, classes)
+    with open(folder / "heat.csv", "w", newline="", encoding="utf-8") as file:
+        writer = csv.writer(file)
+        writer.writerow(["second", *server_names])
         for second in range(measure.seconds):
             writer.writerow([second, *(f"{load:.3f}" for load in measure.relative_loads[:, second])])
     histograms = {
@@ -101,46 +101,46 @@
         "messages": measure.messages.encode().decode(),
         "refusals": measure.rejections.encode().decode(),
     }
-    (into / "histograms.json").write_text(text_of(histograms), encoding="utf-8")
+    (folder / "histograms.json").write_text(json_text(histograms), encoding="utf-8")
 
 
 def _write_series(path: Path, measure: Measurements, classes: list[str]) -> None:
     served = np.array(measure.served)
-    names = list(measure.series)
-    with open(path, "w", newline="", encoding="utf-8") as file_:
-        writer = csv.writer(file_)
+    series_names = list(measure.series)
+    with open(path, "w", newline="", encoding="utf-8") as file:
+        writer = csv.writer(file)
         asked_names, served_names = [f"asked {name}" for name in classes], [f"served {name}" for name in classes]
-        writer.writerow(["second", "asked", "served", *asked_names, *served_names, *names])
+        writer.writerow(["second", "asked", "served", *asked_names, *served_names, *series_names])
         for second in range(measure.seconds):
             row = [
                 measure.demanded[second].sum(),
                 served[second].sum(),
                 *measure.demanded[second],
                 *served[second],
-                *(measure.series[name][second] if second < len(measure.series[name]) else 0.0 for name in names),
+                *(measure.series[name][second] if second < len(measure.series[name]) else 0.0 for name in series_names),
             ]
             writer.writerow([second, *(f"{value:.6g}" for value in row)])
 
 
 def read_summary(path: Path) -> dict[str, Any]:
-    """Reads the summary in a file or a folder. Raises InputFileError if it holds none."""
-    file_ = path / "summary.json" if path.is_dir() else path
+    """Reads the summary in a file or a folder. Raises InputFileError if there is none."""
+    file = path / "summary.json" if path.is_dir() else path
     try:
-        found = json.loads(file_.read_text(encoding="utf-8"))
+        summary = json.loads(file.read_text(encoding="utf-8"))
     except OSError as error:
-        raise InputFileError(f"{file_}: {error.strerror or error}") from None
+        raise InputFileError(f"{file}: {error.strerror or error}") from None
     except ValueError as error:
-        raise InputFileError(f"{file_}: {error}") from None
-    if not isinstance(found, dict) or found.get("format") != SUMMARY_FORMAT:
-        raise InputFileError(f"{file_}: not a summary of this format ({SUMMARY_FORMAT})")
-    return found
+        raise InputFileError(f"{file}: {error}") from None
+    if not isinstance(summary, dict) or summary.get("format") != SUMMARY_FORMAT:
+        raise InputFileError(f"{file}: not a summary of this format ({SUMMARY_FORMAT})")
+    return summary
 
 
 def read_table(path: Path) -> tuple[list[str], npt.NDArray[np.float64]]:
-    """Reads a CSV table of numbers. Returns its header and its rows. Raises InputFileError if it is no table."""
+    """Reads a CSV table of numbers. Returns its header and its rows. Raises InputFileError if it is not one."""
     try:
-        with open(path, newline="", encoding="utf-8") as file_:
-            rows = list(csv.reader(file_))
+        with open(path, newline="", encoding="utf-8") as file:
+            rows = list(csv.reader(file))
         return rows[0], np.array(rows[1:], dtype=float)
     except OSError as error:
         raise InputFileError(f"{path}: {error.strerror or error}") from None
--- a/glenrock/simulation/report.py
+++ b/glenrock/simulation/report.py
@@ -13,7 +13,7 @@
 from ..toml_file import InputFileError
 from . import plots, record, report_labels
 from .report_labels import MEASURE_LABELS
-from .stats import interval, sign_test
+from .stats import bootstrap_interval, sign_test
 
 FloatArray = npt.NDArray[np.float64]
 
@@ -131,7 +131,7 @@
 def _estimate(runs: list[Summary], measure: str) -> list[float] | None:
     """Returns the mean of a measure and the ends of its interval; None if no run has the measure."""
     values = [number for summary in runs if (number := measure_value(summary, measure)) is not None]
-    return [round(bound, 6) for bound in interval(values)] if values else None
+    return [round(bound, 6) for bound in bootstrap_interval(values)] if values else None
 
 
 def curves(rows: list[dict[str, Any]], axis: str, measure: str) -> dict[str, plots.Curve]:
@@ -213,7 +213,7 @@
 
 def _comparison(pairs: list[tuple[float, float]]) -> dict[str, Any]:
     differences = [b - a for a, b in pairs]
-    mean, low, high = interval(differences)
+    mean, low, high = bootstrap_interval(differences)
     return {
         "pairs": len(pairs),
         "a": sum(a for a, _ in pairs) / len(pairs),
--- a/glenrock/simulation/run_summary.py
+++ b/glenrock/simulation/run_summary.py
@@ -1,4 +1,4 @@
-"""The summary of a run: the keys of `summary.json`, described in docs/simulation.md."""
+"""Builds the summary of a run, `summary.json`. docs/simulation.md describes its keys."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 from .measure import ratio, rounded, summarize_histogram
 
 SUMMARY_FORMAT = 1
-MIN_CPU_S = 1e-9  # below it a rate would divide by zero
+MIN_CPU_S = 1e-9  # smallest divisor of a rate, to avoid division by zero
 COUNTS_PER_CLIENT = ("tries", "attempts", "refused", "failed", "broken", "moved", "probes", "peer_bytes")
 
 
 def summarize(state: FleetState, wall_s: float, cpu_s: float) -> dict[str, Any]:
     """Returns the summary of a run that has ended.
 
-    All but `clock` and `events_per_s` depends on the experiment, the seed and the policy alone.
+    All entries except `clock` and `events_per_s` depend on the experiment, the seed and the policy alone.
 
     Args:
         state: the run.
-        wall_s: seconds that the run took.
-        cpu_s: seconds of CPU that it took.
+        wall_s: wall-clock time of the run, in seconds.
+        cpu_s: CPU time of the run, in seconds.
     """
     measure, counts = state.measure, state.measure.counts
     clients = max(1, counts["clients"])
@@ -57,11 +57,11 @@
             "clients_per_s": rounded(state.workload.clients_per_s),
         },
         "events_per_s": round(events / max(MIN_CPU_S, cpu_s - decision_cpu_s)),
-        "clock": _clock(state, wall_s, cpu_s, decision_cpu_s),
+        "clock": _timings(state, wall_s, cpu_s, decision_cpu_s),
     }
 
 
-def _clock(state: FleetState, wall_s: float, cpu_s: float, decision_cpu_s: float) -> dict[str, Any]:
+def _timings(state: FleetState, wall_s: float, cpu_s: float, decision_cpu_s: float) -> dict[str, Any]:
     counts = state.measure.counts
     handled = sum(balancer.handled_events for balancer in state.balancers)
     policy = state.balancers[0].policy
@@ -79,15 +79,15 @@
 
 
 def deep_size(root: object) -> int:
-    """Returns the bytes of an object and of the data that it refers to, without modules, classes and functions."""
+    """Returns the size in bytes of an object and of all it refers to, except modules, classes and functions."""
     seen: set[int] = set()
-    todo, total = [root], 0
+    pending, total = [root], 0
     skipped = (type, type(sys), type(deep_size), type(gc.collect))
-    while todo:
-        found = todo.pop()
-        if id(found) in seen or isinstance(found, skipped):
+    while pending:
+        item = pending.pop()
+        if id(item) in seen or isinstance(item, skipped):
             continue
-        seen.add(id(found))
-        total += sys.getsizeof(found)
-        todo.extend(gc.get_referents(found))
+        seen.add(id(item))
+        total += sys.getsizeof(item)
+        pending.extend(gc.get_referents(item))
     return total
--- a/glenrock/simulation/runner.py
+++ b/glenrock/simulation/runner.py
@@ -1,7 +1,7 @@
-"""Many runs: points of a sweep times seeds times policies, in parallel processes.
+"""Runs each combination of sweep point, seed and policy, in parallel processes.
 
-A run depends on its experiment, seed and policy alone, and not on where or in what order it is made. The summary of
-each finished run is cached in a file, so that an interrupted sweep can be resumed.
+A run depends on its experiment, seed and policy alone, and not on the process or the order in which it runs. The
+summary of each finished run is cached in a file, so that an interrupted sweep can be resumed.
 """
 
 from __future__ import annotations
@@ -32,41 +32,44 @@
 
 @dataclass(frozen=True)
 class Task:
-    """A run to be made.
+    """A run that is to be executed.
 
     Attributes:
-        where: the values of the sweep's axes.
+        sweep_point: the values of the axes of the sweep, by path.
     """
 
     experiment: Experiment
-    where: dict[str, Any]
+    sweep_point: dict[str, Any]
     seed: int
     policy: str
 
     @property
     def key(self) -> str:
-        """The name of the run: the same experiment, seed, policy and text of routing give the same key."""
+        """The cache key of the run: a digest of its experiment, seed and policy, and of the routing source code."""
         values = [self.experiment, self.seed, self.policy, routing_digest()]
         return xxh64_hexdigest(msgspec.json.encode(values, order="sorted"))
 
 
 def routing_digest() -> str:
-    """Returns a digest of the text of `glenrock.routing`, so that summaries of another text are not reused."""
+    """Returns a digest of the source of `glenrock.routing`, so that summaries of other versions are not reused."""
     package = Path(glenrock.routing.__file__).parent
     return xxh64_hexdigest(b"".join(path.read_bytes() for path in sorted(package.rglob("*.py"))))
 
 
-def tasks(points: list[tuple[dict[str, Any], Experiment]], seeds: list[int], policies: list[str]) -> list[Task]:
+def make_tasks(points: list[tuple[dict[str, Any], Experiment]], seeds: list[int], policies: list[str]) -> list[Task]:
     """Returns the runs of all points, seeds and policies."""
     return [
-        Task(experiment, where, seed, policy) for where, experiment in points for seed in seeds for policy in policies
+        Task(experiment, sweep_point, seed, policy)
+        for sweep_point, experiment in points
+        for seed in seeds
+        for policy in policies
     ]
 
 
-def play(task: Task) -> dict[str, Any]:
-    """Makes a run. Returns its summary, with its point of the sweep and its key."""
+def run_task(task: Task) -> dict[str, Any]:
+    """Executes a run. Returns its summary, with its point of the sweep and its cache key."""
     summary = FleetSimulation(task.experiment, task.seed, task.policy).run()
-    return {**summary, "where": task.where, "key": task.key}
+    return {**summary, "where": task.sweep_point, "key": task.key}
 
 
 def _ignore_interrupts() -> None:
@@ -75,53 +78,53 @@
 
 
 def run_all(
-    todo: list[Task], jobs: int, cache: Path | None, resume: bool, done: Callable[[int], None]
+    tasks: list[Task], jobs: int, cache: Path | None, resume: bool, on_run_done: Callable[[int], None]
 ) -> Generator[dict[str, Any], None, None]:
-    """Yields the summaries of all tasks as they are finished, cached ones first.
+    """Yields the summaries of all runs as they finish, cached ones first.
 
     Args:
-        todo: the runs.
+        tasks: the runs.
         jobs: number of processes.
-        cache: folder of finished summaries.
-        resume: whether summaries in it are reused.
-        done: called with 1 for each finished run.
+        cache: folder of cached summaries; None for no cache.
+        resume: whether cached summaries are reused.
+        on_run_done: called with 1 for each finished run.
 
     Raises:
         KeyboardInterrupt: at Ctrl-C; finished runs stay in the cache.
     """
-    left: list[Task] = []
-    for task in todo:
+    pending: list[Task] = []
+    for task in tasks:
         cached = _read_cached(cache, task) if resume else None
         if cached is None:
-            left.append(task)
+            pending.append(task)
         else:
-            done(1)
+            on_run_done(1)
             yield cached
-    # Closed with this generator, so that the processes of the pool end with it.
-    with closing(_play_in_turn(left) if jobs <= 1 else _play_in_parallel(left, jobs)) as summaries:
+    # The inner generator is closed with this one, so that the processes of the pool end with it.
+    with closing(_run_serially(pending) if jobs <= 1 else _run_in_parallel(pending, jobs)) as summaries:
         for summary in summaries:
             yield _write_cached(cache, summary)
-            done(1)
+            on_run_done(1)
 
 
-def _play_in_turn(todo: list[Task]) -> Generator[dict[str, Any], None, None]:
-    for task in todo:
-        yield play(task)
+def _run_serially(tasks: list[Task]) -> Generator[dict[str, Any], None, None]:
+    for task in tasks:
+        yield run_task(task)
 
 
-def _play_in_parallel(todo: list[Task], jobs: int) -> Generator[dict[str, Any], None, None]:
-    pool = ProcessPoolExecutor(min(jobs, max(1, len(todo))), get_context("spawn"), _ignore_interrupts)
-    ended: SimpleQueue[Future[dict[str, Any]]] = SimpleQueue()
+def _run_in_parallel(tasks: list[Task], jobs: int) -> Generator[dict[str, Any], None, None]:
+    pool = ProcessPoolExecutor(min(jobs, max(1, len(tasks))), get_context("spawn"), _ignore_interrupts)
+    finished: SimpleQueue[Future[dict[str, Any]]] = SimpleQueue()
     try:
-        # An exception raised wherever Ctrl-C arrives could leave a lock of the pool held, and the program would hang
-        # at its end. The interrupt is noted, and raised where no lock is held.
-        with noted_interrupt() as interrupts:
-            for task in todo:
-                pool.submit(play, task).add_done_callback(ended.put)
-            for _ in todo:
-                yield _next_ended(ended, interrupts).result()
+        # A KeyboardInterrupt raised at an arbitrary point could leave a lock of the pool held, and the program would
+        # hang on exit. The interrupt is recorded, and raised where no lock is held.
+        with deferred_interrupt() as interrupts:
+            for task in tasks:
+                pool.submit(run_task, task).add_done_callback(finished.put)
+            for _ in tasks:
+                yield _next_finished(finished, interrupts).result()
     except BaseException:
-        # Runs in progress are lost anyway, and the pool's own shutdown would wait for all that are queued.
+        # Runs in progress are lost anyway, and the shutdown of the pool would wait for all queued runs.
         for process in list((pool._processes or {}).values()):
             process.kill()
         pool.shutdown(wait=False, cancel_futures=True)
@@ -129,32 +132,32 @@
     pool.shutdown()
 
 
-def _next_ended(ended: SimpleQueue[Future[dict[str, Any]]], interrupts: list[int]) -> Future[dict[str, Any]]:
+def _next_finished(finished: SimpleQueue[Future[dict[str, Any]]], interrupts: list[int]) -> Future[dict[str, Any]]:
     """Waits for the next finished run. Raises KeyboardInterrupt after Ctrl-C."""
     while True:
         if interrupts:
             raise KeyboardInterrupt
         with suppress(Empty):
-            return ended.get(timeout=INTERRUPT_CHECK_S)
+            return finished.get(timeout=INTERRUPT_CHECK_S)
 
 
 @contextmanager
-def noted_interrupt() -> Iterator[list[int]]:
-    """Notes Ctrl-C in a list in place of raising an exception. Only the main thread receives signals."""
+def deferred_interrupt() -> Iterator[list[int]]:
+    """Records Ctrl-C in a list instead of raising KeyboardInterrupt. Only the main thread can handle signals."""
     interrupts: list[int] = []
     if current_thread() is not main_thread():
         yield interrupts
         return
-    before = signal.signal(signal.SIGINT, lambda number, _: interrupts.append(number))
+    previous_handler = signal.signal(signal.SIGINT, lambda number, _: interrupts.append(number))
     try:
         yield interrupts
     finally:
-        signal.signal(signal.SIGINT, before)
+        signal.signal(signal.SIGINT, previous_handler)
 
 
 def _write_cached(cache: Path | None, summary: dict[str, Any]) -> dict[str, Any]:
     if cache:
-        record.file(cache / f"{summary['key']}.json", record.text_of(summary))
+        record.write_file(cache / f"{summary['key']}.json", record.json_text(summary))
     return summary
 
 
@@ -162,13 +165,13 @@
     if cache is None:
         return None
     try:
-        found: dict[str, Any] = json.loads((cache / f"{task.key}.json").read_text(encoding="utf-8"))
+        summary: dict[str, Any] = json.loads((cache / f"{task.key}.json").read_text(encoding="utf-8"))
     except (OSError, ValueError):
         return None
-    return found if found.get("key") == task.key else None
+    return summary if summary.get("key") == task.key else None
 
 
-def order(summaries: list[dict[str, Any]]) -> list[dict[str, Any]]:
+def sort_summaries(summaries: list[dict[str, Any]]) -> list[dict[str, Any]]:
     """Sorts summaries by point, policy and seed."""
     return sorted(
         summaries,
--- a/glenrock/simulation/stats.py
+++ b/glenrock/simulation/stats.py
@@ -1,4 +1,4 @@
-"""Intervals and tests over seeds: bootstrap and exact sign test, which assume no distribution."""
+"""Confidence intervals and tests over seeds: bootstrap and exact sign test, which assume no distribution."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 CONFIDENCE = 0.95
 
 
-def interval(values: Sequence[float]) -> tuple[float, float, float]:
-    """Returns the mean and its 95% bootstrap interval (percentiles; Efron 1979); all equal for a single value."""
+def bootstrap_interval(values: Sequence[float]) -> tuple[float, float, float]:
+    """Returns the mean and its 95% bootstrap interval (percentile method; Efron, 1979); all equal for one value."""
     sample = np.array(values, dtype=float)
     if len(sample) < 2:
         return float(sample[0]), float(sample[0]), float(sample[0])
-    draw = np.random.Generator(np.random.PCG64(len(sample)))
-    means = sample[draw.integers(0, len(sample), size=(RESAMPLES, len(sample)))].mean(axis=1)
+    generator = np.random.Generator(np.random.PCG64(len(sample)))
+    means = sample[generator.integers(0, len(sample), size=(RESAMPLES, len(sample)))].mean(axis=1)
     tail = (1 - CONFIDENCE) / 2
     return float(sample.mean()), float(np.quantile(means, tail)), float(np.quantile(means, 1 - tail))
 
 
 def sign_test(differences: Sequence[float]) -> float:
-    """Returns the two-sided p value of the wins and losses among pairs. Ties are left out."""
+    """Returns the two-sided p value of the sign test on paired differences. Ties are left out."""
     wins = sum(difference > 0 for difference in differences)
     decided = wins + sum(difference < 0 for difference in differences)
     if decided == 0:
--- a/tests/cli/test_labels.py
+++ b/tests/cli/test_labels.py
@@ -20,5 +20,5 @@
 
 
 def test_each_fault_of_experiments_and_scenarios_has_a_label() -> None:
-    faults = [*spec_faults.FAULTS, *get_args(scenario.AnyFault)]
+    faults = [*spec_faults.FAULT_TYPES, *get_args(scenario.AnyFault)]
     assert {fault.__struct_config__.tag for fault in faults} == set(report_labels.FAULT_LABELS)
