--- a/benchmarks/findings.py
+++ b/benchmarks/findings.py
@@ -16,7 +16,7 @@
 from glenrock.simulation.report import curves
 
 ROOT = Path(__file__).resolve().parent.parent
-IMAGES = ROOT / "docs" / "img"
+IMAGE_FOLDER = ROOT / "docs" / "img"
 EXPERIMENTS = (
     "site-day",
     "site-busy",
@@ -31,10 +31,10 @@
     "tenant-flood",
     "overlap",
 )
-SCALES = {"scale-balancers": "fleet.balancers", "scale-instances": "fleet.instances"}
+SCALE_AXES = {"scale-balancers": "fleet.balancers", "scale-instances": "fleet.instances"}
 PLOTTED_POLICIES = ("glenrock", "random", "two_choices", "prequal")
 EXPERIMENT_SEEDS, SCALE_SEEDS = "12", "2"
-TIE = 0.0005  # goals that are closer to the best are printed bold too
+TIE_TOLERANCE = 0.0005  # goals that differ less from the best are printed in bold too
 SCALE_MEASURES = (
     "worth.goal",
     "worth.worst_window",
@@ -45,12 +45,13 @@
 )
 
 Row = dict[str, Any]
-Interval = tuple[float, float, float]
+Estimate = tuple[float, float, float]
+"""A mean and the bounds of its 95% confidence interval."""
 
 
 def run_sweeps(folder: Path) -> None:
-    """Runs every sweep into a folder; a sweep that is there is resumed."""
-    for name in (*EXPERIMENTS, *SCALES):
+    """Runs every sweep and writes it to the folder; a sweep that is already there is resumed."""
+    for name in (*EXPERIMENTS, *SCALE_AXES):
         policies = POLICIES if name in EXPERIMENTS else PLOTTED_POLICIES
         command = [sys.executable, "-c", "from glenrock.cli import main; main()", "lab", "sweep"]
         command += [f"experiments/{name}.toml", "--resume", "--out", str(folder / name)]
@@ -61,16 +62,16 @@
 
 
 def read_sweeps(folder: Path) -> dict[str, list[Row]]:
-    """Returns the rows of each sweep that is in the folder."""
-    paths = {name: folder / name / "sweep.json" for name in (*EXPERIMENTS, *SCALES)}
+    """Returns the rows of each sweep in the folder, by name."""
+    paths = {name: folder / name / "sweep.json" for name in (*EXPERIMENTS, *SCALE_AXES)}
     return {name: json.loads(path.read_text())["rows"] for name, path in paths.items() if path.exists()}
 
 
-def print_goals(sweeps: dict[str, list[Row]]) -> dict[str, list[Interval]]:
-    """Prints the table of goals, and returns the goals of each policy by experiment."""
+def print_goals(sweeps: dict[str, list[Row]]) -> dict[str, list[Estimate]]:
+    """Prints a table of goals by experiment and policy, and returns the goals of each policy by experiment."""
     policies = list(POLICIES)
-    goals: dict[str, list[Interval]] = {policy: [] for policy in policies}
-    print("| day | " + " | ".join(policies) + " |\n| --- |" + " --- |" * len(policies))
+    goals: dict[str, list[Estimate]] = {policy: [] for policy in policies}
+    print("| experiment | " + " | ".join(policies) + " |\n| --- |" + " --- |" * len(policies))
     for name in EXPERIMENTS:
         rows = {row["policy"]: row for row in sweeps[name]}
         best = max(rows[policy]["values"]["worth.goal"][0] for policy in policies)
@@ -83,35 +84,35 @@
 def _goal_text(row: Row, best: float) -> str:
     goal, violations = row["values"]["worth.goal"][0], row["values"]["rules_broken"][0]
     text = f"{goal:.3f}" + (f" ({violations:.1f})" if violations else "")
-    return f"**{text}**" if goal > best - TIE else text
+    return f"**{text}**" if goal > best - TIE_TOLERANCE else text
 
 
-def show_scale(name: str, axis: str, rows: list[Row]) -> None:
-    """Prints the measures of a scale's sweep, and writes its two plots."""
+def report_scale(name: str, axis: str, rows: list[Row]) -> None:
+    """Prints the measures of a sweep over the fleet's size, and plots its goal and its CPU time per event."""
     print()
     for measure in SCALE_MEASURES:
         for policy, points in curves(rows, axis, measure).items():
             if policy in PLOTTED_POLICIES:
                 print(name, measure, policy, " ".join(f"{x}:{mean:.4g}" for x, mean, *_ in points))
-    goal = curves(rows, axis, "worth.goal")
-    cost = {"glenrock": curves(rows, axis, "clock.cpu_us_per_event")["glenrock"]}
-    (IMAGES / f"lab-{name}.png").write_bytes(plots.axis_curves(axis, "goal", goal))
-    (IMAGES / f"lab-{name}-cpu.png").write_bytes(plots.axis_curves(axis, "CPU us an event", cost))
+    goal_curves = curves(rows, axis, "worth.goal")
+    cpu_curves = {"glenrock": curves(rows, axis, "clock.cpu_us_per_event")["glenrock"]}
+    (IMAGE_FOLDER / f"lab-{name}.png").write_bytes(plots.axis_curves(axis, "goal", goal_curves))
+    (IMAGE_FOLDER / f"lab-{name}-cpu.png").write_bytes(plots.axis_curves(axis, "CPU us per event", cpu_curves))
 
 
 def main() -> None:
-    """Shows the findings of the folder that the last argument names."""
+    """Reports the sweeps in the folder that the last argument names."""
     folder = Path(sys.argv[-1])
     if "--play" in sys.argv:
         run_sweeps(folder)
     sweeps = read_sweeps(folder)
     goals = print_goals(sweeps)
     plotted = {policy: goals[policy] for policy in PLOTTED_POLICIES}
-    image = plots.grouped_bars("Goal on each day, 12 seeds, 95% intervals", "goal", EXPERIMENTS, plotted)
-    (IMAGES / "lab-days.png").write_bytes(image)
-    for name, axis in SCALES.items():
+    image = plots.grouped_bars("Goal by experiment, 12 seeds, 95% confidence intervals", "goal", EXPERIMENTS, plotted)
+    (IMAGE_FOLDER / "lab-days.png").write_bytes(image)
+    for name, axis in SCALE_AXES.items():
         if name in sweeps:
-            show_scale(name, axis, sweeps[name])
+            report_scale(name, axis, sweeps[name])
 
 
 if __name__ == "__main__":
--- a/benchmarks/relay_reads.py
+++ b/benchmarks/relay_reads.py
@@ -1,7 +1,8 @@
-"""Processor time of a relay's read (wait for readability, then read) beside the loop's own `sock_recv_into`.
+"""CPU time of a relay's read (wait for readability, then read), compared with the event loop's `sock_recv_into`.
 
-Run: `python benchmarks/relay_reads.py`. Prints, for each round, microseconds of processor time for a round trip on one
-pair of sockets.
+    python benchmarks/relay_reads.py
+
+Prints the CPU time of a round trip on a socket pair, in microseconds, for each round and each read function.
 """
 
 from __future__ import annotations
@@ -17,48 +18,51 @@
 
 ROUND_TRIPS = 20_000
 ROUNDS = 5
-LINE = b"x" * 100
+MESSAGE = b"x" * 100
 BUFFER_BYTES = 8192
 
-Read = Callable[[socket.socket, bytearray], Awaitable[int]]
+ReadFunction = Callable[[socket.socket, bytearray], Awaitable[int]]
 
 
-async def echo(loop: asyncio.AbstractEventLoop, sock: socket.socket, read: Read) -> None:
-    """Sends all bytes back, until the end."""
+async def echo(loop: asyncio.AbstractEventLoop, sock: socket.socket, read: ReadFunction) -> None:
+    """Sends all received bytes back until the end of the stream."""
     buffer = bytearray(BUFFER_BYTES)
     while count := await read(sock, buffer):
         await loop.sock_sendall(sock, memoryview(buffer)[:count])
 
 
-async def round_trip_us(read_of: Callable[[asyncio.AbstractEventLoop], Read]) -> float:
-    """Returns the processor time of a round trip in microseconds."""
+async def round_trip_us(make_read: Callable[[asyncio.AbstractEventLoop], ReadFunction]) -> float:
+    """Returns the mean CPU time of a round trip in microseconds."""
     loop = asyncio.get_running_loop()
-    read = read_of(loop)
-    near, far = socket.socketpair()
-    for sock in (near, far):
+    read = make_read(loop)
+    client_socket, echo_socket = socket.socketpair()
+    for sock in (client_socket, echo_socket):
         sock.setblocking(False)
-    echoing = loop.create_task(echo(loop, far, read))
+    echo_task = loop.create_task(echo(loop, echo_socket, read))
     buffer = bytearray(BUFFER_BYTES)
-    started_s = time.process_time()
+    start_cpu_s = time.process_time()
     for _ in range(ROUND_TRIPS):
-        await loop.sock_sendall(near, LINE)
-        await read(near, buffer)
-    took_s = time.process_time() - started_s
-    near.close()
-    await echoing
-    far.close()
-    return took_s / ROUND_TRIPS * 1e6
+        await loop.sock_sendall(client_socket, MESSAGE)
+        await read(client_socket, buffer)
+    cpu_s = time.process_time() - start_cpu_s
+    client_socket.close()
+    await echo_task
+    echo_socket.close()
+    return cpu_s / ROUND_TRIPS * 1e6
 
 
 def main() -> None:
-    """Prints a line for each round."""
-    reads: dict[str, Callable[[asyncio.AbstractEventLoop], Read]] = {
+    """Prints the CPU time of each read function, one line per round."""
+    read_makers: dict[str, Callable[[asyncio.AbstractEventLoop], ReadFunction]] = {
         "sock_recv_into": lambda loop: loop.sock_recv_into,
         "socket_io.recv_into": lambda loop: lambda sock, buffer: recv_into(loop, sock, buffer),
     }
-    for number in range(ROUNDS):
-        figures = [f"{name} {uvloop.run(round_trip_us(read_of)):.1f} us" for name, read_of in reads.items()]
-        print(number, "  ".join(figures))
+    for round_number in range(ROUNDS):
+        results = [
+            f"{name} {uvloop.run(round_trip_us(make_read)):.1f} us CPU per round trip"
+            for name, make_read in read_makers.items()
+        ]
+        print(round_number, "  ".join(results))
 
 
 if __name__ == "__main__":
