--- a/glenrock/cli/simulation_sweep.py
+++ b/glenrock/cli/simulation_sweep.py
@@ -29,7 +29,7 @@
         resume: whether to skip runs whose summaries the folder already holds.
 
     Returns:
-        The summaries, ordered by point, policy and seed.
+        The summaries, ordered by point (parameter combination), policy and seed.
 
     Raises:
         CommandFailedError: interrupted by Ctrl-C; the summaries of finished runs stay in the folder.
@@ -50,7 +50,7 @@
             transient=True,
         ) as progress:
             bar = progress.add_task("", total=len(tasks))
-            # Closes the generator at once after Ctrl-C; otherwise the pool finishes all tasks until it is collected.
+            # After Ctrl-C the generator is closed at once; otherwise its pool goes on until it is garbage-collected.
             with closing(
                 runner.run_all(tasks, jobs, run_folder, resume, lambda count: progress.advance(bar, count))
             ) as runs:
--- a/glenrock/coordination/drain_limiter.py
+++ b/glenrock/coordination/drain_limiter.py
@@ -112,7 +112,7 @@
         )
 
     async def _acquire(self, job: str, timeout_s: float) -> bool:
-        """Acquires a permit and stores that on disk. Returns whether the permit is held."""
+        """Acquires a permit and records it on disk. Returns whether the permit is held."""
         answer = self._pending_answers[job] = asyncio.get_running_loop().create_future()
         self._leases.request_lease(job)
         try:
--- a/glenrock/coordination/lease_runner.py
+++ b/glenrock/coordination/lease_runner.py
@@ -43,8 +43,8 @@
         event_listeners: called when a lease is acquired or lost.
         answer_listeners: called when a request is answered or times out.
         store_error: the error of the last failed call to the store, shown to operators; empty once a later lease
-            request is answered, and "not asked yet" until the first call. Errors of polls, and of releases while the
-            process stops, are not recorded.
+            request is answered, and "not asked yet" until a lease request is answered or a call fails. Errors of
+            polls, and of releases while the process stops, are not recorded.
     """
 
     def __init__(
@@ -75,9 +75,9 @@
             self._tasks.run(task())
 
     def current_term(self, job: str) -> int | None:
-        """Returns the term under which an effect may be sent now; None if the lease is not held.
+        """Returns the term under which this process may act now; None if the lease is not held.
 
-        Callers check it immediately before they send each effect.
+        Callers check it immediately before each action.
         """
         return self.manager.current_term(job, boottime_us())
 
--- a/glenrock/coordination/leases/lease_manager.py
+++ b/glenrock/coordination/leases/lease_manager.py
@@ -1,4 +1,4 @@
-"""All leases of one process: which leases it requests, and when, with as few calls to the store as possible.
+"""All leases of one process: decides which leases it requests and when, and keeps calls to the store few.
 
 This module does no I/O and reads no clock. Times are whole microseconds of the process's own clock, as in `candidate`.
 
@@ -27,10 +27,10 @@
 from .store import TIME_UNKNOWN, JobRequest, Lease, LeaseAnswers
 
 MAX_POLLING_MEMBERS = 3  # members that read a job's lease in each poll; the others read it only in a full poll
-MAX_STAGGER_INTERVALS = 10  # bound on the intervals for which a member waits for those before it in the order
-MAX_REBALANCE_DELAY_LEASES = 256
+MAX_STAGGER_INTERVALS = 10  # upper bound on a member's delay, in stagger intervals
+MAX_REBALANCE_DELAY_LEASES = 256  # in lease durations
 REBALANCE_DELAY_FACTOR = 4  # growth of the delay with each release of a misplaced job
-NO_WORK_COOLDOWN_LEASES = 3  # during which a member does not request a lease that it held without working
+NO_WORK_COOLDOWN_LEASES = 3  # lease durations for which a member does not request a lease that it held without working
 REBALANCE_DIVISOR = 10  # 1 + misplaced jobs / 10 are released at a time
 NO_LEASE = Lease("", 0, 0)
 
@@ -91,7 +91,7 @@
         self.jobs = tuple(jobs)
         self.candidates = {job: LeaseCandidate(timing) for job in self.jobs}
         self._stagger_us = stagger_us
-        self._requested_jobs: set[str] = set()  # requested by `request_lease`, even if they are not known to be free
+        self._requested_jobs: set[str] = set()  # by `request_lease`; even if the lease is not known to be free
         self._observed: dict[str, ObservedLease] = {}
         self._active_jobs: set[str] = set()  # jobs that a tick may act on: held, requested or free
         self._members: list[int] = []
@@ -105,7 +105,7 @@
     # -- leases held -----------------------------------------------------------------------------------
 
     def current_term(self, job: str, now_us: int) -> int | None:
-        """Returns the term under which an effect may be sent now; None if the lease is not held."""
+        """Returns the term under which this process may act now; None if the lease is not held."""
         candidate = self.candidates.get(job)
         return candidate.current_term(now_us) if candidate else None
 
@@ -170,7 +170,7 @@
         return actions
 
     def _tick_job(self, job: str, now_us: int) -> LeaseActions:
-        """Ticks the candidate of one job. A job on which nothing can happen is removed from the active ones."""
+        """Ticks the candidate of one job. A job becomes inactive if it is idle and may not be requested later."""
         candidate = self.candidates[job]
         is_idle = candidate.state is CandidateState.IDLE and not candidate.pending_kind
         is_backing_off = candidate.state is CandidateState.BACKING_OFF
--- a/glenrock/coordination/override_holder.py
+++ b/glenrock/coordination/override_holder.py
@@ -114,7 +114,7 @@
         Raises:
             StoreUnavailableError: the store did not answer.
         """
-        if not await self._begin_term(term):
+        if not await self._ensure_ready(term):
             return
         for proposal_id, value in (await self._leases.store.proposals(OVERRIDES_JOB)).items():
             proposal = decode_pending(value)
@@ -126,7 +126,7 @@
                 return
         self._send_due_updates()
 
-    async def _begin_term(self, term: int) -> bool:
+    async def _ensure_ready(self, term: int) -> bool:
         """Reads all records and repairs the store, once in each term and whenever the store has lost an override.
 
         Returns:
@@ -208,7 +208,7 @@
         return True
 
     def _fence_own_term(self, term: int) -> None:
-        """Raises this balancer's own fence to the holder's term, since a holder receives datagrams too.
+        """Raises this balancer's own fence to its term as holder, since a holder receives datagrams too.
 
         From then on, this balancer rejects datagrams of earlier holders.
         """
--- a/glenrock/coordination/warm_start/start_cache.py
+++ b/glenrock/coordination/warm_start/start_cache.py
@@ -42,7 +42,7 @@
 
     Attributes:
         path: the path of the file.
-        status: a text for operators that says what the start used from the cache.
+        status: a text for operators: which data of the cache were used at the start, or why none were.
     """
 
     def __init__(self, host: BalancerHost, folder: Path, name: str, validity: RecordValidity) -> None:
@@ -121,7 +121,10 @@
             await self.write_if_due()
 
     async def write_if_due(self) -> None:
-        """Writes the file if the list has changed or the last write was WRITE_INTERVAL_MS ago. A failure is logged."""
+        """Writes the file if the list has changed or the last write was WRITE_INTERVAL_MS ago.
+
+        Nothing is written until discovery has answered. A failure is logged.
+        """
         now_ms = self._clock.now_ms()
         last = self._last_write
         is_same_list = last is not None and last.version == self._host.endpoints.newest_version
--- a/glenrock/net/endpoint_watcher.py
+++ b/glenrock/net/endpoint_watcher.py
@@ -23,8 +23,8 @@
 from .poll_backoff import PollBackoff
 
 NO_LIST_RESPONSE_GRACE_MS = 5000.0  # longer than with a list, since a balancer without a list cannot serve anyway
-MIN_POLL_INTERVAL_MS = 50.0  # after a response without rows; discovery ends a watch that is not renewed within 200 ms
-OLDER_RESPONSES_TO_ACCEPT = 4  # after this many consecutive responses with an older version, a whole list is used
+MIN_POLL_INTERVAL_MS = 50.0  # after an empty response; below 200 ms, when discovery ends a watch that is not renewed
+OLDER_RESPONSES_TO_ACCEPT = 4  # the last of this many consecutive older responses is accepted if it is a whole list
 NO_VERSION = -1
 
 logger = get_logger(__name__)
--- a/glenrock/net/established_relay.py
+++ b/glenrock/net/established_relay.py
@@ -31,7 +31,7 @@
 from .server_connections import ServerRegistry
 from .socket_io import close_socket
 
-MIGRATION_TIMEOUT_MS = LINGER_TIMEOUT_MS / 2  # until a line that is being sent to the client must be complete
+MIGRATION_TIMEOUT_MS = LINGER_TIMEOUT_MS / 2  # time limit for the line that is being sent to the client
 OUTCOME_BY_LAST_KEYWORD: dict[str, AttemptOutcome] = {
     ServerKeyword.SERVED: AttemptOutcome.SERVED,
     ServerKeyword.MIGRATE: AttemptOutcome.CANCELLED,
@@ -114,7 +114,7 @@
                 return
 
     def _end_event_of(self, message: ConnectionMessage) -> RelayEvent | None:
-        """Returns the event by which that message ends the relay; None if the relay continues."""
+        """Returns the event with which `message` ends the relay; None if the relay continues."""
         match message:
             case MigrateClient(outcome):
                 return RelayEvent.MIGRATION_POSSIBLE if self._start_migration(outcome) else None
@@ -127,7 +127,7 @@
                 self.reports.post_open(self.server)
                 return None
             case RelayEvent.TIMER_EXPIRED if self.migration:
-                # Within a line, the client would read the migration line as the rest of it, so the connection is reset.
+                # After a partial line, the client would read the migration line as the rest of it, so it gets a reset.
                 return RelayEvent.MIGRATION_POSSIBLE if self.may_migrate() else RelayEvent.SERVER_RST
             case RelayEvent() if message is not RelayEvent.TIMER_EXPIRED:
                 return message
@@ -189,7 +189,7 @@
             data = self.process_server_bytes(server_sock.recv(BUFFER_BYTES)) if server_sock else b""
         except OSError:
             return protocol.MIGRATE_LINE
-        if self.line_buffer.is_within_line:  # the data ends in an overlong line; none of it was sent, so it is dropped
+        if self.line_buffer.is_within_line:  # the data, not sent yet, ends within an overlong line and is dropped
             return protocol.MIGRATE_LINE
         return data if data and self.last_keyword in OUTCOME_BY_LAST_KEYWORD else data + protocol.MIGRATE_LINE
 
@@ -234,13 +234,14 @@
             )
 
     async def finish(self, line: bytes) -> None:
-        """Sends the client's last line, and waits until the client ends the connection.
+        """Sends the last line to the client, and waits until the client ends the connection.
 
         A close with unread bytes would reset the connection, and the client would lose the line.
         """
         loop = asyncio.get_running_loop()
         self.has_ended = True
         is_rejection = protocol.is_rejection(line)
+        # Has no effect if another outcome was counted before, as it is when a connection is established.
         self.reports.count(ConnectionOutcome.THROTTLED if is_rejection else ConnectionOutcome.FAULTED)
         with contextlib.suppress(OSError):
             async with self.clock.time_limit(LINGER_TIMEOUT_MS):
--- a/glenrock/net/graceful_shutdown.py
+++ b/glenrock/net/graceful_shutdown.py
@@ -18,7 +18,7 @@
 from .connection_table import ConnectionTable
 
 DRAIN_STEP_MS = 50.0  # between two steps of a drain
-FRONT_END_NOTICE_MS = 450.0  # until the front end sends no new clients here; it would send earlier ones back
+FRONT_END_NOTICE_MS = 450.0  # until the front end sends no new clients here; before, it may send migrated ones back
 MANUAL_REJECT_AFTER_MS = 1000.0  # from the start of a manual drain to the first rejection
 MANUAL_DRAIN_MS = 3000.0  # from the start of a manual drain until all clients have been asked to migrate
 SIGKILL_AFTER_DEADLINE_MS = 700.0  # SIGKILL follows SIGTERM after the longest deadline of a class plus this
@@ -30,7 +30,7 @@
 MAX_OFFERED_RELAYS = 16  # per step; the pumps of a relay are stopped while it is offered
 HAND_OVER_MARGIN_MS = 700.0  # from the end of the handover to the end of the migration, for the remaining clients
 SINGLE_BALANCER_MIGRATION_MS = 400.0  # to migrate all clients, if no other balancer can serve them
-STEP_ROUNDING = 0.49  # added before round(), which then rounds fractions above 0.01 up
+STEP_ROUNDING = 0.49  # added before round(), so that a number of clients is rounded up if its fraction is above 0.01
 
 logger = get_logger(__name__)
 
@@ -45,7 +45,7 @@
 
     @property
     def handed_over_count(self) -> int:
-        """The number of relays that the successor has accepted, or has not answered in time."""
+        """The number of relays that the successor has accepted, or whose offers it has not answered in time."""
         ...
 
     def connect(self) -> bool:
@@ -120,7 +120,7 @@
         self._acceptor.rejects_requests = False
 
     async def _drain(self) -> None:
-        """Migrates clients evenly over `MANUAL_DRAIN_MS`, and later ones at once, until the drain is cancelled."""
+        """Migrates clients evenly over `MANUAL_DRAIN_MS`, and later ones at once, until the drain ends."""
         started_ms = self._clock.now_ms()
         end_ms = started_ms + MANUAL_DRAIN_MS
         await self._clock.sleep(FRONT_END_NOTICE_MS)
@@ -155,11 +155,12 @@
     async def stop(self, has_inherited_listener: bool, successor: Successor | None) -> None:
         """Migrates or hands over all clients, and answers the last requests, before SIGKILL.
 
-        Times after SIGTERM, where D is the longest deadline of a class, at most 3 s:
+        Times after SIGTERM, where D is the longest deadline of a class, at most 3 s, and S is 0 with an inherited
+        listening socket and 0.45 s without one:
 
-            0            routing learns of the drain; with an inherited listening socket this process stops accepting,
-                         and hands relays over to a successor
-            0.45 s       without an inherited listening socket: migration begins, spread evenly until D
+            0            routing learns of the drain; with an inherited listening socket this process stops accepting
+            S            with a successor: the handover begins; without one, if other balancers can serve the clients:
+                         migration begins, spread evenly until D
             D - 0.5 s    with a successor: the handover ends, and the remaining clients migrate until D
             D - 0.2 s    without a successor, if no other balancer can serve the clients: they migrate until D
             D + 0.2 s    the migration ends: idle connections and waiting requests get their answers
--- a/glenrock/net/poll_backoff.py
+++ b/glenrock/net/poll_backoff.py
@@ -1,7 +1,7 @@
 """Timeouts and delays of one balancer's calls to service discovery: first call, retries, delay after a rejection.
 
-Where the endpoint list must be polled, discovery is one service for all balancers and handles one call at a time. The
-start of each watch is such a call. Calls are queued, and a call that has been queued for too long is rejected but still
+Without an agent on each machine, discovery is one service for all balancers and handles one call at a time. Starting a
+watch takes a call too. Calls are queued, and a call that has been queued for too long is rejected but still
 takes as much of discovery's time as an answered call. If all balancers called at the same time or retried within a
 second, the queue would stay full of calls that no balancer waits for any longer. So the delays grow with the number of
 balancers, until discovery can handle the calls of all of them.
@@ -17,7 +17,7 @@
 CALL_SPACING_MS = 250.0  # average time between calls of different balancers
 MAX_FIRST_CALL_DELAY_MS = 10_000.0  # with a cached list
 FIRST_CALL_SPACING_MS = 10.0  # average time between first calls without a cached list
-IMMEDIATE_FIRST_CALLS = 8  # up to this number of balancers make the first call without delay if they have no list
+IMMEDIATE_FIRST_CALLS = 8  # without a cached list, a fleet of at most this size makes first calls without delay
 MIN_OVERLOAD_DELAY_MS = 1000.0
 MAX_OVERLOAD_DELAY_MS = 20_000.0  # for up to 20 balancers; for more, MAX_OVERLOAD_SPACING_MS times their number
 MAX_OVERLOAD_SPACING_MS = 1000.0  # discovery may need a second for a call
@@ -27,8 +27,8 @@
 MAX_RETRY_DOUBLINGS = 6
 MAX_RETRY_DELAY_MS = 1000.0  # discovery must be reached again within 4 s of a change of its address
 
-# The protocol counts a change as reported at the latest 2 s after the end of the watch in which it happened, whether or
-# not the watch was answered. The drain grace of a server starts at that time.
+# If an endpoint changes during a watch, the protocol counts the change as reported at most 2 s after the watch's end,
+# even if the balancer got no response. The drain grace of a server starts when its drain counts as reported.
 WATCH_TIMEOUT_MS = 10_000.0
 MISSED_CHANGE_GRACE_MS = 2000.0
 MAX_RESPONSE_GRACE_MS = 2500.0  # an overloaded discovery queues a call for up to 2 s
@@ -81,8 +81,8 @@
         if not self.must_poll or self.balancers < 2:
             return 0.0
         if not has_list:
-            delayed_balancers = max(0, self.balancers - IMMEDIATE_FIRST_CALLS)
-            return self.rng.random() * FIRST_CALL_SPACING_MS * delayed_balancers
+            excess_balancers = max(0, self.balancers - IMMEDIATE_FIRST_CALLS)
+            return self.rng.random() * FIRST_CALL_SPACING_MS * excess_balancers
         return self.rng.random() * min(MAX_FIRST_CALL_DELAY_MS, CALL_SPACING_MS * self.balancers)
 
     def record_answer(self) -> None:
--- a/glenrock/routing/admission.py
+++ b/glenrock/routing/admission.py
@@ -35,7 +35,7 @@
 CAP_REMOVAL_RATIO = 4  # a cap above this multiple of the active load becomes NO_CAP
 MIN_ROUND_ATTEMPTS = 4  # rounds with fewer attempts are not evaluated
 MAX_DROPPED_FRACTION = 0.2  # of a round's attempts; if servers drop more, the fleet may be full
-DROPPING_SERVERS_DIVISOR = 3  # the fleet is full if more than one in so many warm servers drops connections
+DROPPING_SERVERS_DIVISOR = 3  # the fleet is full if more than (warm servers / divisor) drop connections
 SMALL_FLEET_SIZE = 3  # warm servers; in a smaller fleet, one server that drops connections is enough
 DROP_OUTCOMES = frozenset((AttemptOutcome.FULL, AttemptOutcome.BROKEN))  # outcomes at an overloaded server
 
@@ -48,10 +48,11 @@
         load_cap: upper bound on the active load of all balancers; `NO_CAP` if the load is not bounded.
         slow_start_load_cap: active load allowed in addition to `load_cap`, for servers that are warming up.
         quota: load that this balancer may still admit this round from `partial_bucket`, or from any client if
-            no client waits.
-        last_admitted_bucket: all clients of this bucket and of older buckets are admitted.
+            every bucket fits into the free load.
+        last_admitted_bucket: all clients of this bucket and of older buckets are admitted; `-NO_BUCKET` if
+            none is.
         partial_bucket: the oldest bucket that does not fit into the free load; its clients are admitted while
-            the quota lasts.
+            the quota lasts. `NO_BUCKET`, which is above all buckets, if every bucket fits.
         extra_buckets: number of buckets younger than `partial_bucket` that may use the quota too.
         may_admit_new_clients: clients are admitted without a quota, because no client waits and less than
             half of the cap is in use.
@@ -158,7 +159,9 @@
         self._attempts += 1
 
     def record_fault(self, request: RoutedRequest, attempt: Attempt) -> bool:
-        """Counts an attempt that failed at its server. Returns whether the client keeps its session.
+        """Records a failed attempt or a broken connection. Returns whether the client keeps its session.
+
+        Unless the connection was established long ago, it counts as dropped if the outcome shows overload.
 
         An overloaded server drops its newest connections. Their clients lose their sessions and have to wait,
         since they would otherwise return at once and be dropped again.
@@ -184,7 +187,7 @@
     def update_cap(self) -> None:
         """Cuts the cap while the servers are full, at most once per feedback delay; otherwise raises it."""
         reachable = self.ejection.reachable_servers()
-        # Servers that are warming up are excluded: their free capacity is reserved by slow-start budgets.
+        # The cap follows from the warm servers only; slow-start budgets limit the load of the others.
         warm, self.slow_start.warming = self.index.split_by_warmth(reachable, self.slow_start.is_warm)
         self.capacity.update_membership(warm)
         self.capacity.update_fleet_load(warm, self.gossip.total_active_load())
@@ -205,7 +208,7 @@
         """Returns whether this round's attempts show that the servers are full, and resets the counts.
 
         A single server that fails also drops all its connections within a round. The fleet is considered full
-        only if several servers drop connections.
+        only if several servers drop connections, or one in a fleet below `SMALL_FLEET_SIZE`.
         """
         dropping_count = len(self._dropping_servers)
         are_several = dropping_count > 1 and DROPPING_SERVERS_DIVISOR * dropping_count > warm_count
@@ -219,7 +222,7 @@
     def _update_slow_start_load_cap(self, past_load: float, warm_count: int) -> None:
         """Sets the load allowed in addition to the cap: what warming servers may have received by now.
 
-        The cap does not rise while the fleet is full, so restarted servers would remain empty under it.
+        The cap does not rise while the fleet is full, so restarted servers would otherwise remain empty.
         """
         filled = sum(self.slow_start.filled_fraction(server) for server in self.slow_start.warming)
         full_load = filled * load_targets.TARGET_LOAD * past_load
@@ -247,7 +250,10 @@
         return sample.clients if sample else 0
 
     def client_fraction(self) -> float | None:
-        """Returns this balancer's fraction of all clients `CLIENT_COUNT_LAG_US` ago; None if unknown."""
+        """Returns this balancer's fraction of all clients `CLIENT_COUNT_LAG_US` ago.
+
+        It is None if this balancer had no clients, or if it has no gossip of the other balancers.
+        """
         own = self.lagged_client_count()
         total = own + sum(peer.clients for peer in self.gossip.peers.values())
         return own / total if own and (self.gossip.peers or self.settings.balancers == 1) else None
@@ -274,8 +280,9 @@
         elif self.quota <= 0:
             self.extra_buckets = 0
         if self.has_rejected_young_bucket and free_load < NO_CAP:
-            # Free load is reserved for the fully admitted buckets, but only some of their clients returned.
-            # The unused part is added to the quota, since other clients were rejected meanwhile.
+            # Free load is reserved for the fully admitted buckets, but only some of their clients returned,
+            # while other clients were rejected. The quota therefore covers all free load except what was
+            # admitted outside the quota, if that is more.
             remaining_load = max(
                 remaining_load, free_load - self._load_admitted_outside_quota / client_fraction
             )
--- a/glenrock/routing/capacity_estimation.py
+++ b/glenrock/routing/capacity_estimation.py
@@ -45,7 +45,7 @@
         server_capacity: load that fills an average server; 0 while it is not known.
         warm_server_count: number of reachable warm servers, in the last round that had any.
         has_warm_server: whether the last round had any reachable warm server; true before the first round.
-        servers_lost_at_us: when warm servers were last lost.
+        servers_lost_at_us: when a loss of warm servers last raised the predicted mean load.
     """
 
     def __init__(
@@ -68,7 +68,7 @@
         self._reachable_ids: set[str] = set()
         self._last_warm: Sequence[Server] | None = None
         self._own_load_history: list[TimedLoad] = []
-        self._balancer_fraction = 0.0  # of the total active load, averaged since usual capacities are learned
+        self._balancer_fraction = 0.0  # moving average; set anew when capacities are discarded
         self._balancer_fraction_since_us = 0
 
     def update_server_capacity(self, total_active_load: float, ready_servers: int) -> None:
@@ -165,7 +165,7 @@
         balancer_fraction = min(
             1.0, max(MIN_BALANCER_FRACTION, self._sessions.active_load / max(1.0, total_active_load))
         )
-        is_steady = self._is_balancer_fraction_steady()
+        is_steady = self._record_own_load_and_check_steadiness()
         usual_gain = self._usual_capacity_gain(balancer_fraction)
         for server, load in observed:
             own_load = server.own_load
@@ -188,8 +188,8 @@
                 minimum = MIN_USUAL_CAPACITY_FRACTION * sum(usual) / len(usual)
                 server.capacity_ratio = min(1.0, server.capacity / max(server.usual_capacity, minimum))
 
-    def _is_balancer_fraction_steady(self) -> bool:
-        """Returns whether this balancer's load, and so its fraction, was steady in `STEADY_WINDOW_US`.
+    def _record_own_load_and_check_steadiness(self) -> bool:
+        """Records this balancer's load; returns whether it, and so the fraction, was steady lately.
 
         The capacity estimate assumes that this balancer has the same fraction of the load at each server as
         of the total load. That is wrong while clients arrive from another balancer: a slow server that has
@@ -208,8 +208,8 @@
         The error of an estimated capacity is proportional to the error of the fraction. After a change, all
         servers would seem to have lost capacity, and their clients would be migrated. The gain stays high for
         `STEADY_WINDOW_US` after the change, since late reports still describe the time before it. After a
-        start, when the servers held few connections, usual capacities that are learned from such reports are
-        twice the true ones, and any later load would make the servers seem slow.
+        start, such reports describe servers with few connections. The usual capacities learned from them are
+        twice the true ones; if they were kept, any later load would make the servers seem slow.
         """
         now_us = self._batch.now_us
         lowest, highest = STEADY_FRACTION * self._balancer_fraction, self._balancer_fraction / STEADY_FRACTION
--- a/glenrock/routing/load_estimation.py
+++ b/glenrock/routing/load_estimation.py
@@ -165,8 +165,8 @@
 
         A server with a load of 1 + g falls behind by g seconds of work per second, so its delay grows by g
         seconds per second. Working off the delay within one feedback delay takes another
-        delay / `FEEDBACK_DELAY_US` of its capacity, which is added to the load. The growth also tells a
-        backlog that shrinks from one that grows; otherwise a server that only works off its backlog would be
+        delay / `FEEDBACK_DELAY_US` of its capacity, which is added to the load. The growth also
+        shows whether a backlog shrinks or grows; otherwise a server that only works off its backlog would be
         emptied. Load reports are older, and would cause the same excess load to be migrated twice.
         """
         at_us, delay_s, own_load = server.delay_samples[-1]
--- a/glenrock/routing/migration.py
+++ b/glenrock/routing/migration.py
@@ -97,7 +97,7 @@
         if its last report is old and no health check may be sent.
         """
         misses_objective = self.loads.misses_message_objective(server)
-        # Discounts connections that ended since the report; their load would be migrated a second time.
+        # Excludes connections that ended since the report; otherwise their load would be migrated twice.
         load = self.loads.load(server) * self.loads.remaining_load_fraction(server)
         # Late messages are reason enough to migrate clients while the others have free capacity.
         if not is_capacity_scarce and misses_objective:
--- a/glenrock/routing/outlier_ejection.py
+++ b/glenrock/routing/outlier_ejection.py
@@ -53,7 +53,7 @@
         """Returns whether the server may receive new work of that load now.
 
         Conditions that depend on the request are not checked here. A server that is draining, or suspended by
-        an operator, is not ready and receives no new work: an attempt after the notice would break the drain.
+        an operator, is not ready and receives no new work: a drain allows no attempt after its notice.
         """
         is_allowed = server.is_ready and (self.is_usable(server) or self.is_panicking)
         return is_allowed and self.slow_start.headroom(server) >= load
@@ -116,8 +116,8 @@
         self._record_evidence(server, is_reachable=False)
         self.index.add_suspect(server)
         server.consecutive_failures = min(server.consecutive_failures + 1, MAX_FAILURES)
-        is_outlier = server.consecutive_failures >= FAILURES_TO_EJECT
-        if is_outlier and not self.domains.is_partitioned(server.zone):
+        must_eject = server.consecutive_failures >= FAILURES_TO_EJECT
+        if must_eject and not self.domains.is_partitioned(server.zone):
             ejection_us = BASE_EJECTION_US * 2**server.consecutive_failures
             jitter = 0.75 + self.rng.random() / 2
             server.ejected_until_us = self.batch.now_us + int(ejection_us * jitter)
--- a/glenrock/routing/request_lifecycle.py
+++ b/glenrock/routing/request_lifecycle.py
@@ -92,11 +92,14 @@
     # -- attempts ------------------------------------------------------------------------------------
 
     def _route(self, request: RoutedRequest) -> None:
-        """Sends the request to the best candidate. Without one, the request waits or is answered."""
+        """Sends the request to the best candidate, after health checks if needed.
+
+        Without a candidate, the request waits for a server, or is rejected or failed.
+        """
         may_attempt = self.concurrency.may_start() and self.retries.may_attempt(request)
         request.candidates = self.selection.draw_candidates(request) if may_attempt else []
         if not request.candidates:
-            self._await_server_or_answer(request)
+            self._wait_or_reject(request)
         elif not self._await_checks(request):
             self._send_to_best(request)
 
@@ -123,7 +126,7 @@
         self._awaiting_checks.pop(request.event.request_id, None)
         server = self.selection.best_candidate(request)
         if server is None:
-            self._await_server_or_answer(request)
+            self._wait_or_reject(request)
         else:
             self._send(request, server)
 
@@ -136,7 +139,7 @@
         self.concurrency.record_sent()
         self.batch.emit(StartAttempt(request.event.request_id, server.server_id, timeout_us))
 
-    def _await_server_or_answer(self, request: RoutedRequest) -> None:
+    def _wait_or_reject(self, request: RoutedRequest) -> None:
         if request.attempt_is_in_flight:
             return
         if self.retries.may_wait(request):
@@ -153,7 +156,7 @@
                 self._route(self.requests[request_id])
 
     def _route_next_waiting(self) -> None:
-        """Routes the first waiting request if an attempt has ended while the concurrency limit applies."""
+        """Routes the first waiting request if a concurrency limit is in force and allows another attempt."""
         if self._awaiting_server and self.concurrency.is_limited and self.concurrency.may_start():
             first = next(iter(self._awaiting_server))
             del self._awaiting_server[first]
@@ -199,7 +202,7 @@
             self._route_next_waiting()
         keep_session = self._record_outcome(request, attempt, is_balancer_draining)
         if event.is_final or request.server:
-            # The client of a broken connection still needs a final answer.
+            # The connection broke, and the event is not final: its client still needs an answer.
             if not event.is_final and not request.event.is_midstream:
                 self.batch.emit(Fail(event.request_id))
             self._remove(request, keep_session)
@@ -207,7 +210,7 @@
             self._route(request)
 
     def _record_outcome(self, request: RoutedRequest, attempt: Attempt, is_balancer_draining: bool) -> bool:
-        """Records the outcome as evidence on the server. Returns whether the client keeps its session."""
+        """Records what the outcome shows about the server. Returns whether the client keeps its session."""
         # While this balancer drains, its clients migrate to other balancers. A session that was kept here
         # would be counted at both balancers for some seconds.
         keep_session = not is_balancer_draining
--- a/glenrock/routing/simulator_adapter.py
+++ b/glenrock/routing/simulator_adapter.py
@@ -50,7 +50,7 @@
 
     @property
     def is_inside_batch(self) -> bool:
-        """Whether the current batch lacks lines."""
+        """Whether a batch has begun and is not complete."""
         return self._now_us is not None or self._missing_rows > 0
 
     def handle_line(self, line: str) -> list[str] | None:
@@ -144,7 +144,10 @@
         return reply
 
     def _handle(self, number: int, now_us: int) -> list[str]:
-        """Returns the reply lines of one balancer. A line that reports its error ends the simulator's run."""
+        """Returns the reply lines of one balancer.
+
+        If the balancer raises an error, the reply is a line with the error, and the simulator ends its run.
+        """
         try:
             if start := self._starts.get(number):
                 self._balancers[number] = Balancer(start.settings, start.seed)
--- a/glenrock/routing/slow_start.py
+++ b/glenrock/routing/slow_start.py
@@ -1,8 +1,8 @@
 """Slow start: how warm a server is, and how much load this balancer may send to a server that is warming up.
 
 A server that is warming up would fail under the load that all balancers together could send. Each balancer
-therefore has a budget for it, and the budgets of all balancers add up to what the server can take, whatever
-the number of balancers.
+therefore has a budget for it. Whatever the number of balancers, their budgets add up to about
+`SLOW_START_BUDGET_FRACTION` of the load at which the server fails.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from .state import Peer, Server, TimedLoad
 
 SLOW_START_BUDGET_FRACTION = 0.45  # of the load at which a warming server fails; the rest covers random peaks
-MIN_BUDGET_FLEET_LOAD = 0.5  # avoids a division by a value near 0
+BUDGET_MIN_FLEET_LOAD = 0.5  # lower bound on the mean fleet load, by which budgets are divided
 MIN_DRAW = 1e-9  # avoids a division by 0
 
 
@@ -31,13 +31,13 @@
     """Returns the load from which this balancer's slow-start budgets are computed.
 
     A balancer that announces no clients is draining or has just started. Its load is unassigned: it is
-    divided among the balancers that have clients. If the balancer itself counted the load too, the budgets
-    would contain it twice; if no balancer counted it, a warming server would stay empty while others are
-    full.
+    divided among the balancers that have clients, or evenly if none has. If the announcing balancer counted
+    this load too, the budgets would contain it twice; if no balancer counted it, a warming server would stay
+    empty while others are full.
 
     Args:
         own_load: load of this balancer's connections.
-        client_fraction: this balancer's fraction of all clients; None if it is not known.
+        client_fraction: this balancer's fraction of all clients; None if it has none or no peer is known.
         peers: the last gossip summaries of the other balancers.
         balancers: number of balancers in the settings.
         is_balancer_draining: whether this balancer migrates its clients to the others.
@@ -104,8 +104,9 @@
     def update_reference_load(self, load: float, is_balancer_draining: bool) -> None:
         """Updates the reference load, once a round.
 
-        While no server is warm, the last reference load is kept, unless this balancer drains. After a loss of
-        all servers no connections are left, and the budgets would be 0 until the first server is warm.
+        While no server is warm, the last reference load is kept, unless this balancer drains. If it were not
+        kept after a loss of all servers, when no connections are left, the budgets would be 0 until the first
+        server is warm.
         """
         if is_balancer_draining or self._capacity.has_warm_server:
             self.reference_load = load
@@ -121,8 +122,8 @@
         - this balancer's load on one full warm server: `reference_load` / (warm servers * mean fleet load),
         - the server's warmth,
         - the window's length / the slow start's length,
-        - `SLOW_START_BUDGET_FRACTION` * `slow_start_multiple`, the latter being the multiple at which the
-          server fails.
+        - `SLOW_START_BUDGET_FRACTION` * `slow_start_multiple`; a warming server fails if it receives more
+          than `slow_start_multiple` times its capacity within a window.
 
         The window slides, since the budgets of two consecutive fixed windows could be spent together around
         their boundary. The unit is that of `reference_load`, microseconds of work per second.
@@ -134,7 +135,7 @@
         window_us = settings.slow_start_window_us
         window_fraction = min(1.0, window_us / max(1, settings.slow_start_us))
         server_count = self._capacity.warm_server_count or max(1, len(self._servers))
-        fleet_load = max(MIN_BUDGET_FLEET_LOAD, self._loads.fleet_load)
+        fleet_load = max(BUDGET_MIN_FLEET_LOAD, self._loads.fleet_load)
         budget_fraction = self._budget_multiple * warmth * window_fraction / (server_count * fleet_load)
         server.slow_start_sends = [
             sent for sent in server.slow_start_sends if now_us - sent.at_us < window_us
@@ -146,13 +147,13 @@
         return left
 
     def _window_multiple(self, server: Server) -> float:
-        """Returns the multiple of the budget that the first connection of this window may use.
+        """Returns the multiple of the budget that a connection may use if the sliding window has no other.
 
         A budget that is smaller than one connection is rounded up at random. The multiple is 1 / u, at most
-        half the number of balancers, where u is drawn uniformly from 0 to 1 for each balancer and window. The
-        multiple is at least n with probability 1 / n, so a connection that needs n budgets is sent in one of
-        n windows on average. If balancers saved up their budgets over several windows instead, all of them
-        could send at the same time.
+        half the number of balancers, where u is drawn uniformly from 0 to 1 for each balancer and each of the
+        consecutive fixed windows since the server's start. The multiple is at least n with probability 1 / n,
+        so a connection that needs n budgets is sent in one of n windows on average. If balancers saved up
+        their budgets over several windows instead, all of them could send at the same time.
         """
         window = (self._batch.now_us - server.started_us) // self._settings.slow_start_window_us
         draw = max(MIN_DRAW, mix(server.hash ^ self._salt ^ mix(window)) / HASH_MASK)
--- a/glenrock/routing/waiting_queue.py
+++ b/glenrock/routing/waiting_queue.py
@@ -1,4 +1,4 @@
-"""The waiting queue: rejected clients, ordered by the time of their first rejection.
+"""The waiting queue: rejected clients, ordered by the start of their wait.
 
 The clients that have waited longest are admitted first.
 """
@@ -20,7 +20,7 @@
     """A rejected client that is expected to retry.
 
     Attributes:
-        bucket: period of its first rejection, as a number of `WaitingQueue.bucket_us`.
+        bucket: index of the period of `WaitingQueue.bucket_us` in which its wait began.
         load: load of its request.
         last_seen_at_us: when it was last rejected.
     """
@@ -31,7 +31,10 @@
 
 
 class WaitingQueue:
-    """The clients that this balancer rejected, in buckets of `bucket_us` by the time of first rejection."""
+    """The clients that this balancer rejected, in buckets of `bucket_us` by the start of their wait.
+
+    A wait starts at the first rejection, or at the arrival of a request that was admitted but not served.
+    """
 
     def __init__(self, batch: EventBatch, bucket_us: int) -> None:
         self._batch = batch
--- a/glenrock/simulation/report.py
+++ b/glenrock/simulation/report.py
@@ -129,13 +129,16 @@
 
 
 def _estimate(runs: list[Summary], measure: str) -> list[float] | None:
-    """Returns the mean of a measure and the ends of its interval; None if no run has the measure."""
+    """Returns the mean of a measure and the ends of its 95% interval; None if no run has the measure."""
     values = [number for summary in runs if (number := measure_value(summary, measure)) is not None]
     return [round(bound, 6) for bound in interval(values)] if values else None
 
 
 def curves(rows: list[dict[str, Any]], axis: str, measure: str) -> dict[str, plots.Curve]:
-    """Returns a measure along one axis of a sweep, by policy, averaged over the values of the other axes."""
+    """Returns a measure along one axis of a sweep, by policy.
+
+    Means and ends of intervals are averaged over the values of the other axes.
+    """
     estimates_by_policy: dict[str, dict[Any, list[list[float]]]] = {}
     for row in rows:
         if row["values"][measure] is not None and axis in row["where"]:
@@ -182,11 +185,11 @@
     """Compares two sets of runs, paired by point and seed. Returns the content of `compare.json`.
 
     Raises:
-        InputFileError: no point and seed is in both sets.
+        InputFileError: the sets share no run, which is identified by its point and seed.
     """
-    by_first = {(_point_key(summary), summary["seed"]): summary for summary in first}
-    by_second = {(_point_key(summary), summary["seed"]): summary for summary in second}
-    common_keys = [key for key in by_first if key in by_second]
+    first_by_key = {(_point_key(summary), summary["seed"]): summary for summary in first}
+    second_by_key = {(_point_key(summary), summary["seed"]): summary for summary in second}
+    common_keys = [key for key in first_by_key if key in second_by_key]
     if not common_keys:
         raise InputFileError(f"{names[0]} and {names[1]}: they have no runs with the same parameters and seed")
     rows = []
@@ -194,8 +197,8 @@
         pairs = [
             (a, b)
             for key in common_keys
-            if (a := measure_value(by_first[key], measure)) is not None
-            and (b := measure_value(by_second[key], measure)) is not None
+            if (a := measure_value(first_by_key[key], measure)) is not None
+            and (b := measure_value(second_by_key[key], measure)) is not None
         ]
         if pairs:
             rows.append({"measure": measure, "label": label, **_comparison(pairs)})
@@ -203,8 +206,8 @@
         {
             "where": json.loads(point),
             "seed": seed,
-            "a": measure_value(by_first[point, seed], "worth.goal"),
-            "b": measure_value(by_second[point, seed], "worth.goal"),
+            "a": measure_value(first_by_key[point, seed], "worth.goal"),
+            "b": measure_value(second_by_key[point, seed], "worth.goal"),
         }
         for point, seed in common_keys
     ]
