--- a/glenrock/net/poll_backoff.py
+++ b/glenrock/net/poll_backoff.py
@@ -1,7 +1,7 @@
 """Timeouts and delays of one balancer's calls to service discovery: first call, retries, delay after a rejection.
 
-Where the endpoint list must be polled, discovery is one service for all balancers and handles one call at a time. The
-start of each watch is such a call; a watch that is continued costs nothing. Calls are queued, and a call that has been
+Without an agent on each machine, discovery is one service for all balancers and handles one call at a time. The start
+of each watch is such a call; a watch that is continued costs nothing. Calls are queued, and a call that has been
 queued for too long is rejected but still takes as much of discovery's time as an answered call. If all balancers called
 at the same time or retried within a second, the queue would stay full of calls that no balancer waits for any longer,
 and no balancer would get the list. So the delays grow with the number of balancers, until discovery can handle the
@@ -19,7 +19,7 @@
 MAX_FIRST_CALL_DELAY_MS = 10_000.0  # with a cached list
 # Average time between first calls without a cached list. Short, since no client is served until the call is answered.
 FIRST_CALL_SPACING_MS = 10.0
-IMMEDIATE_FIRST_CALLS = 8  # up to this number of balancers make the first call without delay if they have no list
+IMMEDIATE_FIRST_CALLS = 8  # without a cached list, a fleet of at most this size makes first calls without delay
 # Each rejection shows that the calls of all balancers do not fit yet, so the delay grows until they do. Its bound grows
 # with their number: with a fixed bound, 200 balancers with calls of 100 ms kept the queue full of calls that no
 # balancer waited for, and only a fifth of the balancers got answers.
@@ -90,8 +90,8 @@
         if not self.must_poll or self.balancers < 2:
             return 0.0
         if not has_list:
-            delayed_balancers = max(0, self.balancers - IMMEDIATE_FIRST_CALLS)
-            return self.rng.random() * FIRST_CALL_SPACING_MS * delayed_balancers
+            excess_balancers = max(0, self.balancers - IMMEDIATE_FIRST_CALLS)
+            return self.rng.random() * FIRST_CALL_SPACING_MS * excess_balancers
         return self.rng.random() * min(MAX_FIRST_CALL_DELAY_MS, CALL_SPACING_MS * self.balancers)
 
     def record_answer(self) -> None:
