--- a/glenrock/__init__.py
+++ b/glenrock/__init__.py
@@ -1,1 +1,1 @@
-"""glenrock: a balancer for long-lived connections, with its simulation and its testbed."""
+"""glenrock: a balancer for long-lived connections, with a simulator and a testbed."""
--- a/glenrock/admin/listener.py
+++ b/glenrock/admin/listener.py
@@ -1,4 +1,4 @@
-"""Accepts operators' connections: few and short, so that they do not delay clients."""
+"""Serves operators' HTTP connections. Limits their number and duration, so that they do not delay clients."""
 
 from __future__ import annotations
 
@@ -14,10 +14,9 @@
 from . import routes
 from .http_message import HttpRequest, HttpResponse
 
-MAX_OPERATOR_CONNECTIONS = 32  # open connections
-RESERVED_DESCRIPTORS = (
-    MAX_OPERATOR_CONNECTIONS + 2
-)  # with the listening socket and the connection that exceeds the limit
+MAX_OPERATOR_CONNECTIONS = 32
+# Includes the listening socket, and the connection that is accepted before the oldest one is closed.
+RESERVED_DESCRIPTORS = MAX_OPERATOR_CONNECTIONS + 2
 REQUEST_TIMEOUT_MS = 5000.0
 LINGER_TIMEOUT_MS = 500.0
 MAX_LINGER_BYTES = 65_536
@@ -31,8 +30,8 @@
     """Accepts operators' connections, and answers one request on each.
 
     Attributes:
-        listening_socket: None before `listen`.
-        connection_tasks: the tasks of open connections, oldest first.
+        listening_socket: the socket that accepts connections; None before `listen`.
+        connection_tasks: the tasks that serve the open connections, oldest first.
     """
 
     def __init__(self, operations: routes.Operations, clock: Clock) -> None:
@@ -40,7 +39,7 @@
         self.connection_tasks: dict[asyncio.Task[None], None] = {}
         self._operations = operations
         self._clock = clock
-        self._responding_tasks: dict[asyncio.Task[None], None] = {}  # whose response is being sent
+        self._responding_tasks: dict[asyncio.Task[None], None] = {}  # those that are sending the response
 
     def listen(self, address: Address) -> None:
         """Binds the listening socket.
@@ -58,13 +57,13 @@
         while True:
             try:
                 sock, _ = await loop.sock_accept(self.listening_socket)
-            except OSError as error:  # a connection reset before it was accepted, or a lack of descriptors
+            except OSError as error:  # the connection was reset before it was accepted, or no descriptor is free
                 logger.warning("operator connection not accepted", error=error)
                 self._close_oldest()
                 await self._clock.sleep(ACCEPT_RETRY_DELAY_MS)
                 continue
             self._start_connection(loop, sock)
-            # sock_accept does not yield to the loop while connections are pending.
+            # sock_accept does not yield to the event loop while connections are pending.
             await asyncio.sleep(0)
 
     def _start_connection(self, loop: asyncio.AbstractEventLoop, sock: socket.socket) -> None:
--- a/glenrock/admin/operations.py
+++ b/glenrock/admin/operations.py
@@ -1,4 +1,4 @@
-"""Carries out operators' calls on the parts of a balancer. Keeps no state of those parts."""
+"""Carries out operators' calls on the parts of a balancer. Their state stays in those parts."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
     Attributes:
         is_serving: whether the client address is open. The first endpoint list may still be missing then.
-        coordination: None if no coordination file is configured.
+        coordination: the coordination with other balancers; None if it is not configured.
     """
 
     def __init__(
@@ -36,7 +36,7 @@
         self._override_sync = override_sync
 
     def unready_reason(self) -> str | None:
-        """Returns why front ends should send no new clients here; None if they may."""
+        """Returns why front ends should send no new clients to this balancer; None if they may."""
         return self._shutdown.unready_reason() if self.is_serving else "not ready: starting"
 
     def metrics(self) -> MetricsSnapshot:
@@ -64,7 +64,7 @@
 
         Raises:
             OperationRejectedError: the override cannot be stored.
-            OperationPendingError: the other balancers do not know of it yet.
+            OperationPendingError: the override has not reached the other balancers yet.
         """
         await self._set_override(server_id, True)
 
@@ -73,7 +73,7 @@
 
         Raises:
             OperationRejectedError: the override cannot be stored.
-            OperationPendingError: the other balancers do not know of it yet.
+            OperationPendingError: the override has not reached the other balancers yet.
         """
         await self._set_override(server_id, False)
 
--- a/glenrock/admin/routes.py
+++ b/glenrock/admin/routes.py
@@ -1,4 +1,7 @@
-"""Maps method and path of an operator's call to an operation, and its outcome to a response. No I/O, no state."""
+"""Maps the method and path of an operator's call to an operation, and its outcome to a response.
+
+Does no I/O and keeps no state.
+"""
 
 from __future__ import annotations
 
@@ -17,13 +20,13 @@
 class Operations(Protocol):
     """The operations behind the calls.
 
-    An asynchronous operation returns once it is carried out here. Where balancers share overrides, it returns once the
-    override is committed for all of them; if this balancer could not apply it, the log says `override not applied`.
-    Otherwise it raises `OperationRejectedError` or `OperationPendingError`.
+    An asynchronous operation returns once this balancer has carried it out, and otherwise raises
+    `OperationRejectedError` or `OperationPendingError`. Where balancers share overrides, `suspend` and `resume` return
+    once the override is committed for all of them; if this balancer could not apply it, it logs `override not applied`.
     """
 
     def unready_reason(self) -> str | None:
-        """Returns why front ends should send no new clients here; None if they may."""
+        """Returns why front ends should send no new clients to this balancer; None if they may."""
         ...
 
     def metrics(self) -> MetricsSnapshot:
@@ -56,7 +59,7 @@
 
 
 class Route(NamedTuple):
-    """The only method of a path without parameters, and its handler."""
+    """The only method that a path without parameters allows, and its handler."""
 
     method: str
     handler: Callable[[Operations], Awaitable[HttpResponse]]
--- a/glenrock/config.py
+++ b/glenrock/config.py
@@ -22,7 +22,7 @@
 MAX_PORT = 65_535
 MIN_INHERITED_DESCRIPTOR = 3  # after the standard streams
 MAX_INHERITED_DESCRIPTOR = (1 << 20) - 1
-MAX_COMPARED_DIGITS = 9  # enough to recognize a number that is too large, however long the text is
+MAX_COMPARED_DIGITS = 9  # of a descriptor number; bounds the work for a long text
 REQUIRED_KEYS = ("listen", "discovery", "settings")
 ENVIRONMENT_VARIABLES = {
     "name": "LB_NAME",
@@ -33,11 +33,11 @@
 }
 LOG_ENVIRONMENT_VARIABLES = {"level": "LB_LOG_LEVEL", "format": "LB_LOG_FORMAT"}
 RESTART_KEYS = ("name", "listen", "admin", "fleet", "peer_listen", "settings", "measures_delay", "log")
-"""Fields of `Config` that a running process does not change."""
+"""Fields of `Config` that a reload does not apply."""
 
 
 class Address(NamedTuple):
-    """An address as `socket` takes it. `str` gives `host:port`."""
+    """A host and a port, in the form that `socket` takes."""
 
     host: str
     port: int
@@ -56,8 +56,8 @@
     """A balancer's configuration.
 
     Attributes:
-        name: the balancer's name in log lines, in its leases, and in the names of its coordination files: a start
-            under another name does not find them.
+        name: the balancer's name in log lines, in its leases, and in the names of its coordination files. A process
+            that starts under another name does not find these files.
         listen: the address that accepts clients.
         discovery: the address of service discovery.
         seed: the seed of all random numbers.
@@ -74,7 +74,7 @@
         fleet: the path of the coordination's configuration file; empty without coordination.
         log: the level and format of log lines.
         shared_folder: `$TMPDIR`, which both processes of an upgrade share; empty if it is not set.
-        file_values: the values in the file of the keys in `ENVIRONMENT_VARIABLES`.
+        file_values: the file's values of those keys that an environment variable can override.
     """
 
     name: str
@@ -166,7 +166,7 @@
 
 
 def parse_config(raw: dict[str, Any]) -> Config:
-    """Returns the configuration that the content of the file describes.
+    """Parses the content of the configuration file, and sets the defaults of missing keys.
 
     Raises:
         ConfigError: a key is missing or invalid.
@@ -184,8 +184,8 @@
         discovery=parse_address(raw["discovery"], "discovery"),
         seed=_parse_seed(raw.get("seed", "0")),
         descriptor_limit=_parse_descriptor_limit(raw),
-        # No protocol line reports the delay of messages, and an overloaded server may still answer some lines at
-        # once. The absence of a report therefore does not show that the delay is short.
+        # Servers do not report message delay in the protocol, and the delay that is measured on relays is no complete
+        # report: an overloaded server may still answer some lines at once. Without a report, the delay is unknown.
         settings=replace(settings, has_message_delay_reports=False),
         measures_delay=settings.has_message_delay_reports,
         raw_cached_endpoints=_read_typed_value(raw, "known", dict, {}),
@@ -219,7 +219,7 @@
 
 
 def parse_address(value: Any, key: str) -> Address:
-    """Returns the address of the form `host:port`.
+    """Parses an address of the form `host:port`.
 
     Raises:
         ConfigError: the value has another form; the message names `key`.
@@ -236,7 +236,7 @@
 
 
 def _read_typed_value(raw: dict[str, Any], key: str, expected_type: type, default: Any, prefix: str = "") -> Any:
-    """Returns the value of a key. Raises ConfigError if it has another type; the message names `prefix` and key."""
+    """Returns the value of a key. Raises ConfigError, with `prefix` before the key, if it has another type."""
     value = raw.get(key, default)
     if not isinstance(value, expected_type) or isinstance(value, bool):
         raise ConfigError(f"{prefix}{key}: expected {expected_type.__name__}, got {value!r}")
--- a/glenrock/program.py
+++ b/glenrock/program.py
@@ -33,7 +33,7 @@
     from .upgrade.relay_sender import RelaySender
 
 FIRST_LIST_TIMEOUT_MS = 300.0
-POLL_SEED_MASK = 1  # keeps the random numbers of polls independent of routing's
+POLL_SEED_MASK = 1  # gives polls a seed other than routing's, so that their random numbers are independent
 
 logger = get_logger(__name__)
 
@@ -56,9 +56,9 @@
     """The parts that answer operators' calls. Their modules are imported on demand, to save memory.
 
     Attributes:
-        override_sync: the overrides, shared with the other process of an upgrade.
-        operations: what operators' calls do.
-        listener: the HTTP listener.
+        override_sync: applies the overrides, and shares them with the other process of an upgrade.
+        operations: carries out operators' calls.
+        listener: accepts operators' HTTP connections.
     """
 
     def __init__(self, program: Program) -> None:
@@ -84,20 +84,20 @@
         self.override_sync.start()
         if program.config.admin:
             self.listener.listen(program.config.admin)
-            program.run_task(self.listener.accept())
+            program.start_task(self.listener.accept())
         if self.override_sync.folder:
-            program.run_task(self.override_sync.watch())
+            program.start_task(self.override_sync.watch())
 
 
 class Upgrade:
-    """The parts that share a listening socket and relays with the predecessor and the successor of this process.
+    """Shares the listening socket with this process's predecessor and successor, and hands relays over.
 
     Attributes:
         listener: the inherited listening socket.
 
     Args:
-        program: the program that serves.
-        descriptor: the number of the inherited listening socket's descriptor.
+        program: the balancer of this process.
+        descriptor: the descriptor of the inherited listening socket.
     """
 
     def __init__(self, program: Program, descriptor: int) -> None:
@@ -126,12 +126,12 @@
         connections.budget.other_process_descriptors = self._processes.count_other_descriptors()
 
     def receive_relays(self) -> None:
-        """Starts to accept relays that the predecessor hands over."""
+        """Starts to accept the relays that the predecessor hands over."""
         if self._folder:
             self._relay_receiver.listen()
 
     def create_relay_sender(self) -> RelaySender | None:
-        """Returns the sender of this process's relays to its successor; None without a shared folder."""
+        """Returns the part that hands this process's relays to its successor; None without a shared folder."""
         if not self._folder:
             return None
         from .upgrade.relay_sender import RelaySender
@@ -140,13 +140,13 @@
         return RelaySender(self._folder, program.clock, self._relay_receiver.socket_inode, program.routing.load_of)
 
     def unregister_process(self) -> None:
-        """Removes this process's registration, since its descriptors no longer count."""
+        """Removes this process's registration, so that other processes no longer count its descriptors."""
         if self._folder:
             self._processes.unregister()
 
 
 def _create_coordination_agent(program: Program) -> CoordinationAgent:
-    """Returns the coordination with other balancers. Its modules are imported only if it is configured.
+    """Returns the agent that coordinates this balancer with others. Its modules are imported only if it is configured.
 
     Raises:
         ConfigError: its configuration is invalid, or a package that it needs is missing.
@@ -173,10 +173,11 @@
 
     Args:
         config: the configuration at the start.
-        clock: the one clock of the process; tests pass a clock that they advance.
+        clock: the only clock of the process; tests pass one that they advance themselves.
 
     Raises:
-        ConfigError: the configuration names something that cannot be used.
+        ConfigError: the descriptor limit is too low for a single client, the inherited listening socket cannot be used,
+            or the configuration of coordination is invalid.
         OSError: the address of the peers' socket cannot be bound.
     """
 
@@ -237,9 +238,13 @@
         self.routing.send_gossip = peers.send_gossip
         return peers
 
-    def run_task(self, work: Coroutine[None, None, None]) -> None:
-        """Runs an actor until the process ends. Keeps the only strong reference to its task."""
-        self._tasks.add(asyncio.get_running_loop().create_task(work, name=getattr(work, "__qualname__", None)))
+    def start_task(self, coroutine: Coroutine[None, None, None]) -> None:
+        """Starts a task, and keeps a strong reference to it, since the event loop keeps only a weak one.
+
+        `run_until` raises RuntimeError if the task ends while clients are served.
+        """
+        name = getattr(coroutine, "__qualname__", None)
+        self._tasks.add(asyncio.get_running_loop().create_task(coroutine, name=name))
 
     async def start(self) -> None:
         """Starts all parts, and accepts clients after the first endpoint list or `FIRST_LIST_TIMEOUT_MS`.
@@ -254,9 +259,10 @@
         if self.coordination:
             self.coordination.start()
         self.endpoints.use_cached_list(self.config.raw_cached_endpoints)
-        self.run_task(self.routing.run())
-        self.run_task(self.endpoints.run())
-        # An accepted client may send PING, and PONG says that this balancer can serve.
+        self.start_task(self.routing.run())
+        self.start_task(self.endpoints.run())
+        # Clients are accepted after the first list: the PONG that answers a client's PING says that this balancer can
+        # serve.
         async with self.clock.time_limit(FIRST_LIST_TIMEOUT_MS):
             await self.endpoints.has_answered.wait()
         self._accept_clients()
@@ -265,62 +271,62 @@
     def _accept_clients(self) -> None:
         inherited = self._upgrade.listener if self._upgrade else None
         self.acceptor.open(inherited or listen(self.config.listen))
-        self.run_task(self.connections.sweep())
+        self.start_task(self.connections.sweep())
         if self._upgrade:
             self._upgrade.receive_relays()
         if self.operators:
             self.operators.operations.is_serving = True
 
     def reload(self, reread_config: Callable[[Config], Config]) -> None:
-        """Applies the changed configuration keys that need no restart. An invalid configuration changes nothing.
+        """Rereads the configuration, and applies the changes that need no restart; all or none of them.
 
         Args:
             reread_config: reads the configuration, given the configuration that this process started with.
         """
         try:
-            new = reread_config(self._initial_config)
+            new_config = reread_config(self._initial_config)
         except ConfigError as error:
             logger.warning("configuration not reloaded: the previous one stays", error=str(error))
             return
         try:
-            self.budget.check_limit(new.descriptor_limit)
+            self.budget.check_limit(new_config.descriptor_limit)
         except DescriptorBudgetError as error:
             logger.warning("configuration not reloaded: descriptor limit too low", error=str(error))
             return
-        self._log_deferred_keys(new)
-        self._apply(new)
-        logger.info("configuration reloaded", discovery=new.discovery)
+        self._log_restart_keys(new_config)
+        self._apply(new_config)
+        logger.info("configuration reloaded", discovery=new_config.discovery)
 
-    def _log_deferred_keys(self, new: Config) -> None:
-        deferred_keys = [key for key in RESTART_KEYS if getattr(new, key) != getattr(self.config, key)]
-        if deferred_keys:
-            logger.warning("configuration changes that need a restart", keys=",".join(deferred_keys))
+    def _log_restart_keys(self, new_config: Config) -> None:
+        changed_keys = [key for key in RESTART_KEYS if getattr(new_config, key) != getattr(self.config, key)]
+        if changed_keys:
+            logger.warning("configuration changes that need a restart", keys=",".join(changed_keys))
 
-    def _apply(self, new: Config) -> None:
-        self.endpoints.change_address(new.discovery)
+    def _apply(self, new_config: Config) -> None:
+        self.endpoints.change_address(new_config.discovery)
         if self.peers:
-            self.peers.change_addresses(new.peers, new.peer_broadcast)
-        raise_descriptor_limit(new.descriptor_limit)
-        self.budget.limit = effective_descriptor_limit(new.descriptor_limit)
+            self.peers.change_addresses(new_config.peers, new_config.peer_broadcast)
+        raise_descriptor_limit(new_config.descriptor_limit)
+        self.budget.limit = effective_descriptor_limit(new_config.descriptor_limit)
         self.config = replace(
             self.config,
-            discovery=new.discovery,
-            peers=new.peers,
-            peer_broadcast=new.peer_broadcast,
-            descriptor_limit=new.descriptor_limit,
+            discovery=new_config.discovery,
+            peers=new_config.peers,
+            peer_broadcast=new_config.peer_broadcast,
+            descriptor_limit=new_config.descriptor_limit,
         )
 
     async def run_until(self, stop: asyncio.Event) -> None:
         """Serves until the event is set, then shuts down gracefully.
 
         Raises:
-            RuntimeError: an actor ended while clients were served.
+            RuntimeError: a task ended while clients were served.
         """
         await self._serve_until(stop)
         logger.info("stopping", clients=len(self.connections.by_id))
         relay_sender = self._upgrade.create_relay_sender() if self._upgrade else None
         if self.coordination:
-            self.run_task(self.coordination.stop())
+            self.start_task(self.coordination.stop())
         await self.shutdown.stop(self._upgrade is not None, relay_sender)
         if self._upgrade:
             self._upgrade.unregister_process()
--- a/glenrock/toml_file.py
+++ b/glenrock/toml_file.py
@@ -1,4 +1,4 @@
-"""Reads TOML files, with errors that name the file, the line and the key.
+"""Reads TOML files. Error messages name the file, the line and the key.
 
 Imports the standard library and msgspec only.
 """
@@ -14,7 +14,7 @@
 
 TargetT = TypeVar("TargetT")
 
-# A message of msgspec: the problem, and the path of the value.
+# A validation error of msgspec: the problem, and the path of the value.
 VALIDATION_MESSAGE_PATTERN = re.compile(r"(.*?)(?: - at `(\$[^`]*)`)?$", re.S)
 UNKNOWN_FIELD_PATTERN = re.compile(r"Object contains unknown field `(.*)`")
 # A step of a path such as `faults[1].part`: a name or an index.
@@ -36,7 +36,7 @@
 
 
 class _Problem(NamedTuple):
-    """A problem, and the path of the key that has it; empty if it is the whole file."""
+    """A problem, and the path of the key that causes it; the path is empty if the whole file is invalid."""
 
     message: str
     key: str
@@ -65,7 +65,7 @@
 
 
 def _resolve_array_tables(table: str, last_index_by_array: dict[str, int]) -> str:
-    """Returns the path of a table: `[a.b]` after `[[a]]` belongs to the last entry of `a`."""
+    """Returns the path of a table with array indices: `[a.b]` after `[[a]]` belongs to the last entry of `a`."""
     for name, last in sorted(last_index_by_array.items()):
         if table.startswith(name + "."):
             table = f"{name}[{last}]" + table[len(name) :]
@@ -106,14 +106,14 @@
 
 
 def input_error(path: Path, text: str, key: str, problem: str) -> InputFileError:
-    """Returns the error for a key of a file, with the line number of the key."""
+    """Returns an error about a key of a file, with the key's line number if it is found."""
     line = find_line(text, key)
     location = f"{path}:{line}" if line else f"{path}"
     return InputFileError(f"{location}: {key}: {problem}" if key else f"{location}: {problem}")
 
 
 def convert(path: Path, text: str, raw: Any, target_type: type[TargetT]) -> TargetT:
-    """Returns the parsed content as a value of that type.
+    """Converts the parsed content to `target_type`.
 
     Raises:
         InputFileError: a value is invalid, or a key is unknown.
@@ -132,5 +132,5 @@
     message = match[1]
     key = (match[2] or "").lstrip("$").lstrip(".")
     if unknown := UNKNOWN_FIELD_PATTERN.match(message):
-        return _Problem("not a key that is known here", f"{key}.{unknown[1]}".lstrip("."))
+        return _Problem("unknown key", f"{key}.{unknown[1]}".lstrip("."))
     return _Problem(message, key)
--- a/glenrock/upgrade/override_file.py
+++ b/glenrock/upgrade/override_file.py
@@ -1,7 +1,7 @@
-"""The file of operators' overrides that both processes of an upgrade read and replace.
+"""The file of operators' overrides, which both processes of an upgrade read and replace.
 
-The file is in `$TMPDIR`. A file of another version, or an unreadable file, counts as missing: the caller logs the
-reason and keeps the overrides that it has, and writes them to a new file at the next change.
+The file is in `$TMPDIR`. A file that is unreadable or of another version counts as missing: the caller logs the
+reason, keeps its own overrides, and writes them to a new file at the next change.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 FILE_NAME = "glenrock-operators.json"
 LOCK_NAME = "glenrock-operators.lock"
 VERSION = 1
-MAX_SERVERS = 4096  # in each of the three collections
+MAX_SERVERS = 4096  # in each field of `SharedOverrides`
 MAX_SERVER_ID_LENGTH = 256  # characters
 MAX_FILE_BYTES = 4 << 20
 MAX_TIME_MS = 1e15  # Unix time; a later one is invalid
@@ -50,7 +50,7 @@
 
 
 class FileSignature(NamedTuple):
-    """Identifies one version of the file; it differs once the file has been replaced."""
+    """Identifies the content of the file. It changes when the file is replaced."""
 
     modified_ns: int
     inode: int
@@ -58,12 +58,12 @@
 
 
 class FileChange(NamedTuple):
-    """The outcome of one change under the lock.
+    """The result of one change of the file.
 
     Attributes:
         before: the file's content before the change; None if there was no valid file.
         after: the file's content now.
-        signature: of the file now; None if it is gone already.
+        signature: the signature of the new file; None if the file was removed in the meantime.
     """
 
     before: SharedOverrides | None
@@ -82,7 +82,7 @@
     except ValueError as error:
         raise OverrideFileError(str(error)) from error
     if not isinstance(content, dict) or content.get("version") != VERSION:
-        raise OverrideFileError(f"not of version {VERSION}")
+        raise OverrideFileError(f"not a JSON object of version {VERSION}")
     try:
         durable_file.check_digest(content)
     except durable_file.CorruptFileError as error:
@@ -96,9 +96,9 @@
         and isinstance(resumed, dict)
         and _are_server_ids(list(resumed))
     ):
-        raise OverrideFileError("out, back or seen has an invalid value")
+        raise OverrideFileError(f"out, back and seen: expected up to {MAX_SERVERS} server ids each")
     if not all(isinstance(at_ms, int | float) and 0 <= at_ms < MAX_TIME_MS for at_ms in resumed.values()):
-        raise OverrideFileError("back: a time out of range")
+        raise OverrideFileError(f"back: expected times from 0 to {MAX_TIME_MS:.0f} in Unix ms")
     return SharedOverrides(
         suspended=set(suspended),
         resumed_at_ms={server_id: float(at_ms) for server_id, at_ms in resumed.items()},
@@ -148,7 +148,7 @@
     except OSError as error:
         raise OverrideFileError(str(error)) from error
     if len(data) > MAX_FILE_BYTES:
-        raise OverrideFileError("too large")
+        raise OverrideFileError(f"larger than {MAX_FILE_BYTES} bytes")
     return parse(data)
 
 
@@ -163,8 +163,8 @@
 def write(folder: str, shared: SharedOverrides) -> None:
     """Replaces the file atomically, without waiting for the disk.
 
-    The file needs to outlast a process, not a power cut, and a sync may exceed the second in which an operator's call
-    is answered.
+    The file must survive the end of a process, but not a power failure. A sync may take longer than the second within
+    which an operator's call is answered.
 
     Raises:
         OSError: the file cannot be written.
@@ -209,7 +209,7 @@
 
 @contextlib.contextmanager
 def _file_lock(folder: str) -> Iterator[None]:
-    """Holds the lock of the file. The kernel releases it if the process dies.
+    """Holds the file's lock. The kernel releases it if the process dies.
 
     Raises:
         OSError: the other process holds the lock.
--- a/glenrock/upgrade/override_sync.py
+++ b/glenrock/upgrade/override_sync.py
@@ -1,4 +1,4 @@
-"""Synchronizes operators' overrides between both processes of an upgrade, and keeps them across restarts."""
+"""Shares operators' overrides between both processes of an upgrade, and keeps them across restarts."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
     Attributes:
         folder: the folder of the shared file; empty if there is none.
-        overrides: in effect in this process.
+        overrides: the overrides in effect in this process.
     """
 
     def __init__(self, folder: str, clock: Clock, servers: ServerRegistry, routing: RoutingActor) -> None:
@@ -52,15 +52,15 @@
     def start(self) -> None:
         """Applies the file's overrides, or those of the previous file if it is invalid.
 
-        Called before the first endpoint list is read: suspended servers stay suspended, and servers resumed lately
-        are warmed up.
+        Call it before the first endpoint list is read, so that suspended servers stay suspended and recently resumed
+        servers are warmed up.
         """
         if not self._apply_file() and (previous := override_file.read_previous(self.folder)):
             logger.warning("using the previous override file", file=FILE_NAME)
             self._apply_differences(previous)
 
     async def watch(self) -> None:
-        """Applies changes of the file as long as the process runs, and adds servers that discovery lists to it."""
+        """Applies changes of the file as long as the process runs, and records newly listed servers in it."""
         while True:
             await self._clock.sleep(POLL_INTERVAL_MS)
             self._apply_file()
@@ -74,7 +74,7 @@
             _log_write_failure(error)
 
     def _apply_file(self) -> bool:
-        """Adopts the file's content if it was replaced. Returns False if it is invalid."""
+        """Applies the file's content if the file was replaced. Returns False if the content is invalid."""
         if not self.folder:
             return True
         signature = override_file.read_signature(self.folder)
@@ -91,7 +91,7 @@
         return True
 
     def _apply_differences(self, new: SharedOverrides) -> None:
-        """Makes overrides of the file those of this process, and applies what differs."""
+        """Replaces this process's overrides by those of the file, and applies the differences."""
         for server_id in new.suspended ^ self.overrides.suspended:
             self._apply_override(server_id, server_id in new.suspended, new.resumed_at_ms.get(server_id, 0.0))
         for server_id, at_ms in new.resumed_at_ms.items():
@@ -123,7 +123,7 @@
             self._written_server_count = len(listed_servers)
 
     async def set_override(self, server_id: str, is_suspended: bool) -> None:
-        """Suspends or resumes a server. Returns once every routing decision of this balancer follows the override.
+        """Suspends or resumes a server. Returns once this balancer's routing decisions follow it.
 
         Raises:
             OperationRejectedError: the shared file cannot be written, or `MAX_SERVERS` servers are suspended.
@@ -134,7 +134,7 @@
             else functools.partial(_resume, server_id, self._clock)
         )
         was_suspended = await self._change_with_retries(server_id, change)
-        if is_suspended and server_id not in self.overrides.suspended:  # `_suspend` had no room
+        if is_suspended and server_id not in self.overrides.suspended:  # `_suspend` found the limit reached
             raise OperationRejectedError(f"not done: {MAX_SERVERS} servers are suspended already")
         has_changed = was_suspended != is_suspended
         if has_changed:
@@ -166,7 +166,13 @@
         return was_suspended
 
     def _apply_override(self, server_id: str, is_suspended: bool, resumed_at_ms: float) -> None:
-        """Passes an override on to the server's connections and to routing. `resumed_at_ms`: 0 means now."""
+        """Passes an override on to the server's connections and to routing.
+
+        Args:
+            server_id: the server.
+            is_suspended: whether it is suspended or resumed.
+            resumed_at_ms: when it was resumed, in Unix ms; 0 means now.
+        """
         self._servers.set_suspended(server_id, is_suspended)
         self._routing.post_priority_event(
             interface.OperatorOverride(server_id, is_suspended, us_from_ms(resumed_at_ms))
@@ -181,14 +187,14 @@
 
 
 def _resume(server_id: str, clock: Clock, shared: SharedOverrides) -> None:
-    """Resumes a server that is suspended."""
+    """Resumes a server if it is suspended."""
     if server_id in shared.suspended:
         shared.suspended.discard(server_id)
         shared.resumed_at_ms[server_id] = clock.now_ms()
 
 
 def _keep_overrides(shared: SharedOverrides) -> None:
-    """Leaves the overrides as they are; `override_file.change_file` still adds the servers that are listed now."""
+    """Changes no override; `override_file.change_file` still records the listed servers."""
 
 
 def _log_override(server_id: str, is_suspended: bool) -> None:
--- a/glenrock/upgrade/relay_message.py
+++ b/glenrock/upgrade/relay_message.py
@@ -1,4 +1,4 @@
-"""Encodes an established relay as one message on a Unix socket; its two descriptors are sent with it.
+"""Encodes an established relay as one message on a Unix socket. Its two descriptors are sent with the message.
 
 The socket is in the folder that both processes of an upgrade share. Each message is answered `ACCEPTED` or
 `REJECTED`. A relay belongs to one process at a time: the sender stops the relay's pumps before it sends the message,
@@ -27,8 +27,8 @@
 REJECTED = b"refused"
 MAX_SOCKET_PATH_BYTES = 100  # sun_path has 108 bytes (unix(7))
 
-# The keys of a message and the type of each value. The other process of an upgrade may be of another version of the
-# program. A change of a key needs a new `VERSION`: a message of another version is rejected, and its client migrates.
+# The keys of a message and the type of each value. The two processes of an upgrade may run different releases, so a
+# change of a key needs a new `VERSION`: a message of another version is rejected, and its client migrates.
 _VALUE_TYPES = {
     "line": str,
     "instance": str,
@@ -49,9 +49,9 @@
     """The state of a relay whose pumps have stopped.
 
     Attributes:
-        open_line: the request line that the client sent.
+        request_line: the request line that the client sent.
         server_id: the server of the connection.
-        load: as the server reported it last for this connection.
+        load: the load that the server reported last for this connection.
         partial_line: the bytes of the line that the server has not ended yet.
         is_overlong: whether that line is longer than a line may be.
         last_keyword: the first word of the server's last line.
@@ -59,7 +59,7 @@
             answered.
     """
 
-    open_line: bytes
+    request_line: bytes
     server_id: str
     load: int
     partial_line: bytes
@@ -71,7 +71,7 @@
         """Returns the message's bytes."""
         content = {
             "version": VERSION,
-            "line": self.open_line.decode("latin-1"),
+            "line": self.request_line.decode("latin-1"),
             "instance": self.server_id,
             "load": self.load,
             "part": self.partial_line.decode("latin-1"),
@@ -87,16 +87,16 @@
 
     Raises:
         RelayMessageError: the message is of another version, or a key is missing or of the wrong type.
-        ValueError: the bytes are not JSON, or a line is not Latin-1.
+        ValueError: the bytes are not JSON, or a line has characters outside of Latin-1.
     """
     content = json.loads(data)
     if not isinstance(content, dict) or content.get("version") != VERSION:
-        raise RelayMessageError(f"not of version {VERSION}")
+        raise RelayMessageError(f"not a JSON object of version {VERSION}")
     for key, value_type in _VALUE_TYPES.items():
         if not isinstance(content.get(key), value_type):
-            raise RelayMessageError(f"{key}: {content.get(key)!r:.100}")
+            raise RelayMessageError(f"{key}: invalid value {content.get(key)!r:.100}")
     return RelayMessage(
-        open_line=content["line"].encode("latin-1"),
+        request_line=content["line"].encode("latin-1"),
         server_id=content["instance"],
         load=max(0, content["load"]),
         partial_line=content["part"].encode("latin-1"),
@@ -110,7 +110,7 @@
     """Returns the message for a relay whose pumps have stopped, with the load that its server reported last."""
     splitter = connection.line_buffer.splitter
     message = RelayMessage(
-        open_line=connection.request_line.raw,
+        request_line=connection.request_line.raw,
         server_id=connection.server,
         load=load,
         partial_line=splitter.partial_line,
@@ -125,12 +125,12 @@
     """Returns the relay of a message, with its pumps running.
 
     Raises:
-        ValueError: the message is invalid, its request line is invalid here, its request id is in use, or the
-            descriptor limit is reached.
+        ValueError: the message is invalid, its request line is invalid under this process's settings, its request id
+            is in use, or the descriptor limit is reached.
         OSError: a socket cannot be configured.
     """
     message = parse(data)
-    request_line = protocol.parse_request_line(message.open_line, table.configured_names)
+    request_line = protocol.parse_request_line(message.request_line, table.configured_names)
     if table.is_open(request_line.request_id):
         raise RelayMessageError("request id in use")
     if table.is_full():
@@ -148,7 +148,7 @@
 
 @contextlib.contextmanager
 def socket_address(folder: str) -> Iterator[str]:
-    """Yields the socket's path; if it is too long for an address, a path by way of the folder's descriptor.
+    """Yields the path of the socket, or a short path through /proc if that path exceeds `MAX_SOCKET_PATH_BYTES`.
 
     Raises:
         OSError: the folder cannot be opened.
--- a/glenrock/upgrade/relay_receiver.py
+++ b/glenrock/upgrade/relay_receiver.py
@@ -1,4 +1,4 @@
-"""Takes over established relays from the predecessor of this process."""
+"""Takes over the established relays of this process's predecessor."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 )
 
 LISTEN_BACKLOG = 4
-MAX_DESCRIPTORS_PER_MESSAGE = 4  # received; a message with any other number than two is rejected
+MAX_RECEIVED_DESCRIPTORS = 4  # more than `DESCRIPTORS_PER_MESSAGE`, so that a message with too many is noticed
 
 logger = get_logger(__name__)
 
@@ -39,7 +39,7 @@
     """Listens on the Unix socket that the predecessor connects to.
 
     Attributes:
-        socket_inode: of the socket's file; 0 while this process does not listen.
+        socket_inode: the inode of the socket's file; 0 while this process does not listen.
     """
 
     def __init__(self, folder: str, table: ConnectionTable) -> None:
@@ -51,7 +51,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def listen(self) -> None:
-        """Starts to take relays over. If the socket cannot be bound, the predecessor migrates its clients instead."""
+        """Starts to take over relays. If the socket cannot be bound, the predecessor migrates its clients instead."""
         try:
             sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
             sock.setblocking(False)
@@ -87,7 +87,7 @@
         logger.info("relays taken over", relays=self._accepted_count - accepted_before)
 
     def _answer(self, message: _ReceivedMessage) -> bytes:
-        """Takes the relay of a message over, or closes its descriptors. Returns the answer."""
+        """Takes over the relay of a message, or closes its descriptors. Returns the answer to send."""
         sockets = [socket.socket(fileno=descriptor) for descriptor in message.descriptors]
         try:
             connection = self._decode(message.data, sockets)
@@ -111,7 +111,7 @@
     while True:
         await wait_readable(loop, sock)
         try:
-            data, descriptors, _, _ = socket.recv_fds(sock, MAX_MESSAGE_BYTES, MAX_DESCRIPTORS_PER_MESSAGE)
+            data, descriptors, _, _ = socket.recv_fds(sock, MAX_MESSAGE_BYTES, MAX_RECEIVED_DESCRIPTORS)
             return _ReceivedMessage(data, descriptors)
         except BlockingIOError:
             continue
--- a/glenrock/upgrade/relay_sender.py
+++ b/glenrock/upgrade/relay_sender.py
@@ -1,4 +1,4 @@
-"""Hands established relays over from a process that stops to its successor."""
+"""Hands the established relays of a stopping process over to its successor."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 
 
 class SuccessorNotFoundError(OSError):
-    """No other process takes relays over."""
+    """There is no successor, or it has ended."""
 
 
 class RelaySender:
-    """Implements `net.graceful_shutdown.Successor` on the successor's Unix socket.
+    """Implements `net.graceful_shutdown.Successor` with messages to the successor's Unix socket.
 
     Attributes:
         handed_over_count: relays that the successor accepted, or did not answer in time.
@@ -37,7 +37,7 @@
             folder: shared by both processes of the upgrade.
             clock: the program's clock.
             own_inode: the inode of this process's own relay socket; 0 if it has none.
-            load_of: returns the load that was reported last for a request id.
+            load_of: returns the last reported load of the request with that id.
         """
         self.handed_over_count = 0
         self._sock: socket.socket | None = None
@@ -49,7 +49,7 @@
 
     @property
     def is_connected(self) -> bool:
-        """Whether the successor can be reached. False before `connect`, and once the successor has ended."""
+        """Whether the successor is connected. False before `connect`, and once the successor has ended."""
         return self._sock is not None
 
     def connect(self) -> bool:
@@ -72,7 +72,7 @@
             sock.connect(path)
 
     async def hand_over(self, connection: ClientConnection) -> bool:
-        """Offers a relay whose pumps have stopped. Returns whether it belongs to the successor now."""
+        """Offers a relay whose pumps have stopped. Returns whether the successor owns it now."""
         async with self._exchange_lock:
             if not self._sock:
                 return False
@@ -89,8 +89,8 @@
     async def _offer(self, sock: socket.socket, connection: ClientConnection) -> bool:
         """Sends the relay, and returns whether the successor accepted it.
 
-        A relay without an answer in time counts as accepted: the successor may own it already, and two processes that
-        read from one connection would corrupt it.
+        If no answer comes in time, the relay counts as accepted: the successor may own it already, and a connection
+        that two processes read from would be corrupted.
 
         Raises:
             OSError: the successor has ended, or the message cannot be sent.
--- a/tests/net/test_unexpected_end.py
+++ b/tests/net/test_unexpected_end.py
@@ -14,7 +14,7 @@
         raise ValueError("broken")
 
     await rig.open()
-    rig.program.run_task(broken_actor())
+    rig.program.start_task(broken_actor())
     with pytest.raises(RuntimeError, match=r"^an actor ended: .*broken_actor$") as raised:
         await rig.program.run_until(asyncio.Event())
     assert isinstance(raised.value.__cause__, ValueError)
--- a/tests/simulation/test_spec.py
+++ b/tests/simulation/test_spec.py
@@ -37,14 +37,14 @@
 @pytest.mark.parametrize(
     ("old", "new", "error"),
     [
-        ("balancers = 2", "balancer = 2", "x.toml:3: fleet.balancer: not a key that is known here"),
+        ("balancers = 2", "balancer = 2", "x.toml:3: fleet.balancer: unknown key"),
         ("balancers = 2", "balancers = 0", "x.toml:3: fleet.balancers: Expected `int` >= 1"),
         ("balancers = 2", 'balancers = "two"', "x.toml:3: fleet.balancers: Expected `int | array`, got `str`"),
         ("balancers = 2", "balancers = [4, 2]", "x.toml:3: fleet.balancers: the range [4, 2] runs backwards"),
         ("balancers = 2", "balancers = [1, 2, 3]", "x.toml:3: fleet.balancers: Expected `array` of length <= 2"),
         ("balancers = 2", "balancers 2", "x.toml: Expected '=' after a key"),
         ('name = "b"', 'name = "a"', "x.toml:7: classes[1].name: 'a' stands twice"),
-        ('name = "b"', 'name = "b"\nlife_ms = 4', "x.toml:8: classes[1].life_ms: not a key that is known here"),
+        ('name = "b"', 'name = "b"\nlife_ms = 4', "x.toml:8: classes[1].life_ms: unknown key"),
         ('name = "b"', 'name = "b"\naim_ms = 9e9', "x.toml:8: classes[1].aim_ms: must lie within give_up_ms"),
         ('kind = "crash"', 'kind = "flood"', "x.toml:9: faults[0].kind: Invalid value 'flood'"),
         ("at_s = 1.0", "at_s = 1.0\npart = 1.5", "x.toml:11: faults[0].part: Expected `float` <= 1.0"),
--- a/tests/testbed/test_scenario.py
+++ b/tests/testbed/test_scenario.py
@@ -28,7 +28,7 @@
         (FAULT.format("way") + 'source = "list"\ntarget = "clients"\n', "nothing goes from list to clients"),
         (FAULT.format("way") + 'source = "balancer:9"\ntarget = "list"\n', "faults[0].source: there is no balancer 9"),
         (FAULT.format("pause") + "for_s = -1.0\n", "faults[0].for_s: "),
-        ("[fleet]\nballancers = 3\n", "fleet.ballancers: not a key that is known here"),
+        ("[fleet]\nballancers = 3\n", "fleet.ballancers: unknown key"),
         ("[fleet]\nbalancers = 500\n", "fleet.balancers: at most 200"),
         ("[rig]\nsockets = 5\n", "rig.sockets: "),
         ("[constants]\nCAP_CUT = 0.5\n", "constants: only the simulation"),
