--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,9 +1,11 @@
-"""Marks tests that fail because of a known fault as expected failures: KNOWN-RED.txt at the root lists them.
+"""Marks tests that fail because of a known fault as expected failures.
+
+KNOWN-RED.txt at the root lists these tests, one a line:
 
     tests/test_x.py::test_y | the cause | the issue
 
-These tests run like all others, and their failure does not fail the run. The run fails if one of
-them passes, if a line names no test, and if there are more than three lines. `conftest.py` imports the hooks.
+The listed tests run like all others, but their failures do not fail the run. The run fails if a listed test passes, if
+a listed id does not name a test, or if more than three tests are listed. `conftest.py` imports the hooks.
 """
 
 from __future__ import annotations
@@ -20,13 +22,13 @@
 KNOWN_FAILURES: pytest.StashKey[dict[str, str]] = pytest.StashKey()
 """Cause and issue of each listed test, by its id."""
 UNKNOWN_TEST_IDS: pytest.StashKey[set[str]] = pytest.StashKey()
-"""Listed ids that name no test, as the workers of pytest-xdist found them."""
+"""Listed ids that do not name a test, as the workers of pytest-xdist reported them."""
 UNKNOWN_TESTS_KEY = "known_red_unknown_tests"
-"""Key of a worker's output."""
+"""Key of `workeroutput`, with the listed ids that the worker could not find."""
 
 
 class WorkerNode(Protocol):
-    """Holds what a hook uses of a worker of pytest-xdist; `workeroutput` is missing if the worker crashed."""
+    """The part of a worker of pytest-xdist that the hooks use. `workeroutput` is missing if the worker crashed."""
 
     config: pytest.Config
 
@@ -43,17 +45,20 @@
             continue
         columns = [column.strip() for column in line.split("|")]
         if len(columns) != COLUMN_COUNT or not all(columns) or "::" not in columns[0] or columns[0] in known:
-            raise ValueError(f"{FILE_NAME}, line {number}: not «test | cause | issue», once: {line!r:.80}")
+            raise ValueError(
+                f"{FILE_NAME}, line {number}: expected 'test | cause | issue', each test once, got {line!r:.80}"
+            )
         test_id, cause, issue = columns
         known[test_id] = f"{cause} (issue {issue})"
     if len(known) > MAX_KNOWN_FAILURES:
-        raise ValueError(f"{FILE_NAME}: {len(known)} tests, {MAX_KNOWN_FAILURES} at most")
+        raise ValueError(f"{FILE_NAME}: {len(known)} tests are listed, at most {MAX_KNOWN_FAILURES} are allowed")
     return known
 
 
 def pytest_configure(config: pytest.Config) -> None:
-    """Reads the list; a list that cannot be read is a usage error."""
-    # Here and not at the collection: with pytest-xdist only the workers collect, and the controller prints the summary.
+    """Reads the list. Raises UsageError if it is invalid."""
+    # The list is not read during collection: with pytest-xdist only the workers collect, but the controller prints the
+    # summary.
     file = Path(config.rootpath) / FILE_NAME
     try:
         config.stash[KNOWN_FAILURES] = parse_known_failures(file.read_text()) if file.exists() else {}
@@ -61,9 +66,9 @@
         raise pytest.UsageError(str(error)) from None
 
 
-@pytest.hookimpl(tryfirst=True)  # before `-m` deselects: a listed test of another run is not unknown
+@pytest.hookimpl(tryfirst=True)  # before `-m` deselects tests, since a deselected test exists
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    """Marks the listed tests as strictly expected to fail; a listed id that names no test is an error."""
+    """Marks the listed tests as expected failures. Raises UsageError if a listed id does not name a test."""
     known = config.stash[KNOWN_FAILURES]
     listed_ids = _mark_known_failures(items, known)
     unknown = _find_unknown_ids(config, items, known.keys() - listed_ids)
@@ -71,7 +76,7 @@
         # A usage error in a worker reaches the controller as an internal error without its message.
         config.workeroutput[UNKNOWN_TESTS_KEY] = unknown
     elif unknown:
-        raise pytest.UsageError(f"{FILE_NAME}: {unknown[0]} is no test")
+        raise pytest.UsageError(f"{FILE_NAME}: {unknown[0]} does not name a test")
 
 
 def _mark_known_failures(items: list[pytest.Item], known: dict[str, str]) -> set[str]:
@@ -87,13 +92,13 @@
 
 
 def _find_unknown_ids(config: pytest.Config, items: list[pytest.Item], not_collected: set[str]) -> list[str]:
-    """Returns the ids that name no test, of those that were not collected."""
+    """Returns the ids that do not name a test, out of those that were not collected."""
     collected_files = {item.nodeid.partition("::")[0] for item in items}
     is_whole_run = config.args_source.name != "ARGS"
     unknown = []
     for test_id in sorted(not_collected):
         path = test_id.partition("::")[0]
-        # Where only some files are run, a test of another file is not unknown.
+        # A run of some files does not collect the tests of the others, so nothing is known about them.
         if path in collected_files or not (Path(config.rootpath) / path).exists() or is_whole_run:
             unknown.append(test_id)
     return unknown
@@ -101,25 +106,25 @@
 
 @pytest.hookimpl(optionalhook=True)
 def pytest_testnodedown(node: WorkerNode, error: object) -> None:
-    """Collects the unknown tests of a worker of pytest-xdist, in the controller."""
+    """Collects, in the controller, the unknown ids that a worker of pytest-xdist reports."""
     found = getattr(node, "workeroutput", {}).get(UNKNOWN_TESTS_KEY, ())
     node.config.stash.setdefault(UNKNOWN_TEST_IDS, set()).update(found)
 
 
 def pytest_sessionfinish(session: pytest.Session) -> None:
-    """Fails the run if a worker found a listed id that names no test."""
+    """Fails the run if a worker reported a listed id that does not name a test."""
     if session.config.stash.get(UNKNOWN_TEST_IDS, set()):
         session.exitstatus = pytest.ExitCode.USAGE_ERROR
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
-    """Prints the listed tests with their causes, and the ids that name no test."""
+    """Prints the listed tests with their causes, and the listed ids that do not name a test."""
     stash = terminalreporter.config.stash
     unknown: set[str] = stash.get(UNKNOWN_TEST_IDS, set())
     for test_id in sorted(unknown):
-        terminalreporter.line(f"ERROR: {FILE_NAME}: {test_id} is no test")
+        terminalreporter.line(f"ERROR: {FILE_NAME}: {test_id} does not name a test")
     known = stash.get(KNOWN_FAILURES, {})
     if known:
-        terminalreporter.section("known red")
+        terminalreporter.section("known failures")
         for test_id, cause in known.items():
             terminalreporter.line(f"{test_id}: {cause}")
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""Configuration: invalid keys, reloads, exit codes."""
+"""Reading the configuration: invalid keys, reloads and the exit code."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
         parse_config({**VALID, key: value})
 
 
-def test_load_report_fields_are_mapped_and_delay_reports_come_from_relays() -> None:
+def test_load_report_fields_are_mapped_and_delay_is_measured_on_relays() -> None:
     config = parse_config(VALID)
     assert config.settings.load_report_fields == (interface.UTILIZATION, "backlog", interface.LOAD_RATIO)
     assert (config.settings.has_message_delay_reports, config.measures_delay) == (False, True)
--- a/tests/test_durable_file.py
+++ b/tests/test_durable_file.py
@@ -1,4 +1,4 @@
-"""Durable files: each write, sync and rename fails in turn, and a write is interrupted after each byte."""
+"""Durable files survive a failure of each write, sync and rename, and an interruption after each byte of a write."""
 
 from __future__ import annotations
 
@@ -27,8 +27,8 @@
     """Makes a system call fail from its n-th use, counted from 0, until `recover`.
 
     Attributes:
-        call_count: uses of the call so far.
-        failure_count: of these, uses that failed.
+        call_count: how often the call was used.
+        failure_count: how many of these uses failed.
     """
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, call: str, nth: int, error: int) -> None:
@@ -107,7 +107,7 @@
 
 
 def state_of(folder: Path) -> tuple[int, bool | None]:
-    """Returns the term and the override that a start reads."""
+    """Returns the term and the override of server `s` that a restarted process would read."""
     fence, log = Fence(), OverrideLog()
     DurableState(folder, "n").read(fence, log)
     entry = log.entries.get("s")
@@ -115,7 +115,7 @@
 
 
 def temporary_files(folder: Path) -> list[str]:
-    """Returns the names of the temporary files that this process left."""
+    """Returns the names of the temporary files that this process left behind."""
     return [path.name for path in folder.iterdir() if str(os.getpid()) in path.name]
 
 
@@ -127,12 +127,12 @@
 
 
 def suspend(folder: Path, server_id: str, fallback: SharedOverrides) -> None:
-    """Suspends a server in the override file; `fallback` counts if there is no valid file."""
+    """Suspends a server in the override file; `fallback` is used if there is no valid file."""
     override_file.change_file(str(folder), lambda shared: shared.suspended.add(server_id), fallback, [], 0.0)
 
 
 def write_state(folder: Path, term: int, is_suspended: bool) -> None:
-    """Writes a durable state with this term and one override."""
+    """Writes a durable state with the given term and override of server `s`."""
     fence, log = Fence(is_restored=True), OverrideLog()
     fence.check_effect("bans", term, 1)
     log.merge_entry("s", OverrideEntry(is_suspended, Revision(term, 1)))
@@ -154,12 +154,12 @@
             try:
                 write_state(tmp_path, term, term % 2 == 1)
             except OSError:
-                # A state whose rename succeeded and whose sync failed may be in place; it was not acknowledged.
+                # After a rename that succeeded and a sync that failed, the state is in place but not acknowledged.
                 assert failing.failure_count and acknowledged <= state_of(tmp_path)[0] <= term
                 assert not temporary_files(tmp_path)
             else:
                 acknowledged = term
-            assert state_of(tmp_path)[1] == (state_of(tmp_path)[0] % 2 == 1), "a record is complete"
+            assert state_of(tmp_path)[1] == (state_of(tmp_path)[0] % 2 == 1), "the state mixes two writes"
         assert failing.failure_count
         failing.recover()
         write_state(tmp_path, 7, True)
@@ -177,7 +177,7 @@
     assert state_of(tmp_path) == (4, False)
 
 
-def test_truncated_or_damaged_state_is_reported_and_the_previous_one_counts(tmp_path: Path) -> None:
+def test_truncated_or_damaged_state_is_reported_and_the_previous_one_is_used(tmp_path: Path) -> None:
     write_state(tmp_path, 3, True)
     write_state(tmp_path, 4, False)
     path = tmp_path / "glenrock-n.fleet.json"
@@ -209,7 +209,7 @@
     assert suspended_servers(tmp_path) == {"s1", "s2"}
 
 
-def test_previous_override_file_is_readable_if_the_present_one_is_damaged(tmp_path: Path) -> None:
+def test_previous_override_file_is_readable_if_the_current_one_is_damaged(tmp_path: Path) -> None:
     for server_id in ("s1", "s2"):
         suspend(tmp_path, server_id, SharedOverrides())
     path = tmp_path / override_file.FILE_NAME
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -1,4 +1,4 @@
-"""Imports go one way (docs/architecture.md): which package may import which, and no import cycles."""
+"""Checks which packages may import which (docs/architecture.md), and that there are no import cycles."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 
 ROOT = Path(__file__).resolve().parents[1]
 
-# What each part of the program must not import, not even for types.
-# The composition root is `program`; `__main__` starts it.
+# The modules and packages that each package must not import, not even for type checking. "" is the package `glenrock`
+# itself, `program` is the composition root, and `__main__` starts it.
 FORBIDDEN = {
     "routing": (
         "",
@@ -32,7 +32,7 @@
     "testbed": ("__main__", "program", "admin", "cli", "net", "upgrade"),
     "simulation": ("__main__", "program", "admin", "cli", "net", "upgrade", "testbed"),
 }
-# Import cycles that are still tolerated; no new ones may be added.
+# Import cycles that are tolerated. None may be added.
 KNOWN_CYCLES: set[frozenset[str]] = set()
 
 
@@ -46,7 +46,7 @@
 
 
 def imported_modules(module: str) -> set[str]:
-    """Returns the modules of glenrock that a module imports, those for types alone too."""
+    """Returns the modules of glenrock that a module imports, including imports for type checking."""
     path = MODULES[module]
     package = module if path.name == "__init__.py" else module.rpartition(".")[0]
     found: set[str] = set()
@@ -62,7 +62,7 @@
 
 
 def import_source(node: ast.ImportFrom, package: str) -> str | None:
-    """Returns the module or package that a statement imports from; None if it is not of glenrock."""
+    """Returns the module or package that a statement imports from; None if it is not part of glenrock."""
     name = node.module or ""
     if not node.level:
         return name.removeprefix("glenrock").removeprefix(".") if name.startswith("glenrock") else None
@@ -72,25 +72,25 @@
 
 
 def import_cycles() -> set[frozenset[str]]:
-    """Returns the sets of modules that import each other, directly or by way of others."""
-    reached: dict[str, set[str]] = {}
+    """Returns the sets of modules that import each other, directly or through other modules."""
+    reachable_by_module: dict[str, set[str]] = {}
     imports = {name: imported_modules(name) for name in MODULES}
     for name in MODULES:
-        seen: set[str] = set()
-        todo = [name]
-        while todo:
-            for other in imports[todo.pop()] - seen:
-                seen.add(other)
-                todo.append(other)
-        reached[name] = seen
+        reachable: set[str] = set()
+        pending = [name]
+        while pending:
+            for other in imports[pending.pop()] - reachable:
+                reachable.add(other)
+                pending.append(other)
+        reachable_by_module[name] = reachable
     return {
-        frozenset({name} | {other for other in reached[name] if name in reached[other]})
+        frozenset({name} | {other for other in reachable_by_module[name] if name in reachable_by_module[other]})
         for name in MODULES
-        if name in reached[name]
+        if name in reachable_by_module[name]
     }
 
 
-def test_each_package_imports_only_what_lies_below_it() -> None:
+def test_no_package_imports_a_forbidden_one() -> None:
     violations = [
         f"{name} imports {other}"
         for name in MODULES
@@ -100,7 +100,7 @@
     assert not violations, violations
 
 
-def test_import_cycles_are_the_known_ones() -> None:
+def test_import_cycles_are_exactly_the_tolerated_ones() -> None:
     found = import_cycles()
     assert found <= KNOWN_CYCLES, sorted(map(sorted, found - KNOWN_CYCLES))
-    assert found >= KNOWN_CYCLES, "a cycle that is gone is removed from the list"
+    assert found >= KNOWN_CYCLES, "KNOWN_CYCLES lists a cycle that no longer exists"
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -29,16 +29,16 @@
 
 @dataclass
 class Project:
-    """A small project with the hooks of `known_red.py`.
+    """A project whose conftest.py has the hooks of `known_red.py`.
 
     Attributes:
-        folder: its root.
+        folder: the root folder of the project.
     """
 
     folder: Path
 
     def write(self, known: str, **files: str) -> None:
-        """Writes the list of known failures, and test files by their names without suffix."""
+        """Writes the list of known failures, and test files, given by name without suffix."""
         tests = self.folder / "tests"
         tests.mkdir(exist_ok=True)
         shutil.copy(Path(__file__).with_name("known_red.py"), tests / "conftest.py")
@@ -48,7 +48,7 @@
             (tests / f"{name}.py").write_text(text)
 
     def run(self, *arguments: str) -> subprocess.CompletedProcess[str]:
-        """Runs its tests."""
+        """Runs the tests of the project."""
         return subprocess.run(
             [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider", *arguments],
             cwd=self.folder,
@@ -69,22 +69,23 @@
     [
         ("", 1, "3 failed, 1 passed"),
         ("# a comment\n\n" + FAILING_TEST_LINE, 1, "2 failed, 1 passed, 1 xfailed"),
-        (FAILING_TEST_LINE + "tests/test_a.py::test_both | two of a kind | 8\n", 0, "1 passed, 3 xfailed"),
+        (FAILING_TEST_LINE + "tests/test_a.py::test_both | both cases fail | 8\n", 0, "1 passed, 3 xfailed"),
         (FAILING_TEST_LINE, 1, "tests/test_a.py::test_red: it is not fixed (issue 7)"),
         (
-            FAILING_TEST_LINE + "tests/test_a.py::test_both[1] | one | 8\ntests/test_a.py::test_both[2] | other | 8\n",
+            FAILING_TEST_LINE
+            + "tests/test_a.py::test_both[1] | first case | 8\ntests/test_a.py::test_both[2] | second case | 8\n",
             0,
             "3 xfailed",
         ),
         (FAILING_TEST_LINE + "tests/test_a.py::test_green | it passes | 8\n", 1, "[XPASS(strict)] it passes (issue 8)"),
-        ("tests/test_a.py::test_gone | x | 1\n", 4, "tests/test_a.py::test_gone is no test"),
-        ("tests/test_b.py::test_gone | x | 1\n", 4, "tests/test_b.py::test_gone is no test"),
-        ("tests/test_a.py::test_red | no issue\n", 4, "line 1: not «test | cause | issue»"),
-        (FAILING_TEST_LINE + FAILING_TEST_LINE, 4, "line 2: not «test | cause | issue», once"),
-        (FOUR_LINES, 4, "4 tests, 3 at most"),
+        ("tests/test_a.py::test_gone | x | 1\n", 4, "tests/test_a.py::test_gone does not name a test"),
+        ("tests/test_b.py::test_gone | x | 1\n", 4, "tests/test_b.py::test_gone does not name a test"),
+        ("tests/test_a.py::test_red | no issue\n", 4, "line 1: expected 'test | cause | issue'"),
+        (FAILING_TEST_LINE + FAILING_TEST_LINE, 4, "line 2: expected 'test | cause | issue', each test once"),
+        (FOUR_LINES, 4, "4 tests are listed, at most 3 are allowed"),
     ],
 )
-def test_run_passes_over_exactly_the_listed_failures(
+def test_run_passes_despite_exactly_the_listed_failures(
     project: Project, known: str, exit_code: int, message: str
 ) -> None:
     project.write(known, test_a=TESTS)
@@ -100,16 +101,23 @@
     assert completed.returncode == 1 and "1 failed" in completed.stdout
 
 
-def test_workers_pass_over_known_failures_and_report_an_unexpected_pass(project: Project) -> None:
+def test_hooks_work_with_several_workers(project: Project) -> None:
     def run_with_workers(known: str) -> subprocess.CompletedProcess[str]:
         project.write(known, test_a=TESTS)
         return project.run("-n", "2", "--dist", "loadfile")
 
-    both = FAILING_TEST_LINE + "tests/test_a.py::test_both | two of a kind | 8\n"
-    passed_over = run_with_workers(both)
-    assert passed_over.returncode == 0 and "1 passed, 3 xfailed" in passed_over.stdout, passed_over.stdout
-    assert "tests/test_a.py::test_red: it is not fixed (issue 7)" in passed_over.stdout
-    unexpected = run_with_workers(both + "tests/test_a.py::test_green | it passes | 8\n")
-    assert unexpected.returncode == 1 and "[XPASS(strict)] it passes (issue 8)" in unexpected.stdout, unexpected.stdout
-    unknown = run_with_workers("tests/test_a.py::test_gone | x | 1\n")
-    assert unknown.returncode == 4 and "tests/test_a.py::test_gone is no test" in unknown.stdout + unknown.stderr
+    both = FAILING_TEST_LINE + "tests/test_a.py::test_both | both cases fail | 8\n"
+    with_known_failures = run_with_workers(both)
+    assert with_known_failures.returncode == 0 and "1 passed, 3 xfailed" in with_known_failures.stdout, (
+        with_known_failures.stdout
+    )
+    assert "tests/test_a.py::test_red: it is not fixed (issue 7)" in with_known_failures.stdout
+    with_unexpected_pass = run_with_workers(both + "tests/test_a.py::test_green | it passes | 8\n")
+    assert (
+        with_unexpected_pass.returncode == 1 and "[XPASS(strict)] it passes (issue 8)" in with_unexpected_pass.stdout
+    ), with_unexpected_pass.stdout
+    with_unknown_test = run_with_workers("tests/test_a.py::test_gone | x | 1\n")
+    assert (
+        with_unknown_test.returncode == 4
+        and "tests/test_a.py::test_gone does not name a test" in with_unknown_test.stdout + with_unknown_test.stderr
+    )
--- a/tests/upgrade/conftest.py
+++ b/tests/upgrade/conftest.py
@@ -1,4 +1,4 @@
-"""Real processes of the program on loopback that share a listening socket, with their servers and discovery."""
+"""Starts balancer processes that share a listening socket, with their servers and service discovery, on loopback."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 MAX_READY_POLLS = 200
 READY_POLL_S = 0.05
 LOG_FILE_MODE = 0o644
-OVERRIDING_VARIABLES = ("LB_NAME", "LB_LISTEN", "LB_DISCOVERY")  # they would replace keys of the configuration
+OVERRIDING_VARIABLES = ("LB_NAME", "LB_LISTEN", "LB_DISCOVERY")  # would override keys of the configuration file
 
 
 def unused_port() -> int:
@@ -41,14 +41,16 @@
 
 
 class UpgradeRig:
-    """Two servers that answer UP and echo lines, discovery, the clients' listening socket, and processes.
+    """A test environment for upgrades: two servers, service discovery, a listening socket and balancer processes.
+
+    The servers answer OPEN with UP, and echo all other lines.
 
     Attributes:
-        folder: shared by the processes, and the place of their configurations and logs.
-        listening_socket: inherited by all processes.
-        client_port: where clients connect.
+        folder: the folder that the processes share. It also holds their configuration files and logs.
+        listening_socket: the socket that accepts clients. All processes inherit it.
+        client_port: the port of the listening socket.
         connection_counts: how many connections each server has had.
-        processes: of the program, in the order of their start.
+        processes: the balancer processes, in the order of their start.
     """
 
     def __init__(self, folder: Path) -> None:
@@ -61,16 +63,16 @@
         self._servers: list[asyncio.Server] = []
 
     async def open(self) -> None:
-        """Starts the servers and discovery."""
+        """Starts the servers and service discovery."""
         rows = []
         for name in self.connection_counts:
-            server = await asyncio.start_server(functools.partial(self._serve, name), "127.0.0.1", 0)
+            server = await asyncio.start_server(functools.partial(self._answer_client, name), "127.0.0.1", 0)
             self._servers.append(server)
             rows.append(endpoint_row(name, address_of(server)))
         self._endpoint_list = endpoint_list_response(2, rows)
-        self._servers.append(await asyncio.start_server(self._discover, "127.0.0.1", 0))
+        self._servers.append(await asyncio.start_server(self._serve_endpoint_list, "127.0.0.1", 0))
 
-    async def _serve(self, name: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _answer_client(self, name: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while line := await reader.readline():
             if line.startswith(b"OPEN"):
                 self.connection_counts[name] += 1
@@ -78,13 +80,13 @@
             writer.write(line)
         writer.close()
 
-    async def _discover(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _serve_endpoint_list(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while line := await reader.readline():
             if line.startswith(b"GET /discovery/hosts HTTP"):
                 writer.write(http_response(self._endpoint_list))
 
     async def start_process(self) -> int:
-        """Starts a further process. Returns its operators' port once it is ready."""
+        """Starts a balancer process, and waits until it is ready. Returns the port for operators' calls."""
         number = len(self.processes)
         admin_port = await self.launch_process()
         for _ in range(MAX_READY_POLLS):
@@ -97,7 +99,7 @@
         raise AssertionError(self.log(number))
 
     async def launch_process(self) -> int:
-        """Starts a further process, and does not wait until it is ready. Returns its operators' port."""
+        """Starts a balancer process without waiting until it is ready. Returns the port for operators' calls."""
         number = len(self.processes)
         admin_port = unused_port()
         descriptor = self.listening_socket.fileno()
@@ -139,11 +141,11 @@
         return self.folder / f"log{number}"
 
     def log(self, number: int) -> str:
-        """Returns what a process has logged."""
+        """Returns the log of a process."""
         return self._log_file(number).read_text()
 
     async def call(self, admin_port: int, method: str, path: str) -> str:
-        """Makes an operator's call. Returns status and body."""
+        """Makes an operator's call. Returns the status code and the body, separated by a space."""
         reader, writer = await asyncio.open_connection("127.0.0.1", admin_port)
         writer.write(f"{method} /v1/{path} HTTP/1.1\r\nHost: a\r\n\r\n".encode())
         head, _, body = (await reader.read()).partition(b"\r\n\r\n")
@@ -151,7 +153,7 @@
         return f"{head.split()[1].decode()} {body.decode()}"
 
     async def close(self) -> None:
-        """Kills the processes that still run, and closes the servers and the listening socket."""
+        """Kills the remaining processes, and closes the servers and the listening socket."""
         for process in self.processes:
             if process.returncode is None:
                 process.kill()
@@ -167,7 +169,7 @@
 
 @pytest.fixture
 def run_with_rig(tmp_path: Path) -> RunWithRig:
-    """Returns a function that runs a scenario on an open rig, and closes the rig."""
+    """Returns a function that opens a rig, runs a scenario with it, and closes it."""
 
     async def run_scenario(scenario: Scenario) -> None:
         rig = UpgradeRig(tmp_path)
--- a/tests/upgrade/test_processes.py
+++ b/tests/upgrade/test_processes.py
@@ -1,4 +1,4 @@
-"""Upgrades with real processes: connections, overrides, and what happens without a successor."""
+"""Upgrades between real processes: hand-over of connections, shared overrides, and a missing successor."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from .conftest import RunWithRig, UpgradeRig
 
 STOP_TIMEOUT_S = 5
-LINE_INTERVAL_S = 0.1  # between two lines of a client
-OVERRIDE_DELAY_S = 0.4  # within which the other process has read the shared file
+LINE_INTERVAL_S = 0.1
+OVERRIDE_DELAY_S = 0.4  # enough for the other process to read the shared file
 
 
 async def run_client(rig: UpgradeRig, number: int, line_count: int) -> str:
-    """Sends lines and compares the echoes. Returns `kept`, `migrated`, `rejected`, or what went wrong."""
+    """Sends lines and compares the echoes. Returns `kept`, `migrated`, `rejected`, or a description of the failure."""
     try:
         return await exchange_lines(rig, number, line_count)
     except OSError as error:
@@ -24,14 +24,14 @@
 
 
 async def exchange_lines(rig: UpgradeRig, number: int, line_count: int) -> str:
-    """Returns the same as `run_client`. Raises OSError if the connection breaks."""
+    """Does the work of `run_client`. Raises OSError if the connection breaks."""
     reader, writer = await asyncio.open_connection("127.0.0.1", rig.client_port)
     writer.write(b"OPEN c%d %x c=look,d=1000\r\n" % (number, number))
     answer = await reader.readline()
     if answer.startswith(b"BUSY"):
         return "rejected"
     if answer != b"UP r\r\n":
-        return f"was answered {answer!r}"
+        return f"unexpected answer to OPEN: {answer!r}"
     for line_number in range(line_count):
         # In two pieces, so that some relays are handed over in the middle of a line.
         writer.write(b"line ")
@@ -41,7 +41,7 @@
         if echo == b"MOVE\r\n":
             return "migrated"
         if echo != b"line %d\r\n" % line_number:
-            return f"line {line_number} came back as {echo!r}"
+            return f"unexpected echo of line {line_number}: {echo!r}"
         await asyncio.sleep(LINE_INTERVAL_S / 2)
     writer.close()
     return "kept"
@@ -67,14 +67,14 @@
         assert await asyncio.wait_for(rig.processes[0].wait(), STOP_TIMEOUT_S) == 0, rig.log(0)
         outcomes = await asyncio.gather(*established, *arriving)
         assert outcomes.count("kept") == len(outcomes), (sorted(set(outcomes)), rig.log(0), rig.log(1))
-        # No client migrated: each server connection is the one that the client had from the start.
+        # No client migrated, so each client has used a single server connection.
         assert rig.connection_counts == {"s1": 0, "s2": len(outcomes)}
-        # The suspended server is still suspended, and a server id that was ever listed is known.
+        # The suspended server is still suspended, and only ids that were ever listed are known.
         metrics = await rig.call(second, "GET", "metrics")
         assert "app_out_of_rotation 1\n" in metrics and "app_open_requests 0\n" in metrics
         assert (await rig.call(second, "POST", "session-servers/s1/resume")).startswith("200")
         assert (await rig.call(second, "POST", "session-servers/s3/resume")).startswith("404")
-        # Most relays were handed over, and both processes count the same number.
+        # Most relays were handed over, and both processes log the same number.
         log_line = re.search(r"relays handed over relays=(\d+) ", rig.log(0))
         assert log_line
         handed_over = int(log_line[1])
@@ -83,12 +83,12 @@
     run_with_rig(scenario)
 
 
-def test_clients_migrate_without_a_successor_and_the_backlog_waits(run_with_rig: RunWithRig) -> None:
+def test_clients_migrate_without_a_successor_and_new_ones_wait_in_the_backlog(run_with_rig: RunWithRig) -> None:
     async def scenario(rig: UpgradeRig) -> None:
         await rig.start_process()
         established = [asyncio.create_task(run_client(rig, number, 40)) for number in range(10)]
         await asyncio.sleep(0.5)
-        # A process that dies before it is ready leaves nothing behind that the old one would mistake for a successor.
+        # The old process must not take a process that died before it was ready for its successor.
         await rig.launch_process()
         rig.processes[1].kill()
         rig.processes[0].send_signal(signal.SIGTERM)
@@ -103,7 +103,7 @@
     run_with_rig(scenario)
 
 
-def test_consecutive_upgrades_and_a_kill(run_with_rig: RunWithRig) -> None:
+def test_consecutive_upgrades_keep_connections_and_a_kill_keeps_the_listening_socket(run_with_rig: RunWithRig) -> None:
     async def scenario(rig: UpgradeRig) -> None:
         await rig.start_process()
         clients = [asyncio.create_task(run_client(rig, number, 50)) for number in range(20)]
