--- a/glenrock/config.py
+++ b/glenrock/config.py
@@ -22,7 +22,7 @@
 MAX_PORT = 65_535
 MIN_INHERITED_DESCRIPTOR = 3  # after the standard streams
 MAX_INHERITED_DESCRIPTOR = (1 << 20) - 1
-MAX_COMPARED_DIGITS = 9  # of a descriptor number; bounds the work for a long text
+MAX_COMPARED_DIGITS = 9  # enough to recognize a descriptor number that is too large, without parsing a long text
 REQUIRED_KEYS = ("listen", "discovery", "settings")
 ENVIRONMENT_VARIABLES = {
     "name": "LB_NAME",
--- a/glenrock/upgrade/override_file.py
+++ b/glenrock/upgrade/override_file.py
@@ -23,7 +23,7 @@
 MAX_SERVERS = 4096  # in each field of `SharedOverrides`
 MAX_SERVER_ID_LENGTH = 256  # characters
 MAX_FILE_BYTES = 4 << 20
-MAX_TIME_MS = 1e15  # Unix time; a later one is invalid
+MAX_TIME_MS = 1e15  # Unix time; this or a later time is invalid
 
 
 class OverrideFileError(ValueError):
@@ -58,7 +58,7 @@
 
 
 class FileChange(NamedTuple):
-    """The result of one change of the file.
+    """The result of one change of the file, made under its lock.
 
     Attributes:
         before: the file's content before the change; None if there was no valid file.
@@ -96,9 +96,11 @@
         and isinstance(resumed, dict)
         and _are_server_ids(list(resumed))
     ):
-        raise OverrideFileError(f"out, back and seen: expected up to {MAX_SERVERS} server ids each")
+        raise OverrideFileError(
+            f"out, back and seen: expected at most {MAX_SERVERS} server ids of 1 to {MAX_SERVER_ID_LENGTH} characters"
+        )
     if not all(isinstance(at_ms, int | float) and 0 <= at_ms < MAX_TIME_MS for at_ms in resumed.values()):
-        raise OverrideFileError(f"back: expected times from 0 to {MAX_TIME_MS:.0f} in Unix ms")
+        raise OverrideFileError(f"back: expected Unix times in ms, at least 0 and below {MAX_TIME_MS:.0f}")
     return SharedOverrides(
         suspended=set(suspended),
         resumed_at_ms={server_id: float(at_ms) for server_id, at_ms in resumed.items()},
--- a/glenrock/upgrade/relay_message.py
+++ b/glenrock/upgrade/relay_message.py
@@ -53,7 +53,7 @@
         server_id: the server of the connection.
         load: the load that the server reported last for this connection.
         partial_line: the bytes of the line that the server has not ended yet.
-        is_overlong: whether that line is longer than a line may be.
+        is_overlong: whether that line exceeds the maximum length of a line.
         last_keyword: the first word of the server's last line.
         unanswered_since_ms: when the client sent a line that the server has not answered, in Unix ms; None if all are
             answered.
