--- a/tests/coordination/test_config.py
+++ b/tests/coordination/test_config.py
@@ -23,7 +23,7 @@
             VALID.replace('"sqlite"', '"consul"\naddresses = ["h:1"]') + "[lease]\nlease_ms = 900\nask_ms = 100\n",
             "lease.lease_ms: Consul accepts no TTL under 10000 ms",
         ),
-        (VALID + "[jobs]\nturnstyle = 1\n", "fleet.toml:6: jobs.turnstyle: not a key"),
+        (VALID + "[jobs]\nturnstyle = 1\n", "fleet.toml:6: jobs.turnstyle: unknown key"),
         ("[store]\nkind = 'sqlite'\n", "folder"),
         ("folder = ", "fleet.toml"),
     ],
